--- a/crates/account/src/across.rs
+++ b/crates/account/src/across.rs
@@ -36,12 +36,22 @@
         match &line.entry {
             Entry::PodUp { pod, build, .. } => drop(builds.insert(*pod, *build)),
             Entry::SidecarUp { sidecar } => drop(news.remove(sidecar)),
-            Entry::StageTold { sidecar, build, phase, .. } => drop(news.insert(*sidecar, (*build, *phase))),
+            Entry::StageTold {
+                sidecar,
+                build,
+                phase,
+                ..
+            } => drop(news.insert(*sidecar, (*build, *phase))),
             Entry::Asked { of, group, key, .. } => {
                 groups.insert(*of, *group);
                 keys.extend(key.map(|key| (*of, key)));
             }
-            Entry::Answered { of, ended: Final::Delivered, build: Some(build), .. } => {
+            Entry::Answered {
+                of,
+                ended: Final::Delivered,
+                build: Some(build),
+                ..
+            } => {
                 if let Some(key) = keys.get(of) {
                     let word = met.entry(*key).or_insert((*build, at));
                     if word.0 < *build {
@@ -49,8 +59,12 @@
                     }
                 }
             }
-            Entry::Arrived { pod, sidecar, of, .. } if terms.keys_stay => {
-                let (Some(build), Some(key)) = (builds.get(pod), keys.get(of)) else { continue };
+            Entry::Arrived {
+                pod, sidecar, of, ..
+            } if terms.keys_stay => {
+                let (Some(build), Some(key)) = (builds.get(pod), keys.get(of)) else {
+                    continue;
+                };
                 let told = news.get(sidecar);
                 let stays = told.is_some_and(|(newest, phase)| {
                     build < newest && matches!(phase, Phase::OnTrial | Phase::Released)
@@ -73,16 +87,21 @@
                     }
                 }
             }
-            Entry::Ran { of, effect: true, .. } => {
-                let mutating =
-                    groups.get(of).is_some_and(|group| terms.groups[*group].repeat == Repeat::Mutating);
+            Entry::Ran {
+                of, effect: true, ..
+            } => {
+                let mutating = groups
+                    .get(of)
+                    .is_some_and(|group| terms.groups[*group].repeat == Repeat::Mutating);
                 if mutating {
                     let many = effects.entry(of.0).or_insert(0);
                     *many += 1;
                     found.once += usize::from(*many == 1);
                     found.twice += usize::from(*many == 2);
                     if *many == 2 && found.twice == 1 {
-                        found.first.push((at, format!("{:?} had an effect twice", of.0)));
+                        found
+                            .first
+                            .push((at, format!("{:?} had an effect twice", of.0)));
                     }
                 }
             }
--- a/crates/account/src/balance.rs
+++ b/crates/account/src/balance.rs
@@ -34,10 +34,18 @@
     for line in lines {
         match &line.entry {
             Entry::PodUp { pod, capacity, .. } => {
-                pods.insert(*pod, Pod { capacity: *capacity, since: line.at, ..Pod::default() });
+                pods.insert(
+                    *pod,
+                    Pod {
+                        capacity: *capacity,
+                        since: line.at,
+                        ..Pod::default()
+                    },
+                );
             }
             Entry::PodDown { pod } => {
-                pods.entry(*pod).and_modify(|pod| pod.ran = line.at.saturating_sub(pod.since));
+                pods.entry(*pod)
+                    .and_modify(|pod| pod.ran = line.at.saturating_sub(pod.since));
             }
             Entry::Arrived { pod, sidecar, .. } => {
                 if let Some(pod) = pods.get_mut(pod) {
@@ -49,14 +57,28 @@
             _ => {}
         }
     }
-    let ran = |pod: &Pod| if pod.ran.is_zero() { end.saturating_sub(pod.since) } else { pod.ran };
+    let ran = |pod: &Pod| {
+        if pod.ran.is_zero() {
+            end.saturating_sub(pod.since)
+        } else {
+            pod.ran
+        }
+    };
     let long: Vec<&Pod> = pods.values().filter(|pod| ran(pod) >= LEAST).collect();
     let could = |pod: &Pod| (pod.capacity * ran(pod).as_secs_f64()).max(1e-9);
-    let (came, whole) = long.iter().fold((0, 0.0), |(came, whole), p| (came + p.came, whole + could(p)));
+    let (came, whole) = long.iter().fold((0, 0.0), |(came, whole), p| {
+        (came + p.came, whole + could(p))
+    });
     let mean = (came as f64 / whole.max(1e-9)).max(1e-9);
-    let spans: Vec<usize> = long.iter().flat_map(|pod| pod.users.values().map(BTreeSet::len)).collect();
+    let spans: Vec<usize> = long
+        .iter()
+        .flat_map(|pod| pod.users.values().map(BTreeSet::len))
+        .collect();
     Balance {
-        most: long.iter().map(|pod| pod.came as f64 / could(pod) / mean).fold(0.0, f64::max),
+        most: long
+            .iter()
+            .map(|pod| pod.came as f64 / could(pod) / mean)
+            .fold(0.0, f64::max),
         users: (
             spans.iter().sum::<usize>() as f64 / spans.len().max(1) as f64,
             spans.iter().max().copied().unwrap_or(0),
@@ -70,7 +92,10 @@
     let mut up: BTreeMap<PodNo, f64> = BTreeMap::new();
     let mut courses: BTreeMap<PodNo, Vec<(f64, f64)>> = BTreeMap::new();
     let fill = |course: &mut Vec<(f64, f64)>, to: Duration| {
-        while course.last().is_some_and(|point| point.0 < to.as_secs() as f64) {
+        while course
+            .last()
+            .is_some_and(|point| point.0 < to.as_secs() as f64)
+        {
             let next = course[course.len() - 1].0 + 1.0;
             course.push((next, 0.0));
         }
@@ -82,17 +107,29 @@
                 courses.insert(*pod, vec![(line.at.as_secs() as f64, 0.0)]);
             }
             Entry::Arrived { pod, .. } => {
-                let Some((course, capacity)) = courses.get_mut(pod).zip(up.get(pod)) else { continue };
+                let Some((course, capacity)) = courses.get_mut(pod).zip(up.get(pod)) else {
+                    continue;
+                };
                 fill(course, line.at);
-                course.iter_mut().last().into_iter().for_each(|point| point.1 += 1.0 / capacity.max(1e-9));
+                course
+                    .iter_mut()
+                    .last()
+                    .into_iter()
+                    .for_each(|point| point.1 += 1.0 / capacity.max(1e-9));
             }
             Entry::PodDown { pod } => {
                 up.remove(pod);
-                courses.get_mut(pod).into_iter().for_each(|course| fill(course, line.at));
+                courses
+                    .get_mut(pod)
+                    .into_iter()
+                    .for_each(|course| fill(course, line.at));
             }
             Entry::End {} => {
                 let left = |(pod, course): (&PodNo, _)| up.contains_key(pod).then_some(course);
-                courses.iter_mut().filter_map(left).for_each(|course| fill(course, line.at));
+                courses
+                    .iter_mut()
+                    .filter_map(left)
+                    .for_each(|course| fill(course, line.at));
             }
             _ => {}
         }
--- a/crates/account/src/record.rs
+++ b/crates/account/src/record.rs
@@ -292,32 +292,56 @@
             break;
         }
         let line = serde_json::from_str(&text);
-        lines.push(line.map_err(|e| Unreadable::Line { line: number, why: e.to_string() })?);
+        lines.push(line.map_err(|e| Unreadable::Line {
+            line: number,
+            why: e.to_string(),
+        })?);
     }
-    let Some(Line { entry: Entry::Begin { terms, .. }, .. }) = lines.first() else {
+    let Some(Line {
+        entry: Entry::Begin { terms, .. },
+        ..
+    }) = lines.first()
+    else {
         return Err(Unreadable::NoBegin);
     };
     let mut last = Duration::ZERO;
     for (place, line) in lines.iter().enumerate() {
-        let amiss = |what| Unreadable::Amiss { line: place + 1, what };
+        let amiss = |what| Unreadable::Amiss {
+            line: place + 1,
+            what,
+        };
         if line.at < last {
             return Err(amiss("the time goes back"));
         }
         last = line.at;
         match line.entry {
-            Entry::Asked { group, .. } | Entry::Arrived { group, .. } if group >= terms.groups.len() => {
+            Entry::Asked { group, .. } | Entry::Arrived { group, .. }
+                if group >= terms.groups.len() =>
+            {
                 return Err(amiss("a path group that the day's terms do not have"));
             }
             Entry::Begin { .. } if place > 0 => return Err(amiss("a second begin")),
             _ => {}
         }
     }
-    let spans = [terms.cold_for, terms.fall_within, terms.cap_window, terms.drain_grace, terms.answer_slack];
+    let spans = [
+        terms.cold_for,
+        terms.fall_within,
+        terms.cap_window,
+        terms.drain_grace,
+        terms.answer_slack,
+    ];
     if terms.caps.is_empty() || last > MOST_TIME || spans.iter().any(|span| *span > MOST_TIME) {
-        return Err(Unreadable::Amiss { line: 1, what: "terms without caps, or times beyond a year" });
+        return Err(Unreadable::Amiss {
+            line: 1,
+            what: "terms without caps, or times beyond a year",
+        });
     }
     match lines.last() {
-        Some(Line { entry: Entry::End {}, .. }) => Ok(lines),
+        Some(Line {
+            entry: Entry::End {},
+            ..
+        }) => Ok(lines),
         _ => Err(Unreadable::NoEnd),
     }
 }
--- a/crates/account/src/rules.rs
+++ b/crates/account/src/rules.rs
@@ -21,8 +21,13 @@
 }
 
 impl Rule {
-    pub const ALL: [Rule; 5] =
-        [Rule::OneAnswer, Rule::NoEffectTwice, Rule::Drains, Rule::Cold, Rule::Exposure];
+    pub const ALL: [Rule; 5] = [
+        Rule::OneAnswer,
+        Rule::NoEffectTwice,
+        Rule::Drains,
+        Rule::Cold,
+        Rule::Exposure,
+    ];
 }
 
 impl fmt::Display for Rule {
@@ -77,13 +82,21 @@
 
 impl Account {
     pub fn kept(&self) -> bool {
-        self.findings.iter().all(|finding| finding.breaches.is_empty())
+        self.findings
+            .iter()
+            .all(|finding| finding.breaches.is_empty())
     }
 }
 
 /// Checks a whole record; `read` makes sure that it has a begin and an end.
 pub fn check(lines: &[Line]) -> Option<Account> {
-    let Some(Line { entry: Entry::Begin { day, terms }, .. }) = lines.first() else { return None };
+    let Some(Line {
+        entry: Entry::Begin { day, terms },
+        ..
+    }) = lines.first()
+    else {
+        return None;
+    };
     let stalls = Stalls::of(lines);
     let findings = vec![
         one_answer(lines, terms, &stalls),
@@ -92,7 +105,12 @@
         cold(lines, terms, &stalls),
         exposure(lines, terms, &stalls),
     ];
-    Some(Account { day: day.clone(), findings, service: service(lines, terms), balance: balance(lines) })
+    Some(Account {
+        day: day.clone(),
+        findings,
+        service: service(lines, terms),
+        balance: balance(lines),
+    })
 }
 
 fn ms(span: Duration) -> String {
@@ -118,31 +136,55 @@
     let mut tries: BTreeMap<Try, Open> = BTreeMap::new();
     let mut breaches = Vec::new();
     let mut least: Option<Duration> = None;
-    let mut breach = |at: Duration, text: String| breaches.push(Breach { rule: Rule::OneAnswer, at, text });
+    let mut breach = |at: Duration, text: String| {
+        breaches.push(Breach {
+            rule: Rule::OneAnswer,
+            at,
+            text,
+        })
+    };
     // Sidecars that do not run now. What falls due meanwhile is owed once they do.
     let mut stopped: BTreeSet<SidecarNo> = BTreeSet::new();
     let (mut down, mut leaving) = (BTreeSet::new(), BTreeSet::new());
     for line in lines {
         let at = line.at;
         match &line.entry {
-            Entry::Asked { sidecar, of, waits, .. } => {
+            Entry::Asked {
+                sidecar, of, waits, ..
+            } => {
                 // Written to a process that is dead already: nobody took it.
                 let ended = down.contains(sidecar).then_some(at);
                 let (due, unseen) = (at.saturating_add(*waits), stopped.contains(sidecar));
-                let (sidecar, waits, answers, begun, forwarded) = (*sidecar, *waits, 0, None, false);
-                let open = Open { sidecar, unseen, waits, due, ended, answers, begun, forwarded };
+                let (sidecar, waits, answers, begun, forwarded) =
+                    (*sidecar, *waits, 0, None, false);
+                let open = Open {
+                    sidecar,
+                    unseen,
+                    waits,
+                    due,
+                    ended,
+                    answers,
+                    begun,
+                    forwarded,
+                };
                 tries.insert(*of, open);
             }
             // A stream that has begun is in time: what follows is the client's and the pod's.
             Entry::Answered { of, .. }
-                if tries.get(of).is_some_and(|open| open.begun.is_some() && open.answers == 1) =>
+                if tries
+                    .get(of)
+                    .is_some_and(|open| open.begun.is_some() && open.answers == 1) =>
             {
-                tries.entry(*of).and_modify(|open| (open.answers, open.ended) = (2, Some(at)));
+                tries
+                    .entry(*of)
+                    .and_modify(|open| (open.answers, open.ended) = (2, Some(at)));
             }
             Entry::GaveUp { of } | Entry::Lost { of, .. }
                 if tries.get(of).is_some_and(|open| open.begun.is_some()) =>
             {
-                tries.entry(*of).and_modify(|open| open.ended = open.ended.or(Some(at)));
+                tries
+                    .entry(*of)
+                    .and_modify(|open| open.ended = open.ended.or(Some(at)));
             }
             Entry::Answered { of, .. } | Entry::AnswerBegun { of, .. } => {
                 let Some(open) = tries.get_mut(of) else {
@@ -159,21 +201,28 @@
                 if at > last {
                     breach(at, format!("{of:?} was answered {} late", ms(at - last)));
                 }
-                least = Some(least.map_or(last.saturating_sub(at), |l| l.min(last.saturating_sub(at))));
+                least =
+                    Some(least.map_or(last.saturating_sub(at), |l| l.min(last.saturating_sub(at))));
                 if !begins {
                     open.ended = open.ended.or(Some(at));
                 }
             }
-            Entry::Unasked { sidecar, of } => {
-                breach(at, format!("{sidecar:?} sent words that nobody waited for, after {of:?}"))
-            }
+            Entry::Unasked { sidecar, of } => breach(
+                at,
+                format!("{sidecar:?} sent words that nobody waited for, after {of:?}"),
+            ),
             Entry::SidecarStopped { sidecar } => drop(stopped.replace(*sidecar)),
             Entry::SidecarGoesOn { sidecar } => {
                 stopped.remove(sidecar);
-                let held = tries.values_mut().filter(|open| open.sidecar == *sidecar && open.ended.is_none());
+                let held = tries
+                    .values_mut()
+                    .filter(|open| open.sidecar == *sidecar && open.ended.is_none());
                 for open in held {
-                    let taken =
-                        if std::mem::take(&mut open.unseen) { at.saturating_add(open.waits) } else { at };
+                    let taken = if std::mem::take(&mut open.unseen) {
+                        at.saturating_add(open.waits)
+                    } else {
+                        at
+                    };
                     open.due = open.due.max(taken);
                 }
             }
@@ -196,8 +245,14 @@
             Entry::Lost { of, reached: true } => {
                 // What reaches one that leaves as it closes a kept connection was not taken, unless it went on.
                 let untaken = |open: &Open| leaving.contains(&open.sidecar) && !open.forwarded;
-                if let Some(open) = tries.get_mut(of).filter(|open| open.ended.is_none() && !untaken(open)) {
-                    breach(at, format!("{of:?}: a running sidecar dropped it without an answer"));
+                if let Some(open) = tries
+                    .get_mut(of)
+                    .filter(|open| open.ended.is_none() && !untaken(open))
+                {
+                    breach(
+                        at,
+                        format!("{of:?}: a running sidecar dropped it without an answer"),
+                    );
                     open.ended = Some(at);
                 }
             }
@@ -219,12 +274,17 @@
                 let held = tries.values_mut().filter(|open| open.sidecar == *sidecar);
                 held.for_each(|open| open.ended = open.ended.or(Some(at)));
             }
-            Entry::Arrived { of, sidecar, pod, .. } => {
+            Entry::Arrived {
+                of, sidecar, pod, ..
+            } => {
                 tries.entry(*of).and_modify(|open| open.forwarded = true);
                 let ended = tries.get(of).and_then(|open| open.begun.or(open.ended));
                 if let Some(ended) = ended.filter(|ended| at > *ended + stalls.blur(at)) {
                     let late = ms(at - ended);
-                    breach(at, format!("{sidecar:?} sent {of:?} to {pod:?} {late} after its end"));
+                    breach(
+                        at,
+                        format!("{sidecar:?} sent {of:?} to {pod:?} {late} after its end"),
+                    );
                 }
             }
             Entry::End {} => {
@@ -240,7 +300,13 @@
         }
     }
     let margin = least.map_or("-".into(), |least| format!("{} left", ms(least)));
-    Finding { rule: Rule::OneAnswer, counted: tries.len(), of: "hits taken", margin, breaches }
+    Finding {
+        rule: Rule::OneAnswer,
+        counted: tries.len(),
+        of: "hits taken",
+        margin,
+        breaches,
+    }
 }
 
 #[derive(Clone, Copy)]
@@ -257,16 +323,24 @@
     let mut effects: BTreeMap<OrderId, usize> = BTreeMap::new();
     let mut places: BTreeMap<PodNo, (u16, u16)> = BTreeMap::new();
     let mut breaches = Vec::new();
-    let mut breach =
-        |at: Duration, text: String| breaches.push(Breach { rule: Rule::NoEffectTwice, at, text });
+    let mut breach = |at: Duration, text: String| {
+        breaches.push(Breach {
+            rule: Rule::NoEffectTwice,
+            at,
+            text,
+        })
+    };
     let mut slimmest: Option<Duration> = None;
     for line in lines {
         let at = line.at;
         match &line.entry {
-            Entry::PodUp { pod, zone, cell, .. } => drop(places.insert(*pod, (*zone, *cell))),
+            Entry::PodUp {
+                pod, zone, cell, ..
+            } => drop(places.insert(*pod, (*zone, *cell))),
             Entry::Asked { of, group, .. } => drop(groups.insert(of.0, *group)),
             Entry::Arrived { pod, of, .. } => {
-                let Some(repeat) = groups.get(&of.0).map(|group| terms.groups[*group].repeat) else {
+                let Some(repeat) = groups.get(&of.0).map(|group| terms.groups[*group].repeat)
+                else {
                     continue;
                 };
                 let before = seen.entry(of.0).or_default();
@@ -277,7 +351,10 @@
                         if let Some(first) = ran.next() {
                             breach(
                                 at,
-                                format!("{of:?} went to {pod:?} though {:?} may have run it", first.pod),
+                                format!(
+                                    "{of:?} went to {pod:?} though {:?} may have run it",
+                                    first.pod
+                                ),
                             );
                         }
                     }
@@ -293,38 +370,70 @@
                                 Reach::Cell => old.map(|p| p.1) == new.map(|p| p.1),
                             };
                             if !within {
-                                breach(at, format!("{of:?} left the pods that drop its repeat, for {pod:?}"));
+                                breach(
+                                    at,
+                                    format!(
+                                        "{of:?} left the pods that drop its repeat, for {pod:?}"
+                                    ),
+                                );
                             }
                             if at > first.at + memory {
-                                breach(at, format!("{of:?} went out again after its mark was forgotten"));
+                                breach(
+                                    at,
+                                    format!("{of:?} went out again after its mark was forgotten"),
+                                );
                             }
                             let left = (first.at + memory).saturating_sub(at);
                             slimmest = Some(slimmest.map_or(left, |s| s.min(left)));
                         }
                     }
                 }
-                before.push(Seen { pod: *pod, of: *of, at, turned_away: false });
+                before.push(Seen {
+                    pod: *pod,
+                    of: *of,
+                    at,
+                    turned_away: false,
+                });
             }
             Entry::TurnedAway { pod, of } => {
                 let held = seen.entry(of.0).or_default().iter_mut();
                 let last = held.rev().find(|seen| seen.pod == *pod && seen.of == *of);
                 last.into_iter().for_each(|seen| seen.turned_away = true);
             }
-            Entry::Ran { pod, of, effect: true } => {
-                let Some(group) = groups.get(&of.0).map(|group| &terms.groups[*group]) else { continue };
+            Entry::Ran {
+                pod,
+                of,
+                effect: true,
+            } => {
+                let Some(group) = groups.get(&of.0).map(|group| &terms.groups[*group]) else {
+                    continue;
+                };
                 let count = effects.entry(of.0).or_default();
                 *count += 1;
                 if *count > 1 && group.repeat != Repeat::Repeatable {
-                    breach(at, format!("{of:?} took effect {count} times, last at {pod:?}"));
+                    breach(
+                        at,
+                        format!("{of:?} took effect {count} times, last at {pod:?}"),
+                    );
                 }
             }
-            Entry::Answered { of, ended: Final::Bounced, .. } => {
-                let Some(repeat) = groups.get(&of.0).map(|group| terms.groups[*group].repeat) else {
+            Entry::Answered {
+                of,
+                ended: Final::Bounced,
+                ..
+            } => {
+                let Some(repeat) = groups.get(&of.0).map(|group| terms.groups[*group].repeat)
+                else {
                     continue;
                 };
                 let harmless = match repeat {
-                    Repeat::Repeatable | Repeat::Tagged { reach: Reach::All, .. } => true,
-                    _ => seen.get(&of.0).is_none_or(|seen| seen.iter().all(|seen| seen.turned_away)),
+                    Repeat::Repeatable
+                    | Repeat::Tagged {
+                        reach: Reach::All, ..
+                    } => true,
+                    _ => seen
+                        .get(&of.0)
+                        .is_none_or(|seen| seen.iter().all(|seen| seen.turned_away)),
                 };
                 if !harmless {
                     breach(at, format!("{of:?} was bounced though it may have run"));
@@ -333,12 +442,22 @@
             _ => {}
         }
     }
-    let counted = effects
-        .keys()
-        .filter(|id| groups.get(id).is_some_and(|group| terms.groups[*group].repeat != Repeat::Repeatable));
+    let counted = effects.keys().filter(|id| {
+        groups
+            .get(id)
+            .is_some_and(|group| terms.groups[*group].repeat != Repeat::Repeatable)
+    });
     let counted = counted.count();
-    let margin = slimmest.map_or("no resend".into(), |left| format!("{} of memory left", ms(left)));
-    Finding { rule: Rule::NoEffectTwice, counted, of: "hits with effect", margin, breaches }
+    let margin = slimmest.map_or("no resend".into(), |left| {
+        format!("{} of memory left", ms(left))
+    });
+    Finding {
+        rule: Rule::NoEffectTwice,
+        counted,
+        of: "hits with effect",
+        margin,
+        breaches,
+    }
 }
 
 fn drains(lines: &[Line], terms: &Terms, stalls: &Stalls) -> Finding {
@@ -349,9 +468,17 @@
     for line in lines {
         let at = line.at;
         match &line.entry {
-            Entry::ListTold { sidecar, ready, draining } => {
+            Entry::ListTold {
+                sidecar,
+                ready,
+                draining,
+            } => {
                 let held = listed.entry(*sidecar).or_default();
-                let gone: Vec<PodNo> = held.iter().filter(|pod| !ready.contains(pod)).copied().collect();
+                let gone: Vec<PodNo> = held
+                    .iter()
+                    .filter(|pod| !ready.contains(pod))
+                    .copied()
+                    .collect();
                 for pod in gone.iter().chain(draining) {
                     told.entry((*sidecar, *pod)).or_insert(at);
                 }
@@ -367,23 +494,39 @@
                 listed.remove(sidecar);
                 told.retain(|(of, _), _| of != sidecar);
             }
-            Entry::Arrived { pod, sidecar, of, .. } => {
-                let Some(since) = told.get(&(*sidecar, *pod)) else { continue };
+            Entry::Arrived {
+                pod, sidecar, of, ..
+            } => {
+                let Some(since) = told.get(&(*sidecar, *pod)) else {
+                    continue;
+                };
                 let after = at - *since;
                 latest = Some(latest.map_or(after, |l| l.max(after)));
                 if after > terms.drain_grace + stalls.blur(at) {
                     let late = ms(after - terms.drain_grace);
-                    let text =
-                        format!("{sidecar:?} sent {of:?} to {pod:?} {late} past the grace of its drain");
-                    breaches.push(Breach { rule: Rule::Drains, at, text });
+                    let text = format!(
+                        "{sidecar:?} sent {of:?} to {pod:?} {late} past the grace of its drain"
+                    );
+                    breaches.push(Breach {
+                        rule: Rule::Drains,
+                        at,
+                        text,
+                    });
                 }
             }
             _ => {}
         }
     }
-    let margin =
-        latest.map_or("none after".into(), |l| format!("last {} after, of {}", ms(l), ms(terms.drain_grace)));
-    Finding { rule: Rule::Drains, counted, of: "drains told", margin, breaches }
+    let margin = latest.map_or("none after".into(), |l| {
+        format!("last {} after, of {}", ms(l), ms(terms.drain_grace))
+    });
+    Finding {
+        rule: Rule::Drains,
+        counted,
+        of: "drains told",
+        margin,
+        breaches,
+    }
 }
 
 struct ColdPod {
@@ -407,19 +550,38 @@
     for line in lines {
         let at = line.at;
         match &line.entry {
-            Entry::PodUp { pod, capacity, cold: true, .. } => {
+            Entry::PodUp {
+                pod,
+                capacity,
+                cold: true,
+                ..
+            } => {
                 counted += 1;
                 let sends = VecDeque::new();
-                pods.insert(*pod, ColdPod { up: at, capacity: *capacity, sends, sum: 0.0 });
+                pods.insert(
+                    *pod,
+                    ColdPod {
+                        up: at,
+                        capacity: *capacity,
+                        sends,
+                        sum: 0.0,
+                    },
+                );
             }
             Entry::PodDown { pod } => drop(pods.remove(pod)),
             Entry::Arrived { pod, work, of, .. } => {
-                let Some(cold) = pods.get_mut(pod) else { continue };
+                let Some(cold) = pods.get_mut(pod) else {
+                    continue;
+                };
                 let age = (at - cold.up).as_secs_f64();
                 let work = work.as_secs_f64();
                 cold.sends.push_back((at, work));
                 cold.sum += work;
-                while cold.sends.front().is_some_and(|(t, _)| (at - *t).as_secs_f64() > span) {
+                while cold
+                    .sends
+                    .front()
+                    .is_some_and(|(t, _)| (at - *t).as_secs_f64() > span)
+                {
                     cold.sum -= cold.sends.pop_front().map_or(0.0, |(_, work)| work);
                 }
                 if age > terms.cold_for.as_secs_f64() + span {
@@ -430,8 +592,8 @@
                 let from = age - span;
                 let before = (-from).max(0.0) * terms.cold_from;
                 let late = stalls.blur(at).as_secs_f64();
-                let able =
-                    cold.capacity * (done_by(age, terms) - done_by(from.max(0.0), terms) + before + late);
+                let able = cold.capacity
+                    * (done_by(age, terms) - done_by(from.max(0.0), terms) + before + late);
                 // One hit is the least that can be sent.
                 let part = (cold.sum - work).max(0.0) / (terms.fall_multiple * able).max(1e-9);
                 worst = worst.max(part);
@@ -439,14 +601,24 @@
                     let text = format!(
                         "{pod:?} got {part:.2} of its multiple with {of:?}, {age:.2} s after its start"
                     );
-                    breaches.push(Breach { rule: Rule::Cold, at, text });
+                    breaches.push(Breach {
+                        rule: Rule::Cold,
+                        at,
+                        text,
+                    });
                 }
             }
             _ => {}
         }
     }
     let margin = format!("{worst:.2} of the multiple");
-    Finding { rule: Rule::Cold, counted, of: "cold starts", margin, breaches }
+    Finding {
+        rule: Rule::Cold,
+        counted,
+        of: "cold starts",
+        margin,
+        breaches,
+    }
 }
 
 /// What one sidecar knows and has done, for the exposure rule.
@@ -468,7 +640,11 @@
         let last = self.news.iter().rev().find(|news| news.0 <= until);
         match last {
             None if self.lowest.is_none_or(|lowest| build <= lowest) => None,
-            Some((_, of, _, phase, _)) if build < *of || (build == *of && *phase == Phase::Released) => None,
+            Some((_, of, _, phase, _))
+                if build < *of || (build == *of && *phase == Phase::Released) =>
+            {
+                None
+            }
             Some((_, of, stage, _, cap)) if build == *of => Some((*cap, *stage)),
             _ => Some((terms.caps[0], 0)),
         }
@@ -477,7 +653,11 @@
     /// The widest cap that may still be in force: news just told, or a higher one within the grace.
     fn widest(&self, build: u16, at: Duration, back: Duration, terms: &Terms) -> Option<(f64, u8)> {
         let from = at.saturating_sub(back);
-        let told = self.news.iter().map(|news| news.0).filter(|told| *told > from && *told <= at);
+        let told = self
+            .news
+            .iter()
+            .map(|news| news.0)
+            .filter(|told| *told > from && *told <= at);
         let mut widest = self.cap(build, from, terms)?;
         for told in told {
             let (cap, stage) = self.cap(build, told, terms)?;
@@ -489,7 +669,10 @@
     /// When the cap was last lowered, by news before `until`.
     fn lowered(&self, build: u16, until: Duration, terms: &Terms) -> Option<Duration> {
         let cap = |at: Duration| self.cap(build, at, terms).map_or(1.0, |(cap, _)| cap);
-        let told = self.news.windows(2).filter(|pair| pair[1].0 <= until && cap(pair[1].0) < cap(pair[0].0));
+        let told = self
+            .news
+            .windows(2)
+            .filter(|pair| pair[1].0 <= until && cap(pair[1].0) < cap(pair[0].0));
         told.map(|pair| pair[1].0).next_back()
     }
 }
@@ -503,51 +686,107 @@
     let counter = |group: usize| if terms.cap_by_group { group } else { 0 };
     for line in lines {
         let at = line.at;
-        let mut breach = |text: String| breaches.push(Breach { rule: Rule::Exposure, at, text });
+        let mut breach = |text: String| {
+            breaches.push(Breach {
+                rule: Rule::Exposure,
+                at,
+                text,
+            })
+        };
         match &line.entry {
             Entry::SidecarUp { sidecar } => {
                 let lowest = sidecars.remove(sidecar).and_then(|old| old.lowest);
-                sidecars.insert(*sidecar, Exposed { lowest, ..Exposed::default() });
+                sidecars.insert(
+                    *sidecar,
+                    Exposed {
+                        lowest,
+                        ..Exposed::default()
+                    },
+                );
             }
             Entry::PodUp { pod, build, .. } => drop(builds.insert(*pod, *build)),
-            Entry::ListTold { sidecar, ready, draining } => {
+            Entry::ListTold {
+                sidecar,
+                ready,
+                draining,
+            } => {
                 let of = sidecars.entry(*sidecar).or_default();
-                let here = ready.iter().chain(draining).filter_map(|pod| builds.get(pod)).min();
+                let here = ready
+                    .iter()
+                    .chain(draining)
+                    .filter_map(|pod| builds.get(pod))
+                    .min();
                 of.lowest = here.copied();
             }
-            Entry::StageTold { sidecar, number, build, stage, phase, cap } => {
+            Entry::StageTold {
+                sidecar,
+                number,
+                build,
+                stage,
+                phase,
+                cap,
+            } => {
                 let this = sidecars.entry(*sidecar).or_default();
                 if *number >= this.told {
                     this.told = *number;
                     this.news.push((at, *build, *stage, *phase, *cap));
                 }
             }
-            Entry::Asked { sidecar, of, group, key, .. } => {
+            Entry::Asked {
+                sidecar,
+                of,
+                group,
+                key,
+                ..
+            } => {
                 let taken = &mut sidecars.entry(*sidecar).or_default().taken;
                 taken.entry(counter(*group)).or_default().push_back(at);
                 if let Some(key) = key {
                     keys.insert(*of, *key);
                 }
             }
-            Entry::Answered { sidecar, of, ended: Final::Delivered, build: Some(build), .. } => {
+            Entry::Answered {
+                sidecar,
+                of,
+                ended: Final::Delivered,
+                build: Some(build),
+                ..
+            } => {
                 let Some(key) = keys.get(of) else { continue };
-                let met = sidecars.entry(*sidecar).or_default().met.entry(*key).or_insert(*build);
+                let met = sidecars
+                    .entry(*sidecar)
+                    .or_default()
+                    .met
+                    .entry(*key)
+                    .or_insert(*build);
                 *met = (*met).max(*build);
             }
-            Entry::Arrived { pod, sidecar, of, group, .. } => {
-                let Some(build) = builds.get(pod).copied() else { continue };
+            Entry::Arrived {
+                pod,
+                sidecar,
+                of,
+                group,
+                ..
+            } => {
+                let Some(build) = builds.get(pod).copied() else {
+                    continue;
+                };
                 let blur = stalls.blur(at);
                 let this = sidecars.entry(*sidecar).or_default();
                 let sent = this.sent.entry((build, counter(*group))).or_default();
                 sent.push_back(at);
                 let met = keys.get(of).and_then(|key| this.met.get(key)).copied();
                 let news = this.news.last();
-                let stays =
-                    news.is_some_and(|n| build < n.1 && matches!(n.3, Phase::OnTrial | Phase::Released));
+                let stays = news.is_some_and(|n| {
+                    build < n.1 && matches!(n.3, Phase::OnTrial | Phase::Released)
+                });
                 if terms.keys_stay && stays && met.is_some_and(|met| met > build) {
-                    breach(format!("{sidecar:?} sent {of:?} back to build {build} from {met:?}"));
+                    breach(format!(
+                        "{sidecar:?} sent {of:?} back to build {build} from {met:?}"
+                    ));
                 }
-                let Some((cap, stage)) = this.widest(build, at, terms.drain_grace + blur, terms) else {
+                let Some((cap, stage)) = this.widest(build, at, terms.drain_grace + blur, terms)
+                else {
                     continue;
                 };
                 counted += 1;
@@ -561,14 +800,21 @@
                 let anew = this.lowered(build, at.saturating_sub(terms.drain_grace + blur), terms);
                 let anew = anew.map_or(Duration::ZERO, |told| told + terms.drain_grace);
                 // The window as the sidecar may have seen it: shorter for what it sent, longer for what it took.
-                let from = at.saturating_sub(terms.cap_window.saturating_sub(blur)).max(anew);
+                let from = at
+                    .saturating_sub(terms.cap_window.saturating_sub(blur))
+                    .max(anew);
                 let took_from = at.saturating_sub(terms.cap_window + blur);
                 let sent = &this.sent[&(build, counter(*group))];
                 let sent = sent.iter().rev().take_while(|t| **t >= from).count();
                 let taken = this.taken.get(&counter(*group));
-                let taken =
-                    taken.map_or(0, |taken| taken.iter().rev().take_while(|t| **t >= took_from).count());
-                let allowed = if cap > 0.0 { terms.cap_free + cap * taken as f64 } else { 0.0 };
+                let taken = taken.map_or(0, |taken| {
+                    taken.iter().rev().take_while(|t| **t >= took_from).count()
+                });
+                let allowed = if cap > 0.0 {
+                    terms.cap_free + cap * taken as f64
+                } else {
+                    0.0
+                };
                 let left = allowed - sent as f64;
                 worst = Some(worst.map_or(left, |w: f64| w.min(left)));
                 if left < 0.0 {
@@ -582,7 +828,13 @@
         }
     }
     let margin = worst.map_or("-".into(), |left| format!("{left:.1} forwards left"));
-    Finding { rule: Rule::Exposure, counted, of: "forwards on trial", margin, breaches }
+    Finding {
+        rule: Rule::Exposure,
+        counted,
+        of: "forwards on trial",
+        margin,
+        breaches,
+    }
 }
 
 fn service(lines: &[Line], terms: &Terms) -> Service {
@@ -592,7 +844,9 @@
         match &line.entry {
             Entry::Asked { of, group, .. } => drop(first.entry(of.0).or_insert((line.at, *group))),
             Entry::Answered { of, ended, .. } => {
-                let kept = last.get(&of.0).is_some_and(|(_, ended)| *ended == Final::Delivered);
+                let kept = last
+                    .get(&of.0)
+                    .is_some_and(|(_, ended)| *ended == Final::Delivered);
                 if !kept {
                     last.insert(of.0, (line.at, *ended));
                 }
--- a/crates/account/src/stalls.rs
+++ b/crates/account/src/stalls.rs
@@ -22,7 +22,9 @@
     /// How much earlier than noted something at this time may have happened, or how much later.
     pub fn blur(&self, at: Duration) -> Duration {
         let from = self.0.partition_point(|(end, _)| *end + NEAR < at);
-        let near = self.0[from..].iter().take_while(|(end, span)| end.saturating_sub(*span) <= at + NEAR);
+        let near = self.0[from..]
+            .iter()
+            .take_while(|(end, span)| end.saturating_sub(*span) <= at + NEAR);
         TURN + near.map(|(_, span)| *span).sum::<Duration>()
     }
 }
--- a/crates/account/src/work.rs
+++ b/crates/account/src/work.rs
@@ -36,13 +36,20 @@
                 out.insert(*place, false);
                 shut.insert(*pod, *place);
             }
-            Entry::Arrived { pod, sidecar, of, .. } if shut.contains_key::<PodNo>(pod) => {
-                breach(format!("{sidecar:?} sent {of:?} to machine {}, which is out", shut[pod]));
+            Entry::Arrived {
+                pod, sidecar, of, ..
+            } if shut.contains_key::<PodNo>(pod) => {
+                breach(format!(
+                    "{sidecar:?} sent {of:?} to machine {}, which is out",
+                    shut[pod]
+                ));
             }
             Entry::PodDown { pod } => drop(shut.remove(pod)),
             Entry::WorkBegins { place, zone, open } => {
                 if *open > 0 {
-                    breach(format!("work on machine {place} began with {open} hits open on it"));
+                    breach(format!(
+                        "work on machine {place} began with {open} hits open on it"
+                    ));
                 }
                 if !began.insert(*place) {
                     breach(format!("machine {place} was worked on twice"));
@@ -59,11 +66,17 @@
             _ => continue,
         }
         found.most = found.most.max(out.len());
-        let working: Vec<u16> = out.keys().filter_map(|place| zones.get(place).copied()).collect();
+        let working: Vec<u16> = out
+            .keys()
+            .filter_map(|place| zones.get(place).copied())
+            .collect();
         let in_zone = |zone: &u16| working.iter().filter(|of| *of == zone).count();
         let most_in_zone = working.iter().map(in_zone).max().unwrap_or(0);
         if out.len() > usize::from(limits.0) || most_in_zone > usize::from(limits.1) {
-            found.breaches.push((line.at, format!("{} out, {most_in_zone} of one zone", out.len())));
+            found.breaches.push((
+                line.at,
+                format!("{} out, {most_in_zone} of one zone", out.len()),
+            ));
         }
     }
     found.left = out.len();
--- a/crates/account/tests/balance.rs
+++ b/crates/account/tests/balance.rs
@@ -5,30 +5,70 @@
 use std::time::Duration;
 
 fn line(at: f64, entry: Entry) -> Line {
-    Line { at: Duration::from_secs_f64(at), entry }
+    Line {
+        at: Duration::from_secs_f64(at),
+        entry,
+    }
 }
 
 fn up(pod: u32, capacity: f64) -> Line {
-    line(0.0, Entry::PodUp { pod: PodNo(pod), build: 1, zone: 0, cell: 0, capacity, cold: false })
+    line(
+        0.0,
+        Entry::PodUp {
+            pod: PodNo(pod),
+            build: 1,
+            zone: 0,
+            cell: 0,
+            capacity,
+            cold: false,
+        },
+    )
 }
 
 fn came(at: f64, pod: u32, sidecar: u32) -> Line {
     let (pod, sidecar, work) = (PodNo(pod), SidecarNo(sidecar), Duration::ZERO);
-    line(at, Entry::Arrived { pod, sidecar, of: Try(OrderId(1), 0), group: 0, work })
+    line(
+        at,
+        Entry::Arrived {
+            pod,
+            sidecar,
+            of: Try(OrderId(1), 0),
+            group: 0,
+            work,
+        },
+    )
 }
 
 /// One pod twice as strong as another gets three times as much; a third nothing; a fourth ran too briefly to count.
 #[test]
 fn load_is_told_by_strength() {
     let mut lines = vec![up(1, 2.0), up(2, 1.0), up(3, 1.0), up(4, 1.0)];
-    lines.extend([came(0.5, 1, 1), came(0.7, 1, 2), came(1.0, 4, 1), came(2.1, 1, 1), came(2.5, 2, 1)]);
-    lines.extend([line(3.0, Entry::PodDown { pod: PodNo(4) }), line(8.0, Entry::End {})]);
-    let Balance { most, users, unused } = balance(&lines);
+    lines.extend([
+        came(0.5, 1, 1),
+        came(0.7, 1, 2),
+        came(1.0, 4, 1),
+        came(2.1, 1, 1),
+        came(2.5, 2, 1),
+    ]);
+    lines.extend([
+        line(3.0, Entry::PodDown { pod: PodNo(4) }),
+        line(8.0, Entry::End {}),
+    ]);
+    let Balance {
+        most,
+        users,
+        unused,
+    } = balance(&lines);
     // Four forwards on a strength of four: one each, and the first has one and a half.
     assert!((most - 1.5).abs() < 1e-9, "{most}");
     assert_eq!((users, unused), ((4.0 / 3.0, 2), 1));
     let courses = by_second(&lines);
-    let of = |pod: u32| courses[&PodNo(pod)].iter().map(|point| point.1).collect::<Vec<_>>();
+    let of = |pod: u32| {
+        courses[&PodNo(pod)]
+            .iter()
+            .map(|point| point.1)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(of(1), [1.0, 0.0, 0.5, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0]);
     assert_eq!((of(3).len(), of(4)), (9, vec![0.0, 1.0, 0.0, 0.0]));
 }
--- a/crates/account/tests/planted.rs
+++ b/crates/account/tests/planted.rs
@@ -14,10 +14,22 @@
 
 /// Path groups: 0 repeatable, 1 tagged within a zone for 2 s, 2 mutating.
 fn terms() -> Terms {
-    let group = |repeat| Group { name: String::new(), repeat, target_latency: s(1.0), benefit: 1.0 };
-    let tagged = Repeat::Tagged { reach: Reach::Zone, memory: s(2.0) };
+    let group = |repeat| Group {
+        name: String::new(),
+        repeat,
+        target_latency: s(1.0),
+        benefit: 1.0,
+    };
+    let tagged = Repeat::Tagged {
+        reach: Reach::Zone,
+        memory: s(2.0),
+    };
     Terms {
-        groups: vec![group(Repeat::Repeatable), group(tagged), group(Repeat::Mutating)],
+        groups: vec![
+            group(Repeat::Repeatable),
+            group(tagged),
+            group(Repeat::Mutating),
+        ],
         answer_slack: s(0.02),
         drain_grace: s(1.0),
         cold_from: 0.5,
@@ -35,19 +47,44 @@
 
 fn up(pod: u32, build: u16, cold: bool) -> Entry {
     let zone = (pod % 2) as u16;
-    Entry::PodUp { pod: PodNo(pod), build, zone, cell: 0, capacity: 1.0, cold }
+    Entry::PodUp {
+        pod: PodNo(pod),
+        build,
+        zone,
+        cell: 0,
+        capacity: 1.0,
+        cold,
+    }
 }
 
 fn asked(of: Try, group: usize) -> Entry {
-    Entry::Asked { sidecar: ONE, of, group, waits: s(1.0), key: Some(5) }
+    Entry::Asked {
+        sidecar: ONE,
+        of,
+        group,
+        waits: s(1.0),
+        key: Some(5),
+    }
 }
 
 fn arrived(pod: u32, of: Try, group: usize) -> Entry {
-    Entry::Arrived { pod: PodNo(pod), sidecar: ONE, of, group, work: s(0.2) }
+    Entry::Arrived {
+        pod: PodNo(pod),
+        sidecar: ONE,
+        of,
+        group,
+        work: s(0.2),
+    }
 }
 
 fn answered(of: Try, ended: Final, build: Option<u16>) -> Entry {
-    Entry::Answered { sidecar: ONE, of, ended, status: 200, build }
+    Entry::Answered {
+        sidecar: ONE,
+        of,
+        ended,
+        status: 200,
+        build,
+    }
 }
 
 fn begun(of: Try) -> Entry {
@@ -56,21 +93,45 @@
 
 fn told(ready: &[u32], draining: &[u32]) -> Entry {
     let pods = |list: &[u32]| list.iter().map(|pod| PodNo(*pod)).collect();
-    Entry::ListTold { sidecar: ONE, ready: pods(ready), draining: pods(draining) }
+    Entry::ListTold {
+        sidecar: ONE,
+        ready: pods(ready),
+        draining: pods(draining),
+    }
 }
 
 fn stage(build: u16, stage: u8, phase: Phase, cap: f64) -> Entry {
-    Entry::StageTold { sidecar: ONE, number: 0, build, stage, phase, cap }
+    Entry::StageTold {
+        sidecar: ONE,
+        number: 0,
+        build,
+        stage,
+        phase,
+        cap,
+    }
 }
 
 fn numbered(number: u64, phase: Phase, cap: f64) -> Entry {
-    Entry::StageTold { sidecar: ONE, number, build: 2, stage: 1, phase, cap }
+    Entry::StageTold {
+        sidecar: ONE,
+        number,
+        build: 2,
+        stage: 1,
+        phase,
+        cap,
+    }
 }
 
 /// Pods 0 and 1 on build 1, 2 on build 2; all listed; build 2 on trial in its second stage at a fifth.
 fn broken(entries: Vec<(f64, Entry)>) -> Vec<Rule> {
     let start = vec![
-        (0.0, Entry::Begin { day: String::new(), terms: terms() }),
+        (
+            0.0,
+            Entry::Begin {
+                day: String::new(),
+                terms: terms(),
+            },
+        ),
         (0.0, Entry::SidecarUp { sidecar: ONE }),
         (0.0, up(0, 1, false)),
         (0.0, up(1, 1, false)),
@@ -78,10 +139,16 @@
         (0.0, told(&[0, 1, 2], &[])),
         (0.0, stage(2, 1, Phase::OnTrial, 0.2)),
     ];
-    let all = start.into_iter().chain(entries).chain([(60.0, Entry::End {})]);
+    let all = start
+        .into_iter()
+        .chain(entries)
+        .chain([(60.0, Entry::End {})]);
     let lines: Vec<Line> = all.map(|(at, entry)| Line { at: s(at), entry }).collect();
     let account = check(&lines).unwrap();
-    let broken = account.findings.iter().filter(|finding| !finding.breaches.is_empty());
+    let broken = account
+        .findings
+        .iter()
+        .filter(|finding| !finding.breaches.is_empty());
     broken.map(|finding| finding.rule).collect()
 }
 
@@ -125,7 +192,10 @@
 #[case::tagged_forgotten(1, vec![(1.1, arrived(0, HIT, 1)), (3.2, arrived(2, HIT, 1))], true)]
 #[case::repeatable(0, vec![(1.1, arrived(0, HIT, 0)), (1.2, arrived(1, HIT, 0))], false)]
 fn no_effect_twice(#[case] group: usize, #[case] entries: Vec<(f64, Entry)>, #[case] breach: bool) {
-    let entries = [(1.0, asked(HIT, group))].into_iter().chain(entries).collect();
+    let entries = [(1.0, asked(HIT, group))]
+        .into_iter()
+        .chain(entries)
+        .collect();
     assert_eq!(broken(entries).contains(&Rule::NoEffectTwice), breach);
 }
 
@@ -135,7 +205,11 @@
 #[case::gone_from_the_list(told(&[1, 2], &[]), 2.01, true)]
 #[case::listed_again(told(&[0, 1, 2], &[]), 5.0, false)]
 fn drains(#[case] news: Entry, #[case] at: f64, #[case] breach: bool) {
-    let entries = vec![(1.0, news), (at - 0.01, asked(HIT, 0)), (at, arrived(0, HIT, 0))];
+    let entries = vec![
+        (1.0, news),
+        (at - 0.01, asked(HIT, 0)),
+        (at, arrived(0, HIT, 0)),
+    ];
     assert_eq!(broken(entries).contains(&Rule::Drains), breach);
 }
 
@@ -175,7 +249,10 @@
     // 10 hits taken at a fifth, and one forward free: 3 may go to the trial.
     let taken = (0..10).map(|n| (1.0 + n as f64 * 0.01, asked(Try(OrderId(n), 0), 0)));
     let sent = (0..sent).map(|n| (1.5 + n as f64 * 0.01, arrived(2, Try(OrderId(n), 0), 0)));
-    assert_eq!(broken(taken.chain(sent).collect()).contains(&Rule::Exposure), breach);
+    assert_eq!(
+        broken(taken.chain(sent).collect()).contains(&Rule::Exposure),
+        breach
+    );
 }
 
 #[rstest]
@@ -195,7 +272,11 @@
 #[test]
 fn a_standstill_of_the_recorder_is_no_breach_of_the_sidecars() {
     let stood = Entry::Stood { span: s(0.2) };
-    let entries = vec![(1.0, asked(HIT, 0)), (2.15, answered(HIT, Final::Delivered, None)), (2.16, stood)];
+    let entries = vec![
+        (1.0, asked(HIT, 0)),
+        (2.15, answered(HIT, Final::Delivered, None)),
+        (2.16, stood),
+    ];
     assert!(!broken(entries).contains(&Rule::OneAnswer));
 }
 
@@ -208,7 +289,10 @@
 fn a_record_that_cannot_be_trusted_is_refused(#[case] text: &str, #[case] why: &str) {
     let begin = serde_json::to_string(&Line {
         at: s(0.0),
-        entry: Entry::Begin { day: String::new(), terms: terms() },
+        entry: Entry::Begin {
+            day: String::new(),
+            terms: terms(),
+        },
     });
     let begin = if why.starts_with("line 2") || why.starts_with("line 3") {
         begin.unwrap() + "\n"
--- a/crates/agree/src/agree.rs
+++ b/crates/agree/src/agree.rs
@@ -3,7 +3,9 @@
 use crate::begin::{voters_mark, Begin};
 use crate::disk::{Held, Record};
 use crate::log::Log;
-use crate::words::{Entry, Id, Members, Packet, Place, Say, Voters, What, MOST_VOTERS, MOST_WORD, PIECE};
+use crate::words::{
+    Entry, Id, Members, Packet, Place, Say, Voters, What, MOST_VOTERS, MOST_WORD, PIECE,
+};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -133,7 +135,10 @@
         let mut held = Held::default();
         let _ = records.iter().all(|record| held.take(record));
         let fresh = held.life.is_none();
-        let me = held.life.clone().unwrap_or(Id { name: name.to_owned(), disk });
+        let me = held.life.clone().unwrap_or(Id {
+            name: name.to_owned(),
+            disk,
+        });
         let mut chance = WyRand::new_seed(terms.seed ^ me.disk);
         let begin = Begin::new(chance.generate::<u64>() | 1);
         let (base, last) = (held.log.base().index, held.log.last().index);
@@ -144,7 +149,11 @@
             group: held.group,
             term: held.term,
             voted: held.voted,
-            standing: if held.group == 0 { Standing::Free } else { Standing::Follows },
+            standing: if held.group == 0 {
+                Standing::Free
+            } else {
+                Standing::Follows
+            },
             leader: None,
             heard: now,
             stand_at: now,
@@ -159,7 +168,11 @@
             taken_in: None,
             whole,
             begin,
-            pending: if fresh { vec![Record::Life(me.clone())] } else { Vec::new() },
+            pending: if fresh {
+                vec![Record::Life(me.clone())]
+            } else {
+                Vec::new()
+            },
             write_no: 0,
             written: 0,
             stable: last,
@@ -240,13 +253,21 @@
         }
         self.write_no += 1;
         self.marks.push_back((self.write_no, self.log.last().index));
-        Some(Write { no: self.write_no, records: std::mem::take(&mut self.pending) })
+        Some(Write {
+            no: self.write_no,
+            records: std::mem::take(&mut self.pending),
+        })
     }
 
     /// All up to this write is on disk, for good.
     pub fn wrote(&mut self, now: Duration, no: u64) {
         self.written = self.written.max(no);
-        while let Some((_, upto)) = self.marks.front().copied().filter(|(no, _)| *no <= self.written) {
+        while let Some((_, upto)) = self
+            .marks
+            .front()
+            .copied()
+            .filter(|(no, _)| *no <= self.written)
+        {
             self.marks.pop_front();
             self.stable = self.stable.max(upto);
         }
@@ -261,7 +282,14 @@
     /// was handed out before is written.
     pub fn records(&self) -> Vec<Record> {
         let (life, group, term) = (Some(self.me.clone()), self.group, self.term);
-        Held { life, group, term, voted: self.voted.clone(), log: self.log.clone() }.records()
+        Held {
+            life,
+            group,
+            term,
+            voted: self.voted.clone(),
+            log: self.log.clone(),
+        }
+        .records()
     }
 
     /// The next packet to send, and to whom by name.
@@ -278,7 +306,13 @@
     }
 
     fn say_to(&mut self, name: &str, disk: u64, say: Say) {
-        let packet = Packet { group: self.group, from: self.me.clone(), to: disk, term: self.term, say };
+        let packet = Packet {
+            group: self.group,
+            from: self.me.clone(),
+            to: disk,
+            term: self.term,
+            say,
+        };
         let needs = self.write_no + u64::from(!self.pending.is_empty());
         if self.out.len() >= MOST_WAITING {
             self.out.pop_front();
@@ -296,8 +330,14 @@
             self.handed += 1;
             let entry = self.log.get(self.handed)?;
             if let What::Word(bytes) = &entry.what {
-                let at = Place { index: self.handed, term: entry.term };
-                return Some(Settled::Word { at, bytes: bytes.clone() });
+                let at = Place {
+                    index: self.handed,
+                    term: entry.term,
+                };
+                return Some(Settled::Word {
+                    at,
+                    bytes: bytes.clone(),
+                });
             }
         }
         None
@@ -308,7 +348,11 @@
         if upto <= self.handed && self.log.compact(upto, state) {
             let (last, members) = (self.log.base(), self.log.base_members().clone());
             let state = self.log.state().to_vec();
-            self.keep(Record::State { last, members, state });
+            self.keep(Record::State {
+                last,
+                members,
+                state,
+            });
         }
     }
 
@@ -321,7 +365,9 @@
             return Err(NotNow::Long);
         }
         if self.standing != Standing::Leads {
-            return Err(NotNow::Follows(self.leader.as_ref().map(|id| id.name.clone())));
+            return Err(NotNow::Follows(
+                self.leader.as_ref().map(|id| id.name.clone()),
+            ));
         }
         let place = self.push(What::Word(bytes));
         self.spread(now);
@@ -340,7 +386,13 @@
     /// # Errors
     /// It does not lead, or can't change now.
     pub fn change(&mut self, now: Duration, members: Members) -> Result<Place, NotNow> {
-        self.change_to(now, Voters { ids: members, awaited: None })
+        self.change_to(
+            now,
+            Voters {
+                ids: members,
+                awaited: None,
+            },
+        )
     }
 
     /// One of this name that has no vote is to get one, once it has caught up; until then nothing changes. In the place of one
@@ -352,7 +404,13 @@
         if self.members().iter().any(|id| id.name == name) || self.members().len() >= MOST_VOTERS {
             return Err(NotNow::Members);
         }
-        self.change_to(now, Voters { ids: self.members().clone(), awaited: Some(name.to_owned()) })
+        self.change_to(
+            now,
+            Voters {
+                ids: self.members().clone(),
+                awaited: Some(name.to_owned()),
+            },
+        )
     }
 
     /// Takes the vote of this name, or the wait for it.
@@ -376,7 +434,9 @@
 
     fn change_to(&mut self, now: Duration, voters: Voters) -> Result<Place, NotNow> {
         if self.standing != Standing::Leads {
-            return Err(NotNow::Follows(self.leader.as_ref().map(|id| id.name.clone())));
+            return Err(NotNow::Follows(
+                self.leader.as_ref().map(|id| id.name.clone()),
+            ));
         }
         let (said_at, old) = self.log.members();
         let one = match old.ids.symmetric_difference(&voters.ids).count() {
@@ -397,10 +457,16 @@
     }
 
     fn push(&mut self, what: What) -> Place {
-        let entry = Entry { term: self.term, what };
+        let entry = Entry {
+            term: self.term,
+            what,
+        };
         let index = self.log.push(entry.clone());
         self.keep(Record::Entry { index, entry });
-        Place { index, term: self.term }
+        Place {
+            index,
+            term: self.term,
+        }
     }
 
     fn step_to(&mut self, now: Duration, term: u64) {
@@ -443,7 +509,10 @@
     fn others_named(&self) -> Vec<String> {
         let members = self.members().iter().map(|id| &id.name);
         let all: BTreeSet<&String> = self.terms.voters.iter().chain(members).collect();
-        all.into_iter().filter(|name| **name != self.me.name).cloned().collect()
+        all.into_iter()
+            .filter(|name| **name != self.me.name)
+            .cloned()
+            .collect()
     }
 
     fn ask_to_be_taken_in(&mut self) {
@@ -470,9 +539,15 @@
     fn join(&mut self, now: Duration, group: u64, members: Members) {
         self.group = group;
         self.standing = Standing::Follows;
-        let members = Voters { ids: members, awaited: None };
+        let members = Voters {
+            ids: members,
+            awaited: None,
+        };
         self.log = Log::of(Place::default(), members.clone(), Vec::new());
-        self.keep(Record::Group { group, first: members });
+        self.keep(Record::Group {
+            group,
+            first: members,
+        });
         self.heard = now;
         self.beat_at = now;
         self.be_patient(now);
@@ -495,7 +570,10 @@
         self.standing = Standing::Stands;
         self.term += 1;
         self.voted = Some(self.me.clone());
-        self.keep(Record::Term { term: self.term, voted: self.voted.clone() });
+        self.keep(Record::Term {
+            term: self.term,
+            voted: self.voted.clone(),
+        });
         self.vote_no = self.write_no + 1;
         self.votes = BTreeSet::from([self.me.clone()]);
         self.be_patient(now);
@@ -511,7 +589,11 @@
     }
 
     fn other_members(&self) -> Vec<Id> {
-        self.members().iter().filter(|id| **id != self.me).cloned().collect()
+        self.members()
+            .iter()
+            .filter(|id| **id != self.me)
+            .cloned()
+            .collect()
     }
 
     fn count(&mut self, now: Duration) {
@@ -540,12 +622,19 @@
     fn track(&mut self, now: Duration) {
         let (next, members) = (self.log.last().index, self.other_members());
         for id in &members {
-            let fresh =
-                Progress { next: next.max(1), same: 0, heard: now, round: 0, waits: false, piece: (0, 0) };
+            let fresh = Progress {
+                next: next.max(1),
+                same: 0,
+                heard: now,
+                round: 0,
+                waits: false,
+                piece: (0, 0),
+            };
             self.progress.entry(id.clone()).or_insert(fresh);
         }
         let wait = self.terms.patience * NEWCOMERS_WAIT;
-        self.progress.retain(|id, of| members.contains(id) || now < of.heard + wait);
+        self.progress
+            .retain(|id, of| members.contains(id) || now < of.heard + wait);
     }
 
     fn beat(&mut self, now: Duration) {
@@ -556,7 +645,10 @@
             let patient = now < self.led_since + self.terms.patience;
             *id == self.me
                 || patient
-                || self.progress.get(id).is_some_and(|of| now < of.heard + self.terms.patience)
+                || self
+                    .progress
+                    .get(id)
+                    .is_some_and(|of| now < of.heard + self.terms.patience)
         };
         let members = self.members();
         if members.iter().filter(|id| heard(id)).count() < majority(members) {
@@ -580,7 +672,9 @@
 
     fn append_to(&mut self, id: &Id) {
         let (base, last, round) = (self.log.base(), self.log.last().index, self.round);
-        let Some(of) = self.progress.get_mut(id) else { return };
+        let Some(of) = self.progress.get_mut(id) else {
+            return;
+        };
         if of.next <= base.index {
             // What it lacks is in the state alone.
             if of.piece.0 != base.index {
@@ -588,18 +682,47 @@
             }
             let (from, whole) = (of.piece.1, self.log.state().len() as u32);
             let upto = (from as usize + PIECE).min(whole as usize);
-            let bytes = self.log.state().get(from as usize..upto).unwrap_or_default().to_vec();
+            let bytes = self
+                .log
+                .state()
+                .get(from as usize..upto)
+                .unwrap_or_default()
+                .to_vec();
             let members = self.log.base_members().clone();
-            let say = Say::Piece { last: base, members, from, whole, bytes, round };
+            let say = Say::Piece {
+                last: base,
+                members,
+                from,
+                whole,
+                bytes,
+                round,
+            };
             return self.say(id, say);
         }
         let before = of.next - 1;
         // While entries are on their way only the beat says a word, with none.
-        let entries = if of.waits { Vec::new() } else { self.log.some_from(of.next, BATCH, last) };
+        let entries = if of.waits {
+            Vec::new()
+        } else {
+            self.log.some_from(of.next, BATCH, last)
+        };
         of.waits |= !entries.is_empty();
-        let Some(term) = self.log.term_at(before) else { return };
+        let Some(term) = self.log.term_at(before) else {
+            return;
+        };
         let settled = self.settled;
-        self.say(id, Say::Append { before: Place { index: before, term }, entries, settled, round });
+        self.say(
+            id,
+            Say::Append {
+                before: Place {
+                    index: before,
+                    term,
+                },
+                entries,
+                settled,
+                round,
+            },
+        );
     }
 
     /// What a majority has on disk, of this term, is settled, and all before it.
@@ -614,7 +737,9 @@
         };
         let mut all: Vec<u64> = members.iter().map(same).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(upto) = all.get(majority(&members) - 1).copied() else { return };
+        let Some(upto) = all.get(majority(&members) - 1).copied() else {
+            return;
+        };
         if upto > self.settled && self.log.term_at(upto) == Some(self.term) {
             self.settled = upto;
             if !members.contains(&self.me) && self.log.members().0 <= upto {
@@ -637,13 +762,22 @@
                 let of = self.progress.get(old);
                 of.is_none_or(|of| now >= of.heard + self.terms.patience * GONE)
             };
-            let gone = self.members().iter().filter(|old| old.name == id.name).all(silent);
+            let gone = self
+                .members()
+                .iter()
+                .filter(|old| old.name == id.name)
+                .all(silent);
             let old = self.members().iter().any(|old| old.name == id.name);
             let place = old || self.log.members().1.awaited.as_ref() == Some(&id.name);
             !self.members().contains(id) && place && of.same >= near.max(1) && gone
         });
-        let Some(id) = newcomer.map(|(id, _)| id.clone()) else { return };
-        let mut voters = Voters { ids: self.members().clone(), awaited: None };
+        let Some(id) = newcomer.map(|(id, _)| id.clone()) else {
+            return;
+        };
+        let mut voters = Voters {
+            ids: self.members().clone(),
+            awaited: None,
+        };
         match voters.ids.iter().find(|old| old.name == id.name).cloned() {
             Some(old) => {
                 voters.ids.remove(&old);
@@ -657,16 +791,28 @@
 
     /// Takes a packet in.
     pub fn hear(&mut self, now: Duration, packet: Packet) {
-        let Packet { group, from, to, term, say } = packet;
+        let Packet {
+            group,
+            from,
+            to,
+            term,
+            say,
+        } = packet;
         if from == self.me || (to != 0 && to != self.me.disk) {
             return;
         }
         match &say {
             Say::Here { nonce, voters } => return self.tell_who_is_here(&from, *nonce, *voters),
-            Say::HereToo { nonce, voters, first } => {
-                return self.heard_who_is_here(now, group, &from, (*nonce, *voters), first)
-            }
-            Say::Ask { next, of, from: byte } => return self.tell_follower(group, &from, *next, *of, *byte),
+            Say::HereToo {
+                nonce,
+                voters,
+                first,
+            } => return self.heard_who_is_here(now, group, &from, (*nonce, *voters), first),
+            Say::Ask {
+                next,
+                of,
+                from: byte,
+            } => return self.tell_follower(group, &from, *next, *of, *byte),
             _ => {}
         }
         if group != self.group || self.group == 0 {
@@ -696,19 +842,35 @@
         match say {
             Say::MayI { last, trial } => self.give_vote(now, &from, term, last, trial),
             Say::Vote { yes, trial } => {
-                let asked = if trial { Standing::Tries } else { Standing::Stands };
+                let asked = if trial {
+                    Standing::Tries
+                } else {
+                    Standing::Stands
+                };
                 if yes && term == self.term && self.standing == asked {
                     self.votes.insert(from);
                     self.count(now);
                 }
             }
-            Say::Append { before, entries, settled, round } => {
+            Say::Append {
+                before,
+                entries,
+                settled,
+                round,
+            } => {
                 if !self.is_led_by(now, &from, term, round) {
                     return;
                 }
                 self.append(&from, before, entries, settled, round);
             }
-            Say::Piece { last, members, from: byte, whole, bytes, round } => {
+            Say::Piece {
+                last,
+                members,
+                from: byte,
+                whole,
+                bytes,
+                round,
+            } => {
                 if !self.is_led_by(now, &from, term, round) {
                     return;
                 }
@@ -734,7 +896,14 @@
     fn take_in(&mut self, now: Duration, id: Id) {
         if self.standing == Standing::Leads && !self.members().contains(&id) {
             let next = self.log.last().index.max(1);
-            let fresh = Progress { next, same: 0, heard: now, round: 0, waits: false, piece: (0, 0) };
+            let fresh = Progress {
+                next,
+                same: 0,
+                heard: now,
+                round: 0,
+                waits: false,
+                piece: (0, 0),
+            };
             self.progress.entry(id).or_insert(fresh);
         }
     }
@@ -745,11 +914,29 @@
             return;
         }
         let reaches_back = self.log.base().index == 0;
-        let first = if reaches_back { self.log.base_members().ids.clone() } else { Members::new() };
-        self.say(from, Say::HereToo { nonce, voters, first });
+        let first = if reaches_back {
+            self.log.base_members().ids.clone()
+        } else {
+            Members::new()
+        };
+        self.say(
+            from,
+            Say::HereToo {
+                nonce,
+                voters,
+                first,
+            },
+        );
     }
 
-    fn heard_who_is_here(&mut self, now: Duration, group: u64, from: &Id, of: (u64, u64), first: &Members) {
+    fn heard_who_is_here(
+        &mut self,
+        now: Duration,
+        group: u64,
+        from: &Id,
+        of: (u64, u64),
+        first: &Members,
+    ) {
         if self.group != 0 || of.0 != self.begin.nonce || from.name == self.me.name {
             return;
         }
@@ -762,7 +949,11 @@
         }
         self.begin.is_taken();
         // With a vote from the first only by this very life; else it learns who has one with all else.
-        let members = if first.contains(&self.me) { first.clone() } else { Members::new() };
+        let members = if first.contains(&self.me) {
+            first.clone()
+        } else {
+            Members::new()
+        };
         let named = !members.is_empty();
         self.join(now, group, members);
         if !named {
@@ -778,13 +969,32 @@
         if next <= base {
             let state = self.log.state();
             let byte = if of == base { byte as usize } else { 0 };
-            let bytes = state.get(byte..(byte + PIECE).min(state.len())).unwrap_or_default().to_vec();
+            let bytes = state
+                .get(byte..(byte + PIECE).min(state.len()))
+                .unwrap_or_default()
+                .to_vec();
             let (index, byte, whole) = (base, byte as u32, state.len() as u32);
             let members = self.log.base_members().ids.clone();
-            return self.say(from, Say::ToldPiece { index, from: byte, whole, bytes, members });
+            return self.say(
+                from,
+                Say::ToldPiece {
+                    index,
+                    from: byte,
+                    whole,
+                    bytes,
+                    members,
+                },
+            );
         }
         let entries = self.log.some_from(next, BATCH, self.settled);
-        self.say(from, Say::Told { first: next, entries, settled: self.settled });
+        self.say(
+            from,
+            Say::Told {
+                first: next,
+                entries,
+                settled: self.settled,
+            },
+        );
     }
 
     fn give_vote(&mut self, now: Duration, from: &Id, term: u64, last: Place, trial: bool) {
@@ -795,10 +1005,14 @@
             reaches && !led && self.standing != Standing::Leads
         } else {
             let free = self.voted.as_ref().is_none_or(|voted| voted == from);
-            let yes = reaches && free && matches!(self.standing, Standing::Follows | Standing::Tries);
+            let yes =
+                reaches && free && matches!(self.standing, Standing::Follows | Standing::Tries);
             if yes && self.voted.is_none() {
                 self.voted = Some(from.clone());
-                self.keep(Record::Term { term: self.term, voted: self.voted.clone() });
+                self.keep(Record::Term {
+                    term: self.term,
+                    voted: self.voted.clone(),
+                });
             }
             if yes {
                 self.standing = Standing::Follows;
@@ -813,7 +1027,13 @@
     fn is_led_by(&mut self, now: Duration, from: &Id, term: u64, round: u64) -> bool {
         if term < self.term {
             // It learns by the answer's term that its own is over.
-            self.say(from, Say::Appended { same: Err(0), round });
+            self.say(
+                from,
+                Say::Appended {
+                    same: Err(0),
+                    round,
+                },
+            );
             return false;
         }
         self.standing = Standing::Follows;
@@ -825,7 +1045,11 @@
 
     fn append(&mut self, from: &Id, before: Place, entries: Vec<Entry>, settled: u64, round: u64) {
         let base = self.log.base().index;
-        let held = if before.index < base { Some(before.term) } else { self.log.term_at(before.index) };
+        let held = if before.index < base {
+            Some(before.term)
+        } else {
+            self.log.term_at(before.index)
+        };
         if held != Some(before.term) {
             // What can't be the same is passed over a term at a time; what is settled is the same.
             let mut hint = before.index.saturating_sub(1).min(self.log.last().index);
@@ -848,7 +1072,9 @@
                         self.log.cut(index);
                         self.keep(Record::Cut { from: index });
                         self.stable = self.stable.min(index - 1);
-                        self.marks.iter_mut().for_each(|mark| mark.1 = mark.1.min(index - 1));
+                        self.marks
+                            .iter_mut()
+                            .for_each(|mark| mark.1 = mark.1.min(index - 1));
                     }
                     self.log.push(entry.clone());
                     self.keep(Record::Entry { index, entry });
@@ -856,7 +1082,13 @@
             }
         }
         self.settled = self.settled.max(settled.min(index));
-        self.say(from, Say::Appended { same: Ok(index), round });
+        self.say(
+            from,
+            Say::Appended {
+                same: Ok(index),
+                round,
+            },
+        );
     }
 
     fn take_piece(
@@ -869,7 +1101,13 @@
         round: u64,
     ) {
         if last.index <= self.settled {
-            return self.say(from, Say::Appended { same: Ok(self.settled), round });
+            return self.say(
+                from,
+                Say::Appended {
+                    same: Ok(self.settled),
+                    round,
+                },
+            );
         }
         let taken = match self.taken_in.take() {
             Some((of, taken)) if of == last => taken,
@@ -884,21 +1122,35 @@
             self.taken_in = Some((last, taken));
             return self.say(from, Say::HadPiece { last, upto, round });
         }
-        let record = Record::State { last, members: members.clone(), state: taken.clone() };
+        let record = Record::State {
+            last,
+            members: members.clone(),
+            state: taken.clone(),
+        };
         let follows = self.log.term_at(last.index) == Some(last.term);
         if !(follows && self.log.compact(last.index, taken.clone())) {
             self.log = Log::of(last, members, taken.clone());
             self.stable = self.stable.min(last.index);
-            self.marks.iter_mut().for_each(|mark| mark.1 = mark.1.min(last.index));
+            self.marks
+                .iter_mut()
+                .for_each(|mark| mark.1 = mark.1.min(last.index));
         }
         self.keep(record);
         (self.settled, self.whole) = (last.index, Some((last.index, taken)));
-        self.say(from, Say::Appended { same: Ok(last.index), round });
+        self.say(
+            from,
+            Say::Appended {
+                same: Ok(last.index),
+                round,
+            },
+        );
     }
 
     fn was_appended(&mut self, now: Duration, from: &Id, same: Result<u64, u64>, round: u64) {
         let last = self.log.last().index;
-        let Some(of) = self.progress.get_mut(from).filter(|of| round >= of.round) else { return };
+        let Some(of) = self.progress.get_mut(from).filter(|of| round >= of.round) else {
+            return;
+        };
         (of.heard, of.round, of.waits) = (now, round, false);
         let more = match same {
             Ok(same) => {
@@ -919,7 +1171,9 @@
 
     fn had_piece(&mut self, now: Duration, from: &Id, last: Place, upto: u32, round: u64) {
         let base = self.log.base();
-        let Some(of) = self.progress.get_mut(from).filter(|of| round >= of.round) else { return };
+        let Some(of) = self.progress.get_mut(from).filter(|of| round >= of.round) else {
+            return;
+        };
         (of.heard, of.round) = (now, round);
         if last == base {
             of.piece = (base.index, upto);
--- a/crates/agree/src/begin.rs
+++ b/crates/agree/src/begin.rs
@@ -18,13 +18,20 @@
 pub fn voters_mark(names: &[String]) -> u64 {
     let mut sorted: Vec<&String> = names.iter().collect();
     sorted.sort();
-    let text = sorted.iter().map(|name| name.as_str()).collect::<Vec<_>>().join("\n");
+    let text = sorted
+        .iter()
+        .map(|name| name.as_str())
+        .collect::<Vec<_>>()
+        .join("\n");
     u64::from(crc32fast::hash(text.as_bytes())) << 8 | sorted.len() as u64
 }
 
 impl Begin {
     pub fn new(nonce: u64) -> Self {
-        Self { nonce, free: BTreeMap::new() }
+        Self {
+            nonce,
+            free: BTreeMap::new(),
+        }
     }
 
     /// One is in no group.
@@ -41,8 +48,15 @@
     pub fn group(&self, me: &Id, names: &[String]) -> Option<Members> {
         let first = names.iter().min().is_some_and(|first| *first == me.name);
         let of = |name: &String| {
-            let disk = if *name == me.name { Some(me.disk) } else { self.free.get(name).copied() };
-            disk.map(|disk| Id { name: name.clone(), disk })
+            let disk = if *name == me.name {
+                Some(me.disk)
+            } else {
+                self.free.get(name).copied()
+            };
+            disk.map(|disk| Id {
+                name: name.clone(),
+                disk,
+            })
         };
         let all: Option<Members> = names.iter().map(of).collect();
         all.filter(|_| first)
--- a/crates/agree/src/disk.rs
+++ b/crates/agree/src/disk.rs
@@ -68,7 +68,11 @@
 }
 
 fn one(bytes: &[u8]) -> Option<(Record, usize)> {
-    let field = |from: usize| Some(u32::from_le_bytes(bytes.get(from..from + 4)?.try_into().ok()?));
+    let field = |from: usize| {
+        Some(u32::from_le_bytes(
+            bytes.get(from..from + 4)?.try_into().ok()?,
+        ))
+    };
     let length = field(4)? as usize;
     if bytes.get(..4)? != MARK || length > MOST_RECORD {
         return None;
@@ -93,7 +97,8 @@
         read.sound += length;
     }
     let rest = &bytes[read.sound..];
-    let sound_behind = (1..rest.len()).any(|at| rest[at..].starts_with(&MARK) && one(&rest[at..]).is_some());
+    let sound_behind =
+        (1..rest.len()).any(|at| rest[at..].starts_with(&MARK) && one(&rest[at..]).is_some());
     if sound_behind {
         return Err(Damaged::At(read.sound));
     }
@@ -135,7 +140,11 @@
                 self.log.push(entry.clone());
             }
             Record::Cut { from } => self.log.cut(*from),
-            Record::State { last, members, state } => {
+            Record::State {
+                last,
+                members,
+                state,
+            } => {
                 let follows = self.log.term_at(last.index) == Some(last.term);
                 if !(follows && self.log.compact(last.index, state.clone())) {
                     self.log = Log::of(*last, members.clone(), state.clone());
@@ -149,13 +158,27 @@
     pub fn records(&self) -> Vec<Record> {
         let mut all: Vec<Record> = self.life.iter().cloned().map(Record::Life).collect();
         let (last, members) = (self.log.base(), self.log.base_members().clone());
-        all.push(Record::Group { group: self.group, first: members.clone() });
-        all.push(Record::Term { term: self.term, voted: self.voted.clone() });
+        all.push(Record::Group {
+            group: self.group,
+            first: members.clone(),
+        });
+        all.push(Record::Term {
+            term: self.term,
+            voted: self.voted.clone(),
+        });
         if last.index > 0 {
-            all.push(Record::State { last, members, state: self.log.state().to_vec() });
+            all.push(Record::State {
+                last,
+                members,
+                state: self.log.state().to_vec(),
+            });
         }
-        let entries = (last.index + 1..=self.log.last().index)
-            .filter_map(|index| Some(Record::Entry { index, entry: self.log.get(index)?.clone() }));
+        let entries = (last.index + 1..=self.log.last().index).filter_map(|index| {
+            Some(Record::Entry {
+                index,
+                entry: self.log.get(index)?.clone(),
+            })
+        });
         all.extend(entries);
         all
     }
--- a/crates/agree/src/follow.rs
+++ b/crates/agree/src/follow.rs
@@ -82,17 +82,36 @@
 
     /// These have a vote now. Those of the settings are asked too: it may read old entries.
     fn led_by(&mut self, members: &Members) {
-        let all = self.named.iter().cloned().chain(members.iter().map(|id| id.name.clone()));
-        let all: std::collections::BTreeSet<String> = all.filter(|name| *name != self.me.name).collect();
+        let all = self
+            .named
+            .iter()
+            .cloned()
+            .chain(members.iter().map(|id| id.name.clone()));
+        let all: std::collections::BTreeSet<String> =
+            all.filter(|name| *name != self.me.name).collect();
         let asked = self.voters.get(self.asked).cloned();
         self.voters = all.into_iter().collect();
-        self.asked = asked.and_then(|name| self.voters.binary_search(&name).ok()).unwrap_or(0);
+        self.asked = asked
+            .and_then(|name| self.voters.binary_search(&name).ok())
+            .unwrap_or(0);
     }
 
     fn ask(&mut self) {
-        let Some(voter) = self.voters.get(self.asked) else { return };
-        let say = Say::Ask { next: self.upto + 1, of: self.state.0, from: self.state.1.len() as u32 };
-        let packet = Packet { group: self.group, from: self.me.clone(), to: 0, term: 0, say };
+        let Some(voter) = self.voters.get(self.asked) else {
+            return;
+        };
+        let say = Say::Ask {
+            next: self.upto + 1,
+            of: self.state.0,
+            from: self.state.1.len() as u32,
+        };
+        let packet = Packet {
+            group: self.group,
+            from: self.me.clone(),
+            to: 0,
+            term: 0,
+            say,
+        };
         self.out.push_back((voter.clone(), packet));
     }
 
@@ -116,7 +135,10 @@
                     self.upto += 1;
                     match entry.what {
                         What::Word(bytes) => {
-                            let at = Place { index: self.upto, term: entry.term };
+                            let at = Place {
+                                index: self.upto,
+                                term: entry.term,
+                            };
                             self.settled.push_back(Settled::Word { at, bytes });
                         }
                         What::Members(voters) => self.led_by(&voters.ids),
@@ -127,7 +149,13 @@
                     self.ask();
                 }
             }
-            Say::ToldPiece { index, from, whole, bytes, members } if index > self.upto => {
+            Say::ToldPiece {
+                index,
+                from,
+                whole,
+                bytes,
+                members,
+            } if index > self.upto => {
                 self.heard = now;
                 if index != self.state.0 {
                     self.state = (index, Vec::new());
@@ -140,7 +168,8 @@
                     self.upto = index;
                     self.led_by(&members);
                     let state = std::mem::take(&mut self.state).1;
-                    self.settled.push_back(Settled::Whole { upto: index, state });
+                    self.settled
+                        .push_back(Settled::Whole { upto: index, state });
                 }
                 self.ask();
             }
--- a/crates/agree/src/lib.rs
+++ b/crates/agree/src/lib.rs
@@ -22,5 +22,6 @@
 pub use disk::{read, Damaged, Read, Record};
 pub use follow::Follow;
 pub use words::{
-    Entry, Id, Members, Packet, Place, Say, Unreadable, Voters, What, MOST_PACKET, MOST_VOTERS, MOST_WORD,
+    Entry, Id, Members, Packet, Place, Say, Unreadable, Voters, What, MOST_PACKET, MOST_VOTERS,
+    MOST_WORD,
 };
--- a/crates/agree/src/log.rs
+++ b/crates/agree/src/log.rs
@@ -14,7 +14,12 @@
 
 impl Log {
     pub fn of(base: Place, members: Voters, state: Vec<u8>) -> Self {
-        Self { base, base_members: members, state, entries: VecDeque::new() }
+        Self {
+            base,
+            base_members: members,
+            state,
+            entries: VecDeque::new(),
+        }
     }
 
     pub fn base(&self) -> Place {
@@ -31,11 +36,18 @@
 
     pub fn last(&self) -> Place {
         let index = self.base.index + self.entries.len() as u64;
-        Place { index, term: self.entries.back().map_or(self.base.term, |entry| entry.term) }
+        Place {
+            index,
+            term: self
+                .entries
+                .back()
+                .map_or(self.base.term, |entry| entry.term),
+        }
     }
 
     pub fn get(&self, index: u64) -> Option<&Entry> {
-        self.entries.get(index.checked_sub(self.base.index + 1)? as usize)
+        self.entries
+            .get(index.checked_sub(self.base.index + 1)? as usize)
     }
 
     pub fn term_at(&self, index: u64) -> Option<u64> {
@@ -52,21 +64,29 @@
 
     /// Takes away all from here on.
     pub fn cut(&mut self, from: u64) {
-        self.entries.truncate(from.saturating_sub(self.base.index + 1) as usize);
+        self.entries
+            .truncate(from.saturating_sub(self.base.index + 1) as usize);
     }
 
     /// Who has a vote, by the last entry that says so, and that entry's index.
     pub fn members(&self) -> (u64, &Voters) {
-        let said = self.entries.iter().enumerate().rev().find_map(|(place, entry)| match &entry.what {
-            What::Members(members) => Some((self.base.index + 1 + place as u64, members)),
-            _ => None,
-        });
+        let said = self
+            .entries
+            .iter()
+            .enumerate()
+            .rev()
+            .find_map(|(place, entry)| match &entry.what {
+                What::Members(members) => Some((self.base.index + 1 + place as u64, members)),
+                _ => None,
+            });
         said.unwrap_or((self.base.index, &self.base_members))
     }
 
     /// The state is whole up to here: entries up to it are not needed any more.
     pub fn compact(&mut self, index: u64, state: Vec<u8>) -> bool {
-        let Some(term) = self.term_at(index).filter(|_| index > self.base.index) else { return false };
+        let Some(term) = self.term_at(index).filter(|_| index > self.base.index) else {
+            return false;
+        };
         let mut rest = self.entries.split_off((index - self.base.index) as usize);
         std::mem::swap(&mut self.entries, &mut rest);
         let said = rest.iter().rev().find_map(|entry| match &entry.what {
--- a/crates/agree/src/words.rs
+++ b/crates/agree/src/words.rs
@@ -64,7 +64,12 @@
         16 + match &self.what {
             What::Begins => 0,
             What::Members(voters) => {
-                MOST_NAME + voters.ids.iter().map(|id| id.name.len() + 12).sum::<usize>()
+                MOST_NAME
+                    + voters
+                        .ids
+                        .iter()
+                        .map(|id| id.name.len() + 12)
+                        .sum::<usize>()
             }
             What::Word(bytes) => bytes.len(),
         }
@@ -176,7 +181,11 @@
 }
 
 fn voters_fit(voters: &Voters) -> bool {
-    fits(&voters.ids) && voters.awaited.as_ref().is_none_or(|name| name.len() <= MOST_NAME)
+    fits(&voters.ids)
+        && voters
+            .awaited
+            .as_ref()
+            .is_none_or(|name| name.len() <= MOST_NAME)
 }
 
 fn entry_fits(entry: &Entry) -> bool {
@@ -205,12 +214,16 @@
         let packet: Self = postcard::from_bytes(rest).map_err(|_| Unreadable::Damaged)?;
         let sound = match &packet.say {
             Say::HereToo { first, .. } | Say::ToldPiece { members: first, .. } => fits(first),
-            Say::Append { entries, .. } | Say::Told { entries, .. } => entries.iter().all(entry_fits),
+            Say::Append { entries, .. } | Say::Told { entries, .. } => {
+                entries.iter().all(entry_fits)
+            }
             Say::Piece { members, .. } => voters_fit(members),
             Say::TakeIn { id } => id.name.len() <= MOST_NAME,
             Say::Propose { bytes } => bytes.len() <= MOST_WORD,
             _ => true,
         };
-        (sound && packet.from.name.len() <= MOST_NAME).then_some(packet).ok_or(Unreadable::Long)
+        (sound && packet.from.name.len() <= MOST_NAME)
+            .then_some(packet)
+            .ok_or(Unreadable::Long)
     }
 }
--- a/crates/agree/tests/agreement.rs
+++ b/crates/agree/tests/agreement.rs
@@ -27,7 +27,10 @@
         let mut world = plays(&script, voters, seed, Plant::None);
         let took = world.agrees(s(20.0));
         assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
-        assert!(took.is_some(), "seed {seed}: no agreement 20 s after the last fault");
+        assert!(
+            took.is_some(),
+            "seed {seed}: no agreement 20 s after the last fault"
+        );
         (events, settled) = (events + world.events, settled + world.settled());
         worst = worst.max(took.unwrap_or_default());
     }
@@ -44,7 +47,11 @@
             let mut world = World::new(&script(8.0, 0.02, vec![]), 3, 0, nth, Plant::None);
             world.crash_at = Some((node, nth, after));
             world.run_to(s(6.0));
-            assert!(world.broken.is_empty(), "{nth} of s{node}: {:?}", world.broken);
+            assert!(
+                world.broken.is_empty(),
+                "{nth} of s{node}: {:?}",
+                world.broken
+            );
             assert!(world.agrees(s(10.0)).is_some(), "{nth} of s{node}");
         }
     }
@@ -55,10 +62,16 @@
 #[case::same_life(Plant::SameLife)]
 fn planted_faults_are_found(#[case] plant: Plant) {
     let shows = |script: &Script, seed: u64| !plays(script, 3, seed, plant).broken.is_empty();
-    let found = (0..400).map(|seed| (seed, drawn(seed, 3, 40.0))).find(|(seed, script)| shows(script, *seed));
+    let found = (0..400)
+        .map(|seed| (seed, drawn(seed, 3, 40.0)))
+        .find(|(seed, script)| shows(script, *seed));
     let (seed, found) = found.expect("no script of 400 shows it");
     let least = smallest(&found, |script| shows(script, seed));
-    println!("{plant:?}: seed {seed}, {} steps, cut down to {:?}", found.steps.len(), least.steps);
+    println!(
+        "{plant:?}: seed {seed}, {} steps, cut down to {:?}",
+        found.steps.len(),
+        least.steps
+    );
     assert!(shows(&least, seed) && least.steps.len() < found.steps.len());
     assert!(plays(&least, 3, seed, Plant::None).broken.is_empty());
 }
@@ -88,7 +101,11 @@
         "after a leader's death another leads in {:?} (median), {:?} (worst of 100)",
         took[50], took[99]
     );
-    assert!(took[50] < PATIENCE * 2 && took[99] < s(2.0), "{:?}", took[99]);
+    assert!(
+        took[50] < PATIENCE * 2 && took[99] < s(2.0),
+        "{:?}",
+        took[99]
+    );
 }
 
 /// One that lost its disk gets no vote back before it has caught up, and then takes its old life's place.
@@ -106,12 +123,21 @@
     world.run_to(s(4.6));
     let new = world.core(1).map(|core| core.me().clone()).unwrap();
     assert!(old.name == new.name && old.disk != new.disk);
-    let members =
-        |world: &World| world.leader().and_then(|n| world.core(n)).map(|core| core.members().clone());
-    assert!(members(&world).is_some_and(|members| members.contains(&old) && !members.contains(&new)));
+    let members = |world: &World| {
+        world
+            .leader()
+            .and_then(|n| world.core(n))
+            .map(|core| core.members().clone())
+    };
+    assert!(
+        members(&world).is_some_and(|members| members.contains(&old) && !members.contains(&new))
+    );
     world.run_to(s(15.0));
     let now = members(&world).expect("one leads");
-    assert!(now.contains(&new) && !now.contains(&old) && now.len() == 3, "{now:?}");
+    assert!(
+        now.contains(&new) && !now.contains(&old) && now.len() == 3,
+        "{now:?}"
+    );
     assert!(world.broken.is_empty() && world.agrees(s(2.0)).is_some());
 }
 
@@ -128,7 +154,9 @@
     world.run_to(s(30.0));
     let group = world.core(2).map(|core| core.group());
     assert_eq!(world.leader(), None);
-    assert!((0..2).all(|n| world.core(n).is_some_and(|core| Some(core.group()) == group)));
+    assert!((0..2).all(|n| world
+        .core(n)
+        .is_some_and(|core| Some(core.group()) == group)));
     assert!(world.broken.is_empty() && world.agrees(s(5.0)).is_none());
 }
 
@@ -138,20 +166,37 @@
     let mut world = World::new(&script(60.0, 0.0, vec![]), 5, 0, 9, Plant::None);
     world.run_to(s(3.0));
     let old = world.leader().unwrap();
-    let cut = Fault::Cut { from: Who::Numbers(vec![old]), to: Who::All, one_way: false };
-    let mut world =
-        World::new(&script(60.0, 0.0, vec![step(3.0, cut), step(8.0, Fault::Mend)]), 5, 0, 9, Plant::None);
+    let cut = Fault::Cut {
+        from: Who::Numbers(vec![old]),
+        to: Who::All,
+        one_way: false,
+    };
+    let mut world = World::new(
+        &script(60.0, 0.0, vec![step(3.0, cut), step(8.0, Fault::Mend)]),
+        5,
+        0,
+        9,
+        Plant::None,
+    );
     world.run_to(s(3.0) + PATIENCE * 3);
-    assert!(world.core(old).is_some_and(|core| core.standing() != Standing::Leads));
+    assert!(world
+        .core(old)
+        .is_some_and(|core| core.standing() != Standing::Leads));
     world.run_to(s(7.9));
-    let (term, settled) = (world.core(old).map(|core| core.term()), world.core(old).map(|core| core.upto()));
+    let (term, settled) = (
+        world.core(old).map(|core| core.term()),
+        world.core(old).map(|core| core.upto()),
+    );
     let leader = world.leader().expect("the others have a leader");
     assert!(leader != old && world.core(leader).map(|core| core.upto()) > settled);
     // It comes back without troubling the leader: its term has not gone up.
     let before = world.core(leader).map(|core| core.term());
     assert!(term < before);
     world.run_to(s(10.0));
-    assert_eq!((world.leader(), world.core(leader).map(|core| core.term())), (Some(leader), before));
+    assert_eq!(
+        (world.leader(), world.core(leader).map(|core| core.term())),
+        (Some(leader), before)
+    );
     assert!(world.broken.is_empty() && world.agrees(s(1.0)).is_some());
 }
 
@@ -167,8 +212,15 @@
     let mut world = World::new(&script(60.0, 0.05, steps), 5, 300, 4, Plant::None);
     world.run_to(s(7.0));
     let took = world.agrees(s(5.0));
-    println!("305 agree {took:?} after the last fault, {} words settled", world.settled());
-    assert!(world.broken.is_empty() && took.is_some(), "{:?}", world.broken);
+    println!(
+        "305 agree {took:?} after the last fault, {} words settled",
+        world.settled()
+    );
+    assert!(
+        world.broken.is_empty() && took.is_some(),
+        "{:?}",
+        world.broken
+    );
 }
 
 /// Members are changed one at a time, and only by a leader that has settled something.
@@ -178,10 +230,19 @@
     world.run_to(s(3.0));
     let leader = world.leader().unwrap();
     let members = world.core(leader).unwrap().members().clone();
-    let without =
-        |many: usize| members.iter().filter(|id| id.name != format!("s{leader}")).skip(many).cloned();
+    let without = |many: usize| {
+        members
+            .iter()
+            .filter(|id| id.name != format!("s{leader}"))
+            .skip(many)
+            .cloned()
+    };
     let me = world.core(leader).unwrap().me().clone();
-    let less = |many: usize| without(many).chain([me.clone()]).collect::<std::collections::BTreeSet<_>>();
+    let less = |many: usize| {
+        without(many)
+            .chain([me.clone()])
+            .collect::<std::collections::BTreeSet<_>>()
+    };
     assert_eq!(world.change(leader, less(2)), Err(NotNow::Members));
     assert!(world.change(leader, less(1)).is_ok());
     assert_eq!(world.change(leader, less(2)), Err(NotNow::Changing));
@@ -190,7 +251,8 @@
     world.run_to(s(5.0));
     assert_eq!(world.core(leader).unwrap().members().len(), 3);
     // A leader whose vote is taken leads until that is settled, and then another does.
-    let others: std::collections::BTreeSet<_> = less(2).into_iter().filter(|id| *id != me).collect();
+    let others: std::collections::BTreeSet<_> =
+        less(2).into_iter().filter(|id| *id != me).collect();
     assert!(world.change(leader, others).is_ok());
     world.run_to(s(8.0));
     assert!(world.leader().is_some_and(|now| now != leader) && world.broken.is_empty());
@@ -203,17 +265,23 @@
     for seed in 0..30 {
         let mut script = drawn(seed, 5, 60.0);
         // Disks of five may get lost at a rate that three do not bear.
-        script.steps.retain(|step| !matches!(step.does, Fault::LoseDisk(_)));
+        script
+            .steps
+            .retain(|step| !matches!(step.does, Fault::LoseDisk(_)));
         let mut world = World::growing(&script, (3, 5), 2, seed, Plant::None);
         let wanted = [("s3", true), ("s4", true), ("s0", false), ("s1", false)];
         let mut at = 4.0;
         while at < 58.0 {
             world.run_to(s(at));
             at += 0.3;
-            let Some(core) = world.leader().and_then(|n| world.core(n)) else { continue };
+            let Some(core) = world.leader().and_then(|n| world.core(n)) else {
+                continue;
+            };
             let has = |name: &str| core.members().iter().any(|id| id.name == name);
             let next = wanted.iter().find(|(name, want)| has(name) != *want);
-            let Some((name, want)) = next.filter(|_| core.awaited().is_none()) else { continue };
+            let Some((name, want)) = next.filter(|_| core.awaited().is_none()) else {
+                continue;
+            };
             // Not now: at the next turn.
             let _ = world.vote(name, *want);
         }
@@ -221,7 +289,11 @@
         let from = world.now;
         loop {
             let leader = world.leader();
-            let names = |n| world.core(n).map(|c| c.members().iter().map(|id| id.name.clone()).collect());
+            let names = |n| {
+                world
+                    .core(n)
+                    .map(|c| c.members().iter().map(|id| id.name.clone()).collect())
+            };
             let members: Vec<String> = leader.and_then(names).unwrap_or_default();
             if members == ["s2", "s3", "s4"] {
                 break;
@@ -231,8 +303,13 @@
                 "seed {seed}: {members:?} {:?}",
                 world.broken
             );
-            if world.core(leader.unwrap_or(0)).is_some_and(|core| core.awaited().is_none()) {
-                let next = wanted.iter().find(|(name, want)| members.iter().any(|n| n == name) != *want);
+            if world
+                .core(leader.unwrap_or(0))
+                .is_some_and(|core| core.awaited().is_none())
+            {
+                let next = wanted
+                    .iter()
+                    .find(|(name, want)| members.iter().any(|n| n == name) != *want);
                 next.map(|(name, want)| world.vote(name, *want));
             }
             let on = world.now + s(0.3);
@@ -240,7 +317,11 @@
         }
         // Those that follow find the new ones, though their settings name others.
         let took = world.agrees(s(20.0));
-        assert!(took.is_some() && world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(
+            took.is_some() && world.broken.is_empty(),
+            "seed {seed}: {:?}",
+            world.broken
+        );
         worst = worst.max(took.unwrap_or_default());
     }
     println!("three became five and then another three, 30 scripts; agree within {worst:?}");
@@ -251,14 +332,33 @@
 #[case::kept(true)]
 #[case::forgotten(false)]
 fn a_vote_outlives_a_start(#[case] kept: bool) {
-    let id = |n: u64| Id { name: format!("s{n}"), disk: n + 1 };
-    let first = Voters { ids: (0..3).map(id).collect(), awaited: None };
+    let id = |n: u64| Id {
+        name: format!("s{n}"),
+        disk: n + 1,
+    };
+    let first = Voters {
+        ids: (0..3).map(id).collect(),
+        awaited: None,
+    };
     let mut records = vec![Record::Life(id(1)), Record::Group { group: 9, first }];
-    let terms =
-        || Terms { voters: (0..3).map(|n| id(n).name).collect(), beat: BEAT, patience: PATIENCE, seed: 1 };
+    let terms = || Terms {
+        voters: (0..3).map(|n| id(n).name).collect(),
+        beat: BEAT,
+        patience: PATIENCE,
+        seed: 1,
+    };
     let asks = |from: u64| {
-        let say = Say::MayI { last: Place::default(), trial: false };
-        Packet { group: 9, from: id(from), to: 2, term: 5, say }
+        let say = Say::MayI {
+            last: Place::default(),
+            trial: false,
+        };
+        Packet {
+            group: 9,
+            from: id(from),
+            to: 2,
+            term: 5,
+            say,
+        }
     };
     let answers = |voter: &mut Agree, from: u64| {
         voter.hear(s(1.0), asks(from));
@@ -269,7 +369,10 @@
         let said = voter.take().map(|(_, packet)| packet.say);
         (
             write.map(|write| write.records).unwrap_or_default(),
-            said == Some(Say::Vote { yes: true, trial: false }),
+            said == Some(Say::Vote {
+                yes: true,
+                trial: false,
+            }),
         )
     };
     let mut voter = Agree::new(s(1.0), "s1", 0, &records, terms());
@@ -281,5 +384,8 @@
     }
     let mut again = Agree::new(s(1.0), "s1", 0, &records, terms());
     assert!(answers(&mut again, 2).1 != kept);
-    assert!(answers(&mut again, if kept { 0 } else { 2 }).1, "to the same it says so again");
+    assert!(
+        answers(&mut again, if kept { 0 } else { 2 }).1,
+        "to the same it says so again"
+    );
 }
--- a/crates/agree/tests/bytes.rs
+++ b/crates/agree/tests/bytes.rs
@@ -7,19 +7,40 @@
 use rstest::rstest;
 
 fn id(disk: u64) -> Id {
-    Id { name: format!("s{disk}"), disk }
+    Id {
+        name: format!("s{disk}"),
+        disk,
+    }
 }
 
 fn records(words: u64) -> Vec<Record> {
-    let members = Voters { ids: (1..4).map(id).collect(), awaited: None };
+    let members = Voters {
+        ids: (1..4).map(id).collect(),
+        awaited: None,
+    };
     let first = [
         Record::Life(id(1)),
-        Record::Group { group: 9, first: members.clone() },
-        Record::State { last: Place::default(), members, state: vec![1, 2, 3] },
-        Record::Term { term: 4, voted: Some(id(2)) },
+        Record::Group {
+            group: 9,
+            first: members.clone(),
+        },
+        Record::State {
+            last: Place::default(),
+            members,
+            state: vec![1, 2, 3],
+        },
+        Record::Term {
+            term: 4,
+            voted: Some(id(2)),
+        },
     ];
-    let entry =
-        |index| Record::Entry { index, entry: Entry { term: 4, what: What::Word(vec![index as u8; 30]) } };
+    let entry = |index| Record::Entry {
+        index,
+        entry: Entry {
+            term: 4,
+            what: What::Word(vec![index as u8; 30]),
+        },
+    };
     first.into_iter().chain((1..=words).map(entry)).collect()
 }
 
@@ -36,7 +57,10 @@
     let last = whole.len() - bytes(&all[all.len() - 1..]).len();
     for end in last..whole.len() {
         let read = read(&whole[..end]).unwrap();
-        assert_eq!((read.records.as_slice(), read.sound), (&all[..all.len() - 1], last));
+        assert_eq!(
+            (read.records.as_slice(), read.sound),
+            (&all[..all.len() - 1], last)
+        );
     }
     assert_eq!(read(&whole).map(|read| read.records), Ok(all));
     assert_eq!(read(&[]).map(|read| read.records.len()), Ok(0));
@@ -60,20 +84,44 @@
 #[case::a_gap(vec![records(1)[0].clone(), records(2)[5].clone()], 1)]
 #[case::a_term_that_goes_back(vec![records(1)[0].clone(), records(1)[3].clone(), Record::Term { term: 3, voted: None }], 2)]
 fn records_that_nobody_wrote_so_are_refused(#[case] all: Vec<Record>, #[case] bad: usize) {
-    assert_eq!(read(&bytes(&all)), Err(Damaged::Order(bytes(&all[..bad]).len())));
+    assert_eq!(
+        read(&bytes(&all)),
+        Err(Damaged::Order(bytes(&all[..bad]).len()))
+    );
 }
 
 #[test]
 fn words_beyond_their_bounds_are_refused() {
-    let packet = |say| Packet { group: 1, from: id(1), to: 0, term: 1, say };
-    let long = packet(Say::Propose { bytes: vec![0; 701] });
+    let packet = |say| Packet {
+        group: 1,
+        from: id(1),
+        to: 0,
+        term: 1,
+        say,
+    };
+    let long = packet(Say::Propose {
+        bytes: vec![0; 701],
+    });
     assert_eq!(Packet::read(&long.write()), Err(Unreadable::Long));
-    let many = packet(Say::HereToo { nonce: 1, voters: 1, first: (0..9).map(id).collect() });
+    let many = packet(Say::HereToo {
+        nonce: 1,
+        voters: 1,
+        first: (0..9).map(id).collect(),
+    });
     assert_eq!(Packet::read(&many.write()), Err(Unreadable::Long));
-    let named = Packet { from: Id { name: "n".repeat(33), disk: 1 }, ..packet(Say::TakeMeIn) };
+    let named = Packet {
+        from: Id {
+            name: "n".repeat(33),
+            disk: 1,
+        },
+        ..packet(Say::TakeMeIn)
+    };
     assert_eq!(Packet::read(&named.write()), Err(Unreadable::Long));
     assert_eq!(Packet::read(&[9, 0]), Err(Unreadable::Version));
-    assert_eq!(Packet::read(&vec![1; MOST_PACKET + 1]), Err(Unreadable::Long));
+    assert_eq!(
+        Packet::read(&vec![1; MOST_PACKET + 1]),
+        Err(Unreadable::Long)
+    );
 }
 
 proptest! {
--- a/crates/agree/tests/helpers/mod.rs
+++ b/crates/agree/tests/helpers/mod.rs
@@ -1,6 +1,8 @@
 //! Voters and followers in simulated time, with disks that write late, tear and get lost, under the scripts of faults.
 
-use limewing_agree::{read, Agree, Follow, NotNow, Packet, Place, Record, Settled, Standing, Terms};
+use limewing_agree::{
+    read, Agree, Follow, NotNow, Packet, Place, Record, Settled, Standing, Terms,
+};
 use limewing_links::{Act, Fault, Line, Links, Script, Step, Who};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, VecDeque};
@@ -144,7 +146,9 @@
 }
 
 fn sum_of(sum: u64, bytes: &[u8]) -> u64 {
-    bytes.iter().fold(mixed(sum, 1), |sum, byte| mixed(sum, u64::from(*byte)))
+    bytes
+        .iter()
+        .fold(mixed(sum, 1), |sum, byte| mixed(sum, u64::from(*byte)))
 }
 
 impl World {
@@ -202,7 +206,10 @@
         node.writing.clear();
         let disk = mixed(number as u64 + 1, node.starts) | 1;
         if number >= self.voters {
-            let me = limewing_agree::Id { name: name(number), disk };
+            let me = limewing_agree::Id {
+                name: name(number),
+                disk,
+            };
             node.follow = Some(Follow::new(now, me, voters, BEAT * 4));
         } else {
             let mut records = match read(&node.disk) {
@@ -215,10 +222,17 @@
                     Vec::new()
                 }
             };
-            if let (Plant::SameLife, true, Some(life)) = (self.plant, records.is_empty(), &node.life) {
+            if let (Plant::SameLife, true, Some(life)) =
+                (self.plant, records.is_empty(), &node.life)
+            {
                 records = vec![Record::Life(life.clone())];
             }
-            let terms = Terms { voters, beat: BEAT, patience: PATIENCE, seed };
+            let terms = Terms {
+                voters,
+                beat: BEAT,
+                patience: PATIENCE,
+                seed,
+            };
             let core = Agree::new(now, &name(number), disk, &records, terms);
             node.life = Some(core.me().clone());
             node.core = Some(core);
@@ -232,7 +246,8 @@
         (node.core, node.follow) = (None, None);
         // What was being written is there up to some byte.
         if let Some((_, bytes)) = node.writing.pop_front() {
-            node.disk.extend_from_slice(&bytes[..tear as usize % (bytes.len() + 1)]);
+            node.disk
+                .extend_from_slice(&bytes[..tear as usize % (bytes.len() + 1)]);
         }
         node.writing.clear();
     }
@@ -333,7 +348,10 @@
         if let Some(core) = &mut node.core {
             while let Some(write) = core.write() {
                 let mut bytes = Vec::new();
-                write.records.iter().for_each(|record| record.write(&mut bytes));
+                write
+                    .records
+                    .iter()
+                    .for_each(|record| record.write(&mut bytes));
                 observe_numbers(&mut self.digest, &[write.no]);
                 observe(&mut self.digest, &bytes);
                 node.writing.push_back((write.no, bytes));
@@ -347,10 +365,16 @@
                         }
                     }
                 }
-                let slow = if self.plant == Plant::SaysTooEarly { 20 } else { 1 };
-                let late = Duration::from_micros(500 + slow * self.chance.generate_range(0..8000u64));
+                let slow = if self.plant == Plant::SaysTooEarly {
+                    20
+                } else {
+                    1
+                };
+                let late =
+                    Duration::from_micros(500 + slow * self.chance.generate_range(0..8000u64));
                 self.marks += 1;
-                self.due.insert((now + late, self.marks), (number, Due::Written(write.no)));
+                self.due
+                    .insert((now + late, self.marks), (number, Due::Written(write.no)));
                 if self.plant == Plant::SaysTooEarly {
                     core.wrote(now, write.no);
                 }
@@ -372,7 +396,14 @@
             }
             next = core.next();
             let standing = standing_number(core.standing());
-            let numbers = [standing, core.group(), core.term(), core.upto(), core.held(), nanoseconds(next)];
+            let numbers = [
+                standing,
+                core.group(),
+                core.term(),
+                core.upto(),
+                core.held(),
+                nanoseconds(next),
+            ];
             observe_numbers(&mut self.digest, &numbers);
         } else if let Some(follow) = &mut node.follow {
             while let Some(packet) = follow.take() {
@@ -382,10 +413,16 @@
                 settled.push(one);
             }
             next = follow.next();
-            let numbers = [follow.upto(), nanoseconds(follow.heard()), nanoseconds(next)];
+            let numbers = [
+                follow.upto(),
+                nanoseconds(follow.heard()),
+                nanoseconds(next),
+            ];
             observe_numbers(&mut self.digest, &numbers);
         }
-        settled.iter().for_each(|one| observe_settled(&mut self.digest, one));
+        settled
+            .iter()
+            .for_each(|one| observe_settled(&mut self.digest, one));
         settled.into_iter().for_each(|one| self.check(number, one));
         if crash {
             self.kill(number);
@@ -398,11 +435,17 @@
         self.nodes[number].tick = next;
         self.mark(next, number, Due::Tick);
         for (to, packet) in out {
-            let Some(to) = to.strip_prefix('s').and_then(|n| n.parse::<usize>().ok()) else { continue };
+            let Some(to) = to.strip_prefix('s').and_then(|n| n.parse::<usize>().ok()) else {
+                continue;
+            };
             let bytes = packet.write();
             observe_numbers(&mut self.digest, &[to as u64]);
             observe(&mut self.digest, &bytes);
-            assert!(bytes.len() <= limewing_agree::MOST_PACKET, "{} bytes: {packet:?}", bytes.len());
+            assert!(
+                bytes.len() <= limewing_agree::MOST_PACKET,
+                "{} bytes: {packet:?}",
+                bytes.len()
+            );
             for arrival in self.links.pass(now, number, to, &bytes) {
                 if let Ok(packet) = Packet::read(&arrival.bytes) {
                     self.mark(arrival.at.max(now), to, Due::Arrives(packet));
@@ -416,15 +459,23 @@
         match one {
             Settled::Word { at, bytes } => {
                 if at.index <= node.upto {
-                    self.broken.push(format!("s{number} was handed {} after {}", at.index, node.upto));
+                    self.broken.push(format!(
+                        "s{number} was handed {} after {}",
+                        at.index, node.upto
+                    ));
                 }
                 (node.sum, node.upto) = (sum_of(node.sum, &bytes), at.index);
-                let (term, word) = self.truth.entry(at.index).or_insert((at.term, bytes.clone()));
+                let (term, word) = self
+                    .truth
+                    .entry(at.index)
+                    .or_insert((at.term, bytes.clone()));
                 if (*term, &*word) != (at.term, &bytes) {
-                    self.broken.push(format!("two words are settled at {}: s{number}", at.index));
+                    self.broken
+                        .push(format!("two words are settled at {}: s{number}", at.index));
                 }
                 if *self.sums.entry(at.index).or_insert(node.sum) != node.sum {
-                    self.broken.push(format!("another order up to {}: s{number}", at.index));
+                    self.broken
+                        .push(format!("another order up to {}: s{number}", at.index));
                 }
             }
             Settled::Whole { upto, state } => {
@@ -434,7 +485,8 @@
                 (node.sum, node.upto) = (number_of(0..8), upto);
                 let known = self.sums.range(..=upto).next_back().map(|(_, sum)| *sum);
                 if known.is_some_and(|sum| sum != node.sum) {
-                    self.broken.push(format!("a state that nobody had, up to {upto}: s{number}"));
+                    self.broken
+                        .push(format!("a state that nobody had, up to {upto}: s{number}"));
                 }
             }
         }
@@ -449,7 +501,9 @@
             let state = [node.sum.to_le_bytes().as_slice(), &[7; 1500]].concat();
             core.compact(node.upto, state);
             let mut bytes = Vec::new();
-            core.records().iter().for_each(|record| record.write(&mut bytes));
+            core.records()
+                .iter()
+                .for_each(|record| record.write(&mut bytes));
             observe(&mut self.digest, &bytes);
             if let Some(write) = core.write() {
                 node.disk = bytes;
@@ -463,7 +517,11 @@
         let to = self.chance.generate_range(0..self.voters);
         self.next_word += 1;
         let length = 8 + self.chance.generate_range(0..60usize);
-        let word = [self.next_word.to_le_bytes().as_slice(), &vec![self.next_word as u8; length]].concat();
+        let word = [
+            self.next_word.to_le_bytes().as_slice(),
+            &vec![self.next_word as u8; length],
+        ]
+        .concat();
         let now = self.now;
         let node = &mut self.nodes[to];
         if let Some(core) = node.core.as_mut().filter(|_| !node.stopped) {
@@ -480,7 +538,14 @@
         loop {
             let next = self.due.first_key_value().map(|((at, _), _)| *at);
             let step = self.links.due();
-            let Some(at) = [next, step].into_iter().flatten().min().filter(|at| *at <= until) else { break };
+            let Some(at) = [next, step]
+                .into_iter()
+                .flatten()
+                .min()
+                .filter(|at| *at <= until)
+            else {
+                break;
+            };
             self.now = self.now.max(at);
             if step.is_some_and(|step| step <= self.now) {
                 for act in self.links.turn(self.now) {
@@ -488,13 +553,16 @@
                 }
                 continue;
             }
-            let Some((_, (number, due))) = self.due.pop_first() else { break };
+            let Some((_, (number, due))) = self.due.pop_first() else {
+                break;
+            };
             match due {
                 Due::Arrives(packet) => self.hear(number, packet),
                 Due::Written(no) => self.written(number, no),
                 Due::Words => self.words(),
                 Due::Tick if self.nodes[number].tick <= self.now && !self.nodes[number].stopped => {
-                    let down = self.nodes[number].core.is_none() && self.nodes[number].follow.is_none();
+                    let down =
+                        self.nodes[number].core.is_none() && self.nodes[number].follow.is_none();
                     if down
                         && self.nodes[number].tick == self.now
                         && self.crash_at.is_none()
@@ -523,7 +591,11 @@
         self.nodes[number].core.as_ref()
     }
 
-    pub fn change(&mut self, number: usize, members: limewing_agree::Members) -> Result<(), NotNow> {
+    pub fn change(
+        &mut self,
+        number: usize,
+        members: limewing_agree::Members,
+    ) -> Result<(), NotNow> {
         let now = self.now;
         let core = self.nodes[number].core.as_mut().expect("it runs");
         let changed = core.change(now, members);
@@ -537,15 +609,26 @@
         let leader = self.leader().ok_or(NotNow::Follows(None))?;
         let now = self.now;
         let core = self.nodes[leader].core.as_mut().expect("it runs");
-        let done = if has { core.give_vote_to(now, name) } else { core.take_vote_of(now, name) };
+        let done = if has {
+            core.give_vote_to(now, name)
+        } else {
+            core.take_vote_of(now, name)
+        };
         observe_proposal(&mut self.digest, &done);
         self.after(leader);
         done.map(drop)
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &usize| self.nodes[*n].core.as_ref().is_some_and(|c| c.standing() == Standing::Leads);
-        (0..self.voters).filter(leads).max_by_key(|n| self.nodes[*n].core.as_ref().map(Agree::term))
+        let leads = |n: &usize| {
+            self.nodes[*n]
+                .core
+                .as_ref()
+                .is_some_and(|c| c.standing() == Standing::Leads)
+        };
+        (0..self.voters)
+            .filter(leads)
+            .max_by_key(|n| self.nodes[*n].core.as_ref().map(Agree::term))
     }
 
     pub fn settled(&self) -> usize {
@@ -554,10 +637,16 @@
 
     /// How long until all that run have the same and a new word is settled; none if not within `most`.
     pub fn agrees(&mut self, most: Duration) -> Option<Duration> {
-        let (from, had) = (self.now, self.truth.last_key_value().map_or(0, |(index, _)| *index));
+        let (from, had) = (
+            self.now,
+            self.truth.last_key_value().map_or(0, |(index, _)| *index),
+        );
         loop {
-            let runs: Vec<&Node> =
-                self.nodes.iter().filter(|node| node.core.is_some() || node.follow.is_some()).collect();
+            let runs: Vec<&Node> = self
+                .nodes
+                .iter()
+                .filter(|node| node.core.is_some() || node.follow.is_some())
+                .collect();
             let least = runs.iter().map(|node| node.upto).min().unwrap_or(0);
             if least > had {
                 return Some(self.now - from);
@@ -571,8 +660,21 @@
 }
 
 pub fn script(seconds: f64, loss: f64, steps: Vec<Step>) -> Script {
-    let line = Line { loss, delay_ms: 1.0, jitter_ms: 8.0, duplicate: 0.02, ..Line::default() };
-    Script { name: "drawn".into(), seed: 5, seconds, line, steps, clocks: Vec::new() }
+    let line = Line {
+        loss,
+        delay_ms: 1.0,
+        jitter_ms: 8.0,
+        duplicate: 0.02,
+        ..Line::default()
+    };
+    Script {
+        name: "drawn".into(),
+        seed: 5,
+        seconds,
+        line,
+        steps,
+        clocks: Vec::new(),
+    }
 }
 
 /// Faults drawn by a seed: kills and starts, cuts of all kinds, standstills, bad lines, and now and then a lost disk, which
@@ -596,7 +698,14 @@
                 }
                 does(at + share() * 1.5, Fault::Start(who));
             }
-            2 => does(at, Fault::Cut { from: some(share()), to: Who::All, one_way: share() < 0.4 }),
+            2 => does(
+                at,
+                Fault::Cut {
+                    from: some(share()),
+                    to: Who::All,
+                    one_way: share() < 0.4,
+                },
+            ),
             3 => does(at, Fault::Mend),
             4 => {
                 let who = one(share());
@@ -611,9 +720,23 @@
                     duplicate: 0.2,
                     ..Line::default()
                 };
-                does(at, Fault::Change { from: one(share()), to: Who::All, line: bad });
+                does(
+                    at,
+                    Fault::Change {
+                        from: one(share()),
+                        to: Who::All,
+                        line: bad,
+                    },
+                );
             }
-            6 => does(at, Fault::Cut { from: one(share()), to: one(share()), one_way: false }),
+            6 => does(
+                at,
+                Fault::Cut {
+                    from: one(share()),
+                    to: one(share()),
+                    one_way: false,
+                },
+            ),
             8 => {
                 let who = one(share());
                 does(at, Fault::FillDisk(who.clone()));
@@ -632,12 +755,35 @@
         at += 0.2 + share() * 1.2;
     }
     let end = seconds - 1.5;
-    steps.push(Step { at: end, does: Fault::Mend });
-    let sound = Line { delay_ms: 1.0, jitter_ms: 8.0, ..Line::default() };
-    steps.push(Step { at: end, does: Fault::Change { from: Who::All, to: Who::All, line: sound } });
-    steps.push(Step { at: end, does: Fault::GoOn(Who::All) });
-    steps.push(Step { at: end, does: Fault::FreeDisk(Who::All) });
-    steps.push(Step { at: end + 0.2, does: Fault::Start(Who::All) });
+    steps.push(Step {
+        at: end,
+        does: Fault::Mend,
+    });
+    let sound = Line {
+        delay_ms: 1.0,
+        jitter_ms: 8.0,
+        ..Line::default()
+    };
+    steps.push(Step {
+        at: end,
+        does: Fault::Change {
+            from: Who::All,
+            to: Who::All,
+            line: sound,
+        },
+    });
+    steps.push(Step {
+        at: end,
+        does: Fault::GoOn(Who::All),
+    });
+    steps.push(Step {
+        at: end,
+        does: Fault::FreeDisk(Who::All),
+    });
+    steps.push(Step {
+        at: end + 0.2,
+        does: Fault::Start(Who::All),
+    });
     script(seconds, 0.02, steps)
 }
 
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -23,7 +23,9 @@
 fn record_of(script: &DayScript, folder: &Path) -> Result<PathBuf, Stop> {
     let program = std::env::current_exe().map_err(Stop::failed)?;
     let view = show::View::new(&script.name);
-    let record = day::play(script, &program, folder, &mut |progress| view.show(&progress));
+    let record = day::play(script, &program, folder, &mut |progress| {
+        view.show(&progress)
+    });
     view.end();
     record.map_err(Stop::failed)
 }
@@ -32,7 +34,12 @@
 fn plot_load(record: &Path, to: &Path) -> Result<(), Stop> {
     let lines = lines(record)?;
     let courses: Vec<plot::Course> = balance::by_second(&lines).into_values().collect();
-    plot::draw(to, "forwards a second and strength, by pod", "forwards", &courses)
+    plot::draw(
+        to,
+        "forwards a second and strength, by pod",
+        "forwards",
+        &courses,
+    )
 }
 
 pub fn check(file: &Path) -> Result<(), Stop> {
@@ -42,16 +49,25 @@
     let wrong = work.iter().map(|work| work.breaches.len()).sum::<usize>();
     work.iter().for_each(show::work);
     across::across(&lines(file)?).iter().for_each(show::across);
-    let broken = account.findings.iter().filter(|finding| !finding.breaches.is_empty()).count();
+    let broken = account
+        .findings
+        .iter()
+        .filter(|finding| !finding.breaches.is_empty())
+        .count();
     match broken {
-        0 if wrong > 0 => Err(Stop::failed(format!("{wrong} times machines were out as they must not be"))),
+        0 if wrong > 0 => Err(Stop::failed(format!(
+            "{wrong} times machines were out as they must not be"
+        ))),
         0 => Ok(()),
-        broken => Err(Stop::failed(format!("{broken} of the five rules were broken"))),
+        broken => Err(Stop::failed(format!(
+            "{broken} of the five rules were broken"
+        ))),
     }
 }
 
 fn account(file: &Path) -> Result<Account, Stop> {
-    rules::check(&lines(file)?).ok_or_else(|| Stop::input(format!("{}: no day's terms", file.display())))
+    rules::check(&lines(file)?)
+        .ok_or_else(|| Stop::input(format!("{}: no day's terms", file.display())))
 }
 
 fn lines(file: &Path) -> Result<Vec<record::Line>, Stop> {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -37,23 +37,35 @@
 /// Prints one sidecar's view of its fleet.
 /// Prints what a sidecar keeps, and how far each of its copies goes.
 pub fn state(at: SocketAddr) -> Result<(), Stop> {
-    let text =
-        fleet::call(at, "GET", "/limewing/state", "").map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    let view: StateView = serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
+    let text = fleet::call(at, "GET", "/limewing/state", "")
+        .map_err(|e| Stop::failed(format!("{at}: {e}")))?;
+    let view: StateView =
+        serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
     println!(
         "{}, started {}: {}; {} keys that met a build, {} hits that may have run, {} bytes sent",
         view.name,
         view.start,
-        if view.caught_up { "has caught up" } else { "has NOT caught up" },
+        if view.caught_up {
+            "has caught up"
+        } else {
+            "has NOT caught up"
+        },
         view.keys,
         view.hits,
         view.bytes_sent
     );
-    println!("goes by {}", view.stage.as_deref().unwrap_or("no stage news"));
+    println!(
+        "goes by {}",
+        view.stage.as_deref().unwrap_or("no stage news")
+    );
     view.stages.iter().for_each(|stage| println!("  {stage}"));
     let mut rows = table(&["of", "start", "whole up to", "live", "given up"]);
     for log in view.logs {
-        let (start, upto, live) = (log.start.to_string(), log.upto.to_string(), log.live.to_string());
+        let (start, upto, live) = (
+            log.start.to_string(),
+            log.upto.to_string(),
+            log.live.to_string(),
+        );
         rows.add_row([log.name, start, upto, live, log.given_up.to_string()]);
     }
     println!("{rows}");
@@ -104,7 +116,14 @@
     folder: &Path,
 ) -> Result<(), Stop> {
     let program = std::env::current_exe().map_err(Stop::failed)?;
-    let plan = Plan { program: &program, script, members, period, settings, folder };
+    let plan = Plan {
+        program: &program,
+        script,
+        members,
+        period,
+        settings,
+        folder,
+    };
     let played = fleet::play(&plan).map_err(Stop::failed)?;
     let spent = played.ended.as_secs_f64().max(1e-9) * members as f64;
     let dead = played.held_dead_while_running();
@@ -116,21 +135,40 @@
         "datagrams a second and member".to_owned(),
         format!("{:.1}", played.sent.0 as f64 / spent),
     ]);
-    rows.add_row(["bytes a second and member".to_owned(), format!("{:.0}", played.sent.1 as f64 / spent)]);
+    rows.add_row([
+        "bytes a second and member".to_owned(),
+        format!("{:.0}", played.sent.1 as f64 / spent),
+    ]);
     rows.add_row(["datagrams refused".to_owned(), played.refused.to_string()]);
-    rows.add_row(["views that held one that ran to be dead".to_owned(), dead.len().to_string()]);
-    rows.add_row(["held wrongly at the end".to_owned(), wrong.len().to_string()]);
+    rows.add_row([
+        "views that held one that ran to be dead".to_owned(),
+        dead.len().to_string(),
+    ]);
+    rows.add_row([
+        "held wrongly at the end".to_owned(),
+        wrong.len().to_string(),
+    ]);
     println!("{rows}");
     // How many others each holds to be alive.
     let alive = |sample: &fleet::Sample| {
-        sample.members.iter().filter(|(_, standing)| standing == "alive").count() as f64
+        sample
+            .members
+            .iter()
+            .filter(|(_, standing)| standing == "alive")
+            .count() as f64
     };
     let course = |of: usize| {
         let own = played.samples.iter().filter(|sample| sample.of == of);
-        own.map(|sample| (sample.at.as_secs_f64(), alive(sample))).collect()
+        own.map(|sample| (sample.at.as_secs_f64(), alive(sample)))
+            .collect()
     };
     let courses: Vec<plot::Course> = (0..members).map(course).collect();
-    plot::draw(&folder.join("members.svg"), "others held to be alive, by sidecar", "members", &courses)?;
+    plot::draw(
+        &folder.join("members.svg"),
+        "others held to be alive, by sidecar",
+        "members",
+        &courses,
+    )?;
     for (of, whom, held) in wrong.iter().take(20) {
         println!("s{of} holds s{whom} to be {held}");
     }
@@ -144,7 +182,9 @@
     if wrong.is_empty() {
         Ok(())
     } else {
-        Err(Stop::failed("the members do not hold each other as they should"))
+        Err(Stop::failed(
+            "the members do not hold each other as they should",
+        ))
     }
 }
 
@@ -161,9 +201,18 @@
     };
     let mut rows = table(&["what", "figure"]);
     rows.add_row(["members".to_owned(), members.to_string()]);
-    rows.add_row(["datagrams a second and member".to_owned(), format!("{:.1}", world.sent.0 as f64 / spent)]);
-    rows.add_row(["bytes a second and member".to_owned(), format!("{:.0}", world.sent.1 as f64 / spent)]);
-    rows.add_row(["members said to be dead by somebody".to_owned(), deaths.len().to_string()]);
+    rows.add_row([
+        "datagrams a second and member".to_owned(),
+        format!("{:.1}", world.sent.0 as f64 / spent),
+    ]);
+    rows.add_row([
+        "bytes a second and member".to_owned(),
+        format!("{:.0}", world.sent.1 as f64 / spent),
+    ]);
+    rows.add_row([
+        "members said to be dead by somebody".to_owned(),
+        deaths.len().to_string(),
+    ]);
     rows.add_row([
         "of them, that run at the end".to_owned(),
         deaths.keys().filter(|name| runs(name)).count().to_string(),
@@ -171,21 +220,40 @@
     // Of those killed for good: from then until all that run hold them to be dead.
     let mut known: Vec<f64> = Vec::new();
     for step in &script.steps {
-        let Fault::Kill(who) = &step.does else { continue };
-        for number in who.numbers(members).into_iter().filter(|number| world.core(*number).is_none()) {
+        let Fault::Kill(who) = &step.does else {
+            continue;
+        };
+        for number in who
+            .numbers(members)
+            .into_iter()
+            .filter(|number| world.core(*number).is_none())
+        {
             let said = deaths.get(&format!("s{number}")).into_iter().flatten();
-            let since =
-                said.map(|(by, at)| (*by, at.as_secs_f64() - step.at)).filter(|(_, wait)| *wait >= 0.0);
-            let first: BTreeMap<usize, f64> =
-                since.rev().filter(|(by, _)| world.core(*by).is_some()).collect();
-            let all = first.len() == (0..members).filter(|other| world.core(*other).is_some()).count();
-            known.push(if all { first.into_values().fold(0.0, f64::max) } else { f64::INFINITY });
+            let since = said
+                .map(|(by, at)| (*by, at.as_secs_f64() - step.at))
+                .filter(|(_, wait)| *wait >= 0.0);
+            let first: BTreeMap<usize, f64> = since
+                .rev()
+                .filter(|(by, _)| world.core(*by).is_some())
+                .collect();
+            let all = first.len()
+                == (0..members)
+                    .filter(|other| world.core(*other).is_some())
+                    .count();
+            known.push(if all {
+                first.into_values().fold(0.0, f64::max)
+            } else {
+                f64::INFINITY
+            });
         }
     }
     known.sort_by(f64::total_cmp);
     if let Some(last) = known.last() {
         let figures = format!("{:.1}, {last:.1}", known[known.len() / 2]);
-        rows.add_row(["from a death until all know it, s (median, worst)".to_owned(), figures]);
+        rows.add_row([
+            "from a death until all know it, s (median, worst)".to_owned(),
+            figures,
+        ]);
     }
     // Of those that do not run: from the first that said so to the last.
     let mut spread: Vec<f64> = deaths
@@ -204,15 +272,27 @@
             format!("{median:.1}, {last:.1}"),
         ]);
     }
-    rows.add_row(["held wrongly at the end".to_owned(), (views.missing + views.ghosts).to_string()]);
-    rows.add_row(["real seconds".to_owned(), format!("{:.1}", began.elapsed().as_secs_f64())]);
+    rows.add_row([
+        "held wrongly at the end".to_owned(),
+        (views.missing + views.ghosts).to_string(),
+    ]);
+    rows.add_row([
+        "real seconds".to_owned(),
+        format!("{:.1}", began.elapsed().as_secs_f64()),
+    ]);
     println!("{rows}");
     Ok(())
 }
 
 /// Plays many decision modules with and without the fleet's word: a pod starts cold at half of the time, another is gone
 /// from a fifth of it to four fifths.
-pub fn choices(sidecars: usize, pods: usize, parts: usize, seconds: u64, seed: u64) -> Result<(), Stop> {
+pub fn choices(
+    sidecars: usize,
+    pods: usize,
+    parts: usize,
+    seconds: u64,
+    seed: u64,
+) -> Result<(), Stop> {
     let lasts = Duration::from_secs(seconds);
     let plan = |choices| CrowdPlan {
         sidecars,
@@ -229,14 +309,27 @@
     let mut row = |what: &str, figure: &dyn Fn(&Crowd) -> String| {
         rows.add_row([what.to_owned(), figure(&with), figure(&without)]);
     };
-    row("load per pod, most over mean", &|played| format!("{:.2}", played.most()));
-    row("a cold pod's load over its strength's share, most", &|played| format!("{:.2}", played.cold));
-    row("forwards to a pod that is gone, a second, after 5 s", &|played| {
-        let late = played.to_dead.iter().skip(5);
-        format!("{:.1}", late.clone().sum::<usize>() as f64 / late.count().max(1) as f64)
+    row("load per pod, most over mean", &|played| {
+        format!("{:.2}", played.most())
     });
+    row(
+        "a cold pod's load over its strength's share, most",
+        &|played| format!("{:.2}", played.cold),
+    );
+    row(
+        "forwards to a pod that is gone, a second, after 5 s",
+        &|played| {
+            let late = played.to_dead.iter().skip(5);
+            format!(
+                "{:.1}",
+                late.clone().sum::<usize>() as f64 / late.count().max(1) as f64
+            )
+        },
+    );
     row("from its return to its first answer, s", &|played| {
-        played.back_after.map_or("none".into(), |wait| format!("{:.1}", wait.as_secs_f64()))
+        played
+            .back_after
+            .map_or("none".into(), |wait| format!("{:.1}", wait.as_secs_f64()))
     });
     row("delivered", &|played| played.delivered.to_string());
     row("given up", &|played| played.given_up.to_string());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -24,7 +24,10 @@
 use tracing_subscriber::EnvFilter;
 
 #[derive(Parser)]
-#[command(version, about = "Release controller with the router that moves traffic between builds")]
+#[command(
+    version,
+    about = "Release controller with the router that moves traffic between builds"
+)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -240,7 +243,10 @@
 }
 
 fn rate(text: &str) -> Result<f64, String> {
-    let rate = text.parse::<f64>().ok().filter(|rate| (0.001..=10_000_000.0).contains(rate));
+    let rate = text
+        .parse::<f64>()
+        .ok()
+        .filter(|rate| (0.001..=10_000_000.0).contains(rate));
     rate.ok_or_else(|| "expected 0.001 to 10000000 hits a second".to_owned())
 }
 
@@ -253,12 +259,18 @@
 impl Stop {
     /// What the user gave can't be used.
     fn input(what: impl ToString) -> Self {
-        Self { code: 2, text: what.to_string() }
+        Self {
+            code: 2,
+            text: what.to_string(),
+        }
     }
 
     /// Something failed, or a rule was broken.
     fn failed(what: impl ToString) -> Self {
-        Self { code: 1, text: what.to_string() }
+        Self {
+            code: 1,
+            text: what.to_string(),
+        }
     }
 }
 
@@ -274,14 +286,19 @@
 
 fn run(command: Command) -> Result<(), Stop> {
     match command {
-        Command::Sidecar { settings, with_parent } => sidecar(&settings, with_parent),
+        Command::Sidecar {
+            settings,
+            with_parent,
+        } => sidecar(&settings, with_parent),
         Command::Platform { config } => platform(config),
         Command::Settings(SettingsCommand::Check { file, of }) => {
             match of {
                 Kind::Sidecar => {
                     drop(limewing_settings::read::<SidecarSettings>(&file).map_err(Stop::input)?)
                 }
-                Kind::Day => drop(limewing_settings::read::<DayScript>(&file).map_err(Stop::input)?),
+                Kind::Day => {
+                    drop(limewing_settings::read::<DayScript>(&file).map_err(Stop::input)?)
+                }
                 Kind::Faults => {
                     drop(limewing_settings::read::<fleet::ScriptFile>(&file).map_err(Stop::input)?)
                 }
@@ -299,22 +316,44 @@
                 Kind::Keys => schemars::schema_for!(KeyFile),
                 Kind::Work => schemars::schema_for!(limewing_settings::WorkList),
             };
-            println!("{}", serde_json::to_string_pretty(&schema).map_err(Stop::failed)?);
+            println!(
+                "{}",
+                serde_json::to_string_pretty(&schema).map_err(Stop::failed)?
+            );
             Ok(())
         }
         Command::Fleet(FleetCommand::Show { at }) => fleet::show(at),
         Command::Fleet(FleetCommand::State { at }) => fleet::state(at),
-        Command::Fleet(FleetCommand::Play { script, settings, members, period_ms, folder }) => {
-            let script: fleet::ScriptFile = limewing_settings::read(&script).map_err(Stop::input)?;
-            let settings: SidecarSettings = limewing_settings::read(&settings).map_err(Stop::input)?;
+        Command::Fleet(FleetCommand::Play {
+            script,
+            settings,
+            members,
+            period_ms,
+            folder,
+        }) => {
+            let script: fleet::ScriptFile =
+                limewing_settings::read(&script).map_err(Stop::input)?;
+            let settings: SidecarSettings =
+                limewing_settings::read(&settings).map_err(Stop::input)?;
             let period = std::time::Duration::from_millis(period_ms);
             fleet::play(&script.0, &settings, members.into(), period, &folder)
         }
-        Command::Fleet(FleetCommand::Choices { sidecars, pods, parts, seconds, seed }) => {
-            fleet::choices(sidecars.into(), pods.into(), parts.into(), seconds.into(), seed)
-        }
+        Command::Fleet(FleetCommand::Choices {
+            sidecars,
+            pods,
+            parts,
+            seconds,
+            seed,
+        }) => fleet::choices(
+            sidecars.into(),
+            pods.into(),
+            parts.into(),
+            seconds.into(),
+            seed,
+        ),
         Command::Fleet(FleetCommand::Simulate { script, members }) => {
-            let script: fleet::ScriptFile = limewing_settings::read(&script).map_err(Stop::input)?;
+            let script: fleet::ScriptFile =
+                limewing_settings::read(&script).map_err(Stop::input)?;
             fleet::simulate(&script.0, members.into())
         }
         Command::Work(command) => match command {
@@ -333,31 +372,75 @@
             day::play(&script, &folder)
         }
         Command::Day(DayCommand::Check { record }) => day::check(&record),
-        Command::Load(LoadCommand::Compare { pods, connections, rounds, seconds, seed }) => {
+        Command::Load(LoadCommand::Compare {
+            pods,
+            connections,
+            rounds,
+            seconds,
+            seed,
+        }) => {
             let program = std::env::current_exe().map_err(Stop::failed)?;
             let folder = tempfile::tempdir().map_err(Stop::failed)?;
             let pods = pods.into_iter().map(usize::from).collect();
             let lasts = Duration::from_secs(seconds);
-            let plan =
-                compare::Plan { pods, connections: connections.into(), rounds: rounds.into(), lasts, seed };
-            println!("{}", compare::compare(&program, folder.path(), &plan).map_err(Stop::failed)?);
+            let plan = compare::Plan {
+                pods,
+                connections: connections.into(),
+                rounds: rounds.into(),
+                lasts,
+                seed,
+            };
+            println!(
+                "{}",
+                compare::compare(&program, folder.path(), &plan).map_err(Stop::failed)?
+            );
             Ok(())
         }
-        Command::Load(LoadCommand::Idle { few, many, after_hit, rests }) => {
+        Command::Load(LoadCommand::Idle {
+            few,
+            many,
+            after_hit,
+            rests,
+        }) => {
             if few >= many {
-                return Err(Stop::input(format!("--few {few}: expected fewer than --many {many}")));
+                return Err(Stop::input(format!(
+                    "--few {few}: expected fewer than --many {many}"
+                )));
             }
             let program = std::env::current_exe().map_err(Stop::failed)?;
             let folder = tempfile::tempdir().map_err(Stop::failed)?;
             let rests = Duration::from_secs(rests);
-            let plan = idle::Plan { few: few.into(), many: many.into(), after_hit, rests };
-            println!("{}", idle::measure(&program, folder.path(), &plan).map_err(Stop::failed)?);
+            let plan = idle::Plan {
+                few: few.into(),
+                many: many.into(),
+                after_hit,
+                rests,
+            };
+            println!(
+                "{}",
+                idle::measure(&program, folder.path(), &plan).map_err(Stop::failed)?
+            );
             Ok(())
         }
-        Command::Load(LoadCommand::Hits { to, hits_per_s, seconds, connections, seed, target }) => {
+        Command::Load(LoadCommand::Hits {
+            to,
+            hits_per_s,
+            seconds,
+            connections,
+            seed,
+            target,
+        }) => {
             let (warm_up, lasts) = (Duration::ZERO, Duration::from_secs(seconds));
             let connections = connections.into();
-            let load = Load { to, hits_per_s: Some(hits_per_s), connections, warm_up, lasts, seed, target };
+            let load = Load {
+                to,
+                hits_per_s: Some(hits_per_s),
+                connections,
+                warm_up,
+                lasts,
+                seed,
+                target,
+            };
             let outcome = generate::run(&load, || (), || ()).map_err(Stop::failed)?;
             let (p50, p99, p999) = (outcome.ms(0.5), outcome.ms(0.99), outcome.ms(0.999));
             println!(
@@ -367,7 +450,10 @@
             Ok(())
         }
         Command::Load(LoadCommand::Settings { folder, pods }) => {
-            println!("{}", compare::settings(&folder, &pods).map_err(Stop::failed)?);
+            println!(
+                "{}",
+                compare::settings(&folder, &pods).map_err(Stop::failed)?
+            );
             Ok(())
         }
         Command::Load(LoadCommand::Pods { many }) => {
@@ -387,9 +473,14 @@
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
     // Logs go by a thread of their own, and lines that standard error does not take in time are left out: a full
     // disk or a reader that stands still must not end or hold up a sidecar. Hurts by lines that are missing.
-    let (log, writes) =
-        NonBlockingBuilder::default().buffered_lines_limit(MOST_LINES).lossy(true).finish(std::io::stderr());
-    let lines = tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(log);
+    let (log, writes) = NonBlockingBuilder::default()
+        .buffered_lines_limit(MOST_LINES)
+        .lossy(true)
+        .finish(std::io::stderr());
+    let lines = tracing_subscriber::fmt()
+        .json()
+        .with_env_filter(filter)
+        .with_writer(log);
     lines.log_internal_errors(false).init();
     // A file at its size limit is told as an error of the write, as any other is; unwatched it ends the process.
     signal_hook::flag::register(SIGXFSZ, Arc::default()).map_err(Stop::failed)?;
@@ -406,7 +497,8 @@
 fn sidecar(file: &std::path::Path, with_parent: bool) -> Result<(), Stop> {
     let settings: SidecarSettings = limewing_settings::read(file).map_err(Stop::input)?;
     let _writes = logs()?;
-    let service = Service::start(&settings).map_err(|e| Stop::input(format!("{}: {e}", file.display())))?;
+    let service =
+        Service::start(&settings).map_err(|e| Stop::input(format!("{}: {e}", file.display())))?;
     let address = service.address();
     tracing::info!(%address, name = settings.name, "listening");
     // Whoever started it may have closed its end: no reason to stop.
--- a/crates/cli/src/plot.rs
+++ b/crates/cli/src/plot.rs
@@ -23,7 +23,10 @@
             .build_cartesian_2d(0.0..lasts, 0.0..highest * 1.05)?;
         chart.configure_mesh().x_desc("seconds").y_desc(of).draw()?;
         for (number, course) in courses.iter().enumerate() {
-            chart.draw_series(LineSeries::new(course.iter().copied(), &Palette99::pick(number)))?;
+            chart.draw_series(LineSeries::new(
+                course.iter().copied(),
+                &Palette99::pick(number),
+            ))?;
         }
         area.present()?;
         Ok(())
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -28,9 +28,17 @@
             "hits {} delivered {} bounced {} errored {}",
             now.asked, now.delivered, now.bounced, now.errored
         );
-        let release = format!("build {} stage {} {:?}, {} pods", now.build, now.stage, now.phase, now.pods);
-        let troubles = if now.troubles.is_empty() { "-".into() } else { now.troubles.join(", ") };
-        self.0.set_message(format!("{counts} | {release} | {troubles}"));
+        let release = format!(
+            "build {} stage {} {:?}, {} pods",
+            now.build, now.stage, now.phase, now.pods
+        );
+        let troubles = if now.troubles.is_empty() {
+            "-".into()
+        } else {
+            now.troubles.join(", ")
+        };
+        self.0
+            .set_message(format!("{counts} | {release} | {troubles}"));
     }
 
     pub fn end(&self) {
@@ -48,7 +56,12 @@
             many => format!("BROKEN {many} times"),
         };
         let counted = format!("{} {}", finding.counted, finding.of);
-        table.add_row([finding.rule.to_string(), counted, finding.margin.clone(), verdict]);
+        table.add_row([
+            finding.rule.to_string(),
+            counted,
+            finding.margin.clone(),
+            verdict,
+        ]);
     }
     let of = &account.service;
     let mut text = format!(
@@ -60,7 +73,11 @@
         "\nload per pod {:.2} of the mean at most, {:.1} sidecars a pod (most {}), {} pods unused",
         spread.most, spread.users.0, spread.users.1, spread.unused
     );
-    for finding in account.findings.iter().filter(|finding| !finding.breaches.is_empty()) {
+    for finding in account
+        .findings
+        .iter()
+        .filter(|finding| !finding.breaches.is_empty())
+    {
         text += &format!("\n{}:", finding.rule);
         for breach in finding.breaches.iter().take(SHOWN) {
             text += &format!("\n  {:.3} s: {}", breach.at.as_secs_f64(), breach.text);
--- a/crates/cli/src/work.rs
+++ b/crates/cli/src/work.rs
@@ -56,36 +56,80 @@
 pub fn ask(at: SocketAddr, file: &Path) -> Result<(), Stop> {
     check(file)?;
     let list: WorkList = limewing_settings::read(file).map_err(Stop::input)?;
-    let number =
-        post(at, &Asked::Ask(Box::new(list)))?.ok_or(Stop::failed("no number of the list came back"))?;
-    let whole = |view: &WorkView| view.lists.iter().any(|of| of.list == number && !of.machines.is_empty());
+    let number = post(at, &Asked::Ask(Box::new(list)))?
+        .ok_or(Stop::failed("no number of the list came back"))?;
+    let whole = |view: &WorkView| {
+        view.lists
+            .iter()
+            .any(|of| of.list == number && !of.machines.is_empty())
+    };
     until(at, whole, &format!("list {number}"))
 }
 
 pub fn hold(at: SocketAddr, list: u64, held: bool) -> Result<(), Stop> {
-    post(at, &if held { Asked::Hold(list) } else { Asked::GoOn(list) })?;
-    let done = if held { "held: nothing more goes out" } else { "it goes on" };
-    until(at, |view| view.lists.iter().any(|of| of.list == list && of.held == held), done)
+    post(
+        at,
+        &if held {
+            Asked::Hold(list)
+        } else {
+            Asked::GoOn(list)
+        },
+    )?;
+    let done = if held {
+        "held: nothing more goes out"
+    } else {
+        "it goes on"
+    };
+    until(
+        at,
+        |view| {
+            view.lists
+                .iter()
+                .any(|of| of.list == list && of.held == held)
+        },
+        done,
+    )
 }
 
 /// Gives a sidecar a vote, or takes it; waits until it shows.
 pub fn vote(at: SocketAddr, name: &str, has: bool) -> Result<(), Stop> {
-    let asked = if has { Asked::Vote(name.to_owned()) } else { Asked::Unvote(name.to_owned()) };
+    let asked = if has {
+        Asked::Vote(name.to_owned())
+    } else {
+        Asked::Unvote(name.to_owned())
+    };
     post(at, &asked)?;
-    let shows =
-        |view: &WorkView| !view.members.is_empty() && view.members.iter().any(|voter| voter == name) == has;
-    until(at, shows, if has { "it has a vote" } else { "it has no vote" })
+    let shows = |view: &WorkView| {
+        !view.members.is_empty() && view.members.iter().any(|voter| voter == name) == has
+    };
+    until(
+        at,
+        shows,
+        if has {
+            "it has a vote"
+        } else {
+            "it has no vote"
+        },
+    )
 }
 
 pub fn withdraw(at: SocketAddr, list: u64) -> Result<(), Stop> {
     post(at, &Asked::Withdraw(list))?;
     let done = "withdrawn: nothing more goes out, what is out comes back when its work ends";
-    until(at, |view| view.lists.iter().any(|of| of.list == list && of.withdrawn), done)
+    until(
+        at,
+        |view| view.lists.iter().any(|of| of.list == list && of.withdrawn),
+        done,
+    )
 }
 
 pub fn gone(at: SocketAddr, sidecar: &str) -> Result<(), Stop> {
     post(at, &Asked::Gone(sidecar.to_owned()))?;
-    until(at, |view| !view.sidecars.iter().any(|name| name == sidecar), "not waited for any more")
+    until(
+        at,
+        |view| !view.sidecars.iter().any(|name| name == sidecar),
+        "not waited for any more",
+    )
 }
 
 pub fn show(at: SocketAddr) -> Result<(), Stop> {
@@ -97,7 +141,11 @@
         view.standing,
         view.term,
         view.settled,
-        if view.lease { "with a lease" } else { "WITHOUT a lease: sends to no machine on a list" }
+        if view.lease {
+            "with a lease"
+        } else {
+            "WITHOUT a lease: sends to no machine on a list"
+        }
     );
     println!("voters: {}", view.members.join(", "));
     if let Some(name) = &view.awaited {
@@ -113,12 +161,21 @@
         };
         println!("\nlist {} ({}): {state}", list.list, list.name);
         if !list.unknown_to.is_empty() {
-            println!("waits until these know it, or are said to be gone: {}", list.unknown_to.join(", "));
+            println!(
+                "waits until these know it, or are said to be gone: {}",
+                list.unknown_to.join(", ")
+            );
         }
         let mut table = Table::new();
-        table.load_preset(ASCII_MARKDOWN).set_header(["machine", "step", "grant", "waits for"]);
+        table
+            .load_preset(ASCII_MARKDOWN)
+            .set_header(["machine", "step", "grant", "waits for"]);
         for machine in list.machines {
-            let step = if machine.stalled { format!("{}, stalled", machine.step) } else { machine.step };
+            let step = if machine.stalled {
+                format!("{}, stalled", machine.step)
+            } else {
+                machine.step
+            };
             let waits = machine.why.unwrap_or(machine.not_clear.join(", "));
             table.add_row([
                 machine.machine,
--- a/crates/cli/tests/command/copies.rs
+++ b/crates/cli/tests/command/copies.rs
@@ -16,8 +16,14 @@
         day.must_be_well();
     }
     let text = day.text;
-    let line = text.lines().find(|line| line.starts_with("across sidecars: ")).unwrap_or_default();
-    let numbers: Vec<usize> = line.split(' ').filter_map(|word| word.parse().ok()).collect();
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("across sidecars: "))
+        .unwrap_or_default();
+    let numbers: Vec<usize> = line
+        .split(' ')
+        .filter_map(|word| word.parse().ok())
+        .collect();
     assert_eq!(numbers.len(), 4, "{text}");
     (numbers[0], numbers[2], text)
 }
@@ -68,9 +74,14 @@
     assert!(day.text.contains("across sidecars: 0 of"), "{}", day.text);
     for number in [2, 3] {
         let log = day.log(number);
-        let told: Vec<&str> =
-            log.lines().filter(|line| line.contains("stage news by the others' copies")).collect();
-        assert!(told.iter().any(|line| line.contains("OnTrial")), "sidecar-{number}: {told:?}");
+        let told: Vec<&str> = log
+            .lines()
+            .filter(|line| line.contains("stage news by the others' copies"))
+            .collect();
+        assert!(
+            told.iter().any(|line| line.contains("OnTrial")),
+            "sidecar-{number}: {told:?}"
+        );
     }
 }
 
@@ -78,8 +89,15 @@
 #[test]
 fn without_replicas_nothing_is_kept() {
     let folder = tempfile::tempdir().unwrap();
-    let sidecar = Running::start("", &settings(folder.path(), "127.0.0.1:0"), std::process::Stdio::null());
+    let sidecar = Running::start(
+        "",
+        &settings(folder.path(), "127.0.0.1:0"),
+        std::process::Stdio::null(),
+    );
     let out = limewing(&["fleet", "state", &sidecar.at.to_string()]);
     let text = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.code() == Some(1) && text.contains("no `peers.replicas` in its settings"), "{text}");
+    assert!(
+        out.status.code() == Some(1) && text.contains("no `peers.replicas` in its settings"),
+        "{text}"
+    );
 }
--- a/crates/cli/tests/command/days.rs
+++ b/crates/cli/tests/command/days.rs
@@ -8,7 +8,10 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 pub fn limewing(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_limewing")).args(args).output().expect("the command starts")
+    Command::new(env!("CARGO_BIN_EXE_limewing"))
+        .args(args)
+        .output()
+        .expect("the command starts")
 }
 
 /// Days of many processes are played one after the other: each goes by the machine's time.
@@ -27,7 +30,12 @@
 impl Played {
     /// Fails with what the record has on it if it did not end well.
     pub fn must_be_well(&self) {
-        assert!(self.well, "{}\n{}", self.text, told_of(&self.text, self.folder.path()));
+        assert!(
+            self.well,
+            "{}\n{}",
+            self.text,
+            told_of(&self.text, self.folder.path())
+        );
     }
 
     pub fn log(&self, number: usize) -> String {
@@ -44,10 +52,20 @@
     change(&mut day);
     let script = folder.path().join("day.json");
     std::fs::write(&script, day.to_string()).unwrap();
-    let out =
-        limewing(&["day", "play", script.to_str().unwrap(), "--folder", folder.path().to_str().unwrap()]);
-    let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    Played { well: out.status.success(), text, folder }
+    let out = limewing(&[
+        "day",
+        "play",
+        script.to_str().unwrap(),
+        "--folder",
+        folder.path().to_str().unwrap(),
+    ]);
+    let text =
+        String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
+    Played {
+        well: out.status.success(),
+        text,
+        folder,
+    }
 }
 
 /// What the record has on the tries that the text names, and where the loop stood still.
@@ -61,7 +79,9 @@
         .map(|(order, _)| format!("\"of\":[{order},"))
         .collect();
     let tells = |line: &&str| {
-        tries.iter().any(|of| line.contains(of)) || line.contains("sidecar_") || line.contains("\"stood\"")
+        tries.iter().any(|of| line.contains(of))
+            || line.contains("sidecar_")
+            || line.contains("\"stood\"")
     };
     let lines: Vec<&str> = record.lines().filter(tells).take(400).collect();
     lines.join("\n")
@@ -76,22 +96,38 @@
     let _alone = name.starts_with("fleet").then(one_day_at_a_time);
     let folder = tempfile::tempdir().unwrap();
     let script = in_repo(&format!("days/{name}.json"));
-    let out =
-        limewing(&["day", "play", script.to_str().unwrap(), "--folder", folder.path().to_str().unwrap()]);
-    let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success(), "{text}\n{}", told_of(&text, folder.path()));
+    let out = limewing(&[
+        "day",
+        "play",
+        script.to_str().unwrap(),
+        "--folder",
+        folder.path().to_str().unwrap(),
+    ]);
+    let text =
+        String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
+    assert!(
+        out.status.success(),
+        "{text}\n{}",
+        told_of(&text, folder.path())
+    );
     assert_eq!(text.matches("| kept").count(), 5, "{text}");
     let drawn = std::fs::read_to_string(folder.path().join("load.svg")).unwrap();
-    assert!(drawn.ends_with("</svg>\n") && drawn.contains("polyline"), "{drawn}");
+    assert!(
+        drawn.ends_with("</svg>\n") && drawn.contains("polyline"),
+        "{drawn}"
+    );
 }
 
 #[rstest]
 #[case::never_spoke(&[])]
 #[case::after_a_hit(&["--after-hit"])]
 fn connections_sleep_and_are_counted(#[case] more: &[&str]) {
-    let args = ["load", "idle", "--few", "10", "--many", "200", "--rests", "1"];
+    let args = [
+        "load", "idle", "--few", "10", "--many", "200", "--rests", "1",
+    ];
     let out = limewing(&[&args, more].concat());
-    let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
+    let text =
+        String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
     assert!(out.status.success() && text.contains("| 200 "), "{text}");
 }
 
@@ -100,7 +136,11 @@
 #[case::no_record(&["day", "check", "/nowhere"], 2, "/nowhere")]
 #[case::idle_the_wrong_way_round(&["load", "idle", "--few", "10", "--many", "5"], 2, "expected fewer")]
 #[case::no_command(&["fly"], 2, "unrecognized subcommand")]
-fn bad_input_is_told_and_ends_with_a_code(#[case] args: &[&str], #[case] code: i32, #[case] says: &str) {
+fn bad_input_is_told_and_ends_with_a_code(
+    #[case] args: &[&str],
+    #[case] code: i32,
+    #[case] says: &str,
+) {
     let out = limewing(args);
     let text = String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(code), "{text}");
@@ -109,10 +149,16 @@
 
 #[test]
 fn more_sleeping_connections_than_descriptors_are_told() {
-    let run = format!("ulimit -n 300; exec {} load idle --few 10 --many 400", env!("CARGO_BIN_EXE_limewing"));
+    let run = format!(
+        "ulimit -n 300; exec {} load idle --few 10 --many 400",
+        env!("CARGO_BIN_EXE_limewing")
+    );
     let out = Command::new("sh").args(["-c", &run]).output().unwrap();
     let text = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.code() == Some(1) && text.contains("connections"), "{text}");
+    assert!(
+        out.status.code() == Some(1) && text.contains("connections"),
+        "{text}"
+    );
 }
 
 #[rstest]
@@ -132,7 +178,11 @@
 fn the_shipped_days_can_be_read(#[case] name: &str) {
     let script = in_repo(&format!("days/{name}.json"));
     let out = limewing(&["settings", "check", script.to_str().unwrap(), "--of", "day"]);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
 }
 
 #[test]
@@ -143,7 +193,10 @@
     let out = std::fs::File::create(&log).unwrap();
     let sidecar = Running::start("ulimit -n 40;", &file, out.into());
     let held: Vec<TcpStream> = (0..60).map(|_| sidecar.connect()).collect();
-    while !std::fs::read_to_string(&log).unwrap().contains("can't accept") {
+    while !std::fs::read_to_string(&log)
+        .unwrap()
+        .contains("can't accept")
+    {
         std::thread::yield_now();
     }
     drop(held);
@@ -157,7 +210,10 @@
     let file = settings(folder.path(), "127.0.0.1:0");
     let mut sidecar = Running::start("", &file, Stdio::null());
     let mut idle = sidecar.connect();
-    let told = Command::new("kill").args(["-TERM", &sidecar.child.id().to_string()]).status().unwrap();
+    let told = Command::new("kill")
+        .args(["-TERM", &sidecar.child.id().to_string()])
+        .status()
+        .unwrap();
     assert!(told.success() && sidecar.child.wait().unwrap().success());
     assert_eq!(idle.read(&mut [0]).unwrap_or(0), 0);
 }
@@ -179,11 +235,22 @@
     let mut sidecar = Running::start("", &file, Stdio::null());
     // More answers than the system holds for a client that does not read: the rest waits in the sidecar.
     let mut client = sidecar.connect();
-    client.write_all("GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n".repeat(600).as_bytes()).unwrap();
-    while !status(&sidecar.at).contains("\"open_hits\":0,") || status(&sidecar.at).contains("\"unsent\":0}") {
+    client
+        .write_all(
+            "GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n"
+                .repeat(600)
+                .as_bytes(),
+        )
+        .unwrap();
+    while !status(&sidecar.at).contains("\"open_hits\":0,")
+        || status(&sidecar.at).contains("\"unsent\":0}")
+    {
         std::thread::yield_now();
     }
-    let told = Command::new("kill").args(["-TERM", &sidecar.child.id().to_string()]).status().unwrap();
+    let told = Command::new("kill")
+        .args(["-TERM", &sidecar.child.id().to_string()])
+        .status()
+        .unwrap();
     let mut text = Vec::new();
     client.read_to_end(&mut text).unwrap();
     assert!(told.success() && sidecar.child.wait().unwrap().success());
@@ -192,7 +259,10 @@
         text.windows(12).filter(|w| w == b"HTTP/1.1 200").count(),
         text.iter().filter(|b| **b == b'#').count(),
     );
-    assert!(heads > 0 && bodies == heads * BODY, "{heads} heads, {bodies} bytes of bodies");
+    assert!(
+        heads > 0 && bodies == heads * BODY,
+        "{heads} heads, {bodies} bytes of bodies"
+    );
 }
 
 #[test]
@@ -201,8 +271,11 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("sidecar.json");
     let example = std::fs::read_to_string(in_repo("deploy/sidecar.example.json")).unwrap();
-    std::fs::write(&file, example.replace("127.0.0.1:8080", &taken.local_addr().unwrap().to_string()))
-        .unwrap();
+    std::fs::write(
+        &file,
+        example.replace("127.0.0.1:8080", &taken.local_addr().unwrap().to_string()),
+    )
+    .unwrap();
     let out = limewing(&["sidecar", file.to_str().unwrap()]);
     let text = String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(2), "{text}");
@@ -218,12 +291,21 @@
         day["lasts"] = 14.into();
         day["offers"] = serde_json::json!([]);
         day["peers"]["faults"]["steps"] = serde_json::json!([]);
-        day["troubles"] = serde_json::json!([{ "at": 1, "for": 13, "what": { "pods_silent": [5, 17] } }]);
+        day["troubles"] =
+            serde_json::json!([{ "at": 1, "for": 13, "what": { "pods_silent": [5, 17] } }]);
     });
     day.must_be_well();
     let logs: Vec<String> = (0..12).map(|number| day.log(number)).collect();
-    let words = |log: &String| log.lines().filter(|line| line.contains("the fleet's word")).count();
-    assert!(logs.iter().all(|log| words(log) > 0), "{:?}", logs.iter().map(words).collect::<Vec<_>>());
+    let words = |log: &String| {
+        log.lines()
+            .filter(|line| line.contains("the fleet's word"))
+            .count()
+    };
+    assert!(
+        logs.iter().all(|log| words(log) > 0),
+        "{:?}",
+        logs.iter().map(words).collect::<Vec<_>>()
+    );
     let leaves = |log: &&String| log.contains("\"held\":1") || log.contains("\"held\":2");
     assert!(logs.iter().filter(leaves).count() >= 3, "{}", logs.concat());
 }
@@ -234,19 +316,41 @@
     let _alone = one_day_at_a_time();
     let folder = tempfile::tempdir().unwrap();
     let script = in_repo("days/fleet-grows.json");
-    let out =
-        limewing(&["day", "play", script.to_str().unwrap(), "--folder", folder.path().to_str().unwrap()]);
+    let out = limewing(&[
+        "day",
+        "play",
+        script.to_str().unwrap(),
+        "--folder",
+        folder.path().to_str().unwrap(),
+    ]);
     let text = String::from_utf8_lossy(&out.stdout);
-    assert!(out.status.success(), "{text}\n{}", told_of(&text, folder.path()));
+    assert!(
+        out.status.success(),
+        "{text}\n{}",
+        told_of(&text, folder.path())
+    );
     let logs: Vec<String> = (0..12)
         .map(|n| std::fs::read_to_string(folder.path().join(format!("sidecar-{n}.log"))).unwrap())
         .collect();
     let count = |log: &String, what: &str| log.matches(what).count();
-    assert!(logs.iter().all(|log| count(log, "keys of the fleet were read again") == 3), "{}", logs.concat());
+    assert!(
+        logs.iter()
+            .all(|log| count(log, "keys of the fleet were read again") == 3),
+        "{}",
+        logs.concat()
+    );
     assert!(logs.iter().all(|log| count(log, "can't be used") == 0));
     // The three that stayed saw all others come, the one whose clock is ahead among them.
-    let came = |log: &String| (0..12).filter(|n| log.contains(&format!("Up(sidecar-{n})"))).count();
-    assert!(logs[..3].iter().all(|log| came(log) == 11), "{:?}", logs.iter().map(came).collect::<Vec<_>>());
+    let came = |log: &String| {
+        (0..12)
+            .filter(|n| log.contains(&format!("Up(sidecar-{n})")))
+            .count()
+    };
+    assert!(
+        logs[..3].iter().all(|log| came(log) == 11),
+        "{:?}",
+        logs.iter().map(came).collect::<Vec<_>>()
+    );
 }
 
 /// A list and an installer that are gone are asked by few at a time.
@@ -269,7 +373,10 @@
         ["the node list was not had", "no stage news; asked"].map(|what| logs.matches(what).count())
     };
     let counted = [true, false].map(plays);
-    println!("asks of list and installer in turn {:?}, each for itself {:?}", counted[0], counted[1]);
+    println!(
+        "asks of list and installer in turn {:?}, each for itself {:?}",
+        counted[0], counted[1]
+    );
     assert!(counted[0][0] * 2 <= counted[1][0], "{counted:?}");
     assert!(counted[0][1] <= counted[1][1], "{counted:?}");
 }
--- a/crates/cli/tests/command/fleet.rs
+++ b/crates/cli/tests/command/fleet.rs
@@ -25,7 +25,14 @@
     let script = script(name, 0.5);
     let program = PathBuf::from(env!("CARGO_BIN_EXE_limewing"));
     let period = Duration::from_millis(100);
-    let plan = Plan { program: &program, script: &script, members, period, settings: &told, folder };
+    let plan = Plan {
+        program: &program,
+        script: &script,
+        members,
+        period,
+        settings: &told,
+        folder,
+    };
     play(&plan).unwrap()
 }
 
@@ -47,7 +54,11 @@
     if deaths {
         assert!(!played.held_dead_while_running().is_empty());
     }
-    assert!(name != "noise" || played.refused > 1000, "{} refused", played.refused);
+    assert!(
+        name != "noise" || played.refused > 1000,
+        "{} refused",
+        played.refused
+    );
 }
 
 struct Ended(std::process::Child);
@@ -63,11 +74,20 @@
 fn sidecar(file: &Path) -> (Ended, String) {
     use std::io::BufRead;
     let mut command = Command::new(env!("CARGO_BIN_EXE_limewing"));
-    let command = command.arg("sidecar").arg(file).stdout(Stdio::piped()).stderr(Stdio::null());
+    let command = command
+        .arg("sidecar")
+        .arg(file)
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null());
     let mut child = command.spawn().unwrap();
     let mut line = String::new();
-    std::io::BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    (Ended(child), line.trim().strip_prefix("listening ").unwrap().to_owned())
+    std::io::BufReader::new(child.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    (
+        Ended(child),
+        line.trim().strip_prefix("listening ").unwrap().to_owned(),
+    )
 }
 
 fn with_peers(folder: &Path, name: &str, join: &str, keys: &str) -> PathBuf {
@@ -86,7 +106,12 @@
 fn keys(ids: &[u8]) -> String {
     let keys: Vec<String> = ids
         .iter()
-        .map(|id| format!(r#"{{"id": {id}, "secret": "{}"}}"#, format!("{id:02x}").repeat(16)))
+        .map(|id| {
+            format!(
+                r#"{{"id": {id}, "secret": "{}"}}"#,
+                format!("{id:02x}").repeat(16)
+            )
+        })
         .collect();
     format!(r#"{{"keys": [{}]}}"#, keys.join(","))
 }
@@ -106,7 +131,9 @@
 }
 
 fn bytes_sent(view: &str) -> u64 {
-    serde_json::from_str::<serde_json::Value>(view).unwrap()["bytes_sent"].as_u64().unwrap()
+    serde_json::from_str::<serde_json::Value>(view).unwrap()["bytes_sent"]
+        .as_u64()
+        .unwrap()
 }
 
 /// Where a sidecar takes datagrams.
@@ -121,7 +148,10 @@
     let folder = tempfile::tempdir().unwrap();
     let (a, at_a) = sidecar(&with_peers(folder.path(), "a", "", &keys(&[1])));
     let join = format!(r#""{}""#, listens(&at_a));
-    let all = [(a, at_a), sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1])))];
+    let all = [
+        (a, at_a),
+        sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1]))),
+    ];
     let alive = |text: &str| text.contains(r#""standing":"alive""#);
     all.iter().for_each(|(_, at)| until(at, alive));
     for (turn, step) in [vec![1, 2], vec![2, 1], vec![2]].into_iter().enumerate() {
@@ -134,7 +164,9 @@
                 )
             };
             hang_up().unwrap();
-            until(at, |text| text.contains(&format!(r#""keys_unusable":{}"#, turn + 1)));
+            until(at, |text| {
+                text.contains(&format!(r#""keys_unusable":{}"#, turn + 1))
+            });
             std::fs::write(folder.path().join(format!("{name}.keys")), keys(&step)).unwrap();
             hang_up().unwrap();
             let known = format!(r#""keys":{}"#, serde_json::to_string(&step).unwrap());
@@ -156,7 +188,10 @@
     }
     let out = limewing(&["fleet", "show", &all[0].1]);
     let text = String::from_utf8_lossy(&out.stdout);
-    assert!(out.status.success() && text.contains("| b") && text.contains("| alive"), "{text}");
+    assert!(
+        out.status.success() && text.contains("| b") && text.contains("| alive"),
+        "{text}"
+    );
 }
 
 /// Of two processes with one name the later has it; the earlier goes on serving its clients.
@@ -167,10 +202,14 @@
     let join = format!(r#""{}""#, listens(&at_a));
     let (_b, at_b) = sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1])));
     let b = listens(&at_b);
-    until(&at_a, |text| text.contains(&format!(r#""at":"{b}","standing":"alive""#)));
+    until(&at_a, |text| {
+        text.contains(&format!(r#""at":"{b}","standing":"alive""#))
+    });
     let (_c, at_c) = sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1])));
     let c = listens(&at_c);
-    until(&at_a, |text| text.contains(&format!(r#""at":"{c}","standing":"alive""#)));
+    until(&at_a, |text| {
+        text.contains(&format!(r#""at":"{c}","standing":"alive""#))
+    });
     assert!(status(&at_b).contains("\"open_hits\""));
     until(&at_a, |text| !text.contains(&format!(r#""at":"{b}""#)));
 }
@@ -195,20 +234,35 @@
 /// UDP sockets among a process's descriptors.
 fn datagram_sockets(id: u32) -> usize {
     let table = std::fs::read_to_string(format!("/proc/{id}/net/udp")).unwrap();
-    let inodes: Vec<&str> = table.lines().skip(1).filter_map(|line| line.split_whitespace().nth(9)).collect();
+    let inodes: Vec<&str> = table
+        .lines()
+        .skip(1)
+        .filter_map(|line| line.split_whitespace().nth(9))
+        .collect();
     let links = std::fs::read_dir(format!("/proc/{id}/fd")).unwrap();
     let links = links.filter_map(|entry| std::fs::read_link(entry.unwrap().path()).ok());
-    let of =
-        |link: &PathBuf| inodes.iter().any(|inode| link.to_string_lossy() == format!("socket:[{inode}]"));
+    let of = |link: &PathBuf| {
+        inodes
+            .iter()
+            .any(|inode| link.to_string_lossy() == format!("socket:[{inode}]"))
+    };
     links.filter(of).count()
 }
 
 fn limewing(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_limewing")).args(args).output().expect("the command starts")
+    Command::new(env!("CARGO_BIN_EXE_limewing"))
+        .args(args)
+        .output()
+        .expect("the command starts")
 }
 
 #[rstest]
-#[case::keys_short(r#"{"keys": [{"id": 1, "secret": "aabb"}]}"#, "keys", "/keys/0/secret", "16 bytes")]
+#[case::keys_short(
+    r#"{"keys": [{"id": 1, "secret": "aabb"}]}"#,
+    "keys",
+    "/keys/0/secret",
+    "16 bytes"
+)]
 #[case::keys_none(r#"{"keys": []}"#, "keys", "/keys", "one key")]
 #[case::keys_same(&keys(&[1, 1]), "keys", "/keys/1/id", "does not have")]
 #[case::part(
@@ -223,19 +277,36 @@
     "/steps/0/at",
     "a time"
 )]
-fn what_cannot_be_used_is_told(#[case] text: &str, #[case] of: &str, #[case] at: &str, #[case] says: &str) {
+fn what_cannot_be_used_is_told(
+    #[case] text: &str,
+    #[case] of: &str,
+    #[case] at: &str,
+    #[case] says: &str,
+) {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file.json");
     std::fs::write(&file, text).unwrap();
     let out = limewing(&["settings", "check", file.to_str().unwrap(), "--of", of]);
     let told = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.code() == Some(2) && told.contains(at) && told.contains(says), "{told}");
+    assert!(
+        out.status.code() == Some(2) && told.contains(at) && told.contains(says),
+        "{told}"
+    );
 }
 
 #[test]
 fn a_script_plays_in_simulated_time() {
     let script = in_repo("fleets/half-cut.json");
-    let out = limewing(&["fleet", "simulate", script.to_str().unwrap(), "--members", "20"]);
+    let out = limewing(&[
+        "fleet",
+        "simulate",
+        script.to_str().unwrap(),
+        "--members",
+        "20",
+    ]);
     let text = String::from_utf8_lossy(&out.stdout);
-    assert!(out.status.success() && text.contains("| held wrongly at the end"), "{text}");
+    assert!(
+        out.status.success() && text.contains("| held wrongly at the end"),
+        "{text}"
+    );
 }
--- a/crates/cli/tests/command/help.rs
+++ b/crates/cli/tests/command/help.rs
@@ -9,14 +9,18 @@
 use std::time::Duration;
 
 pub fn in_repo(file: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(file)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .join(file)
 }
 
 /// A file of settings with the address to listen on put in.
 pub fn settings(folder: &Path, listen: &str) -> PathBuf {
     let file = folder.join("sidecar.json");
     let example = std::fs::read_to_string(in_repo("deploy/sidecar.example.json")).unwrap();
-    let example = example.replace("127.0.0.1:8080", listen).replace("sidecar-0.state.json", "/dev/null/none");
+    let example = example
+        .replace("127.0.0.1:8080", listen)
+        .replace("sidecar-0.state.json", "/dev/null/none");
     std::fs::write(&file, example).unwrap();
     file
 }
@@ -30,7 +34,11 @@
         )
     };
     let rows: Vec<String> = pods.iter().map(row).collect();
-    std::fs::write(&state, format!(r#"{{"version":1,"pods":[{}]}}"#, rows.join(","))).unwrap();
+    std::fs::write(
+        &state,
+        format!(r#"{{"version":1,"pods":[{}]}}"#, rows.join(",")),
+    )
+    .unwrap();
     let file = settings(folder, "127.0.0.1:0");
     change(&file, "/dev/null/none", state.to_str().unwrap());
     file
@@ -52,19 +60,34 @@
 impl Running {
     /// Starts one within the limits that a shell sets first (`ulimit -n 40;`), and waits until it listens.
     pub fn start(limits: &str, file: &Path, log: Stdio) -> Self {
-        let run = format!("{limits} exec {} sidecar {}", env!("CARGO_BIN_EXE_limewing"), file.display());
+        let run = format!(
+            "{limits} exec {} sidecar {}",
+            env!("CARGO_BIN_EXE_limewing"),
+            file.display()
+        );
         let mut command = Command::new("sh");
-        command.args(["-c", &run]).stdout(Stdio::piped()).stderr(log);
+        command
+            .args(["-c", &run])
+            .stdout(Stdio::piped())
+            .stderr(log);
         let mut child = command.spawn().unwrap();
         let mut line = String::new();
-        BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-        let at = line.trim().strip_prefix("listening ").unwrap_or("it does not listen").to_owned();
+        BufReader::new(child.stdout.take().unwrap())
+            .read_line(&mut line)
+            .unwrap();
+        let at = line
+            .trim()
+            .strip_prefix("listening ")
+            .unwrap_or("it does not listen")
+            .to_owned();
         Self { child, at }
     }
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.at).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         stream
     }
 
@@ -101,7 +124,9 @@
         let at = loop {
             line.clear();
             assert!(log.read_line(&mut line).unwrap() > 0, "it does not listen");
-            let told = line.split_once("\"address\":\"").and_then(|(_, rest)| rest.split('"').next());
+            let told = line
+                .split_once("\"address\":\"")
+                .and_then(|(_, rest)| rest.split('"').next());
             if let Some(at) = told.filter(|_| line.contains("\"listening\"")) {
                 break at.parse().unwrap();
             }
@@ -142,8 +167,12 @@
 
 pub fn status(of: &str) -> String {
     let mut client = TcpStream::connect(of).unwrap();
-    client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    client.write_all(b"GET /limewing/status HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
+    client
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
+    client
+        .write_all(b"GET /limewing/status HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+        .unwrap();
     let mut answer = String::new();
     client.read_to_string(&mut answer).unwrap();
     answer
@@ -162,7 +191,12 @@
         .to_ascii_lowercase()
         .split("content-length: ")
         .nth(1)
-        .map_or(0, |rest| rest.split("\r\n").next().and_then(|length| length.parse().ok()).unwrap_or(0));
+        .map_or(0, |rest| {
+            rest.split("\r\n")
+                .next()
+                .and_then(|length| length.parse().ok())
+                .unwrap_or(0)
+        });
     stream.read_exact(&mut vec![0; length])?;
     Ok(head)
 }
--- a/crates/cli/tests/command/known_red.rs
+++ b/crates/cli/tests/command/known_red.rs
@@ -34,11 +34,20 @@
     #[case] good: bool,
 ) {
     let folder = tempfile::tempdir().unwrap();
-    let (told, list) = (folder.path().join("log"), folder.path().join("KNOWN-RED.txt"));
+    let (told, list) = (
+        folder.path().join("log"),
+        folder.path().join("KNOWN-RED.txt"),
+    );
     std::fs::write(&told, log).unwrap();
-    known.into_iter().for_each(|known| std::fs::write(&list, known).unwrap());
+    known
+        .into_iter()
+        .for_each(|known| std::fs::write(&list, known).unwrap());
     let mut judge = Command::new("bash");
-    judge.arg(in_repo(".ci/judge-tests")).arg(told).arg(code.to_string()).arg(list);
+    judge
+        .arg(in_repo(".ci/judge-tests"))
+        .arg(told)
+        .arg(code.to_string())
+        .arg(list);
     let output = judge.output().unwrap();
     assert_eq!(output.status.success(), good, "{output:?}");
     if good && known == Some(LINE) {
--- a/crates/cli/tests/command/leaving.rs
+++ b/crates/cli/tests/command/leaving.rs
@@ -6,7 +6,8 @@
 use std::io::{Read, Write};
 use std::process::Stdio;
 
-const REQUEST: &str = "GET /quotes/1 HTTP/1.1\r\nhost: q\r\ncustomer: alder\r\nrouting-key: a\r\n\r\n";
+const REQUEST: &str =
+    "GET /quotes/1 HTTP/1.1\r\nhost: q\r\ncustomer: alder\r\nrouting-key: a\r\n\r\n";
 
 /// The word to leave comes with a request that the process has not read, on a new connection or on one that was idle: it
 /// has an answer. Without the mend the connection is closed with none.
@@ -20,7 +21,9 @@
     let signal = |signal| kill_process(Pid::from_child(&sidecar.child), signal).unwrap();
     // One that has been let in.
     let mut first = sidecar.connect();
-    first.write_all(b"GET /limewing/status HTTP/1.1\r\nhost: q\r\n\r\n").unwrap();
+    first
+        .write_all(b"GET /limewing/status HTTP/1.1\r\nhost: q\r\n\r\n")
+        .unwrap();
     assert!(first.read(&mut [0; 4096]).unwrap() > 0);
     signal(Signal::STOP);
     if new {
