--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -21,7 +21,10 @@
 
 fn with_pod(does: Vec<Does>) -> (Pod, Platform, Client) {
     let pod = Pod::new(does);
-    let config = Config { patience: 2.0, ..Config::new(vec![Listed::new("p1", pod.at)]) };
+    let config = Config {
+        patience: 2.0,
+        ..Config::new(vec![Listed::new("p1", pod.at)])
+    };
     let sidecar = Platform::start(&config);
     let client = Client::new(sidecar.at);
     (pod, sidecar, client)
@@ -30,7 +33,9 @@
 /// Asks on new connections until the answer is that one.
 fn asks_until(at: SocketAddr, wanted: &str) {
     for id in 0.. {
-        let Some(mut client) = Client::try_new(at, Duration::from_secs(5)) else { continue };
+        let Some(mut client) = Client::try_new(at, Duration::from_secs(5)) else {
+            continue;
+        };
         client.asks(&ask("look", 0x1000 + id));
         if client.hears() == Answer::Row(wanted.into()) {
             return;
@@ -54,7 +59,10 @@
     pod.go_on.send(()).unwrap();
     let answer = client.hears();
     // Half an answer that stands still for long is given up; but an answer there is.
-    assert!(answer == Answer::Row("red".into()) || half && answer != Answer::End, "{answer:?}");
+    assert!(
+        answer == Answer::Row("red".into()) || half && answer != Answer::End,
+        "{answer:?}"
+    );
     assert!(sidecar.ends());
 }
 
@@ -82,7 +90,14 @@
     }
     client.asks(&ask("look", 1));
     sidecar.signal(Signal::CONT);
-    assert_eq!(if new { client.hears_first() } else { client.hears() }, Answer::Row("red".into()));
+    assert_eq!(
+        if new {
+            client.hears_first()
+        } else {
+            client.hears()
+        },
+        Answer::Row("red".into())
+    );
     assert!(client.hears_the_end());
     assert!(sidecar.ends());
 }
@@ -104,9 +119,17 @@
 /// hears the first bytes.
 #[test]
 fn the_list_is_known_before_the_first_byte_leaves() {
-    let pod = Pod::new(vec![Does::WelcomesLater, Does::LivesLater("red"), Does::Waits]);
+    let pod = Pod::new(vec![
+        Does::WelcomesLater,
+        Does::LivesLater("red"),
+        Does::Waits,
+    ]);
     let discovery = Discovery::new(listing(8, false, &[]));
-    let mut config = Config { patience: 2.0, connect: 30.0, ..Config::new(vec![Listed::new("p1", pod.at)]) };
+    let mut config = Config {
+        patience: 2.0,
+        connect: 30.0,
+        ..Config::new(vec![Listed::new("p1", pod.at)])
+    };
     config.discovery = discovery.at;
     let sidecar = Platform::start(&config);
     discovery.is_asked();
@@ -116,7 +139,14 @@
     sidecar.signal(Signal::STOP);
     pod.go_on.send(()).unwrap();
     assert_eq!(pod.hears(), "welcomed");
-    discovery.says(&listing(9, false, &[Listed { health: "terminating", ..Listed::new("p1", pod.at) }]));
+    discovery.says(&listing(
+        9,
+        false,
+        &[Listed {
+            health: "terminating",
+            ..Listed::new("p1", pod.at)
+        }],
+    ));
     sidecar.signal(Signal::CONT);
     assert!(matches!(client.hears(), Answer::Error(code, _) if code == "53300"));
     assert!(pod.heard_nothing());
@@ -131,7 +161,10 @@
 #[test]
 fn a_leaving_sidecar_answers_all_before_it_ends() {
     let pod = Pod::new(vec![Does::Waits]);
-    let config = Config { patience: 1.0, ..Config::new(vec![Listed::new("p1", pod.at)]) };
+    let config = Config {
+        patience: 1.0,
+        ..Config::new(vec![Listed::new("p1", pod.at)])
+    };
     let mut sidecar = Platform::start(&config);
     let mut client = Client::new(sidecar.at);
     client.asks(&ask("pay", 1).replace("d=2000", "d=60000"));
@@ -143,7 +176,10 @@
 
 #[test]
 fn a_leaving_sidecar_settles_what_waits() {
-    let config = Config { patience: 1.0, ..Config::new(Vec::new()) };
+    let config = Config {
+        patience: 1.0,
+        ..Config::new(Vec::new())
+    };
     let mut sidecar = Platform::start(&config);
     let mut client = Client::new(sidecar.at);
     client.asks(&ask("pay", 1));
@@ -155,7 +191,10 @@
 /// A watch that says nothing more is taken up again, from what is known; a watch that goes on is not asked for anew.
 #[test]
 fn a_watch_gone_silent_is_taken_up_again() {
-    let (old, new) = (Pod::new(vec![Does::Serves("old")]), Pod::new(vec![Does::Serves("new")]));
+    let (old, new) = (
+        Pod::new(vec![Does::Serves("old")]),
+        Pod::new(vec![Does::Serves("new")]),
+    );
     let discovery = Discovery::new(listing(8, false, &[]));
     let mut config = Config::new(vec![Listed::new("p1", old.at)]);
     config.discovery = discovery.at;
@@ -163,7 +202,10 @@
     assert!(discovery.is_asked().contains("since=7 "));
     assert!(discovery.is_asked().contains("since=8 "));
     asks_until(sidecar.at, "old");
-    let gone = Listed { health: "terminated", ..Listed::new("p1", old.at) };
+    let gone = Listed {
+        health: "terminated",
+        ..Listed::new("p1", old.at)
+    };
     discovery.says(&listing(9, false, &[gone, Listed::new("p2", new.at)]));
     asks_until(sidecar.at, "new");
 }
@@ -177,7 +219,10 @@
     config.discovery = first.at;
     let sidecar = Platform::start(&config);
     first.is_asked();
-    let later = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let later = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     config.discovery = later;
     sidecar.write(&config);
     sidecar.signal(Signal::HUP);
@@ -192,7 +237,10 @@
 #[test]
 fn a_half_written_configuration_is_read_again() {
     let pod = Pod::new(vec![Does::Serves("red")]);
-    let (first, second) = (Discovery::new(listing(8, false, &[])), Discovery::new(listing(9, false, &[])));
+    let (first, second) = (
+        Discovery::new(listing(8, false, &[])),
+        Discovery::new(listing(9, false, &[])),
+    );
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
     config.discovery = first.at;
     let sidecar = Platform::start(&config);
@@ -210,14 +258,24 @@
 /// with another build is served from as soon as the list says so.
 #[test]
 fn a_killed_sidecar_starts_from_an_old_list() {
-    let (old, new) = (Pod::new(vec![Does::Serves("old")]), Pod::new(vec![Does::Serves("new")]));
+    let (old, new) = (
+        Pod::new(vec![Does::Serves("old")]),
+        Pod::new(vec![Does::Serves("new")]),
+    );
     let mut config = Config::new(vec![Listed::new("p1", old.at)]);
     let mut sidecar = Platform::start(&config);
     asks_until(sidecar.at, "old");
     sidecar.signal(Signal::KILL);
     assert!(!sidecar.ends());
-    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64;
-    let again = Listed { build: 2, born_ms: now, ..Listed::new("p1", new.at) };
+    let now = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
+    let again = Listed {
+        build: 2,
+        born_ms: now,
+        ..Listed::new("p1", new.at)
+    };
     let discovery = Discovery::new(listing(9, true, &[again]));
     (config.discovery, config.listen) = (discovery.at, sidecar.at);
     let sidecar = Platform::start(&config);
@@ -246,8 +304,13 @@
     };
     let sidecar = |own: usize| SidecarNo(own as u32);
     let start = |world: &World, own: usize, listen: SocketAddr| {
-        world.note(Entry::SidecarUp { sidecar: sidecar(own) });
-        world.knows(own, &[(0, READY, 0), (1, READY, 0), (2, READY, 0), (3, READY, 0)]);
+        world.note(Entry::SidecarUp {
+            sidecar: sidecar(own),
+        });
+        world.knows(
+            own,
+            &[(0, READY, 0), (1, READY, 0), (2, READY, 0), (3, READY, 0)],
+        );
         world.knows_news(own, 1, 0, "Healthy", 1.0);
         Platform::start(&config(world, own, listen))
     };
@@ -256,37 +319,61 @@
     let stop = Arc::new(AtomicBool::new(false));
     let clients = (0..3 * ALL).map(|n| {
         let own = n % ALL;
-        world.client((own, all[own].at), n as u64 + 1, Duration::from_secs(1), stop.clone())
+        world.client(
+            (own, all[own].at),
+            n as u64 + 1,
+            Duration::from_secs(1),
+            stop.clone(),
+        )
     });
     let clients: Vec<_> = clients.collect();
     let pause = |ms| sleep(Duration::from_millis(ms));
     pause(300);
-    let rough = Faults { errs: 0.05, turns_away: 0.1, closes: 0.05, spoilt: 0.05, silent: 0.02 };
+    let rough = Faults {
+        errs: 0.05,
+        turns_away: 0.1,
+        closes: 0.05,
+        spoilt: 0.05,
+        silent: 0.02,
+    };
     (0..4).for_each(|pod| world.fail(pod, rough));
     pause(500);
 
-    world.note(Entry::SidecarDown { sidecar: sidecar(0) });
+    world.note(Entry::SidecarDown {
+        sidecar: sidecar(0),
+    });
     all[0].signal(Signal::KILL);
     all[0].ends();
     // Its clients notice before another process stands at its address.
     pause(300);
     all[0] = start(&world, 0, all[0].at);
 
-    world.note(Entry::SidecarLeaves { sidecar: sidecar(1) });
+    world.note(Entry::SidecarLeaves {
+        sidecar: sidecar(1),
+    });
     all[1].signal(Signal::TERM);
     assert!(all[1].ends());
     pause(300);
-    world.note(Entry::SidecarDown { sidecar: sidecar(1) });
+    world.note(Entry::SidecarDown {
+        sidecar: sidecar(1),
+    });
     all[1] = start(&world, 1, all[1].at);
 
-    world.note(Entry::SidecarStopped { sidecar: sidecar(2) });
+    world.note(Entry::SidecarStopped {
+        sidecar: sidecar(2),
+    });
     all[2].signal(Signal::STOP);
     pause(400);
     all[2].signal(Signal::CONT);
-    world.note(Entry::SidecarGoesOn { sidecar: sidecar(2) });
+    world.note(Entry::SidecarGoesOn {
+        sidecar: sidecar(2),
+    });
     pause(300);
 
-    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap().as_millis() as u64;
+    let now = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
     list.extend((0..2).map(|_| (world.pod(2, true, Faults::default()), READY, now)));
     world.tell_news(2, 0, "Progressing", 0.5);
     (0..ALL).for_each(|own| world.tell_list(own, &list));
@@ -297,14 +384,20 @@
     world.tell_news(2, 0, "Aborting", 0.0);
     pause(800);
     stop.store(true, Ordering::SeqCst);
-    let delivered: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let delivered: usize = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
     assert!(delivered > 300, "only {delivered} hits were delivered");
     world.lines()
 }
 
 fn broken(lines: &[Line]) -> Vec<Rule> {
     let account = check(lines).unwrap();
-    let of = account.findings.iter().filter(|finding| !finding.breaches.is_empty());
+    let of = account
+        .findings
+        .iter()
+        .filter(|finding| !finding.breaches.is_empty());
     of.map(|finding| finding.rule).collect()
 }
 
@@ -316,10 +409,17 @@
     what: impl Fn(&Line) -> Vec<Entry>,
 ) -> Vec<Line> {
     let mut lines = lines.to_vec();
-    let first = lines.iter().find(|line| after(line)).expect("such a line").clone();
+    let first = lines
+        .iter()
+        .find(|line| after(line))
+        .expect("such a line")
+        .clone();
     let at = first.at + Duration::from_secs_f64(later);
     let place = lines.partition_point(|line| line.at <= at);
-    lines.splice(place..place, what(&first).into_iter().map(|entry| Line { at, entry }));
+    lines.splice(
+        place..place,
+        what(&first).into_iter().map(|entry| Line { at, entry }),
+    );
     lines
 }
 
@@ -336,23 +436,56 @@
     let work = Duration::from_millis(10);
     let sent = move |pod: u32, n: usize| {
         let (pod, sidecar) = (PodNo(pod), SidecarNo(3));
-        Entry::Arrived { pod, sidecar, of: nobody(n), group: 0, work }
+        Entry::Arrived {
+            pod,
+            sidecar,
+            of: nobody(n),
+            group: 0,
+            work,
+        }
     };
     let answered = |line: &Line| matches!(line.entry, Entry::Answered { .. });
     let twice = plant(&lines, answered, 0.0, |line| vec![line.entry.clone()]);
     assert_eq!(broken(&twice), [Rule::OneAnswer]);
 
-    let pay = |line: &Line| matches!(line.entry, Entry::Arrived { group: 2, pod: PodNo(1), .. });
+    let pay = |line: &Line| {
+        matches!(
+            line.entry,
+            Entry::Arrived {
+                group: 2,
+                pod: PodNo(1),
+                ..
+            }
+        )
+    };
     let again = |line: &Line| match &line.entry {
-        Entry::Arrived { sidecar, of, group, work, .. } => {
-            vec![Entry::Arrived { pod: PodNo(2), sidecar: *sidecar, of: *of, group: *group, work: *work }]
+        Entry::Arrived {
+            sidecar,
+            of,
+            group,
+            work,
+            ..
+        } => {
+            vec![Entry::Arrived {
+                pod: PodNo(2),
+                sidecar: *sidecar,
+                of: *of,
+                group: *group,
+                work: *work,
+            }]
         }
         _ => unreachable!(),
     };
-    assert_eq!(broken(&plant(&lines, pay, 0.0, again)), [Rule::NoEffectTwice]);
+    assert_eq!(
+        broken(&plant(&lines, pay, 0.0, again)),
+        [Rule::NoEffectTwice]
+    );
 
     let drained = |line: &Line| matches!(&line.entry, Entry::ListTold { sidecar: SidecarNo(3), draining, .. } if !draining.is_empty());
-    assert_eq!(broken(&plant(&lines, drained, 1.0, |_| vec![sent(0, 0)])), [Rule::Drains]);
+    assert_eq!(
+        broken(&plant(&lines, drained, 1.0, |_| vec![sent(0, 0)])),
+        [Rule::Drains]
+    );
 
     let cold = |line: &Line| matches!(line.entry, Entry::PodUp { pod: PodNo(4), .. });
     // Before the news the sidecar's exposure counts as in the first stage: many sidecars share the sends.
--- a/crates/cli/tests/command/wants.rs
+++ b/crates/cli/tests/command/wants.rs
@@ -33,10 +33,16 @@
         let mut client = sidecar.connect();
         client.write_all(b"no request\r\n\r\n").unwrap();
         let mut answer = String::new();
-        client.read_to_string(&mut answer).expect("an answer in time");
+        client
+            .read_to_string(&mut answer)
+            .expect("an answer in time");
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     }
-    let head = ask(&mut client, "GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+    let head = ask(
+        &mut client,
+        "GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n",
+    )
+    .unwrap();
     assert!(head.starts_with("HTTP/1.1 200") && sidecar.runs(), "{head}");
 }
 
@@ -83,7 +89,9 @@
 
 /// Says a state on the next stream that is asked for.
 fn says_stage(streams: &Receiver<TcpStream>, state: &str) -> TcpStream {
-    let mut link = streams.recv_timeout(Duration::from_secs(20)).expect("stage news are asked for");
+    let mut link = streams
+        .recv_timeout(Duration::from_secs(20))
+        .expect("stage news are asked for");
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     write!(link, "{head}event: stage\ndata: {state}\n\n").unwrap();
     link
@@ -101,7 +109,8 @@
     let news = says_stage(&streams, on_trial);
     let mut client = sidecar.connect();
     let mut hits = |many: usize| {
-        let well = (0..many).filter(|_| ask(&mut client, QUOTE).unwrap().starts_with("HTTP/1.1 200"));
+        let well =
+            (0..many).filter(|_| ask(&mut client, QUOTE).unwrap().starts_with("HTTP/1.1 200"));
         well.count()
     };
     while at_trial.try_recv().is_err() {
@@ -116,7 +125,10 @@
     // Of twenty hits half would go there until the news is read; the rule grants a second from then.
     let until = Instant::now() + Duration::from_secs(1);
     while hits(20) < 20 || at_trial.try_iter().count() > 0 {
-        assert!(Instant::now() < until, "hits still go to the build on trial");
+        assert!(
+            Instant::now() < until,
+            "hits still go to the build on trial"
+        );
     }
     assert_eq!((hits(60), at_trial.try_iter().count()), (60, 0));
     drop(crowd);
@@ -133,14 +145,21 @@
     let file = settings_with(folder.path(), &[(base, 1)]);
     let mut sidecar = Running::start("ulimit -n 8000; ulimit -v 220000;", &file, Stdio::null());
     let mut client = sidecar.connect();
-    let half =
-        [b"POST /charges HTTP/1.1\r\nHost: a\r\nContent-Length: 65000\r\n\r\n", &[b'x'; 60_000][..]].concat();
+    let half = [
+        b"POST /charges HTTP/1.1\r\nHost: a\r\nContent-Length: 65000\r\n\r\n",
+        &[b'x'; 60_000][..],
+    ]
+    .concat();
     let at = sidecar.at.parse().unwrap();
     let mut crowd = Vec::new();
     for _ in 0..CLIENTS {
         // Until the backlog is full as well.
-        let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) else { break };
-        stream.set_write_timeout(Some(Duration::from_millis(200))).unwrap();
+        let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) else {
+            break;
+        };
+        stream
+            .set_write_timeout(Some(Duration::from_millis(200)))
+            .unwrap();
         if stream.write_all(&half).is_err() {
             break;
         }
@@ -160,22 +179,30 @@
     let folder = tempfile::tempdir().unwrap();
     let pods: Vec<_> = (0..24).map(|_| pod()).collect();
     let known: Vec<(SocketAddr, u16)> = pods.iter().map(|(at, _)| (*at, 1)).collect();
-    let sidecar = Running::start("ulimit -n 40;", &settings_with(folder.path(), &known), Stdio::null());
+    let sidecar = Running::start(
+        "ulimit -n 40;",
+        &settings_with(folder.path(), &known),
+        Stdio::null(),
+    );
     let clients: Vec<_> = (0..6)
         .map(|_| {
             let mut client = sidecar.connect();
             std::thread::spawn(move || {
-                let well = (0..100).filter(|_| ask(&mut client, QUOTE).unwrap().starts_with("HTTP/1.1 200"));
+                let well = (0..100)
+                    .filter(|_| ask(&mut client, QUOTE).unwrap().starts_with("HTTP/1.1 200"));
                 (well.count(), client)
             })
         })
         .collect();
-    let clients: Vec<(usize, TcpStream)> = clients.into_iter().map(|client| client.join().unwrap()).collect();
+    let clients: Vec<(usize, TcpStream)> = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .collect();
     assert_eq!(clients.iter().map(|(well, _)| well).sum::<usize>(), 600);
     let more: Vec<TcpStream> = (0..4).map(|_| sidecar.connect()).collect();
     for mut client in more {
-        let head =
-            ask(&mut client, QUOTE).expect("a client is let in before kept connections end by themselves");
+        let head = ask(&mut client, QUOTE)
+            .expect("a client is let in before kept connections end by themselves");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     }
 }
--- a/crates/cli/tests/command/work.rs
+++ b/crates/cli/tests/command/work.rs
@@ -10,7 +10,9 @@
 fn one_of_four() -> MutexGuard<'static, ()> {
     static TURN: AtomicUsize = AtomicUsize::new(0);
     static DAYS: [Mutex<()>; 4] = [const { Mutex::new(()) }; 4];
-    DAYS[TURN.fetch_add(1, Ordering::Relaxed) % 4].lock().unwrap_or_else(PoisonError::into_inner)
+    DAYS[TURN.fetch_add(1, Ordering::Relaxed) % 4]
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A day with this done to its script; what it printed, and the sidecars' logs.
@@ -41,7 +43,10 @@
 }
 
 fn cut(at: f64, from: Value, one_way: bool) -> Value {
-    step(at, json!({ "cut": { "from": { "numbers": from }, "to": "all", "one_way": one_way } }))
+    step(
+        at,
+        json!({ "cut": { "from": { "numbers": from }, "to": "all", "one_way": one_way } }),
+    )
 }
 
 /// All 24 machines are worked on once, none while it is in use or beyond the limits, and the five rules are kept.
@@ -65,7 +70,11 @@
         day["peers"]["faults"]["steps"] = json!(steps);
         day["lasts"] = 50.into();
     });
-    assert!(text.contains("machines: 24 worked on, 0 failed"), "{text}\n{}", logs.concat());
+    assert!(
+        text.contains("machines: 24 worked on, 0 failed"),
+        "{text}\n{}",
+        logs.concat()
+    );
 }
 
 /// A sidecar that is cut off before a list holds it up; started anew it holds up nothing any more.
@@ -97,11 +106,26 @@
         day["work"]["fail"] = json!([1]);
         day["work"]["twice"] = json!([2, 3]);
         let steps = day["work"]["steps"].as_array_mut().unwrap();
-        steps.extend([step(10.0, json!("hold")), step(18.0, json!("go_on")), step(24.0, json!("withdraw"))]);
+        steps.extend([
+            step(10.0, json!("hold")),
+            step(18.0, json!("go_on")),
+            step(24.0, json!("withdraw")),
+        ]);
         day["lasts"] = 34.into();
     });
-    let done: usize = text.split("machines: ").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap();
-    assert!((6..22).contains(&done) && text.contains("1 failed") && text.contains("1 still out"), "{text}");
+    let done: usize = text
+        .split("machines: ")
+        .nth(1)
+        .unwrap()
+        .split(' ')
+        .next()
+        .unwrap()
+        .parse()
+        .unwrap();
+    assert!(
+        (6..22).contains(&done) && text.contains("1 failed") && text.contains("1 still out"),
+        "{text}"
+    );
 }
 
 /// No machine goes out beside a release on trial, unless the list says so.
@@ -125,10 +149,17 @@
         day["peers"]["faults"]["steps"] = json!([one("kill", 13.0, 0), one("kill", 16.0, 1)]);
         day["work"]["folders"] = 5.into();
         let steps = day["work"]["steps"].as_array_mut().unwrap();
-        steps.extend([step(5.0, json!({ "vote": "sidecar-3" })), step(7.0, json!({ "vote": "sidecar-4" }))]);
+        steps.extend([
+            step(5.0, json!({ "vote": "sidecar-3" })),
+            step(7.0, json!({ "vote": "sidecar-4" })),
+        ]);
         day["lasts"] = 50.into();
     });
-    assert!(text.contains("machines: 24 worked on, 0 failed"), "{text}\n{}", logs.concat());
+    assert!(
+        text.contains("machines: 24 worked on, 0 failed"),
+        "{text}\n{}",
+        logs.concat()
+    );
 }
 
 /// A machine goes out with all its pods.
@@ -146,7 +177,11 @@
         day["hits_per_s"] = 400.into();
         day["lasts"] = 14.into();
     });
-    assert!(text.contains("machines: 0 worked on"), "{text}\n{}", logs.concat());
+    assert!(
+        text.contains("machines: 0 worked on"),
+        "{text}\n{}",
+        logs.concat()
+    );
 }
 
 /// A zone that is gone stops new grants.
@@ -155,9 +190,14 @@
     let (text, _) = plays(|day| {
         let east: Vec<usize> = (0..24).filter(|n| n % 3 == 0).collect();
         day["troubles"] = json!([{ "at": 2, "for": 30, "what": { "pods_killed": east } }]);
-        day["work"]["steps"][0]["does"]["ask"]["machines"] =
-            json!((0..24).filter(|n| n % 3 == 1).map(|n| format!("node-{n}")).collect::<Vec<_>>());
-        day["work"]["steps"][0]["does"]["ask"].as_object_mut().unwrap().remove("select");
+        day["work"]["steps"][0]["does"]["ask"]["machines"] = json!((0..24)
+            .filter(|n| n % 3 == 1)
+            .map(|n| format!("node-{n}"))
+            .collect::<Vec<_>>());
+        day["work"]["steps"][0]["does"]["ask"]
+            .as_object_mut()
+            .unwrap()
+            .remove("select");
         day["lasts"] = 14.into();
     });
     assert!(text.contains("machines: 0 worked on"), "{text}");
@@ -180,7 +220,10 @@
         (6, "/limits/out"),
         (6, "/limits/ready_part"),
     ] {
-        assert!(text.contains(&format!("list.json:{line}: at {path}: expected")), "{path} in {text}");
+        assert!(
+            text.contains(&format!("list.json:{line}: at {path}: expected")),
+            "{path} in {text}"
+        );
     }
     assert!(text.lines().count() == 5, "{text}");
 }
@@ -196,5 +239,8 @@
     );
     let out = limewing(&["work", "show", &sidecar.at.to_string()]);
     let text = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.code() == Some(1) && text.contains("no `work` in its settings"), "{text}");
+    assert!(
+        out.status.code() == Some(1) && text.contains("no `work` in its settings"),
+        "{text}"
+    );
 }
--- a/crates/crooked/src/main.rs
+++ b/crates/crooked/src/main.rs
@@ -61,7 +61,9 @@
     fn look(&mut self, now: Duration, event: &Event) {
         match event {
             Event::Hit(hit) => drop(self.groups.insert(hit.id, hit.group)),
-            Event::List(ListNews::Whole(rows) | ListNews::Change(rows) | ListNews::Remembered(rows)) => {
+            Event::List(
+                ListNews::Whole(rows) | ListNews::Change(rows) | ListNews::Remembered(rows),
+            ) => {
                 for row in rows {
                     if row.state == PodState::Draining {
                         self.drained.entry(row.pod).or_insert(now);
@@ -69,13 +71,17 @@
                     self.pods.insert(row.pod, row.clone());
                 }
             }
-            Event::Stage { news: Some(news), .. } => self.news = Some(*news),
+            Event::Stage {
+                news: Some(news), ..
+            } => self.news = Some(*news),
             _ => {}
         }
     }
 
     fn is_mutating(&self, hit: HitId) -> bool {
-        self.groups.get(&hit).is_some_and(|group| self.mutating[usize::from(group.0)])
+        self.groups
+            .get(&hit)
+            .is_some_and(|group| self.mutating[usize::from(group.0)])
     }
 
     /// Where a forward goes instead.
@@ -84,15 +90,29 @@
         match self.way {
             Way::Cap if !self.is_mutating(hit) && self.turn.is_multiple_of(3) => {
                 let trial = self.news.filter(|news| news.phase == Phase::OnTrial)?.build;
-                self.pods.values().filter(ready).find(|pod| pod.build == trial).map(|pod| pod.pod)
+                self.pods
+                    .values()
+                    .filter(ready)
+                    .find(|pod| pod.build == trial)
+                    .map(|pod| pod.pod)
             }
             Way::Drained => {
                 let late = |at: &Duration| now > *at + self.grace + Duration::from_millis(300);
-                self.drained.iter().find(|(_, at)| late(at)).map(|(pod, _)| *pod)
+                self.drained
+                    .iter()
+                    .find(|(_, at)| late(at))
+                    .map(|(pod, _)| *pod)
             }
             Way::Cold => {
-                let young = |pod: &&PodEntry| pod.started.is_some_and(|at| now < at + Duration::from_secs(2));
-                self.pods.values().filter(ready).find(young).map(|pod| pod.pod)
+                let young = |pod: &&PodEntry| {
+                    pod.started
+                        .is_some_and(|at| now < at + Duration::from_secs(2))
+                };
+                self.pods
+                    .values()
+                    .filter(ready)
+                    .find(young)
+                    .map(|pod| pod.pod)
             }
             _ => None,
         }
@@ -137,13 +157,23 @@
             let pod = self.instead(now, hit).unwrap_or(pod);
             out.push(Action::Forward { hit, pod, within });
             let first = self.sent.insert(hit);
-            let again = self.pods.values().find(|other| other.state == PodState::Ready && other.pod != pod);
+            let again = self
+                .pods
+                .values()
+                .find(|other| other.state == PodState::Ready && other.pod != pod);
             match self.way {
                 Way::Resend if first && self.is_mutating(hit) => {
-                    out.extend(again.map(|other| Action::Forward { hit, pod: other.pod, within }));
+                    out.extend(again.map(|other| Action::Forward {
+                        hit,
+                        pod: other.pod,
+                        within,
+                    }));
                 }
                 Way::Bounce if self.is_mutating(hit) && self.turn.is_multiple_of(5) => {
-                    out.push(Action::Bounce { hit, retry_after: Duration::ZERO });
+                    out.push(Action::Bounce {
+                        hit,
+                        retry_after: Duration::ZERO,
+                    });
                 }
                 _ => {}
             }
@@ -154,10 +184,15 @@
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().collect();
-    let name = args.first().and_then(|name| Path::new(name).file_name()).and_then(|name| name.to_str());
-    let (Some(way), Some("sidecar"), Some(file)) =
-        (name.and_then(way), args.get(1).map(String::as_str), args.get(2))
-    else {
+    let name = args
+        .first()
+        .and_then(|name| Path::new(name).file_name())
+        .and_then(|name| name.to_str());
+    let (Some(way), Some("sidecar"), Some(file)) = (
+        name.and_then(way),
+        args.get(1).map(String::as_str),
+        args.get(2),
+    ) else {
         eprintln!("call as crooked-resend, -bounce, -swallow, -twice, -cap, -drained or -cold: sidecar FILE");
         return ExitCode::from(2);
     };
@@ -173,7 +208,11 @@
         std::process::exit(0);
     });
     let service = Service::start_with(&settings, |now, terms| {
-        let mutating = terms.groups.iter().map(|group| group.repeat == Repeat::Mutating).collect();
+        let mutating = terms
+            .groups
+            .iter()
+            .map(|group| group.repeat == Repeat::Mutating)
+            .collect();
         let grace = terms.rules.drain_grace;
         Box::new(Crooked {
             honest: Sidecar::new(now, terms),
@@ -188,9 +227,17 @@
             turn: 0,
         })
     });
-    let Ok(service) = service else { return ExitCode::from(2) };
-    let at = if way == Way::Twice { twice::before(service.address()) } else { Ok(service.address()) };
+    let Ok(service) = service else {
+        return ExitCode::from(2);
+    };
+    let at = if way == Way::Twice {
+        twice::before(service.address())
+    } else {
+        Ok(service.address())
+    };
     let Ok(at) = at else { return ExitCode::from(2) };
     println!("listening {at}");
-    service.run().map_or(ExitCode::FAILURE, |()| ExitCode::SUCCESS)
+    service
+        .run()
+        .map_or(ExitCode::FAILURE, |()| ExitCode::SUCCESS)
 }
--- a/crates/crooked/src/twice.rs
+++ b/crates/crooked/src/twice.rs
@@ -14,9 +14,15 @@
     let at = listener.local_addr()?;
     std::thread::spawn(move || {
         for client in listener.incoming().map_while(Result::ok) {
-            let Ok(sidecar) = TcpStream::connect(honest) else { continue };
-            let (Ok(from_client), Ok(to_client)) = (client.try_clone(), client.try_clone()) else { continue };
-            let Ok(to_sidecar) = sidecar.try_clone() else { continue };
+            let Ok(sidecar) = TcpStream::connect(honest) else {
+                continue;
+            };
+            let (Ok(from_client), Ok(to_client)) = (client.try_clone(), client.try_clone()) else {
+                continue;
+            };
+            let Ok(to_sidecar) = sidecar.try_clone() else {
+                continue;
+            };
             std::thread::spawn(move || pass(from_client, to_sidecar, false));
             std::thread::spawn(move || pass(sidecar, to_client, true));
         }
--- a/crates/crooked/tests/named.rs
+++ b/crates/crooked/tests/named.rs
@@ -26,7 +26,11 @@
     let record = day::play(&script, &program, folder.path(), &mut |_| ()).unwrap();
     let lines = read(BufReader::new(File::open(record).unwrap())).unwrap();
     let account = check(&lines).unwrap();
-    let broken: Vec<Rule> =
-        account.findings.iter().filter(|finding| !finding.breaches.is_empty()).map(|f| f.rule).collect();
+    let broken: Vec<Rule> = account
+        .findings
+        .iter()
+        .filter(|finding| !finding.breaches.is_empty())
+        .map(|f| f.rule)
+        .collect();
     assert!(broken.contains(&rule), "{broken:?}");
 }
--- a/crates/fleet/src/asks.rs
+++ b/crates/fleet/src/asks.rs
@@ -54,7 +54,15 @@
 impl Asks {
     pub fn failed(&mut self, now: Duration, service: Service) {
         let since = self.0.get(&service).map_or(now, |lost| lost.since);
-        self.0.insert(service, Lost { since, tried: now, losers: BTreeSet::new(), found: None });
+        self.0.insert(
+            service,
+            Lost {
+                since,
+                tried: now,
+                losers: BTreeSet::new(),
+                found: None,
+            },
+        );
     }
 
     pub fn answered(&mut self, service: Service) {
@@ -70,7 +78,9 @@
     pub fn hear(&mut self, now: Duration, others: impl Iterator<Item = (u64, u8)>) {
         for (member, bits) in others {
             for service in ALL {
-                let Some(lost) = self.0.get_mut(&service) else { continue };
+                let Some(lost) = self.0.get_mut(&service) else {
+                    continue;
+                };
                 if bits & service.bit() != 0 {
                     lost.losers.insert(member);
                 } else if lost.losers.remove(&member) {
@@ -82,18 +92,23 @@
 
     /// When `own` may ask it: now, or the time at which this is to be asked again.
     pub fn at(&self, now: Duration, service: Service, own: u64) -> Duration {
-        let Some(lost) = self.0.get(&service) else { return now };
+        let Some(lost) = self.0.get(&service) else {
+            return now;
+        };
         let part = |of: u64| rank(own, of) as f64 / u64::MAX as f64;
         let own_part = SOONEST + (1.0 - SOONEST) * part(lost.tried.as_nanos() as u64);
         let latest = lost.tried + LATEST.mul_f64(own_part);
         if let Some(found) = lost.found {
-            return (found + SPREAD.mul_f64(part(service.topic()))).min(latest).max(now);
+            return (found + SPREAD.mul_f64(part(service.topic())))
+                .min(latest)
+                .max(now);
         }
         if now >= latest || lost.losers.is_empty() {
             return now;
         }
         let ago = now.saturating_sub(lost.since);
-        let turn = |at: Duration| (at.saturating_sub(lost.since).as_nanos() / TURN.as_nanos()) as u32;
+        let turn =
+            |at: Duration| (at.saturating_sub(lost.since).as_nanos() / TURN.as_nanos()) as u32;
         let members = lost.losers.iter().copied().chain([own]);
         // Once a turn.
         let tried = turn(lost.tried) == turn(now);
--- a/crates/fleet/src/choices.rs
+++ b/crates/fleet/src/choices.rs
@@ -101,8 +101,10 @@
             let said = says.map(said);
             (member, (traffic, said))
         };
-        let all: BTreeMap<u64, (u8, Option<Said>)> =
-            others.filter(|(member, _)| *member != self.key).map(heard).collect();
+        let all: BTreeMap<u64, (u8, Option<Said>)> = others
+            .filter(|(member, _)| *member != self.key)
+            .map(heard)
+            .collect();
         let changed = !members(&all).eq(members(&self.others));
         self.others = all;
         if changed {
@@ -142,10 +144,19 @@
         self.count(now);
         let mut hints = self.health.hints(now);
         hints.truncate(MOST_HINTS);
-        let says = Says { zone: self.zone, traffic: self.traffic, hints, lost: self.asks.bits() };
+        let says = Says {
+            zone: self.zone,
+            traffic: self.traffic,
+            hints,
+            lost: self.asks.bits(),
+        };
         let fades = !says.hints.is_empty() || says.lost != 0;
         let again = |at: &Duration| fades && now >= *at + SAID_AGAIN;
-        if self.said.as_ref().is_some_and(|(old, at)| *old == says && !again(at)) {
+        if self
+            .said
+            .as_ref()
+            .is_some_and(|(old, at)| *old == says && !again(at))
+        {
             return None;
         }
         self.said = Some((says.clone(), now));
@@ -175,7 +186,9 @@
         }
         self.next = now + VIEWS_EVERY;
         let said = self.others.values().filter_map(|(_, said)| said.as_ref());
-        let fresh = said.filter(|said| now < said.at + LIFE).map(|said| (said.member, said.lost));
+        let fresh = said
+            .filter(|said| now < said.at + LIFE)
+            .map(|said| (said.member, said.lost));
         self.asks.hear(now, fresh);
         let view = (!self.others.is_empty() && !self.pods.is_empty()).then(|| self.look(now));
         (view != self.view).then(|| {
@@ -188,7 +201,11 @@
         let (order, uses) = self.shared.clone().unwrap_or_else(|| self.share());
         self.shared = Some((order.clone(), uses));
         let keys: Vec<u64> = self.pods.iter().map(|pod| pod.key).collect();
-        let said: Vec<Said> = self.others.values().filter_map(|(_, said)| said.clone()).collect();
+        let said: Vec<Said> = self
+            .others
+            .values()
+            .filter_map(|(_, said)| said.clone())
+            .collect();
         let mut doubted = doubted(&said, &keys, now);
         doubted.retain(|pod, _| !self.health.answered_lately(*pod, now));
         self.doubts.retain(|pod, _| doubted.contains_key(pod));
@@ -198,25 +215,50 @@
         // Among those that hold it shut themselves: the others have nothing to prove.
         let shut_by = |pod: u64| {
             let says = move |s: &&Said| now < s.at + LIFE && s.hints.contains(&(pod, Hint::Shut));
-            said.iter().filter(says).map(|said| said.member).chain([self.key])
+            said.iter()
+                .filter(says)
+                .map(|said| said.member)
+                .chain([self.key])
+        };
+        let others_turn = |pod: &u64| {
+            !holds(
+                *pod,
+                self.key,
+                shut_by(*pod),
+                now.saturating_sub(self.doubts[pod]),
+            )
         };
-        let others_turn =
-            |pod: &u64| !holds(*pod, self.key, shut_by(*pod), now.saturating_sub(self.doubts[pod]));
-        let shut = doubted.iter().filter(|(_, hint)| **hint == Hint::Shut).map(|(pod, _)| *pod);
+        let shut = doubted
+            .iter()
+            .filter(|(_, hint)| **hint == Hint::Shut)
+            .map(|(pod, _)| *pod);
         let held = shut.filter(others_turn).collect();
-        let (last, first): (Vec<u64>, Vec<u64>) =
-            order.iter().map(|place| self.pods[*place].key).partition(|pod| doubted.contains_key(pod));
-        View { order: first.into_iter().chain(last).collect(), uses, held }
+        let (last, first): (Vec<u64>, Vec<u64>) = order
+            .iter()
+            .map(|place| self.pods[*place].key)
+            .partition(|pod| doubted.contains_key(pod));
+        View {
+            order: first.into_iter().chain(last).collect(),
+            uses,
+            held,
+        }
     }
 
     fn share(&self) -> (Vec<usize>, usize) {
-        let own = Member { key: self.key, zone: self.zone, traffic: hits_a_second(self.traffic) };
+        let own = Member {
+            key: self.key,
+            zone: self.zone,
+            traffic: hits_a_second(self.traffic),
+        };
         let mut members: Vec<Member> = members(&self.others).chain([own]).collect();
         members.sort_unstable_by_key(|member| member.key);
         let place = members.partition_point(|member| member.key < self.key);
         let mut all = share_out(&members, &self.pods).swap_remove(place);
         let uses = all.len();
-        let rest: Vec<usize> = order(&own, &self.pods).into_iter().filter(|pod| !all.contains(pod)).collect();
+        let rest: Vec<usize> = order(&own, &self.pods)
+            .into_iter()
+            .filter(|pod| !all.contains(pod))
+            .collect();
         all.extend(rest);
         (all, uses)
     }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -91,6 +91,9 @@
             _ if slow(seen) => Some(Hint::Slow),
             _ => None,
         };
-        self.pods.iter().filter_map(|(pod, seen)| Some((*pod, hint(seen)?))).collect()
+        self.pods
+            .iter()
+            .filter_map(|(pod, seen)| Some((*pod, hint(seen)?)))
+            .collect()
     }
 }
--- a/crates/fleet/src/hints.rs
+++ b/crates/fleet/src/hints.rs
@@ -31,11 +31,14 @@
 /// and if many pods would be doubted none is: that is the fleet's trouble, not theirs.
 pub fn doubted(said: &[Said], pods: &[u64], now: Duration) -> BTreeMap<u64, Hint> {
     let most = ((pods.len() as f64 * PART) as usize).max(FEW);
-    let (sayers, zones) =
-        (SAYERS.min(said.len()).max(2), said.iter().map(|s| s.zone).collect::<BTreeSet<_>>());
+    let (sayers, zones) = (
+        SAYERS.min(said.len()).max(2),
+        said.iter().map(|s| s.zone).collect::<BTreeSet<_>>(),
+    );
     let zones = zones.len().min(2);
     let bad = |hint: &Hint| *hint != Hint::Open;
-    let credible = |s: &&Said| now < s.at + LIFE && s.hints.iter().filter(|(_, h)| bad(h)).count() <= most;
+    let credible =
+        |s: &&Said| now < s.at + LIFE && s.hints.iter().filter(|(_, h)| bad(h)).count() <= most;
     let mut by: BTreeMap<u64, (usize, BTreeSet<u16>, bool, usize)> = BTreeMap::new();
     for one in said.iter().filter(credible) {
         // Once a pod, whatever it says.
@@ -53,7 +56,14 @@
     let known: BTreeSet<u64> = pods.iter().copied().collect();
     let enough = |(pod, (count, from, open, shut)): (u64, (usize, BTreeSet<u16>, bool, usize))| {
         let holds = known.contains(&pod) && !open && count >= sayers && from.len() >= zones;
-        holds.then_some((pod, if shut * 2 >= count { Hint::Shut } else { Hint::Slow }))
+        holds.then_some((
+            pod,
+            if shut * 2 >= count {
+                Hint::Shut
+            } else {
+                Hint::Slow
+            },
+        ))
     };
     let doubted: BTreeMap<u64, Hint> = by.into_iter().filter_map(enough).collect();
     if doubted.len() > most {
--- a/crates/fleet/src/says.rs
+++ b/crates/fleet/src/says.rs
@@ -53,10 +53,14 @@
         if *version != VERSION {
             return Err(Unreadable::Version);
         }
-        let (says, rest): (Self, _) = postcard::take_from_bytes(rest).map_err(|_| Unreadable::Damaged)?;
+        let (says, rest): (Self, _) =
+            postcard::take_from_bytes(rest).map_err(|_| Unreadable::Damaged)?;
         if says.hints.len() > MOST_HINTS {
             return Err(Unreadable::ManyHints);
         }
-        Ok(Self { lost: rest.first().copied().unwrap_or(0), ..says })
+        Ok(Self {
+            lost: rest.first().copied().unwrap_or(0),
+            ..says
+        })
     }
 }
--- a/crates/fleet/src/subsets.rs
+++ b/crates/fleet/src/subsets.rs
@@ -41,8 +41,11 @@
 
 /// The places of all pods in a member's own order, the one it would use first at the front.
 pub fn order(member: &Member, pods: &[Pod]) -> Vec<usize> {
-    let mut scored: Vec<(f64, u64, usize)> =
-        pods.iter().enumerate().map(|(place, pod)| (score(member, pod), pod.key, place)).collect();
+    let mut scored: Vec<(f64, u64, usize)> = pods
+        .iter()
+        .enumerate()
+        .map(|(place, pod)| (score(member, pod), pod.key, place))
+        .collect();
     scored.sort_unstable_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     scored.into_iter().map(|(.., place)| place).collect()
 }
@@ -56,14 +59,20 @@
 /// member spreads its hits by strength: so loads are counted by strength, and the strong are not drawn more often.
 pub fn share_out(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
     let traffic = |member: &Member| member.traffic.max(1e-6);
-    let (whole, strength) =
-        (members.iter().map(traffic).sum::<f64>(), pods.iter().map(|p| p.strength.max(1e-6)).sum::<f64>());
+    let (whole, strength) = (
+        members.iter().map(traffic).sum::<f64>(),
+        pods.iter().map(|p| p.strength.max(1e-6)).sum::<f64>(),
+    );
     if members.is_empty() || pods.is_empty() {
         return vec![Vec::new(); members.len()];
     }
     let uses = (USERS * pods.len()).max(FEW * members.len()) as f64;
     let each = 2f64.powf(((whole / uses).log2() * 2.0).floor() / 2.0);
-    let many = |member: &Member| ((traffic(member) / each).round() as usize).max(FEW).min(pods.len());
+    let many = |member: &Member| {
+        ((traffic(member) / each).round() as usize)
+            .max(FEW)
+            .min(pods.len())
+    };
     let room = step_up(BOUND * whole / strength);
     let mean = strength / pods.len() as f64;
     let mut loads = vec![0.0; pods.len()];
@@ -71,7 +80,9 @@
     let mut turns: Vec<usize> = (0..members.len()).collect();
     let brings = |place: usize| traffic(&members[place]) / (many(&members[place]) as f64 * mean);
     turns.sort_unstable_by(|a, b| {
-        brings(*b).total_cmp(&brings(*a)).then(members[*a].key.cmp(&members[*b].key))
+        brings(*b)
+            .total_cmp(&brings(*a))
+            .then(members[*a].key.cmp(&members[*b].key))
     });
     let mut shares = vec![Vec::new(); members.len()];
     for place in turns {
--- a/crates/fleet/tests/asks.rs
+++ b/crates/fleet/tests/asks.rs
@@ -29,7 +29,11 @@
     until: Duration,
 ) -> Members {
     let own = |n: usize| key(&format!("s{n}"));
-    let pods = vec![Pod { key: 1, zone: 0, strength: 1.0 }];
+    let pods = vec![Pod {
+        key: 1,
+        zone: 0,
+        strength: 1.0,
+    }];
     let choices = |n| {
         let mut choices = Choices::new(Duration::ZERO, own(n), (n % 3) as u16);
         choices.pods(pods.clone());
@@ -37,7 +41,9 @@
     };
     let mut world = Members {
         all: (0..members).map(choices).collect(),
-        due: (0..members).map(|n| Some(s(5.0) + s(0.3) * (n as u32 % 7) / 7)).collect(),
+        due: (0..members)
+            .map(|n| Some(s(5.0) + s(0.3) * (n as u32 % 7) / 7))
+            .collect(),
         said: vec![None; members],
         asks: Vec::new(),
         has: vec![None; members],
@@ -65,7 +71,9 @@
             let _ = world.all[n].1.view(now);
         }
         for n in 0..members {
-            let Some(_) = world.due[n].filter(|due| *due <= now) else { continue };
+            let Some(_) = world.due[n].filter(|due| *due <= now) else {
+                continue;
+            };
             let at = world.all[n].1.may_ask(now, Service::List);
             if at > now {
                 world.due[n] = Some(at);
@@ -87,11 +95,19 @@
 
 impl Members {
     fn asks(&self, from: f64, to: f64) -> usize {
-        self.asks.iter().filter(|at| (s(from)..s(to)).contains(*at)).count()
+        self.asks
+            .iter()
+            .filter(|at| (s(from)..s(to)).contains(*at))
+            .count()
     }
 
     fn last(&self, members: usize) -> Duration {
-        self.has.iter().take(members).map(|at| at.expect("it was found again")).max().unwrap_or_default()
+        self.has
+            .iter()
+            .take(members)
+            .map(|at| at.expect("it was found again"))
+            .max()
+            .unwrap_or_default()
     }
 }
 
@@ -107,10 +123,16 @@
     let alone = run(members, parts, s(1.5), false, s(25.0), s(40.0)).asks(10.0, 25.0) as f64 / 15.0;
     let took = world.last(members) - s(25.0);
     println!("{members}: {a_second:.1} a second for {alone:.1}, all had it after {took:?}");
-    assert!(a_second <= most && a_second <= alone, "{a_second} a second, alone {alone}");
+    assert!(
+        a_second <= most && a_second <= alone,
+        "{a_second} a second, alone {alone}"
+    );
     assert!(took <= TURNS + s(2.0) * 2 + SPREAD + s(1.0), "{took:?}");
     // No crowd, while it is gone nor when it comes up.
-    let crowd = (100..400).map(|n| world.asks(n as f64 / 10.0, (n + 1) as f64 / 10.0)).max().unwrap_or(0);
+    let crowd = (100..400)
+        .map(|n| world.asks(n as f64 / 10.0, (n + 1) as f64 / 10.0))
+        .max()
+        .unwrap_or(0);
     assert!(crowd <= (members / 4).max(4), "{crowd} at once");
 }
 
@@ -120,8 +142,17 @@
 #[test]
 fn others_that_go_on_saying_it_is_lost_hold_nobody_up_for_long() {
     let mut choices = Choices::new(Duration::ZERO, key("own"), 0);
-    choices.pods(vec![Pod { key: 1, zone: 0, strength: 1.0 }]);
-    let lost = Says { zone: 1, traffic: 4, hints: Vec::new(), lost: Service::List.bit() };
+    choices.pods(vec![Pod {
+        key: 1,
+        zone: 0,
+        strength: 1.0,
+    }]);
+    let lost = Says {
+        zone: 1,
+        traffic: 4,
+        hints: Vec::new(),
+        lost: Service::List.bit(),
+    };
     choices.ask_failed(s(1.0), Service::List);
     let (mut now, mut asked) = (s(1.0), Vec::new());
     while now < s(60.0) {
@@ -134,7 +165,10 @@
         now += s(0.5);
     }
     let gaps: Vec<Duration> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(asked.len() >= 6 && gaps.iter().all(|gap| *gap <= LATEST + s(0.5)), "{asked:?}");
+    assert!(
+        asked.len() >= 6 && gaps.iter().all(|gap| *gap <= LATEST + s(0.5)),
+        "{asked:?}"
+    );
 }
 
 /// What is lost to one alone, or to others but not to it, holds nothing up; nor does a word that is old.
@@ -143,10 +177,19 @@
 #[case::said_long_ago(200, 30.0)]
 fn alone_it_asks_at_once(#[case] others: u64, #[case] ago: f64) {
     let mut choices = Choices::new(Duration::ZERO, key("own"), 0);
-    choices.pods(vec![Pod { key: 1, zone: 0, strength: 1.0 }]);
+    choices.pods(vec![Pod {
+        key: 1,
+        zone: 0,
+        strength: 1.0,
+    }]);
     assert_eq!(choices.may_ask(s(50.0), Service::Installer), s(50.0));
     choices.ask_failed(s(50.0), Service::Installer);
-    let lost = Says { zone: 1, traffic: 4, hints: Vec::new(), lost: Service::Installer.bit() };
+    let lost = Says {
+        zone: 1,
+        traffic: 4,
+        hints: Vec::new(),
+        lost: Service::Installer.bit(),
+    };
     choices.others((0..others).map(|n| (n, Some((lost.clone(), s(50.0) - s(ago))))));
     let _ = choices.view(s(50.5));
     assert_eq!(choices.may_ask(s(50.5), Service::Installer), s(50.5));
--- a/crates/fleet/tests/explore.rs
+++ b/crates/fleet/tests/explore.rs
@@ -22,7 +22,13 @@
 type Rule = fn(u64, u64, &[u64], u8) -> bool;
 
 fn sound(topic: u64, own: u64, members: &[u64], ago: u8) -> bool {
-    holds_one_of(1, topic, own, members.iter().copied(), TURN * u32::from(ago))
+    holds_one_of(
+        1,
+        topic,
+        own,
+        members.iter().copied(),
+        TURN * u32::from(ago),
+    )
 }
 
 fn never_passes(topic: u64, own: u64, members: &[u64], _: u8) -> bool {
@@ -40,8 +46,13 @@
 
 fn holders(state: &State, rule: Rule) -> usize {
     let holds = |n: usize| {
-        let seen: Vec<u64> = (0..3).filter(|m| state.sees[n][*m]).map(|m| MEMBERS[m]).collect();
-        let ago = state.heard[n].filter(|_| state.alive[n]).map(|at| state.tick - at);
+        let seen: Vec<u64> = (0..3)
+            .filter(|m| state.sees[n][*m])
+            .map(|m| MEMBERS[m])
+            .collect();
+        let ago = state.heard[n]
+            .filter(|_| state.alive[n])
+            .map(|at| state.tick - at);
         ago.is_some_and(|ago| rule(7, MEMBERS[n], &seen, ago))
     };
     (0..3).filter(|n| holds(*n)).count()
@@ -51,7 +62,10 @@
     let mut out = vec![*state];
     for n in 0..3 {
         if state.alive[n] && state.alive.iter().filter(|a| **a).count() > 1 {
-            out.push(State { alive: std::array::from_fn(|m| state.alive[m] && m != n), ..*state });
+            out.push(State {
+                alive: std::array::from_fn(|m| state.alive[m] && m != n),
+                ..*state
+            });
         }
         for m in (0..3).filter(|m| *m != n) {
             let mut turned = *state;
@@ -63,7 +77,10 @@
         let waits: Vec<usize> = (0..3).filter(|n| state.heard[*n].is_none()).collect();
         // Each that has not heard yet hears now, or later while it may.
         (0..1u8 << waits.len()).map(move |hears| {
-            let mut state = State { tick: state.tick + 1, ..state };
+            let mut state = State {
+                tick: state.tick + 1,
+                ..state
+            };
             for (bit, n) in waits.iter().enumerate() {
                 if hears >> bit & 1 == 1 || state.tick > LATE {
                     state.heard[*n] = Some(state.tick - 1);
@@ -77,20 +94,40 @@
 
 /// What is broken in a state, if anything is.
 fn broken(state: &State, rule: Rule) -> Option<&'static str> {
-    let (all, agreed) = ([true; 3], state.heard.iter().all(|at| *at == state.heard[0] && at.is_some()));
+    let (all, agreed) = (
+        [true; 3],
+        state
+            .heard
+            .iter()
+            .all(|at| *at == state.heard[0] && at.is_some()),
+    );
     let views = state.sees.iter().all(|sees| *sees == all);
     if agreed && views && holders(state, rule) > 1 {
         return Some("two hold a turn though all see and have heard the same");
     }
     // Nothing more happens, and nobody notices who died: the turn reaches one that lives.
-    let reaches =
-        |state: State| (0..3).any(|on| holders(&State { tick: state.tick + on, ..state }, rule) > 0);
+    let reaches = |state: State| {
+        (0..3).any(|on| {
+            holders(
+                &State {
+                    tick: state.tick + on,
+                    ..state
+                },
+                rule,
+            ) > 0
+        })
+    };
     let heard = (0..3).all(|n| !state.alive[n] || state.heard[n].is_some());
     (heard && views && !reaches(*state)).then_some("the turn passes to nobody that lives")
 }
 
 fn explore(rule: Rule) -> (usize, Option<(State, &'static str)>) {
-    let start = State { tick: 0, alive: [true; 3], sees: [[true; 3]; 3], heard: [Some(0), None, None] };
+    let start = State {
+        tick: 0,
+        alive: [true; 3],
+        sees: [[true; 3]; 3],
+        heard: [Some(0), None, None],
+    };
     let mut seen = BTreeSet::from([start]);
     let mut open = vec![start];
     while let Some(state) = open.pop() {
@@ -129,11 +166,15 @@
     for code in 0..12usize.pow(n as u32) {
         let of = |member: usize| code / 12usize.pow(member as u32) % 12;
         let (part, alive, late) = (|m| of(m) % 3, |m| of(m) / 3 % 2 == 0, |m| of(m) / 6);
-        let parts = (0..3).filter(|p| (0..n).any(|m| alive(m) && part(m) == *p)).count();
+        let parts = (0..3)
+            .filter(|p| (0..n).any(|m| alive(m) && part(m) == *p))
+            .count();
         let holders = |tick: u32| {
             let holds = |m: &usize| {
                 // A member that died is in the views of its part until that is noticed: it never is here.
-                let view = (0..n).filter(|other| part(*other) == part(*m)).map(|other| keys[other]);
+                let view = (0..n)
+                    .filter(|other| part(*other) == part(*m))
+                    .map(|other| keys[other]);
                 let ago = TURN * (tick + 1 - late(*m) as u32);
                 alive(*m) && holds_one_of(PROVERS, 7, keys[*m], view, ago)
             };
@@ -142,7 +183,10 @@
         let turns: Vec<usize> = (0..2 * n as u32 + 2).map(holders).collect();
         let worst = turns.iter().copied().max().unwrap_or(0);
         let lives = (0..n).filter(|m| alive(*m)).count();
-        assert!(worst <= (PROVERS * 3 * parts).min(lives), "{worst} in {parts} parts, {code}");
+        assert!(
+            worst <= (PROVERS * 3 * parts).min(lives),
+            "{worst} in {parts} parts, {code}"
+        );
         assert!(lives == 0 || worst > 0, "the turn reaches nobody, {code}");
         (most, states) = (most.max(worst), states + 1);
     }
@@ -155,25 +199,37 @@
 /// members are gone through, for up to twelve of them. Of three, deaths too: with fewer alive the fair share is less.
 fn worst_in_any_view(n: usize, part: fn(f64) -> f64) -> (f64, usize) {
     const PODS: usize = 24;
-    let pods: Vec<Pod> = (0..PODS as u64).map(|key| Pod { key, zone: 0, strength: 1.0 }).collect();
+    let pods: Vec<Pod> = (0..PODS as u64)
+        .map(|key| Pod {
+            key,
+            zone: 0,
+            strength: 1.0,
+        })
+        .collect();
     // The first has five times the others' traffic; it is told, or not yet.
     let traffic = |member: usize, told: bool| if member == 0 && told { 25.0 } else { 5.0 };
     let mut views = 0;
     let mut brings = vec![[0.0f64; PODS]; n];
     for (own, brings) in brings.iter_mut().enumerate() {
         for seen in (0..1usize << n).filter(|seen| seen >> own & 1 == 1) {
-            for told in [true, false].into_iter().filter(|told| *told || (own != 0 && seen & 1 == 1)) {
+            for told in [true, false]
+                .into_iter()
+                .filter(|told| *told || (own != 0 && seen & 1 == 1))
+            {
                 let member = |m: usize| Member {
                     key: 11 * (m as u64 + 1),
                     zone: 0,
                     traffic: traffic(m, told || m == own),
                 };
-                let members: Vec<Member> = (0..n).filter(|m| seen >> m & 1 == 1).map(member).collect();
+                let members: Vec<Member> =
+                    (0..n).filter(|m| seen >> m & 1 == 1).map(member).collect();
                 let place = (0..own).filter(|m| seen >> m & 1 == 1).count();
                 let share = share_out(&members, &pods).swap_remove(place);
                 let of = part(share.len() as f64 / PODS as f64);
                 let budget = 1.4 * traffic(own, true) / (PODS as f64 * of);
-                share.iter().for_each(|pod| brings[*pod] = brings[*pod].max(budget));
+                share
+                    .iter()
+                    .for_each(|pod| brings[*pod] = brings[*pod].max(budget));
                 views += 1;
             }
         }
@@ -208,23 +264,42 @@
 #[case::twelve(12)]
 fn cold_budgets_in_all_parts(#[case] n: usize) {
     const PODS: usize = 24;
-    let pods: Vec<Pod> = (0..PODS as u64).map(|key| Pod { key, zone: 0, strength: 1.0 }).collect();
+    let pods: Vec<Pod> = (0..PODS as u64)
+        .map(|key| Pod {
+            key,
+            zone: 0,
+            strength: 1.0,
+        })
+        .collect();
     let own = |m: usize| if m == 0 { 25.0 } else { 5.0 };
     // What the members of a set bring each pod, as a part of their own; the worse of told and not told yet.
     let brings = |set: usize| {
         let there: Vec<usize> = (0..n).filter(|m| set >> m & 1 == 1).collect();
         let mut worst = [0.0f64; PODS];
-        for told in [true, false].into_iter().filter(|told| *told || set & 1 == 1) {
+        for told in [true, false]
+            .into_iter()
+            .filter(|told| *told || set & 1 == 1)
+        {
             let as_seen = |by_first: bool| {
                 let traffic = |m: usize| if told || by_first { own(m) } else { 5.0 };
-                let member = |m: &usize| Member { key: 11 * (*m as u64 + 1), zone: 0, traffic: traffic(*m) };
+                let member = |m: &usize| Member {
+                    key: 11 * (*m as u64 + 1),
+                    zone: 0,
+                    traffic: traffic(*m),
+                };
                 share_out(&there.iter().map(member).collect::<Vec<_>>(), &pods)
             };
             let (first, others) = (as_seen(true), as_seen(false));
             let mut load = [0.0; PODS];
             for (place, m) in there.iter().enumerate() {
-                let share = if *m == 0 { &first[place] } else { &others[place] };
-                share.iter().for_each(|pod| load[*pod] += 1.4 * own(*m) / share.len() as f64);
+                let share = if *m == 0 {
+                    &first[place]
+                } else {
+                    &others[place]
+                };
+                share
+                    .iter()
+                    .for_each(|pod| load[*pod] += 1.4 * own(*m) / share.len() as f64);
             }
             (0..PODS).for_each(|pod| worst[pod] = worst[pod].max(load[pod]));
         }
--- a/crates/fleet/tests/hints.rs
+++ b/crates/fleet/tests/hints.rs
@@ -13,11 +13,19 @@
 
 fn said(member: u64, zone: u16, pods: &[u64], hint: Hint) -> Said {
     let hints = pods.iter().map(|pod| (*pod, hint)).collect();
-    Said { member, zone, at: s(0.0), hints, lost: 0 }
+    Said {
+        member,
+        zone,
+        at: s(0.0),
+        hints,
+        lost: 0,
+    }
 }
 
 fn quiet(many: u64) -> Vec<Said> {
-    (0..many).map(|n| said(100 + n, n as u16 % 3, &[], Hint::Open)).collect()
+    (0..many)
+        .map(|n| said(100 + n, n as u16 % 3, &[], Hint::Open))
+        .collect()
 }
 
 #[rstest]
@@ -47,20 +55,43 @@
 /// A member in a fleet of many, which all but it say to be of this opinion.
 fn choices(says: &[(u64, Says)], now: Duration) -> Choices {
     let mut choices = Choices::new(s(0.0), 1, 0);
-    choices.pods((5..21).map(|key| Pod { key, zone: key as u16 % 2, strength: 1.0 }).collect());
-    choices.others(says.iter().map(|(member, says)| (*member, Some((says.clone(), now)))));
+    choices.pods(
+        (5..21)
+            .map(|key| Pod {
+                key,
+                zone: key as u16 % 2,
+                strength: 1.0,
+            })
+            .collect(),
+    );
+    choices.others(
+        says.iter()
+            .map(|(member, says)| (*member, Some((says.clone(), now)))),
+    );
     choices
 }
 
 fn three_say(hint: Hint) -> Vec<(u64, Says)> {
-    let says = |zone, hints| Says { zone, traffic: 4, hints, lost: 0 };
+    let says = |zone, hints| Says {
+        zone,
+        traffic: 4,
+        hints,
+        lost: 0,
+    };
     let accusers = (2..5u64).map(|n| (n, says(n as u16 % 2, vec![(5, hint)])));
-    accusers.chain((5..12u64).map(|n| (n, says(n as u16 % 2, Vec::new())))).collect()
+    accusers
+        .chain((5..12u64).map(|n| (n, says(n as u16 % 2, Vec::new()))))
+        .collect()
 }
 
 #[test]
 fn a_doubted_pod_comes_last_and_own_answers_prevail() {
-    let last = |choices: &mut Choices, now| choices.view(now).flatten().and_then(|v| v.order.last().copied());
+    let last = |choices: &mut Choices, now| {
+        choices
+            .view(now)
+            .flatten()
+            .and_then(|v| v.order.last().copied())
+    };
     let mut doubts = choices(&three_say(Hint::Shut), s(1.0));
     assert_eq!(last(&mut doubts, s(1.0)), Some(5));
     let mut knows = choices(&three_say(Hint::Shut), s(1.0));
@@ -68,19 +99,47 @@
     let view = knows.view(s(1.0)).flatten().unwrap_or_default();
     assert!(view.order.len() == 16 && !view.held.contains(&5));
     let mut alone = choices(&[], s(1.0));
-    assert_eq!(alone.view(s(1.0)), None, "with nobody else there is no view");
+    assert_eq!(
+        alone.view(s(1.0)),
+        None,
+        "with nobody else there is no view"
+    );
 }
 
 /// One that says nothing (another version, choices off) is no further zone that would have to agree.
 #[test]
 fn whoever_says_nothing_keeps_no_hint_from_counting() {
     let mut choices = Choices::new(s(0.0), 1, 0);
-    choices.pods((5..21).map(|key| Pod { key, zone: 0, strength: 1.0 }).collect());
+    choices.pods(
+        (5..21)
+            .map(|key| Pod {
+                key,
+                zone: 0,
+                strength: 1.0,
+            })
+            .collect(),
+    );
     let says = |n: u64| {
-        (n < 5).then(|| (Says { zone: 0, traffic: 4, hints: vec![(5, Hint::Shut)], lost: 0 }, s(1.0)))
+        (n < 5).then(|| {
+            (
+                Says {
+                    zone: 0,
+                    traffic: 4,
+                    hints: vec![(5, Hint::Shut)],
+                    lost: 0,
+                },
+                s(1.0),
+            )
+        })
     };
     choices.others((2..7).map(|n| (n, says(n))));
-    assert_eq!(choices.view(s(1.0)).flatten().and_then(|view| view.order.last().copied()), Some(5));
+    assert_eq!(
+        choices
+            .view(s(1.0))
+            .flatten()
+            .and_then(|view| view.order.last().copied()),
+        Some(5)
+    );
 }
 
 /// Each turn so many of twelve may prove it, and in time each may.
@@ -89,8 +148,11 @@
     let members: Vec<u64> = (1..13).collect();
     let mut proved = std::collections::BTreeSet::new();
     for nth in 0..6 {
-        let holders: Vec<u64> =
-            members.iter().copied().filter(|m| holds(5, *m, members.iter().copied(), TURN * nth)).collect();
+        let holders: Vec<u64> = members
+            .iter()
+            .copied()
+            .filter(|m| holds(5, *m, members.iter().copied(), TURN * nth))
+            .collect();
         assert_eq!(holders.len(), PROVERS);
         proved.extend(holders);
     }
@@ -102,20 +164,38 @@
 fn outcomes_make_hints() {
     let mut choices = choices(&[], s(0.0));
     let mut hints = |now: f64, signs: &[Sign]| {
-        signs.iter().for_each(|sign| choices.ended(s(now), 5, *sign));
+        signs
+            .iter()
+            .for_each(|sign| choices.ended(s(now), 5, *sign));
         choices.says(s(now)).map(|says| says.hints)
     };
-    assert_eq!(hints(1.0, &[Sign::Unanswered, Sign::Unanswered]), Some(vec![]));
+    assert_eq!(
+        hints(1.0, &[Sign::Unanswered, Sign::Unanswered]),
+        Some(vec![])
+    );
     assert_eq!(hints(2.0, &[Sign::Unanswered]), Some(vec![(5, Hint::Shut)]));
     assert_eq!(hints(3.0, &[]), None, "nothing new");
-    assert_eq!(hints(6.1, &[]), Some(vec![(5, Hint::Shut)]), "said again before it fades");
-    assert_eq!(hints(7.0, &[Sign::Answered(0.1)]), Some(vec![(5, Hint::Open)]));
+    assert_eq!(
+        hints(6.1, &[]),
+        Some(vec![(5, Hint::Shut)]),
+        "said again before it fades"
+    );
+    assert_eq!(
+        hints(7.0, &[Sign::Answered(0.1)]),
+        Some(vec![(5, Hint::Open)])
+    );
     assert_eq!(hints(12.5, &[]), Some(vec![]));
     assert_eq!(hints(13.0, &[Sign::Unreached]), Some(vec![(5, Hint::Shut)]));
-    assert_eq!(hints(14.0, &[Sign::Answered(0.1)]), Some(vec![(5, Hint::Open)]));
+    assert_eq!(
+        hints(14.0, &[Sign::Answered(0.1)]),
+        Some(vec![(5, Hint::Open)])
+    );
     // Called off early it tells nothing; late, as often as unanswered.
     assert_eq!(hints(20.0, &[Sign::CalledOff(0.0); 3]), Some(vec![]));
-    assert_eq!(hints(21.0, &[Sign::CalledOff(0.9); 3]), Some(vec![(5, Hint::Shut)]));
+    assert_eq!(
+        hints(21.0, &[Sign::CalledOff(0.9); 3]),
+        Some(vec![(5, Hint::Shut)])
+    );
 }
 
 proptest! {
@@ -145,7 +225,26 @@
 /// With the least traffic and none a member still has its pods.
 #[test]
 fn a_member_without_traffic_has_pods() {
-    let members = [Member { key: 1, zone: 0, traffic: 0.0 }, Member { key: 2, zone: 9, traffic: 0.0 }];
-    let pods: Vec<Pod> = (0..9).map(|key| Pod { key, zone: 0, strength: 0.0 }).collect();
-    assert!(limewing_fleet::share_out(&members, &pods).iter().all(|share| share.len() >= 4));
+    let members = [
+        Member {
+            key: 1,
+            zone: 0,
+            traffic: 0.0,
+        },
+        Member {
+            key: 2,
+            zone: 9,
+            traffic: 0.0,
+        },
+    ];
+    let pods: Vec<Pod> = (0..9)
+        .map(|key| Pod {
+            key,
+            zone: 0,
+            strength: 0.0,
+        })
+        .collect();
+    assert!(limewing_fleet::share_out(&members, &pods)
+        .iter()
+        .all(|share| share.len() >= 4));
 }
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -10,10 +10,20 @@
 /// What hashing alone gives today: five and three for each open hit at 0.1 s each.
 fn drawn(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
     let many = |m: &Member| (5.0 + 3.0 * m.traffic * 0.1).round() as usize;
-    let alike: Vec<Pod> = pods.iter().map(|pod| Pod { strength: 1.0, zone: 0, ..*pod }).collect();
+    let alike: Vec<Pod> = pods
+        .iter()
+        .map(|pod| Pod {
+            strength: 1.0,
+            zone: 0,
+            ..*pod
+        })
+        .collect();
     let one = |m: &Member| {
         let plain = Member { zone: 0, ..*m };
-        limewing_fleet::order(&plain, &alike).into_iter().take(many(m)).collect()
+        limewing_fleet::order(&plain, &alike)
+            .into_iter()
+            .take(many(m))
+            .collect()
     };
     members.iter().map(one).collect()
 }
@@ -30,7 +40,8 @@
     let shares = share_out(&members, &pods);
     let took = began.elapsed();
     let (load, users, unused, mean) = balance(&members, &pods, &shares);
-    let (plain, plain_users, plain_unused, plain_mean) = balance(&members, &pods, &drawn(&members, &pods));
+    let (plain, plain_users, plain_unused, plain_mean) =
+        balance(&members, &pods, &drawn(&members, &pods));
     println!(
         "{many} x {of}: load {load:.2} (drawn {plain:.2}), users {users:.2} ({plain_users:.2}) of {mean:.1} \
          ({plain_mean:.1}), unused {unused} ({plain_unused}), {took:?}"
@@ -52,12 +63,27 @@
         let mean = moves.iter().sum::<f64>() / moves.len() as f64;
         (mean, moves.iter().copied().fold(0.0, f64::max))
     };
-    let by_member = figures((0..many).step_by(many / 12).map(|n| moved(&whole, &without(n))).collect());
-    let by_pod = figures((0..of).step_by(of / 12).map(|n| moved(&whole, &fewer(n))).collect());
+    let by_member = figures(
+        (0..many)
+            .step_by(many / 12)
+            .map(|n| moved(&whole, &without(n)))
+            .collect(),
+    );
+    let by_pod = figures(
+        (0..of)
+            .step_by(of / 12)
+            .map(|n| moved(&whole, &fewer(n)))
+            .collect(),
+    );
     let times = |(mean, most): (f64, f64), n: usize| (mean * n as f64, most * n as f64);
     let (by_member, by_pod) = (times(by_member, many), times(by_pod, of));
-    println!("{many} x {of}: moved, in parts of one in n: member {by_member:.2?}, pod {by_pod:.2?}");
-    assert!(by_member.0 <= 4.0 && by_pod.0 <= 4.0, "{by_member:?} {by_pod:?}");
+    println!(
+        "{many} x {of}: moved, in parts of one in n: member {by_member:.2?}, pod {by_pod:.2?}"
+    );
+    assert!(
+        by_member.0 <= 4.0 && by_pod.0 <= 4.0,
+        "{by_member:?} {by_pod:?}"
+    );
 }
 
 proptest! {
--- a/crates/hosting/src/again.rs
+++ b/crates/hosting/src/again.rs
@@ -24,7 +24,10 @@
             .without_max_times()
             .with_jitter()
             .with_jitter_seed(seed);
-        Self { terms, waits: terms.build() }
+        Self {
+            terms,
+            waits: terms.build(),
+        }
     }
 
     /// How long to wait before it is asked again.
--- a/crates/hosting/src/clock.rs
+++ b/crates/hosting/src/clock.rs
@@ -14,7 +14,9 @@
 
 impl Default for Clock {
     fn default() -> Self {
-        Self { start: Instant::now() }
+        Self {
+            start: Instant::now(),
+        }
     }
 }
 
@@ -29,8 +31,11 @@
 pub fn today() -> SystemTime {
     static AHEAD: OnceLock<f64> = OnceLock::new();
     let ahead = *AHEAD.get_or_init(|| {
-        let told = std::env::var("LIMEWING_CLOCK_AHEAD_S").ok().and_then(|text| text.parse().ok());
-        told.filter(|ahead| (-86_400.0..=86_400.0).contains(ahead)).unwrap_or(0.0)
+        let told = std::env::var("LIMEWING_CLOCK_AHEAD_S")
+            .ok()
+            .and_then(|text| text.parse().ok());
+        told.filter(|ahead| (-86_400.0..=86_400.0).contains(ahead))
+            .unwrap_or(0.0)
     });
     let by = Duration::from_secs_f64(ahead.abs());
     let now = SystemTime::now();
@@ -44,7 +49,10 @@
 /// A time of day, in seconds since 1970, on the clock that shows `now` at `today`; none if it is long ago.
 /// One in the future is now.
 pub fn of_day(seconds: f64, now: Duration, today: SystemTime) -> Option<Duration> {
-    let today = today.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+    let today = today
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64();
     let ago = Duration::try_from_secs_f64((today - seconds).max(0.0)).ok()?;
     now.checked_sub(ago)
 }
--- a/crates/hosting/src/kept.rs
+++ b/crates/hosting/src/kept.rs
@@ -33,7 +33,10 @@
     /// Of those that fit the one that was used last.
     pub fn take_if(&mut self, pod: PodId, fits: impl Fn(&Link) -> bool) -> Option<Link> {
         let links = self.0.get_mut(&pod)?;
-        let last = links.iter().rposition(fits).map(|place| links.remove(place));
+        let last = links
+            .iter()
+            .rposition(fits)
+            .map(|place| links.remove(place));
         if links.is_empty() {
             self.0.remove(&pod);
         }
@@ -52,7 +55,12 @@
     }
 
     pub fn of(&self, pod: PodId) -> Vec<SocketId> {
-        self.0.get(&pod).into_iter().flatten().map(|link| link.id).collect()
+        self.0
+            .get(&pod)
+            .into_iter()
+            .flatten()
+            .map(|link| link.id)
+            .collect()
     }
 
     /// The oldest one of the pod that most are kept to.
@@ -100,7 +108,10 @@
     /// A connection that had been idle for so long lived, or broke, under the next forward.
     pub fn note(&mut self, idle: Duration, lived: bool, now: Duration) {
         if now > self.since + BELIEVED_FOR {
-            *self = Self { since: now, ..Self::default() };
+            *self = Self {
+                since: now,
+                ..Self::default()
+            };
         }
         let seen = &mut self.seen[span_of(idle)];
         *(if lived { &mut seen.0 } else { &mut seen.1 }) += 1;
@@ -114,7 +125,9 @@
         for (span, here) in self.seen.iter().enumerate().rev() {
             (lived, broke) = (lived + here.0, broke + here.1);
             if broke >= LEAST_BROKEN && 2 * broke > lived && 2 * here.1 > here.0 {
-                found = Some(Duration::from_secs_f64(SHORTEST_MS * STEP.powi(span as i32) / 1e3));
+                found = Some(Duration::from_secs_f64(
+                    SHORTEST_MS * STEP.powi(span as i32) / 1e3,
+                ));
             }
         }
         found
--- a/crates/hosting/src/open.rs
+++ b/crates/hosting/src/open.rs
@@ -30,7 +30,10 @@
 
 impl<T> Default for OpenHits<T> {
     fn default() -> Self {
-        Self { hits: FxHashMap::default(), next: 0 }
+        Self {
+            hits: FxHashMap::default(),
+            next: 0,
+        }
     }
 }
 
@@ -47,7 +50,13 @@
     pub fn open(&mut self, client: SocketId, due: Duration, of: T) -> HitId {
         let id = HitId(self.next);
         self.next += 1;
-        let open = Open { client: Some(client), due, over: false, forwards: Vec::new(), of };
+        let open = Open {
+            client: Some(client),
+            due,
+            over: false,
+            forwards: Vec::new(),
+            of,
+        };
         self.hits.insert(id, open);
         id
     }
@@ -67,7 +76,11 @@
 
     /// Those that are not over, in their order.
     pub fn all_unsettled(&self) -> Vec<HitId> {
-        let open = self.hits.iter().filter(|(_, open)| !open.over).map(|(hit, _)| *hit);
+        let open = self
+            .hits
+            .iter()
+            .filter(|(_, open)| !open.over)
+            .map(|(hit, _)| *hit);
         let mut open: Vec<HitId> = open.collect();
         open.sort_unstable();
         open
@@ -81,8 +94,14 @@
     /// The forwards that are out, in their order, each with its pod and connection.
     pub fn all_out(&self) -> Vec<(HitId, ForwardNo, PodId, Option<SocketId>)> {
         let of = |(hit, open): (&HitId, &Open<T>)| {
-            let (hit, out) = (*hit, (0..).zip(&open.forwards).filter(|(_, forward)| !forward.ended));
-            out.map(|(no, forward)| (hit, ForwardNo(no), forward.pod, forward.link)).collect::<Vec<_>>()
+            let (hit, out) = (
+                *hit,
+                (0..)
+                    .zip(&open.forwards)
+                    .filter(|(_, forward)| !forward.ended),
+            );
+            out.map(|(no, forward)| (hit, ForwardNo(no), forward.pod, forward.link))
+                .collect::<Vec<_>>()
         };
         let mut all: Vec<_> = self.hits.iter().flat_map(of).collect();
         all.sort_unstable();
@@ -91,15 +110,22 @@
 
     /// The forwards of a hit that are out, each with its connection.
     pub fn out_of(&self, hit: HitId) -> Vec<(ForwardNo, Option<SocketId>)> {
-        let forwards = self.hits.get(&hit).into_iter().flat_map(|open| &open.forwards);
+        let forwards = self
+            .hits
+            .get(&hit)
+            .into_iter()
+            .flat_map(|open| &open.forwards);
         let out = (0..).zip(forwards).filter(|(_, forward)| !forward.ended);
-        out.map(|(no, forward)| (ForwardNo(no), forward.link)).collect()
+        out.map(|(no, forward)| (ForwardNo(no), forward.link))
+            .collect()
     }
 
     /// The pods that forwards are out to, each as often as there are.
     pub fn pods_out(&self) -> impl Iterator<Item = PodId> + '_ {
         let forwards = self.hits.values().flat_map(|open| &open.forwards);
-        forwards.filter(|forward| !forward.ended).map(|forward| forward.pod)
+        forwards
+            .filter(|forward| !forward.ended)
+            .map(|forward| forward.pod)
     }
 
     /// How many were ever taken.
@@ -121,17 +147,42 @@
 
     /// A forward that has not ended.
     pub fn out(&mut self, hit: HitId, no: ForwardNo) -> Option<&mut Forward> {
-        self.hits.get_mut(&hit)?.forwards.get_mut(usize::from(no.0)).filter(|forward| !forward.ended)
+        self.hits
+            .get_mut(&hit)?
+            .forwards
+            .get_mut(usize::from(no.0))
+            .filter(|forward| !forward.ended)
     }
 
     /// Ends a forward; nothing if it had ended.
-    pub fn end(&mut self, hit: HitId, no: ForwardNo, fate: Fate, now: Duration) -> Option<Ended<T>> {
+    pub fn end(
+        &mut self,
+        hit: HitId,
+        no: ForwardNo,
+        fate: Fate,
+        now: Duration,
+    ) -> Option<Ended<T>> {
         let over = self.hits.get(&hit)?.over;
         let forward = self.out(hit, no)?;
         (forward.ended, forward.link) = (true, None);
-        let (pod, took, timer) = (forward.pod, now.saturating_sub(forward.sent), forward.timer.take());
-        let outcome = Outcome { hit, no, pod, fate, took, over };
-        Some(Ended { outcome, timer, last: self.tidy(hit) })
+        let (pod, took, timer) = (
+            forward.pod,
+            now.saturating_sub(forward.sent),
+            forward.timer.take(),
+        );
+        let outcome = Outcome {
+            hit,
+            no,
+            pod,
+            fate,
+            took,
+            over,
+        };
+        Some(Ended {
+            outcome,
+            timer,
+            last: self.tidy(hit),
+        })
     }
 
     /// Forgets a hit that is over once nothing of it is out.
--- a/crates/hosting/src/room.rs
+++ b/crates/hosting/src/room.rs
@@ -28,6 +28,9 @@
         let shared = descriptors.saturating_sub(OWN + SERVICES).max(2);
         let for_pods = (shared / PODS_PART).clamp(1, MOST_FOR_PODS);
         let borne = (memory / MEMORY_PART / client.max(1)).max(1);
-        Self { accepted: (shared - for_pods).min(borne), shared }
+        Self {
+            accepted: (shared - for_pods).min(borne),
+            shared,
+        }
     }
 }
--- a/crates/hosting/src/shutdown.rs
+++ b/crates/hosting/src/shutdown.rs
@@ -69,8 +69,15 @@
 impl Shutdown {
     pub fn new(spans: Spans) -> Self {
         let answered = spans.answered.max(spans.found);
-        let spans = Spans { answered, ended: spans.ended.max(answered), ..spans };
-        Self { spans, state: State::Serving }
+        let spans = Spans {
+            answered,
+            ended: spans.ended.max(answered),
+            ..spans
+        };
+        Self {
+            spans,
+            state: State::Serving,
+        }
     }
 
     /// The process is told to leave; whether that is news. A second word changes nothing.
@@ -84,7 +91,10 @@
 
     /// Whether no connection is let in any more.
     pub fn closes(&self) -> bool {
-        matches!(self.state, State::Closing { .. } | State::Answering { .. } | State::Ending | State::Done)
+        matches!(
+            self.state,
+            State::Closing { .. } | State::Answering { .. } | State::Ending | State::Done
+        )
     }
 
     pub fn is_told(&self) -> bool {
--- a/crates/hosting/src/shutdown/tests.rs
+++ b/crates/hosting/src/shutdown/tests.rs
@@ -15,13 +15,19 @@
 }
 
 fn open() -> Holds {
-    Holds { requests: true, ..Holds::default() }
+    Holds {
+        requests: true,
+        ..Holds::default()
+    }
 }
 
 #[test]
 fn one_that_is_not_told_does_nothing() {
     let mut shutdown = Shutdown::new(SPANS);
-    assert_eq!((shutdown.step(ms(90_000), Holds::default()), shutdown.next()), (None, None));
+    assert_eq!(
+        (shutdown.step(ms(90_000), Holds::default()), shutdown.next()),
+        (None, None)
+    );
     assert!(!shutdown.is_told() && !shutdown.closes() && !shutdown.is_done());
 }
 
@@ -33,7 +39,10 @@
     assert!(!shutdown.tell(ms(1400)));
     assert_eq!(shutdown.next(), Some(ms(1550)));
     assert_eq!(shutdown.step(ms(1549), Holds::default()), None);
-    assert_eq!(shutdown.step(ms(1550), Holds::default()), Some(Step::CloseDoor));
+    assert_eq!(
+        shutdown.step(ms(1550), Holds::default()),
+        Some(Step::CloseDoor)
+    );
     assert_eq!(shutdown.step(ms(1550), Holds::default()), Some(Step::End));
     assert!(shutdown.is_done() && shutdown.closes());
 }
@@ -51,7 +60,10 @@
     assert_eq!(shutdown.step(ms(3500), holds), Some(Step::AnswerAll));
     assert_eq!(shutdown.next(), Some(ms(3650)));
     // What was answered is still to be read by its client, up to the end.
-    let unsent = Holds { unsent: true, ..Holds::default() };
+    let unsent = Holds {
+        unsent: true,
+        ..Holds::default()
+    };
     assert_eq!(shutdown.step(ms(3500), unsent), None);
     assert_eq!(shutdown.step(ms(3650), unsent), Some(Step::End));
 }
@@ -59,7 +71,11 @@
 /// Spans out of order, as settings with short deadlines may give, close the door before all is answered.
 #[test]
 fn nothing_is_answered_before_the_door_closes() {
-    let mut shutdown = Shutdown::new(Spans { found: ms(500), answered: ms(100), ended: ms(50) });
+    let mut shutdown = Shutdown::new(Spans {
+        found: ms(500),
+        answered: ms(100),
+        ended: ms(50),
+    });
     shutdown.tell(ms(0));
     assert_eq!(shutdown.next(), Some(ms(500)));
     assert_eq!(shutdown.step(ms(500), open()), Some(Step::CloseDoor));
--- a/crates/links/src/links.rs
+++ b/crates/links/src/links.rs
@@ -27,8 +27,11 @@
 impl Links {
     pub fn new(script: &Script, members: usize) -> Self {
         let at = |at: f64| Duration::from_secs_f64(at.max(0.0));
-        let mut steps: Vec<(Duration, Fault)> =
-            script.steps.iter().map(|step| (at(step.at), step.does.clone())).collect();
+        let mut steps: Vec<(Duration, Fault)> = script
+            .steps
+            .iter()
+            .map(|step| (at(step.at), step.does.clone()))
+            .collect();
         steps.sort_by_key(|(at, _)| *at);
         Self {
             members,
@@ -50,7 +53,12 @@
     /// Takes the steps that are due; what concerns members is handed out.
     pub fn turn(&mut self, now: Duration) -> Vec<Act> {
         let mut acts = Vec::new();
-        while let Some((_, fault)) = self.steps.get(self.next).filter(|(at, _)| *at <= now).cloned() {
+        while let Some((_, fault)) = self
+            .steps
+            .get(self.next)
+            .filter(|(at, _)| *at <= now)
+            .cloned()
+        {
             self.next += 1;
             let all = self.members;
             match fault {
@@ -67,7 +75,10 @@
                 Fault::Mend => self.cuts.clear(),
                 Fault::Change { from, to, line } => {
                     let to = to.numbers(all);
-                    let pairs = from.numbers(all).into_iter().flat_map(|a| to.iter().map(move |b| (a, *b)));
+                    let pairs = from
+                        .numbers(all)
+                        .into_iter()
+                        .flat_map(|a| to.iter().map(move |b| (a, *b)));
                     self.changed.extend(pairs.map(|pair| (pair, line)));
                 }
                 Fault::Kill(who) => acts.extend(who.numbers(all).into_iter().map(Act::Kill)),
@@ -75,16 +86,27 @@
                 Fault::Stop(who) => acts.extend(who.numbers(all).into_iter().map(Act::Stop)),
                 Fault::GoOn(who) => acts.extend(who.numbers(all).into_iter().map(Act::GoOn)),
                 Fault::Start(who) => acts.extend(who.numbers(all).into_iter().map(Act::Start)),
-                Fault::LoseDisk(who) => acts.extend(who.numbers(all).into_iter().map(Act::LoseDisk)),
-                Fault::FillDisk(who) => acts.extend(who.numbers(all).into_iter().map(Act::FillDisk)),
-                Fault::FreeDisk(who) => acts.extend(who.numbers(all).into_iter().map(Act::FreeDisk)),
+                Fault::LoseDisk(who) => {
+                    acts.extend(who.numbers(all).into_iter().map(Act::LoseDisk))
+                }
+                Fault::FillDisk(who) => {
+                    acts.extend(who.numbers(all).into_iter().map(Act::FillDisk))
+                }
+                Fault::FreeDisk(who) => {
+                    acts.extend(who.numbers(all).into_iter().map(Act::FreeDisk))
+                }
                 Fault::Keys { who, ids } => {
-                    let keys = |to| Act::Keys { to, ids: ids.clone() };
+                    let keys = |to| Act::Keys {
+                        to,
+                        ids: ids.clone(),
+                    };
                     acts.extend(who.numbers(all).into_iter().map(keys))
                 }
-                Fault::Noise { to, datagrams } => {
-                    acts.extend(to.numbers(all).into_iter().map(|to| Act::Noise { to, datagrams }))
-                }
+                Fault::Noise { to, datagrams } => acts.extend(
+                    to.numbers(all)
+                        .into_iter()
+                        .map(|to| Act::Noise { to, datagrams }),
+                ),
             }
         }
         acts
@@ -115,7 +137,10 @@
                 let bit = links.chance.generate_range(0..bytes.len() * 8);
                 bytes[bit / 8] ^= 1 << (bit % 8);
             }
-            Arrival { at: now + Duration::from_secs_f64(ms / 1e3), bytes }
+            Arrival {
+                at: now + Duration::from_secs_f64(ms / 1e3),
+                bytes,
+            }
         };
         (0..copies).map(|_| arrival(self)).collect()
     }
@@ -124,10 +149,16 @@
         if line.bytes_per_s <= 0.0 {
             return false;
         }
-        let (left, at) = self.budgets.get(&pair).copied().unwrap_or((line.bytes_per_s, now));
-        let left = (left + line.bytes_per_s * now.saturating_sub(at).as_secs_f64()).min(line.bytes_per_s);
+        let (left, at) = self
+            .budgets
+            .get(&pair)
+            .copied()
+            .unwrap_or((line.bytes_per_s, now));
+        let left =
+            (left + line.bytes_per_s * now.saturating_sub(at).as_secs_f64()).min(line.bytes_per_s);
         let over = left < length as f64;
-        self.budgets.insert(pair, (if over { left } else { left - length as f64 }, now));
+        self.budgets
+            .insert(pair, (if over { left } else { left - length as f64 }, now));
         over
     }
 }
--- a/crates/links/src/script.rs
+++ b/crates/links/src/script.rs
@@ -137,7 +137,11 @@
                 let place = |part: f64| (part * of as f64).round() as usize;
                 (place(*from)..place(*to)).collect()
             }
-            Who::Numbers(numbers) => numbers.iter().copied().filter(|number| *number < of).collect(),
+            Who::Numbers(numbers) => numbers
+                .iter()
+                .copied()
+                .filter(|number| *number < of)
+                .collect(),
         }
     }
 
@@ -169,7 +173,10 @@
 
     /// How far a member's clock is ahead, in seconds.
     pub fn ahead(&self, member: usize, of: usize) -> f64 {
-        let told = self.clocks.iter().filter(|clock| clock.who.numbers(of).contains(&member));
+        let told = self
+            .clocks
+            .iter()
+            .filter(|clock| clock.who.numbers(of).contains(&member));
         told.map(|clock| clock.seconds).sum()
     }
 
@@ -182,11 +189,19 @@
             }
         };
         const LINE: &str = "parts from 0 to 1, milliseconds from 0, bytes a second from 0";
-        need((0.1..=86_400.0).contains(&self.seconds), "/seconds".into(), "0.1 to 86400 seconds");
+        need(
+            (0.1..=86_400.0).contains(&self.seconds),
+            "/seconds".into(),
+            "0.1 to 86400 seconds",
+        );
         need(self.line.fits(), "/line".into(), LINE);
         for (place, step) in self.steps.iter().enumerate() {
             let within = (0.0..=self.seconds).contains(&step.at);
-            need(within, format!("/steps/{place}/at"), "a time from 0 to the script's seconds");
+            need(
+                within,
+                format!("/steps/{place}/at"),
+                "a time from 0 to the script's seconds",
+            );
             let (who, line): (Vec<&Who>, Option<&Line>) = match &step.does {
                 Fault::Cut { from, to, .. } => (vec![from, to], None),
                 Fault::Change { from, to, line } => (vec![from, to], Some(line)),
@@ -200,7 +215,11 @@
                 | Fault::Start(who) => (vec![who], None),
                 Fault::Keys { who, ids } => {
                     let one_or_two = matches!(ids[..], [a, b] if a != b) || ids.len() == 1;
-                    need(one_or_two, format!("/steps/{place}/does/keys/ids"), "one key or two");
+                    need(
+                        one_or_two,
+                        format!("/steps/{place}/does/keys/ids"),
+                        "one key or two",
+                    );
                     (vec![who], None)
                 }
                 Fault::Noise { to, .. } => (vec![to], None),
@@ -212,11 +231,19 @@
                 format!("/steps/{place}/does"),
                 "a part of the fleet from 0 to 1, its end not before its begin",
             );
-            need(line.is_none_or(Line::fits), format!("/steps/{place}/does/change/line"), LINE);
+            need(
+                line.is_none_or(Line::fits),
+                format!("/steps/{place}/does/change/line"),
+                LINE,
+            );
         }
         for (place, clock) in self.clocks.iter().enumerate() {
             let fits = clock.who.fits() && (-86_400.0..=86_400.0).contains(&clock.seconds);
-            need(fits, format!("/clocks/{place}"), "some of the members, and up to 86400 seconds either way");
+            need(
+                fits,
+                format!("/clocks/{place}"),
+                "some of the members, and up to 86400 seconds either way",
+            );
         }
         found
     }
--- a/crates/links/src/world.rs
+++ b/crates/links/src/world.rs
@@ -104,7 +104,9 @@
 
     /// Sends what a member has to send, and marks when it is due again.
     fn after(&mut self, number: usize) {
-        let Some(core) = self.places[number].core.as_mut() else { return };
+        let Some(core) = self.places[number].core.as_mut() else {
+            return;
+        };
         let mut out = Vec::new();
         while let Some(sent) = core.take() {
             out.push(sent);
@@ -173,7 +175,9 @@
             }
             return;
         }
-        let Some(core) = place.core.as_mut() else { return };
+        let Some(core) = place.core.as_mut() else {
+            return;
+        };
         core.hear(now, bytes);
         place.had.push_back(bytes.to_vec());
         if place.had.len() > MOST_HAD {
@@ -195,7 +199,11 @@
         loop {
             let next = self.due.first_key_value().map(|((at, _), _)| *at);
             let step = self.links.due();
-            let at = [next, step].into_iter().flatten().min().filter(|at| *at <= until);
+            let at = [next, step]
+                .into_iter()
+                .flatten()
+                .min()
+                .filter(|at| *at <= until);
             let Some(at) = at else { break };
             self.now = self.now.max(at);
             if step.is_some_and(|step| step <= self.now) {
@@ -204,7 +212,9 @@
                 }
                 continue;
             }
-            let Some((_, (number, due))) = self.due.pop_first() else { break };
+            let Some((_, (number, due))) = self.due.pop_first() else {
+                break;
+            };
             match due {
                 Due::Arrives(bytes) => self.hear(number, &bytes),
                 Due::Tick => {
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -43,16 +43,23 @@
         many: usize,
     ) -> Result<(Self, Vec<SocketAddr>), Trouble> {
         let mut command = Command::new(program);
-        command.args(args).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null());
+        command
+            .args(args)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::null());
         let mut child = command.spawn()?;
         let out = child.stdout.take();
         let part = Self(child);
         let lines = out.into_iter().flat_map(|out| BufReader::new(out).lines());
         let told = lines.take(many).map_while(Result::ok);
-        let at: Vec<SocketAddr> =
-            told.filter_map(|line| line.strip_prefix("listening ")?.trim().parse().ok()).collect();
+        let at: Vec<SocketAddr> = told
+            .filter_map(|line| line.strip_prefix("listening ")?.trim().parse().ok())
+            .collect();
         if at.len() < many {
-            return Err(Trouble::Silent { what: args.join(" ") });
+            return Err(Trouble::Silent {
+                what: args.join(" "),
+            });
         }
         Ok((part, at))
     }
@@ -107,23 +114,45 @@
     fn new(what: String, to: SocketAddr, part: Option<Part>) -> Self {
         let none = Vec::new;
         let (per_s, per_core, p50, p99, p999) = (none(), none(), none(), none(), none());
-        Self { what, to, part, per_s, per_core, p50, p99, p999, failed: 0 }
+        Self {
+            what,
+            to,
+            part,
+            per_s,
+            per_core,
+            p50,
+            p99,
+            p999,
+            failed: 0,
+        }
     }
 
     fn saturate(&mut self, load: &Load) -> Result<(), Trouble> {
         let (mut before, mut after) = (Ok(None), Ok(None));
         let cpu = || self.part.as_ref().map(Part::cpu).transpose();
-        let outcome = run(&Load { to: self.to, ..load.clone() }, || before = cpu(), || after = cpu())?;
+        let outcome = run(
+            &Load {
+                to: self.to,
+                ..load.clone()
+            },
+            || before = cpu(),
+            || after = cpu(),
+        )?;
         self.per_s.push(outcome.per_s());
         if let (Some(before), Some(after)) = (before?, after?) {
-            self.per_core.push(outcome.answered as f64 / (after - before).max(0.01));
+            self.per_core
+                .push(outcome.answered as f64 / (after - before).max(0.01));
         }
         self.failed += outcome.failed;
         Ok(())
     }
 
     fn at(&mut self, rate: f64, load: &Load) -> Result<(), Trouble> {
-        let load = Load { to: self.to, hits_per_s: Some(rate), ..load.clone() };
+        let load = Load {
+            to: self.to,
+            hits_per_s: Some(rate),
+            ..load.clone()
+        };
         let outcome: Outcome = run(&load, || (), || ())?;
         self.p50.push(outcome.ms(0.5));
         self.p99.push(outcome.ms(0.99));
@@ -145,14 +174,20 @@
         if ways.is_empty() {
             ways.push(Way::new("straight to a pod".into(), at[0], None));
             let all: Vec<String> = at.iter().map(ToString::to_string).collect();
-            let args: Vec<&str> =
-                ["load", "relay"].into_iter().chain(all.iter().map(String::as_str)).collect();
+            let args: Vec<&str> = ["load", "relay"]
+                .into_iter()
+                .chain(all.iter().map(String::as_str))
+                .collect();
             let (relay, there) = Part::start(program, &args, 1)?;
             ways.push(Way::new("bare relay".into(), there[0], Some(relay)));
         }
         let settings = settings(folder, &at)?;
         let (sidecar, there) = Part::start(program, &["sidecar", &settings, "--with-parent"], 1)?;
-        ways.push(Way::new(format!("sidecar, {pods} pods"), there[0], Some(sidecar)));
+        ways.push(Way::new(
+            format!("sidecar, {pods} pods"),
+            there[0],
+            Some(sidecar),
+        ));
     }
     let load = Load {
         to: ways[0].to,
@@ -169,7 +204,10 @@
     // Half of what the first sidecar can do; the same for all, so that what each adds can be told.
     let rate = middle(&ways[2].per_s) / 2.0;
     for round in 0..plan.rounds {
-        let load = Load { seed: plan.seed + round as u64, ..load.clone() };
+        let load = Load {
+            seed: plan.seed + round as u64,
+            ..load.clone()
+        };
         ways.iter_mut().try_for_each(|way| way.at(rate, &load))?;
     }
     Ok(told(&ways, rate))
@@ -191,11 +229,17 @@
     ]);
     for way in ways {
         let core = middle(&way.per_core);
-        let ends = way.p99.iter().fold((f64::MAX, 0.0_f64), |(low, high), p| (low.min(*p), high.max(*p)));
+        let ends = way.p99.iter().fold((f64::MAX, 0.0_f64), |(low, high), p| {
+            (low.min(*p), high.max(*p))
+        });
         table.add_row([
             way.what.clone(),
             format!("{:.0}", middle(&way.per_s)),
-            if way.part.is_none() { "-".into() } else { format!("{core:.0}") },
+            if way.part.is_none() {
+                "-".into()
+            } else {
+                format!("{core:.0}")
+            },
             format!("{:.3}", middle(&way.p50)),
             format!("{:.3}", middle(&way.p99)),
             format!("{:.3}, {:.3}", ends.0, ends.1),
@@ -203,7 +247,9 @@
             way.failed.to_string(),
         ]);
     }
-    let [straight, relay, first, rest @ ..] = ways else { return table.to_string() };
+    let [straight, relay, first, rest @ ..] = ways else {
+        return table.to_string();
+    };
     let core = |way: &Way| middle(&way.per_core);
     let mut text = format!(
         "{table}\nsidecar against bare relay, hits per core second: {:.2} (aim: 0.6 or more)\n\
@@ -213,7 +259,10 @@
     );
     for more in rest {
         let ratio = core(first) / core(more);
-        text += &format!("{} against {}, cost per hit: {ratio:.2} (aim: under 1.5)\n", more.what, first.what);
+        text += &format!(
+            "{} against {}, cost per hit: {ratio:.2} (aim: under 1.5)\n",
+            more.what, first.what
+        );
     }
     text
 }
--- a/crates/load/src/generate.rs
+++ b/crates/load/src/generate.rs
@@ -57,22 +57,43 @@
 ///
 /// # Errors
 /// The poll failed, or no connection could be made.
-pub fn run(load: &Load, mut at_begin: impl FnMut(), mut at_end: impl FnMut()) -> io::Result<Outcome> {
+pub fn run(
+    load: &Load,
+    mut at_begin: impl FnMut(),
+    mut at_end: impl FnMut(),
+) -> io::Result<Outcome> {
     let mut sockets = Sockets::new()?;
     let mut links: HashMap<SocketId, Link> = HashMap::new();
     let mut free: Vec<SocketId> = Vec::new();
     let mut waiting: VecDeque<Duration> = VecDeque::new();
     let mut request = BytesMut::new();
     let fields = [(&b"host"[..], &b"load.example"[..])];
-    write_request(&mut request, "GET", &load.target, fields.into_iter(), Framing::Length(0));
+    write_request(
+        &mut request,
+        "GET",
+        &load.target,
+        fields.into_iter(),
+        Framing::Length(0),
+    );
     for _ in 0..load.connections {
         let id = sockets.connect(load.to)?;
-        links.insert(id, Link { responses: Responses::new(1 << 20), due: None });
+        links.insert(
+            id,
+            Link {
+                responses: Responses::new(1 << 20),
+                due: None,
+            },
+        );
     }
     let mut chance = StdRng::seed_from_u64(load.seed);
     let gap = load.hits_per_s.and_then(|rate| Exp::new(rate).ok());
     let histogram = Histogram::new_with_bounds(1, 600_000_000, 3).map_err(io::Error::other)?;
-    let mut outcome = Outcome { took: histogram, answered: 0, failed: 0, span: load.lasts };
+    let mut outcome = Outcome {
+        took: histogram,
+        answered: 0,
+        failed: 0,
+        span: load.lasts,
+    };
     let start = Instant::now();
     let (begin, end) = (load.warm_up, load.warm_up + load.lasts);
     let (mut next, mut begun) = (Duration::ZERO, false);
@@ -92,32 +113,48 @@
                     next += Duration::from_secs_f64(gap.sample(&mut chance));
                 }
             }
-            None => waiting.extend(std::iter::repeat_n(now, free.len().saturating_sub(waiting.len()))),
+            None => waiting.extend(std::iter::repeat_n(
+                now,
+                free.len().saturating_sub(waiting.len()),
+            )),
         }
         while !waiting.is_empty() && !free.is_empty() {
-            let (Some(due), Some(id)) = (waiting.pop_front(), free.pop()) else { break };
+            let (Some(due), Some(id)) = (waiting.pop_front(), free.pop()) else {
+                break;
+            };
             if let Some(link) = links.get_mut(&id) {
                 link.due = Some(due);
                 sockets.send(id, &request);
             }
         }
-        let wait =
-            if gap.is_some() { next.saturating_sub(start.elapsed()) } else { Duration::from_millis(10) };
+        let wait = if gap.is_some() {
+            next.saturating_sub(start.elapsed())
+        } else {
+            Duration::from_millis(10)
+        };
         // Shorter than what a poll can wait for is waited out here, or hits would be late by a millisecond.
-        let wait =
-            if wait < Duration::from_millis(1) { Duration::ZERO } else { wait.min(end.saturating_sub(now)) };
+        let wait = if wait < Duration::from_millis(1) {
+            Duration::ZERO
+        } else {
+            wait.min(end.saturating_sub(now))
+        };
         for what in sockets.wait(Some(wait))? {
             match what {
                 Happening::Connected(id) => free.push(id),
                 Happening::Readable(id) => {
                     let ended = sockets.ended(id);
-                    let Some(link) = links.get_mut(&id) else { continue };
-                    let Some(input) = sockets.input(id) else { continue };
+                    let Some(link) = links.get_mut(&id) else {
+                        continue;
+                    };
+                    let Some(input) = sockets.input(id) else {
+                        continue;
+                    };
                     let answer = link.responses.take(input, ended);
                     match answer {
                         Ok(Some((head, _))) => {
                             let now = start.elapsed();
-                            if let Some(due) = link.due.take().filter(|_| now >= begin && now < end) {
+                            if let Some(due) = link.due.take().filter(|_| now >= begin && now < end)
+                            {
                                 let took = now.saturating_sub(due).as_micros() as u64;
                                 outcome.took.saturating_record(took.max(1));
                                 outcome.answered += 1;
@@ -131,13 +168,20 @@
                             outcome.failed +=
                                 u64::from(links.remove(&id).is_some_and(|link| link.due.is_some()));
                             let id = sockets.connect(load.to)?;
-                            links.insert(id, Link { responses: Responses::new(1 << 20), due: None });
+                            links.insert(
+                                id,
+                                Link {
+                                    responses: Responses::new(1 << 20),
+                                    due: None,
+                                },
+                            );
                         }
                     }
                 }
                 Happening::Lost { socket, .. } => {
                     free.retain(|id| *id != socket);
-                    outcome.failed += u64::from(links.remove(&socket).is_some_and(|link| link.due.is_some()));
+                    outcome.failed +=
+                        u64::from(links.remove(&socket).is_some_and(|link| link.due.is_some()));
                     if links.is_empty() {
                         return Err(io::Error::other("no connection is left"));
                     }
--- a/crates/load/src/idle.rs
+++ b/crates/load/src/idle.rs
@@ -41,9 +41,20 @@
         let mut request = BytesMut::new();
         if plan.after_hit {
             let fields = [(&b"host"[..], &b"load.example"[..])];
-            write_request(&mut request, "GET", "/quotes/1", fields.into_iter(), Framing::Length(0));
+            write_request(
+                &mut request,
+                "GET",
+                "/quotes/1",
+                fields.into_iter(),
+                Framing::Length(0),
+            );
         }
-        Ok(Self { sockets: Sockets::new()?, asleep: 0, busy: HashMap::new(), request })
+        Ok(Self {
+            sockets: Sockets::new()?,
+            asleep: 0,
+            busy: HashMap::new(),
+            request,
+        })
     }
 
     /// Opens connections until so many sleep.
@@ -51,7 +62,8 @@
         let mut last = Instant::now();
         while self.asleep < many {
             while self.busy.len() < LOT.min(many - self.asleep) {
-                let failed = |e| io::Error::other(format!("after {} connections: {e}", self.asleep));
+                let failed =
+                    |e| io::Error::other(format!("after {} connections: {e}", self.asleep));
                 let id = self.sockets.connect(to).map_err(failed)?;
                 self.busy.insert(id, Responses::new(1 << 20));
             }
@@ -62,13 +74,19 @@
                     Happening::Connected(id) => self.sockets.send(id, &self.request),
                     Happening::Readable(id) => self.read(id)?,
                     Happening::Lost { why, .. } => {
-                        return Err(io::Error::other(format!("after {} connections: {why}", self.asleep)))
+                        return Err(io::Error::other(format!(
+                            "after {} connections: {why}",
+                            self.asleep
+                        )))
                     }
                     _ => {}
                 }
             }
             if last.elapsed() > PATIENCE {
-                return Err(io::Error::other(format!("no answer after {} connections", self.asleep)));
+                return Err(io::Error::other(format!(
+                    "no answer after {} connections",
+                    self.asleep
+                )));
             }
         }
         Ok(())
@@ -78,7 +96,10 @@
     fn all_sleep(&mut self) -> io::Result<()> {
         match self.sockets.wait(Some(Duration::ZERO))?.first() {
             None => Ok(()),
-            Some(what) => Err(io::Error::other(format!("of {} connections one woke: {what:?}", self.asleep))),
+            Some(what) => Err(io::Error::other(format!(
+                "of {} connections one woke: {what:?}",
+                self.asleep
+            ))),
         }
     }
 
@@ -88,13 +109,22 @@
 
     fn read(&mut self, id: SocketId) -> io::Result<()> {
         let ended = self.sockets.ended(id);
-        let (Some(responses), Some(input)) = (self.busy.get_mut(&id), self.sockets.input(id)) else {
-            return Err(io::Error::other(format!("closed while {} connections slept", self.asleep)));
+        let (Some(responses), Some(input)) = (self.busy.get_mut(&id), self.sockets.input(id))
+        else {
+            return Err(io::Error::other(format!(
+                "closed while {} connections slept",
+                self.asleep
+            )));
         };
         match responses.take(input, ended) {
             Ok(Some(_)) => self.sleep(id),
             Ok(None) if !ended => self.sockets.read_on(id),
-            _ => return Err(io::Error::other(format!("no whole answer after {} connections", self.asleep))),
+            _ => {
+                return Err(io::Error::other(format!(
+                    "no whole answer after {} connections",
+                    self.asleep
+                )))
+            }
         }
         Ok(())
     }
@@ -111,7 +141,11 @@
     let mut sleepers = Sleepers::new(plan)?;
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
-    table.set_header(["connections", "resident KiB", "CPU while asleep, ms a second"]);
+    table.set_header([
+        "connections",
+        "resident KiB",
+        "CPU while asleep, ms a second",
+    ]);
     let mut seen = Vec::new();
     for many in [plan.few, plan.many] {
         sleepers.open(at[0], many)?;
@@ -121,7 +155,11 @@
         let resident = sidecar.resident()?;
         sleepers.all_sleep()?;
         seen.push(resident);
-        table.add_row([many.to_string(), (resident / 1024).to_string(), format!("{busy:.1}")]);
+        table.add_row([
+            many.to_string(),
+            (resident / 1024).to_string(),
+            format!("{busy:.1}"),
+        ]);
     }
     let slope = (seen[1] as f64 - seen[0] as f64) / (plan.many - plan.few).max(1) as f64;
     Ok(format!(
--- a/crates/load/src/pods.rs
+++ b/crates/load/src/pods.rs
@@ -23,16 +23,26 @@
     out.flush()?;
     let mut answer = BytesMut::new();
     let body = [b'x'; 256];
-    write_response(&mut answer, 200, [].into_iter(), Framing::Length(body.len() as u64), true);
+    write_response(
+        &mut answer,
+        200,
+        [].into_iter(),
+        Framing::Length(body.len() as u64),
+        true,
+    );
     answer.extend_from_slice(&body);
     let mut links: HashMap<SocketId, Requests> = HashMap::new();
     loop {
         for what in sockets.wait(None)? {
             match what {
-                Happening::Accepted { socket, .. } => drop(links.insert(socket, Requests::new(64 * 1024))),
+                Happening::Accepted { socket, .. } => {
+                    drop(links.insert(socket, Requests::new(64 * 1024)))
+                }
                 Happening::Lost { socket, .. } => drop(links.remove(&socket)),
                 Happening::Readable(id) => {
-                    let Some(requests) = links.get_mut(&id) else { continue };
+                    let Some(requests) = links.get_mut(&id) else {
+                        continue;
+                    };
                     let mut whole = 0;
                     let mut broken = sockets.ended(id);
                     while let Some(input) = sockets.input(id) {
--- a/crates/load/src/relay.rs
+++ b/crates/load/src/relay.rs
@@ -30,7 +30,9 @@
                     }
                 }
                 Happening::Readable(id) => {
-                    let Some(to) = other.get(&id).copied() else { continue };
+                    let Some(to) = other.get(&id).copied() else {
+                        continue;
+                    };
                     if let Some(bytes) = sockets.input(id).map(|input| input.split()) {
                         sockets.send(to, &bytes);
                     }
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -81,7 +81,11 @@
                 At::Chunk(left) => {
                     let piece = take(input, left);
                     let left = left - piece.len() as u64;
-                    self.at = if left == 0 { At::ChunkEnd } else { At::Chunk(left) };
+                    self.at = if left == 0 {
+                        At::ChunkEnd
+                    } else {
+                        At::Chunk(left)
+                    };
                     return Ok(Some(piece));
                 }
                 At::ChunkEnd => {
@@ -94,17 +98,23 @@
                     self.at = At::Size;
                 }
                 At::Size => {
-                    let Some(line) = line(input)? else { return Ok(None) };
+                    let Some(line) = line(input)? else {
+                        return Ok(None);
+                    };
                     let digits = line.split(|b| *b == b';').next().unwrap_or_default();
                     let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
                     match httparse::parse_chunk_size(&[digits, b"\r\n"].concat()) {
                         Ok(httparse::Status::Complete((_, 0))) if plain => self.at = At::Trailer,
-                        Ok(httparse::Status::Complete((_, size))) if plain => self.at = At::Chunk(size),
+                        Ok(httparse::Status::Complete((_, size))) if plain => {
+                            self.at = At::Chunk(size)
+                        }
                         _ => return Err(Refused::Chunk),
                     }
                 }
                 At::Trailer => {
-                    let Some(line) = line(input)? else { return Ok(None) };
+                    let Some(line) = line(input)? else {
+                        return Ok(None);
+                    };
                     self.trailers += 1;
                     if line.is_empty() {
                         self.at = At::End;
--- a/crates/net/src/call.rs
+++ b/crates/net/src/call.rs
@@ -23,7 +23,11 @@
 impl Call {
     /// The answer's body may have `most` bytes.
     pub fn new(request: BytesMut, most: usize, timer: TimerKey) -> Self {
-        Self { answers: Responses::new(most), request, timer }
+        Self {
+            answers: Responses::new(most),
+            request,
+            timer,
+        }
     }
 
     pub fn connected(&mut self, link: SocketId, sockets: &mut Sockets) {
@@ -32,7 +36,9 @@
 
     pub fn hear(&mut self, link: SocketId, sockets: &mut Sockets) -> Heard {
         let ended = sockets.ended(link);
-        let Some(input) = sockets.input(link) else { return Heard::Lost };
+        let Some(input) = sockets.input(link) else {
+            return Heard::Lost;
+        };
         match self.answers.take(input, ended) {
             Ok(Some((head, body))) => Heard::Whole(head, body),
             Ok(None) if !ended => {
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -50,7 +50,10 @@
 
 impl Default for HeadLimits {
     fn default() -> Self {
-        Self { bytes: 16 * 1024, fields: MOST_FIELDS }
+        Self {
+            bytes: 16 * 1024,
+            fields: MOST_FIELDS,
+        }
     }
 }
 
@@ -64,7 +67,9 @@
 impl Fields {
     fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         let part = |(from, length): Span| &self.raw[from..from + length];
-        self.places.iter().map(move |(name, value)| (part(*name), part(*value)))
+        self.places
+            .iter()
+            .map(move |(name, value)| (part(*name), part(*value)))
     }
 
     /// The first field of that name.
@@ -73,7 +78,8 @@
     }
 
     pub fn text<'a>(&'a self, name: &'a str) -> Option<&'a str> {
-        self.get(name).and_then(|value| std::str::from_utf8(value).ok())
+        self.get(name)
+            .and_then(|value| std::str::from_utf8(value).ok())
     }
 
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
@@ -103,11 +109,14 @@
 ];
 
 fn is_own(name: &[u8]) -> bool {
-    OWN.iter().any(|own| name.eq_ignore_ascii_case(own.as_bytes()))
+    OWN.iter()
+        .any(|own| name.eq_ignore_ascii_case(own.as_bytes()))
 }
 
 fn has_token(value: &[u8], token: &[u8]) -> bool {
-    value.split(|b| *b == b',').any(|part| part.trim_ascii().eq_ignore_ascii_case(token))
+    value
+        .split(|b| *b == b',')
+        .any(|part| part.trim_ascii().eq_ignore_ascii_case(token))
 }
 
 #[derive(Clone, Debug)]
@@ -140,9 +149,14 @@
     let mut space = [httparse::EMPTY_HEADER; MOST_FIELDS];
     let mut head = httparse::Request::new(&mut space[..limits.fields.min(MOST_FIELDS)]);
     let status = head.parse(input);
-    let Some(length) = length_of(status, input.len(), limits)? else { return Ok(None) };
+    let Some(length) = length_of(status, input.len(), limits)? else {
+        return Ok(None);
+    };
     let minor = head.version.ok_or(Refused::BadHead)?;
-    let (method, target) = (head.method.ok_or(Refused::BadHead)?, head.path.ok_or(Refused::BadHead)?);
+    let (method, target) = (
+        head.method.ok_or(Refused::BadHead)?,
+        head.path.ok_or(Refused::BadHead)?,
+    );
     let (method, target) = (method.to_owned(), target.to_owned());
     let spans = spans(head.headers, input);
     let fields = fields(spans, input, length)?;
@@ -155,9 +169,18 @@
         (true, None) => Framing::Chunked,
         (false, length) => Framing::Length(length.unwrap_or(0)),
     };
-    let expects_continue = fields.get("expect").is_some_and(|v| has_token(v, b"100-continue"));
+    let expects_continue = fields
+        .get("expect")
+        .is_some_and(|v| has_token(v, b"100-continue"));
     let keep_alive = keep_alive(&fields, minor);
-    Ok(Some(RequestHead { method, target, fields, framing, keep_alive, expects_continue }))
+    Ok(Some(RequestHead {
+        method,
+        target,
+        fields,
+        framing,
+        keep_alive,
+        expects_continue,
+    }))
 }
 
 /// Takes a response's head off the front of `input`; heads of status 1xx are skipped.
@@ -173,8 +196,13 @@
         let mut space = [httparse::EMPTY_HEADER; MOST_FIELDS];
         let mut head = httparse::Response::new(&mut space[..limits.fields.min(MOST_FIELDS)]);
         let status = head.parse(input);
-        let Some(length) = length_of(status, input.len(), limits)? else { return Ok(None) };
-        let (status, minor) = (head.code.ok_or(Refused::BadHead)?, head.version.ok_or(Refused::BadHead)?);
+        let Some(length) = length_of(status, input.len(), limits)? else {
+            return Ok(None);
+        };
+        let (status, minor) = (
+            head.code.ok_or(Refused::BadHead)?,
+            head.version.ok_or(Refused::BadHead)?,
+        );
         let spans = spans(head.headers, input);
         let fields = fields(spans, input, length)?;
         if status / 100 == 1 && status != 101 {
@@ -188,7 +216,12 @@
             (false, None) => Framing::UntilClose,
         };
         let keep_alive = keep_alive(&fields, minor) && framing != Framing::UntilClose;
-        return Ok(Some(ResponseHead { status, fields, framing, keep_alive }));
+        return Ok(Some(ResponseHead {
+            status,
+            fields,
+            framing,
+            keep_alive,
+        }));
     }
 }
 
@@ -217,10 +250,17 @@
         true => (0, 0),
         false => (part.as_ptr() as usize - base, part.len()),
     };
-    headers.iter().map(|h| (span(h.name.as_bytes()), span(h.value))).collect()
+    headers
+        .iter()
+        .map(|h| (span(h.name.as_bytes()), span(h.value)))
+        .collect()
 }
 
-fn fields(places: Vec<(Span, Span)>, input: &mut BytesMut, length: usize) -> Result<Fields, Refused> {
+fn fields(
+    places: Vec<(Span, Span)>,
+    input: &mut BytesMut,
+    length: usize,
+) -> Result<Fields, Refused> {
     let raw = input.split_to(length).freeze();
     let bare = |at: usize| at == 0 || raw[at - 1] != b'\r';
     if memchr::memchr_iter(b'\n', &raw).any(bare) {
@@ -242,15 +282,24 @@
     let mut lengths = fields.all("content-length");
     match (lengths.next(), lengths.next()) {
         (None, _) => Ok(None),
-        (Some(one), None) if !one.is_empty() && one.len() < 19 && one.iter().all(u8::is_ascii_digit) => {
-            Ok(Some(one.iter().fold(0, |sum, digit| sum * 10 + u64::from(digit - b'0'))))
+        (Some(one), None)
+            if !one.is_empty() && one.len() < 19 && one.iter().all(u8::is_ascii_digit) =>
+        {
+            Ok(Some(
+                one.iter()
+                    .fold(0, |sum, digit| sum * 10 + u64::from(digit - b'0')),
+            ))
         }
         _ => Err(Refused::Lengths),
     }
 }
 
 fn keep_alive(fields: &Fields, minor: u8) -> bool {
-    let says = |token: &[u8]| fields.all("connection").any(|value| has_token(value, token));
+    let says = |token: &[u8]| {
+        fields
+            .all("connection")
+            .any(|value| has_token(value, token))
+    };
     !says(b"close") && (minor == 1 || says(b"keep-alive"))
 }
 
@@ -266,7 +315,8 @@
         out.extend_from_slice(part);
     }
     fields.for_each(|(name, value)| write_field(out, name, value));
-    let bare = framing == Framing::Length(0) && matches!(method, "GET" | "HEAD" | "DELETE" | "OPTIONS");
+    let bare =
+        framing == Framing::Length(0) && matches!(method, "GET" | "HEAD" | "DELETE" | "OPTIONS");
     if !bare {
         write_framing(out, framing);
     }
@@ -282,7 +332,13 @@
     keep_alive: bool,
 ) {
     let mut digits = itoa::Buffer::new();
-    for part in ["HTTP/1.1 ", digits.format(status), " ", reason(status), "\r\n"] {
+    for part in [
+        "HTTP/1.1 ",
+        digits.format(status),
+        " ",
+        reason(status),
+        "\r\n",
+    ] {
         out.extend_from_slice(part.as_bytes());
     }
     fields.for_each(|(name, value)| write_field(out, name, value));
@@ -303,9 +359,11 @@
 
 fn write_framing(out: &mut BytesMut, framing: Framing) {
     match framing {
-        Framing::Length(length) => {
-            write_field(out, b"content-length", itoa::Buffer::new().format(length).as_bytes())
-        }
+        Framing::Length(length) => write_field(
+            out,
+            b"content-length",
+            itoa::Buffer::new().format(length).as_bytes(),
+        ),
         Framing::Chunked => write_field(out, b"transfer-encoding", b"chunked"),
         Framing::UntilClose => {}
     }
--- a/crates/net/src/message.rs
+++ b/crates/net/src/message.rs
@@ -71,11 +71,19 @@
     ///
     /// # Errors
     /// What is refused; the connection is of no further use, but for a body that is too large (see `give_up`).
-    pub fn take(&mut self, input: &mut BytesMut, closed: bool) -> Result<Option<(H, BytesMut)>, Refused> {
+    pub fn take(
+        &mut self,
+        input: &mut BytesMut,
+        closed: bool,
+    ) -> Result<Option<(H, BytesMut)>, Refused> {
         let mut open = match self.open.take() {
             Some(open) => *open,
             None => match H::read(input)? {
-                Some(head) => Open { reader: BodyReader::new(head.framing()), head, body: BytesMut::new() },
+                Some(head) => Open {
+                    reader: BodyReader::new(head.framing()),
+                    head,
+                    body: BytesMut::new(),
+                },
                 None if closed && !input.is_empty() => return Err(Refused::Early),
                 None => return Ok(None),
             },
--- a/crates/net/src/sockets.rs
+++ b/crates/net/src/sockets.rs
@@ -75,7 +75,10 @@
 }
 
 enum Socket {
-    Listener { listener: TcpListener, waiting: bool },
+    Listener {
+        listener: TcpListener,
+        waiting: bool,
+    },
     Link(Box<Link>),
     Datagrams(UdpSocket),
 }
@@ -156,7 +159,9 @@
     /// A signal that can't be watched.
     pub fn watch_signals(&mut self, signals: &[i32]) -> io::Result<()> {
         let mut watched = Signals::new(signals)?;
-        self.poll.registry().register(&mut watched, SIGNALS, Interest::READABLE)?;
+        self.poll
+            .registry()
+            .register(&mut watched, SIGNALS, Interest::READABLE)?;
         self.signals = Some(watched);
         Ok(())
     }
@@ -166,7 +171,10 @@
     pub fn listen(&mut self, at: SocketAddr) -> io::Result<(SocketId, SocketAddr)> {
         let listener = TcpListener::bind(at)?;
         let address = listener.local_addr()?;
-        let id = self.insert(Socket::Listener { listener, waiting: false })?;
+        let id = self.insert(Socket::Listener {
+            listener,
+            waiting: false,
+        })?;
         Ok((id, address))
     }
 
@@ -183,14 +191,24 @@
 
     /// Sends one datagram, or loses it: whoever speaks by datagrams bears that.
     pub fn send_datagram(&mut self, id: SocketId, to: SocketAddr, bytes: &[u8]) {
-        let slot = self.slots.get(id.0 as u32 as usize).filter(|slot| u64::from(slot.mark) == id.0 >> 32);
-        if let Some(Slot { socket: Socket::Datagrams(socket), .. }) = slot {
+        let slot = self
+            .slots
+            .get(id.0 as u32 as usize)
+            .filter(|slot| u64::from(slot.mark) == id.0 >> 32);
+        if let Some(Slot {
+            socket: Socket::Datagrams(socket),
+            ..
+        }) = slot
+        {
             let _ = socket.send_to(bytes, to);
         }
     }
 
     fn read_datagrams(&mut self, id: SocketId) {
-        let Some(Slot { socket: Socket::Datagrams(socket), .. }) = self.slots.get(id.0 as u32 as usize)
+        let Some(Slot {
+            socket: Socket::Datagrams(socket),
+            ..
+        }) = self.slots.get(id.0 as u32 as usize)
         else {
             return;
         };
@@ -198,7 +216,11 @@
             match socket.recv_from(&mut self.scratch) {
                 Ok((length, from)) => {
                     let bytes = self.scratch[..length].to_vec();
-                    self.told.push_back(Happening::Datagram { socket: id, from, bytes });
+                    self.told.push_back(Happening::Datagram {
+                        socket: id,
+                        from,
+                        bytes,
+                    });
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // What the system tells of an earlier datagram's fate is no matter of this one's.
@@ -225,15 +247,24 @@
 
     fn insert(&mut self, socket: Socket) -> io::Result<SocketId> {
         self.mark = self.mark.wrapping_add(1) & 0x7fff_ffff;
-        let index = self.slots.insert(Slot { mark: self.mark, socket });
+        let index = self.slots.insert(Slot {
+            mark: self.mark,
+            socket,
+        });
         let id = SocketId(u64::from(self.mark) << 32 | index as u64);
         let token = Token(id.0 as usize);
         let registry = self.poll.registry();
         let done = match &mut self.slots[index].socket {
-            Socket::Listener { listener, .. } => registry.register(listener, token, Interest::READABLE),
+            Socket::Listener { listener, .. } => {
+                registry.register(listener, token, Interest::READABLE)
+            }
             Socket::Link(link) => {
                 let _ = link.stream.set_nodelay(true);
-                registry.register(&mut link.stream, token, Interest::READABLE | Interest::WRITABLE)
+                registry.register(
+                    &mut link.stream,
+                    token,
+                    Interest::READABLE | Interest::WRITABLE,
+                )
             }
             Socket::Datagrams(socket) => registry.register(socket, token, Interest::READABLE),
         };
@@ -245,8 +276,10 @@
     }
 
     fn link(&mut self, id: SocketId) -> Option<&mut Link> {
-        let slot =
-            self.slots.get_mut(id.0 as u32 as usize).filter(|slot| u64::from(slot.mark) == id.0 >> 32)?;
+        let slot = self
+            .slots
+            .get_mut(id.0 as u32 as usize)
+            .filter(|slot| u64::from(slot.mark) == id.0 >> 32)?;
         match &mut slot.socket {
             Socket::Link(link) => Some(link),
             Socket::Listener { .. } | Socket::Datagrams(_) => None,
@@ -255,7 +288,9 @@
 
     /// What has come in and was not taken yet.
     pub fn input(&mut self, id: SocketId) -> Option<&mut BytesMut> {
-        self.link(id).filter(|link| link.finishing.is_none()).map(|link| &mut link.input)
+        self.link(id)
+            .filter(|link| link.finishing.is_none())
+            .map(|link| &mut link.input)
     }
 
     /// Whether the peer has closed its side.
@@ -265,7 +300,8 @@
 
     /// Whether the peer has closed its side or the connection is gone, though input may be left to read before it.
     pub fn hung_up(&mut self, id: SocketId) -> bool {
-        self.link(id).is_none_or(|link| link.ended || link.closed || link.lost.is_some())
+        self.link(id)
+            .is_none_or(|link| link.ended || link.closed || link.lost.is_some())
     }
 
     /// Whether nothing has come in: no byte, and no end. Asks the system, which may know more than was told.
@@ -279,7 +315,8 @@
 
     /// Whether bytes lie with the system that were not read yet.
     pub fn has_unread(&mut self, id: SocketId) -> bool {
-        self.link(id).is_some_and(|link| matches!(link.stream.peek(&mut [0]), Ok(1..)))
+        self.link(id)
+            .is_some_and(|link| matches!(link.stream.peek(&mut [0]), Ok(1..)))
     }
 
     /// Whether connections that were finished still send their last bytes or hear their peers out.
@@ -291,8 +328,17 @@
     /// whether it is closed: without room for one more connection it stays open, as one may wait.
     pub fn stop_listening(&mut self, id: SocketId) -> bool {
         loop {
-            let slot = self.slots.get(id.0 as u32 as usize).filter(|slot| u64::from(slot.mark) == id.0 >> 32);
-            if !matches!(slot, Some(Slot { socket: Socket::Listener { .. }, .. })) {
+            let slot = self
+                .slots
+                .get(id.0 as u32 as usize)
+                .filter(|slot| u64::from(slot.mark) == id.0 >> 32);
+            if !matches!(
+                slot,
+                Some(Slot {
+                    socket: Socket::Listener { .. },
+                    ..
+                })
+            ) {
                 return true;
             }
             let before = self.accepted;
@@ -334,7 +380,9 @@
     /// Queues bytes and sends what the system takes now.
     pub fn send(&mut self, id: SocketId, bytes: &[u8]) {
         let open = |link: &&mut Link| link.finishing.is_none() && link.lost.is_none();
-        let Some(link) = self.link(id).filter(open) else { return };
+        let Some(link) = self.link(id).filter(open) else {
+            return;
+        };
         // Straight to the system while nothing waits before it; what that does not take is kept.
         let mut rest = bytes;
         if !link.connecting && link.output.is_empty() {
@@ -349,7 +397,10 @@
 
     /// Goes on reading after input was taken.
     pub fn read_on(&mut self, id: SocketId) {
-        if self.link(id).is_some_and(|link| link.more && link.input.len() < MOST_INPUT) {
+        if self
+            .link(id)
+            .is_some_and(|link| link.more && link.input.len() < MOST_INPUT)
+        {
             self.fill(id);
         }
     }
@@ -378,7 +429,9 @@
     /// Closes once all is sent; nothing more is told of it. The peer is heard out first, or the system would
     /// answer its last bytes with a reset that destroys ours on the way.
     pub fn finish(&mut self, id: SocketId) {
-        let Some(link) = self.link(id).filter(|link| link.finishing.is_none()) else { return };
+        let Some(link) = self.link(id).filter(|link| link.finishing.is_none()) else {
+            return;
+        };
         if link.lost.is_some() {
             return self.close(id);
         }
@@ -417,7 +470,9 @@
     /// A connection is gone. What it brought before is told first: a whole answer may stand before a reset, and be
     /// with the system still when a write fails.
     fn lose(&mut self, id: SocketId, why: ErrorKind) {
-        let Some(link) = self.link(id).filter(|link| link.lost.is_none()) else { return };
+        let Some(link) = self.link(id).filter(|link| link.lost.is_none()) else {
+            return;
+        };
         if link.finishing.is_some() {
             return self.close(id);
         }
@@ -442,7 +497,11 @@
             }
             let (written, why) = (link.written, link.lost.unwrap_or(ErrorKind::Other));
             self.close(id);
-            self.told.push_back(Happening::Lost { socket: id, written, why });
+            self.told.push_back(Happening::Lost {
+                socket: id,
+                written,
+                why,
+            });
         }
     }
 
@@ -451,15 +510,23 @@
     /// # Errors
     /// The poll itself failed.
     pub fn wait(&mut self, most: Option<Duration>) -> io::Result<Vec<Happening>> {
-        let soon = self.accept_at.map(|at| at.saturating_duration_since(Instant::now()));
+        let soon = self
+            .accept_at
+            .map(|at| at.saturating_duration_since(Instant::now()));
         self.tell_lost();
         let at_once = !self.told.is_empty() || !self.unread.is_empty() || !self.lost[0].is_empty();
         let most = if at_once { Some(Duration::ZERO) } else { most };
-        let most = [most, soon, self.end_lingering()].into_iter().flatten().min();
+        let most = [most, soon, self.end_lingering()]
+            .into_iter()
+            .flatten()
+            .min();
         let mut polled = self.poll.poll(&mut self.events, most);
         // Interrupted, as a process is that stood still and goes on (signal(7)), it tells nothing of what has come
         // meanwhile, which is to be known before what is due.
-        if polled.as_ref().is_err_and(|e| e.kind() == ErrorKind::Interrupted) {
+        if polled
+            .as_ref()
+            .is_err_and(|e| e.kind() == ErrorKind::Interrupted)
+        {
             polled = self.poll.poll(&mut self.events, Some(Duration::ZERO));
         }
         match polled {
@@ -482,20 +549,36 @@
         }
         let unread = std::mem::take(&mut self.unread);
         unread.into_iter().for_each(|id| self.read_datagrams(id));
-        let seen = |e: &Event| (e.token(), e.is_readable(), e.is_writable(), e.is_read_closed());
+        let seen = |e: &Event| {
+            (
+                e.token(),
+                e.is_readable(),
+                e.is_writable(),
+                e.is_read_closed(),
+            )
+        };
         let ready: Vec<_> = self.events.iter().map(seen).collect();
         for (token, readable, writable, closed) in ready {
             if token == SIGNALS {
-                let pending = self.signals.as_mut().map(|s| s.pending().collect::<Vec<_>>());
-                self.told.extend(pending.into_iter().flatten().map(Happening::Signal));
+                let pending = self
+                    .signals
+                    .as_mut()
+                    .map(|s| s.pending().collect::<Vec<_>>());
+                self.told
+                    .extend(pending.into_iter().flatten().map(Happening::Signal));
                 continue;
             }
             let id = SocketId(token.0 as u64);
-            let hangs_up =
-                self.link(id).is_some_and(|link| closed && !std::mem::replace(&mut link.closed, true));
+            let hangs_up = self
+                .link(id)
+                .is_some_and(|link| closed && !std::mem::replace(&mut link.closed, true));
             self.stir(id, readable, writable);
             // Behind a full buffer the end can't be read, and is told all the same.
-            if hangs_up && self.link(id).is_some_and(|link| link.more && link.finishing.is_none()) {
+            if hangs_up
+                && self
+                    .link(id)
+                    .is_some_and(|link| link.more && link.finishing.is_none())
+            {
                 self.told.push_back(Happening::Readable(id));
             }
         }
@@ -520,7 +603,9 @@
     }
 
     fn stir(&mut self, id: SocketId, readable: bool, writable: bool) {
-        let Some(slot) = self.slots.get(id.0 as u32 as usize) else { return };
+        let Some(slot) = self.slots.get(id.0 as u32 as usize) else {
+            return;
+        };
         if u64::from(slot.mark) != id.0 >> 32 {
             return;
         }
@@ -532,7 +617,9 @@
             Socket::Datagrams(_) => return self.read_datagrams(id),
             Socket::Link(_) => {}
         }
-        let Some(link) = self.link(id).filter(|link| link.lost.is_none()) else { return };
+        let Some(link) = self.link(id).filter(|link| link.lost.is_none()) else {
+            return;
+        };
         if link.connecting {
             if let Ok(Some(error)) | Err(error) = link.stream.take_error() {
                 return self.lose(id, error.kind());
@@ -610,8 +697,12 @@
     fn accept(&mut self, id: SocketId) -> Waits {
         for turn in 0..=ACCEPT_BATCH {
             let open = self.slots.len();
-            let Some(slot) = self.slots.get_mut(id.0 as u32 as usize) else { return Waits::Nothing };
-            let Socket::Listener { listener, waiting } = &mut slot.socket else { return Waits::Nothing };
+            let Some(slot) = self.slots.get_mut(id.0 as u32 as usize) else {
+                return Waits::Nothing;
+            };
+            let Socket::Listener { listener, waiting } = &mut slot.socket else {
+                return Waits::Nothing;
+            };
             if turn == ACCEPT_BATCH {
                 // The rest waits for the next round: others have their turn first.
                 *waiting = true;
@@ -625,18 +716,29 @@
             }
             match listener.accept() {
                 Ok((stream, from)) => {
-                    let link = Link { accepted: true, ..Link::new(stream, false) };
+                    let link = Link {
+                        accepted: true,
+                        ..Link::new(stream, false)
+                    };
                     match self.insert(Socket::Link(Box::new(link))) {
                         Ok(socket) => {
                             self.accepted += 1;
-                            self.told.push_back(Happening::Accepted { listener: id, socket, from });
+                            self.told.push_back(Happening::Accepted {
+                                listener: id,
+                                socket,
+                                from,
+                            });
                         }
                         // Its peer sees it closed unanswered: better that the others wait.
                         Err(e) => return self.pause(id, e.kind()),
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Waits::Nothing,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(e) => return self.pause(id, e.kind()),
             }
         }
@@ -645,13 +747,16 @@
 
     /// Edge-triggered: nobody tells again of what waits, so it is tried again after a while.
     fn pause(&mut self, id: SocketId, why: ErrorKind) -> Waits {
-        if let Some(Slot { socket: Socket::Listener { waiting, .. }, .. }) =
-            self.slots.get_mut(id.0 as u32 as usize)
+        if let Some(Slot {
+            socket: Socket::Listener { waiting, .. },
+            ..
+        }) = self.slots.get_mut(id.0 as u32 as usize)
         {
             *waiting = true;
         }
         self.accept_at = Some(Instant::now() + ACCEPT_AGAIN);
-        self.told.push_back(Happening::Pressed { listener: id, why });
+        self.told
+            .push_back(Happening::Pressed { listener: id, why });
         Waits::ForRoom
     }
 }
@@ -660,9 +765,14 @@
 pub fn granted() -> (usize, usize) {
     let of = |what| {
         let limit = rustix::process::getrlimit(what).current;
-        limit.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX))
+        limit.map_or(usize::MAX, |most| {
+            usize::try_from(most).unwrap_or(usize::MAX)
+        })
     };
-    (of(rustix::process::Resource::Nofile), of(rustix::process::Resource::As))
+    (
+        of(rustix::process::Resource::Nofile),
+        of(rustix::process::Resource::As),
+    )
 }
 
 /// Whether what failed is for want of something of this process or its machine, and says nothing of the peer.
--- a/crates/net/src/sockets/tests.rs
+++ b/crates/net/src/sockets/tests.rs
@@ -13,7 +13,10 @@
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let id = sockets.connect(listener.local_addr().unwrap()).unwrap();
     let (peer, _) = listener.accept().unwrap();
-    until(sockets, |what| matches!(what, Happening::Connected(at) if *at == id));
+    until(
+        sockets,
+        |what| matches!(what, Happening::Connected(at) if *at == id),
+    );
     (id, peer)
 }
 
@@ -127,11 +130,18 @@
 fn nobody_is_left_at_a_listener_that_closes() {
     let mut sockets = Sockets::new().unwrap();
     let (listener, at) = sockets.listen("127.0.0.1:0".parse().unwrap()).unwrap();
-    let came: Vec<Stream> = (0..ACCEPT_BATCH + 36).map(|_| Stream::connect(at).unwrap()).collect();
+    let came: Vec<Stream> = (0..ACCEPT_BATCH + 36)
+        .map(|_| Stream::connect(at).unwrap())
+        .collect();
     assert!(sockets.stop_listening(listener));
     let accepted = |what: &Happening| matches!(what, Happening::Accepted { .. });
     assert_eq!(
-        sockets.wait(Some(PATIENCE)).unwrap().iter().filter(|what| accepted(what)).count(),
+        sockets
+            .wait(Some(PATIENCE))
+            .unwrap()
+            .iter()
+            .filter(|what| accepted(what))
+            .count(),
         came.len()
     );
     assert!(Stream::connect(at).is_err());
@@ -149,11 +159,22 @@
         Happening::Accepted { socket, .. } => Some(*socket),
         _ => None,
     };
-    let first: Vec<SocketId> = sockets.wait(Some(PATIENCE)).unwrap().iter().filter_map(accepted).collect();
+    let first: Vec<SocketId> = sockets
+        .wait(Some(PATIENCE))
+        .unwrap()
+        .iter()
+        .filter_map(accepted)
+        .collect();
     assert_eq!(first.len(), 2);
     first.into_iter().for_each(|id| sockets.close(id));
     assert!(sockets.stop_listening(listener));
-    assert!(sockets.wait(Some(PATIENCE)).unwrap().iter().filter_map(accepted).next().is_some());
+    assert!(sockets
+        .wait(Some(PATIENCE))
+        .unwrap()
+        .iter()
+        .filter_map(accepted)
+        .next()
+        .is_some());
 }
 
 /// A peer that sends without end does not hold a connection that closes.
--- a/crates/net/src/wheel.rs
+++ b/crates/net/src/wheel.rs
@@ -37,7 +37,14 @@
 impl<T> Default for Wheel<T> {
     fn default() -> Self {
         let slots = (0..LEVELS * SLOTS as usize).map(|_| Vec::new()).collect();
-        Self { entries: Slab::new(), slots, full: [0; LEVELS], tick: 0, mark: 0, due: Vec::new() }
+        Self {
+            entries: Slab::new(),
+            slots,
+            full: [0; LEVELS],
+            tick: 0,
+            mark: 0,
+            due: Vec::new(),
+        }
     }
 }
 
@@ -52,14 +59,22 @@
         let tick = ticks(at + Duration::from_nanos(999_999)).max(self.tick + 1);
         self.mark += 1;
         let mark = self.mark;
-        let index = self.entries.insert(Entry { tick, mark, place: (0, 0), at: 0, what });
+        let index = self.entries.insert(Entry {
+            tick,
+            mark,
+            place: (0, 0),
+            at: 0,
+            what,
+        });
         self.place(index);
         TimerKey { index, mark }
     }
 
     /// Takes a timer back; tells what it was, if it had not fired.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
-        self.entries.get(key.index).filter(|entry| entry.mark == key.mark)?;
+        self.entries
+            .get(key.index)
+            .filter(|entry| entry.mark == key.mark)?;
         self.unlink(key.index);
         Some(self.entries.remove(key.index).what)
     }
@@ -82,12 +97,17 @@
 
     /// The first tick after the present one at which a slot that holds timers begins.
     fn next_tick(&self) -> Option<u64> {
-        let ticks = self.full.iter().enumerate().filter(|(_, full)| **full != 0).map(|(level, full)| {
-            let width = SLOTS.pow(level as u32);
-            let turn = self.tick / width + 1;
-            let ahead = full.rotate_right((turn % SLOTS) as u32).trailing_zeros();
-            (turn + u64::from(ahead)) * width
-        });
+        let ticks = self
+            .full
+            .iter()
+            .enumerate()
+            .filter(|(_, full)| **full != 0)
+            .map(|(level, full)| {
+                let width = SLOTS.pow(level as u32);
+                let turn = self.tick / width + 1;
+                let ahead = full.rotate_right((turn % SLOTS) as u32).trailing_zeros();
+                (turn + u64::from(ahead)) * width
+            });
         ticks.min()
     }
 
@@ -146,7 +166,9 @@
             return self.make_due(index);
         }
         let ahead = tick - self.tick;
-        let level = (0..LEVELS).find(|l| ahead < SLOTS.pow(*l as u32 + 1)).unwrap_or(LEVELS - 1);
+        let level = (0..LEVELS)
+            .find(|l| ahead < SLOTS.pow(*l as u32 + 1))
+            .unwrap_or(LEVELS - 1);
         let width = SLOTS.pow(level as u32);
         let number = self.slot_number(level, (tick / width).min(self.tick / width + SLOTS - 1));
         let entry = &mut self.entries[index];
@@ -157,7 +179,11 @@
 
     fn unlink(&mut self, index: usize) {
         let ((level, number), at) = (self.entries[index].place, self.entries[index].at);
-        let list = if level == LEVELS { &mut self.due } else { &mut self.slots[number] };
+        let list = if level == LEVELS {
+            &mut self.due
+        } else {
+            &mut self.slots[number]
+        };
         list.swap_remove(at);
         if let Some(moved) = list.get(at).copied() {
             self.entries[moved].at = at;
--- a/crates/net/tests/codec.rs
+++ b/crates/net/tests/codec.rs
@@ -15,8 +15,14 @@
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n",
     Refused::Lengths
 )]
-#[case::length_list("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n", Refused::Lengths)]
-#[case::signed_length("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n", Refused::Lengths)]
+#[case::length_list(
+    "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n",
+    Refused::Lengths
+)]
+#[case::signed_length(
+    "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n",
+    Refused::Lengths
+)]
 #[case::length_and_chunks(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
     Refused::Lengths
@@ -29,12 +35,18 @@
     "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
     Refused::Coding
 )]
-#[case::hidden_coding("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", Refused::Coding)]
+#[case::hidden_coding(
+    "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n",
+    Refused::Coding
+)]
 #[case::two_codings(
     "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
     Refused::Coding
 )]
-#[case::space_before_colon("POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 1\r\n\r\n", Refused::BadHead)]
+#[case::space_before_colon(
+    "POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 1\r\n\r\n",
+    Refused::BadHead
+)]
 #[case::folded_line("GET / HTTP/1.1\r\nHost: a\r\nX: 1\r\n 2\r\n\r\n", Refused::BadHead)]
 #[case::bare_line_feed("GET / HTTP/1.1\nHost: a\r\n\r\n", Refused::BareLineFeed)]
 #[case::no_host("GET / HTTP/1.1\r\n\r\n", Refused::Host)]
@@ -42,7 +54,10 @@
 #[case::no_http("\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", Refused::BadHead)]
 fn what_two_readers_could_take_in_two_ways_is_refused(#[case] text: &str, #[case] want: Refused) {
     let mut input = BytesMut::from(text);
-    assert_eq!(request(&mut input, HeadLimits::default()).unwrap_err(), want);
+    assert_eq!(
+        request(&mut input, HeadLimits::default()).unwrap_err(),
+        want
+    );
 }
 
 #[rstest]
@@ -51,15 +66,25 @@
 #[case::many_fields(format!("GET / HTTP/1.1\r\nHost: a\r\n{}\r\n", "X: 1\r\n".repeat(100)))]
 fn an_oversized_head_is_refused_with_431(#[case] text: String) {
     let mut input = BytesMut::from(&text[..]);
-    assert_eq!(request(&mut input, HeadLimits::default()).unwrap_err().status(), 431);
+    assert_eq!(
+        request(&mut input, HeadLimits::default())
+            .unwrap_err()
+            .status(),
+        431
+    );
 }
 
 #[test]
 fn fields_of_one_connection_are_not_passed_on() {
     let text = "GET / HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\nTE: trailers\r\nX-Far: 2\r\n\r\n";
-    let head = request(&mut BytesMut::from(text), HeadLimits::default()).unwrap().unwrap();
-    let names: Vec<_> =
-        head.fields.passed_on().map(|(n, _)| String::from_utf8_lossy(n).into_owned()).collect();
+    let head = request(&mut BytesMut::from(text), HeadLimits::default())
+        .unwrap()
+        .unwrap();
+    let names: Vec<_> = head
+        .fields
+        .passed_on()
+        .map(|(n, _)| String::from_utf8_lossy(n).into_owned())
+        .collect();
     assert_eq!(names, ["Host", "X-Far"]);
 }
 
@@ -82,7 +107,10 @@
         }
         Ok(())
     });
-    assert_eq!(got.map(|()| String::from_utf8(body).unwrap()), want.map(str::to_owned));
+    assert_eq!(
+        got.map(|()| String::from_utf8(body).unwrap()),
+        want.map(str::to_owned)
+    );
     assert_eq!(reader.ended(), want.is_ok());
 }
 
@@ -96,11 +124,17 @@
         assert_eq!(&body[..], b"hi");
         targets.push(head.target);
     }
-    assert_eq!((targets, &input[..]), (vec!["/a".to_owned(), "/c".to_owned()], &b"GET /b"[..]));
+    assert_eq!(
+        (targets, &input[..]),
+        (vec!["/a".to_owned(), "/c".to_owned()], &b"GET /b"[..])
+    );
 }
 
 #[rstest]
-#[case::too_large("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nhello world", Err(Refused::BodyTooLarge))]
+#[case::too_large(
+    "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nhello world",
+    Err(Refused::BodyTooLarge)
+)]
 #[case::half("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", Err(Refused::Early))]
 #[case::half_a_head("HTTP/1.1 200 OK\r\nConte", Err(Refused::Early))]
 #[case::until_the_end("HTTP/1.1 200 OK\r\n\r\nhello", Ok("hello"))]
@@ -117,6 +151,8 @@
 #[test]
 fn an_answer_to_head_has_no_body_whatever_its_length_says() {
     let text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
-    let head = response(&mut BytesMut::from(text), true, HeadLimits::default()).unwrap().unwrap();
+    let head = response(&mut BytesMut::from(text), true, HeadLimits::default())
+        .unwrap()
+        .unwrap();
     assert!(BodyReader::new(head.framing).ended());
 }
--- a/crates/net/tests/wheel.rs
+++ b/crates/net/tests/wheel.rs
@@ -10,7 +10,9 @@
 
 /// A row of numbers that looks like chance.
 fn drawn(state: &mut u64) -> u64 {
-    *state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+    *state = state
+        .wrapping_mul(6364136223846793005)
+        .wrapping_add(1442695040888963407);
     *state >> 33
 }
 
@@ -37,14 +39,20 @@
             while let Some(n) = wheel.take(ms(now)) {
                 fired.push(n);
             }
-            let mut due: Vec<u64> = left.iter().filter(|(at, _)| *at <= now).map(|(_, n)| *n).collect();
+            let mut due: Vec<u64> = left
+                .iter()
+                .filter(|(at, _)| *at <= now)
+                .map(|(_, n)| *n)
+                .collect();
             left.retain(|(at, _)| *at > now);
             fired.sort_unstable();
             due.sort_unstable();
             assert_eq!(fired, due, "at {now}");
         }
         let soonest = left.iter().map(|(at, _)| *at).min();
-        assert!(wheel.next().is_none_or(|next| soonest.is_some_and(|at| next <= ms(at.max(now + 1)))));
+        assert!(wheel
+            .next()
+            .is_none_or(|next| soonest.is_some_and(|at| next <= ms(at.max(now + 1)))));
     }
     assert_eq!(wheel.len(), left.len());
 }
@@ -68,6 +76,9 @@
     assert_eq!(wheel.take(year), None);
     wheel.arm(year + ms(2), 2);
     let began = std::time::Instant::now();
-    assert_eq!((wheel.take(year + ms(2)), wheel.take(year + ms(9))), (Some(2), Some(1)));
+    assert_eq!(
+        (wheel.take(year + ms(2)), wheel.take(year + ms(9))),
+        (Some(2), Some(1))
+    );
     assert!(began.elapsed() < Duration::from_millis(50));
 }
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -44,7 +44,11 @@
 
 impl<T> Default for Gossip<T> {
     fn default() -> Self {
-        Self { order: BTreeSet::new(), claims: BTreeMap::new(), next: 0 }
+        Self {
+            order: BTreeSet::new(),
+            claims: BTreeMap::new(),
+            next: 0,
+        }
     }
 }
 
@@ -73,9 +77,14 @@
     pub fn take(&mut self, room: usize, times: u32, first: Option<&Name>) -> Vec<T> {
         let mut left = room;
         let mut chosen: Vec<Name> = Vec::new();
-        let ahead = first.filter(|name| self.claims.contains_key(*name)).cloned();
-        let rest =
-            self.order.iter().map(|(.., name)| name.clone()).filter(|name| ahead.as_ref() != Some(name));
+        let ahead = first
+            .filter(|name| self.claims.contains_key(*name))
+            .cloned();
+        let rest = self
+            .order
+            .iter()
+            .map(|(.., name)| name.clone())
+            .filter(|name| ahead.as_ref() != Some(name));
         for name in ahead.clone().into_iter().chain(rest) {
             let size = self.claims[&name].2.size();
             if size > left {
@@ -84,7 +93,10 @@
             left -= size;
             chosen.push(name);
         }
-        chosen.into_iter().filter_map(|name| self.ride(name, times)).collect()
+        chosen
+            .into_iter()
+            .filter_map(|name| self.ride(name, times))
+            .collect()
     }
 
     fn ride(&mut self, name: Name, times: u32) -> Option<T> {
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -193,8 +193,16 @@
     pub fn put_up(&mut self, now: Duration, bytes: Vec<u8>) -> bool {
         let fits = bytes.len() <= MOST_POSTER;
         if fits {
-            let no = self.posters.get(&self.me.name).map_or(0, |(old, _)| old.no.wrapping_add(1));
-            let poster = Poster { name: self.me.name.clone(), start: self.me.start, no, bytes };
+            let no = self
+                .posters
+                .get(&self.me.name)
+                .map_or(0, |(old, _)| old.no.wrapping_add(1));
+            let poster = Poster {
+                name: self.me.name.clone(),
+                start: self.me.start,
+                no,
+                bytes,
+            };
             self.posting.put(poster.clone());
             self.posters.insert(self.me.name.clone(), (poster, now));
         }
@@ -205,14 +213,21 @@
     pub fn put_up_by(&self, name: &Name) -> Option<(&[u8], Duration)> {
         let (poster, at) = self.posters.get(name)?;
         let here = |member: &&Member| member.is_here() && member.claim.start == poster.start;
-        self.roll.get(name).filter(here).map(|_| (poster.bytes.as_slice(), *at))
+        self.roll
+            .get(name)
+            .filter(here)
+            .map(|_| (poster.bytes.as_slice(), *at))
     }
 
     /// Only of members that are here: so there are no more of them.
     fn read_poster(&mut self, now: Duration, poster: Poster) {
         let here = |member: &&Member| member.is_here() && member.claim.start == poster.start;
-        let known = poster.name != self.me.name && self.roll.get(&poster.name).filter(here).is_some();
-        let old = self.posters.get(&poster.name).map(|(old, _)| (old.start, old.no));
+        let known =
+            poster.name != self.me.name && self.roll.get(&poster.name).filter(here).is_some();
+        let old = self
+            .posters
+            .get(&poster.name)
+            .map(|(old, _)| (old.start, old.no));
         if known && poster.bytes.len() <= MOST_POSTER && old < Some((poster.start, poster.no)) {
             self.posting.put(poster.clone());
             self.posters.insert(poster.name.clone(), (poster, now));
@@ -222,7 +237,9 @@
     /// Sends another something, whatever it is held to be: who is cut off here may be reached there. False if it is not
     /// known, or too long. It does not count against the budget of claims: whoever stands above bounds it.
     pub fn post_parcel(&mut self, now: Duration, to: &Name, bytes: Vec<u8>) -> bool {
-        let Some(at) = self.roll.get(to).map(|member| member.claim.at) else { return false };
+        let Some(at) = self.roll.get(to).map(|member| member.claim.at) else {
+            return false;
+        };
         let fits = bytes.len() <= MOST_PARCEL;
         if fits {
             let budget = self.budget;
@@ -270,11 +287,22 @@
 
     /// When `tick` is to be called at the latest.
     pub fn next(&self) -> Duration {
-        let probe = self.probe.as_ref().map(|p| if p.asked == 0 { p.stead_at } else { p.until });
+        let probe = self
+            .probe
+            .as_ref()
+            .map(|p| if p.asked == 0 { p.stead_at } else { p.until });
         let suspects = self.roll.suspects().map(|m| m.since + self.suspicion(m));
         let steads = self.steads.values().map(|stead| stead.until);
-        let own = [probe.unwrap_or(self.next_probe), self.next_reach, self.next_exchange];
-        own.into_iter().chain(suspects).chain(steads).min().unwrap_or(self.next_probe)
+        let own = [
+            probe.unwrap_or(self.next_probe),
+            self.next_reach,
+            self.next_exchange,
+        ];
+        own.into_iter()
+            .chain(suspects)
+            .chain(steads)
+            .min()
+            .unwrap_or(self.next_probe)
     }
 
     fn today_ms(&self, now: Duration) -> u64 {
@@ -291,8 +319,14 @@
         let least = SUSPICION * members.max(10.0).log10();
         let needed = ACCUSERS.min(members - 2.0);
         let others = suspect.accusers.len().saturating_sub(1) as f64;
-        let part = if needed < 1.0 { 1.0 } else { ((others + 1.0).ln() / (needed + 1.0).ln()).min(1.0) };
-        self.terms.period.mul_f64(least * (LONGEST - (LONGEST - 1.0) * part))
+        let part = if needed < 1.0 {
+            1.0
+        } else {
+            ((others + 1.0).ln() / (needed + 1.0).ln()).min(1.0)
+        };
+        self.terms
+            .period
+            .mul_f64(least * (LONGEST - (LONGEST - 1.0) * part))
     }
 
     /// Does what is due.
@@ -324,30 +358,55 @@
             self.exchange(now);
             self.roll.forget(now);
             let (roll, me) = (&self.roll, &self.me.name);
-            self.posters.retain(|name, _| name == me || roll.get(name).is_some_and(Member::is_here));
+            self.posters
+                .retain(|name, _| name == me || roll.get(name).is_some_and(Member::is_here));
         }
     }
 
     /// Nothing is due any more.
     fn park(&mut self, now: Duration) {
         let later = now + Duration::from_secs(3600);
-        (self.next_probe, self.next_reach, self.next_exchange, self.probe) = (later, later, later, None);
+        (
+            self.next_probe,
+            self.next_reach,
+            self.next_exchange,
+            self.probe,
+        ) = (later, later, later, None);
         self.steads.clear();
         let suspects: Vec<Claim> = self.suspects();
         for claim in suspects {
             let me = self.me.name.clone();
-            self.roll.take(Claim { standing: Standing::Dead, ..claim }, &me, now);
+            self.roll.take(
+                Claim {
+                    standing: Standing::Dead,
+                    ..claim
+                },
+                &me,
+                now,
+            );
         }
     }
 
     fn suspects(&self) -> Vec<Claim> {
-        self.roll.suspects().map(|member| member.claim.clone()).collect()
+        self.roll
+            .suspects()
+            .map(|member| member.claim.clone())
+            .collect()
     }
 
     fn steads_over(&mut self, now: Duration) {
         let over = |stead: &Stead| now >= stead.until;
-        let late: Vec<u32> = self.steads.iter().filter(|(_, s)| over(s)).map(|(no, _)| *no).collect();
-        for stead in late.into_iter().filter_map(|no| self.steads.remove(&no)).collect::<Vec<_>>() {
+        let late: Vec<u32> = self
+            .steads
+            .iter()
+            .filter(|(_, s)| over(s))
+            .map(|(no, _)| *no)
+            .collect();
+        for stead in late
+            .into_iter()
+            .filter_map(|no| self.steads.remove(&no))
+            .collect::<Vec<_>>()
+        {
             self.send(now, stead.asker, Kind::Silent { no: stead.no }, None);
         }
     }
@@ -355,12 +414,31 @@
     fn begin_probe(&mut self, now: Duration) {
         let longer = self.terms.period * (1 + self.slow);
         self.next_probe = now + longer;
-        let Some(whom) = self.next_in_ring() else { return };
-        let Some(at) = self.roll.get(&whom).map(|member| member.claim.at) else { return };
+        let Some(whom) = self.next_in_ring() else {
+            return;
+        };
+        let Some(at) = self.roll.get(&whom).map(|member| member.claim.at) else {
+            return;
+        };
         let no = self.number();
-        self.send(now, at, Kind::Probe { no, whom: whom.clone() }, Some(&whom));
+        self.send(
+            now,
+            at,
+            Kind::Probe {
+                no,
+                whom: whom.clone(),
+            },
+            Some(&whom),
+        );
         let (stead_at, until) = (now + longer / 2, now + longer);
-        self.probe = Some(Probe { no, whom, stead_at, until, asked: 0, silent: 0 });
+        self.probe = Some(Probe {
+            no,
+            whom,
+            stead_at,
+            until,
+            asked: 0,
+            silent: 0,
+        });
         if self.gossip.len() + self.posting.len() > 0 {
             for at in self.some(TOLD, None) {
                 self.send(now, at, Kind::Tell, None);
@@ -376,7 +454,10 @@
                     return Some(name);
                 }
             }
-            let mut ring: Vec<Name> = self.here().map(|member| member.claim.name.clone()).collect();
+            let mut ring: Vec<Name> = self
+                .here()
+                .map(|member| member.claim.name.clone())
+                .collect();
             if ring.is_empty() {
                 return None;
             }
@@ -411,16 +492,33 @@
             // Of those that were asked to say at least that it is silent, some said nothing: it may be us.
             self.slow = (self.slow + missed).min(SLOWEST);
             self.probe = None;
-            if let Some(member) = self.roll.get(&whom).filter(|m| m.claim.standing == Standing::Alive) {
-                let claim = Claim { standing: Standing::Suspect, ..member.claim.clone() };
+            if let Some(member) = self
+                .roll
+                .get(&whom)
+                .filter(|m| m.claim.standing == Standing::Alive)
+            {
+                let claim = Claim {
+                    standing: Standing::Suspect,
+                    ..member.claim.clone()
+                };
                 let at = claim.at;
                 self.believe(now, claim, &self.me.name.clone());
                 // It hears of it first, and its answer clears it.
                 let no = self.number();
-                self.send(now, at, Kind::Probe { no, whom: whom.clone() }, Some(&whom));
+                self.send(
+                    now,
+                    at,
+                    Kind::Probe {
+                        no,
+                        whom: whom.clone(),
+                    },
+                    Some(&whom),
+                );
             }
         } else if now >= probe.stead_at && probe.asked == 0 {
-            let Some(at) = self.roll.get(&whom).map(|member| member.claim.at) else { return };
+            let Some(at) = self.roll.get(&whom).map(|member| member.claim.at) else {
+                return;
+            };
             let steads = self.some(STEADS, Some(&whom));
             if let Some(probe) = &mut self.probe {
                 // With nobody to ask, the rest of the time is the member's own.
@@ -428,16 +526,37 @@
                 probe.stead_at = probe.until;
             }
             for stead in steads {
-                self.send(now, stead, Kind::Ask { no, whom: whom.clone(), at }, None);
+                self.send(
+                    now,
+                    stead,
+                    Kind::Ask {
+                        no,
+                        whom: whom.clone(),
+                        at,
+                    },
+                    None,
+                );
             }
         }
     }
 
     fn suspects_over(&mut self, now: Duration) {
         let over = |member: &&Member| now >= member.since + self.suspicion(member);
-        let dead: Vec<Claim> = self.roll.suspects().filter(over).map(|m| m.claim.clone()).collect();
+        let dead: Vec<Claim> = self
+            .roll
+            .suspects()
+            .filter(over)
+            .map(|m| m.claim.clone())
+            .collect();
         for claim in dead {
-            self.believe(now, Claim { standing: Standing::Dead, ..claim }, &self.me.name.clone());
+            self.believe(
+                now,
+                Claim {
+                    standing: Standing::Dead,
+                    ..claim
+                },
+                &self.me.name.clone(),
+            );
         }
     }
 
@@ -445,10 +564,17 @@
     fn reach(&mut self, now: Duration) {
         let alone = self.here().next().is_none();
         let periods = if alone { 1 } else { REACHES_EVERY };
-        self.next_reach = now + (self.terms.period * periods).mul_f64(0.5 + share(&mut self.chance));
-        let here = |at: &SocketAddr| *at == self.me.at || self.here().any(|member| member.claim.at == *at);
-        let dead = self.roll.iter().filter(|member| member.claim.standing == Standing::Dead);
-        let away = dead.map(|member| member.claim.at).chain(self.terms.join.iter().copied());
+        self.next_reach =
+            now + (self.terms.period * periods).mul_f64(0.5 + share(&mut self.chance));
+        let here =
+            |at: &SocketAddr| *at == self.me.at || self.here().any(|member| member.claim.at == *at);
+        let dead = self
+            .roll
+            .iter()
+            .filter(|member| member.claim.standing == Standing::Dead);
+        let away = dead
+            .map(|member| member.claim.at)
+            .chain(self.terms.join.iter().copied());
         let away: Vec<SocketAddr> = away.filter(|at| !here(at)).collect();
         if !away.is_empty() {
             let one = self.chance.generate_range(0..away.len());
@@ -463,7 +589,11 @@
 
     /// Tells one member a drawn part of the roll: what gossip lost is mended in time.
     fn exchange(&mut self, now: Duration) {
-        let mut claims: Vec<Claim> = self.roll.iter().map(|member| member.claim.clone()).collect();
+        let mut claims: Vec<Claim> = self
+            .roll
+            .iter()
+            .map(|member| member.claim.clone())
+            .collect();
         self.chance.shuffle(&mut claims);
         claims.truncate(EXCHANGED);
         for to in self.some(1, None) {
@@ -475,43 +605,73 @@
 
     /// All members, in as many datagrams as it takes, while the budget lasts.
     fn tell_all(&mut self, now: Duration, to: SocketAddr, back: bool) {
-        let mut claims: Vec<Claim> = self.roll.iter().map(|member| member.claim.clone()).collect();
+        let mut claims: Vec<Claim> = self
+            .roll
+            .iter()
+            .map(|member| member.claim.clone())
+            .collect();
         self.chance.shuffle(&mut claims);
         let mut first = true;
         while (first || !claims.is_empty()) && self.may_send(now) {
             let (mut some, mut left) = (Vec::new(), Seal::room() - size(&self.me) - 8);
-            let own = if first { self.posters_of(std::slice::from_ref(&self.me), left) } else { Vec::new() };
+            let own = if first {
+                self.posters_of(std::slice::from_ref(&self.me), left)
+            } else {
+                Vec::new()
+            };
             left -= own.iter().map(Rides::size).sum::<usize>();
             let with = |claim: &Claim| size(claim) + self.poster_size(&claim.name);
             while let Some(claim) = claims.pop_if(|claim| with(claim) <= left) {
                 left -= with(&claim);
                 some.push(claim);
             }
-            let posters = self.posters_of(&some, Seal::room()).into_iter().chain(own).collect();
-            self.post(now, to, Kind::Roll { back: back && first }, some, posters);
+            let posters = self
+                .posters_of(&some, Seal::room())
+                .into_iter()
+                .chain(own)
+                .collect();
+            self.post(
+                now,
+                to,
+                Kind::Roll {
+                    back: back && first,
+                },
+                some,
+                posters,
+            );
             first = false;
         }
     }
 
     fn poster_size(&self, name: &Name) -> usize {
-        self.posters.get(name).map_or(0, |(poster, _)| poster.size())
+        self.posters
+            .get(name)
+            .map_or(0, |(poster, _)| poster.size())
     }
 
     /// What those of the claims have put up, as far as it fits.
     fn posters_of(&self, claims: &[Claim], mut left: usize) -> Vec<Poster> {
-        let held = claims.iter().filter_map(|claim| self.posters.get(&claim.name));
+        let held = claims
+            .iter()
+            .filter_map(|claim| self.posters.get(&claim.name));
         let fits = |poster: &&Poster| {
             let fits = poster.size() <= left;
             left -= if fits { poster.size() } else { 0 };
             fits
         };
-        held.map(|(poster, _)| poster).filter(fits).cloned().collect()
+        held.map(|(poster, _)| poster)
+            .filter(fits)
+            .cloned()
+            .collect()
     }
 
     fn may_send(&mut self, now: Duration) -> bool {
         let (left, at) = self.budget;
         let rate = f64::from(self.terms.bytes_per_s);
-        self.budget = ((left + rate * now.saturating_sub(at).as_secs_f64()).min(rate), now);
+        self.budget = (
+            (left + rate * now.saturating_sub(at).as_secs_f64()).min(rate),
+            now,
+        );
         self.budget.0 > 0.0
     }
 
@@ -532,12 +692,26 @@
         self.post(now, to, kind, claims, posters);
     }
 
-    fn post(&mut self, now: Duration, to: SocketAddr, kind: Kind, claims: Vec<Claim>, posters: Vec<Poster>) {
+    fn post(
+        &mut self,
+        now: Duration,
+        to: SocketAddr,
+        kind: Kind,
+        claims: Vec<Claim>,
+        posters: Vec<Poster>,
+    ) {
         if self.quiet || self.out.len() >= MOST_WAITING {
             return;
         }
-        let frame = Frame { from: self.me.clone(), kind, claims, posters };
-        let Some(datagram) = self.seal.close(&frame, self.today_ms(now)) else { return };
+        let frame = Frame {
+            from: self.me.clone(),
+            kind,
+            claims,
+            posters,
+        };
+        let Some(datagram) = self.seal.close(&frame, self.today_ms(now)) else {
+            return;
+        };
         self.budget.0 -= datagram.len() as f64;
         self.sent += datagram.len() as u64;
         self.out.push_back((to, datagram));
@@ -548,7 +722,10 @@
     /// # Errors
     /// Why it is not heard.
     pub fn hear(&mut self, now: Duration, datagram: &[u8]) -> Result<(), Refused> {
-        let heard = self.seal.open(datagram, self.today_ms(now)).and_then(|frame| self.is_others(frame, now));
+        let heard = self
+            .seal
+            .open(datagram, self.today_ms(now))
+            .and_then(|frame| self.is_others(frame, now));
         match heard {
             Ok(frame) => {
                 self.take_frame(now, frame);
@@ -582,7 +759,12 @@
         if self.quiet {
             return;
         }
-        let Frame { from, kind, claims, posters } = frame;
+        let Frame {
+            from,
+            kind,
+            claims,
+            posters,
+        } = frame;
         let (name, at) = (from.name.clone(), from.at);
         // Of itself a member says that it is here or leaves; nothing else.
         if matches!(from.standing, Standing::Alive | Standing::Left) {
@@ -594,14 +776,26 @@
                 self.refute(now, claim);
             } else if all && claim.standing == Standing::Dead && self.is_here(&claim) {
                 // Whoever was cut off holds many dead that are not: they get the time to clear themselves.
-                self.believe(now, Claim { standing: Standing::Suspect, ..claim }, &name);
+                self.believe(
+                    now,
+                    Claim {
+                        standing: Standing::Suspect,
+                        ..claim
+                    },
+                    &name,
+                );
             } else {
                 self.believe(now, claim, &name);
             }
         }
-        posters.into_iter().for_each(|poster| self.read_poster(now, poster));
+        posters
+            .into_iter()
+            .for_each(|poster| self.read_poster(now, poster));
         // One that is not held to be alive is told so, to clear itself.
-        let doubted = self.roll.get(&name).filter(|member| member.claim.standing != Standing::Alive);
+        let doubted = self
+            .roll
+            .get(&name)
+            .filter(|member| member.claim.standing != Standing::Alive);
         let doubted = doubted.map(|member| member.claim.clone());
         let first = doubted.as_ref().map(|claim| claim.name.clone());
         doubted.into_iter().for_each(|claim| self.gossip.put(claim));
@@ -610,10 +804,21 @@
                 self.send(now, at, Kind::Answer { no }, first.as_ref());
             }
             Kind::Answer { no } => self.answered(now, no, &name),
-            Kind::Ask { no, whom, at: there } if self.steads.len() < MOST_STEADS => {
+            Kind::Ask {
+                no,
+                whom,
+                at: there,
+            } if self.steads.len() < MOST_STEADS => {
                 let own = self.number();
                 let until = now + self.terms.period.mul_f64(0.4);
-                self.steads.insert(own, Stead { no, asker: at, until });
+                self.steads.insert(
+                    own,
+                    Stead {
+                        no,
+                        asker: at,
+                        until,
+                    },
+                );
                 self.send(now, there, Kind::Probe { no: own, whom }, None);
             }
             Kind::Silent { no } => {
@@ -633,14 +838,19 @@
 
     fn is_here(&self, claim: &Claim) -> bool {
         let same = |member: &&Member| member.claim.start == claim.start;
-        self.roll.get(&claim.name).filter(same).is_some_and(Member::is_here)
+        self.roll
+            .get(&claim.name)
+            .filter(same)
+            .is_some_and(Member::is_here)
     }
 
     fn answered(&mut self, now: Duration, no: u32, from: &Name) {
         if let Some(stead) = self.steads.remove(&no) {
             self.send(now, stead.asker, Kind::Answer { no: stead.no }, None);
         }
-        let Some(probe) = self.probe.take_if(|probe| probe.no == no) else { return };
+        let Some(probe) = self.probe.take_if(|probe| probe.no == no) else {
+            return;
+        };
         if probe.whom == *from || probe.asked > 0 {
             self.slow = self.slow.saturating_sub(1);
         } else {
@@ -675,7 +885,9 @@
                 let here = before.is_some_and(|before| before <= Standing::Suspect);
                 let name = claim.name.clone();
                 match claim.standing {
-                    Standing::Alive if before != Some(Standing::Alive) => self.news.push_back(News::Up(name)),
+                    Standing::Alive if before != Some(Standing::Alive) => {
+                        self.news.push_back(News::Up(name))
+                    }
                     Standing::Suspect => self.news.push_back(News::Suspected(name)),
                     Standing::Dead if here => self.news.push_back(News::Down(name)),
                     Standing::Left if here => self.news.push_back(News::Left(name)),
--- a/crates/peers/src/roll.rs
+++ b/crates/peers/src/roll.rs
@@ -68,7 +68,11 @@
             if self.members.len() >= MOST_MEMBERS {
                 return Effect::Full;
             }
-            let member = Member { since: now, accusers: accusers(&claim, from), claim };
+            let member = Member {
+                since: now,
+                accusers: accusers(&claim, from),
+                claim,
+            };
             self.members.insert(member.claim.name.clone(), member);
             return Effect::Changed { before: None };
         };
@@ -77,13 +81,21 @@
             if new {
                 held.accusers.push(from.clone());
             }
-            return if new { Effect::Accused } else { Effect::Nothing };
+            return if new {
+                Effect::Accused
+            } else {
+                Effect::Nothing
+            };
         }
         if claim.rank() < held.claim.rank() {
             return Effect::Nothing;
         }
         let before = Some(held.claim.standing).filter(|_| held.claim.start == claim.start);
-        *held = Member { since: now, accusers: accusers(&claim, from), claim };
+        *held = Member {
+            since: now,
+            accusers: accusers(&claim, from),
+            claim,
+        };
         Effect::Changed { before }
     }
 
@@ -105,12 +117,15 @@
     }
 
     pub fn suspects(&self) -> impl Iterator<Item = &Member> {
-        self.suspects.iter().filter_map(|name| self.members.get(name))
+        self.suspects
+            .iter()
+            .filter_map(|name| self.members.get(name))
     }
 
     /// Forgets those that have been dead or gone for long.
     pub fn forget(&mut self, now: Duration) {
-        self.members.retain(|_, member| member.is_here() || now < member.since + DEAD_KEPT);
+        self.members
+            .retain(|_, member| member.is_here() || now < member.since + DEAD_KEPT);
     }
 
     /// Later than they are: this process itself stood still, and nobody could clear themselves meanwhile.
--- a/crates/peers/src/seal.rs
+++ b/crates/peers/src/seal.rs
@@ -76,7 +76,11 @@
 impl Seal {
     /// The first key seals; all open.
     pub fn new(keys: Vec<Key>) -> Self {
-        Self { keys, count: 0, heard: BTreeMap::new() }
+        Self {
+            keys,
+            count: 0,
+            heard: BTreeMap::new(),
+        }
     }
 
     pub fn change(&mut self, keys: Vec<Key>) {
@@ -110,16 +114,22 @@
         if datagram[0] != VERSION {
             return Err(Refused::Version);
         }
-        let key = self.keys.iter().find(|key| key.id == datagram[1]).ok_or(Refused::UnknownKey)?;
-        let fits = tag(key, &datagram[2 + TAG..]).is_some_and(|seal| same(&seal, &datagram[2..2 + TAG]));
+        let key = self
+            .keys
+            .iter()
+            .find(|key| key.id == datagram[1])
+            .ok_or(Refused::UnknownKey)?;
+        let fits =
+            tag(key, &datagram[2 + TAG..]).is_some_and(|seal| same(&seal, &datagram[2..2 + TAG]));
         fits.then_some(()).ok_or(Refused::Forged)?;
-        let number = |at: usize| u64::from_le_bytes(datagram[at..at + 8].try_into().unwrap_or_default());
+        let number =
+            |at: usize| u64::from_le_bytes(datagram[at..at + 8].try_into().unwrap_or_default());
         let (count, sent) = (number(2 + TAG), number(2 + TAG + 8));
         if sent.abs_diff(today_ms) > MOST_AGE_MS {
             return Err(Refused::Stale);
         }
-        let (frame, rest) =
-            postcard::take_from_bytes::<Frame>(&datagram[HEAD..]).map_err(|_| Refused::Unreadable)?;
+        let (frame, rest) = postcard::take_from_bytes::<Frame>(&datagram[HEAD..])
+            .map_err(|_| Refused::Unreadable)?;
         rest.is_empty().then_some(()).ok_or(Refused::Unreadable)?;
         self.fresh(&frame, count, sent)?;
         Ok(frame)
@@ -128,22 +138,39 @@
     fn fresh(&mut self, frame: &Frame, count: u64, sent_ms: u64) -> Result<(), Refused> {
         let (name, start) = (&frame.from.name, frame.from.start);
         if !self.heard.contains_key(name) && self.heard.len() >= MOST_SENDERS {
-            let oldest =
-                self.heard.iter().min_by_key(|(_, heard)| heard.sent_ms).map(|(name, _)| name.clone());
+            let oldest = self
+                .heard
+                .iter()
+                .min_by_key(|(_, heard)| heard.sent_ms)
+                .map(|(name, _)| name.clone());
             if let Some(name) = oldest {
                 self.heard.remove(&name);
             }
         }
-        let heard = self.heard.entry(name.clone()).or_insert(Heard { start, highest: 0, came: 0, sent_ms });
+        let heard = self.heard.entry(name.clone()).or_insert(Heard {
+            start,
+            highest: 0,
+            came: 0,
+            sent_ms,
+        });
         if start < heard.start {
             return Err(Refused::EarlierStart);
         }
         if start > heard.start {
-            *heard = Heard { start, highest: 0, came: 0, sent_ms };
+            *heard = Heard {
+                start,
+                highest: 0,
+                came: 0,
+                sent_ms,
+            };
         }
         if count > heard.highest {
             let ahead = count - heard.highest;
-            heard.came = if ahead < WINDOW { heard.came << ahead | 1 } else { 1 };
+            heard.came = if ahead < WINDOW {
+                heard.came << ahead | 1
+            } else {
+                1
+            };
             (heard.highest, heard.sent_ms) = (count, sent_ms);
             return Ok(());
         }
--- a/crates/peers/src/words.rs
+++ b/crates/peers/src/words.rs
@@ -33,7 +33,9 @@
     fn try_from(name: String) -> Result<Self, String> {
         match name.len() {
             1..=LONGEST_NAME => Ok(Self(name)),
-            length => Err(format!("a member's name of {length} bytes, expected 1 to {LONGEST_NAME}")),
+            length => Err(format!(
+                "a member's name of {length} bytes, expected 1 to {LONGEST_NAME}"
+            )),
         }
     }
 }
@@ -81,7 +83,12 @@
 impl Claim {
     /// Which of two claims of one name overrides the other.
     pub fn rank(&self) -> (u64, bool, u32, Standing) {
-        (self.start, self.standing == Standing::Left, self.incarnation, self.standing)
+        (
+            self.start,
+            self.standing == Standing::Left,
+            self.incarnation,
+            self.standing,
+        )
     }
 }
 
--- a/crates/peers/tests/words.rs
+++ b/crates/peers/tests/words.rs
@@ -17,7 +17,10 @@
 }
 
 fn key(id: u8) -> Key {
-    Key { id, secret: vec![id; 32] }
+    Key {
+        id,
+        secret: vec![id; 32],
+    }
 }
 
 fn terms(number: u16, start: u64, keys: Vec<Key>) -> Terms {
@@ -61,7 +64,8 @@
 }
 
 fn knows(a: &Peers, b: &Peers) -> bool {
-    a.here().any(|member| member.claim.name == b.me().name && member.claim.standing == Standing::Alive)
+    a.here()
+        .any(|member| member.claim.name == b.me().name && member.claim.standing == Standing::Alive)
 }
 
 fn joined() -> (Peers, Peers) {
@@ -115,7 +119,14 @@
     if let Some((_, bytes)) = recorded {
         assert_eq!(a.hear(s(8.1), &bytes), Err(Refused::EarlierStart));
     }
-    assert_eq!(a.all().find(|m| m.claim.name == new.me().name).unwrap().claim.start, START + 7000);
+    assert_eq!(
+        a.all()
+            .find(|m| m.claim.name == new.me().name)
+            .unwrap()
+            .claim
+            .start,
+        START + 7000
+    );
 }
 
 /// Keys are changed in turn: first all know the new one, then all seal with it, then the old one goes.
@@ -132,10 +143,19 @@
     for (step, [of_a, of_b]) in steps.into_iter().enumerate() {
         a.change_keys(of_a).unwrap();
         b.change_keys(of_b).unwrap();
-        speak(&mut a, &mut b, 5.0 + 20.0 * step as f64, 25.0 + 20.0 * step as f64);
+        speak(
+            &mut a,
+            &mut b,
+            5.0 + 20.0 * step as f64,
+            25.0 + 20.0 * step as f64,
+        );
         assert!(knows(&a, &b) && knows(&b, &a), "after step {step}");
     }
-    let refused = a.refused().values().chain(b.refused().values()).sum::<u64>();
+    let refused = a
+        .refused()
+        .values()
+        .chain(b.refused().values())
+        .sum::<u64>();
     assert_eq!(refused, 0);
     // With a key that the other does not know nobody is heard.
     b.change_keys(vec![key(3)]).unwrap();
@@ -149,7 +169,10 @@
 #[case::same(vec![key(1), key(1)], Trouble::SameKey(1))]
 #[case::three(vec![key(1), key(2), key(3)], Trouble::ManyKeys)]
 fn keys_that_cannot_be_used_are_told(#[case] keys: Vec<Key>, #[case] why: Trouble) {
-    assert_eq!(Peers::new(Duration::ZERO, terms(0, START, keys)).err(), Some(why));
+    assert_eq!(
+        Peers::new(Duration::ZERO, terms(0, START, keys)).err(),
+        Some(why)
+    );
 }
 
 proptest! {
--- a/crates/pg/src/frames.rs
+++ b/crates/pg/src/frames.rs
@@ -53,13 +53,17 @@
             Some(open) => open,
             None => {
                 // A kind that has no place here is told at its first byte.
-                let Some(kind) = input.first().copied() else { return Ok(None) };
+                let Some(kind) = input.first().copied() else {
+                    return Ok(None);
+                };
                 let most = most(kind).ok_or(Refused::Unexpected)?;
                 if input.len() < HEAD {
                     return Ok(None);
                 }
                 let told = i32::from_be_bytes([input[1], input[2], input[3], input[4]]);
-                let length = usize::try_from(told).ok().and_then(|told| told.checked_sub(4));
+                let length = usize::try_from(told)
+                    .ok()
+                    .and_then(|told| told.checked_sub(4));
                 let length = length.ok_or(Refused::Length)?;
                 if length > most {
                     return Err(Refused::Unexpected);
@@ -70,7 +74,10 @@
         };
         if self.held.is_empty() && input.len() >= length {
             self.open = None;
-            return Ok(Some(Frame { kind, body: input.split_to(length).freeze() }));
+            return Ok(Some(Frame {
+                kind,
+                body: input.split_to(length).freeze(),
+            }));
         }
         let missing = length - self.held.len();
         let part = input.split_to(input.len().min(missing));
@@ -80,7 +87,10 @@
             return Ok(None);
         }
         self.open = None;
-        Ok(Some(Frame { kind, body: std::mem::take(&mut self.held).freeze() }))
+        Ok(Some(Frame {
+            kind,
+            body: std::mem::take(&mut self.held).freeze(),
+        }))
     }
 }
 
--- a/crates/pg/src/read.rs
+++ b/crates/pg/src/read.rs
@@ -23,7 +23,9 @@
 /// # Errors
 /// Its length, its version, or names and values that can't be read.
 pub fn startup(input: &mut BytesMut) -> Result<Option<Startup>, Refused> {
-    let Some(told) = u32_at(input, 0) else { return Ok(None) };
+    let Some(told) = u32_at(input, 0) else {
+        return Ok(None);
+    };
     let length = told as usize;
     if !(8..=LONGEST_STARTUP).contains(&length) {
         return Err(Refused::Length);
@@ -49,7 +51,9 @@
 fn session(names: &[u8]) -> Result<(), Refused> {
     let parts: Vec<&[u8]> = names.split(|b| *b == 0).collect();
     match parts.split_last_chunk::<2>() {
-        Some((pairs, [[], []])) if pairs.len() % 2 == 0 && pairs.iter().step_by(2).all(|n| !n.is_empty()) => {
+        Some((pairs, [[], []]))
+            if pairs.len() % 2 == 0 && pairs.iter().step_by(2).all(|n| !n.is_empty()) =>
+        {
             Ok(())
         }
         _ => Err(Refused::Content),
@@ -57,7 +61,11 @@
 }
 
 fn u32_at(bytes: &[u8], at: usize) -> Option<u32> {
-    bytes.get(at..at + 4)?.try_into().ok().map(u32::from_be_bytes)
+    bytes
+        .get(at..at + 4)?
+        .try_into()
+        .ok()
+        .map(u32::from_be_bytes)
 }
 
 /// A text ended by the message's last byte, a zero, and without any other.
@@ -98,7 +106,10 @@
 
 /// The code of an error (SQLSTATE).
 pub fn code(body: &[u8]) -> Option<&str> {
-    let code = fields(body)?.into_iter().find(|(letter, _)| *letter == b'C')?.1;
+    let code = fields(body)?
+        .into_iter()
+        .find(|(letter, _)| *letter == b'C')?
+        .1;
     (code.len() == 5 && code.bytes().all(|b| b.is_ascii_alphanumeric())).then_some(code)
 }
 
--- a/crates/pg/src/write.rs
+++ b/crates/pg/src/write.rs
@@ -44,7 +44,9 @@
 /// All that a client is told when its session begins.
 pub fn welcome(out: &mut BytesMut, parameters: &[(&str, &str)]) {
     frame(out, b'R', |out| out.put_u32(0));
-    parameters.iter().for_each(|(name, value)| parameter(out, name, value));
+    parameters
+        .iter()
+        .for_each(|(name, value)| parameter(out, name, value));
     frame(out, b'K', |out| out.put_u64(0));
     ready(out);
 }
@@ -93,9 +95,17 @@
 
 /// An error: its severity, code and message, and more where there is more to say.
 pub fn error(out: &mut BytesMut, severity: &str, code: &str, message: &str, detail: Option<&str>) {
-    let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message)];
+    let fields = [
+        (b'S', severity),
+        (b'V', severity),
+        (b'C', code),
+        (b'M', message),
+    ];
     frame(out, b'E', |out| {
-        for (letter, text) in fields.into_iter().chain(detail.map(|detail| (b'D', detail))) {
+        for (letter, text) in fields
+            .into_iter()
+            .chain(detail.map(|detail| (b'D', detail)))
+        {
             out.put_u8(letter);
             put_text(out, text);
         }
--- a/crates/pg/tests/messages.rs
+++ b/crates/pg/tests/messages.rs
@@ -34,7 +34,9 @@
     assert_eq!(read::only_value(&found[1].body), Some(&b"\x00red"[..]));
     assert_eq!(read::text(&found[2].body), Some("SELECT 1"));
     assert_eq!(read::code(&found[3].body), Some("53300"));
-    assert!(read::fields(&found[3].body).unwrap().contains(&(b'D', "70")));
+    assert!(read::fields(&found[3].body)
+        .unwrap()
+        .contains(&(b'D', "70")));
     assert_eq!(waiting(&answer(), 10), 5);
     assert_eq!(waiting(&answer(), 2), 2);
 }
@@ -73,10 +75,17 @@
 #[case::large(b'D', MOST as i32 + 5, Refused::Unexpected)]
 #[case::huge(b'D', i32::MAX, Refused::Unexpected)]
 #[case::kind(b'?', 4, Refused::Unexpected)]
-fn a_length_is_checked_before_a_byte_is_kept(#[case] kind: u8, #[case] told: i32, #[case] why: Refused) {
+fn a_length_is_checked_before_a_byte_is_kept(
+    #[case] kind: u8,
+    #[case] told: i32,
+    #[case] why: Refused,
+) {
     let mut input = BytesMut::from(&[kind][..]);
     input.put_i32(told);
-    assert_eq!(Frames::default().take(&mut input, |kind| (kind != b'?').then_some(MOST)), Err(why));
+    assert_eq!(
+        Frames::default().take(&mut input, |kind| (kind != b'?').then_some(MOST)),
+        Err(why)
+    );
 }
 
 #[rstest]
--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -83,7 +83,11 @@
 /// and is cut short by them.
 pub fn shutdown(longest: Duration) -> Spans {
     let killed = longest.min(LONGEST_COUNTED) + KILLED_AFTER;
-    Spans { found: STILL_FOUND, answered: killed - ANSWERED_BEFORE, ended: killed - ENDED_BEFORE }
+    Spans {
+        found: STILL_FOUND,
+        answered: killed - ANSWERED_BEFORE,
+        ended: killed - ENDED_BEFORE,
+    }
 }
 
 /// What becomes of a forward whose connection ended or said what can't be an answer.
@@ -141,7 +145,10 @@
 
 /// Clients wait to be let in: an eighth of those that ask nothing goes, first those that never did, then the oldest.
 pub fn make_room<T: Ord>(idle: Vec<(Idle, T)>, now: Duration) -> Vec<T> {
-    let mut idle: Vec<(Idle, T)> = idle.into_iter().filter(|(i, _)| now >= i.since + JUST_CAME).collect();
+    let mut idle: Vec<(Idle, T)> = idle
+        .into_iter()
+        .filter(|(i, _)| now >= i.since + JUST_CAME)
+        .collect();
     idle.sort_unstable();
     let some = idle.len().div_ceil(8);
     idle.into_iter().take(some).map(|(_, id)| id).collect()
--- a/crates/platform/src/bounds/tests.rs
+++ b/crates/platform/src/bounds/tests.rs
@@ -25,16 +25,34 @@
 #[case::too_often(false, true, 3, Next::Unreached)]
 #[case::no_welcome(true, true, 0, Next::Unreached)]
 #[case::instead_of_an_answer(false, false, 0, Next::Broken)]
-fn what_noise_proves(#[case] opening: bool, #[case] unwritten: bool, #[case] broken: u8, #[case] want: Next) {
+fn what_noise_proves(
+    #[case] opening: bool,
+    #[case] unwritten: bool,
+    #[case] broken: u8,
+    #[case] want: Next,
+) {
     assert_eq!(after_noise(opening, unwritten, broken), want);
 }
 
 #[test]
 fn those_that_never_asked_make_room_first() {
     let now = Duration::from_secs(10);
-    let idle = |served, ms| Idle { served, since: now - Duration::from_millis(ms) };
-    let all = [(true, 9000), (false, 300), (false, 100), (true, 400), (false, 2000)];
-    let all: Vec<(Idle, usize)> = all.into_iter().map(|(s, ms)| idle(s, ms)).zip(0..).collect();
+    let idle = |served, ms| Idle {
+        served,
+        since: now - Duration::from_millis(ms),
+    };
+    let all = [
+        (true, 9000),
+        (false, 300),
+        (false, 100),
+        (true, 400),
+        (false, 2000),
+    ];
+    let all: Vec<(Idle, usize)> = all
+        .into_iter()
+        .map(|(s, ms)| idle(s, ms))
+        .zip(0..)
+        .collect();
     // Of nine that may go two do; one that has just come may not.
     assert_eq!(make_room(all.clone(), now), [4]);
     let more = all.iter().chain(&all).chain(&all).copied().collect();
@@ -47,8 +65,14 @@
 #[case::idle_a_moment(60, true, 1, false)]
 #[case::never_asked(60, false, 9, false)]
 fn who_overstays(#[case] clients: usize, #[case] served: bool, #[case] s: u64, #[case] want: bool) {
-    let idle = Idle { served, since: Duration::from_secs(100 - s) };
-    assert_eq!(overstays(&idle, clients, 100, Duration::from_secs(100)), want);
+    let idle = Idle {
+        served,
+        since: Duration::from_secs(100 - s),
+    };
+    assert_eq!(
+        overstays(&idle, clients, 100, Duration::from_secs(100)),
+        want
+    );
 }
 
 fn ms(ms: u64) -> Duration {
@@ -66,7 +90,10 @@
 #[test]
 fn a_configuration_is_read_again_in_time_and_not_for_ever() {
     let waits: Vec<Duration> = (0..100).map_while(read_again).collect();
-    assert!(waits.len() > 1 && waits.iter().sum::<Duration>() < ms(4000), "{waits:?}");
+    assert!(
+        waits.len() > 1 && waits.iter().sum::<Duration>() < ms(4000),
+        "{waits:?}"
+    );
 }
 
 /// The kill comes no sooner than the longest deadline, 3 s at most, and 0.7 s.
@@ -76,8 +103,14 @@
 #[case::long(44_000, 3700)]
 fn all_is_answered_before_the_kill(#[case] longest: u64, #[case] killed: u64) {
     let spans = shutdown(ms(longest));
-    assert!(ms(400) < spans.found && spans.found <= spans.answered, "{spans:?}");
-    assert!(spans.answered < spans.ended && spans.ended < ms(killed), "{spans:?}");
+    assert!(
+        ms(400) < spans.found && spans.found <= spans.answered,
+        "{spans:?}"
+    );
+    assert!(
+        spans.answered < spans.ended && spans.ended < ms(killed),
+        "{spans:?}"
+    );
 }
 
 #[rstest]
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -74,7 +74,10 @@
 /// # Errors
 /// The file can't be read or used, told in one line: what, where and what was expected.
 pub fn read(file: &Path) -> Result<Told, Unusable> {
-    let unusable = |what: String| Unusable { file: file.display().to_string(), what };
+    let unusable = |what: String| Unusable {
+        file: file.display().to_string(),
+        what,
+    };
     let text = std::fs::read(file).map_err(|e| unusable(e.to_string()))?;
     understand(&text).map_err(unusable)
 }
@@ -88,7 +91,8 @@
     let settings = told.settings.get().as_bytes();
     let mut hasher = DefaultHasher::new();
     settings.hash(&mut hasher);
-    let mut terms = limewing_wire::start_terms(seed, settings).map_err(|e| format!("settings: {e}"))?;
+    let mut terms =
+        limewing_wire::start_terms(seed, settings).map_err(|e| format!("settings: {e}"))?;
     // On sockets a list comes by no other way than a watch.
     terms.list_on_request = true;
     terms.list_lease = Some(bounds::LIST_LEASE);
@@ -96,9 +100,14 @@
     if sockets.groups.iter().any(String::is_empty) {
         return Err("settings: a class has no name".into());
     }
-    let memory = told.limits.memory_mb.filter(|mb| mb.is_finite() && *mb > 0.0);
-    let places =
-        Places { discovery: told.discovery, rollouts: told.rollouts.as_ref().map(|part| part.address) };
+    let memory = told
+        .limits
+        .memory_mb
+        .filter(|mb| mb.is_finite() && *mb > 0.0);
+    let places = Places {
+        discovery: told.discovery,
+        rollouts: told.rollouts.as_ref().map(|part| part.address),
+    };
     Ok(Told {
         name: told.name,
         listen: told.listen,
