--- a/crates/standins/tests/models.rs
+++ b/crates/standins/tests/models.rs
@@ -12,7 +12,10 @@
 /// When each hit with one mark begins, and whether it takes effect.
 fn effects(begins: &[u64]) -> Vec<bool> {
     let mut marks = Marks::default();
-    begins.iter().map(|at| marks.begin((0, 0, "order-1".into()), ms(3000), ms(*at))).collect()
+    begins
+        .iter()
+        .map(|at| marks.begin((0, 0, "order-1".into()), ms(3000), ms(*at)))
+        .collect()
 }
 
 #[rstest]
@@ -40,7 +43,12 @@
 }
 
 fn pod(cold: bool) -> PodModel<u8> {
-    let machine = Machine { cores: 1, waiting: 1, cold_from: 0.25, cold_for: ms(4000) };
+    let machine = Machine {
+        cores: 1,
+        waiting: 1,
+        cold_from: 0.25,
+        cold_for: ms(4000),
+    };
     PodModel::new(machine, ms(0), cold)
 }
 
@@ -59,10 +67,20 @@
 #[case::overdue(99, Next::Overdue(2))]
 fn a_hit_that_waited_begins_only_in_time(#[case] ended: u64, #[case] want: Next<u8>) {
     let mut pod = pod(false);
-    let until = if matches!(want, Next::Overdue(_)) { ms(ended) } else { ms(ended + 1) };
-    assert_eq!(pod.arrive(1, ms(ended), ms(9000), ms(0)), Arrival::Begun(1, ms(ended)));
+    let until = if matches!(want, Next::Overdue(_)) {
+        ms(ended)
+    } else {
+        ms(ended + 1)
+    };
+    assert_eq!(
+        pod.arrive(1, ms(ended), ms(9000), ms(0)),
+        Arrival::Begun(1, ms(ended))
+    );
     assert_eq!(pod.arrive(2, ms(50), until, ms(0)), Arrival::Waits);
-    assert_eq!(pod.arrive(3, ms(50), ms(9000), ms(0)), Arrival::TurnedAway(3));
+    assert_eq!(
+        pod.arrive(3, ms(50), ms(9000), ms(0)),
+        Arrival::TurnedAway(3)
+    );
     pod.finish();
     assert_eq!(pod.next(ms(ended)), Some(want));
 }
--- a/crates/turns/src/leads.rs
+++ b/crates/turns/src/leads.rs
@@ -60,19 +60,32 @@
 
     /// All pods of a machine serve, and are warm; false if it has none.
     fn is_warm(&self, machine: &str) -> bool {
-        let mut pods = self.pods.iter().filter(|pod| pod.machine == machine).peekable();
+        let mut pods = self
+            .pods
+            .iter()
+            .filter(|pod| pod.machine == machine)
+            .peekable();
         pods.peek().is_some() && pods.all(|pod| self.warm(pod))
     }
 
     /// What is to be settled of it, by one that has read the log up to a place.
     fn seen(&self, turns: &Turns, upto: u64, zones: &Zones, turned_away: f64) -> Seen {
-        let closed: BTreeSet<&str> = turns.closed().map(|(machine, _)| machine.name.as_str()).collect();
+        let closed: BTreeSet<&str> = turns
+            .closed()
+            .map(|(machine, _)| machine.name.as_str())
+            .collect();
         let listed: BTreeSet<&str> = self.pods.iter().map(|pod| pod.machine.as_str()).collect();
         let ways = turns.lists().values().flat_map(|list| &list.ways);
-        let away = ways.map(|way| &way.machine).filter(|machine| !listed.contains(machine.name.as_str()));
-        let away: BTreeMap<&str, f64> =
-            away.map(|machine| (machine.name.as_str(), machine.strength)).collect();
-        let ready = self.pods.iter().filter(|pod| self.warm(pod) && !closed.contains(pod.machine.as_str()));
+        let away = ways
+            .map(|way| &way.machine)
+            .filter(|machine| !listed.contains(machine.name.as_str()));
+        let away: BTreeMap<&str, f64> = away
+            .map(|machine| (machine.name.as_str(), machine.strength))
+            .collect();
+        let ready = self
+            .pods
+            .iter()
+            .filter(|pod| self.warm(pod) && !closed.contains(pod.machine.as_str()));
         Seen {
             upto,
             all: self.pods.iter().map(|pod| pod.strength).sum::<f64>() + away.values().sum::<f64>(),
@@ -98,7 +111,13 @@
 
 impl Leader {
     pub fn new(now: Duration, term: u64, lessor: Lessor) -> Self {
-        Self { term, lessor, next_seen: now, seen: false, put_up: 0 }
+        Self {
+            term,
+            lessor,
+            next_seen: now,
+            seen: false,
+            put_up: 0,
+        }
     }
 
     /// A word of its own stands in the log at this place, settled or not.
@@ -127,17 +146,27 @@
         if now >= self.next_seen {
             (self.next_seen, self.seen) = (now + SEEN_EVERY, true);
             let seen = sight.seen(turns, read, zones, self.lessor.turned_away(now, turns));
-            return Some(Word::Seen { at: log_now.max(turns.now()), seen });
+            return Some(Word::Seen {
+                at: log_now.max(turns.now()),
+                seen,
+            });
         }
         let unknown = |(no, list): (&Number, &List)| {
             let waits = !list.known && list.whole();
             (waits && self.lessor.unaware(turns, list.whole_at).is_empty()).then_some(*no)
         };
-        let known = turns.lists().iter().find_map(unknown).map(|list| Word::Known { list });
+        let known = turns
+            .lists()
+            .iter()
+            .find_map(unknown)
+            .map(|list| Word::Known { list });
         let ways = || turns.lists().values().flat_map(|list| &list.ways);
         let clear = |way: &Way| {
             let grant = way.grant.filter(|_| way.step == Step::Granted)?;
-            self.lessor.not_clear(now, turns, grant).is_empty().then_some(Word::Out { grant })
+            self.lessor
+                .not_clear(now, turns, grant)
+                .is_empty()
+                .then_some(Word::Out { grant })
         };
         let warm = |way: &Way| {
             let grant = way.grant.filter(|_| way.step == Step::Back)?;
@@ -145,8 +174,14 @@
             (!late && sight.is_warm(&way.machine.name)).then_some(Word::Warm { grant })
         };
         let next = if self.seen { turns.next() } else { None };
-        let recall = next.clone().filter(|word| matches!(word, Word::Recall { .. }));
-        recall.or(known).or_else(|| ways().find_map(clear)).or_else(|| ways().find_map(warm)).or(next)
+        let recall = next
+            .clone()
+            .filter(|word| matches!(word, Word::Recall { .. }));
+        recall
+            .or(known)
+            .or_else(|| ways().find_map(clear))
+            .or_else(|| ways().find_map(warm))
+            .or(next)
     }
 }
 
@@ -166,7 +201,10 @@
 impl TurnedAway {
     pub fn count(&mut self, now: Duration, hits: u32, turned_away: u32) {
         self.turn(now);
-        self.runs = (self.runs.0.saturating_add(hits), self.runs.1.saturating_add(turned_away));
+        self.runs = (
+            self.runs.0.saturating_add(hits),
+            self.runs.1.saturating_add(turned_away),
+        );
     }
 
     fn turn(&mut self, now: Duration) {
--- a/crates/turns/src/leases.rs
+++ b/crates/turns/src/leases.rs
@@ -39,7 +39,11 @@
     /// It leads since now; leases last so long, and `slack` is how long a predecessor may have led beside it. One whose lease
     /// is over still settles what it had sent, for `settles` at most.
     pub fn new(now: Duration, lasts: Duration, slack: Duration, settles: Duration) -> Self {
-        Self { since: now + slack, lasts: lasts.mul_f64(OVER) + settles, holders: BTreeMap::new() }
+        Self {
+            since: now + slack,
+            lasts: lasts.mul_f64(OVER) + settles,
+            holders: BTreeMap::new(),
+        }
     }
 
     /// One asks, and says up to where it has read, of which grants' machines it is clear, and which part of its hits it turned
@@ -53,9 +57,16 @@
     ) -> bool {
         let known = turns.sidecars().get(name) == Some(&start);
         if known {
-            let (clear, turned_away) =
-                (clear.iter().copied().collect(), f64::from(turned_away.min(1000)) / 1e3);
-            let holder = Holder { heard: now, read, clear, turned_away };
+            let (clear, turned_away) = (
+                clear.iter().copied().collect(),
+                f64::from(turned_away.min(1000)) / 1e3,
+            );
+            let holder = Holder {
+                heard: now,
+                read,
+                clear,
+                turned_away,
+            };
             self.holders.insert((name.to_owned(), start), holder);
             let lasts = self.lasts;
             self.holders.retain(|(name, start), holder| {
@@ -72,8 +83,14 @@
     /// The part of their hits that sidecars turn away, in the mean over all that ask, for as long as their leases last. What one
     /// says too high or too low by a fault moves it by its own part of the fleet alone.
     pub fn turned_away(&self, now: Duration, turns: &Turns) -> f64 {
-        let holders = turns.sidecars().iter().filter_map(|(name, start)| self.holder(name, *start));
-        let parts: Vec<f64> = holders.filter(|h| now < h.heard + self.lasts).map(|h| h.turned_away).collect();
+        let holders = turns
+            .sidecars()
+            .iter()
+            .filter_map(|(name, start)| self.holder(name, *start));
+        let parts: Vec<f64> = holders
+            .filter(|h| now < h.heard + self.lasts)
+            .map(|h| h.turned_away)
+            .collect();
         if parts.is_empty() {
             return 0.0;
         }
@@ -82,20 +99,28 @@
 
     /// Those that have not read up to here, as far as it was told.
     pub fn unaware<'a>(&self, turns: &'a Turns, upto: u64) -> Vec<&'a str> {
-        let aware = |name: &str, start: u64| self.holder(name, start).is_some_and(|h| h.read >= upto);
-        let sidecars = turns.sidecars().iter().filter(|(name, start)| !aware(name, **start));
+        let aware =
+            |name: &str, start: u64| self.holder(name, start).is_some_and(|h| h.read >= upto);
+        let sidecars = turns
+            .sidecars()
+            .iter()
+            .filter(|(name, start)| !aware(name, **start));
         sidecars.map(|(name, _)| name.as_str()).collect()
     }
 
     /// Those that may still send to a grant's machine, or have something out there. All know the grant's list: so one without a
     /// lease sends there no more. Of one that this leader has not heard a predecessor's lease may last.
     pub fn not_clear<'a>(&self, now: Duration, turns: &'a Turns, grant: Number) -> Vec<&'a str> {
-        let may = |holder: &Holder| !holder.clear.contains(&grant) && now < holder.heard + self.lasts;
+        let may =
+            |holder: &Holder| !holder.clear.contains(&grant) && now < holder.heard + self.lasts;
         let sends = |name: &str, start: u64| match self.holder(name, start) {
             Some(holder) => may(holder),
             None => now < self.since + self.lasts,
         };
-        let now_there = turns.sidecars().iter().filter(|(name, start)| sends(name, **start));
+        let now_there = turns
+            .sidecars()
+            .iter()
+            .filter(|(name, start)| sends(name, **start));
         let names: BTreeSet<&str> = now_there.map(|(name, _)| name.as_str()).collect();
         // Names alone are told: an earlier start of one that is clear itself stands under its name.
         let of_before = self.holders.iter().filter(|((name, start), holder)| {
@@ -107,7 +132,12 @@
                 .get_key_value(name)
                 .map_or(Some("one that is gone"), |(name, _)| Some(name.as_str()))
         });
-        names.into_iter().chain(of_before).collect::<BTreeSet<&str>>().into_iter().collect()
+        names
+            .into_iter()
+            .chain(of_before)
+            .collect::<BTreeSet<&str>>()
+            .into_iter()
+            .collect()
     }
 }
 
@@ -131,7 +161,14 @@
 
 impl Lease {
     pub fn new(now: Duration, lasts: Duration) -> Self {
-        Self { lasts, asked: BTreeMap::new(), next: 0, until: None, needs: 0, begun: now }
+        Self {
+            lasts,
+            asked: BTreeMap::new(),
+            next: 0,
+            until: None,
+            needs: 0,
+            begun: now,
+        }
     }
 
     /// How often to ask.
@@ -151,7 +188,9 @@
 
     /// An ask was answered by one that has settled all up to here.
     pub fn answered(&mut self, no: u64, settled: u64) {
-        let Some(at) = self.asked.remove(&no) else { return };
+        let Some(at) = self.asked.remove(&no) else {
+            return;
+        };
         self.until = self.until.max(Some(at + self.lasts));
         self.needs = self.needs.max(settled);
     }
@@ -172,8 +211,13 @@
             return None;
         }
         let granted = turns.closed().map(|(machine, _)| machine.name.clone());
-        let lists = turns.lists().values().filter(|list| !self.holds(now, read) && !list.over());
-        let listed = lists.flat_map(|list| &list.ways).map(|way| way.machine.name.clone());
+        let lists = turns
+            .lists()
+            .values()
+            .filter(|list| !self.holds(now, read) && !list.over());
+        let listed = lists
+            .flat_map(|list| &list.ways)
+            .map(|way| way.machine.name.clone());
         Some(granted.chain(listed).collect())
     }
 }
@@ -188,7 +232,10 @@
 
 impl Clearing {
     pub fn new(grace: Duration) -> Self {
-        Self { grace, since: BTreeMap::new() }
+        Self {
+            grace,
+            since: BTreeMap::new(),
+        }
     }
 
     /// These are closed now, and no others.
@@ -200,9 +247,16 @@
     }
 
     /// The grants whose machines nothing goes to any more, by time: of these it is to be asked whether something is open.
-    pub fn quiet<'a>(&'a self, now: Duration, turns: &'a Turns) -> impl Iterator<Item = (&'a str, Number)> {
-        let over =
-            move |machine: &str| self.since.get(machine).is_some_and(|since| now >= *since + self.grace);
+    pub fn quiet<'a>(
+        &'a self,
+        now: Duration,
+        turns: &'a Turns,
+    ) -> impl Iterator<Item = (&'a str, Number)> {
+        let over = move |machine: &str| {
+            self.since
+                .get(machine)
+                .is_some_and(|since| now >= *since + self.grace)
+        };
         turns
             .closed()
             .map(|(machine, grant)| (machine.name.as_str(), grant))
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -21,4 +21,6 @@
 pub use leases::{Clearing, Lease, Lessor, START_WAIT};
 pub use limits::{Seen, Why};
 pub use turns::{List, Refused, Step, Turns, Way};
-pub use words::{Limits, Machine, Number, Talk, Terms, Unreadable, Window, Word, MOST_LISTS, MOST_MACHINES};
+pub use words::{
+    Limits, Machine, Number, Talk, Terms, Unreadable, Window, Word, MOST_LISTS, MOST_MACHINES,
+};
--- a/crates/turns/src/limits.rs
+++ b/crates/turns/src/limits.rs
@@ -21,7 +21,9 @@
 
 impl Seen {
     pub(crate) fn fits(&self) -> bool {
-        let strengths = [self.all, self.ready].iter().all(|strength| (0.0..=1e12).contains(strength));
+        let strengths = [self.all, self.ready]
+            .iter()
+            .all(|strength| (0.0..=1e12).contains(strength));
         strengths && (0.0..=1.0).contains(&self.turned_away)
     }
 }
@@ -66,17 +68,20 @@
 ) -> Result<(), Why> {
     let many = |of: &dyn Fn(&Machine) -> bool| out.iter().filter(|other| of(other)).count();
     let apart = |(one, other): &(String, String)| {
-        let pair = |a: &String, b: &String| *a == machine.name && out.iter().any(|out| out.name == *b);
+        let pair =
+            |a: &String, b: &String| *a == machine.name && out.iter().any(|out| out.name == *b);
         pair(one, other) || pair(other, one)
     };
     if many(&|_| true) >= usize::from(limits.out) {
         return Err(Why::Out);
     }
-    if limits.out_in_zone > 0 && many(&|other| other.zone == machine.zone) >= usize::from(limits.out_in_zone)
+    if limits.out_in_zone > 0
+        && many(&|other| other.zone == machine.zone) >= usize::from(limits.out_in_zone)
     {
         return Err(Why::Zone);
     }
-    if limits.out_of_kind > 0 && many(&|other| other.kind == machine.kind) >= usize::from(limits.out_of_kind)
+    if limits.out_of_kind > 0
+        && many(&|other| other.kind == machine.kind) >= usize::from(limits.out_of_kind)
     {
         return Err(Why::Kind);
     }
--- a/crates/turns/src/turns.rs
+++ b/crates/turns/src/turns.rs
@@ -119,7 +119,9 @@
     }
 
     fn ways(&self) -> impl Iterator<Item = (Number, &Way)> {
-        self.lists.iter().flat_map(|(list, of)| of.ways.iter().map(|way| (*list, way)))
+        self.lists
+            .iter()
+            .flat_map(|(list, of)| of.ways.iter().map(|way| (*list, way)))
     }
 
     /// The way that goes by a grant.
@@ -135,7 +137,10 @@
     }
 
     fn out(&self) -> Vec<&Machine> {
-        self.ways().filter(|(_, way)| way.step.is_out()).map(|(_, way)| &way.machine).collect()
+        self.ways()
+            .filter(|(_, way)| way.step.is_out())
+            .map(|(_, way)| &way.machine)
+            .collect()
     }
 
     /// Whether a machine that waits may go out now.
@@ -156,15 +161,21 @@
         if out.iter().any(|other| other.name == machine) {
             return Err(Refused::Taken);
         }
-        let within =
-            |window: &crate::words::Window| window.from <= self.now && self.now + of.terms.takes <= window.to;
+        let within = |window: &crate::words::Window| {
+            window.from <= self.now && self.now + of.terms.takes <= window.to
+        };
         if !of.terms.windows.is_empty() && !of.terms.windows.iter().any(within) {
             return Err(Refused::NotNow(Why::Window));
         }
         let seen = self.seen.as_ref().ok_or(Refused::NotNow(Why::Unseen))?;
-        let later =
-            |(_, way): &(Number, &Way)| way.step.is_out() && way.grant.is_some_and(|no| no.0 > seen.upto);
-        let since: f64 = self.ways().filter(later).map(|(_, way)| way.machine.strength).sum();
+        let later = |(_, way): &(Number, &Way)| {
+            way.step.is_out() && way.grant.is_some_and(|no| no.0 > seen.upto)
+        };
+        let since: f64 = self
+            .ways()
+            .filter(later)
+            .map(|(_, way)| way.machine.strength)
+            .sum();
         if seen.trouble {
             return Err(Refused::NotNow(Why::Trouble));
         }
@@ -192,7 +203,11 @@
     pub fn apply(&mut self, index: u64, word: &Word) -> Result<(), Refused> {
         let no = Number(index);
         match word {
-            Word::Ask { list, terms, machines } => {
+            Word::Ask {
+                list,
+                terms,
+                machines,
+            } => {
                 if self.lists.contains_key(list) {
                     return Err(Refused::Known);
                 }
@@ -218,12 +233,17 @@
                 };
                 self.lists.insert(*list, of);
             }
-            Word::Machines { list, first, machines } => {
+            Word::Machines {
+                list,
+                first,
+                machines,
+            } => {
                 let now = self.now;
                 let of = self.lists.get_mut(list).ok_or(Refused::NoList)?;
                 let follows = usize::from(*first) == of.ways.len()
                     && of.ways.len() + machines.len() <= usize::from(of.machines);
-                let twice = |machine: &Machine| of.ways.iter().any(|way| way.machine.name == machine.name);
+                let twice =
+                    |machine: &Machine| of.ways.iter().any(|way| way.machine.name == machine.name);
                 if !follows || machines.iter().any(twice) {
                     return Err(Refused::Part);
                 }
@@ -246,13 +266,16 @@
                 of.known = true;
             }
             Word::Here { name, start } => {
-                let full = self.sidecars.len() >= MOST_SIDECARS && !self.sidecars.contains_key(name);
+                let full =
+                    self.sidecars.len() >= MOST_SIDECARS && !self.sidecars.contains_key(name);
                 if full || self.sidecars.get(name).is_some_and(|known| known >= start) {
                     return Err(Refused::Many);
                 }
                 self.sidecars.insert(name.clone(), *start);
             }
-            Word::Gone { name, start } => self.sidecars.retain(|known, of| known != name || of != start),
+            Word::Gone { name, start } => self
+                .sidecars
+                .retain(|known, of| known != name || of != start),
             Word::Hold { list } => self.list(*list)?.held = true,
             Word::GoOn { list } => self.list(*list)?.held = false,
             Word::Withdraw { list } => self.list(*list)?.withdrawn = true,
@@ -268,8 +291,11 @@
                 self.may_go(*list, machine)?;
                 let now = self.now;
                 let of = self.list(*list)?;
-                let way =
-                    of.ways.iter_mut().find(|way| way.machine.name == *machine).ok_or(Refused::NoMachine)?;
+                let way = of
+                    .ways
+                    .iter_mut()
+                    .find(|way| way.machine.name == *machine)
+                    .ok_or(Refused::NoMachine)?;
                 (way.step, way.grant, way.since) = (Step::Granted, Some(no), now);
             }
             Word::Out { grant } => self.step(*grant, &[Step::Granted], Step::Out)?,
@@ -298,8 +324,12 @@
     }
 
     fn way(&mut self, grant: Number, at: &[Step]) -> Result<&mut Way, Refused> {
-        let mut ways = self.lists.values_mut().flat_map(|list| list.ways.iter_mut());
-        ways.find(|way| way.grant == Some(grant) && at.contains(&way.step)).ok_or(Refused::NoGrant)
+        let mut ways = self
+            .lists
+            .values_mut()
+            .flat_map(|list| list.ways.iter_mut());
+        ways.find(|way| way.grant == Some(grant) && at.contains(&way.step))
+            .ok_or(Refused::NoGrant)
     }
 
     fn step(&mut self, grant: Number, from: &[Step], to: Step) -> Result<(), Refused> {
@@ -325,22 +355,31 @@
         let trouble = self.seen.as_ref().is_some_and(|seen| seen.trouble);
         let granted = |(_, way): &(Number, &Way)| way.step == Step::Granted;
         let stops = |list: &List| {
-            list.withdrawn || list.held || self.seen.as_ref().is_some_and(|seen| list.overloaded(seen))
+            list.withdrawn
+                || list.held
+                || self.seen.as_ref().is_some_and(|seen| list.overloaded(seen))
         };
-        let back =
-            self.ways().filter(granted).find(|(list, _)| trouble || self.lists.get(list).is_some_and(stops));
+        let back = self
+            .ways()
+            .filter(granted)
+            .find(|(list, _)| trouble || self.lists.get(list).is_some_and(stops));
         if let Some(grant) = back.and_then(|(_, way)| way.grant) {
             return Some(Word::Recall { grant });
         }
         let mut lists: Vec<(&Number, &List)> = self.lists.iter().collect();
         // The older of two of one priority first.
         lists.sort_by_key(|(no, list)| (std::cmp::Reverse(list.terms.priority), list.asked, **no));
-        let mut waits = lists.into_iter().flat_map(|(no, list)| list.ways.iter().map(|way| (*no, way)));
+        let mut waits = lists
+            .into_iter()
+            .flat_map(|(no, list)| list.ways.iter().map(|way| (*no, way)));
         let goes = |(no, way): &(Number, &Way)| {
             way.step == Step::Waits && self.may_go(*no, &way.machine.name).is_ok()
         };
         let (list, way) = waits.find(goes)?;
-        Some(Word::Grant { list, machine: way.machine.name.clone() })
+        Some(Word::Grant {
+            list,
+            machine: way.machine.name.clone(),
+        })
     }
 
     /// Whether all that a word is to bring about is so: it need not be put up again.
@@ -348,18 +387,20 @@
         let of = |list: &Number| self.lists.get(list);
         match word {
             Word::Ask { list, .. } => of(list).is_some(),
-            Word::Machines { list, first, machines } => {
-                of(list).is_some_and(|of| of.ways.len() >= usize::from(*first) + machines.len())
-            }
+            Word::Machines {
+                list,
+                first,
+                machines,
+            } => of(list).is_some_and(|of| of.ways.len() >= usize::from(*first) + machines.len()),
             Word::Hold { list } => of(list).is_none_or(|of| of.held),
             Word::GoOn { list } => of(list).is_none_or(|of| !of.held),
             Word::Withdraw { list } => of(list).is_none_or(|of| of.withdrawn),
-            Word::Began { grant } => {
-                self.of(*grant).is_none_or(|(_, way)| way.began || way.step != Step::Out)
-            }
-            Word::Worked { grant, .. } => {
-                self.of(*grant).is_none_or(|(_, way)| !matches!(way.step, Step::Granted | Step::Out))
-            }
+            Word::Began { grant } => self
+                .of(*grant)
+                .is_none_or(|(_, way)| way.began || way.step != Step::Out),
+            Word::Worked { grant, .. } => self
+                .of(*grant)
+                .is_none_or(|(_, way)| !matches!(way.step, Step::Granted | Step::Out)),
             Word::Gone { name, start } => self.sidecars.get(name) != Some(start),
             Word::Known { .. } | Word::Here { .. } => true,
             Word::Seen { .. }
--- a/crates/turns/src/words.rs
+++ b/crates/turns/src/words.rs
@@ -130,7 +130,13 @@
 pub enum Talk {
     /// A sidecar of this start asks for its lease; up to where it has read, of which grants' machines it is clear, and how many
     /// in a thousand of its last hits it turned away.
-    Ask { start: u64, no: u64, read: u64, clear: Vec<Number>, turned_away: u16 },
+    Ask {
+        start: u64,
+        no: u64,
+        read: u64,
+        clear: Vec<Number>,
+        turned_away: u16,
+    },
     /// It has it, once it has read all up to here.
     Lease { no: u64, settled: u64 },
     /// It leaves, and sends nothing any more.
@@ -173,13 +179,17 @@
 }
 
 fn machine_fits(machine: &Machine) -> bool {
-    let named = [&machine.name, &machine.zone, &machine.kind].iter().all(|name| name.len() <= MOST_NAME);
+    let named = [&machine.name, &machine.zone, &machine.kind]
+        .iter()
+        .all(|name| name.len() <= MOST_NAME);
     named && !machine.name.is_empty() && (0.0..=1e6).contains(&machine.strength)
 }
 
 fn terms_fit(terms: &Terms) -> bool {
     let limits = &terms.limits;
-    let part = [limits.ready_part, limits.turned_away].iter().all(|part| (0.0..=1.0).contains(part));
+    let part = [limits.ready_part, limits.turned_away]
+        .iter()
+        .all(|part| (0.0..=1.0).contains(part));
     let pairs = limits.apart.len() <= MOST_PAIRS;
     let windows = terms.windows.len() <= MOST_PAIRS && terms.windows.iter().all(|w| w.from < w.to);
     part && pairs && windows && terms.name.len() <= MOST_NAME && limits.out > 0
@@ -195,7 +205,9 @@
     pub fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
         let word: Self = versioned(bytes)?;
         let sound = match &word {
-            Word::Ask { terms, machines, .. } => terms_fit(terms) && usize::from(*machines) <= MOST_MACHINES,
+            Word::Ask {
+                terms, machines, ..
+            } => terms_fit(terms) && usize::from(*machines) <= MOST_MACHINES,
             Word::Machines { machines, .. } => machines.iter().all(machine_fits),
             Word::Seen { seen, .. } => seen.fits(),
             Word::Grant { machine, .. } => machine.len() <= MOST_NAME,
--- a/crates/turns/tests/explore.rs
+++ b/crates/turns/tests/explore.rs
@@ -107,13 +107,30 @@
 }
 
 fn car(now: u64, start: u64) -> Car {
-    let (lease, since, open) = (Lease::new(s(now), s(LASTS)), BTreeMap::new(), BTreeMap::new());
-    Car { start, read: 0, lease, told: false, late: None, clearing: Clearing::new(s(1)), since, open }
+    let (lease, since, open) = (
+        Lease::new(s(now), s(LASTS)),
+        BTreeMap::new(),
+        BTreeMap::new(),
+    );
+    Car {
+        start,
+        read: 0,
+        lease,
+        told: false,
+        late: None,
+        clearing: Clearing::new(s(1)),
+        since,
+        open,
+    }
 }
 
 impl Fleet {
     fn new(plant: Plant) -> Self {
-        let limits = Limits { out: 1, turned_away: 1.0, ..Limits::default() };
+        let limits = Limits {
+            out: 1,
+            turned_away: 1.0,
+            ..Limits::default()
+        };
         let terms = Terms {
             name: "a".into(),
             limits,
@@ -123,24 +140,63 @@
             priority: 0,
             beside_trials: true,
         };
-        let machine =
-            |n: u32| Machine { name: format!("m{n}"), zone: "z".into(), kind: "k".into(), strength: 1.0 };
+        let machine = |n: u32| Machine {
+            name: format!("m{n}"),
+            zone: "z".into(),
+            kind: "k".into(),
+            strength: 1.0,
+        };
         let log = vec![
-            Word::Here { name: "c0".into(), start: 1 },
-            Word::Here { name: "c1".into(), start: 1 },
-            Word::Ask { list: Number(1), terms, machines: 2 },
-            Word::Machines { list: Number(1), first: 0, machines: (0..2).map(machine).collect() },
+            Word::Here {
+                name: "c0".into(),
+                start: 1,
+            },
+            Word::Here {
+                name: "c1".into(),
+                start: 1,
+            },
+            Word::Ask {
+                list: Number(1),
+                terms,
+                machines: 2,
+            },
+            Word::Machines {
+                list: Number(1),
+                first: 0,
+                machines: (0..2).map(machine).collect(),
+            },
         ];
         let leader = Self::lessor(0, 0, plant);
         let cars = vec![car(0, 1), car(0, 1)];
-        Self { now: 0, log, cars, leader, old: None, deposed: 0, working: None, plant }
+        Self {
+            now: 0,
+            log,
+            cars,
+            leader,
+            old: None,
+            deposed: 0,
+            working: None,
+            plant,
+        }
     }
 
     fn lessor(now: u64, term: u64, plant: Plant) -> Leader {
-        let settles = if plant == Plant::NothingSettles { s(0) } else { s(2) + s(LASTS) / 4 };
+        let settles = if plant == Plant::NothingSettles {
+            s(0)
+        } else {
+            s(2) + s(LASTS) / 4
+        };
         // One that does not wait began to lead long ago, for all that it knows.
-        let since = if plant == Plant::NoPredecessor { s(0) } else { s(now) };
-        Leader::new(s(now), term, Lessor::new(since, s(LASTS), s(SLACK), settles))
+        let since = if plant == Plant::NoPredecessor {
+            s(0)
+        } else {
+            s(now)
+        };
+        Leader::new(
+            s(now),
+            term,
+            Lessor::new(since, s(LASTS), s(SLACK), settles),
+        )
     }
 
     fn closed(&self, of: &Car) -> Option<BTreeSet<String>> {
@@ -159,10 +215,17 @@
         let turns = turns(&self.log, of.read);
         if self.plant == Plant::ClearTooEarly {
             let shut = |machine: &Machine| of.since.contains_key(&machine.name);
-            return turns.closed().filter(|(machine, _)| shut(machine)).map(|(_, grant)| grant).collect();
+            return turns
+                .closed()
+                .filter(|(machine, _)| shut(machine))
+                .map(|(_, grant)| grant)
+                .collect();
         }
         let quiet = of.clearing.quiet(s(self.now), &turns);
-        quiet.filter(|(machine, _)| !of.open.contains_key(*machine)).map(|(_, grant)| grant).collect()
+        quiet
+            .filter(|(machine, _)| !of.open.contains_key(*machine))
+            .map(|(_, grant)| grant)
+            .collect()
     }
 
     fn asks(&mut self, number: usize, how: Asks) {
@@ -182,9 +245,14 @@
             if self.plant == Plant::Forgets && !known {
                 leader.lessor = Lessor::new(s(0), s(LASTS), s(0), s(0));
             }
-            let given = leader.lessor.asked(s(now), &turns, (&name, of.start), heard);
+            let given = leader
+                .lessor
+                .asked(s(now), &turns, (&name, of.start), heard);
             if !known && !by_the_old {
-                self.log.push(Word::Here { name, start: of.start });
+                self.log.push(Word::Here {
+                    name,
+                    start: of.start,
+                });
             }
             match how {
                 Asks::Answered | Asks::ByTheOld if given => {
@@ -206,7 +274,10 @@
             let start = self.cars[1].start + 1;
             // What the process had out is gone with it, and is over at the pod when its time is.
             let open = self.cars[1].open.clone();
-            self.cars[1] = Car { open, ..car(now, start) };
+            self.cars[1] = Car {
+                open,
+                ..car(now, start)
+            };
         }
         if chance.deposed {
             self.deposed += 1;
@@ -244,9 +315,12 @@
             let closed = self.closed(&self.cars[number]);
             let of = &mut self.cars[number];
             of.open.retain(|_, until| now <= *until);
-            of.clearing.closed(s(now), &closed.clone().unwrap_or_default());
+            of.clearing
+                .closed(s(now), &closed.clone().unwrap_or_default());
             for machine in ["m0", "m1"] {
-                let shut = closed.as_ref().is_none_or(|closed| closed.contains(machine));
+                let shut = closed
+                    .as_ref()
+                    .is_none_or(|closed| closed.contains(machine));
                 if !shut {
                     of.since.remove(machine);
                 } else if closed.is_some() {
@@ -265,10 +339,16 @@
         for _ in 0..4 {
             let turns = turns(&self.log, self.log.len());
             let (pods, read) = (pods(), self.log.len() as u64);
-            let sight = Sight { pods: &pods, warm_after: 1.0, trial: false };
+            let sight = Sight {
+                pods: &pods,
+                warm_after: 1.0,
+                trial: false,
+            };
             // Time in the log goes with the steps, so that machines get warm.
             let at = self.now * 1000;
-            let word = self.leader.next(s(self.now), at, (&turns, read), &Zones::default(), &sight);
+            let word = self
+                .leader
+                .next(s(self.now), at, (&turns, read), &Zones::default(), &sight);
             let known = turns.lists().get(&Number(1)).is_some_and(|list| list.known);
             match word {
                 Some(word) => self.log.push(word),
@@ -283,8 +363,19 @@
     /// The machine's agent begins and ends work at once, by what is settled; what must never be is looked for all the while.
     fn agent(&mut self) -> Option<String> {
         let turns = turns(&self.log, self.log.len());
-        let out = |step: Step| turns.lists().values().flat_map(|l| &l.ways).filter(move |w| w.step == step);
-        let many = turns.lists().values().flat_map(|l| &l.ways).filter(|way| way.step.is_out()).count();
+        let out = |step: Step| {
+            turns
+                .lists()
+                .values()
+                .flat_map(|l| &l.ways)
+                .filter(move |w| w.step == step)
+        };
+        let many = turns
+            .lists()
+            .values()
+            .flat_map(|l| &l.ways)
+            .filter(|way| way.step.is_out())
+            .count();
         if many > 1 {
             return Some(format!("{many} machines are out"));
         }
@@ -304,8 +395,13 @@
     }
 
     fn touched(&self, machine: &str) -> Option<String> {
-        let one = self.cars.iter().position(|car| car.open.contains_key(machine))?;
-        Some(format!("{machine} is worked on, and c{one} has a hit open there"))
+        let one = self
+            .cars
+            .iter()
+            .position(|car| car.open.contains_key(machine))?;
+        Some(format!(
+            "{machine} is worked on, and c{one} has a hit open there"
+        ))
     }
 
     fn key(&self) -> u64 {
@@ -317,20 +413,48 @@
 
 fn chances(fleet: &Fleet, restarted: bool) -> Vec<Chance> {
     let mut all = Vec::new();
-    let old = fleet.old.as_ref().is_some_and(|(_, until)| fleet.now < *until);
-    for asks in [Asks::Answered, Asks::Lost, Asks::AnswerLost, Asks::AnswerLate, Asks::ByTheOld] {
+    let old = fleet
+        .old
+        .as_ref()
+        .is_some_and(|(_, until)| fleet.now < *until);
+    for asks in [
+        Asks::Answered,
+        Asks::Lost,
+        Asks::AnswerLost,
+        Asks::AnswerLate,
+        Asks::ByTheOld,
+    ] {
         if asks == Asks::ByTheOld && !old {
             continue;
         }
         for reads in [true, false] {
-            let chance = Chance { asks, reads, restarts: false, deposed: false, leads_on: true };
+            let chance = Chance {
+                asks,
+                reads,
+                restarts: false,
+                deposed: false,
+                leads_on: true,
+            };
             all.push(chance);
-            all.push(Chance { deposed: true, ..chance });
-            all.push(Chance { restarts: true, ..chance });
+            all.push(Chance {
+                deposed: true,
+                ..chance
+            });
+            all.push(Chance {
+                restarts: true,
+                ..chance
+            });
         }
     }
-    all.push(Chance { asks: Asks::Lost, reads: false, restarts: false, deposed: false, leads_on: false });
-    let again = |chance: &Chance| (chance.deposed && fleet.deposed >= 1) || (chance.restarts && restarted);
+    all.push(Chance {
+        asks: Asks::Lost,
+        reads: false,
+        restarts: false,
+        deposed: false,
+        leads_on: false,
+    });
+    let again =
+        |chance: &Chance| (chance.deposed && fleet.deposed >= 1) || (chance.restarts && restarted);
     all.retain(|chance| !again(chance));
     all
 }
@@ -353,7 +477,11 @@
                 return (Some((broken, way)), known.len(), done);
             }
             let turns = turns(&next.log, next.log.len());
-            done |= turns.lists().values().flat_map(|list| &list.ways).any(|way| way.step == Step::Done);
+            done |= turns
+                .lists()
+                .values()
+                .flat_map(|list| &list.ways)
+                .any(|way| way.step == Step::Done);
             if next.now < STEPS && known.insert(next.key()) {
                 open.push((next, way, restarted || chance.restarts));
             }
@@ -382,6 +510,10 @@
 #[case::sends_unread(Plant::SendsUnread)]
 fn planted_faults_are_found(#[case] plant: Plant) {
     let (broken, states, _) = explore(plant, STATES * 3);
-    let (broken, way) = broken.unwrap_or_else(|| panic!("{plant:?} was not found in {states} states"));
-    println!("{plant:?}: {broken}, after {} steps, {states} states", way.len());
+    let (broken, way) =
+        broken.unwrap_or_else(|| panic!("{plant:?} was not found in {states} states"));
+    println!(
+        "{plant:?}: {broken}, after {} steps, {states} states",
+        way.len()
+    );
 }
--- a/crates/turns/tests/ways.rs
+++ b/crates/turns/tests/ways.rs
@@ -5,7 +5,12 @@
 use rstest::rstest;
 
 fn machine(n: u64) -> Machine {
-    Machine { name: format!("m{n}"), zone: format!("z{}", n % 3), kind: format!("k{}", n % 2), strength: 1.0 }
+    Machine {
+        name: format!("m{n}"),
+        zone: format!("z{}", n % 3),
+        kind: format!("k{}", n % 2),
+        strength: 1.0,
+    }
 }
 
 fn limits() -> Limits {
@@ -32,22 +37,58 @@
 }
 
 fn seen(upto: u64) -> Seen {
-    Seen { upto, all: 12.0, ready: 12.0, trouble: false, trial: false, turned_away: 0.05 }
+    Seen {
+        upto,
+        all: 12.0,
+        ready: 12.0,
+        trouble: false,
+        trial: false,
+        turned_away: 0.05,
+    }
 }
 
 /// Turns with a list of twelve machines, seen at 1 s; and the next place in the log.
 fn with(terms: Terms) -> (Turns, u64) {
     let mut turns = Turns::default();
-    turns.apply(1, &Word::Ask { list: Number(1), terms, machines: 12 }).unwrap();
+    turns
+        .apply(
+            1,
+            &Word::Ask {
+                list: Number(1),
+                terms,
+                machines: 12,
+            },
+        )
+        .unwrap();
     let machines = (0..12).map(machine).collect();
-    turns.apply(2, &Word::Machines { list: Number(1), first: 0, machines }).unwrap();
-    turns.apply(3, &Word::Seen { at: 1000, seen: seen(2) }).unwrap();
+    turns
+        .apply(
+            2,
+            &Word::Machines {
+                list: Number(1),
+                first: 0,
+                machines,
+            },
+        )
+        .unwrap();
+    turns
+        .apply(
+            3,
+            &Word::Seen {
+                at: 1000,
+                seen: seen(2),
+            },
+        )
+        .unwrap();
     turns.apply(3, &Word::Known { list: Number(1) }).unwrap();
     (turns, 4)
 }
 
 fn grant(n: u64) -> Word {
-    Word::Grant { list: Number(1), machine: format!("m{n}") }
+    Word::Grant {
+        list: Number(1),
+        machine: format!("m{n}"),
+    }
 }
 
 #[test]
@@ -59,7 +100,10 @@
         grant(0),
         Word::Out { grant: no },
         Word::Began { grant: no },
-        Word::Worked { grant: no, well: true },
+        Word::Worked {
+            grant: no,
+            well: true,
+        },
         Word::Warm { grant: no },
     ];
     let steps = [Step::Granted, Step::Out, Step::Out, Step::Back, Step::Done];
@@ -75,7 +119,10 @@
     }
     // Not worked on twice, also by a late word of an earlier leader.
     assert_eq!(turns.apply(30, &grant(0)), Err(Refused::NoMachine));
-    assert_eq!(turns.apply(31, &Word::Out { grant: no }), Err(Refused::NoGrant));
+    assert_eq!(
+        turns.apply(31, &Word::Out { grant: no }),
+        Err(Refused::NoGrant)
+    );
 }
 
 #[rstest]
@@ -105,50 +152,146 @@
     assert_eq!(turns.may_go(Number(1), "m1"), Err(Refused::NotNow(why)));
     // What is granted and not out yet is taken back where it is to be; what is out is not.
     let back = !matches!(why, Why::Trial | Why::Strength);
-    assert_eq!(turns.next(), back.then_some(Word::Recall { grant: Number(4) }));
+    assert_eq!(
+        turns.next(),
+        back.then_some(Word::Recall { grant: Number(4) })
+    );
     turns.apply(6, &Word::Out { grant: Number(4) }).unwrap();
     assert_eq!(turns.next(), None);
-    assert_eq!(turns.apply(7, &Word::Recall { grant: Number(4) }), Err(Refused::NoGrant));
+    assert_eq!(
+        turns.apply(7, &Word::Recall { grant: Number(4) }),
+        Err(Refused::NoGrant)
+    );
 }
 
 /// What was seen before a grant still counts the machine as ready: it is counted off.
 #[test]
 fn a_grant_counts_beside_what_was_seen_before_it() {
     let (mut turns, _) = with(Terms {
-        limits: Limits { out: 9, ready_part: 0.8, turned_away: 1.0, ..Limits::default() },
+        limits: Limits {
+            out: 9,
+            ready_part: 0.8,
+            turned_away: 1.0,
+            ..Limits::default()
+        },
         ..terms("a")
     });
     (0..2).for_each(|n| turns.apply(4 + n, &grant(n)).unwrap());
-    turns.apply(6, &Word::Seen { at: 2000, seen: Seen { ready: 11.0, ..seen(4) } }).unwrap();
-    assert_eq!(turns.may_go(Number(1), "m2"), Err(Refused::NotNow(Why::Strength)));
-    turns.apply(7, &Word::Seen { at: 3000, seen: Seen { ready: 11.0, ..seen(6) } }).unwrap();
+    turns
+        .apply(
+            6,
+            &Word::Seen {
+                at: 2000,
+                seen: Seen {
+                    ready: 11.0,
+                    ..seen(4)
+                },
+            },
+        )
+        .unwrap();
+    assert_eq!(
+        turns.may_go(Number(1), "m2"),
+        Err(Refused::NotNow(Why::Strength))
+    );
+    turns
+        .apply(
+            7,
+            &Word::Seen {
+                at: 3000,
+                seen: Seen {
+                    ready: 11.0,
+                    ..seen(6)
+                },
+            },
+        )
+        .unwrap();
     assert_eq!(turns.may_go(Number(1), "m2"), Ok(()));
 }
 
 #[test]
 fn windows_leave_time_for_the_work() {
-    let windows = vec![Window { from: 10_000, to: 20_000 }];
-    let (mut turns, _) = with(Terms { windows, ..terms("a") });
-    for (place, (at, fits)) in
-        [(9_999, false), (10_000, true), (19_000, true), (19_001, false)].iter().enumerate()
+    let windows = vec![Window {
+        from: 10_000,
+        to: 20_000,
+    }];
+    let (mut turns, _) = with(Terms {
+        windows,
+        ..terms("a")
+    });
+    for (place, (at, fits)) in [
+        (9_999, false),
+        (10_000, true),
+        (19_000, true),
+        (19_001, false),
+    ]
+    .iter()
+    .enumerate()
     {
-        turns.apply(5 + place as u64, &Word::Seen { at: *at, seen: seen(4) }).unwrap();
+        turns
+            .apply(
+                5 + place as u64,
+                &Word::Seen {
+                    at: *at,
+                    seen: seen(4),
+                },
+            )
+            .unwrap();
         assert_eq!(turns.next().is_some(), *fits, "at {at}");
     }
-    assert_eq!(turns.apply(9, &Word::Seen { at: 5, seen: seen(4) }), Err(Refused::Time));
+    assert_eq!(
+        turns.apply(
+            9,
+            &Word::Seen {
+                at: 5,
+                seen: seen(4)
+            }
+        ),
+        Err(Refused::Time)
+    );
 }
 
 /// Two lists with one machine: it is out for one at a time, and each list's limits hold for the other's machines.
 #[test]
 fn lists_overlap() {
     let (mut turns, _) = with(terms("a"));
-    let other =
-        Terms { priority: 2, limits: Limits { out: 9, turned_away: 1.0, ..Limits::default() }, ..terms("b") };
-    turns.apply(4, &Word::Ask { list: Number(4), terms: other, machines: 2 }).unwrap();
+    let other = Terms {
+        priority: 2,
+        limits: Limits {
+            out: 9,
+            turned_away: 1.0,
+            ..Limits::default()
+        },
+        ..terms("b")
+    };
+    turns
+        .apply(
+            4,
+            &Word::Ask {
+                list: Number(4),
+                terms: other,
+                machines: 2,
+            },
+        )
+        .unwrap();
     let machines = vec![machine(0), machine(3)];
-    turns.apply(5, &Word::Machines { list: Number(4), first: 0, machines }).unwrap();
-    let first = Word::Grant { list: Number(4), machine: "m0".into() };
-    assert_eq!(turns.may_go(Number(4), "m0"), Err(Refused::NotNow(Why::NotKnown)));
+    turns
+        .apply(
+            5,
+            &Word::Machines {
+                list: Number(4),
+                first: 0,
+                machines,
+            },
+        )
+        .unwrap();
+    let first = Word::Grant {
+        list: Number(4),
+        machine: "m0".into(),
+    };
+    assert_eq!(
+        turns.may_go(Number(4), "m0"),
+        Err(Refused::NotNow(Why::NotKnown))
+    );
     turns.apply(5, &Word::Known { list: Number(4) }).unwrap();
     assert_eq!(turns.next(), Some(first.clone()));
     turns.apply(6, &first).unwrap();
@@ -157,7 +300,10 @@
     assert_eq!(turns.may_go(Number(4), "m3"), Ok(()));
     turns.apply(8, &grant(1)).unwrap();
     // Now they do.
-    assert_eq!(turns.may_go(Number(4), "m3"), Err(Refused::NotNow(Why::Zone)));
+    assert_eq!(
+        turns.may_go(Number(4), "m3"),
+        Err(Refused::NotNow(Why::Zone))
+    );
 }
 
 #[test]
@@ -166,10 +312,30 @@
     turns.apply(4, &grant(0)).unwrap();
     turns.apply(5, &Word::Out { grant: Number(4) }).unwrap();
     turns.apply(6, &Word::Began { grant: Number(4) }).unwrap();
-    turns.apply(7, &Word::Seen { at: 6001, seen: seen(6) }).unwrap();
-    assert!(turns.of(Number(4)).is_some_and(|(_, way)| way.stalled && way.step == Step::Out));
-    turns.apply(8, &Word::Worked { grant: Number(4), well: true }).unwrap();
-    assert!(turns.of(Number(4)).is_some_and(|(_, way)| !way.stalled && way.step == Step::Back));
+    turns
+        .apply(
+            7,
+            &Word::Seen {
+                at: 6001,
+                seen: seen(6),
+            },
+        )
+        .unwrap();
+    assert!(turns
+        .of(Number(4))
+        .is_some_and(|(_, way)| way.stalled && way.step == Step::Out));
+    turns
+        .apply(
+            8,
+            &Word::Worked {
+                grant: Number(4),
+                well: true,
+            },
+        )
+        .unwrap();
+    assert!(turns
+        .of(Number(4))
+        .is_some_and(|(_, way)| !way.stalled && way.step == Step::Back));
 }
 
 /// How many are out, by the words that were taken alone: kept apart from what is tested.
@@ -256,23 +422,41 @@
 #[test]
 fn a_machine_is_clear_of_all_or_waits() {
     let mut turns = Turns::default();
-    let here = |name: &str, start| Word::Here { name: name.into(), start };
+    let here = |name: &str, start| Word::Here {
+        name: name.into(),
+        start,
+    };
     turns.apply(1, &here("a", 1)).unwrap();
     let mut lessor = Lessor::new(at(10.0), LASTS, at(0.5), at(1.0));
     let grant = Number(7);
     assert!(lessor.asked(at(10.1), &turns, ("a", 1), (1, &[], 0)));
-    assert!(!lessor.asked(at(10.1), &turns, ("b", 1), (1, &[], 0)), "not known yet");
+    assert!(
+        !lessor.asked(at(10.1), &turns, ("b", 1), (1, &[], 0)),
+        "not known yet"
+    );
     turns.apply(2, &here("b", 1)).unwrap();
     assert_eq!(lessor.unaware(&turns, 2), ["a", "b"]);
     // Leases that another gave may last: 2.5 s, half a second in which that one led, and a second to settle.
     assert_eq!(lessor.not_clear(at(13.9), &turns, grant), ["b"]);
-    assert_eq!(lessor.not_clear(at(14.0), &turns, grant), Vec::<&str>::new());
+    assert_eq!(
+        lessor.not_clear(at(14.0), &turns, grant),
+        Vec::<&str>::new()
+    );
     for n in 0..10 {
         let now = at(11.0 + 0.5 * n as f64);
         lessor.asked(now, &turns, ("a", 1), (2, &[grant], 0));
-        lessor.asked(now, &turns, ("b", 1), (2, &[grant][..usize::from(n >= 8)], 0));
+        lessor.asked(
+            now,
+            &turns,
+            ("b", 1),
+            (2, &[grant][..usize::from(n >= 8)], 0),
+        );
         // Who says that it is clear is not waited for.
-        assert_eq!(lessor.not_clear(now, &turns, grant), if n < 8 { vec!["b"] } else { vec![] }, "{n}");
+        assert_eq!(
+            lessor.not_clear(now, &turns, grant),
+            if n < 8 { vec!["b"] } else { vec![] },
+            "{n}"
+        );
     }
     assert_eq!(lessor.unaware(&turns, 2), Vec::<&str>::new());
     // Another start of its name is another, and its words of before are void.
@@ -285,10 +469,32 @@
     assert_eq!(lessor.not_clear(at(15.6), &turns, Number(8)), ["a", "b"]);
     assert_eq!(lessor.not_clear(at(19.0), &turns, grant), ["b"]);
     // It says nothing for long: it sends there no more by itself, or it was said to be gone.
-    assert_eq!(lessor.not_clear(at(19.2), &turns, grant), Vec::<&str>::new());
-    turns.apply(5, &Word::Gone { name: "b".into(), start: 1 }).unwrap();
-    assert!(turns.sidecars().contains_key("b"), "of a start that runs no more");
-    turns.apply(6, &Word::Gone { name: "b".into(), start: 2 }).unwrap();
+    assert_eq!(
+        lessor.not_clear(at(19.2), &turns, grant),
+        Vec::<&str>::new()
+    );
+    turns
+        .apply(
+            5,
+            &Word::Gone {
+                name: "b".into(),
+                start: 1,
+            },
+        )
+        .unwrap();
+    assert!(
+        turns.sidecars().contains_key("b"),
+        "of a start that runs no more"
+    );
+    turns
+        .apply(
+            6,
+            &Word::Gone {
+                name: "b".into(),
+                start: 2,
+            },
+        )
+        .unwrap();
     assert_eq!(lessor.unaware(&turns, 5), ["a"]);
 }
 
@@ -304,9 +510,19 @@
     for _ in 0..2000 {
         let rate = 0.9 + 0.2 * part();
         let mut turns = Turns::default();
-        turns.apply(1, &Word::Here { name: "a".into(), start: 1 }).unwrap();
-        let (mut lessor, mut lease) =
-            (Lessor::new(at(0.0), LASTS, at(0.0), at(1.0)), Lease::new(at(0.0), LASTS));
+        turns
+            .apply(
+                1,
+                &Word::Here {
+                    name: "a".into(),
+                    start: 1,
+                },
+            )
+            .unwrap();
+        let (mut lessor, mut lease) = (
+            Lessor::new(at(0.0), LASTS, at(0.0), at(1.0)),
+            Lease::new(at(0.0), LASTS),
+        );
         // Asks on their way to it, and answers on their way back.
         let (mut now, mut there, mut back) = (4.0, Vec::new(), Vec::new());
         while now < 30.0 {
@@ -344,11 +560,29 @@
         lease.closed(at(now), read, turns).map(|c| c.len())
     };
     // At first all; then, if nobody answers, what it knows of.
-    assert_eq!((closed(&lease, &turns, 1.0, 3), closed(&lease, &turns, 6.0, 3)), (None, Some(12)));
+    assert_eq!(
+        (
+            closed(&lease, &turns, 1.0, 3),
+            closed(&lease, &turns, 6.0, 3)
+        ),
+        (None, Some(12))
+    );
     let no = lease.ask(at(6.0));
     lease.answered(no, 4);
     // It has not read all that was settled; then it has.
-    assert_eq!((closed(&lease, &turns, 6.5, 3), closed(&lease, &turns, 6.5, 4)), (Some(12), Some(0)));
+    assert_eq!(
+        (
+            closed(&lease, &turns, 6.5, 3),
+            closed(&lease, &turns, 6.5, 4)
+        ),
+        (Some(12), Some(0))
+    );
     turns.apply(4, &grant(0)).unwrap();
-    assert_eq!((closed(&lease, &turns, 6.5, 4), closed(&lease, &turns, 8.0, 4)), (Some(1), Some(12)));
+    assert_eq!(
+        (
+            closed(&lease, &turns, 6.5, 4),
+            closed(&lease, &turns, 8.0, 4)
+        ),
+        (Some(1), Some(12))
+    );
 }
--- a/crates/wire/src/read.rs
+++ b/crates/wire/src/read.rs
@@ -66,10 +66,16 @@
 
 impl<'a> Cursor<'a> {
     fn trouble<T>(&self, what: impl Into<String>) -> Got<T> {
-        Err(Trouble { what: what.into(), at: self.at })
+        Err(Trouble {
+            what: what.into(),
+            at: self.at,
+        })
     }
     fn take(&mut self, n: usize) -> Got<&'a [u8]> {
-        let end = self.at.checked_add(n).filter(|end| *end <= self.bytes.len());
+        let end = self
+            .at
+            .checked_add(n)
+            .filter(|end| *end <= self.bytes.len());
         let Some(end) = end else {
             return self.trouble("record is cut short");
         };
@@ -103,11 +109,15 @@
         if !seconds.is_finite() || !(-1e9..1e9).contains(&seconds) {
             return self.trouble(format!("time {seconds} is out of range"));
         }
-        Ok(Duration::from_micros((seconds.max(0.0) * 1e6).round() as u64))
+        Ok(Duration::from_micros(
+            (seconds.max(0.0) * 1e6).round() as u64
+        ))
     }
     fn pod(&mut self) -> Got<PodId> {
         let b = self.fixed::<6>()?;
-        Ok(PodId(u64::from_le_bytes([b[0], b[1], b[2], b[3], b[4], b[5], 0, 0])))
+        Ok(PodId(u64::from_le_bytes([
+            b[0], b[1], b[2], b[3], b[4], b[5], 0, 0,
+        ])))
     }
     /// Load reports are not used.
     fn skip_report(&mut self) -> Got<()> {
@@ -141,7 +151,16 @@
         let cell = CellId(self.u16()?);
         let pod = self.pod()?;
         let zone = ZoneId(self.u16()?);
-        Ok(PodEntry { pod, state, build, size, started, zone, cell, kind })
+        Ok(PodEntry {
+            pod,
+            state,
+            build,
+            size,
+            started,
+            zone,
+            cell,
+            kind,
+        })
     }
     fn hit(&mut self) -> Got<Event> {
         let id = HitId(self.u64()?);
@@ -150,7 +169,13 @@
         let key = Some(self.u64()?).filter(|k| *k != 0).map(KeyId);
         let due = self.span()?;
         let (_work_hint, _marks) = (self.take(8)?, self.u8()?);
-        Ok(Event::Hit(Hit { id, group, customer, key, due }))
+        Ok(Event::Hit(Hit {
+            id,
+            group,
+            customer,
+            key,
+            due,
+        }))
     }
     fn stage(&mut self) -> Got<Event> {
         let cap = f64::from(self.f32()?);
@@ -173,8 +198,17 @@
             other => return self.trouble(format!("unknown vote result {other}")),
         };
         let asked = self.u8()? != 0;
-        let news = (answer == VoteAnswer::Counted).then_some(StageNews { build, stage, phase, cap, age });
-        Ok(Event::Stage { news, answer: asked.then_some(answer) })
+        let news = (answer == VoteAnswer::Counted).then_some(StageNews {
+            build,
+            stage,
+            phase,
+            cap,
+            age,
+        });
+        Ok(Event::Stage {
+            news,
+            answer: asked.then_some(answer),
+        })
     }
     fn record(&mut self) -> Got<Record> {
         let at = self.at;
@@ -198,7 +232,11 @@
                     other => return self.trouble(format!("unknown list news {other}")),
                 };
                 let _version = self.u32()?;
-                Record::BackendsChanged { how, table: self.u16()?, at }
+                Record::BackendsChanged {
+                    how,
+                    table: self.u16()?,
+                    at,
+                }
             }
             260 => {
                 let (pod, group) = (self.pod()?, GroupId(self.u16()?));
@@ -219,7 +257,14 @@
                 let fate = self.fate()?;
                 let no = ForwardNo(self.u16()?);
                 self.skip_report()?;
-                Record::Plain(Event::Outcome(Outcome { hit, no, pod, fate, took, over }))
+                Record::Plain(Event::Outcome(Outcome {
+                    hit,
+                    no,
+                    pod,
+                    fate,
+                    took,
+                    over,
+                }))
             }
             263 => Record::SwitchTo(self.u32()?),
             264 => {
@@ -244,7 +289,11 @@
             270 => {
                 let seed = self.u64()?;
                 let n = self.u32()?;
-                Record::PowerOn { seed, options: self.take(n as usize)?.to_vec(), at }
+                Record::PowerOn {
+                    seed,
+                    options: self.take(n as usize)?.to_vec(),
+                    at,
+                }
             }
             other => {
                 self.at = at;
@@ -261,23 +310,48 @@
     while have < head.len() {
         match input.read(&mut head[have..]) {
             Ok(0) if have == 0 => return Ok(None),
-            Ok(0) => return Err(Trouble { what: "input ends inside a frame".into(), at: have }),
+            Ok(0) => {
+                return Err(Trouble {
+                    what: "input ends inside a frame".into(),
+                    at: have,
+                })
+            }
             Ok(n) => have += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => return Err(Trouble { what: format!("input cannot be read ({e})"), at: have }),
+            Err(e) => {
+                return Err(Trouble {
+                    what: format!("input cannot be read ({e})"),
+                    at: have,
+                })
+            }
         }
     }
     let length = u32::from_le_bytes(head);
     if length > LARGEST_FRAME {
-        return Err(Trouble { what: format!("frame of {length} bytes is too large"), at: 0 });
+        return Err(Trouble {
+            what: format!("frame of {length} bytes is too large"),
+            at: 0,
+        });
     }
     let mut body = Vec::new();
     match input.take(length.into()).read_to_end(&mut body) {
         Ok(n) if n as u32 == length => {}
-        Ok(n) => return Err(Trouble { what: "input ends inside a frame".into(), at: 4 + n }),
-        Err(e) => return Err(Trouble { what: format!("input cannot be read ({e})"), at: 4 }),
+        Ok(n) => {
+            return Err(Trouble {
+                what: "input ends inside a frame".into(),
+                at: 4 + n,
+            })
+        }
+        Err(e) => {
+            return Err(Trouble {
+                what: format!("input cannot be read ({e})"),
+                at: 4,
+            })
+        }
     }
-    read_body(&body).map_err(|t| Trouble { at: t.at + 4, ..t }).map(Some)
+    read_body(&body)
+        .map_err(|t| Trouble { at: t.at + 4, ..t })
+        .map(Some)
 }
 
 fn read_body(body: &[u8]) -> Got<Batch> {
@@ -292,7 +366,11 @@
     if cursor.at != body.len() {
         return cursor.trouble("bytes are left after the last record");
     }
-    Ok(Batch { now, number, records })
+    Ok(Batch {
+        now,
+        number,
+        records,
+    })
 }
 
 #[cfg(test)]
@@ -302,7 +380,10 @@
 
     fn hex(text: &str) -> Vec<u8> {
         let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-        digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
+        digits
+            .chunks(2)
+            .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+            .collect()
     }
 
     const TWO: &str = "59000000 508d976e12d32040 05000000 0c000000 0701 03000000
@@ -314,18 +395,29 @@
         let batch = read_batch(&mut &hex(TWO)[..]).unwrap().unwrap();
         assert_eq!(batch.number, 12);
         assert!(matches!(batch.records[0], Record::SwitchTo(3)));
-        let Record::Plain(Event::Hit(hit)) = &batch.records[1] else { panic!("a hit") };
+        let Record::Plain(Event::Hit(hit)) = &batch.records[1] else {
+            panic!("a hit")
+        };
         assert_eq!((hit.group, hit.id), (GroupId(0), HitId(0xa7d0c5d3a91c4)));
         assert!(matches!(batch.records[4], Record::Plain(Event::Left(_))));
     }
 
     #[rstest]
     #[case::cut("10000000 508d976e12d32040", "input ends inside a frame")]
-    #[case::short("12000000 508d976e12d32040 01000000 01000000 0701", "record is cut short")]
-    #[case::unknown("12000000 508d976e12d32040 01000000 01000000 ffff", "unknown record code 65535")]
+    #[case::short(
+        "12000000 508d976e12d32040 01000000 01000000 0701",
+        "record is cut short"
+    )]
+    #[case::unknown(
+        "12000000 508d976e12d32040 01000000 01000000 ffff",
+        "unknown record code 65535"
+    )]
     #[case::rest("11000000 508d976e12d32040 00000000 01000000 00", "bytes are left")]
     #[case::large("ffffffff", "too large")]
-    #[case::rows("18000000 508d976e12d32040 01000000 01000000 0901 0000 ffffffff", "record is cut short")]
+    #[case::rows(
+        "18000000 508d976e12d32040 01000000 01000000 0901 0000 ffffffff",
+        "record is cut short"
+    )]
     fn a_bad_frame_is_told_plainly(#[case] frame: &str, #[case] what: &str) {
         let trouble = read_batch(&mut &hex(frame)[..]).unwrap_err();
         assert!(trouble.what.contains(what), "{trouble}");
--- a/crates/wire/src/start.rs
+++ b/crates/wire/src/start.rs
@@ -114,7 +114,9 @@
 
 fn span(name: &str, seconds: f64) -> Result<Duration, String> {
     if !(0.0..1e9).contains(&seconds) {
-        return Err(format!("start terms: {name} = {seconds} is not a span of time"));
+        return Err(format!(
+            "start terms: {name} = {seconds} is not a span of time"
+        ));
     }
     Ok(Duration::from_micros((seconds * 1e6).round() as u64))
 }
@@ -130,7 +132,10 @@
                 "cell" => Reach::Cell,
                 other => return Err(format!("start terms: unknown profiles.group {other:?}")),
             };
-            Repeat::Tagged { drops_repeats, memory: span("profiles.window_s", p.window_s)? }
+            Repeat::Tagged {
+                drops_repeats,
+                memory: span("profiles.window_s", p.window_s)?,
+            }
         }
         other => return Err(format!("start terms: unknown profiles.repeat {other:?}")),
     };
@@ -182,7 +187,10 @@
     if o.domain.most_shares.len() != o.domain.stage_share.len() || o.domain.most_shares.is_empty() {
         return Err("start terms: domain.most_shares and domain.stage_share do not match".into());
     }
-    if o.domain.vote_allowance.is_some_and(|calls| calls.is_nan() || calls <= 0.0) {
+    if o.domain
+        .vote_allowance
+        .is_some_and(|calls| calls.is_nan() || calls <= 0.0)
+    {
         return Err("start terms: domain.vote_allowance is not over 0".into());
     }
     let control = match o.domain.gate_mode.as_str() {
@@ -196,7 +204,11 @@
         sidecars: o.balancers,
         own_number: o.me,
         zone: ZoneId(o.zone),
-        groups: o.profiles.iter().map(path_group).collect::<Result<_, _>>()?,
+        groups: o
+            .profiles
+            .iter()
+            .map(path_group)
+            .collect::<Result<_, _>>()?,
         list_on_request: o.membership_mode == "subscribe",
         list_pushed: o.membership_mode != "subscribe",
         list_lease: None,
--- a/crates/wire/src/write.rs
+++ b/crates/wire/src/write.rs
@@ -30,7 +30,9 @@
         while !text.is_char_boundary(end) {
             end -= 1;
         }
-        self.code(code).put(&(end as u16).to_le_bytes()).put(&text.as_bytes()[..end]);
+        self.code(code)
+            .put(&(end as u16).to_le_bytes())
+            .put(&text.as_bytes()[..end]);
     }
 
     /// The actions that follow are this instance's.
@@ -44,12 +46,21 @@
 
     pub fn act(&mut self, action: &Action) {
         match action {
-            Action::Forward { hit, pod: to, within } => {
+            Action::Forward {
+                hit,
+                pod: to,
+                within,
+            } => {
                 let within = within.as_secs_f64().to_le_bytes();
-                self.code(257).put(&hit.0.to_le_bytes()).put(&pod(*to)).put(&within);
+                self.code(257)
+                    .put(&hit.0.to_le_bytes())
+                    .put(&pod(*to))
+                    .put(&within);
             }
             Action::Cancel { hit, no } => {
-                self.code(260).put(&hit.0.to_le_bytes()).put(&no.0.to_le_bytes());
+                self.code(260)
+                    .put(&hit.0.to_le_bytes())
+                    .put(&no.0.to_le_bytes());
             }
             Action::Bounce { hit, retry_after } => {
                 let wait = retry_after.as_secs_f64().to_le_bytes();
@@ -58,20 +69,29 @@
             Action::Fail { hit } => {
                 self.code(261).put(&hit.0.to_le_bytes());
             }
-            Action::Vote { verdict, build, stage } => {
+            Action::Vote {
+                verdict,
+                build,
+                stage,
+            } => {
                 let mark = match verdict {
                     Verdict::Withhold => 0,
                     Verdict::On => 1,
                     Verdict::Hold => 2,
                     Verdict::Back => 3,
                 };
-                self.code(259).put(&[mark]).put(&build.0.to_le_bytes()).put(&[stage.0]);
+                self.code(259)
+                    .put(&[mark])
+                    .put(&build.0.to_le_bytes())
+                    .put(&[stage.0]);
             }
             Action::Watch => {
                 self.code(263).put(&[1]);
             }
             Action::Wake { at } => {
-                self.code(269).put(&at.as_secs_f64().to_le_bytes()).put(&[0; 8]);
+                self.code(269)
+                    .put(&at.as_secs_f64().to_le_bytes())
+                    .put(&[0; 8]);
             }
             Action::Log(line) => self.text(258, line),
         }
@@ -98,14 +118,23 @@
     fn a_forward_takes_the_documented_bytes() {
         let mut reply = Reply::default();
         reply.by(3);
-        let to = PodId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x43, 0x1f, 0, 0]));
+        let to = PodId(u64::from_le_bytes([
+            0x0a, 0x12, 0x4a, 0x07, 0x43, 0x1f, 0, 0,
+        ]));
         let within = std::time::Duration::from_millis(80);
-        reply.act(&Action::Forward { hit: HitId(0xa7d0c5d3a91c4), pod: to, within });
+        reply.act(&Action::Forward {
+            hit: HitId(0xa7d0c5d3a91c4),
+            pod: to,
+            within,
+        });
         let mut out = Vec::new();
         reply.send(12, &mut out).unwrap();
         assert_eq!(&out[..12], [38, 0, 0, 0, 2, 0, 0, 0, 12, 0, 0, 0]);
         assert_eq!(&out[12..18], [0x0a, 1, 3, 0, 0, 0]);
-        assert_eq!(&out[18..34], b"\x01\x01\xc4\x91\x3a\x5d\x0c\x7d\x0a\x00\x0a\x12\x4a\x07\x43\x1f");
+        assert_eq!(
+            &out[18..34],
+            b"\x01\x01\xc4\x91\x3a\x5d\x0c\x7d\x0a\x00\x0a\x12\x4a\x07\x43\x1f"
+        );
         assert_eq!(&out[34..], 0.08f64.to_le_bytes());
     }
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -66,11 +66,19 @@
                     continue;
                 }
                 Record::PowerOn { seed, options, at } => {
-                    let id =
-                        current.ok_or_else(|| Trouble { what: "power_on for no instance".into(), at })?;
+                    let id = current.ok_or_else(|| Trouble {
+                        what: "power_on for no instance".into(),
+                        at,
+                    })?;
                     let terms = start_terms(seed, &options).map_err(|what| Trouble { what, at })?;
                     let sidecar = Sidecar::new(batch.now, terms);
-                    self.instances.insert(id, Instance { sidecar, waiting: Vec::new() });
+                    self.instances.insert(
+                        id,
+                        Instance {
+                            sidecar,
+                            waiting: Vec::new(),
+                        },
+                    );
                     continue;
                 }
                 Record::Halt => {
@@ -79,7 +87,10 @@
                 }
                 Record::BackendsChanged { how, table, at } => {
                     let rows = || {
-                        let unknown = || Trouble { what: format!("list {table} was never sent"), at };
+                        let unknown = || Trouble {
+                            what: format!("list {table} was never sent"),
+                            at,
+                        };
                         self.tables.get(&table).cloned().ok_or_else(unknown)
                     };
                     Event::List(match how {
@@ -102,7 +113,9 @@
             };
             let events = std::mem::take(&mut instance.waiting);
             reply.by(id);
-            match catch_unwind(AssertUnwindSafe(|| instance.sidecar.handle(batch.now, events))) {
+            match catch_unwind(AssertUnwindSafe(|| {
+                instance.sidecar.handle(batch.now, events)
+            })) {
                 Ok(actions) => actions.iter().for_each(|a| reply.act(a)),
                 Err(panic) => {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -53,10 +53,14 @@
 impl Lister {
     pub fn take(&mut self, note: Note, round: &mut Round) {
         match note {
-            Note::List(ListNews::Change(rows)) => rows.into_iter().for_each(|row| self.tell(row, round)),
+            Note::List(ListNews::Change(rows)) => {
+                rows.into_iter().for_each(|row| self.tell(row, round))
+            }
             Note::List(ListNews::Whole(rows) | ListNews::Remembered(rows)) => {
                 let gone = self.held.gone_from(&rows);
-                gone.into_iter().chain(rows).for_each(|row| self.tell(row, round));
+                gone.into_iter()
+                    .chain(rows)
+                    .for_each(|row| self.tell(row, round));
                 let first = round.figures.on_request && !std::mem::replace(&mut self.watched, true);
                 round.out.extend(first.then_some(Action::Watch));
             }
@@ -70,14 +74,21 @@
                 };
                 let shared = ASK_AGAIN * (1 << doubled.min(MOST_DOUBLED));
                 let own = (round.figures.grace / 4).clamp(BEAT, ASK_AGAIN); // its own agent's, told at once
-                let longest = if round.figures.list_pushed { own } else { shared };
+                let longest = if round.figures.list_pushed {
+                    own
+                } else {
+                    shared
+                };
                 let wait = longest.mul_f64(0.3 + 0.7 * round.chance());
                 round.later(wait, To::Lister, Note::Watch);
             }
             Note::Watch => round.out.push(Action::Watch),
             // Guards against a pile of pods that left long ago; the gate sends nothing to unknown ones.
             Note::Forget(pod) if self.held.forget(pod, round.ago(FORGET_AFTER)) => {
-                round.tell([To::Gate, To::Pod(pod), To::Desk, To::Judge], &Note::Forget(pod));
+                round.tell(
+                    [To::Gate, To::Pod(pod), To::Desk, To::Judge],
+                    &Note::Forget(pod),
+                );
             }
             _ => {}
         }
@@ -101,7 +112,11 @@
 
 impl Pod {
     pub fn new(entry: PodEntry) -> Self {
-        Self { entry, open: BTreeMap::new(), health: Health::default() }
+        Self {
+            entry,
+            open: BTreeMap::new(),
+            health: Health::default(),
+        }
     }
 
     pub fn take(&mut self, note: Note, round: &mut Round) {
@@ -128,9 +143,15 @@
                 let oldest = self.open.values().min().copied();
                 // With few hits open a heavy one explains the silence, with many it does not.
                 let few = 1.0 + 2.0 / self.open.len().max(1) as f64;
-                let pace = if self.health.pace.of > 0 { self.health.pace.value.max(0.05) } else { 0.3 };
-                let patience = Duration::from_secs_f64(round.figures.tightest * (0.15 + 2.0 * pace) * few);
-                let quiet = oldest.is_some_and(|sent| now > sent.max(self.health.last_answer) + patience);
+                let pace = if self.health.pace.of > 0 {
+                    self.health.pace.value.max(0.05)
+                } else {
+                    0.3
+                };
+                let patience =
+                    Duration::from_secs_f64(round.figures.tightest * (0.15 + 2.0 * pace) * few);
+                let quiet =
+                    oldest.is_some_and(|sent| now > sent.max(self.health.last_answer) + patience);
                 match (self.health.shut_until.is_zero(), quiet) {
                     (true, true) => self.shut(now),
                     (true, false) => return,
@@ -144,13 +165,18 @@
 
     fn learn(&mut self, ended: &Ended, round: &Round) {
         let now = round.now;
-        let took = ended.outcome.took.as_secs_f64() / round.figures.line(ended.group).target.as_secs_f64();
+        let took =
+            ended.outcome.took.as_secs_f64() / round.figures.line(ended.group).target.as_secs_f64();
         match ended.outcome.fate {
             Fate::Delivered => {
                 self.health.pace.add(took, PACE_OVER);
                 let served = self.health.served.max(ended.sent);
-                self.health =
-                    Health { last_answer: now, served, pace: self.health.pace, ..Health::default() };
+                self.health = Health {
+                    last_answer: now,
+                    served,
+                    pace: self.health.pace,
+                    ..Health::default()
+                };
             }
             // No connection, or resets, silence or errors in a row: shut for a while, ever longer. An error
             // is no sign of speed: a pod that fails at once would draw all hits. One reset may be a
@@ -158,7 +184,11 @@
             Fate::TimedOut | Fate::Errored if ended.sour => {}
             Fate::Unreached | Fate::Broken | Fate::TimedOut | Fate::Errored => {
                 self.health.strikes += 1;
-                let limit = if ended.outcome.fate == Fate::Unreached { 1 } else { 3 };
+                let limit = if ended.outcome.fate == Fate::Unreached {
+                    1
+                } else {
+                    3
+                };
                 (self.health.strikes >= limit).then(|| self.shut(now));
             }
             Fate::TurnedAway => {
@@ -189,7 +219,10 @@
             open: self.open.len(),
             pace: self.health.pace,
             usable: ready && !shut,
-            wants_proof: ready && shut && now >= self.health.shut_until && !round.is_held(self.entry.pod),
+            wants_proof: ready
+                && shut
+                && now >= self.health.shut_until
+                && !round.is_held(self.entry.pod),
             served: self.health.served,
         };
         round.mail.put(To::Desk, Note::Card(card));
@@ -219,14 +252,23 @@
             }
             Note::Forget(pod) => self.places.remove(pod),
             Note::Taken(hit) => self.open(hit, round),
-            Note::Ask { hit, mut bids, turn } => {
+            Note::Ask {
+                hit,
+                mut bids,
+                turn,
+            } => {
                 best_last(&mut bids); // nearly always that one is allowed: only if not, the others are sorted
                 let mut sorted = false;
-                while let Some(Bid { pod, build, part, .. }) = bids.pop_if(|bid| bid.turn == turn) {
+                while let Some(Bid {
+                    pod, build, part, ..
+                }) = bids.pop_if(|bid| bid.turn == turn)
+                {
                     match self.allow(hit, (pod, part), round) {
                         Ok(()) => return self.send(hit, pod, round),
                         // That holds for all of its build.
-                        Err(Refusal::Exposed | Refusal::KeyStays) => bids.retain(|bid| bid.build != build),
+                        Err(Refusal::Exposed | Refusal::KeyStays) => {
+                            bids.retain(|bid| bid.build != build)
+                        }
                         Err(_) => {}
                     }
                     if !std::mem::replace(&mut sorted, true) {
@@ -236,11 +278,18 @@
                 round.mail.put(To::Desk, Note::Refused(hit, bids));
             }
             Note::Back(outcome) => self.end_forward(outcome, round),
-            Note::Streams(hit) => self.accounts.get_mut(&hit).into_iter().for_each(|a| a.streams = true),
+            Note::Streams(hit) => self
+                .accounts
+                .get_mut(&hit)
+                .into_iter()
+                .for_each(|a| a.streams = true),
             Note::End(hit) => self.answer(hit, round),
             Note::Over(hit) if self.accounts.contains_key(&hit) => self.close(hit, round),
             Note::Met(key, build) => {
-                self.met.entry(key).and_modify(|met| *met = build.max(*met)).or_insert(build);
+                self.met
+                    .entry(key)
+                    .and_modify(|met| *met = build.max(*met))
+                    .or_insert(build);
             }
             Note::Stage(news) => {
                 // Rule 5 speaks of the newest build's keys alone.
@@ -254,7 +303,10 @@
                 self.forget_keys(round);
                 self.exposed.retain(|_, window| !window.is_empty());
                 let from = round.ago(round.figures.cap_window);
-                self.taken.values_mut().chain(self.exposed.values_mut()).for_each(|w| w.forget(from));
+                self.taken
+                    .values_mut()
+                    .chain(self.exposed.values_mut())
+                    .for_each(|w| w.forget(from));
             }
             _ => {}
         }
@@ -264,12 +316,19 @@
     /// pod that came back would get no hit with a key. Guards against a million keys a day; may hurt when old
     /// machines come back by hand after a release: they serve hits without keys only.
     fn forget_keys(&mut self, round: &Round) {
-        let Some(news) = self.news.filter(|n| n.phase == Phase::Released && !self.met.is_empty()) else {
+        let Some(news) = self
+            .news
+            .filter(|n| n.phase == Phase::Released && !self.met.is_empty())
+        else {
             return;
         };
         let (now, grace) = (round.now, round.figures.grace);
         let usable = |p: &Place| p.ended.is_none_or(|told| now < told + grace);
-        if self.places.values().all(|p| p.entry.build >= news.build || !usable(p)) {
+        if self
+            .places
+            .values()
+            .all(|p| p.entry.build >= news.build || !usable(p))
+        {
             // A later build that the list showed before the news did has keys of its own.
             self.met.retain(|_, met| *met > news.build);
             self.all_met = Some(news.build);
@@ -277,10 +336,15 @@
     }
 
     fn open(&mut self, hit: Hit, round: &mut Round) {
-        if usize::from(hit.group.0) >= round.figures.lines.len() || self.accounts.contains_key(&hit.id) {
+        if usize::from(hit.group.0) >= round.figures.lines.len()
+            || self.accounts.contains_key(&hit.id)
+        {
             return;
         }
-        self.taken.entry(round.figures.counter(hit.group)).or_default().note(round.now);
+        self.taken
+            .entry(round.figures.counter(hit.group))
+            .or_default()
+            .note(round.now);
         self.accounts.insert(hit.id, Account::of(&hit));
         round.mail.put(To::Desk, Note::Taken(hit));
     }
@@ -303,9 +367,15 @@
     /// While no list is heard what was allowed expires with the grace. Hurts by attempts decided on anew.
     pub fn may_begin(&self, hit: HitId, no: ForwardNo, now: Duration, round: &Round) -> bool {
         let account = self.accounts.get(&hit).filter(|account| !account.over);
-        let Some(sent) = account.and_then(|account| account.out(no)) else { return false };
+        let Some(sent) = account.and_then(|account| account.out(no)) else {
+            return false;
+        };
         let expired = !round.hears_list() && now > sent.at + round.figures.grace.max(BEAT);
-        !expired && self.places.get(sent.pod).is_some_and(|place| place.still_takes(sent))
+        !expired
+            && self
+                .places
+                .get(sent.pod)
+                .is_some_and(|place| place.still_takes(sent))
     }
 
     /// Rule 4, with no word between sidecars: each keeps a cold pod's load to what it gives warm strength, so
@@ -333,13 +403,22 @@
     }
 
     /// Rule 5. A lower cap is kept from the moment it is told, without the grace.
-    fn allow_exposure(&self, account: &Account, build: BuildId, round: &Round) -> Result<(), Refusal> {
+    fn allow_exposure(
+        &self,
+        account: &Account,
+        build: BuildId,
+        round: &Round,
+    ) -> Result<(), Refusal> {
         let figures = &round.figures;
         let newer = self.news.filter(|n| figures.keys_stay && build < n.build);
         let stays = newer.is_some_and(|n| matches!(n.phase, Phase::OnTrial | Phase::Released));
-        let met = account.key.is_some_and(|key| self.met.get(&key).copied().max(self.all_met) > Some(build));
+        let met = account
+            .key
+            .is_some_and(|key| self.met.get(&key).copied().max(self.all_met) > Some(build));
         (!stays || !met).then_some(()).ok_or(Refusal::KeyStays)?;
-        let Some((cap, stage)) = self.cap(build, figures) else { return Ok(()) };
+        let Some((cap, stage)) = self.cap(build, figures) else {
+            return Ok(());
+        };
         let repeatable = figures.line(account.group).repeat == Repeat::Repeatable;
         let open = cap > 0.0 && (stage >= figures.guarded_stages || repeatable);
         let counter = figures.counter(account.group);
@@ -353,19 +432,32 @@
 
     fn send(&mut self, hit: HitId, pod: PodId, round: &mut Round) {
         let found = (self.accounts.get_mut(&hit), self.places.get_mut(pod));
-        let (Some(account), Some(place)) = found else { return };
+        let (Some(account), Some(place)) = found else {
+            return;
+        };
         let (no, build) = (account.sent(&place.entry, round.now), place.entry.build);
         place.sends.note(round.now);
         place.sends.forget(round.ago(round.figures.fall_within));
         let counter = round.figures.counter(account.group);
-        self.exposed.entry((build, counter)).or_default().note(round.now);
-        round.out.push(Action::Forward { hit, pod, within: Duration::ZERO });
+        self.exposed
+            .entry((build, counter))
+            .or_default()
+            .note(round.now);
+        round.out.push(Action::Forward {
+            hit,
+            pod,
+            within: Duration::ZERO,
+        });
         round.tell([To::Pod(pod), To::Desk], &Note::Sent { hit, no, pod });
     }
 
     fn end_forward(&mut self, mut outcome: Outcome, round: &mut Round) {
-        let Some(account) = self.accounts.get_mut(&outcome.hit) else { return };
-        let Some(sent) = account.forwards.get_mut(usize::from(outcome.no.0)) else { return };
+        let Some(account) = self.accounts.get_mut(&outcome.hit) else {
+            return;
+        };
+        let Some(sent) = account.forwards.get_mut(usize::from(outcome.no.0)) else {
+            return;
+        };
         if sent.fate.is_some() {
             return;
         }
@@ -378,12 +470,21 @@
         // An answer may have been whole though its connection broke or was given up: it counts as had.
         let had = !outcome.fate.never_ran() && outcome.fate != Fate::Errored;
         let key = account.key.filter(|_| round.figures.keys_stay && had);
-        key.into_iter().for_each(|key| round.mail.put(To::Gate, Note::Met(key, build)));
+        key.into_iter()
+            .for_each(|key| round.mail.put(To::Gate, Note::Met(key, build)));
         let (hit, group, open) = (outcome.hit, account.group, was_open && !account.over);
         let customer = account.customer;
         let learn = !outcome.fate.never_ran() && self.cap(build, &round.figures).is_none();
         let sour = customer.is_some_and(|customer| self.sours(customer, outcome.fate, learn));
-        let ended = Ended { outcome, group, build, sent: at, open, customer, sour };
+        let ended = Ended {
+            outcome,
+            group,
+            build,
+            sent: at,
+            open,
+            customer,
+            sour,
+        };
         round.tell([To::Pod(pod), To::Desk, To::Judge], &Note::Ended(ended));
         self.tidy(hit, round);
     }
@@ -393,18 +494,28 @@
     fn sours(&mut self, customer: CustomerId, fate: Fate, learn: bool) -> bool {
         if learn && fate != Fate::Cancelled {
             let wrong = matches!(fate, Fate::Errored | Fate::TimedOut);
-            self.wrong.entry(customer).or_default().add(f64::from(u8::from(wrong)), 30);
+            self.wrong
+                .entry(customer)
+                .or_default()
+                .add(f64::from(u8::from(wrong)), 30);
         }
         let known = |c: &CustomerId| self.wrong.get(c).copied().filter(|mean| mean.of >= 15);
-        let others =
-            || self.wrong.keys().filter(|c| **c != customer).filter_map(known).map(|mean| mean.value);
+        let others = || {
+            self.wrong
+                .keys()
+                .filter(|c| **c != customer)
+                .filter_map(known)
+                .map(|mean| mean.value)
+        };
         let usual = others().sum::<f64>() / others().count().max(1) as f64;
         others().count() > 0 && known(&customer).is_some_and(|own| own.value > 0.2 + 1.5 * usual)
     }
 
     /// A hit that is given up: bounced where a retry does no harm, errored elsewhere.
     fn answer(&mut self, hit: HitId, round: &mut Round) {
-        let Some(account) = self.accounts.get(&hit).filter(|a| !a.over && !a.streams) else { return };
+        let Some(account) = self.accounts.get(&hit).filter(|a| !a.over && !a.streams) else {
+            return;
+        };
         let ran = account.forwards.iter().any(Sent::may_have_run);
         let harmless = match round.figures.line(account.group).repeat {
             Repeat::Repeatable => true,
@@ -412,33 +523,46 @@
             Repeat::Mutating => !ran,
         };
         round.out.push(match harmless {
-            true => Action::Bounce { hit, retry_after: round.figures.retry_after },
+            true => Action::Bounce {
+                hit,
+                retry_after: round.figures.retry_after,
+            },
             false => Action::Fail { hit },
         });
         self.close(hit, round);
     }
 
     fn close(&mut self, hit: HitId, round: &mut Round) {
-        self.accounts.entry(hit).and_modify(|account| account.over = true);
+        self.accounts
+            .entry(hit)
+            .and_modify(|account| account.over = true);
         self.tidy(hit, round);
         round.mail.put(To::Desk, Note::Over(hit));
     }
 
     /// Calls off what is still out for a hit that is over, and closes its account once nothing is.
     fn tidy(&mut self, hit: HitId, round: &mut Round) {
-        let Some(account) = self.accounts.get(&hit).filter(|a| a.over) else { return };
+        let Some(account) = self.accounts.get(&hit).filter(|a| a.over) else {
+            return;
+        };
         let out = account.still_out();
         if out.is_empty() {
             self.accounts.remove(&hit);
         } else if round.figures.may_cancel && !account.streams {
-            out.into_iter().for_each(|no| round.out.push(Action::Cancel { hit, no }));
+            out.into_iter()
+                .for_each(|no| round.out.push(Action::Cancel { hit, no }));
         }
     }
 }
 
 /// The cap and stage of a build on trial; none for builds that are not. One without news of it counts as in
 /// the first stage, unless nothing older runs.
-fn cap(build: BuildId, lowest: Option<BuildId>, news: Option<StageNews>, by: &Figures) -> Option<(f64, u8)> {
+fn cap(
+    build: BuildId,
+    lowest: Option<BuildId>,
+    news: Option<StageNews>,
+    by: &Figures,
+) -> Option<(f64, u8)> {
     match news {
         None if lowest.is_none_or(|l| build <= l) => None,
         Some(n) if build < n.build || (build == n.build && n.phase == Phase::Released) => None,
@@ -456,9 +580,10 @@
     let fine = match round.figures.line(account.group).repeat {
         Repeat::Repeatable => true,
         Repeat::Mutating => ran.next().is_none(),
-        Repeat::Tagged { drops_repeats, memory } => {
-            ran.all(|f| f.remembered_by(to, drops_repeats) && round.now < f.at + memory)
-        }
+        Repeat::Tagged {
+            drops_repeats,
+            memory,
+        } => ran.all(|f| f.remembered_by(to, drops_repeats) && round.now < f.at + memory),
     };
     fine.then_some(()).ok_or(Refusal::MayHaveRun)
 }
@@ -486,7 +611,9 @@
             Note::Refused(hit, rest) if rest.is_empty() => self.wait(hit, round),
             Note::Refused(hit, rest) => self.ask(hit, rest, round),
             Note::Sent { hit, no, pod } => {
-                let Some(open) = self.hits.get_mut(&hit) else { return };
+                let Some(open) = self.hits.get_mut(&hit) else {
+                    return;
+                };
                 (open.out, open.at) = (open.out + 1, Some(pod));
                 if round.figures.second_copies {
                     round.later(DOUBT_EVERY, To::Desk, Note::Doubt(hit, no, pod));
@@ -503,12 +630,15 @@
 
     fn usual(&self, group: GroupId, round: &Round) -> f64 {
         let target = round.figures.line(group).target.as_secs_f64();
-        self.usual.get(&group).map_or(0.2 * target, |mean| mean.value)
+        self.usual
+            .get(&group)
+            .map_or(0.2 * target, |mean| mean.value)
     }
 
     fn arrive(&mut self, hit: Hit, round: &mut Round) {
         self.spare = (self.spare + SPARE.0).min(SPARE.1);
-        let shed = self.overload(hit.customer, round) * 2.0 * round.figures.line(hit.group).cheapness;
+        let shed =
+            self.overload(hit.customer, round) * 2.0 * round.figures.line(hit.group).cheapness;
         self.hits.insert(hit.id, OpenHit::of(&hit, round.now));
         if shed > 0.0 && round.chance() < shed.min(MOST_SHED) {
             round.mail.put(To::Gate, Note::End(hit.id));
@@ -521,7 +651,9 @@
     /// is shed. By customer: hits that wait for something of their own at every pod, and hold the places of
     /// all, go first.
     fn slowness(&self, customer: Option<CustomerId>, now: Duration) -> f64 {
-        self.lanes.get(&customer).map_or(0.0, |took| took.read(now, FADES, 0.5))
+        self.lanes
+            .get(&customer)
+            .map_or(0.0, |took| took.read(now, FADES, 0.5))
     }
 
     /// How far the wait ahead of a new hit, by Little's law, is past what the target latency bears: 0 to 1.
@@ -530,7 +662,10 @@
         if round.now < round.figures.since + RATE_OVER {
             return 0.0;
         }
-        let out = self.hits.values().filter(|h| h.out > 0 && self.slowness(h.customer, round.now) < 1.0);
+        let out = self
+            .hits
+            .values()
+            .filter(|h| h.out > 0 && self.slowness(h.customer, round.now) < 1.0);
         let at = |h: &OpenHit| h.at.and_then(|pod| self.cards.get(pod));
         let open = out.filter(|h| at(h).is_some_and(|c| c.usable)).count() as f64;
         // A few open hits of a light sidecar are chance; what its last hits took tells it more.
@@ -541,15 +676,30 @@
 
     /// The split: the share of hits that the build on trial gets, by its machines, stage and cap.
     fn trial_share(&self, round: &Round) -> (Option<BuildId>, f64) {
-        let Some((lowest, build)) = self.overview.builds else { return (None, 0.0) };
+        let Some((lowest, build)) = self.overview.builds else {
+            return (None, 0.0);
+        };
         let cap = cap(build, Some(lowest), self.news, &round.figures);
-        let Some((cap, stage)) = cap else { return (None, 0.0) };
-        let strengths =
-            self.cards.iter().filter(|c| c.usable).map(|c| (c.entry.build, self.strength(c, round)));
+        let Some((cap, stage)) = cap else {
+            return (None, 0.0);
+        };
+        let strengths = self
+            .cards
+            .iter()
+            .filter(|c| c.usable)
+            .map(|c| (c.entry.build, self.strength(c, round)));
         let (whole, new) = strengths.fold((0.0, 0.0), |(whole, new), (of, strength)| {
-            (whole + strength, if of == build { new + strength } else { new })
+            (
+                whole + strength,
+                if of == build { new + strength } else { new },
+            )
         });
-        let told = round.figures.stage_shares.get(usize::from(stage)).copied().unwrap_or(1.0);
+        let told = round
+            .figures
+            .stage_shares
+            .get(usize::from(stage))
+            .copied()
+            .unwrap_or(1.0);
         (Some(build), (new / whole.max(1e-9)).min(told).min(cap))
     }
 
@@ -560,7 +710,9 @@
             self.overview.sort(&self.cards, trial);
         }
         let draw = round.chance();
-        let Some(open) = self.hits.get(&hit) else { return };
+        let Some(open) = self.hits.get(&hit) else {
+            return;
+        };
         let on_trial = |c: &Card| trial == Some(c.entry.build);
         let harmless = round.figures.line(open.group).repeat != Repeat::Mutating;
         // A light sidecar has few hits: most must not go to prove that what is shut still fails.
@@ -586,13 +738,33 @@
         for card in self.cards.iter() {
             let chance = round.chance();
             let later = if card.served < since { LATER } else { 0 };
-            let Some(turn) = turn(card).map(|turn| turn + later) else { continue };
+            let Some(turn) = turn(card).map(|turn| turn + later) else {
+                continue;
+            };
             first = first.min(turn);
-            let cost = if turn == first { self.cost(card, chance, round) } else { 0.0 };
+            let cost = if turn == first {
+                self.cost(card, chance, round)
+            } else {
+                0.0
+            };
             let (pod, build, part) = (card.entry.pod, card.entry.build, among(card).1);
-            bids.push(Bid { pod, build, turn, chance, cost, part });
+            bids.push(Bid {
+                pod,
+                build,
+                turn,
+                chance,
+                cost,
+                part,
+            });
         }
-        round.mail.put(To::Gate, Note::Ask { hit, bids, turn: first });
+        round.mail.put(
+            To::Gate,
+            Note::Ask {
+                hit,
+                bids,
+                turn: first,
+            },
+        );
     }
 
     /// Asks for the pods whose turn is next; they had no price before.
@@ -626,7 +798,10 @@
 
     /// What a pod can surely do by now, by its size, age and the usual pace of its kind.
     fn strength(&self, card: &Card, round: &Round) -> f64 {
-        let pace = self.kinds.get(&card.entry.kind).map_or(1.0, |mean| mean.value);
+        let pace = self
+            .kinds
+            .get(&card.entry.kind)
+            .map_or(1.0, |mean| mean.value);
         card.entry.size * round.figures.strength(card.entry.started, round.now) / pace.max(0.01)
     }
 
@@ -636,18 +811,27 @@
     /// leans on the kind's: a new pod would be flooded while cold.
     fn cost(&self, card: &Card, chance: f64, round: &Round) -> f64 {
         let luck = -chance.max(1e-9).ln();
-        let kind = self.kinds.get(&card.entry.kind).map_or(1.0, |mean| mean.value);
+        let kind = self
+            .kinds
+            .get(&card.entry.kind)
+            .map_or(1.0, |mean| mean.value);
         let known = card.pace.of.min(PACE_OVER) as f64;
         let pace = (card.pace.value * known + kind * 3.0) / (known + 3.0);
         let strength = card.entry.size * round.figures.strength(card.entry.started, round.now);
-        let far = if card.entry.zone == round.figures.zone { 1.0 } else { 1.1 };
+        let far = if card.entry.zone == round.figures.zone {
+            1.0
+        } else {
+            1.1
+        };
         let own = 1.0 / round.figures.sidecars;
         (card.open as f64 + own + (1.0 - own) * luck) * pace.max(0.02) * far / strength
     }
 
     /// No pod may have it now: it waits while an answer could still be worth something.
     fn wait(&mut self, hit: HitId, round: &mut Round) {
-        let Some(open) = self.hits.get_mut(&hit).filter(|open| open.out == 0) else { return };
+        let Some(open) = self.hits.get_mut(&hit).filter(|open| open.out == 0) else {
+            return;
+        };
         (open.no_trial, open.tried) = (false, Vec::new());
         let target = round.figures.line(open.group).target;
         let last = (open.arrived + target.mul_f64(0.7)).min(open.due.saturating_sub(BEAT * 3));
@@ -660,24 +844,40 @@
 
     fn end_forward(&mut self, ended: Ended, round: &mut Round) {
         let usual = self.usual(ended.group, round);
-        let share = ended.outcome.took.as_secs_f64() / round.figures.line(ended.group).target.as_secs_f64();
-        let share = if ended.outcome.fate == Fate::TurnedAway { 1.0 } else { share.min(2.0) };
+        let share =
+            ended.outcome.took.as_secs_f64() / round.figures.line(ended.group).target.as_secs_f64();
+        let share = if ended.outcome.fate == Fate::TurnedAway {
+            1.0
+        } else {
+            share.min(2.0)
+        };
         // Few outcomes, or a light sidecar would still shed long after; a busy one reads half a second of
         // them.
         let last = (self.finished.now(round.now, RATE_OVER) * 0.5).max(5.0);
-        self.lanes.entry(ended.customer).or_default().add(share, round.now, FADES, last);
+        self.lanes
+            .entry(ended.customer)
+            .or_default()
+            .add(share, round.now, FADES, last);
         if ended.outcome.fate == Fate::Delivered {
             self.finished.add(round.now, RATE_OVER);
-            self.usual.entry(ended.group).or_default().add(ended.outcome.took.as_secs_f64(), 20);
+            self.usual
+                .entry(ended.group)
+                .or_default()
+                .add(ended.outcome.took.as_secs_f64(), 20);
             if let Some(card) = self.cards.get(ended.outcome.pod) {
-                self.kinds.entry(card.entry.kind).or_default().add(share, 50);
+                self.kinds
+                    .entry(card.entry.kind)
+                    .or_default()
+                    .add(share, 50);
             }
         }
         let hit = ended.outcome.hit;
         if !ended.open {
             self.hits.remove(&hit);
         }
-        let Some(open) = self.hits.get_mut(&hit) else { return };
+        let Some(open) = self.hits.get_mut(&hit) else {
+            return;
+        };
         open.out = open.out.saturating_sub(1);
         open.tried.push(ended.outcome.pod);
         if open.out > 0 {
@@ -700,7 +900,9 @@
     fn doubt(&mut self, hit: HitId, no: ForwardNo, pod: PodId, round: &mut Round) {
         let mutating = |o: &OpenHit| round.figures.line(o.group).repeat == Repeat::Mutating;
         let doubtful = |o: &&OpenHit| o.out == 1 && !o.tried.contains(&pod) && !mutating(o);
-        let Some(open) = self.hits.get(&hit).filter(doubtful) else { return };
+        let Some(open) = self.hits.get(&hit).filter(doubtful) else {
+            return;
+        };
         let usual = Duration::from_secs_f64(self.usual(open.group, round));
         if round.now + usual >= open.arrived + round.figures.line(open.group).useful {
             return;
@@ -739,7 +941,9 @@
 /// How far a sign must stand out of chance: of many sidecars that look at one sound build, the noise of as
 /// many as can send it back reaches about this.
 fn sigmas(figures: &Figures) -> f64 {
-    (2.0 * (figures.sidecars / figures.back_votes).ln()).sqrt().max(1.5)
+    (2.0 * (figures.sidecars / figures.back_votes).ln())
+        .sqrt()
+        .max(1.5)
 }
 
 /// When votes are called where the platform can't carry one of each sidecar, anew after 0.6 of a vote's life.
@@ -781,8 +985,8 @@
     standing: Option<Vote>,
     asked: Option<Vote>,
     not_before: Duration,
-    began: Duration,                // when cycles of votes began, by the news that all hear
-    kept_until: Duration,           // until when a sign from the stage before is voted on
+    began: Duration,      // when cycles of votes began, by the news that all hear
+    kept_until: Duration, // until when a sign from the stage before is voted on
     called: Option<(Verdict, u32)>, // the last call made in turn, and in which cycle
 }
 
@@ -794,11 +998,17 @@
             Note::Stage(news) => self.enter(news, round),
             Note::Ended(ended) => self.count(&ended, &round.figures),
             Note::Flagged { pod, group } => {
-                let Some(build) = self.pods.get(&pod).map(|p| p.build) else { return };
-                self.sample(build).into_iter().for_each(|sample| sample.flag(group, pod));
+                let Some(build) = self.pods.get(&pod).map(|p| p.build) else {
+                    return;
+                };
+                self.sample(build)
+                    .into_iter()
+                    .for_each(|sample| sample.flag(group, pod));
             }
             Note::VoteAnswered(answer) => {
-                let Some(asked) = self.asked.take() else { return };
+                let Some(asked) = self.asked.take() else {
+                    return;
+                };
                 match answer {
                     VoteAnswer::Counted | VoteAnswer::Moot => self.standing = Some(asked),
                     _ => self.not_before = round.now + BEAT * 15,
@@ -841,7 +1051,11 @@
     fn sample(&mut self, build: BuildId) -> Option<&mut Sample> {
         self.fresh = true;
         let news = self.news?;
-        let sample = if build < news.build { &mut self.old } else { &mut self.new };
+        let sample = if build < news.build {
+            &mut self.old
+        } else {
+            &mut self.new
+        };
         (build <= news.build).then_some(sample)
     }
 
@@ -851,10 +1065,13 @@
         if untold || ended.sent < self.since {
             return;
         }
-        let Some(entry) = self.pods.get(&ended.outcome.pod) else { return };
+        let Some(entry) = self.pods.get(&ended.outcome.pod) else {
+            return;
+        };
         // A cold pod's time is its start's and its queue's, not its build's: it tells nothing of speed.
         let warm = figures.strength(entry.started, ended.sent) >= 1.0;
-        let took = ended.outcome.took.as_secs_f64() / figures.line(ended.group).target.as_secs_f64();
+        let took =
+            ended.outcome.took.as_secs_f64() / figures.line(ended.group).target.as_secs_f64();
         let calm = self.news.is_none_or(|n| n.phase != Phase::OnTrial);
         let earlier = self.news.is_some_and(|n| ended.build < n.build);
         let mean = self.kinds.entry(entry.kind).or_default();
@@ -863,25 +1080,35 @@
         }
         let known = fate == Fate::Delivered && warm && mean.of >= least_sample(figures);
         let time = known.then(|| took / mean.value.max(0.001));
-        let Some(sample) = self.sample(ended.build) else { return };
+        let Some(sample) = self.sample(ended.build) else {
+            return;
+        };
         sample.count(ended.group, ended.outcome.pod, fate, time);
         (sample.all().seen >= MOST_SEEN).then(|| sample.halve());
     }
 
     fn trial_pods(&self) -> impl Iterator<Item = &PodEntry> {
         let build = self.news.map(|n| n.build);
-        self.pods.values().filter(move |p| Some(p.build) == build && p.state == PodState::Ready)
+        self.pods
+            .values()
+            .filter(move |p| Some(p.build) == build && p.state == PodState::Ready)
     }
 
     /// The newest machine has run for the least time: before, a cold last stage's queues look like slowness.
     fn settled(&self, now: Duration) -> bool {
-        let newest = self.trial_pods().filter_map(|p| p.started).max().unwrap_or(self.since);
+        let newest = self
+            .trial_pods()
+            .filter_map(|p| p.started)
+            .max()
+            .unwrap_or(self.since);
         now >= newest.max(self.since) + LEAST_TIME
     }
 
     fn verdict(&self, now: Duration, figures: &Figures) -> Verdict {
         let judged = |n: &StageNews| matches!(n.phase, Phase::OnTrial | Phase::Released);
-        let Some(news) = self.news.filter(judged) else { return Verdict::Withhold };
+        let Some(news) = self.news.filter(judged) else {
+            return Verdict::Withhold;
+        };
         let short = || self.new.all().seen < least_sample(figures) || !self.settled(now);
         if self.bad || now < self.kept_until {
             return Verdict::Back;
@@ -900,15 +1127,25 @@
         // With no earlier build beside it, nothing tells time-outs from those of trouble that came since.
         let bad = |c: &Count| (if beside { c.bad } else { c.bad - c.timed_out }, c.seen);
         let (pairs, new, old) = (self.new.beside(old), self.new.all(), old.all());
-        let errs = pairs.iter().any(|(n, o)| worse(bad(n), bad(o), ERROR_MARGIN, sigmas));
-        let wrong = pairs.iter().any(|(n, o)| worse((n.flagged, n.seen), (o.flagged, o.seen), 0.01, sigmas));
+        let errs = pairs
+            .iter()
+            .any(|(n, o)| worse(bad(n), bad(o), ERROR_MARGIN, sigmas));
+        let wrong = pairs
+            .iter()
+            .any(|(n, o)| worse((n.flagged, n.seen), (o.flagged, o.seen), 0.01, sigmas));
         let stands = |sign: fn(&Count) -> usize, margin| {
-            stands_out((sign(&new), new.seen), (sign(&old).max(bad(&old).0), old.seen), margin, figures)
+            stands_out(
+                (sign(&new), new.seen),
+                (sign(&old).max(bad(&old).0), old.seen),
+                margin,
+                figures,
+            )
         };
         // An error is a sign by itself; a time-out may be any trouble's, which makes errors likelier too.
         let first = (stands(|c| c.bad - c.timed_out, ERROR_MARGIN) && self.is_even(1, |p| p.bad))
             || (stands(|c| c.flagged, 0.01) && self.is_even(1, |p| p.flagged));
-        let faulty = (errs && self.is_even(2, |p| p.bad)) || (wrong && self.is_even(2, |p| p.flagged));
+        let faulty =
+            (errs && self.is_even(2, |p| p.bad)) || (wrong && self.is_even(2, |p| p.flagged));
         new.seen >= least && (first || faulty || (self.settled(now) && self.is_slow(least, sigmas)))
     }
 
@@ -927,7 +1164,8 @@
         if new.len().min(old.len()) < least {
             return false;
         }
-        let noise = sigmas.max(2.5) * 1.44 * (1.0 / new.len() as f64 + 1.0 / old.len() as f64).sqrt();
+        let noise =
+            sigmas.max(2.5) * 1.44 * (1.0 / new.len() as f64 + 1.0 / old.len() as f64).sqrt();
         let (now, usual) = (new[new.len() / 2], old[old.len() / 2]);
         let calm = usual < 2.0 && self.kinds.values().all(|mean| mean.value < 0.25);
         let slow = calm && now > SLOW_MARGIN * usual * noise.exp();
@@ -935,7 +1173,9 @@
     }
 
     fn has_turn(&mut self, verdict: Verdict, news: StageNews, round: &Round) -> bool {
-        let Some(turns) = Turns::of(&round.figures) else { return true };
+        let Some(turns) = Turns::of(&round.figures) else {
+            return true;
+        };
         let told = round.now.saturating_sub(self.began);
         let (nth, since) = part(told.saturating_sub(turns.lead), MOMENT + turns.window);
         let draw = drawn(round.figures.own_number.into(), news.turn(nth));
@@ -962,13 +1202,26 @@
             Some(v) if v.verdict == Verdict::Withhold => verdict == Verdict::Withhold,
             Some(v) => v.verdict == verdict && now < v.at + life.mul_f64(0.6),
         };
-        if same || self.asked.is_some() || now < self.not_before || !self.has_turn(verdict, news, round) {
+        if same
+            || self.asked.is_some()
+            || now < self.not_before
+            || !self.has_turn(verdict, news, round)
+        {
             return;
         }
         let (build, stage, new, old) = (news.build, news.stage, &self.new, &self.old);
         let log = || Action::Log(format!("back: {build:?} {stage:?}: {new} against {old}"));
         round.out.extend((verdict == Verdict::Back).then(log));
-        self.asked = Some(Vote { verdict, build, stage, at: now });
-        round.out.push(Action::Vote { verdict, build, stage });
+        self.asked = Some(Vote {
+            verdict,
+            build,
+            stage,
+            at: now,
+        });
+        round.out.push(Action::Vote {
+            verdict,
+            build,
+            stage,
+        });
     }
 }
--- a/src/choice/tests.rs
+++ b/src/choice/tests.rs
@@ -14,10 +14,20 @@
 
 fn group(repeat: Repeat) -> PathGroup {
     let (target_latency, client_timeout) = (at(1.0), at(3.0));
-    PathGroup { repeat, target_latency, client_timeout, benefit: 1.0, late_benefit: 0.0, streamed: false }
+    PathGroup {
+        repeat,
+        target_latency,
+        client_timeout,
+        benefit: 1.0,
+        late_benefit: 0.0,
+        streamed: false,
+    }
 }
 
-const TAGGED: Repeat = Repeat::Tagged { drops_repeats: Reach::Zone, memory: Duration::from_secs(2) };
+const TAGGED: Repeat = Repeat::Tagged {
+    drops_repeats: Reach::Zone,
+    memory: Duration::from_secs(2),
+};
 
 /// Path groups: 0 repeatable, 1 tagged within a zone, 2 mutating.
 fn terms() -> StartTerms {
@@ -26,7 +36,11 @@
         sidecars: 2,
         own_number: 1,
         zone: ZoneId(0),
-        groups: vec![group(Repeat::Repeatable), group(TAGGED), group(Repeat::Mutating)],
+        groups: vec![
+            group(Repeat::Repeatable),
+            group(TAGGED),
+            group(Repeat::Mutating),
+        ],
         list_on_request: false,
         list_pushed: false,
         list_lease: None,
@@ -69,27 +83,56 @@
 fn pod(id: u64, build: u16) -> PodEntry {
     let (pod, zone, cell) = (PodId(id), ZoneId(id as u16 % 2), CellId(0));
     let (build, kind, state) = (BuildId(build), KindId(0), PodState::Ready);
-    PodEntry { pod, state, build, size: 1.0, started: None, zone, cell, kind }
+    PodEntry {
+        pod,
+        state,
+        build,
+        size: 1.0,
+        started: None,
+        zone,
+        cell,
+        kind,
+    }
 }
 
 fn news(phase: Phase, cap: f64) -> StageNews {
-    StageNews { build: BuildId(2), stage: StageNo(0), phase, cap, age: Duration::ZERO }
+    StageNews {
+        build: BuildId(2),
+        stage: StageNo(0),
+        phase,
+        cap,
+        age: Duration::ZERO,
+    }
 }
 
 /// A gate with pods 0 to 2 on build 1 and pod 3 on build 2, and hit 0 of a path group, due at 9 s.
 fn gate(of: u16, phase: Phase, cap: f64) -> Gate {
-    let mut gate = Gate { news: Some(news(phase, cap)), ..Gate::default() };
+    let mut gate = Gate {
+        news: Some(news(phase, cap)),
+        ..Gate::default()
+    };
     for entry in [pod(0, 1), pod(1, 1), pod(2, 1), pod(3, 2)] {
         gate.places.list(entry, Duration::ZERO, 0.0);
     }
-    let hit = Hit { id: HitId(0), group: GroupId(of), customer: None, key: Some(KeyId(5)), due: at(9.0) };
+    let hit = Hit {
+        id: HitId(0),
+        group: GroupId(of),
+        customer: None,
+        key: Some(KeyId(5)),
+        due: at(9.0),
+    };
     gate.accounts.insert(hit.id, Account::of(&hit));
     gate
 }
 
 fn remove_builds_below(gate: &mut Gate, lowest: u16) {
     let older = |place: &&Place| place.entry.build < BuildId(lowest);
-    let older: Vec<PodId> = gate.places.values().filter(older).map(|place| place.entry.pod).collect();
+    let older: Vec<PodId> = gate
+        .places
+        .values()
+        .filter(older)
+        .map(|place| place.entry.pod)
+        .collect();
     older.into_iter().for_each(|pod| gate.places.remove(pod));
 }
 
@@ -109,7 +152,11 @@
 #[case::late(9.0, false, Err(Refusal::Over))]
 #[case::over(1.0, true, Err(Refusal::Over))]
 #[case::open(1.0, false, Ok(()))]
-fn nothing_is_sent_after_the_end(#[case] now: f64, #[case] over: bool, #[case] want: Result<(), Refusal>) {
+fn nothing_is_sent_after_the_end(
+    #[case] now: f64,
+    #[case] over: bool,
+    #[case] want: Result<(), Refusal>,
+) {
     let mut gate = gate(0, Phase::Released, 1.0);
     gate.accounts.get_mut(&HitId(0)).unwrap().over = over;
     assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round(now)), want);
@@ -131,14 +178,25 @@
     #[case] allowed: bool,
 ) {
     let mut gate = gate(of, Phase::Released, 1.0);
-    gate.accounts.get_mut(&HitId(0)).unwrap().forwards.push(sent(pod(0, 1), 0.5, fate));
-    assert_eq!(gate.allow(HitId(0), (PodId(to), 1.0), &round(now)).is_ok(), allowed);
+    gate.accounts
+        .get_mut(&HitId(0))
+        .unwrap()
+        .forwards
+        .push(sent(pod(0, 1), 0.5, fate));
+    assert_eq!(
+        gate.allow(HitId(0), (PodId(to), 1.0), &round(now)).is_ok(),
+        allowed
+    );
 }
 
 #[test]
 fn a_hit_that_may_have_run_is_errored_not_bounced() {
     let (mut gate, mut round) = (gate(2, Phase::Released, 1.0), round(1.0));
-    gate.accounts.get_mut(&HitId(0)).unwrap().forwards.push(sent(pod(0, 1), 0.5, Some(Fate::TimedOut)));
+    gate.accounts
+        .get_mut(&HitId(0))
+        .unwrap()
+        .forwards
+        .push(sent(pod(0, 1), 0.5, Some(Fate::TimedOut)));
     gate.answer(HitId(0), &mut round);
     assert_eq!(round.out, [Action::Fail { hit: HitId(0) }]);
 }
@@ -146,7 +204,10 @@
 #[rstest]
 #[case::in_grace(1.9, Ok(()))]
 #[case::after(2.1, Err(Refusal::Drained))]
-fn a_draining_pod_gets_nothing_after_the_grace(#[case] now: f64, #[case] want: Result<(), Refusal>) {
+fn a_draining_pod_gets_nothing_after_the_grace(
+    #[case] now: f64,
+    #[case] want: Result<(), Refusal>,
+) {
     let mut gate = gate(0, Phase::Released, 1.0);
     gate.places.get_mut(PodId(0)).unwrap().ended = Some(at(1.0));
     assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round(now)), want);
@@ -188,12 +249,24 @@
 ) {
     let mut gate = gate(0, phase, cap);
     (0..10).for_each(|_| gate.taken.entry(0).or_default().note(at(1.0)));
-    (0..before).for_each(|_| gate.exposed.entry((BuildId(2), 0)).or_default().note(at(1.0)));
+    (0..before).for_each(|_| {
+        gate.exposed
+            .entry((BuildId(2), 0))
+            .or_default()
+            .note(at(1.0))
+    });
     assert_eq!(gate.allow(HitId(0), (PodId(3), 1.0), &round(1.5)), want);
 }
 
 fn bid(pod: u64, build: u16, turn: u8, cost: f64) -> Bid {
-    Bid { pod: PodId(pod), build: BuildId(build), turn, chance: 0.5, cost, part: 1.0 }
+    Bid {
+        pod: PodId(pod),
+        build: BuildId(build),
+        turn,
+        chance: 0.5,
+        cost,
+        part: 1.0,
+    }
 }
 
 /// Build 2 may have nothing: what the gate says to bids of the first turn, of 1.
@@ -209,21 +282,33 @@
     #[case] rest: usize,
 ) {
     let (mut gate, mut round) = (gate(0, Phase::OnTrial, 0.0), round(1.0));
-    gate.take(Note::Ask { hit: HitId(0), bids: bids.to_vec(), turn: 1 }, &mut round);
+    gate.take(
+        Note::Ask {
+            hit: HitId(0),
+            bids: bids.to_vec(),
+            turn: 1,
+        },
+        &mut round,
+    );
     let sent = round.out.first().map(|action| match action {
         Action::Forward { pod, .. } => pod.0,
         _ => panic!("{action:?}"),
     });
     assert_eq!(sent, to);
     if sent.is_none() {
-        let Some((_, Note::Refused(_, left))) = round.mail.take() else { panic!("no word to the desk") };
+        let Some((_, Note::Refused(_, left))) = round.mail.take() else {
+            panic!("no word to the desk")
+        };
         assert_eq!(left.len(), rest);
     }
 }
 
 #[test]
 fn a_build_without_news_counts_as_in_the_first_stage() {
-    let gate = Gate { news: None, ..gate(0, Phase::OnTrial, 1.0) };
+    let gate = Gate {
+        news: None,
+        ..gate(0, Phase::OnTrial, 1.0)
+    };
     assert_eq!(gate.cap(BuildId(2), &round(1.0).figures), Some((0.2, 0)));
 }
 
@@ -239,7 +324,10 @@
 fn a_key_that_met_the_new_build_stays_there() {
     let mut gate = gate(0, Phase::OnTrial, 1.0);
     gate.met.insert(KeyId(5), BuildId(2));
-    assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round(1.0)), Err(Refusal::KeyStays));
+    assert_eq!(
+        gate.allow(HitId(0), (PodId(0), 1.0), &round(1.0)),
+        Err(Refusal::KeyStays)
+    );
 }
 
 /// A whole answer may have come though its connection broke under it or was given up: its key stays all the same. What never
@@ -257,32 +345,55 @@
     let mut round = round(1.0);
     gate.send(HitId(0), PodId(3), &mut round);
     let (hit, no, pod, took) = (HitId(0), ForwardNo(0), PodId(3), at(0.1));
-    gate.end_forward(Outcome { hit, no, pod, fate, took, over: false }, &mut round);
+    gate.end_forward(
+        Outcome {
+            hit,
+            no,
+            pod,
+            fate,
+            took,
+            over: false,
+        },
+        &mut round,
+    );
     while let Some((to, note)) = round.mail.take() {
         if to == To::Gate {
             gate.take(note, &mut round);
         }
     }
-    let want = if stays { Err(Refusal::KeyStays) } else { Ok(()) };
+    let want = if stays {
+        Err(Refusal::KeyStays)
+    } else {
+        Ok(())
+    };
     assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round), want);
 }
 
 /// A judge on build 2 with pods 3 and 5 on trial; each entry is (pod, errors, outcomes, time).
 fn judge(new: &[(u64, usize, usize, f64)], old: (usize, usize, f64)) -> Judge {
-    let mut judge = Judge { news: Some(news(Phase::OnTrial, 0.2)), ..Judge::default() };
+    let mut judge = Judge {
+        news: Some(news(Phase::OnTrial, 0.2)),
+        ..Judge::default()
+    };
     let fill = |sample: &mut Sample, (id, bad, seen, time): (u64, usize, usize, f64)| {
         (0..seen).for_each(|n| {
             sample.count(
                 GroupId(0),
                 PodId(id),
-                if n < bad { Fate::Errored } else { Fate::Delivered },
+                if n < bad {
+                    Fate::Errored
+                } else {
+                    Fate::Delivered
+                },
                 Some(time),
             )
         });
     };
     new.iter().for_each(|part| fill(&mut judge.new, *part));
     fill(&mut judge.old, (0, old.0, old.1, old.2));
-    judge.pods.extend([pod(0, 1), pod(3, 2), pod(5, 2)].map(|entry| (entry.pod, entry)));
+    judge
+        .pods
+        .extend([pod(0, 1), pod(3, 2), pod(5, 2)].map(|entry| (entry.pod, entry)));
     judge
 }
 
@@ -310,10 +421,19 @@
 #[rstest]
 #[case::cold(Some(at(0.5)), 0)]
 #[case::warm(None, 1)]
-fn a_cold_pods_time_tells_nothing_of_its_build(#[case] started: Option<Duration>, #[case] times: usize) {
+fn a_cold_pods_time_tells_nothing_of_its_build(
+    #[case] started: Option<Duration>,
+    #[case] times: usize,
+) {
     let mut judge = judge(&[], (0, 0, 0.1));
     judge.kinds.insert(KindId(0), Mean { value: 0.1, of: 50 });
-    judge.pods.insert(PodId(0), PodEntry { started, ..pod(0, 1) });
+    judge.pods.insert(
+        PodId(0),
+        PodEntry {
+            started,
+            ..pod(0, 1)
+        },
+    );
     judge.count(&ended(Fate::Delivered), &round(1.0).figures);
     assert_eq!((judge.old.all().seen, judge.old.times().len()), (1, times));
 }
@@ -323,22 +443,40 @@
 #[case::held_long_enough(30.0, true, Verdict::Withhold)]
 #[case::no_clock(2.0, false, Verdict::Withhold)]
 fn a_short_sample_holds_the_clock(#[case] now: f64, #[case] clock: bool, #[case] want: Verdict) {
-    let figures = Figures { clock, ..round(now).figures };
-    assert_eq!(judge(&[(3, 0, 5, 0.1)], (0, 200, 0.1)).verdict(at(now), &figures), want);
+    let figures = Figures {
+        clock,
+        ..round(now).figures
+    };
+    assert_eq!(
+        judge(&[(3, 0, 5, 0.1)], (0, 200, 0.1)).verdict(at(now), &figures),
+        want
+    );
 }
 
 #[test]
 fn a_standing_vote_is_not_repeated() {
     let (mut judge, mut round) = (judge(&[(3, 0, 5, 0.1)], (0, 200, 0.1)), round(1.0));
     let (build, stage) = (BuildId(2), StageNo(0));
-    judge.standing = Some(Vote { verdict: Verdict::Hold, build, stage, at: at(0.5) });
+    judge.standing = Some(Vote {
+        verdict: Verdict::Hold,
+        build,
+        stage,
+        at: at(0.5),
+    });
     judge.vote(&mut round);
     assert_eq!(round.out, []);
 }
 
 fn ended(fate: Fate) -> Ended {
     let (hit, no, pod, took) = (HitId(0), ForwardNo(0), PodId(0), at(0.002));
-    let outcome = Outcome { hit, no, pod, fate, took, over: false };
+    let outcome = Outcome {
+        hit,
+        no,
+        pod,
+        fate,
+        took,
+        over: false,
+    };
     Ended {
         outcome,
         group: GroupId(0),
@@ -376,7 +514,8 @@
     let (mut pod, mut round) = (Pod::new(pod(0, 1)), round(9.0));
     pod.open.insert((HitId(0), ForwardNo(0)), at(1.0));
     pod.take(Note::Beat, &mut round);
-    fate.into_iter().for_each(|fate| pod.take(Note::Ended(ended(fate)), &mut round));
+    fate.into_iter()
+        .for_each(|fate| pod.take(Note::Ended(ended(fate)), &mut round));
     assert_eq!(!pod.health.shut_until.is_zero(), shut);
 }
 
@@ -385,7 +524,10 @@
     let (mut desk, round) = (Desk::default(), round(1.0));
     desk.kinds.insert(KindId(0), Mean { value: 0.3, of: 50 });
     let card = |of| {
-        let pace = Mean { value: if of > 0 { 0.2 } else { 0.0 }, of };
+        let pace = Mean {
+            value: if of > 0 { 0.2 } else { 0.0 },
+            of,
+        };
         Card {
             entry: pod(0, 1),
             rank: 0,
@@ -411,7 +553,11 @@
     #[case] least: usize,
     #[case] far: f64,
 ) {
-    let figures = Figures { sidecars, back_votes, ..round(0.0).figures };
+    let figures = Figures {
+        sidecars,
+        back_votes,
+        ..round(0.0).figures
+    };
     assert_eq!(least_sample(&figures), least);
     assert!((sigmas(&figures) - far).abs() < 0.01);
 }
@@ -422,7 +568,10 @@
 #[case::two_sick_pods(&[9, 8, 0, 0, 0, 0], false)]
 #[case::everywhere(&[5, 7, 4, 6, 8, 5], true)]
 fn a_fault_of_the_build_is_spread_over_its_pods(#[case] errors: &[usize], #[case] want: bool) {
-    let parts: Vec<_> = (10..).zip(errors).map(|(pod, errors)| (pod, *errors, 10, 0.1)).collect();
+    let parts: Vec<_> = (10..)
+        .zip(errors)
+        .map(|(pod, errors)| (pod, *errors, 10, 0.1))
+        .collect();
     assert_eq!(judge(&parts, (0, 100, 0.1)).is_even(2, |p| p.bad), want);
 }
 
@@ -430,9 +579,13 @@
 fn time_outs_with_no_earlier_build_beside_speak_against_none() {
     let mut judge = judge(&[], (0, 0, 0.1));
     for n in 0..40 {
-        judge.new.count(GroupId(0), PodId(n % 5), Fate::TimedOut, None);
+        judge
+            .new
+            .count(GroupId(0), PodId(n % 5), Fate::TimedOut, None);
     }
-    judge.before.count(GroupId(0), PodId(9), Fate::Delivered, None);
+    judge
+        .before
+        .count(GroupId(0), PodId(9), Fate::Delivered, None);
     assert!(!judge.is_bad(at(9.0), &round(9.0).figures));
 }
 
@@ -462,7 +615,8 @@
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
     for (customer, value) in [(0, own), (1, other)] {
-        gate.wrong.insert(CustomerId(customer), Mean { value, of: 30 });
+        gate.wrong
+            .insert(CustomerId(customer), Mean { value, of: 30 });
     }
     assert_eq!(gate.sours(CustomerId(0), Fate::Errored, false), want);
 }
@@ -470,14 +624,31 @@
 #[test]
 fn errors_of_a_customers_own_shut_no_pod() {
     let (mut pod, round) = (Pod::new(pod(0, 1)), round(1.0));
-    (0..9).for_each(|_| pod.learn(&Ended { sour: true, ..ended(Fate::Errored) }, &round));
+    (0..9).for_each(|_| {
+        pod.learn(
+            &Ended {
+                sour: true,
+                ..ended(Fate::Errored)
+            },
+            &round,
+        )
+    });
     assert!(pod.health.shut_until.is_zero());
 }
 
 fn card(entry: PodEntry) -> Card {
     let pace = Mean { value: 0.2, of: 10 };
     let rank = rank(1, entry.pod.0);
-    Card { entry, rank, ready: true, open: 0, pace, usable: true, wants_proof: false, served: Duration::ZERO }
+    Card {
+        entry,
+        rank,
+        ready: true,
+        open: 0,
+        pace,
+        usable: true,
+        wants_proof: false,
+        served: Duration::ZERO,
+    }
 }
 
 /// A desk with so many pods alike, and hit 0 of customer 0.
@@ -485,7 +656,13 @@
     let mut desk = Desk::default();
     (0..pods).for_each(|id| desk.cards.put(card(pod(id, 1))));
     let customer = Some(CustomerId(0));
-    let hit = Hit { id: HitId(0), group: GroupId(0), customer, key: None, due: at(9.0) };
+    let hit = Hit {
+        id: HitId(0),
+        group: GroupId(0),
+        customer,
+        key: None,
+        due: at(9.0),
+    };
     desk.hits.insert(hit.id, OpenHit::of(&hit, at(5.0)));
     desk
 }
@@ -496,10 +673,17 @@
     let mut firsts = BTreeMap::new();
     for _ in 0..500 {
         desk.place(HitId(0), &mut round);
-        let Some((_, Note::Ask { bids, .. })) = round.mail.take() else { panic!("no pod asked for") };
-        *firsts.entry(bids.iter().max().map(|best| best.pod)).or_insert(0) += 1;
+        let Some((_, Note::Ask { bids, .. })) = round.mail.take() else {
+            panic!("no pod asked for")
+        };
+        *firsts
+            .entry(bids.iter().max().map(|best| best.pod))
+            .or_insert(0) += 1;
     }
-    assert!(firsts.len() == 5 && firsts.values().all(|n| (50..200).contains(n)), "{firsts:?}");
+    assert!(
+        firsts.len() == 5 && firsts.values().all(|n| (50..200).contains(n)),
+        "{firsts:?}"
+    );
 }
 
 #[test]
@@ -508,13 +692,20 @@
     let in_use = |desk: &mut Desk| {
         desk.overview.look_over(&mut desk.cards);
         let [(last, part), _] = desk.used(&round(1.0));
-        let cards: Vec<Card> =
-            desk.cards.iter().filter(|c| c.usable && c.ranked() >= last).cloned().collect();
+        let cards: Vec<Card> = desk
+            .cards
+            .iter()
+            .filter(|c| c.usable && c.ranked() >= last)
+            .cloned()
+            .collect();
         (cards, part)
     };
     let (before, part) = in_use(&mut desk);
     assert!(before.len() == FEW_PODS && (part - 0.125).abs() < 1e-9);
-    desk.cards.put(Card { usable: false, ..before[0].clone() });
+    desk.cards.put(Card {
+        usable: false,
+        ..before[0].clone()
+    });
     let (after, _) = in_use(&mut desk);
     let stays = |card: &Card| after.iter().any(|c| c.entry.pod == card.entry.pod);
     assert!(after.len() == FEW_PODS && before[1..].iter().all(stays));
@@ -526,7 +717,10 @@
     let mut desk = desk(3);
     for id in 0..3 {
         let card = desk.cards.get(PodId(id)).cloned().unwrap();
-        desk.cards.put(Card { usable: false, ..card });
+        desk.cards.put(Card {
+            usable: false,
+            ..card
+        });
     }
     desk.overview.look_over(&mut desk.cards);
     assert_eq!(desk.used(&round(1.0)).map(|(_, part)| part), [1.0, 1.0]);
@@ -535,8 +729,14 @@
 #[test]
 fn a_pod_that_has_long_been_gone_is_forgotten_and_one_that_came_back_is_not() {
     let (mut lister, mut round) = (Lister::default(), round(0.0));
-    let gone = |id| PodEntry { state: PodState::Gone, ..pod(id, 1) };
-    lister.take(Note::List(ListNews::Change(vec![gone(0), gone(1)])), &mut round);
+    let gone = |id| PodEntry {
+        state: PodState::Gone,
+        ..pod(id, 1)
+    };
+    lister.take(
+        Note::List(ListNews::Change(vec![gone(0), gone(1)])),
+        &mut round,
+    );
     round.now = at(60.0);
     lister.take(Note::List(ListNews::Change(vec![pod(1, 1)])), &mut round);
     round.now = FORGET_AFTER;
@@ -578,8 +778,17 @@
 fn a_halved_sample_keeps_its_shares_and_its_later_times() {
     let mut sample = Sample::default();
     for n in 0..100 {
-        let fate = if n % 4 == 0 { Fate::Errored } else { Fate::Delivered };
-        sample.count(GroupId(0), PodId(n % 2), fate, Some(if n < 50 { 9.0 } else { 1.0 }));
+        let fate = if n % 4 == 0 {
+            Fate::Errored
+        } else {
+            Fate::Delivered
+        };
+        sample.count(
+            GroupId(0),
+            PodId(n % 2),
+            fate,
+            Some(if n < 50 { 9.0 } else { 1.0 }),
+        );
     }
     sample.halve();
     let all = sample.all();
@@ -600,11 +809,27 @@
 ) {
     let (mut desk, mut round) = (desk(3), round(5.0));
     for n in 1..=open {
-        let hit = Hit { id: HitId(n), group: GroupId(0), customer: None, key: None, due: at(9.0) };
-        desk.hits.insert(hit.id, OpenHit { out: 1, at: Some(PodId(0)), ..OpenHit::of(&hit, at(4.9)) });
+        let hit = Hit {
+            id: HitId(n),
+            group: GroupId(0),
+            customer: None,
+            key: None,
+            due: at(9.0),
+        };
+        desk.hits.insert(
+            hit.id,
+            OpenHit {
+                out: 1,
+                at: Some(PodId(0)),
+                ..OpenHit::of(&hit, at(4.9))
+            },
+        );
     }
     for _ in 0..5 {
-        desk.lanes.entry(Some(CustomerId(of))).or_default().add(took, at(5.0), FADES, 5.0);
+        desk.lanes
+            .entry(Some(CustomerId(of)))
+            .or_default()
+            .add(took, at(5.0), FADES, 5.0);
     }
     round.now = at(5.1);
     assert_eq!(desk.overload(Some(CustomerId(0)), &round), want);
@@ -612,13 +837,22 @@
 
 #[test]
 fn outcomes_are_read_before_hits_that_came_meanwhile() {
-    let hit = Hit { id: HitId(1), group: GroupId(0), customer: None, key: None, due: at(9.0) };
+    let hit = Hit {
+        id: HitId(1),
+        group: GroupId(0),
+        customer: None,
+        key: None,
+        due: at(9.0),
+    };
     let events = in_order(vec![
         Event::Hit(hit),
         Event::Left(HitId(2)),
         Event::Outcome(ended(Fate::Delivered).outcome),
     ]);
-    assert!(matches!(events[..], [Event::Outcome(_), Event::Hit(_), Event::Left(_)]));
+    assert!(matches!(
+        events[..],
+        [Event::Outcome(_), Event::Hit(_), Event::Left(_)]
+    ));
 }
 
 #[test]
@@ -629,7 +863,10 @@
         Event::Stage { news, answer: None },
         Event::List(ListNews::Change(vec![pod(0, 2)])),
     ]);
-    assert!(matches!(events[..], [Event::Stage { .. }, Event::List(_), Event::Outcome(_)]));
+    assert!(matches!(
+        events[..],
+        [Event::Stage { .. }, Event::List(_), Event::Outcome(_)]
+    ));
 }
 
 /// The list shows a build before the news does: its keys outlive the marks of the build released before it.
@@ -639,9 +876,15 @@
     gate.met.insert(KeyId(5), BuildId(3));
     remove_builds_below(&mut gate, 2);
     gate.forget_keys(&round(1.0));
-    let news = StageNews { build: BuildId(3), ..news(Phase::OnTrial, 0.5) };
+    let news = StageNews {
+        build: BuildId(3),
+        ..news(Phase::OnTrial, 0.5)
+    };
     gate.take(Note::Stage(news), &mut round(1.1));
-    assert_eq!(gate.allow(HitId(0), (PodId(3), 1.0), &round(1.2)), Err(Refusal::KeyStays));
+    assert_eq!(
+        gate.allow(HitId(0), (PodId(3), 1.0), &round(1.2)),
+        Err(Refusal::KeyStays)
+    );
 }
 
 #[rstest]
@@ -672,7 +915,11 @@
     #[case] old: (usize, usize),
     #[case] want: bool,
 ) {
-    let figures = Figures { sidecars, back_votes, ..round(0.0).figures };
+    let figures = Figures {
+        sidecars,
+        back_votes,
+        ..round(0.0).figures
+    };
     assert_eq!(stands_out(new, old, ERROR_MARGIN, &figures), want);
 }
 
@@ -696,7 +943,10 @@
     }
 
     fn stand(&self, verdict: Verdict, now: Duration, life: Duration) -> usize {
-        self.standing.values().filter(|v| v.verdict == verdict && now < v.at + life).count()
+        self.standing
+            .values()
+            .filter(|v| v.verdict == verdict && now < v.at + life)
+            .count()
     }
 }
 
@@ -730,17 +980,32 @@
     let start = |own: usize| {
         let mut judge = Judge::default();
         let heard = if own.is_multiple_of(3) { late } else { 0.0 };
-        let mut round = Round { figures: figures(own as u32), ..round(heard) };
-        judge.enter(StageNews { age: at(heard), ..news(Phase::OnTrial, 0.2) }, &round);
+        let mut round = Round {
+            figures: figures(own as u32),
+            ..round(heard)
+        };
+        judge.enter(
+            StageNews {
+                age: at(heard),
+                ..news(Phase::OnTrial, 0.2)
+            },
+            &round,
+        );
         round.now = Duration::ZERO;
         (judge, round)
     };
     let mut fleet: Vec<(Judge, Round)> = (0..sidecars).map(start).collect();
-    let mut votes = Votes { left: 2.0 * allowance, last: Duration::ZERO, standing: BTreeMap::new() };
+    let mut votes = Votes {
+        left: 2.0 * allowance,
+        last: Duration::ZERO,
+        standing: BTreeMap::new(),
+    };
     let mut under_way: Vec<(Duration, usize, VoteAnswer)> = Vec::new();
     for step in 0..800u32 {
         let now = BEAT * step;
-        let due = under_way.extract_if(.., |(when, ..)| *when <= now).collect::<Vec<_>>();
+        let due = under_way
+            .extract_if(.., |(when, ..)| *when <= now)
+            .collect::<Vec<_>>();
         for (_, from, answer) in due {
             let (judge, round) = &mut fleet[from];
             round.now = now;
@@ -756,13 +1021,33 @@
             judge.bad = place < wanting && now >= at(from);
             judge.vote(round);
             for action in std::mem::take(&mut round.out) {
-                let Action::Vote { verdict, build, stage } = action else { continue };
-                let answer = votes.call(own, Vote { verdict, build, stage, at: now }, allowance);
+                let Action::Vote {
+                    verdict,
+                    build,
+                    stage,
+                } = action
+                else {
+                    continue;
+                };
+                let answer = votes.call(
+                    own,
+                    Vote {
+                        verdict,
+                        build,
+                        stage,
+                        at: now,
+                    },
+                    allowance,
+                );
                 under_way.push((now + BEAT * 2, own, answer));
             }
         }
         if votes.stand(Verdict::Back, now, life) >= 76 {
-            assert!(now <= at(from) + life.mul_f64(lives) + BEAT * 2, "only after {:?}", now - at(from));
+            assert!(
+                now <= at(from) + life.mul_f64(lives) + BEAT * 2,
+                "only after {:?}",
+                now - at(from)
+            );
             return;
         }
     }
@@ -773,22 +1058,45 @@
 #[test]
 fn with_an_ample_allowance_votes_are_called_at_once() {
     let (mut judge, mut round) = (judge(&[], (0, 200, 0.1)), round(0.0));
-    round.figures = Figures { vote_allowance: 25.0, sidecars: 50.0, ..round.figures };
+    round.figures = Figures {
+        vote_allowance: 25.0,
+        sidecars: 50.0,
+        ..round.figures
+    };
     judge.bad = true;
     judge.vote(&mut round);
-    assert!(round.out.iter().any(|a| matches!(a, Action::Vote { verdict: Verdict::Back, .. })));
+    assert!(round.out.iter().any(|a| matches!(
+        a,
+        Action::Vote {
+            verdict: Verdict::Back,
+            ..
+        }
+    )));
 }
 
 /// The fleet's order and number of pods take the place of its own; never fewer.
 #[rstest]
 #[case::as_told(3, vec![4, 9, 2], 5)]
 #[case::more(8, vec![4, 9, 2], 8)]
-fn a_fleets_view_moves_the_choice(#[case] uses: usize, #[case] order: Vec<u64>, #[case] used: usize) {
+fn a_fleets_view_moves_the_choice(
+    #[case] uses: usize,
+    #[case] order: Vec<u64>,
+    #[case] used: usize,
+) {
     let (mut desk, mut round) = (desk(40), round(1.0));
     let order: Vec<PodId> = order.into_iter().map(PodId).collect();
-    round.look_at(Some(FleetView { order: order.clone(), uses, held: BTreeSet::new() }));
+    round.look_at(Some(FleetView {
+        order: order.clone(),
+        uses,
+        held: BTreeSet::new(),
+    }));
     let cards: Vec<Card> = desk.cards.iter().cloned().collect();
-    cards.into_iter().for_each(|card| desk.cards.put(Card { rank: round.rank(card.entry.pod), ..card }));
+    cards.into_iter().for_each(|card| {
+        desk.cards.put(Card {
+            rank: round.rank(card.entry.pod),
+            ..card
+        })
+    });
     desk.overview.look_over(&mut desk.cards);
     let [((last, _), part), _] = desk.used(&round);
     let mut first: Vec<&Card> = desk.cards.iter().filter(|card| card.rank >= last).collect();
@@ -804,10 +1112,15 @@
 #[case::others_turn(vec![0], false)]
 fn a_proof_that_is_others_turn_waits(#[case] held: Vec<u64>, #[case] proves: bool) {
     let mut round = round(9.0);
-    round.look_at(Some(FleetView { held: held.into_iter().map(PodId).collect(), ..FleetView::default() }));
+    round.look_at(Some(FleetView {
+        held: held.into_iter().map(PodId).collect(),
+        ..FleetView::default()
+    }));
     let mut shut = Pod::new(pod(0, 1));
     shut.health.shut_until = at(1.0);
     shut.post_card(&mut round);
-    let Some((_, Note::Card(card))) = round.mail.take() else { panic!("no card") };
+    let Some((_, Note::Card(card))) = round.mail.take() else {
+        panic!("no card")
+    };
     assert_eq!((card.usable, card.wants_proof), (false, proves));
 }
--- a/src/choice/tests/lists.rs
+++ b/src/choice/tests/lists.rs
@@ -4,14 +4,29 @@
 use crate::sidecar::Sidecar;
 use std::collections::VecDeque;
 
-const REFUSED: ListLoss = ListLoss { silent: Duration::ZERO, why: LossCause::Refused };
-const UNANSWERED: ListLoss = ListLoss { silent: Duration::ZERO, why: LossCause::Unanswered };
-const SILENT: ListLoss = ListLoss { silent: Duration::ZERO, why: LossCause::Ended };
+const REFUSED: ListLoss = ListLoss {
+    silent: Duration::ZERO,
+    why: LossCause::Refused,
+};
+const UNANSWERED: ListLoss = ListLoss {
+    silent: Duration::ZERO,
+    why: LossCause::Unanswered,
+};
+const SILENT: ListLoss = ListLoss {
+    silent: Duration::ZERO,
+    why: LossCause::Ended,
+};
 const LEASE: f64 = 6.0;
 
 /// A round of a sidecar whose lists may be relied on for a while after they were last heard.
 fn leased(now: f64) -> Round {
-    let mut round = Round::new(Duration::ZERO, &StartTerms { list_lease: Some(at(LEASE)), ..terms() });
+    let mut round = Round::new(
+        Duration::ZERO,
+        &StartTerms {
+            list_lease: Some(at(LEASE)),
+            ..terms()
+        },
+    );
     round.now = at(now);
     round
 }
@@ -22,11 +37,15 @@
     for loss in losses {
         while round.due.take(Duration::MAX).is_some() {}
         round.deliver(Event::List(ListNews::Failed(*loss)));
-        let Some((_, note)) = round.mail.take() else { panic!("no note") };
+        let Some((_, note)) = round.mail.take() else {
+            panic!("no note")
+        };
         lister.take(note, &mut round);
     }
     let mut waits = (0..60_000).map(Duration::from_millis);
-    waits.find(|wait| round.due.take(round.now + *wait).is_some()).unwrap()
+    waits
+        .find(|wait| round.due.take(round.now + *wait).is_some())
+        .unwrap()
 }
 
 /// A list that was lost, and a first call that is silent, cost little time; calls that are refused are made ever later.
@@ -51,7 +70,10 @@
 #[case::lost(&[SILENT])]
 #[case::refused(&[REFUSED; 9])]
 fn an_agent_of_its_own_is_asked_again_within_the_grace(#[case] losses: &[ListLoss]) {
-    let pushed = StartTerms { list_pushed: true, ..terms() };
+    let pushed = StartTerms {
+        list_pushed: true,
+        ..terms()
+    };
     let wait = wait_after(&pushed, losses);
     assert!(BEAT / 4 < wait && wait <= at(0.25), "{wait:?}");
 }
@@ -89,7 +111,11 @@
     fn call(&mut self, from: usize, now: Duration) -> bool {
         let takes = self.queue.len() < LONGEST_QUEUE;
         if takes {
-            self.queue.push_back(Call { from, at: now, refused: false });
+            self.queue.push_back(Call {
+                from,
+                at: now,
+                refused: false,
+            });
         }
         takes
     }
@@ -97,7 +123,11 @@
     /// Those whose call is answered by now, and those that are refused as they have waited for too long.
     fn work(&mut self, now: Duration) -> (Vec<usize>, Vec<usize>) {
         let mut refused = Vec::new();
-        for call in self.queue.iter_mut().filter(|call| !call.refused && now >= call.at + LONGEST_WAIT) {
+        for call in self
+            .queue
+            .iter_mut()
+            .filter(|call| !call.refused && now >= call.at + LONGEST_WAIT)
+        {
             call.refused = true;
             refused.push(call.from);
         }
@@ -108,7 +138,12 @@
                 break;
             }
             self.free_at = done;
-            answered.extend(self.queue.pop_front().filter(|call| !call.refused).map(|call| call.from));
+            answered.extend(
+                self.queue
+                    .pop_front()
+                    .filter(|call| !call.refused)
+                    .map(|call| call.from),
+            );
         }
         (answered, refused)
     }
@@ -121,12 +156,24 @@
 fn a_fleet_that_calls_at_once_is_answered(#[values(100, 280, 530)] sidecars: usize) {
     let start = |own: usize| {
         let (own_number, seed) = (own as u32, own as u64 + 1);
-        Sidecar::new(Duration::ZERO, StartTerms { sidecars: sidecars as u32, own_number, seed, ..terms() })
+        Sidecar::new(
+            Duration::ZERO,
+            StartTerms {
+                sidecars: sidecars as u32,
+                own_number,
+                seed,
+                ..terms()
+            },
+        )
     };
     let mut fleet: Vec<Sidecar> = (0..sidecars).map(start).collect();
-    let mut events: Vec<Vec<Event>> =
-        (0..sidecars).map(|_| vec![Event::List(ListNews::Failed(SILENT))]).collect();
-    let mut service = ListService { queue: VecDeque::new(), free_at: Duration::ZERO };
+    let mut events: Vec<Vec<Event>> = (0..sidecars)
+        .map(|_| vec![Event::List(ListNews::Failed(SILENT))])
+        .collect();
+    let mut service = ListService {
+        queue: VecDeque::new(),
+        free_at: Duration::ZERO,
+    };
     let mut unanswered: BTreeSet<usize> = (0..sidecars).collect();
     let mut now = Duration::ZERO;
     let bound = Duration::from_secs(10) + CALL_TAKES * 3 * sidecars as u32;
@@ -137,7 +184,9 @@
             unanswered.remove(&from);
             events[from].push(Event::List(ListNews::Change(Vec::new())));
         }
-        refused.into_iter().for_each(|from| events[from].push(Event::List(ListNews::Failed(REFUSED))));
+        refused
+            .into_iter()
+            .for_each(|from| events[from].push(Event::List(ListNews::Failed(REFUSED))));
         for (from, sidecar) in fleet.iter_mut().enumerate() {
             let actions = sidecar.handle(now, std::mem::take(&mut events[from]));
             if actions.contains(&Action::Watch) && !service.call(from, now) {
@@ -145,7 +194,11 @@
             }
         }
     }
-    assert!(unanswered.is_empty(), "{} of {sidecars} heard no list in {bound:?}", unanswered.len());
+    assert!(
+        unanswered.is_empty(),
+        "{} of {sidecars} heard no list in {bound:?}",
+        unanswered.len()
+    );
 }
 
 /// A gate with an attempt of hit 0 out to pod 0, allowed at 1 s.
@@ -183,7 +236,11 @@
 #[case::heard(false, 5.0, true)]
 #[case::lost_in_the_grace(true, 2.0, true)]
 #[case::lost_past_the_grace(true, 2.1, false)]
-fn permission_expires_while_no_list_is_heard(#[case] lost: bool, #[case] now: f64, #[case] may: bool) {
+fn permission_expires_while_no_list_is_heard(
+    #[case] lost: bool,
+    #[case] now: f64,
+    #[case] may: bool,
+) {
     let mut round = leased(1.0);
     let gate = gate_with_an_attempt(&mut round);
     if lost {
@@ -205,7 +262,10 @@
 fn desk_of_served() -> Desk {
     let mut desk = desk(0);
     for (id, served) in [(0, 11.0), (1, 8.0), (2, 0.0)] {
-        desk.cards.put(Card { served: at(served), ..card(pod(id, 1)) });
+        desk.cards.put(Card {
+            served: at(served),
+            ..card(pod(id, 1))
+        });
     }
     desk.news = Some(news(Phase::Released, 1.0));
     desk
@@ -214,7 +274,9 @@
 /// The pods that a request may go to.
 fn asked_for(round: &mut Round) -> Vec<u64> {
     desk_of_served().place(HitId(0), round);
-    let Some((To::Gate, Note::Ask { bids, .. })) = round.mail.take() else { panic!("no bids") };
+    let Some((To::Gate, Note::Ask { bids, .. })) = round.mail.take() else {
+        panic!("no bids")
+    };
     bids.into_iter().map(|bid| bid.pod.0).collect()
 }
 
@@ -228,7 +290,9 @@
 #[case::long_after(Some(6.5), 37.0, &[0, 1, 2])]
 fn a_silent_list_is_a_lease(#[case] lost_at: Option<f64>, #[case] now: f64, #[case] pods: &[u64]) {
     let mut round = leased(lost_at.unwrap_or(now));
-    lost_at.into_iter().for_each(|_| round.deliver(Event::List(ListNews::Failed(SILENT))));
+    lost_at
+        .into_iter()
+        .for_each(|_| round.deliver(Event::List(ListNews::Failed(SILENT))));
     while round.mail.take().is_some() {}
     round.now = at(now);
     assert_eq!(asked_for(&mut round), pods);
@@ -238,7 +302,10 @@
 #[test]
 fn the_lease_runs_from_when_a_list_was_last_heard() {
     let mut round = leased(10.0);
-    round.deliver(Event::List(ListNews::Failed(ListLoss { silent: at(2.3), ..SILENT })));
+    round.deliver(Event::List(ListNews::Failed(ListLoss {
+        silent: at(2.3),
+        ..SILENT
+    })));
     round.now = at(13.6);
     assert_eq!(round.relies_since(), Duration::ZERO);
     round.now = at(13.8);
@@ -276,7 +343,13 @@
 fn what_a_pod_did_last_tells_whether_it_is_relied_on(#[case] last: Fate, #[case] relied_on: bool) {
     let (mut pod, round) = (Pod::new(pod(0, 1)), leased(3.0));
     for fate in [Fate::Delivered, last] {
-        pod.learn(&Ended { sent: at(2.0), ..ended(fate) }, &round);
+        pod.learn(
+            &Ended {
+                sent: at(2.0),
+                ..ended(fate)
+            },
+            &round,
+        );
     }
     assert_eq!(!pod.health.served.is_zero(), relied_on);
 }
@@ -284,13 +357,36 @@
 /// What `learn` takes is known at once, and nothing that is due by time happens by it.
 #[test]
 fn a_list_is_known_before_anything_falls_due() {
-    let mut sidecar = Sidecar::new(Duration::ZERO, StartTerms { list_lease: Some(at(LEASE)), ..terms() });
-    sidecar.handle(at(1.0), vec![Event::List(ListNews::Change(vec![pod(0, 1)]))]);
-    let hit = Hit { id: HitId(0), group: GroupId(0), customer: None, key: None, due: at(9.0) };
+    let mut sidecar = Sidecar::new(
+        Duration::ZERO,
+        StartTerms {
+            list_lease: Some(at(LEASE)),
+            ..terms()
+        },
+    );
+    sidecar.handle(
+        at(1.0),
+        vec![Event::List(ListNews::Change(vec![pod(0, 1)]))],
+    );
+    let hit = Hit {
+        id: HitId(0),
+        group: GroupId(0),
+        customer: None,
+        key: None,
+        due: at(9.0),
+    };
     let actions = sidecar.handle(at(1.1), vec![Event::Hit(hit)]);
-    assert!(actions.iter().any(|action| matches!(action, Action::Forward { .. })), "{actions:?}");
+    assert!(
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::Forward { .. })),
+        "{actions:?}"
+    );
     assert!(sidecar.may_begin(at(1.1), HitId(0), ForwardNo(0)));
-    let drains = PodEntry { state: PodState::Draining, ..pod(0, 1) };
+    let drains = PodEntry {
+        state: PodState::Draining,
+        ..pod(0, 1)
+    };
     let actions = sidecar.learn(at(8.0), vec![Event::List(ListNews::Change(vec![drains]))]);
     assert_eq!(actions, []);
     assert!(!sidecar.may_begin(at(8.0), HitId(0), ForwardNo(0)));
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -57,11 +57,16 @@
 impl Figures {
     pub fn of(now: Duration, terms: &StartTerms) -> Self {
         let (rules, release) = (&terms.rules, &terms.release);
-        let mean = terms.groups.iter().map(|g| g.benefit).sum::<f64>() / terms.groups.len().max(1) as f64;
+        let mean =
+            terms.groups.iter().map(|g| g.benefit).sum::<f64>() / terms.groups.len().max(1) as f64;
         let line = |g: &PathGroup| Line {
             repeat: g.repeat,
             target: g.target_latency,
-            useful: if g.late_benefit > 0.0 { g.client_timeout } else { g.target_latency },
+            useful: if g.late_benefit > 0.0 {
+                g.client_timeout
+            } else {
+                g.target_latency
+            },
             cheapness: mean / g.benefit.max(1e-6),
         };
         let targets = terms.groups.iter().map(|g| g.target_latency.as_secs_f64());
@@ -97,7 +102,12 @@
             vote_answer_within: release.vote_answer_within,
             back_votes: f64::from(release.back_votes.clamp(1, terms.sidecars.max(1))),
             hold_votes: f64::from(release.hold_votes.clamp(1, terms.sidecars.max(1))),
-            most_votes: f64::from(release.back_votes.max(release.on_votes).clamp(1, terms.sidecars.max(1))),
+            most_votes: f64::from(
+                release
+                    .back_votes
+                    .max(release.on_votes)
+                    .clamp(1, terms.sidecars.max(1)),
+            ),
             vote_allowance: release.vote_allowance.unwrap_or(f64::INFINITY),
         }
     }
@@ -116,7 +126,9 @@
     pub fn strength(&self, started: Option<Duration>, now: Duration) -> f64 {
         // Long ago is told by a comparison alone: this is asked for each pod and hit.
         let grows = |at: &Duration| now.saturating_sub(*at) < self.long_warm;
-        let Some(started) = started.filter(grows) else { return 1.0 };
+        let Some(started) = started.filter(grows) else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started).as_secs_f64() / self.cold_for.as_secs_f64().max(1e-6);
         (self.cold_from + (1.0 - self.cold_from) * age).min(1.0)
     }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -11,7 +11,9 @@
 
 impl<A, N> Default for Inboxes<A, N> {
     fn default() -> Self {
-        Self { waiting: VecDeque::new() }
+        Self {
+            waiting: VecDeque::new(),
+        }
     }
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,7 +27,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     Repeatable,
-    Tagged { drops_repeats: Reach, memory: Duration },
+    Tagged {
+        drops_repeats: Reach,
+        memory: Duration,
+    },
     Mutating,
 }
 
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -11,7 +11,10 @@
 
 impl<T> Default for DueTimes<T> {
     fn default() -> Self {
-        Self { due: BTreeMap::new(), next: 0 }
+        Self {
+            due: BTreeMap::new(),
+            next: 0,
+        }
     }
 }
 
@@ -99,15 +102,22 @@
 
 /// How much larger one share of (bad, seen) is than another, and the noise in that.
 pub fn excess(new: (usize, usize), old: (usize, usize)) -> (f64, f64) {
-    let share =
-        |(bad, seen): (usize, usize), more: f64| (bad as f64 + more) / (seen as f64 + 2.0 * more).max(1.0);
+    let share = |(bad, seen): (usize, usize), more: f64| {
+        (bad as f64 + more) / (seen as f64 + 2.0 * more).max(1.0)
+    };
     let spread = |c: (usize, usize)| share(c, 0.5) * (1.0 - share(c, 0.5)) / (c.1 as f64).max(1.0);
-    (share(new, 0.0) - share(old, 0.0), (spread(new) + spread(old)).sqrt())
+    (
+        share(new, 0.0) - share(old, 0.0),
+        (spread(new) + spread(old)).sqrt(),
+    )
 }
 
 /// The sum of the squares of counts over what chance would make of it, were all alike: about 1 if they are.
 pub fn unevenness(counts: &[f64]) -> f64 {
-    let (sum, squares) = (counts.iter().sum::<f64>(), counts.iter().map(|c| c * c).sum::<f64>());
+    let (sum, squares) = (
+        counts.iter().sum::<f64>(),
+        counts.iter().map(|c| c * c).sum::<f64>(),
+    );
     squares / (sum + sum * sum / counts.len().max(1) as f64).max(1e-9)
 }
 
--- a/src/notes.rs
+++ b/src/notes.rs
@@ -124,8 +124,16 @@
     }
 
     pub fn look_at(&mut self, fleet: Option<FleetView>) {
-        let places = |view: &FleetView| view.order.iter().enumerate().map(|(n, pod)| (*pod, n)).collect();
-        self.fleet = fleet.map(|view| (places(&view), view)).map(|(places, view)| (view, places));
+        let places = |view: &FleetView| {
+            view.order
+                .iter()
+                .enumerate()
+                .map(|(n, pod)| (*pod, n))
+                .collect()
+        };
+        self.fleet = fleet
+            .map(|view| (places(&view), view))
+            .map(|(places, view)| (view, places));
     }
 
     /// A pod's place in this sidecar's order, the greatest first: the fleet's, or else by hash; beside told places a hash
@@ -145,20 +153,33 @@
 
     /// Whether others are to prove a pod that is shut.
     pub fn is_held(&self, pod: PodId) -> bool {
-        self.fleet.as_ref().is_some_and(|(view, _)| view.held.contains(&pod))
+        self.fleet
+            .as_ref()
+            .is_some_and(|(view, _)| view.held.contains(&pod))
     }
 
     pub fn tell<const N: usize>(&mut self, parts: [To; N], note: &Note) {
-        parts.into_iter().for_each(|to| self.mail.put(to, note.clone()));
+        parts
+            .into_iter()
+            .for_each(|to| self.mail.put(to, note.clone()));
     }
 
     /// Keeps on record since when no list is heard. One that was held before the start may be of any age.
     fn hear(&mut self, news: &ListNews) {
         let failed = matches!(news, ListNews::Failed(_));
-        self.list_failures = if failed { self.list_failures.saturating_add(1) } else { 0 };
-        let Some(lease) = self.figures.list_lease else { return };
+        self.list_failures = if failed {
+            self.list_failures.saturating_add(1)
+        } else {
+            0
+        };
+        let Some(lease) = self.figures.list_lease else {
+            return;
+        };
         self.list_lost = match news {
-            ListNews::Failed(ListLoss { why: LossCause::NoService, .. }) => Some(self.now),
+            ListNews::Failed(ListLoss {
+                why: LossCause::NoService,
+                ..
+            }) => Some(self.now),
             ListNews::Failed(loss) => self.list_lost.or(Some(self.ago(loss.silent))),
             ListNews::Remembered(_) => Some(self.ago(lease.mul_f64(1.0 - REMEMBERED))),
             ListNews::Change(_) | ListNews::Whole(_) => None,
@@ -272,7 +293,9 @@
 impl Ord for Bid {
     fn cmp(&self, other: &Self) -> Ordering {
         let (turn, pod) = (|| other.turn.cmp(&self.turn), || other.pod.cmp(&self.pod));
-        turn().then_with(|| other.cost.total_cmp(&self.cost)).then_with(pod)
+        turn()
+            .then_with(|| other.cost.total_cmp(&self.cost))
+            .then_with(pod)
     }
 }
 
@@ -322,7 +345,8 @@
         match self.place(card.entry.pod) {
             Ok(place) => {
                 let old = &mut self.cards[place];
-                let same = (old.ready, old.usable, old.rank) == (card.ready, card.usable, card.rank)
+                let same = (old.ready, old.usable, old.rank)
+                    == (card.ready, card.usable, card.rank)
                     && old.entry.build == card.entry.build;
                 (self.open, self.changed) = (self.open - counts(old), self.changed || !same);
                 *old = card;
@@ -404,24 +428,45 @@
 impl Account {
     pub fn of(hit: &Hit) -> Self {
         let (group, customer, key, due) = (hit.group, hit.customer, hit.key, hit.due);
-        Self { group, customer, key, due, forwards: Vec::new(), over: false, streams: false }
+        Self {
+            group,
+            customer,
+            key,
+            due,
+            forwards: Vec::new(),
+            over: false,
+            streams: false,
+        }
     }
 
     /// Puts a forward on record and tells its number.
     pub fn sent(&mut self, to: &PodEntry, at: Duration) -> ForwardNo {
         let (pod, build, zone, cell, started) = (to.pod, to.build, to.zone, to.cell, to.started);
-        self.forwards.push(Sent { pod, build, zone, cell, started, at, fate: None });
+        self.forwards.push(Sent {
+            pod,
+            build,
+            zone,
+            cell,
+            started,
+            at,
+            fate: None,
+        });
         ForwardNo(self.forwards.len() as u16 - 1)
     }
 
     /// An attempt that has no outcome yet.
     pub fn out(&self, no: ForwardNo) -> Option<&Sent> {
-        self.forwards.get(usize::from(no.0)).filter(|sent| sent.fate.is_none())
+        self.forwards
+            .get(usize::from(no.0))
+            .filter(|sent| sent.fate.is_none())
     }
 
     pub fn still_out(&self) -> Vec<ForwardNo> {
         let numbered = (0u16..).zip(&self.forwards);
-        numbered.filter(|(_, f)| f.fate.is_none()).map(|(n, _)| ForwardNo(n)).collect()
+        numbered
+            .filter(|(_, f)| f.fate.is_none())
+            .map(|(n, _)| ForwardNo(n))
+            .collect()
     }
 }
 
@@ -463,7 +508,12 @@
 
 impl Place {
     pub fn of(entry: &PodEntry) -> Self {
-        Self { entry: entry.clone(), ended: None, sends: Window::default(), luck: 0.0 }
+        Self {
+            entry: entry.clone(),
+            ended: None,
+            sends: Window::default(),
+            luck: 0.0,
+        }
     }
 
     pub fn list(&mut self, entry: PodEntry, now: Duration, luck: f64) {
@@ -511,8 +561,15 @@
     /// The rows that a whole list no longer has, as gone.
     pub fn gone_from(&self, list: &[PodEntry]) -> Vec<PodEntry> {
         let listed: BTreeSet<PodId> = list.iter().map(|row| row.pod).collect();
-        let gone = self.0.values().filter(|(row, _)| !listed.contains(&row.pod));
-        gone.map(|(row, _)| PodEntry { state: PodState::Gone, ..row.clone() }).collect()
+        let gone = self
+            .0
+            .values()
+            .filter(|(row, _)| !listed.contains(&row.pod));
+        gone.map(|(row, _)| PodEntry {
+            state: PodState::Gone,
+            ..row.clone()
+        })
+        .collect()
     }
 }
 
@@ -544,7 +601,10 @@
     }
 
     pub fn list(&mut self, entry: PodEntry, now: Duration, luck: f64) {
-        let place = self.places.entry(entry.pod).or_insert_with(|| Place::of(&entry));
+        let place = self
+            .places
+            .entry(entry.pod)
+            .or_insert_with(|| Place::of(&entry));
         place.list(entry, now, luck);
         self.lowest.set(None);
         self.strength.set(None);
@@ -566,8 +626,13 @@
         if let Some((_, known)) = self.strength.get().filter(|(at, _)| *at == now) {
             return known;
         }
-        let ready = self.places.values().filter(|place| place.entry.state == PodState::Ready);
-        let sum = ready.map(|p| p.entry.size * figures.strength(p.entry.started, now)).sum();
+        let ready = self
+            .places
+            .values()
+            .filter(|place| place.entry.state == PodState::Ready);
+        let sum = ready
+            .map(|p| p.entry.size * figures.strength(p.entry.started, now))
+            .sum();
         self.strength.set(Some((now, sum)));
         sum
     }
@@ -603,7 +668,16 @@
 impl OpenHit {
     pub fn of(hit: &Hit, arrived: Duration) -> Self {
         let (group, customer) = (hit.group, hit.customer);
-        Self { group, customer, at: None, arrived, due: hit.due, out: 0, tried: Vec::new(), no_trial: false }
+        Self {
+            group,
+            customer,
+            at: None,
+            arrived,
+            due: hit.due,
+            out: 0,
+            tried: Vec::new(),
+            no_trial: false,
+        }
     }
 }
 
@@ -647,19 +721,27 @@
     /// What was seen of each path group, and of all, beside what another sample saw of it.
     pub fn beside(&self, other: &Self) -> Vec<(Count, Count)> {
         let of_other = |group: &GroupId| other.groups.get(group).copied().unwrap_or_default();
-        let by_group = self.groups.iter().map(|(group, count)| (*count, of_other(group)));
+        let by_group = self
+            .groups
+            .iter()
+            .map(|(group, count)| (*count, of_other(group)));
         by_group.chain([(self.all(), other.all())]).collect()
     }
 
     pub fn count(&mut self, group: GroupId, pod: PodId, fate: Fate, time: Option<f64>) {
         let bad = matches!(fate, Fate::Errored | Fate::TimedOut);
-        let (count, by_pod) = (self.groups.entry(group).or_default(), self.pods.entry(pod).or_default());
+        let (count, by_pod) = (
+            self.groups.entry(group).or_default(),
+            self.pods.entry(pod).or_default(),
+        );
         (count.seen, by_pod.seen) = (count.seen + 1, by_pod.seen + 1);
         (count.bad, by_pod.bad) = (count.bad + usize::from(bad), by_pod.bad + usize::from(bad));
         count.timed_out += usize::from(fate == Fate::TimedOut);
         by_pod.times.extend(time);
         if let Some(time) = time {
-            let place = self.times.partition_point(|known| known.total_cmp(&time).is_lt());
+            let place = self
+                .times
+                .partition_point(|known| known.total_cmp(&time).is_lt());
             self.times.insert(place, time);
         }
     }
@@ -667,11 +749,22 @@
     /// Forgets half of what was seen: counts in proportion, of the times the older ones.
     pub fn halve(&mut self) {
         for count in self.groups.values_mut() {
-            let Count { seen, bad, timed_out, flagged } = *count;
-            *count = Count { seen: seen / 2, bad: bad / 2, timed_out: timed_out / 2, flagged: flagged / 2 };
+            let Count {
+                seen,
+                bad,
+                timed_out,
+                flagged,
+            } = *count;
+            *count = Count {
+                seen: seen / 2,
+                bad: bad / 2,
+                timed_out: timed_out / 2,
+                flagged: flagged / 2,
+            };
         }
         for by_pod in self.pods.values_mut() {
-            (by_pod.seen, by_pod.bad, by_pod.flagged) = (by_pod.seen / 2, by_pod.bad / 2, by_pod.flagged / 2);
+            (by_pod.seen, by_pod.bad, by_pod.flagged) =
+                (by_pod.seen / 2, by_pod.bad / 2, by_pod.flagged / 2);
             by_pod.times.drain(..by_pod.times.len().div_ceil(2));
         }
         self.pods.retain(|_, by_pod| by_pod.seen > 0);
@@ -687,7 +780,11 @@
     /// All times but those of the pod whose middle one is the longest.
     pub fn times_without_slowest(&self) -> Vec<f64> {
         let mut pods: Vec<&Vec<f64>> = self.pods.values().map(|p| &p.times).collect();
-        pods.sort_by(|a, b| median(a.to_vec()).unwrap_or(0.0).total_cmp(&median(b.to_vec()).unwrap_or(0.0)));
+        pods.sort_by(|a, b| {
+            median(a.to_vec())
+                .unwrap_or(0.0)
+                .total_cmp(&median(b.to_vec()).unwrap_or(0.0))
+        });
         pods.pop();
         pods.into_iter().flatten().copied().collect()
     }
@@ -700,7 +797,11 @@
 impl fmt::Display for Sample {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (all, times) = (self.all(), self.times());
-        write!(f, "{} bad and {} flagged of {}", all.bad, all.flagged, all.seen)?;
+        write!(
+            f,
+            "{} bad and {} flagged of {}",
+            all.bad, all.flagged, all.seen
+        )?;
         write!(
             f,
             " on {} pods, median {:.2} of {}",
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -56,7 +56,10 @@
             let fleet = matches!(event, Event::Fleet(_));
             self.round.deliver(event);
             // Each pod's place in the order may be another.
-            self.pods.values().filter(|_| fleet).for_each(|pod| pod.post_card(&mut self.round));
+            self.pods
+                .values()
+                .filter(|_| fleet)
+                .for_each(|pod| pod.post_card(&mut self.round));
             self.empty();
         }
         std::mem::take(&mut self.round.out)
@@ -75,7 +78,8 @@
             for (id, _) in self.pods.iter().filter(|(_, pod)| pod.watches()) {
                 self.round.mail.put(To::Pod(*id), Note::Beat);
             }
-            self.round.tell([To::Gate, To::Desk, To::Judge], &Note::Beat);
+            self.round
+                .tell([To::Gate, To::Desk, To::Judge], &Note::Beat);
             self.empty();
         }
         actions.append(&mut self.round.out);
