--- a/crates/decision/src/choice.rs
+++ b/crates/decision/src/choice.rs
@@ -53,24 +53,24 @@
 impl Lister {
     pub fn take(&mut self, note: Note, round: &mut Round) {
         match note {
-            Note::List(ListNews::Change(rows)) => {
+            Note::List(EndpointUpdate::Delta(rows)) => {
                 rows.into_iter().for_each(|row| self.tell(row, round))
             }
-            Note::List(ListNews::Whole(rows) | ListNews::Remembered(rows)) => {
+            Note::List(EndpointUpdate::Snapshot(rows) | EndpointUpdate::Cached(rows)) => {
                 let gone = self.held.gone_from(&rows);
                 gone.into_iter()
                     .chain(rows)
                     .for_each(|row| self.tell(row, round));
                 let first = round.figures.on_request && !std::mem::replace(&mut self.watched, true);
-                round.out.extend(first.then_some(Action::Watch));
+                round.out.extend(first.then_some(Action::WatchEndpoints));
             }
             // Soon after a loss, ever later after calls that are refused or twice unanswered. Guards against
             // calls that keep the service too busy to answer any; hurts by late lists after a long outage.
-            Note::List(ListNews::Failed(loss)) => {
-                let doubled = match loss.why {
-                    LossCause::Ended | LossCause::NoService => 0,
-                    LossCause::Unanswered => round.list_failures.saturating_sub(2),
-                    LossCause::Refused => round.list_failures,
+            Note::List(EndpointUpdate::WatchLost(loss)) => {
+                let doubled = match loss.cause {
+                    WatchLossCause::Ended | WatchLossCause::NoService => 0,
+                    WatchLossCause::TimedOut => round.list_failures.saturating_sub(2),
+                    WatchLossCause::Refused => round.list_failures,
                 };
                 let shared = ASK_AGAIN * (1 << doubled.min(MOST_DOUBLED));
                 let own = (round.figures.grace / 4).clamp(BEAT, ASK_AGAIN); // its own agent's, told at once
@@ -82,7 +82,7 @@
                 let wait = longest.mul_f64(0.3 + 0.7 * round.chance());
                 round.later(wait, To::Lister, Note::Watch);
             }
-            Note::Watch => round.out.push(Action::Watch),
+            Note::Watch => round.out.push(Action::WatchEndpoints),
             // Guards against a pile of pods that left long ago; the gate sends nothing to unknown ones.
             Note::Forget(pod) if self.held.forget(pod, round.ago(FORGET_AFTER)) => {
                 round.tell(
@@ -94,8 +94,8 @@
         }
     }
 
-    fn tell(&mut self, mut row: PodEntry, round: &mut Round) {
-        row.size = row.size.max(0.01);
+    fn tell(&mut self, mut row: Endpoint, round: &mut Round) {
+        row.weight = row.weight.max(0.01);
         if self.held.put(&row, round.now) {
             round.later(FORGET_AFTER, To::Lister, Note::Forget(row.pod));
         }
@@ -105,13 +105,13 @@
 
 /// One pod as this sidecar sees it.
 pub struct Pod {
-    entry: PodEntry,
-    open: BTreeMap<(HitId, ForwardNo), Duration>,
+    entry: Endpoint,
+    open: BTreeMap<(RequestId, AttemptIndex), Duration>,
     health: Health,
 }
 
 impl Pod {
-    pub fn new(entry: PodEntry) -> Self {
+    pub fn new(entry: Endpoint) -> Self {
         Self {
             entry,
             open: BTreeMap::new(),
@@ -124,7 +124,7 @@
         match note {
             Note::Listed(entry) => {
                 // A restart or another build under the same id: what was seen of it is void.
-                if entry.started != self.entry.started || entry.build != self.entry.build {
+                if entry.started_at != self.entry.started_at || entry.build != self.entry.build {
                     self.health = Health::default();
                 }
                 self.entry = entry;
@@ -135,7 +135,8 @@
                 (!self.health.shut_until.is_zero()).then(|| self.shut(now));
             }
             Note::Ended(ended) => {
-                self.open.remove(&(ended.outcome.hit, ended.outcome.no));
+                self.open
+                    .remove(&(ended.outcome.request, ended.outcome.attempt));
                 self.learn(&ended, round);
             }
             Note::Beat => {
@@ -165,10 +166,10 @@
 
     fn learn(&mut self, ended: &Ended, round: &Round) {
         let now = round.now;
-        let took =
-            ended.outcome.took.as_secs_f64() / round.figures.line(ended.group).target.as_secs_f64();
-        match ended.outcome.fate {
-            Fate::Delivered => {
+        let took = ended.outcome.duration.as_secs_f64()
+            / round.figures.line(ended.group).target.as_secs_f64();
+        match ended.outcome.outcome {
+            AttemptOutcome::Succeeded => {
                 self.health.pace.add(took, PACE_OVER);
                 let served = self.health.served.max(ended.sent);
                 self.health = Health {
@@ -181,21 +182,24 @@
             // No connection, or resets, silence or errors in a row: shut for a while, ever longer. An error
             // is no sign of speed: a pod that fails at once would draw all hits. One reset may be a
             // connection's fault; a pod that died refuses the next one.
-            Fate::TimedOut | Fate::Errored if ended.sour => {}
-            Fate::Unreached | Fate::Broken | Fate::TimedOut | Fate::Errored => {
+            AttemptOutcome::TimedOut | AttemptOutcome::Failed if ended.sour => {}
+            AttemptOutcome::ConnectFailed
+            | AttemptOutcome::ConnectionReset
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::Failed => {
                 self.health.strikes += 1;
-                let limit = if ended.outcome.fate == Fate::Unreached {
+                let limit = if ended.outcome.outcome == AttemptOutcome::ConnectFailed {
                     1
                 } else {
                     3
                 };
                 (self.health.strikes >= limit).then(|| self.shut(now));
             }
-            Fate::TurnedAway => {
+            AttemptOutcome::Rejected => {
                 self.health.served = Duration::ZERO; // it may drain
                 self.health.pace.add(1.0, PACE_OVER);
             }
-            Fate::Cancelled | Fate::Void => {}
+            AttemptOutcome::Cancelled | AttemptOutcome::NeverSent => {}
         }
     }
 
@@ -232,15 +236,15 @@
 /// Keeps the five rules: every forward and every final answer passes here.
 #[derive(Default)]
 pub struct Gate {
-    news: Option<StageNews>,
+    news: Option<StageUpdate>,
     places: Places,
-    accounts: BTreeMap<HitId, Account>,
+    accounts: BTreeMap<RequestId, Account>,
     taken: BTreeMap<usize, Window>,
     exposed: BTreeMap<(BuildId, usize), Window>,
-    met: BTreeMap<KeyId, BuildId>,
+    met: BTreeMap<RoutingKey, BuildId>,
     all_met: Option<BuildId>, // as if every key had met it: no older build ran any more
     answered: Rate,
-    wrong: BTreeMap<CustomerId, Mean>, // the share of each one's forwards that errs or times out
+    wrong: BTreeMap<TenantId, Mean>, // the share of each one's forwards that errs or times out
 }
 
 impl Gate {
@@ -335,21 +339,26 @@
         }
     }
 
-    fn open(&mut self, hit: Hit, round: &mut Round) {
-        if usize::from(hit.group.0) >= round.figures.lines.len()
+    fn open(&mut self, hit: Request, round: &mut Round) {
+        if usize::from(hit.class.0) >= round.figures.lines.len()
             || self.accounts.contains_key(&hit.id)
         {
             return;
         }
         self.taken
-            .entry(round.figures.counter(hit.group))
+            .entry(round.figures.counter(hit.class))
             .or_default()
             .note(round.now);
         self.accounts.insert(hit.id, Account::of(&hit));
         round.mail.put(To::Desk, Note::Taken(hit));
     }
 
-    fn allow(&self, hit: HitId, (pod, part): (PodId, f64), round: &Round) -> Result<(), Refusal> {
+    fn allow(
+        &self,
+        hit: RequestId,
+        (pod, part): (PodId, f64),
+        round: &Round,
+    ) -> Result<(), Refusal> {
         let (now, figures) = (round.now, &round.figures);
         let account = self.accounts.get(&hit).ok_or(Refusal::Over)?;
         let place = self.places.get(pod).ok_or(Refusal::Drained)?;
@@ -365,7 +374,13 @@
 
     /// Asked right before the first byte of an attempt leaves: its pod may have been told to leave meanwhile.
     /// While no list is heard what was allowed expires with the grace. Hurts by attempts decided on anew.
-    pub fn may_begin(&self, hit: HitId, no: ForwardNo, now: Duration, round: &Round) -> bool {
+    pub fn may_begin(
+        &self,
+        hit: RequestId,
+        no: AttemptIndex,
+        now: Duration,
+        round: &Round,
+    ) -> bool {
         let account = self.accounts.get(&hit).filter(|account| !account.over);
         let Some(sent) = account.and_then(|account| account.out(no)) else {
             return false;
@@ -382,7 +397,7 @@
     /// that the sum does too, however unequal their traffic.
     fn allow_cold(&self, place: &Place, part: f64, round: &Round) -> Result<(), Refusal> {
         let (now, figures) = (round.now, &round.figures);
-        let strength = figures.strength(place.entry.started, now);
+        let strength = figures.strength(place.entry.started_at, now);
         if strength >= 1.0 {
             return Ok(());
         }
@@ -390,7 +405,7 @@
         // What it uses but a part of gets so much more from it, and nothing from sidecars that use others.
         let fair = self.answered.now(now, RATE_OVER) / (whole * part).max(0.01);
         let load = COLD_LOAD.min(figures.fall_multiple);
-        let most = fair * place.entry.size * strength * load * figures.fall_within.as_secs_f64();
+        let most = fair * place.entry.weight * strength * load * figures.fall_within.as_secs_f64();
         let sent = place.sends.since(round.ago(figures.fall_within));
         // Less than a whole forward is granted by chance: rounded up, hundreds of sidecars would push the pod
         // over; rounded down, light ones would never warm it.
@@ -419,7 +434,7 @@
         let Some((cap, stage)) = self.cap(build, figures) else {
             return Ok(());
         };
-        let repeatable = figures.line(account.group).repeat == Repeat::Repeatable;
+        let repeatable = figures.line(account.group).repeat == Idempotency::Idempotent;
         let open = cap > 0.0 && (stage >= figures.guarded_stages || repeatable);
         let counter = figures.counter(account.group);
         // Hits near the window's far edge are left out: they fall out before the forwards made for them.
@@ -430,7 +445,7 @@
         (open && fits).then_some(()).ok_or(Refusal::Exposed)
     }
 
-    fn send(&mut self, hit: HitId, pod: PodId, round: &mut Round) {
+    fn send(&mut self, hit: RequestId, pod: PodId, round: &mut Round) {
         let found = (self.accounts.get_mut(&hit), self.places.get_mut(pod));
         let (Some(account), Some(place)) = found else {
             return;
@@ -443,39 +458,40 @@
             .entry((build, counter))
             .or_default()
             .note(round.now);
-        round.out.push(Action::Forward {
-            hit,
+        round.out.push(Action::StartAttempt {
+            request: hit,
             pod,
-            within: Duration::ZERO,
+            timeout: Duration::ZERO,
         });
         round.tell([To::Pod(pod), To::Desk], &Note::Sent { hit, no, pod });
     }
 
-    fn end_forward(&mut self, mut outcome: Outcome, round: &mut Round) {
-        let Some(account) = self.accounts.get_mut(&outcome.hit) else {
+    fn end_forward(&mut self, mut outcome: AttemptResult, round: &mut Round) {
+        let Some(account) = self.accounts.get_mut(&outcome.request) else {
             return;
         };
-        let Some(sent) = account.forwards.get_mut(usize::from(outcome.no.0)) else {
+        let Some(sent) = account.forwards.get_mut(usize::from(outcome.attempt.0)) else {
             return;
         };
         if sent.fate.is_some() {
             return;
         }
-        sent.fate = Some(outcome.fate);
-        outcome.took = outcome.took.saturating_sub(round.late);
+        sent.fate = Some(outcome.outcome);
+        outcome.duration = outcome.duration.saturating_sub(round.late);
         let (pod, build, at) = (sent.pod, sent.build, sent.at);
         let was_open = !account.over;
-        account.over |= outcome.over;
-        (outcome.fate == Fate::Delivered).then(|| self.answered.add(round.now, RATE_OVER));
+        account.over |= outcome.request_over;
+        (outcome.outcome == AttemptOutcome::Succeeded)
+            .then(|| self.answered.add(round.now, RATE_OVER));
         // An answer may have been whole though its connection broke or was given up: it counts as had.
-        let had = !outcome.fate.never_ran() && outcome.fate != Fate::Errored;
+        let had = !outcome.outcome.never_ran() && outcome.outcome != AttemptOutcome::Failed;
         let key = account.key.filter(|_| round.figures.keys_stay && had);
         key.into_iter()
             .for_each(|key| round.mail.put(To::Gate, Note::Met(key, build)));
-        let (hit, group, open) = (outcome.hit, account.group, was_open && !account.over);
+        let (hit, group, open) = (outcome.request, account.group, was_open && !account.over);
         let customer = account.customer;
-        let learn = !outcome.fate.never_ran() && self.cap(build, &round.figures).is_none();
-        let sour = customer.is_some_and(|customer| self.sours(customer, outcome.fate, learn));
+        let learn = !outcome.outcome.never_ran() && self.cap(build, &round.figures).is_none();
+        let sour = customer.is_some_and(|customer| self.sours(customer, outcome.outcome, learn));
         let ended = Ended {
             outcome,
             group,
@@ -491,15 +507,15 @@
 
     /// Whether one customer's hits go wrong where the others' go well, on builds that are not on trial: then
     /// they speak neither against a pod nor against a build, as hits that nobody can answer.
-    fn sours(&mut self, customer: CustomerId, fate: Fate, learn: bool) -> bool {
-        if learn && fate != Fate::Cancelled {
-            let wrong = matches!(fate, Fate::Errored | Fate::TimedOut);
+    fn sours(&mut self, customer: TenantId, fate: AttemptOutcome, learn: bool) -> bool {
+        if learn && fate != AttemptOutcome::Cancelled {
+            let wrong = matches!(fate, AttemptOutcome::Failed | AttemptOutcome::TimedOut);
             self.wrong
                 .entry(customer)
                 .or_default()
                 .add(f64::from(u8::from(wrong)), 30);
         }
-        let known = |c: &CustomerId| self.wrong.get(c).copied().filter(|mean| mean.of >= 15);
+        let known = |c: &TenantId| self.wrong.get(c).copied().filter(|mean| mean.of >= 15);
         let others = || {
             self.wrong
                 .keys()
@@ -512,27 +528,30 @@
     }
 
     /// A hit that is given up: bounced where a retry does no harm, errored elsewhere.
-    fn answer(&mut self, hit: HitId, round: &mut Round) {
+    fn answer(&mut self, hit: RequestId, round: &mut Round) {
         let Some(account) = self.accounts.get(&hit).filter(|a| !a.over && !a.streams) else {
             return;
         };
         let ran = account.forwards.iter().any(Sent::may_have_run);
         let harmless = match round.figures.line(account.group).repeat {
-            Repeat::Repeatable => true,
-            Repeat::Tagged { drops_repeats, .. } => !ran || drops_repeats == Reach::All,
-            Repeat::Mutating => !ran,
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed {
+                deduplicated_by: drops_repeats,
+                ..
+            } => !ran || drops_repeats == DeduplicationScope::All,
+            Idempotency::NonIdempotent => !ran,
         };
         round.out.push(match harmless {
-            true => Action::Bounce {
-                hit,
+            true => Action::Reject {
+                request: hit,
                 retry_after: round.figures.retry_after,
             },
-            false => Action::Fail { hit },
+            false => Action::Fail { request: hit },
         });
         self.close(hit, round);
     }
 
-    fn close(&mut self, hit: HitId, round: &mut Round) {
+    fn close(&mut self, hit: RequestId, round: &mut Round) {
         self.accounts
             .entry(hit)
             .and_modify(|account| account.over = true);
@@ -541,7 +560,7 @@
     }
 
     /// Calls off what is still out for a hit that is over, and closes its account once nothing is.
-    fn tidy(&mut self, hit: HitId, round: &mut Round) {
+    fn tidy(&mut self, hit: RequestId, round: &mut Round) {
         let Some(account) = self.accounts.get(&hit).filter(|a| a.over) else {
             return;
         };
@@ -549,8 +568,12 @@
         if out.is_empty() {
             self.accounts.remove(&hit);
         } else if round.figures.may_cancel && !account.streams {
-            out.into_iter()
-                .for_each(|no| round.out.push(Action::Cancel { hit, no }));
+            out.into_iter().for_each(|no| {
+                round.out.push(Action::CancelAttempt {
+                    request: hit,
+                    attempt: no,
+                })
+            });
         }
     }
 }
@@ -560,7 +583,7 @@
 fn cap(
     build: BuildId,
     lowest: Option<BuildId>,
-    news: Option<StageNews>,
+    news: Option<StageUpdate>,
     by: &Figures,
 ) -> Option<(f64, u8)> {
     match news {
@@ -572,17 +595,17 @@
 }
 
 /// Rule 2: a second effect is possible only where an earlier forward may have run.
-fn allow_repeat(account: &Account, to: &PodEntry, round: &Round) -> Result<(), Refusal> {
+fn allow_repeat(account: &Account, to: &Endpoint, round: &Round) -> Result<(), Refusal> {
     if !round.figures.second_copies && account.forwards.iter().any(|f| f.fate.is_none()) {
         return Err(Refusal::MayHaveRun);
     }
     let mut ran = account.forwards.iter().filter(|f| f.may_have_run());
     let fine = match round.figures.line(account.group).repeat {
-        Repeat::Repeatable => true,
-        Repeat::Mutating => ran.next().is_none(),
-        Repeat::Tagged {
-            drops_repeats,
-            memory,
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => ran.next().is_none(),
+        Idempotency::Keyed {
+            deduplicated_by: drops_repeats,
+            window: memory,
         } => ran.all(|f| f.remembered_by(to, drops_repeats) && round.now < f.at + memory),
     };
     fine.then_some(()).ok_or(Refusal::MayHaveRun)
@@ -593,13 +616,13 @@
 pub struct Desk {
     cards: Cards,
     overview: Overview,
-    hits: BTreeMap<HitId, OpenHit>,
-    news: Option<StageNews>,
+    hits: BTreeMap<RequestId, OpenHit>,
+    news: Option<StageUpdate>,
     spare: f64,
     finished: Rate,
-    lanes: BTreeMap<Option<CustomerId>, Fading>, // what each customer's last forwards took, in targets
-    usual: BTreeMap<GroupId, Mean>,              // mean time of delivered forwards, in seconds
-    kinds: BTreeMap<KindId, Mean>,               // the same by machine kind, in target latencies
+    lanes: BTreeMap<Option<TenantId>, Fading>, // what each customer's last forwards took, in targets
+    usual: BTreeMap<ClassId, Mean>,            // mean time of delivered forwards, in seconds
+    kinds: BTreeMap<MachineTypeId, Mean>,      // the same by machine kind, in target latencies
 }
 
 impl Desk {
@@ -628,17 +651,16 @@
         }
     }
 
-    fn usual(&self, group: GroupId, round: &Round) -> f64 {
+    fn usual(&self, group: ClassId, round: &Round) -> f64 {
         let target = round.figures.line(group).target.as_secs_f64();
         self.usual
             .get(&group)
             .map_or(0.2 * target, |mean| mean.value)
     }
 
-    fn arrive(&mut self, hit: Hit, round: &mut Round) {
+    fn arrive(&mut self, hit: Request, round: &mut Round) {
         self.spare = (self.spare + SPARE.0).min(SPARE.1);
-        let shed =
-            self.overload(hit.customer, round) * 2.0 * round.figures.line(hit.group).cheapness;
+        let shed = self.overload(hit.tenant, round) * 2.0 * round.figures.line(hit.class).cheapness;
         self.hits.insert(hit.id, OpenHit::of(&hit, round.now));
         if shed > 0.0 && round.chance() < shed.min(MOST_SHED) {
             round.mail.put(To::Gate, Note::End(hit.id));
@@ -650,14 +672,14 @@
     /// What a customer's forwards took lately, in target latencies; it fades, as nothing is learned while all
     /// is shed. By customer: hits that wait for something of their own at every pod, and hold the places of
     /// all, go first.
-    fn slowness(&self, customer: Option<CustomerId>, now: Duration) -> f64 {
+    fn slowness(&self, customer: Option<TenantId>, now: Duration) -> f64 {
         self.lanes
             .get(&customer)
             .map_or(0.0, |took| took.read(now, FADES, 0.5))
     }
 
     /// How far the wait ahead of a new hit, by Little's law, is past what the target latency bears: 0 to 1.
-    fn overload(&self, customer: Option<CustomerId>, round: &Round) -> f64 {
+    fn overload(&self, customer: Option<TenantId>, round: &Round) -> f64 {
         // Before the first answers there is no rate to go by.
         if round.now < round.figures.since + RATE_OVER {
             return 0.0;
@@ -703,7 +725,7 @@
         (Some(build), (new / whole.max(1e-9)).min(told).min(cap))
     }
 
-    fn place(&mut self, hit: HitId, round: &mut Round) {
+    fn place(&mut self, hit: RequestId, round: &mut Round) {
         self.overview.look_over(&mut self.cards);
         let (trial, share) = self.trial_share(round);
         if trial != self.overview.trial {
@@ -714,7 +736,7 @@
             return;
         };
         let on_trial = |c: &Card| trial == Some(c.entry.build);
-        let harmless = round.figures.line(open.group).repeat != Repeat::Mutating;
+        let harmless = round.figures.line(open.group).repeat != Idempotency::NonIdempotent;
         // A light sidecar has few hits: most must not go to prove that what is shut still fails.
         let proves = harmless && open.tried.is_empty() && round.chance() < PROOFS;
         let want_trial = !open.no_trial && draw < share;
@@ -768,7 +790,7 @@
     }
 
     /// Asks for the pods whose turn is next; they had no price before.
-    fn ask(&self, hit: HitId, mut bids: Vec<Bid>, round: &mut Round) {
+    fn ask(&self, hit: RequestId, mut bids: Vec<Bid>, round: &mut Round) {
         let turn = bids.iter().map(|bid| bid.turn).min().unwrap_or(0);
         for bid in bids.iter_mut().filter(|bid| bid.turn == turn) {
             let card = self.cards.get(bid.pod);
@@ -800,9 +822,10 @@
     fn strength(&self, card: &Card, round: &Round) -> f64 {
         let pace = self
             .kinds
-            .get(&card.entry.kind)
+            .get(&card.entry.machine_type)
             .map_or(1.0, |mean| mean.value);
-        card.entry.size * round.figures.strength(card.entry.started, round.now) / pace.max(0.01)
+        card.entry.weight * round.figures.strength(card.entry.started_at, round.now)
+            / pace.max(0.01)
     }
 
     /// What one more hit would bear at a pod, at its pace and present strength. Of the load a sidecar knows
@@ -813,11 +836,11 @@
         let luck = -chance.max(1e-9).ln();
         let kind = self
             .kinds
-            .get(&card.entry.kind)
+            .get(&card.entry.machine_type)
             .map_or(1.0, |mean| mean.value);
         let known = card.pace.of.min(PACE_OVER) as f64;
         let pace = (card.pace.value * known + kind * 3.0) / (known + 3.0);
-        let strength = card.entry.size * round.figures.strength(card.entry.started, round.now);
+        let strength = card.entry.weight * round.figures.strength(card.entry.started_at, round.now);
         let far = if card.entry.zone == round.figures.zone {
             1.0
         } else {
@@ -828,7 +851,7 @@
     }
 
     /// No pod may have it now: it waits while an answer could still be worth something.
-    fn wait(&mut self, hit: HitId, round: &mut Round) {
+    fn wait(&mut self, hit: RequestId, round: &mut Round) {
         let Some(open) = self.hits.get_mut(&hit).filter(|open| open.out == 0) else {
             return;
         };
@@ -844,9 +867,9 @@
 
     fn end_forward(&mut self, ended: Ended, round: &mut Round) {
         let usual = self.usual(ended.group, round);
-        let share =
-            ended.outcome.took.as_secs_f64() / round.figures.line(ended.group).target.as_secs_f64();
-        let share = if ended.outcome.fate == Fate::TurnedAway {
+        let share = ended.outcome.duration.as_secs_f64()
+            / round.figures.line(ended.group).target.as_secs_f64();
+        let share = if ended.outcome.outcome == AttemptOutcome::Rejected {
             1.0
         } else {
             share.min(2.0)
@@ -858,20 +881,20 @@
             .entry(ended.customer)
             .or_default()
             .add(share, round.now, FADES, last);
-        if ended.outcome.fate == Fate::Delivered {
+        if ended.outcome.outcome == AttemptOutcome::Succeeded {
             self.finished.add(round.now, RATE_OVER);
             self.usual
                 .entry(ended.group)
                 .or_default()
-                .add(ended.outcome.took.as_secs_f64(), 20);
+                .add(ended.outcome.duration.as_secs_f64(), 20);
             if let Some(card) = self.cards.get(ended.outcome.pod) {
                 self.kinds
-                    .entry(card.entry.kind)
+                    .entry(card.entry.machine_type)
                     .or_default()
                     .add(share, 50);
             }
         }
-        let hit = ended.outcome.hit;
+        let hit = ended.outcome.request;
         if !ended.open {
             self.hits.remove(&hit);
         }
@@ -885,7 +908,7 @@
         }
         let line = round.figures.line(open.group);
         let worth = round.now + Duration::from_secs_f64(usual * 0.5) < open.arrived + line.useful;
-        let again = ended.outcome.fate.never_ran() || line.repeat != Repeat::Mutating;
+        let again = ended.outcome.outcome.never_ran() || line.repeat != Idempotency::NonIdempotent;
         if again && worth && round.now + BEAT < open.due && self.spare >= 1.0 {
             self.spare -= 1.0;
             open.no_trial = true;
@@ -897,8 +920,9 @@
 
     /// A forward is out at a pod that went quiet: a copy, where allowed. At one that answers others a long
     /// wait means a heavy hit, and a copy would be as heavy.
-    fn doubt(&mut self, hit: HitId, no: ForwardNo, pod: PodId, round: &mut Round) {
-        let mutating = |o: &OpenHit| round.figures.line(o.group).repeat == Repeat::Mutating;
+    fn doubt(&mut self, hit: RequestId, no: AttemptIndex, pod: PodId, round: &mut Round) {
+        let mutating =
+            |o: &OpenHit| round.figures.line(o.group).repeat == Idempotency::NonIdempotent;
         let doubtful = |o: &&OpenHit| o.out == 1 && !o.tried.contains(&pod) && !mutating(o);
         let Some(open) = self.hits.get(&hit).filter(doubtful) else {
             return;
@@ -973,15 +997,15 @@
 /// Gathers evidence on the build on trial and votes.
 #[derive(Default)]
 pub struct Judge {
-    news: Option<StageNews>,
+    news: Option<StageUpdate>,
     since: Duration,
-    pods: BTreeMap<PodId, PodEntry>,
+    pods: BTreeMap<PodId, Endpoint>,
     new: Sample,
     old: Sample,
-    before: Sample,                // of the earlier build, from before this stage
-    kinds: BTreeMap<KindId, Mean>, // mean time while no build is on trial, in target latencies
-    bad: bool,                     // whether what was seen speaks against the build,
-    fresh: bool,                   // looked at again when there is something new
+    before: Sample, // of the earlier build, from before this stage
+    kinds: BTreeMap<MachineTypeId, Mean>, // mean time while no build is on trial, in target latencies
+    bad: bool,                            // whether what was seen speaks against the build,
+    fresh: bool,                          // looked at again when there is something new
     standing: Option<Vote>,
     asked: Option<Vote>,
     not_before: Duration,
@@ -1025,9 +1049,9 @@
     }
 
     /// Evidence is gathered afresh each stage.
-    fn enter(&mut self, news: StageNews, round: &Round) {
+    fn enter(&mut self, news: StageUpdate, round: &Round) {
         self.fresh = true;
-        let key = |n: StageNews| (n.build, n.stage, n.phase);
+        let key = |n: StageUpdate| (n.build, n.stage, n.phase);
         if self.news.map(key) != Some(key(news)) {
             let next = self.news.is_some_and(|n| n.build != news.build);
             let base = if next { &mut self.new } else { &mut self.old };
@@ -1060,8 +1084,8 @@
     }
 
     fn count(&mut self, ended: &Ended, figures: &Figures) {
-        let fate = ended.outcome.fate;
-        let untold = fate.never_ran() || fate == Fate::Cancelled || ended.sour;
+        let fate = ended.outcome.outcome;
+        let untold = fate.never_ran() || fate == AttemptOutcome::Cancelled || ended.sour;
         if untold || ended.sent < self.since {
             return;
         }
@@ -1069,16 +1093,16 @@
             return;
         };
         // A cold pod's time is its start's and its queue's, not its build's: it tells nothing of speed.
-        let warm = figures.strength(entry.started, ended.sent) >= 1.0;
+        let warm = figures.strength(entry.started_at, ended.sent) >= 1.0;
         let took =
-            ended.outcome.took.as_secs_f64() / figures.line(ended.group).target.as_secs_f64();
+            ended.outcome.duration.as_secs_f64() / figures.line(ended.group).target.as_secs_f64();
         let calm = self.news.is_none_or(|n| n.phase != Phase::OnTrial);
         let earlier = self.news.is_some_and(|n| ended.build < n.build);
-        let mean = self.kinds.entry(entry.kind).or_default();
-        if fate == Fate::Delivered && warm && (calm || (earlier && mean.of < 50)) {
+        let mean = self.kinds.entry(entry.machine_type).or_default();
+        if fate == AttemptOutcome::Succeeded && warm && (calm || (earlier && mean.of < 50)) {
             mean.add(took, 50);
         }
-        let known = fate == Fate::Delivered && warm && mean.of >= least_sample(figures);
+        let known = fate == AttemptOutcome::Succeeded && warm && mean.of >= least_sample(figures);
         let time = known.then(|| took / mean.value.max(0.001));
         let Some(sample) = self.sample(ended.build) else {
             return;
@@ -1087,7 +1111,7 @@
         (sample.all().seen >= MOST_SEEN).then(|| sample.halve());
     }
 
-    fn trial_pods(&self) -> impl Iterator<Item = &PodEntry> {
+    fn trial_pods(&self) -> impl Iterator<Item = &Endpoint> {
         let build = self.news.map(|n| n.build);
         self.pods
             .values()
@@ -1098,25 +1122,25 @@
     fn settled(&self, now: Duration) -> bool {
         let newest = self
             .trial_pods()
-            .filter_map(|p| p.started)
+            .filter_map(|p| p.started_at)
             .max()
             .unwrap_or(self.since);
         now >= newest.max(self.since) + LEAST_TIME
     }
 
     fn verdict(&self, now: Duration, figures: &Figures) -> Verdict {
-        let judged = |n: &StageNews| matches!(n.phase, Phase::OnTrial | Phase::Released);
+        let judged = |n: &StageUpdate| matches!(n.phase, Phase::OnTrial | Phase::Released);
         let Some(news) = self.news.filter(judged) else {
-            return Verdict::Withhold;
+            return Verdict::Abstain;
         };
         let short = || self.new.all().seen < least_sample(figures) || !self.settled(now);
         if self.bad || now < self.kept_until {
-            return Verdict::Back;
+            return Verdict::RollBack;
         }
         match (news.phase, figures.clock) {
-            (Phase::OnTrial, false) if !short() => Verdict::On,
+            (Phase::OnTrial, false) if !short() => Verdict::Promote,
             (Phase::OnTrial, true) if now < self.since + LONGEST_HOLD && short() => Verdict::Hold,
-            _ => Verdict::Withhold,
+            _ => Verdict::Abstain,
         }
     }
 
@@ -1172,7 +1196,7 @@
         slow && median(self.new.times_without_slowest()) > Some(SLOW_MARGIN * usual)
     }
 
-    fn has_turn(&mut self, verdict: Verdict, news: StageNews, round: &Round) -> bool {
+    fn has_turn(&mut self, verdict: Verdict, news: StageUpdate, round: &Round) -> bool {
         let Some(turns) = Turns::of(&round.figures) else {
             return true;
         };
@@ -1180,11 +1204,11 @@
         let (nth, since) = part(told.saturating_sub(turns.lead), MOMENT + turns.window);
         let draw = drawn(round.figures.own_number.into(), news.turn(nth));
         let due = match verdict {
-            Verdict::Withhold => false, // it lapses by itself
+            Verdict::Abstain => false, // it lapses by itself
             // One that comes late would spend what the first window needs.
             Verdict::Hold if draw >= turns.holders || told > turns.lead + MOMENT / 2 => false,
             Verdict::Hold => told >= turns.lead.mul_f64(draw / turns.holders),
-            Verdict::On | Verdict::Back => since >= MOMENT + turns.window.mul_f64(draw),
+            Verdict::Promote | Verdict::RollBack => since >= MOMENT + turns.window.mul_f64(draw),
         };
         due && self.called.replace((verdict, nth)) != Some((verdict, nth))
     }
@@ -1198,8 +1222,8 @@
         let verdict = self.verdict(now, &round.figures);
         let here = |v: &Vote| v.build == news.build && v.stage == news.stage && now < v.at + life;
         let same = match self.standing.filter(here) {
-            None => verdict == Verdict::Withhold,
-            Some(v) if v.verdict == Verdict::Withhold => verdict == Verdict::Withhold,
+            None => verdict == Verdict::Abstain,
+            Some(v) if v.verdict == Verdict::Abstain => verdict == Verdict::Abstain,
             Some(v) => v.verdict == verdict && now < v.at + life.mul_f64(0.6),
         };
         if same
@@ -1211,7 +1235,7 @@
         }
         let (build, stage, new, old) = (news.build, news.stage, &self.new, &self.old);
         let log = || Action::Log(format!("back: {build:?} {stage:?}: {new} against {old}"));
-        round.out.extend((verdict == Verdict::Back).then(log));
+        round.out.extend((verdict == Verdict::RollBack).then(log));
         self.asked = Some(Vote {
             verdict,
             build,
--- a/crates/decision/src/choice/tests.rs
+++ b/crates/decision/src/choice/tests.rs
@@ -12,64 +12,64 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn group(repeat: Repeat) -> PathGroup {
+fn group(repeat: Idempotency) -> RequestClass {
     let (target_latency, client_timeout) = (at(1.0), at(3.0));
-    PathGroup {
-        repeat,
-        target_latency,
+    RequestClass {
+        idempotency: repeat,
+        latency_objective: target_latency,
         client_timeout,
-        benefit: 1.0,
-        late_benefit: 0.0,
-        streamed: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        streaming: false,
     }
 }
 
-const TAGGED: Repeat = Repeat::Tagged {
-    drops_repeats: Reach::Zone,
-    memory: Duration::from_secs(2),
+const TAGGED: Idempotency = Idempotency::Keyed {
+    deduplicated_by: DeduplicationScope::Zone,
+    window: Duration::from_secs(2),
 };
 
 /// Path groups: 0 repeatable, 1 tagged within a zone, 2 mutating.
-fn terms() -> StartTerms {
-    StartTerms {
+fn terms() -> SidecarConfig {
+    SidecarConfig {
         seed: 7,
-        sidecars: 2,
-        own_number: 1,
+        sidecar_count: 2,
+        sidecar_index: 1,
         zone: ZoneId(0),
-        groups: vec![
-            group(Repeat::Repeatable),
+        classes: vec![
+            group(Idempotency::Idempotent),
             group(TAGGED),
-            group(Repeat::Mutating),
+            group(Idempotency::NonIdempotent),
         ],
-        list_on_request: false,
-        list_pushed: false,
-        list_lease: None,
-        may_cancel: true,
-        second_copies: true,
+        watch_on_request: false,
+        endpoints_pushed: false,
+        endpoint_lease: None,
+        cancellation: true,
+        hedging: true,
         retry_after: None,
-        max_forwards: 3,
-        rules: RuleTerms {
+        max_attempts: 3,
+        safety: SafetyLimits {
             drain_grace: at(1.0),
-            cold_from: 0.4,
-            cold_for: at(4.0),
-            fall_multiple: 2.0,
-            fall_within: at(2.0),
+            slow_start_from: 0.4,
+            slow_start_duration: at(4.0),
+            overload_multiple: 2.0,
+            overload_window: at(2.0),
         },
-        release: ReleaseTerms {
+        rollout: RolloutConfig {
             control: Control::Clock,
             stage_shares: vec![0.1, 1.0],
-            caps: vec![0.2, 1.0],
-            cap_window: at(2.0),
-            cap_free: 1.0,
-            cap_by_group: false,
+            exposure_caps: vec![0.2, 1.0],
+            exposure_window: at(2.0),
+            exposure_free: 1.0,
+            exposure_per_class: false,
             guarded_stages: 1,
-            keys_stay: true,
-            vote_life: at(4.0),
-            vote_answer_within: at(1.0),
-            back_votes: 1,
-            hold_votes: 1,
-            on_votes: 0,
-            vote_allowance: None,
+            sticky_keys: true,
+            vote_ttl: at(4.0),
+            vote_timeout: at(1.0),
+            rollback_quorum: 1,
+            hold_quorum: 1,
+            promote_quorum: 0,
+            vote_rate_limit: None,
         },
     }
 }
@@ -80,25 +80,25 @@
     round
 }
 
-fn pod(id: u64, build: u16) -> PodEntry {
+fn pod(id: u64, build: u16) -> Endpoint {
     let (pod, zone, cell) = (PodId(id), ZoneId(id as u16 % 2), CellId(0));
-    let (build, kind, state) = (BuildId(build), KindId(0), PodState::Ready);
-    PodEntry {
+    let (build, kind, state) = (BuildId(build), MachineTypeId(0), PodState::Ready);
+    Endpoint {
         pod,
         state,
         build,
-        size: 1.0,
-        started: None,
+        weight: 1.0,
+        started_at: None,
         zone,
         cell,
-        kind,
+        machine_type: kind,
     }
 }
 
-fn news(phase: Phase, cap: f64) -> StageNews {
-    StageNews {
+fn news(phase: Phase, cap: f64) -> StageUpdate {
+    StageUpdate {
         build: BuildId(2),
-        stage: StageNo(0),
+        stage: StageIndex(0),
         phase,
         cap,
         age: Duration::ZERO,
@@ -114,12 +114,12 @@
     for entry in [pod(0, 1), pod(1, 1), pod(2, 1), pod(3, 2)] {
         gate.places.list(entry, Duration::ZERO, 0.0);
     }
-    let hit = Hit {
-        id: HitId(0),
-        group: GroupId(of),
-        customer: None,
-        key: Some(KeyId(5)),
-        due: at(9.0),
+    let hit = Request {
+        id: RequestId(0),
+        class: ClassId(of),
+        tenant: None,
+        routing_key: Some(RoutingKey(5)),
+        deadline: at(9.0),
     };
     gate.accounts.insert(hit.id, Account::of(&hit));
     gate
@@ -136,13 +136,13 @@
     older.into_iter().for_each(|pod| gate.places.remove(pod));
 }
 
-fn sent(to: PodEntry, when: f64, fate: Option<Fate>) -> Sent {
+fn sent(to: Endpoint, when: f64, fate: Option<AttemptOutcome>) -> Sent {
     Sent {
         pod: to.pod,
         build: to.build,
         zone: to.zone,
         cell: to.cell,
-        started: to.started,
+        started: to.started_at,
         at: at(when),
         fate,
     }
@@ -158,33 +158,34 @@
     #[case] want: Result<(), Refusal>,
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
-    gate.accounts.get_mut(&HitId(0)).unwrap().over = over;
-    assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round(now)), want);
+    gate.accounts.get_mut(&RequestId(0)).unwrap().over = over;
+    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round(now)), want);
 }
 
 #[rstest]
 #[case::mutating_out(2, None, 0, 1.0, false)]
-#[case::mutating_timed_out(2, Some(Fate::TimedOut), 0, 1.0, false)]
-#[case::mutating_never_ran(2, Some(Fate::TurnedAway), 0, 1.0, true)]
-#[case::tagged_same_zone(1, Some(Fate::TimedOut), 2, 1.0, true)]
-#[case::tagged_other_zone(1, Some(Fate::TimedOut), 1, 1.0, false)]
-#[case::tagged_memory_lapsed(1, Some(Fate::TimedOut), 2, 2.6, false)]
-#[case::repeatable(0, Some(Fate::Errored), 1, 2.6, true)]
+#[case::mutating_timed_out(2, Some(AttemptOutcome::TimedOut), 0, 1.0, false)]
+#[case::mutating_never_ran(2, Some(AttemptOutcome::Rejected), 0, 1.0, true)]
+#[case::tagged_same_zone(1, Some(AttemptOutcome::TimedOut), 2, 1.0, true)]
+#[case::tagged_other_zone(1, Some(AttemptOutcome::TimedOut), 1, 1.0, false)]
+#[case::tagged_memory_lapsed(1, Some(AttemptOutcome::TimedOut), 2, 2.6, false)]
+#[case::repeatable(0, Some(AttemptOutcome::Failed), 1, 2.6, true)]
 fn no_effect_happens_twice(
     #[case] of: u16,
-    #[case] fate: Option<Fate>,
+    #[case] fate: Option<AttemptOutcome>,
     #[case] to: u64,
     #[case] now: f64,
     #[case] allowed: bool,
 ) {
     let mut gate = gate(of, Phase::Released, 1.0);
     gate.accounts
-        .get_mut(&HitId(0))
+        .get_mut(&RequestId(0))
         .unwrap()
         .forwards
         .push(sent(pod(0, 1), 0.5, fate));
     assert_eq!(
-        gate.allow(HitId(0), (PodId(to), 1.0), &round(now)).is_ok(),
+        gate.allow(RequestId(0), (PodId(to), 1.0), &round(now))
+            .is_ok(),
         allowed
     );
 }
@@ -193,12 +194,17 @@
 fn a_hit_that_may_have_run_is_errored_not_bounced() {
     let (mut gate, mut round) = (gate(2, Phase::Released, 1.0), round(1.0));
     gate.accounts
-        .get_mut(&HitId(0))
+        .get_mut(&RequestId(0))
         .unwrap()
         .forwards
-        .push(sent(pod(0, 1), 0.5, Some(Fate::TimedOut)));
-    gate.answer(HitId(0), &mut round);
-    assert_eq!(round.out, [Action::Fail { hit: HitId(0) }]);
+        .push(sent(pod(0, 1), 0.5, Some(AttemptOutcome::TimedOut)));
+    gate.answer(RequestId(0), &mut round);
+    assert_eq!(
+        round.out,
+        [Action::Fail {
+            request: RequestId(0)
+        }]
+    );
 }
 
 #[rstest]
@@ -210,7 +216,7 @@
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
     gate.places.get_mut(PodId(0)).unwrap().ended = Some(at(1.0));
-    assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round(now)), want);
+    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round(now)), want);
 }
 
 #[rstest]
@@ -231,15 +237,15 @@
     }
     round.now = at(8.95);
     let place = gate.places.get_mut(PodId(0)).unwrap();
-    place.entry.started = Some(at(started));
+    place.entry.started_at = Some(at(started));
     (0..sent).for_each(|_| place.sends.note(at(8.9)));
-    assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round), want);
+    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round), want);
 }
 
 #[rstest]
 #[case::within(Phase::OnTrial, 0.5, 4, Ok(()))]
 #[case::spent(Phase::OnTrial, 0.5, 6, Err(Refusal::Exposed))]
-#[case::going_back(Phase::GoingBack, 0.0, 0, Err(Refusal::Exposed))]
+#[case::going_back(Phase::RollingBack, 0.0, 0, Err(Refusal::Exposed))]
 #[case::released(Phase::Released, 0.0, 99, Ok(()))]
 fn exposure_stays_under_the_cap(
     #[case] phase: Phase,
@@ -255,7 +261,7 @@
             .or_default()
             .note(at(1.0))
     });
-    assert_eq!(gate.allow(HitId(0), (PodId(3), 1.0), &round(1.5)), want);
+    assert_eq!(gate.allow(RequestId(0), (PodId(3), 1.0), &round(1.5)), want);
 }
 
 fn bid(pod: u64, build: u16, turn: u8, cost: f64) -> Bid {
@@ -284,14 +290,14 @@
     let (mut gate, mut round) = (gate(0, Phase::OnTrial, 0.0), round(1.0));
     gate.take(
         Note::Ask {
-            hit: HitId(0),
+            hit: RequestId(0),
             bids: bids.to_vec(),
             turn: 1,
         },
         &mut round,
     );
     let sent = round.out.first().map(|action| match action {
-        Action::Forward { pod, .. } => pod.0,
+        Action::StartAttempt { pod, .. } => pod.0,
         _ => panic!("{action:?}"),
     });
     assert_eq!(sent, to);
@@ -315,7 +321,7 @@
 #[test]
 fn a_guarded_stage_takes_repeatable_hits_only() {
     assert_eq!(
-        gate(1, Phase::OnTrial, 1.0).allow(HitId(0), (PodId(3), 1.0), &round(1.0)),
+        gate(1, Phase::OnTrial, 1.0).allow(RequestId(0), (PodId(3), 1.0), &round(1.0)),
         Err(Refusal::Exposed)
     );
 }
@@ -323,9 +329,9 @@
 #[test]
 fn a_key_that_met_the_new_build_stays_there() {
     let mut gate = gate(0, Phase::OnTrial, 1.0);
-    gate.met.insert(KeyId(5), BuildId(2));
+    gate.met.insert(RoutingKey(5), BuildId(2));
     assert_eq!(
-        gate.allow(HitId(0), (PodId(0), 1.0), &round(1.0)),
+        gate.allow(RequestId(0), (PodId(0), 1.0), &round(1.0)),
         Err(Refusal::KeyStays)
     );
 }
@@ -333,26 +339,26 @@
 /// A whole answer may have come though its connection broke under it or was given up: its key stays all the same. What never
 /// ran, or failed by the pod's word, binds nothing. Without the mend only what was delivered does.
 #[rstest]
-#[case::delivered(Fate::Delivered, true)]
-#[case::broken(Fate::Broken, true)]
-#[case::timed_out(Fate::TimedOut, true)]
-#[case::cancelled(Fate::Cancelled, true)]
-#[case::failed(Fate::Errored, false)]
-#[case::turned_away(Fate::TurnedAway, false)]
-#[case::unreached(Fate::Unreached, false)]
-fn a_key_whose_answer_may_have_come_stays(#[case] fate: Fate, #[case] stays: bool) {
+#[case::delivered(AttemptOutcome::Succeeded, true)]
+#[case::broken(AttemptOutcome::ConnectionReset, true)]
+#[case::timed_out(AttemptOutcome::TimedOut, true)]
+#[case::cancelled(AttemptOutcome::Cancelled, true)]
+#[case::failed(AttemptOutcome::Failed, false)]
+#[case::turned_away(AttemptOutcome::Rejected, false)]
+#[case::unreached(AttemptOutcome::ConnectFailed, false)]
+fn a_key_whose_answer_may_have_come_stays(#[case] fate: AttemptOutcome, #[case] stays: bool) {
     let mut gate = gate(0, Phase::OnTrial, 1.0);
     let mut round = round(1.0);
-    gate.send(HitId(0), PodId(3), &mut round);
-    let (hit, no, pod, took) = (HitId(0), ForwardNo(0), PodId(3), at(0.1));
+    gate.send(RequestId(0), PodId(3), &mut round);
+    let (hit, no, pod, took) = (RequestId(0), AttemptIndex(0), PodId(3), at(0.1));
     gate.end_forward(
-        Outcome {
-            hit,
-            no,
+        AttemptResult {
+            request: hit,
+            attempt: no,
             pod,
-            fate,
-            took,
-            over: false,
+            outcome: fate,
+            duration: took,
+            request_over: false,
         },
         &mut round,
     );
@@ -366,7 +372,7 @@
     } else {
         Ok(())
     };
-    assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round), want);
+    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round), want);
 }
 
 /// A judge on build 2 with pods 3 and 5 on trial; each entry is (pod, errors, outcomes, time).
@@ -378,12 +384,12 @@
     let fill = |sample: &mut Sample, (id, bad, seen, time): (u64, usize, usize, f64)| {
         (0..seen).for_each(|n| {
             sample.count(
-                GroupId(0),
+                ClassId(0),
                 PodId(id),
                 if n < bad {
-                    Fate::Errored
+                    AttemptOutcome::Failed
                 } else {
-                    Fate::Delivered
+                    AttemptOutcome::Succeeded
                 },
                 Some(time),
             )
@@ -398,14 +404,14 @@
 }
 
 #[rstest]
-#[case::sound(&[(3, 0, 30, 0.1), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Withhold)]
-#[case::errs(&[(3, 8, 30, 0.1), (5, 9, 30, 0.1)], (1, 200, 0.1), Verdict::Back)]
-#[case::both_builds_err(&[(3, 8, 30, 0.1), (5, 9, 30, 0.1)], (60, 200, 0.1), Verdict::Withhold)]
-#[case::one_sick_pod(&[(3, 28, 30, 0.1), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Withhold)]
-#[case::slow(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 200, 0.1), Verdict::Back)]
-#[case::one_slow_pod(&[(3, 0, 40, 0.9), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Withhold)]
-#[case::slow_with_no_earlier_build(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 0, 0.1), Verdict::Withhold)]
-#[case::few(&[(3, 5, 9, 0.1), (5, 5, 9, 0.1)], (0, 200, 0.1), Verdict::Withhold)]
+#[case::sound(&[(3, 0, 30, 0.1), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
+#[case::errs(&[(3, 8, 30, 0.1), (5, 9, 30, 0.1)], (1, 200, 0.1), Verdict::RollBack)]
+#[case::both_builds_err(&[(3, 8, 30, 0.1), (5, 9, 30, 0.1)], (60, 200, 0.1), Verdict::Abstain)]
+#[case::one_sick_pod(&[(3, 28, 30, 0.1), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
+#[case::slow(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 200, 0.1), Verdict::RollBack)]
+#[case::one_slow_pod(&[(3, 0, 40, 0.9), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
+#[case::slow_with_no_earlier_build(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 0, 0.1), Verdict::Abstain)]
+#[case::few(&[(3, 5, 9, 0.1), (5, 5, 9, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
 fn the_judge_sends_back_what_is_bad_on_most_pods(
     #[case] new: &[(u64, usize, usize, f64)],
     #[case] old: (usize, usize, f64),
@@ -426,22 +432,24 @@
     #[case] times: usize,
 ) {
     let mut judge = judge(&[], (0, 0, 0.1));
-    judge.kinds.insert(KindId(0), Mean { value: 0.1, of: 50 });
+    judge
+        .kinds
+        .insert(MachineTypeId(0), Mean { value: 0.1, of: 50 });
     judge.pods.insert(
         PodId(0),
-        PodEntry {
-            started,
+        Endpoint {
+            started_at: started,
             ..pod(0, 1)
         },
     );
-    judge.count(&ended(Fate::Delivered), &round(1.0).figures);
+    judge.count(&ended(AttemptOutcome::Succeeded), &round(1.0).figures);
     assert_eq!((judge.old.all().seen, judge.old.times().len()), (1, times));
 }
 
 #[rstest]
 #[case::short(2.0, true, Verdict::Hold)]
-#[case::held_long_enough(30.0, true, Verdict::Withhold)]
-#[case::no_clock(2.0, false, Verdict::Withhold)]
+#[case::held_long_enough(30.0, true, Verdict::Abstain)]
+#[case::no_clock(2.0, false, Verdict::Abstain)]
 fn a_short_sample_holds_the_clock(#[case] now: f64, #[case] clock: bool, #[case] want: Verdict) {
     let figures = Figures {
         clock,
@@ -456,7 +464,7 @@
 #[test]
 fn a_standing_vote_is_not_repeated() {
     let (mut judge, mut round) = (judge(&[(3, 0, 5, 0.1)], (0, 200, 0.1)), round(1.0));
-    let (build, stage) = (BuildId(2), StageNo(0));
+    let (build, stage) = (BuildId(2), StageIndex(0));
     judge.standing = Some(Vote {
         verdict: Verdict::Hold,
         build,
@@ -467,19 +475,19 @@
     assert_eq!(round.out, []);
 }
 
-fn ended(fate: Fate) -> Ended {
-    let (hit, no, pod, took) = (HitId(0), ForwardNo(0), PodId(0), at(0.002));
-    let outcome = Outcome {
-        hit,
-        no,
+fn ended(fate: AttemptOutcome) -> Ended {
+    let (hit, no, pod, took) = (RequestId(0), AttemptIndex(0), PodId(0), at(0.002));
+    let outcome = AttemptResult {
+        request: hit,
+        attempt: no,
         pod,
-        fate,
-        took,
-        over: false,
+        outcome: fate,
+        duration: took,
+        request_over: false,
     };
     Ended {
         outcome,
-        group: GroupId(0),
+        group: ClassId(0),
         build: BuildId(1),
         sent: at(1.0),
         open: true,
@@ -491,16 +499,20 @@
 #[test]
 fn a_pod_that_fails_at_once_is_shut_and_not_taken_for_quick() {
     let (mut pod, round) = (Pod::new(pod(0, 1)), round(1.0));
-    (0..3).for_each(|_| pod.learn(&ended(Fate::Errored), &round));
+    (0..3).for_each(|_| pod.learn(&ended(AttemptOutcome::Failed), &round));
     assert!(pod.health.shut_until > round.now && pod.health.pace.of == 0);
 }
 
 /// A reset may be the fault of one connection; a pod that can't be reached is shut at once.
 #[rstest]
-#[case::one_reset(Fate::Broken, 1, false)]
-#[case::three_resets(Fate::Broken, 3, true)]
-#[case::unreached(Fate::Unreached, 1, true)]
-fn signs_against_a_pod_shut_it(#[case] fate: Fate, #[case] times: usize, #[case] shut: bool) {
+#[case::one_reset(AttemptOutcome::ConnectionReset, 1, false)]
+#[case::three_resets(AttemptOutcome::ConnectionReset, 3, true)]
+#[case::unreached(AttemptOutcome::ConnectFailed, 1, true)]
+fn signs_against_a_pod_shut_it(
+    #[case] fate: AttemptOutcome,
+    #[case] times: usize,
+    #[case] shut: bool,
+) {
     let (mut pod, round) = (Pod::new(pod(0, 1)), round(1.0));
     (0..times).for_each(|_| pod.learn(&ended(fate), &round));
     assert_eq!(!pod.health.shut_until.is_zero(), shut);
@@ -508,11 +520,14 @@
 
 #[rstest]
 #[case::still_silent(None, true)]
-#[case::answered(Some(Fate::Delivered), false)]
-#[case::called_off(Some(Fate::Cancelled), true)]
-fn a_quiet_pod_stays_shut_until_it_answers(#[case] fate: Option<Fate>, #[case] shut: bool) {
+#[case::answered(Some(AttemptOutcome::Succeeded), false)]
+#[case::called_off(Some(AttemptOutcome::Cancelled), true)]
+fn a_quiet_pod_stays_shut_until_it_answers(
+    #[case] fate: Option<AttemptOutcome>,
+    #[case] shut: bool,
+) {
     let (mut pod, mut round) = (Pod::new(pod(0, 1)), round(9.0));
-    pod.open.insert((HitId(0), ForwardNo(0)), at(1.0));
+    pod.open.insert((RequestId(0), AttemptIndex(0)), at(1.0));
     pod.take(Note::Beat, &mut round);
     fate.into_iter()
         .for_each(|fate| pod.take(Note::Ended(ended(fate)), &mut round));
@@ -522,7 +537,8 @@
 #[test]
 fn a_new_pod_of_unknown_pace_is_not_the_cheapest() {
     let (mut desk, round) = (Desk::default(), round(1.0));
-    desk.kinds.insert(KindId(0), Mean { value: 0.3, of: 50 });
+    desk.kinds
+        .insert(MachineTypeId(0), Mean { value: 0.3, of: 50 });
     let card = |of| {
         let pace = Mean {
             value: if of > 0 { 0.2 } else { 0.0 },
@@ -581,11 +597,11 @@
     for n in 0..40 {
         judge
             .new
-            .count(GroupId(0), PodId(n % 5), Fate::TimedOut, None);
+            .count(ClassId(0), PodId(n % 5), AttemptOutcome::TimedOut, None);
     }
     judge
         .before
-        .count(GroupId(0), PodId(9), Fate::Delivered, None);
+        .count(ClassId(0), PodId(9), AttemptOutcome::Succeeded, None);
     assert!(!judge.is_bad(at(9.0), &round(9.0).figures));
 }
 
@@ -600,8 +616,8 @@
     let (mut gate, round) = (gate(0, Phase::Released, 1.0), round(8.0));
     gate.answered.add(at(8.0), RATE_OVER);
     let place = gate.places.get_mut(PodId(0)).unwrap();
-    (place.entry.started, place.luck) = (Some(at(7.9)), luck);
-    assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round), want);
+    (place.entry.started_at, place.luck) = (Some(at(7.9)), luck);
+    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round), want);
 }
 
 #[rstest]
@@ -616,9 +632,9 @@
     let mut gate = gate(0, Phase::Released, 1.0);
     for (customer, value) in [(0, own), (1, other)] {
         gate.wrong
-            .insert(CustomerId(customer), Mean { value, of: 30 });
+            .insert(TenantId(customer), Mean { value, of: 30 });
     }
-    assert_eq!(gate.sours(CustomerId(0), Fate::Errored, false), want);
+    assert_eq!(gate.sours(TenantId(0), AttemptOutcome::Failed, false), want);
 }
 
 #[test]
@@ -628,7 +644,7 @@
         pod.learn(
             &Ended {
                 sour: true,
-                ..ended(Fate::Errored)
+                ..ended(AttemptOutcome::Failed)
             },
             &round,
         )
@@ -636,7 +652,7 @@
     assert!(pod.health.shut_until.is_zero());
 }
 
-fn card(entry: PodEntry) -> Card {
+fn card(entry: Endpoint) -> Card {
     let pace = Mean { value: 0.2, of: 10 };
     let rank = rank(1, entry.pod.0);
     Card {
@@ -655,13 +671,13 @@
 fn desk(pods: u64) -> Desk {
     let mut desk = Desk::default();
     (0..pods).for_each(|id| desk.cards.put(card(pod(id, 1))));
-    let customer = Some(CustomerId(0));
-    let hit = Hit {
-        id: HitId(0),
-        group: GroupId(0),
-        customer,
-        key: None,
-        due: at(9.0),
+    let customer = Some(TenantId(0));
+    let hit = Request {
+        id: RequestId(0),
+        class: ClassId(0),
+        tenant: customer,
+        routing_key: None,
+        deadline: at(9.0),
     };
     desk.hits.insert(hit.id, OpenHit::of(&hit, at(5.0)));
     desk
@@ -672,7 +688,7 @@
     let (mut desk, mut round) = (desk(5), round(5.0));
     let mut firsts = BTreeMap::new();
     for _ in 0..500 {
-        desk.place(HitId(0), &mut round);
+        desk.place(RequestId(0), &mut round);
         let Some((_, Note::Ask { bids, .. })) = round.mail.take() else {
             panic!("no pod asked for")
         };
@@ -729,16 +745,19 @@
 #[test]
 fn a_pod_that_has_long_been_gone_is_forgotten_and_one_that_came_back_is_not() {
     let (mut lister, mut round) = (Lister::default(), round(0.0));
-    let gone = |id| PodEntry {
+    let gone = |id| Endpoint {
         state: PodState::Gone,
         ..pod(id, 1)
     };
     lister.take(
-        Note::List(ListNews::Change(vec![gone(0), gone(1)])),
+        Note::List(EndpointUpdate::Delta(vec![gone(0), gone(1)])),
         &mut round,
     );
     round.now = at(60.0);
-    lister.take(Note::List(ListNews::Change(vec![pod(1, 1)])), &mut round);
+    lister.take(
+        Note::List(EndpointUpdate::Delta(vec![pod(1, 1)])),
+        &mut round,
+    );
     round.now = FORGET_AFTER;
     while let Some((to, note)) = round.due.take(FORGET_AFTER) {
         round.mail.put(to, note);
@@ -755,23 +774,23 @@
 }
 
 #[rstest]
-#[case::an_older_pod_still_runs(1, Some(KeyId(5)), Err(Refusal::KeyStays))]
-#[case::nothing_older_runs(2, Some(KeyId(5)), Err(Refusal::KeyStays))]
+#[case::an_older_pod_still_runs(1, Some(RoutingKey(5)), Err(Refusal::KeyStays))]
+#[case::nothing_older_runs(2, Some(RoutingKey(5)), Err(Refusal::KeyStays))]
 #[case::a_hit_without_a_key(2, None, Ok(()))]
 fn keys_of_a_released_build_stay_also_once_they_are_not_told_apart(
     #[case] lowest: u16,
-    #[case] key: Option<KeyId>,
+    #[case] key: Option<RoutingKey>,
     #[case] want: Result<(), Refusal>,
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
-    gate.met.insert(KeyId(5), BuildId(2));
-    gate.accounts.get_mut(&HitId(0)).unwrap().key = key;
+    gate.met.insert(RoutingKey(5), BuildId(2));
+    gate.accounts.get_mut(&RequestId(0)).unwrap().key = key;
     remove_builds_below(&mut gate, lowest);
     gate.forget_keys(&round(1.0));
     assert_eq!(gate.met.is_empty(), lowest == 2);
     // An older machine comes back.
     gate.places.list(pod(0, 1), at(1.0), 0.0);
-    assert_eq!(gate.allow(HitId(0), (PodId(0), 1.0), &round(1.0)), want);
+    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round(1.0)), want);
 }
 
 #[test]
@@ -779,12 +798,12 @@
     let mut sample = Sample::default();
     for n in 0..100 {
         let fate = if n % 4 == 0 {
-            Fate::Errored
+            AttemptOutcome::Failed
         } else {
-            Fate::Delivered
+            AttemptOutcome::Succeeded
         };
         sample.count(
-            GroupId(0),
+            ClassId(0),
             PodId(n % 2),
             fate,
             Some(if n < 50 { 9.0 } else { 1.0 }),
@@ -809,12 +828,12 @@
 ) {
     let (mut desk, mut round) = (desk(3), round(5.0));
     for n in 1..=open {
-        let hit = Hit {
-            id: HitId(n),
-            group: GroupId(0),
-            customer: None,
-            key: None,
-            due: at(9.0),
+        let hit = Request {
+            id: RequestId(n),
+            class: ClassId(0),
+            tenant: None,
+            routing_key: None,
+            deadline: at(9.0),
         };
         desk.hits.insert(
             hit.id,
@@ -827,31 +846,35 @@
     }
     for _ in 0..5 {
         desk.lanes
-            .entry(Some(CustomerId(of)))
+            .entry(Some(TenantId(of)))
             .or_default()
             .add(took, at(5.0), FADES, 5.0);
     }
     round.now = at(5.1);
-    assert_eq!(desk.overload(Some(CustomerId(0)), &round), want);
+    assert_eq!(desk.overload(Some(TenantId(0)), &round), want);
 }
 
 #[test]
 fn outcomes_are_read_before_hits_that_came_meanwhile() {
-    let hit = Hit {
-        id: HitId(1),
-        group: GroupId(0),
-        customer: None,
-        key: None,
-        due: at(9.0),
+    let hit = Request {
+        id: RequestId(1),
+        class: ClassId(0),
+        tenant: None,
+        routing_key: None,
+        deadline: at(9.0),
     };
     let events = in_order(vec![
-        Event::Hit(hit),
-        Event::Left(HitId(2)),
-        Event::Outcome(ended(Fate::Delivered).outcome),
+        Event::RequestArrived(hit),
+        Event::ClientDisconnected(RequestId(2)),
+        Event::AttemptFinished(ended(AttemptOutcome::Succeeded).outcome),
     ]);
     assert!(matches!(
         events[..],
-        [Event::Outcome(_), Event::Hit(_), Event::Left(_)]
+        [
+            Event::AttemptFinished(_),
+            Event::RequestArrived(_),
+            Event::ClientDisconnected(_)
+        ]
     ));
 }
 
@@ -859,13 +882,20 @@
 fn lists_and_stage_news_are_read_before_outcomes_that_send_hits_on() {
     let news = Some(news(Phase::OnTrial, 0.0));
     let events = in_order(vec![
-        Event::Outcome(ended(Fate::Unreached).outcome),
-        Event::Stage { news, answer: None },
-        Event::List(ListNews::Change(vec![pod(0, 2)])),
+        Event::AttemptFinished(ended(AttemptOutcome::ConnectFailed).outcome),
+        Event::Stage {
+            update: news,
+            vote_answer: None,
+        },
+        Event::Endpoints(EndpointUpdate::Delta(vec![pod(0, 2)])),
     ]);
     assert!(matches!(
         events[..],
-        [Event::Stage { .. }, Event::List(_), Event::Outcome(_)]
+        [
+            Event::Stage { .. },
+            Event::Endpoints(_),
+            Event::AttemptFinished(_)
+        ]
     ));
 }
 
@@ -873,16 +903,16 @@
 #[test]
 fn keys_of_a_build_not_announced_yet_are_kept() {
     let mut gate = gate(0, Phase::Released, 1.0);
-    gate.met.insert(KeyId(5), BuildId(3));
+    gate.met.insert(RoutingKey(5), BuildId(3));
     remove_builds_below(&mut gate, 2);
     gate.forget_keys(&round(1.0));
-    let news = StageNews {
+    let news = StageUpdate {
         build: BuildId(3),
         ..news(Phase::OnTrial, 0.5)
     };
     gate.take(Note::Stage(news), &mut round(1.1));
     assert_eq!(
-        gate.allow(HitId(0), (PodId(3), 1.0), &round(1.2)),
+        gate.allow(RequestId(0), (PodId(3), 1.0), &round(1.2)),
         Err(Refusal::KeyStays)
     );
 }
@@ -895,7 +925,7 @@
     #[case] want: bool,
 ) {
     let mut judge = judge(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 200, 0.1));
-    judge.pods.get_mut(&PodId(3)).unwrap().started = Some(at(9.5));
+    judge.pods.get_mut(&PodId(3)).unwrap().started_at = Some(at(9.5));
     assert_eq!(judge.is_bad(at(now), &round(now).figures), want);
 }
 
@@ -985,7 +1015,7 @@
             ..round(heard)
         };
         judge.enter(
-            StageNews {
+            StageUpdate {
                 age: at(heard),
                 ..news(Phase::OnTrial, 0.2)
             },
@@ -1042,7 +1072,7 @@
                 under_way.push((now + BEAT * 2, own, answer));
             }
         }
-        if votes.stand(Verdict::Back, now, life) >= 76 {
+        if votes.stand(Verdict::RollBack, now, life) >= 76 {
             assert!(
                 now <= at(from) + life.mul_f64(lives) + BEAT * 2,
                 "only after {:?}",
@@ -1068,7 +1098,7 @@
     assert!(round.out.iter().any(|a| matches!(
         a,
         Action::Vote {
-            verdict: Verdict::Back,
+            verdict: Verdict::RollBack,
             ..
         }
     )));
@@ -1086,9 +1116,9 @@
     let (mut desk, mut round) = (desk(40), round(1.0));
     let order: Vec<PodId> = order.into_iter().map(PodId).collect();
     round.look_at(Some(FleetView {
-        order: order.clone(),
-        uses,
-        held: BTreeSet::new(),
+        preference: order.clone(),
+        min_endpoints: uses,
+        probed_by_peers: BTreeSet::new(),
     }));
     let cards: Vec<Card> = desk.cards.iter().cloned().collect();
     cards.into_iter().for_each(|card| {
@@ -1113,7 +1143,7 @@
 fn a_proof_that_is_others_turn_waits(#[case] held: Vec<u64>, #[case] proves: bool) {
     let mut round = round(9.0);
     round.look_at(Some(FleetView {
-        held: held.into_iter().map(PodId).collect(),
+        probed_by_peers: held.into_iter().map(PodId).collect(),
         ..FleetView::default()
     }));
     let mut shut = Pod::new(pod(0, 1));
--- a/crates/decision/src/choice/tests/lists.rs
+++ b/crates/decision/src/choice/tests/lists.rs
@@ -4,17 +4,17 @@
 use crate::sidecar::Sidecar;
 use std::collections::VecDeque;
 
-const REFUSED: ListLoss = ListLoss {
-    silent: Duration::ZERO,
-    why: LossCause::Refused,
+const REFUSED: WatchLoss = WatchLoss {
+    silent_for: Duration::ZERO,
+    cause: WatchLossCause::Refused,
 };
-const UNANSWERED: ListLoss = ListLoss {
-    silent: Duration::ZERO,
-    why: LossCause::Unanswered,
+const UNANSWERED: WatchLoss = WatchLoss {
+    silent_for: Duration::ZERO,
+    cause: WatchLossCause::TimedOut,
 };
-const SILENT: ListLoss = ListLoss {
-    silent: Duration::ZERO,
-    why: LossCause::Ended,
+const SILENT: WatchLoss = WatchLoss {
+    silent_for: Duration::ZERO,
+    cause: WatchLossCause::Ended,
 };
 const LEASE: f64 = 6.0;
 
@@ -22,8 +22,8 @@
 fn leased(now: f64) -> Round {
     let mut round = Round::new(
         Duration::ZERO,
-        &StartTerms {
-            list_lease: Some(at(LEASE)),
+        &SidecarConfig {
+            endpoint_lease: Some(at(LEASE)),
             ..terms()
         },
     );
@@ -32,11 +32,11 @@
 }
 
 /// How long after the last of these losses the list is asked for again.
-fn wait_after(terms: &StartTerms, losses: &[ListLoss]) -> Duration {
+fn wait_after(terms: &SidecarConfig, losses: &[WatchLoss]) -> Duration {
     let (mut lister, mut round) = (Lister::default(), Round::new(Duration::ZERO, terms));
     for loss in losses {
         while round.due.take(Duration::MAX).is_some() {}
-        round.deliver(Event::List(ListNews::Failed(*loss)));
+        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(*loss)));
         let Some((_, note)) = round.mail.take() else {
             panic!("no note")
         };
@@ -59,7 +59,7 @@
 #[case::refused_once(&[SILENT, REFUSED], 2.8)]
 #[case::refused_twice(&[SILENT, REFUSED, REFUSED], 5.6)]
 #[case::refused_again_and_again(&[REFUSED; 40], 5.6)]
-fn calls_for_the_list_are_made_ever_later(#[case] losses: &[ListLoss], #[case] longest: f64) {
+fn calls_for_the_list_are_made_ever_later(#[case] losses: &[WatchLoss], #[case] longest: f64) {
     let wait = wait_after(&terms(), losses).as_secs_f64();
     assert!((0.3 * longest..=longest + 0.001).contains(&wait), "{wait}");
 }
@@ -69,9 +69,9 @@
 #[rstest]
 #[case::lost(&[SILENT])]
 #[case::refused(&[REFUSED; 9])]
-fn an_agent_of_its_own_is_asked_again_within_the_grace(#[case] losses: &[ListLoss]) {
-    let pushed = StartTerms {
-        list_pushed: true,
+fn an_agent_of_its_own_is_asked_again_within_the_grace(#[case] losses: &[WatchLoss]) {
+    let pushed = SidecarConfig {
+        endpoints_pushed: true,
         ..terms()
     };
     let wait = wait_after(&pushed, losses);
@@ -82,9 +82,9 @@
 fn a_list_that_came_begins_the_waits_anew() {
     let mut round = leased(1.0);
     for _ in 0..5 {
-        round.deliver(Event::List(ListNews::Failed(REFUSED)));
+        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(REFUSED)));
     }
-    round.deliver(Event::List(ListNews::Change(Vec::new())));
+    round.deliver(Event::Endpoints(EndpointUpdate::Delta(Vec::new())));
     assert_eq!((round.list_failures, round.hears_list()), (0, true));
 }
 
@@ -158,9 +158,9 @@
         let (own_number, seed) = (own as u32, own as u64 + 1);
         Sidecar::new(
             Duration::ZERO,
-            StartTerms {
-                sidecars: sidecars as u32,
-                own_number,
+            SidecarConfig {
+                sidecar_count: sidecars as u32,
+                sidecar_index: own_number,
                 seed,
                 ..terms()
             },
@@ -168,7 +168,7 @@
     };
     let mut fleet: Vec<Sidecar> = (0..sidecars).map(start).collect();
     let mut events: Vec<Vec<Event>> = (0..sidecars)
-        .map(|_| vec![Event::List(ListNews::Failed(SILENT))])
+        .map(|_| vec![Event::Endpoints(EndpointUpdate::WatchLost(SILENT))])
         .collect();
     let mut service = ListService {
         queue: VecDeque::new(),
@@ -182,15 +182,15 @@
         let (answered, refused) = service.work(now);
         for from in answered {
             unanswered.remove(&from);
-            events[from].push(Event::List(ListNews::Change(Vec::new())));
+            events[from].push(Event::Endpoints(EndpointUpdate::Delta(Vec::new())));
         }
-        refused
-            .into_iter()
-            .for_each(|from| events[from].push(Event::List(ListNews::Failed(REFUSED))));
+        refused.into_iter().for_each(|from| {
+            events[from].push(Event::Endpoints(EndpointUpdate::WatchLost(REFUSED)))
+        });
         for (from, sidecar) in fleet.iter_mut().enumerate() {
             let actions = sidecar.handle(now, std::mem::take(&mut events[from]));
-            if actions.contains(&Action::Watch) && !service.call(from, now) {
-                events[from].push(Event::List(ListNews::Failed(REFUSED)));
+            if actions.contains(&Action::WatchEndpoints) && !service.call(from, now) {
+                events[from].push(Event::Endpoints(EndpointUpdate::WatchLost(REFUSED)));
             }
         }
     }
@@ -205,30 +205,33 @@
 fn gate_with_an_attempt(round: &mut Round) -> Gate {
     let mut gate = gate(0, Phase::Released, 1.0);
     round.now = at(1.0);
-    gate.send(HitId(0), PodId(0), round);
+    gate.send(RequestId(0), PodId(0), round);
     gate
 }
 
-fn told(gate: &mut Gate, entry: PodEntry) {
+fn told(gate: &mut Gate, entry: Endpoint) {
     gate.take(Note::Listed(entry), &mut leased(1.1));
 }
 
 /// Whether the first byte may leave once this has come between the decision and that byte, also within the grace.
 #[rstest]
 #[case::nothing(|_: &mut Gate| (), true)]
-#[case::the_request_is_over(|gate: &mut Gate| gate.accounts.get_mut(&HitId(0)).unwrap().over = true, false)]
-#[case::its_pod_drains(|gate: &mut Gate| told(gate, PodEntry { state: PodState::Draining, ..pod(0, 1) }), false)]
-#[case::its_pod_is_gone(|gate: &mut Gate| told(gate, PodEntry { state: PodState::Gone, ..pod(0, 1) }), false)]
-#[case::another_pod_drains(|gate: &mut Gate| told(gate, PodEntry { state: PodState::Draining, ..pod(1, 1) }), true)]
+#[case::the_request_is_over(|gate: &mut Gate| gate.accounts.get_mut(&RequestId(0)).unwrap().over = true, false)]
+#[case::its_pod_drains(|gate: &mut Gate| told(gate, Endpoint { state: PodState::Draining, ..pod(0, 1) }), false)]
+#[case::its_pod_is_gone(|gate: &mut Gate| told(gate, Endpoint { state: PodState::Gone, ..pod(0, 1) }), false)]
+#[case::another_pod_drains(|gate: &mut Gate| told(gate, Endpoint { state: PodState::Draining, ..pod(1, 1) }), true)]
 #[case::its_pod_runs_another_build(|gate: &mut Gate| told(gate, pod(0, 2)), false)]
-#[case::its_pod_started_anew(|gate: &mut Gate| told(gate, PodEntry { started: Some(at(1.0)), ..pod(0, 1) }), false)]
+#[case::its_pod_started_anew(|gate: &mut Gate| told(gate, Endpoint { started_at: Some(at(1.0)), ..pod(0, 1) }), false)]
 #[case::its_pod_is_forgotten(|gate: &mut Gate| gate.places.remove(PodId(0)), false)]
 fn permission_is_given_at_the_first_byte(#[case] between: fn(&mut Gate), #[case] may: bool) {
     let mut round = leased(1.0);
     let mut gate = gate_with_an_attempt(&mut round);
     between(&mut gate);
-    assert_eq!(gate.may_begin(HitId(0), ForwardNo(0), at(1.2), &round), may);
-    assert!(!gate.may_begin(HitId(0), ForwardNo(1), at(1.2), &round));
+    assert_eq!(
+        gate.may_begin(RequestId(0), AttemptIndex(0), at(1.2), &round),
+        may
+    );
+    assert!(!gate.may_begin(RequestId(0), AttemptIndex(1), at(1.2), &round));
 }
 
 /// While no list is heard what was allowed expires with the grace (1 s), as its pod may have been told to leave meanwhile.
@@ -244,9 +247,12 @@
     let mut round = leased(1.0);
     let gate = gate_with_an_attempt(&mut round);
     if lost {
-        round.deliver(Event::List(ListNews::Failed(SILENT)));
+        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(SILENT)));
     }
-    assert_eq!(gate.may_begin(HitId(0), ForwardNo(0), at(now), &round), may);
+    assert_eq!(
+        gate.may_begin(RequestId(0), AttemptIndex(0), at(now), &round),
+        may
+    );
 }
 
 /// Where a list may be relied on for good nothing expires.
@@ -254,8 +260,8 @@
 fn without_a_lease_permission_does_not_expire() {
     let mut round = round(1.0);
     let gate = gate_with_an_attempt(&mut round);
-    round.deliver(Event::List(ListNews::Failed(SILENT)));
-    assert!(gate.may_begin(HitId(0), ForwardNo(0), at(5.0), &round));
+    round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(SILENT)));
+    assert!(gate.may_begin(RequestId(0), AttemptIndex(0), at(5.0), &round));
 }
 
 /// Pods 0 to 2, all usable; pod 0 served what was sent at 11 s, pod 1 what was sent at 8 s, pod 2 never did.
@@ -273,7 +279,7 @@
 
 /// The pods that a request may go to.
 fn asked_for(round: &mut Round) -> Vec<u64> {
-    desk_of_served().place(HitId(0), round);
+    desk_of_served().place(RequestId(0), round);
     let Some((To::Gate, Note::Ask { bids, .. })) = round.mail.take() else {
         panic!("no bids")
     };
@@ -292,7 +298,7 @@
     let mut round = leased(lost_at.unwrap_or(now));
     lost_at
         .into_iter()
-        .for_each(|_| round.deliver(Event::List(ListNews::Failed(SILENT))));
+        .for_each(|_| round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(SILENT))));
     while round.mail.take().is_some() {}
     round.now = at(now);
     assert_eq!(asked_for(&mut round), pods);
@@ -302,8 +308,8 @@
 #[test]
 fn the_lease_runs_from_when_a_list_was_last_heard() {
     let mut round = leased(10.0);
-    round.deliver(Event::List(ListNews::Failed(ListLoss {
-        silent: at(2.3),
+    round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
+        silent_for: at(2.3),
         ..SILENT
     })));
     round.now = at(13.6);
@@ -316,11 +322,14 @@
 #[test]
 fn a_service_that_is_not_there_renews_the_lease() {
     let mut round = leased(10.0);
-    round.deliver(Event::List(ListNews::Remembered(Vec::new())));
+    round.deliver(Event::Endpoints(EndpointUpdate::Cached(Vec::new())));
     for second in 11..60 {
         round.now = at(f64::from(second));
-        let why = LossCause::NoService;
-        round.deliver(Event::List(ListNews::Failed(ListLoss { why, ..SILENT })));
+        let why = WatchLossCause::NoService;
+        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
+            cause: why,
+            ..SILENT
+        })));
         assert_eq!(round.relies_since(), Duration::ZERO);
     }
 }
@@ -331,18 +340,21 @@
 #[case::over(12.1, true)]
 fn a_remembered_list_has_a_part_of_the_lease(#[case] now: f64, #[case] stale: bool) {
     let mut round = leased(10.0);
-    round.deliver(Event::List(ListNews::Remembered(Vec::new())));
+    round.deliver(Event::Endpoints(EndpointUpdate::Cached(Vec::new())));
     round.now = at(now);
     assert_eq!(round.relies_since() > Duration::ZERO, stale);
 }
 
 /// A pod that turned an attempt away may drain: it is not relied on before it has served again.
 #[rstest]
-#[case::served(Fate::Delivered, true)]
-#[case::turned_away(Fate::TurnedAway, false)]
-fn what_a_pod_did_last_tells_whether_it_is_relied_on(#[case] last: Fate, #[case] relied_on: bool) {
+#[case::served(AttemptOutcome::Succeeded, true)]
+#[case::turned_away(AttemptOutcome::Rejected, false)]
+fn what_a_pod_did_last_tells_whether_it_is_relied_on(
+    #[case] last: AttemptOutcome,
+    #[case] relied_on: bool,
+) {
     let (mut pod, round) = (Pod::new(pod(0, 1)), leased(3.0));
-    for fate in [Fate::Delivered, last] {
+    for fate in [AttemptOutcome::Succeeded, last] {
         pod.learn(
             &Ended {
                 sent: at(2.0),
@@ -359,35 +371,38 @@
 fn a_list_is_known_before_anything_falls_due() {
     let mut sidecar = Sidecar::new(
         Duration::ZERO,
-        StartTerms {
-            list_lease: Some(at(LEASE)),
+        SidecarConfig {
+            endpoint_lease: Some(at(LEASE)),
             ..terms()
         },
     );
     sidecar.handle(
         at(1.0),
-        vec![Event::List(ListNews::Change(vec![pod(0, 1)]))],
+        vec![Event::Endpoints(EndpointUpdate::Delta(vec![pod(0, 1)]))],
     );
-    let hit = Hit {
-        id: HitId(0),
-        group: GroupId(0),
-        customer: None,
-        key: None,
-        due: at(9.0),
+    let hit = Request {
+        id: RequestId(0),
+        class: ClassId(0),
+        tenant: None,
+        routing_key: None,
+        deadline: at(9.0),
     };
-    let actions = sidecar.handle(at(1.1), vec![Event::Hit(hit)]);
+    let actions = sidecar.handle(at(1.1), vec![Event::RequestArrived(hit)]);
     assert!(
         actions
             .iter()
-            .any(|action| matches!(action, Action::Forward { .. })),
+            .any(|action| matches!(action, Action::StartAttempt { .. })),
         "{actions:?}"
     );
-    assert!(sidecar.may_begin(at(1.1), HitId(0), ForwardNo(0)));
-    let drains = PodEntry {
+    assert!(sidecar.may_begin(at(1.1), RequestId(0), AttemptIndex(0)));
+    let drains = Endpoint {
         state: PodState::Draining,
         ..pod(0, 1)
     };
-    let actions = sidecar.learn(at(8.0), vec![Event::List(ListNews::Change(vec![drains]))]);
+    let actions = sidecar.learn(
+        at(8.0),
+        vec![Event::Endpoints(EndpointUpdate::Delta(vec![drains]))],
+    );
     assert_eq!(actions, []);
-    assert!(!sidecar.may_begin(at(8.0), HitId(0), ForwardNo(0)));
+    assert!(!sidecar.may_begin(at(8.0), RequestId(0), AttemptIndex(0)));
 }
--- a/crates/decision/src/figures.rs
+++ b/crates/decision/src/figures.rs
@@ -6,7 +6,7 @@
 
 /// What the decisions need of a path group.
 pub struct Line {
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     pub target: Duration,
     /// Until when an answer earns anything.
     pub useful: Duration,
@@ -55,69 +55,72 @@
 }
 
 impl Figures {
-    pub fn of(now: Duration, terms: &StartTerms) -> Self {
-        let (rules, release) = (&terms.rules, &terms.release);
-        let mean =
-            terms.groups.iter().map(|g| g.benefit).sum::<f64>() / terms.groups.len().max(1) as f64;
-        let line = |g: &PathGroup| Line {
-            repeat: g.repeat,
-            target: g.target_latency,
-            useful: if g.late_benefit > 0.0 {
+    pub fn of(now: Duration, terms: &SidecarConfig) -> Self {
+        let (rules, release) = (&terms.safety, &terms.rollout);
+        let mean = terms.classes.iter().map(|g| g.priority_weight).sum::<f64>()
+            / terms.classes.len().max(1) as f64;
+        let line = |g: &RequestClass| Line {
+            repeat: g.idempotency,
+            target: g.latency_objective,
+            useful: if g.late_weight > 0.0 {
                 g.client_timeout
             } else {
-                g.target_latency
+                g.latency_objective
             },
-            cheapness: mean / g.benefit.max(1e-6),
+            cheapness: mean / g.priority_weight.max(1e-6),
         };
-        let targets = terms.groups.iter().map(|g| g.target_latency.as_secs_f64());
+        let targets = terms
+            .classes
+            .iter()
+            .map(|g| g.latency_objective.as_secs_f64());
         Self {
             since: now,
             zone: terms.zone,
-            sidecars: f64::from(terms.sidecars.max(1)),
-            own_number: terms.own_number,
-            lines: terms.groups.iter().map(line).collect(),
+            sidecars: f64::from(terms.sidecar_count.max(1)),
+            own_number: terms.sidecar_index,
+            lines: terms.classes.iter().map(line).collect(),
             tightest: targets.fold(f64::MAX, f64::min),
-            on_request: terms.list_on_request,
-            list_pushed: terms.list_pushed,
-            list_lease: terms.list_lease,
-            may_cancel: terms.may_cancel,
-            second_copies: terms.second_copies,
-            max_forwards: terms.max_forwards.into(),
+            on_request: terms.watch_on_request,
+            list_pushed: terms.endpoints_pushed,
+            list_lease: terms.endpoint_lease,
+            may_cancel: terms.cancellation,
+            second_copies: terms.hedging,
+            max_forwards: terms.max_attempts.into(),
             retry_after: terms.retry_after.unwrap_or_default(),
             grace: rules.drain_grace,
-            cold_from: rules.cold_from,
-            cold_for: rules.cold_for,
-            long_warm: rules.cold_for.saturating_mul(2),
-            fall_multiple: rules.fall_multiple,
-            fall_within: rules.fall_within,
+            cold_from: rules.slow_start_from,
+            cold_for: rules.slow_start_duration,
+            long_warm: rules.slow_start_duration.saturating_mul(2),
+            fall_multiple: rules.overload_multiple,
+            fall_within: rules.overload_window,
             clock: release.control == Control::Clock,
             stage_shares: release.stage_shares.clone(),
-            caps: release.caps.clone(),
-            cap_window: release.cap_window,
-            cap_free: release.cap_free,
-            cap_by_group: release.cap_by_group,
+            caps: release.exposure_caps.clone(),
+            cap_window: release.exposure_window,
+            cap_free: release.exposure_free,
+            cap_by_group: release.exposure_per_class,
             guarded_stages: release.guarded_stages,
-            keys_stay: release.keys_stay,
-            vote_life: release.vote_life,
-            vote_answer_within: release.vote_answer_within,
-            back_votes: f64::from(release.back_votes.clamp(1, terms.sidecars.max(1))),
-            hold_votes: f64::from(release.hold_votes.clamp(1, terms.sidecars.max(1))),
+            keys_stay: release.sticky_keys,
+            vote_life: release.vote_ttl,
+            vote_answer_within: release.vote_timeout,
+            back_votes: f64::from(release.rollback_quorum.clamp(1, terms.sidecar_count.max(1))),
+            hold_votes: f64::from(release.hold_quorum.clamp(1, terms.sidecar_count.max(1))),
             most_votes: f64::from(
                 release
-                    .back_votes
-                    .max(release.on_votes)
-                    .clamp(1, terms.sidecars.max(1)),
+                    .rollback_quorum
+                    .max(release.promote_quorum)
+                    .clamp(1, terms.sidecar_count.max(1)),
             ),
-            vote_allowance: release.vote_allowance.unwrap_or(f64::INFINITY),
+            vote_allowance: release.vote_rate_limit.unwrap_or(f64::INFINITY),
         }
     }
 
-    pub fn line(&self, group: GroupId) -> &Line {
+    pub fn line(&self, group: ClassId) -> &Line {
         &self.lines[usize::from(group.0)]
     }
 
     /// Which count of the exposure rule a path group belongs to.
-    pub fn counter(&self, group: GroupId) -> usize {
+    pub fn counter(&self, group: ClassId) -> usize {
         usize::from(if self.cap_by_group { group.0 } else { 0 })
     }
 
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -12,44 +12,44 @@
 }
 
 ids!(
-    HitId(u64),
+    RequestId(u64),
     PodId(u64),
-    GroupId(u16),
-    CustomerId(u32),
-    KeyId(u64),
+    ClassId(u16),
+    TenantId(u32),
+    RoutingKey(u64),
     ZoneId(u16),
     CellId(u16),
     BuildId(u16)
 );
-ids!(ForwardNo(u16), StageNo(u8), KindId(u16));
+ids!(AttemptIndex(u16), StageIndex(u8), MachineTypeId(u16));
 
 /// Whether a hit of a path group may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    Repeatable,
-    Tagged {
-        drops_repeats: Reach,
-        memory: Duration,
+pub enum Idempotency {
+    Idempotent,
+    Keyed {
+        deduplicated_by: DeduplicationScope,
+        window: Duration,
     },
-    Mutating,
+    NonIdempotent,
 }
 
 /// The pods that share a memory of tagged hits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
 }
 
 #[derive(Clone, Debug)]
-pub struct PathGroup {
-    pub repeat: Repeat,
-    pub target_latency: Duration,
+pub struct RequestClass {
+    pub idempotency: Idempotency,
+    pub latency_objective: Duration,
     pub client_timeout: Duration,
-    pub benefit: f64,
-    pub late_benefit: f64,
-    pub streamed: bool,
+    pub priority_weight: f64,
+    pub late_weight: f64,
+    pub streaming: bool,
 }
 
 /// How votes act on a stage.
@@ -62,54 +62,54 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct ReleaseTerms {
+pub struct RolloutConfig {
     pub control: Control,
     pub stage_shares: Vec<f64>,
-    pub caps: Vec<f64>,
-    pub cap_window: Duration,
-    pub cap_free: f64,
-    pub cap_by_group: bool,
+    pub exposure_caps: Vec<f64>,
+    pub exposure_window: Duration,
+    pub exposure_free: f64,
+    pub exposure_per_class: bool,
     pub guarded_stages: u8,
-    pub keys_stay: bool,
-    pub vote_life: Duration,
-    pub vote_answer_within: Duration,
+    pub sticky_keys: bool,
+    pub vote_ttl: Duration,
+    pub vote_timeout: Duration,
     /// How many sidecars it takes to send a build back, to hold a stage, and to move it on.
-    pub back_votes: u32,
-    pub hold_votes: u32,
-    pub on_votes: u32,
+    pub rollback_quorum: u32,
+    pub hold_quorum: u32,
+    pub promote_quorum: u32,
     /// Calls a second that are taken from all sidecars together; of twice that many at one time. None: all are.
-    pub vote_allowance: Option<f64>,
+    pub vote_rate_limit: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
-pub struct RuleTerms {
+pub struct SafetyLimits {
     pub drain_grace: Duration,
-    pub cold_from: f64,
-    pub cold_for: Duration,
-    pub fall_multiple: f64,
-    pub fall_within: Duration,
+    pub slow_start_from: f64,
+    pub slow_start_duration: Duration,
+    pub overload_multiple: f64,
+    pub overload_window: Duration,
 }
 
 /// What a sidecar is told when it starts.
 #[derive(Clone, Debug)]
-pub struct StartTerms {
+pub struct SidecarConfig {
     pub seed: u64,
-    pub sidecars: u32,
+    pub sidecar_count: u32,
     /// This one's number among them.
-    pub own_number: u32,
+    pub sidecar_index: u32,
     pub zone: ZoneId,
-    pub groups: Vec<PathGroup>,
-    pub list_on_request: bool,
+    pub classes: Vec<RequestClass>,
+    pub watch_on_request: bool,
     /// Lists come from an agent of this sidecar's own: what the agent has counts as told, heard or not.
-    pub list_pushed: bool,
+    pub endpoints_pushed: bool,
     /// For how long a list that is no longer heard of may be relied on; none: for good.
-    pub list_lease: Option<Duration>,
-    pub may_cancel: bool,
-    pub second_copies: bool,
+    pub endpoint_lease: Option<Duration>,
+    pub cancellation: bool,
+    pub hedging: bool,
     pub retry_after: Option<Duration>,
-    pub max_forwards: u16,
-    pub rules: RuleTerms,
-    pub release: ReleaseTerms,
+    pub max_attempts: u16,
+    pub safety: SafetyLimits,
+    pub rollout: RolloutConfig,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -120,111 +120,114 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct PodEntry {
+pub struct Endpoint {
     pub pod: PodId,
     pub state: PodState,
     pub build: BuildId,
-    pub size: f64,
-    pub started: Option<Duration>,
+    pub weight: f64,
+    pub started_at: Option<Duration>,
     pub zone: ZoneId,
     pub cell: CellId,
     /// The kind of machine.
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
 }
 
 #[derive(Clone, Debug)]
-pub enum ListNews {
-    Change(Vec<PodEntry>),
-    Whole(Vec<PodEntry>),
+pub enum EndpointUpdate {
+    Delta(Vec<Endpoint>),
+    Snapshot(Vec<Endpoint>),
     /// The list as last held before a restart; it may be old.
-    Remembered(Vec<PodEntry>),
+    Cached(Vec<Endpoint>),
     /// A call for the list failed, or the watch on it ended: what changes from now on is not heard.
-    Failed(ListLoss),
+    WatchLost(WatchLoss),
 }
 
 /// How the list was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListLoss {
+pub struct WatchLoss {
     /// For how long nothing had been heard by then.
-    pub silent: Duration,
-    pub why: LossCause,
+    pub silent_for: Duration,
+    pub cause: WatchLossCause,
 }
 
 /// What a list was lost by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LossCause {
+pub enum WatchLossCause {
     /// A watch ended or fell silent, or a call failed otherwise.
     #[default]
     Ended,
     /// There is no service, or what it says can't be read.
     NoService,
     /// A call was not answered in time.
-    Unanswered,
+    TimedOut,
     /// The service answered that it can't take the call now.
     Refused,
 }
 
 #[derive(Clone, Debug)]
-pub struct Hit {
-    pub id: HitId,
-    pub group: GroupId,
-    pub customer: Option<CustomerId>,
-    pub key: Option<KeyId>,
-    pub due: Duration,
+pub struct Request {
+    pub id: RequestId,
+    pub class: ClassId,
+    pub tenant: Option<TenantId>,
+    pub routing_key: Option<RoutingKey>,
+    pub deadline: Duration,
 }
 
 /// How a forward ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Delivered,
-    Errored,
+pub enum AttemptOutcome {
+    Succeeded,
+    Failed,
     TimedOut,
-    Broken,
+    ConnectionReset,
     Cancelled,
     /// Turned away unseen.
-    TurnedAway,
+    Rejected,
     /// No connection.
-    Unreached,
+    ConnectFailed,
     /// Never sent.
-    Void,
+    NeverSent,
 }
 
-impl Fate {
+impl AttemptOutcome {
     pub fn never_ran(self) -> bool {
-        matches!(self, Fate::TurnedAway | Fate::Unreached | Fate::Void)
+        matches!(
+            self,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
+        )
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Outcome {
-    pub hit: HitId,
-    pub no: ForwardNo,
+pub struct AttemptResult {
+    pub request: RequestId,
+    pub attempt: AttemptIndex,
     pub pod: PodId,
-    pub fate: Fate,
-    pub took: Duration,
+    pub outcome: AttemptOutcome,
+    pub duration: Duration,
     /// The hit is over, by this outcome or before it.
-    pub over: bool,
+    pub request_over: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     OnTrial,
-    GoingBack,
+    RollingBack,
     Released,
-    Withdrawn,
+    RolledBack,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StageNews {
+pub struct StageUpdate {
     pub build: BuildId,
-    pub stage: StageNo,
+    pub stage: StageIndex,
     pub phase: Phase,
     pub cap: f64,
     /// How long ago, by whoever tells it, it came to stand so.
     pub age: Duration,
 }
 
-impl StageNews {
+impl StageUpdate {
     /// A number of its own for each time that something of this stage comes round.
     pub fn turn(&self, nth: u32) -> u64 {
         u64::from(self.build.0) << 48 | u64::from(self.stage.0) << 40 | u64::from(nth)
@@ -242,72 +245,72 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Withhold,
-    On,
+    Abstain,
+    Promote,
     Hold,
-    Back,
+    RollBack,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    List(ListNews),
-    Hit(Hit),
-    Outcome(Outcome),
+    Endpoints(EndpointUpdate),
+    RequestArrived(Request),
+    AttemptFinished(AttemptResult),
     StreamStarted {
-        hit: HitId,
+        request: RequestId,
     },
-    Left(HitId),
+    ClientDisconnected(RequestId),
     Stage {
-        news: Option<StageNews>,
-        answer: Option<VoteAnswer>,
+        update: Option<StageUpdate>,
+        vote_answer: Option<VoteAnswer>,
     },
     Flagged {
         pod: PodId,
-        group: GroupId,
+        class: ClassId,
     },
     /// What is known of the other sidecars changed; none: nobody else is known.
     Fleet(Option<FleetView>),
     /// A routing key was answered by a build, at another sidecar or in an earlier life of this one.
-    Met(KeyId, BuildId),
+    KeyServed(RoutingKey, BuildId),
 }
 
 /// What the other sidecars make of this one's choices. It widens nothing: no cap, budget or time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
     /// Pods, the one to use first at the front.
-    pub order: Vec<PodId>,
+    pub preference: Vec<PodId>,
     /// How many of them to use at the least.
-    pub uses: usize,
+    pub min_endpoints: usize,
     /// Shut pods that others are to prove.
-    pub held: BTreeSet<PodId>,
+    pub probed_by_peers: BTreeSet<PodId>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Forward {
-        hit: HitId,
+    StartAttempt {
+        request: RequestId,
         pod: PodId,
-        within: Duration,
+        timeout: Duration,
     },
-    Cancel {
-        hit: HitId,
-        no: ForwardNo,
+    CancelAttempt {
+        request: RequestId,
+        attempt: AttemptIndex,
     },
-    Bounce {
-        hit: HitId,
+    Reject {
+        request: RequestId,
         retry_after: Duration,
     },
     Fail {
-        hit: HitId,
+        request: RequestId,
     },
     Vote {
         verdict: Verdict,
         build: BuildId,
-        stage: StageNo,
+        stage: StageIndex,
     },
-    Watch,
+    WatchEndpoints,
     /// `handle` is to be called then, with or without events.
-    Wake {
+    WakeAt {
         at: Duration,
     },
     Log(String),
--- a/crates/decision/src/notes.rs
+++ b/crates/decision/src/notes.rs
@@ -25,40 +25,40 @@
 
 #[derive(Clone)]
 pub enum Note {
-    List(ListNews),
-    Listed(PodEntry),
+    List(EndpointUpdate),
+    Listed(Endpoint),
     /// A pod that has been gone for long.
     Forget(PodId),
-    Taken(Hit),
+    Taken(Request),
     /// Desk to gate: a forward to the best of the bids of this turn that the rules allow. The others wait.
     Ask {
-        hit: HitId,
+        hit: RequestId,
         bids: Vec<Bid>,
         turn: u8,
     },
     /// Gate to desk: none of that turn was allowed; here are the others.
-    Refused(HitId, Vec<Bid>),
+    Refused(RequestId, Vec<Bid>),
     Sent {
-        hit: HitId,
-        no: ForwardNo,
+        hit: RequestId,
+        no: AttemptIndex,
         pod: PodId,
     },
-    Back(Outcome),
+    Back(AttemptResult),
     Ended(Ended),
-    Streams(HitId),
+    Streams(RequestId),
     /// Desk to gate: the hit is given up.
-    End(HitId),
-    Over(HitId),
-    Met(KeyId, BuildId),
-    Stage(StageNews),
+    End(RequestId),
+    Over(RequestId),
+    Met(RoutingKey, BuildId),
+    Stage(StageUpdate),
     VoteAnswered(VoteAnswer),
     Flagged {
         pod: PodId,
-        group: GroupId,
+        group: ClassId,
     },
     Card(Card),
-    Doubt(HitId, ForwardNo, PodId),
-    Retry(HitId),
+    Doubt(RequestId, AttemptIndex, PodId),
+    Retry(RequestId),
     Beat,
     Watch,
 }
@@ -66,13 +66,13 @@
 /// A forward that ended, with what the gate knew of it.
 #[derive(Clone)]
 pub struct Ended {
-    pub outcome: Outcome,
-    pub group: GroupId,
+    pub outcome: AttemptResult,
+    pub group: ClassId,
     pub build: BuildId,
     pub sent: Duration,
     /// The hit still waits for its final answer.
     pub open: bool,
-    pub customer: Option<CustomerId>,
+    pub customer: Option<TenantId>,
     /// Its customer's hits go wrong where others' go well.
     pub sour: bool,
 }
@@ -108,7 +108,7 @@
 }
 
 impl Round {
-    pub fn new(now: Duration, terms: &StartTerms) -> Self {
+    pub fn new(now: Duration, terms: &SidecarConfig) -> Self {
         Self {
             now,
             late: Duration::ZERO,
@@ -125,7 +125,7 @@
 
     pub fn look_at(&mut self, fleet: Option<FleetView>) {
         let places = |view: &FleetView| {
-            view.order
+            view.preference
                 .iter()
                 .enumerate()
                 .map(|(n, pod)| (*pod, n))
@@ -148,14 +148,16 @@
 
     /// How many pods it is told to use at the least.
     pub fn uses(&self) -> usize {
-        self.fleet.as_ref().map_or(0, |(view, _)| view.uses)
+        self.fleet
+            .as_ref()
+            .map_or(0, |(view, _)| view.min_endpoints)
     }
 
     /// Whether others are to prove a pod that is shut.
     pub fn is_held(&self, pod: PodId) -> bool {
         self.fleet
             .as_ref()
-            .is_some_and(|(view, _)| view.held.contains(&pod))
+            .is_some_and(|(view, _)| view.probed_by_peers.contains(&pod))
     }
 
     pub fn tell<const N: usize>(&mut self, parts: [To; N], note: &Note) {
@@ -165,8 +167,8 @@
     }
 
     /// Keeps on record since when no list is heard. One that was held before the start may be of any age.
-    fn hear(&mut self, news: &ListNews) {
-        let failed = matches!(news, ListNews::Failed(_));
+    fn hear(&mut self, news: &EndpointUpdate) {
+        let failed = matches!(news, EndpointUpdate::WatchLost(_));
         self.list_failures = if failed {
             self.list_failures.saturating_add(1)
         } else {
@@ -176,13 +178,13 @@
             return;
         };
         self.list_lost = match news {
-            ListNews::Failed(ListLoss {
-                why: LossCause::NoService,
+            EndpointUpdate::WatchLost(WatchLoss {
+                cause: WatchLossCause::NoService,
                 ..
             }) => Some(self.now),
-            ListNews::Failed(loss) => self.list_lost.or(Some(self.ago(loss.silent))),
-            ListNews::Remembered(_) => Some(self.ago(lease.mul_f64(1.0 - REMEMBERED))),
-            ListNews::Change(_) | ListNews::Whole(_) => None,
+            EndpointUpdate::WatchLost(loss) => self.list_lost.or(Some(self.ago(loss.silent_for))),
+            EndpointUpdate::Cached(_) => Some(self.ago(lease.mul_f64(1.0 - REMEMBERED))),
+            EndpointUpdate::Delta(_) | EndpointUpdate::Snapshot(_) => None,
         };
     }
 
@@ -224,15 +226,18 @@
     /// Brings an event to the parts that it concerns.
     pub fn deliver(&mut self, event: Event) {
         match event {
-            Event::List(news) => {
+            Event::Endpoints(news) => {
                 self.hear(&news);
                 self.mail.put(To::Lister, Note::List(news));
             }
-            Event::Hit(hit) => self.mail.put(To::Gate, Note::Taken(hit)),
-            Event::Outcome(outcome) => self.mail.put(To::Gate, Note::Back(outcome)),
-            Event::StreamStarted { hit } => self.mail.put(To::Gate, Note::Streams(hit)),
-            Event::Left(hit) => self.mail.put(To::Gate, Note::Over(hit)),
-            Event::Stage { news, answer } => {
+            Event::RequestArrived(hit) => self.mail.put(To::Gate, Note::Taken(hit)),
+            Event::AttemptFinished(outcome) => self.mail.put(To::Gate, Note::Back(outcome)),
+            Event::StreamStarted { request: hit } => self.mail.put(To::Gate, Note::Streams(hit)),
+            Event::ClientDisconnected(hit) => self.mail.put(To::Gate, Note::Over(hit)),
+            Event::Stage {
+                update: news,
+                vote_answer: answer,
+            } => {
                 if let Some(news) = news {
                     self.tell([To::Gate, To::Desk, To::Judge], &Note::Stage(news));
                 }
@@ -241,8 +246,10 @@
                 }
             }
             Event::Fleet(view) => self.look_at(view),
-            Event::Met(key, build) => self.mail.put(To::Gate, Note::Met(key, build)),
-            Event::Flagged { pod, group } => self.mail.put(To::Judge, Note::Flagged { pod, group }),
+            Event::KeyServed(key, build) => self.mail.put(To::Gate, Note::Met(key, build)),
+            Event::Flagged { pod, class: group } => {
+                self.mail.put(To::Judge, Note::Flagged { pod, group })
+            }
         }
     }
 
@@ -254,7 +261,7 @@
 /// A pod's own account of itself for the desk.
 #[derive(Clone)]
 pub struct Card {
-    pub entry: PodEntry,
+    pub entry: Endpoint,
     /// Its place in this sidecar's own order of pods.
     pub rank: u64,
     pub ready: bool,
@@ -416,9 +423,9 @@
 
 /// The gate's account of one hit.
 pub struct Account {
-    pub group: GroupId,
-    pub customer: Option<CustomerId>,
-    pub key: Option<KeyId>,
+    pub group: ClassId,
+    pub customer: Option<TenantId>,
+    pub key: Option<RoutingKey>,
     pub due: Duration,
     pub forwards: Vec<Sent>,
     pub over: bool,
@@ -426,8 +433,8 @@
 }
 
 impl Account {
-    pub fn of(hit: &Hit) -> Self {
-        let (group, customer, key, due) = (hit.group, hit.customer, hit.key, hit.due);
+    pub fn of(hit: &Request) -> Self {
+        let (group, customer, key, due) = (hit.class, hit.tenant, hit.routing_key, hit.deadline);
         Self {
             group,
             customer,
@@ -440,8 +447,8 @@
     }
 
     /// Puts a forward on record and tells its number.
-    pub fn sent(&mut self, to: &PodEntry, at: Duration) -> ForwardNo {
-        let (pod, build, zone, cell, started) = (to.pod, to.build, to.zone, to.cell, to.started);
+    pub fn sent(&mut self, to: &Endpoint, at: Duration) -> AttemptIndex {
+        let (pod, build, zone, cell, started) = (to.pod, to.build, to.zone, to.cell, to.started_at);
         self.forwards.push(Sent {
             pod,
             build,
@@ -451,21 +458,21 @@
             at,
             fate: None,
         });
-        ForwardNo(self.forwards.len() as u16 - 1)
+        AttemptIndex(self.forwards.len() as u16 - 1)
     }
 
     /// An attempt that has no outcome yet.
-    pub fn out(&self, no: ForwardNo) -> Option<&Sent> {
+    pub fn out(&self, no: AttemptIndex) -> Option<&Sent> {
         self.forwards
             .get(usize::from(no.0))
             .filter(|sent| sent.fate.is_none())
     }
 
-    pub fn still_out(&self) -> Vec<ForwardNo> {
+    pub fn still_out(&self) -> Vec<AttemptIndex> {
         let numbered = (0u16..).zip(&self.forwards);
         numbered
             .filter(|(_, f)| f.fate.is_none())
-            .map(|(n, _)| ForwardNo(n))
+            .map(|(n, _)| AttemptIndex(n))
             .collect()
     }
 }
@@ -478,16 +485,16 @@
     /// The start of the pod that it was meant for.
     pub started: Option<Duration>,
     pub at: Duration,
-    pub fate: Option<Fate>,
+    pub fate: Option<AttemptOutcome>,
 }
 
 impl Sent {
     /// Whether `pod` knows of this forward if it ran, so that it drops a repeat.
-    pub fn remembered_by(&self, pod: &PodEntry, reach: Reach) -> bool {
+    pub fn remembered_by(&self, pod: &Endpoint, reach: DeduplicationScope) -> bool {
         match reach {
-            Reach::All => true,
-            Reach::Zone => self.zone == pod.zone,
-            Reach::Cell => self.cell == pod.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => self.zone == pod.zone,
+            DeduplicationScope::Cell => self.cell == pod.cell,
         }
     }
 
@@ -498,7 +505,7 @@
 
 /// What the gate knows of a pod.
 pub struct Place {
-    pub entry: PodEntry,
+    pub entry: Endpoint,
     /// When this sidecar was told that it drains or is gone.
     pub ended: Option<Duration>,
     pub sends: Window,
@@ -507,7 +514,7 @@
 }
 
 impl Place {
-    pub fn of(entry: &PodEntry) -> Self {
+    pub fn of(entry: &Endpoint) -> Self {
         Self {
             entry: entry.clone(),
             ended: None,
@@ -516,8 +523,8 @@
         }
     }
 
-    pub fn list(&mut self, entry: PodEntry, now: Duration, luck: f64) {
-        if entry.started != self.entry.started {
+    pub fn list(&mut self, entry: Endpoint, now: Duration, luck: f64) {
+        if entry.started_at != self.entry.started_at {
             self.sends.clear();
         }
         self.luck = luck;
@@ -530,18 +537,18 @@
 
     /// Whether an attempt was meant for this life of the pod, and the pod neither drains nor is gone.
     pub fn still_takes(&self, sent: &Sent) -> bool {
-        let same_life = (self.entry.build, self.entry.started) == (sent.build, sent.started);
+        let same_life = (self.entry.build, self.entry.started_at) == (sent.build, sent.started);
         self.ended.is_none() && same_life
     }
 }
 
 /// The rows of the list as they were told last, each with the time since when its pod is gone.
 #[derive(Default)]
-pub struct Held(BTreeMap<PodId, (PodEntry, Option<Duration>)>);
+pub struct Held(BTreeMap<PodId, (Endpoint, Option<Duration>)>);
 
 impl Held {
     /// Keeps a row; tells whether its pod has gone by it.
-    pub fn put(&mut self, row: &PodEntry, now: Duration) -> bool {
+    pub fn put(&mut self, row: &Endpoint, now: Duration) -> bool {
         let before = self.0.get(&row.pod).and_then(|(_, gone)| *gone);
         let gone = (row.state == PodState::Gone).then(|| before.unwrap_or(now));
         self.0.insert(row.pod, (row.clone(), gone));
@@ -559,13 +566,13 @@
     }
 
     /// The rows that a whole list no longer has, as gone.
-    pub fn gone_from(&self, list: &[PodEntry]) -> Vec<PodEntry> {
+    pub fn gone_from(&self, list: &[Endpoint]) -> Vec<Endpoint> {
         let listed: BTreeSet<PodId> = list.iter().map(|row| row.pod).collect();
         let gone = self
             .0
             .values()
             .filter(|(row, _)| !listed.contains(&row.pod));
-        gone.map(|(row, _)| PodEntry {
+        gone.map(|(row, _)| Endpoint {
             state: PodState::Gone,
             ..row.clone()
         })
@@ -600,7 +607,7 @@
         self.places.remove(&pod);
     }
 
-    pub fn list(&mut self, entry: PodEntry, now: Duration, luck: f64) {
+    pub fn list(&mut self, entry: Endpoint, now: Duration, luck: f64) {
         let place = self
             .places
             .entry(entry.pod)
@@ -631,7 +638,7 @@
             .values()
             .filter(|place| place.entry.state == PodState::Ready);
         let sum = ready
-            .map(|p| p.entry.size * figures.strength(p.entry.started, now))
+            .map(|p| p.entry.weight * figures.strength(p.entry.started_at, now))
             .sum();
         self.strength.set(Some((now, sum)));
         sum
@@ -654,8 +661,8 @@
 
 /// The desk's record of an open hit.
 pub struct OpenHit {
-    pub group: GroupId,
-    pub customer: Option<CustomerId>,
+    pub group: ClassId,
+    pub customer: Option<TenantId>,
     /// Where its last forward went.
     pub at: Option<PodId>,
     pub arrived: Duration,
@@ -666,14 +673,14 @@
 }
 
 impl OpenHit {
-    pub fn of(hit: &Hit, arrived: Duration) -> Self {
-        let (group, customer) = (hit.group, hit.customer);
+    pub fn of(hit: &Request, arrived: Duration) -> Self {
+        let (group, customer) = (hit.class, hit.tenant);
         Self {
             group,
             customer,
             at: None,
             arrived,
-            due: hit.due,
+            due: hit.deadline,
             out: 0,
             tried: Vec::new(),
             no_trial: false,
@@ -684,7 +691,7 @@
 /// What was seen of one build in one stage.
 #[derive(Default, Clone)]
 pub struct Sample {
-    pub groups: BTreeMap<GroupId, Count>,
+    pub groups: BTreeMap<ClassId, Count>,
     pub pods: BTreeMap<PodId, ByPod>,
     /// The times of all pods, shortest first.
     times: Vec<f64>,
@@ -720,7 +727,7 @@
 
     /// What was seen of each path group, and of all, beside what another sample saw of it.
     pub fn beside(&self, other: &Self) -> Vec<(Count, Count)> {
-        let of_other = |group: &GroupId| other.groups.get(group).copied().unwrap_or_default();
+        let of_other = |group: &ClassId| other.groups.get(group).copied().unwrap_or_default();
         let by_group = self
             .groups
             .iter()
@@ -728,15 +735,15 @@
         by_group.chain([(self.all(), other.all())]).collect()
     }
 
-    pub fn count(&mut self, group: GroupId, pod: PodId, fate: Fate, time: Option<f64>) {
-        let bad = matches!(fate, Fate::Errored | Fate::TimedOut);
+    pub fn count(&mut self, group: ClassId, pod: PodId, fate: AttemptOutcome, time: Option<f64>) {
+        let bad = matches!(fate, AttemptOutcome::Failed | AttemptOutcome::TimedOut);
         let (count, by_pod) = (
             self.groups.entry(group).or_default(),
             self.pods.entry(pod).or_default(),
         );
         (count.seen, by_pod.seen) = (count.seen + 1, by_pod.seen + 1);
         (count.bad, by_pod.bad) = (count.bad + usize::from(bad), by_pod.bad + usize::from(bad));
-        count.timed_out += usize::from(fate == Fate::TimedOut);
+        count.timed_out += usize::from(fate == AttemptOutcome::TimedOut);
         by_pod.times.extend(time);
         if let Some(time) = time {
             let place = self
@@ -772,7 +779,7 @@
         self.times.sort_by(f64::total_cmp);
     }
 
-    pub fn flag(&mut self, group: GroupId, pod: PodId) {
+    pub fn flag(&mut self, group: ClassId, pod: PodId) {
         self.groups.entry(group).or_default().flagged += 1;
         self.pods.entry(pod).or_default().flagged += 1;
     }
@@ -817,6 +824,6 @@
 pub struct Vote {
     pub verdict: Verdict,
     pub build: BuildId,
-    pub stage: StageNo,
+    pub stage: StageIndex,
     pub at: Duration,
 }
--- a/crates/decision/src/sidecar.rs
+++ b/crates/decision/src/sidecar.rs
@@ -11,8 +11,8 @@
 /// cap that has been replaced. Hurts by nothing: both speak of the same moment.
 pub fn in_order(mut events: Vec<Event>) -> Vec<Event> {
     events.sort_by_key(|event| match event {
-        Event::List(_) | Event::Stage { .. } | Event::Fleet(_) | Event::Met(..) => 0,
-        Event::Outcome(_) => 1,
+        Event::Endpoints(_) | Event::Stage { .. } | Event::Fleet(_) | Event::KeyServed(..) => 0,
+        Event::AttemptFinished(_) => 1,
         _ => 2,
     });
     events
@@ -29,7 +29,7 @@
 }
 
 impl Sidecar {
-    pub fn new(now: Duration, terms: StartTerms) -> Self {
+    pub fn new(now: Duration, terms: SidecarConfig) -> Self {
         Self {
             round: Round::new(now, &terms),
             pods: BTreeMap::new(),
@@ -43,7 +43,7 @@
 
     /// Whether the first byte of an attempt may leave now. A host asks right before it writes that byte, on whichever
     /// connection and however long after the attempt was decided on; if not, the attempt ends as never sent.
-    pub fn may_begin(&self, now: Duration, hit: HitId, no: ForwardNo) -> bool {
+    pub fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         self.gate.may_begin(hit, no, now, &self.round)
     }
 
@@ -74,7 +74,7 @@
         }
         if now >= self.next_beat {
             self.next_beat = now + BEAT;
-            self.round.out.push(Action::Wake { at: self.next_beat });
+            self.round.out.push(Action::WakeAt { at: self.next_beat });
             for (id, _) in self.pods.iter().filter(|(_, pod)| pod.watches()) {
                 self.round.mail.put(To::Pod(*id), Note::Beat);
             }
--- a/crates/emulators/src/fleet/crowd.rs
+++ b/crates/emulators/src/fleet/crowd.rs
@@ -64,67 +64,67 @@
     }
 }
 
-fn terms(number: usize, plan: &CrowdPlan) -> StartTerms {
-    let group = PathGroup {
-        repeat: Repeat::Repeatable,
-        target_latency: Duration::from_secs(1),
+fn terms(number: usize, plan: &CrowdPlan) -> SidecarConfig {
+    let group = RequestClass {
+        idempotency: Idempotency::Idempotent,
+        latency_objective: Duration::from_secs(1),
         client_timeout: Duration::from_secs(3),
-        benefit: 1.0,
-        late_benefit: 0.0,
-        streamed: false,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        streaming: false,
     };
-    StartTerms {
+    SidecarConfig {
         seed: plan
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(number as u64),
-        sidecars: plan.sidecars as u32,
-        own_number: number as u32,
+        sidecar_count: plan.sidecars as u32,
+        sidecar_index: number as u32,
         zone: ZoneId(number as u16 % 3),
-        groups: vec![group],
-        list_on_request: false,
-        list_pushed: false,
-        list_lease: None,
-        may_cancel: false,
-        second_copies: false,
+        classes: vec![group],
+        watch_on_request: false,
+        endpoints_pushed: false,
+        endpoint_lease: None,
+        cancellation: false,
+        hedging: false,
         retry_after: None,
-        max_forwards: 4,
-        rules: RuleTerms {
+        max_attempts: 4,
+        safety: SafetyLimits {
             drain_grace: Duration::from_secs(1),
-            cold_from: COLD_FROM,
-            cold_for: COLD_FOR,
-            fall_multiple: 2.0,
-            fall_within: WITHIN,
+            slow_start_from: COLD_FROM,
+            slow_start_duration: COLD_FOR,
+            overload_multiple: 2.0,
+            overload_window: WITHIN,
         },
-        release: ReleaseTerms {
+        rollout: RolloutConfig {
             control: Control::Clock,
             stage_shares: vec![1.0],
-            caps: vec![1.0],
-            cap_window: Duration::from_secs(2),
-            cap_free: 1.0,
-            cap_by_group: false,
+            exposure_caps: vec![1.0],
+            exposure_window: Duration::from_secs(2),
+            exposure_free: 1.0,
+            exposure_per_class: false,
             guarded_stages: 0,
-            keys_stay: false,
-            vote_life: Duration::from_secs(4),
-            vote_answer_within: Duration::from_secs(1),
-            back_votes: 1,
-            hold_votes: 1,
-            on_votes: 0,
-            vote_allowance: None,
+            sticky_keys: false,
+            vote_ttl: Duration::from_secs(4),
+            vote_timeout: Duration::from_secs(1),
+            rollback_quorum: 1,
+            hold_quorum: 1,
+            promote_quorum: 0,
+            vote_rate_limit: None,
         },
     }
 }
 
-fn entry(pod: usize, started: Option<Duration>) -> PodEntry {
-    PodEntry {
+fn entry(pod: usize, started: Option<Duration>) -> Endpoint {
+    Endpoint {
         pod: PodId(pod as u64),
         state: PodState::Ready,
         build: BuildId(1),
-        size: strength(pod),
-        started,
+        weight: strength(pod),
+        started_at: started,
         zone: ZoneId(pod as u16 % 3),
         cell: CellId(0),
-        kind: KindId(0),
+        machine_type: MachineTypeId(0),
     }
 }
 
@@ -137,13 +137,13 @@
     choices: Choices,
     part: usize,
     says: Option<(Says, Duration)>,
-    forwards: BTreeMap<HitId, u16>,
+    forwards: BTreeMap<RequestId, u16>,
 }
 
 enum Due {
     Hit,
     Turn,
-    Outcome(Outcome),
+    Outcome(AttemptResult),
 }
 
 struct Play<'a> {
@@ -191,7 +191,10 @@
     };
     for number in 0..plan.sidecars {
         let rows = (0..plan.pods).map(|pod| entry(pod, None)).collect();
-        play.tell(number, vec![Event::List(ListNews::Whole(rows))]);
+        play.tell(
+            number,
+            vec![Event::Endpoints(EndpointUpdate::Snapshot(rows))],
+        );
         let pod = |pod| Pod {
             key: pod_key(pod),
             zone: pod as u16 % 3,
@@ -239,22 +242,25 @@
                 for number in 0..self.all.len() {
                     self.tell(
                         number,
-                        vec![Event::List(ListNews::Change(vec![entry(pod, Some(at))]))],
+                        vec![Event::Endpoints(EndpointUpdate::Delta(vec![entry(
+                            pod,
+                            Some(at),
+                        )]))],
                     );
                 }
             }
             match due {
                 Due::Hit => {
                     self.hits += 1;
-                    let hit = Hit {
-                        id: HitId(self.hits),
-                        group: GroupId(0),
-                        customer: None,
-                        key: None,
-                        due: at + Duration::from_secs(3),
+                    let hit = Request {
+                        id: RequestId(self.hits),
+                        class: ClassId(0),
+                        tenant: None,
+                        routing_key: None,
+                        deadline: at + Duration::from_secs(3),
                     };
                     self.all[number].choices.took();
-                    self.tell(number, vec![Event::Hit(hit)]);
+                    self.tell(number, vec![Event::RequestArrived(hit)]);
                     self.next_hit(number);
                 }
                 Due::Outcome(outcome) => self.outcome(number, outcome),
@@ -263,12 +269,12 @@
         }
     }
 
-    fn outcome(&mut self, number: usize, outcome: Outcome) {
+    fn outcome(&mut self, number: usize, outcome: AttemptResult) {
         let pod = outcome.pod.0 as usize;
-        let sign = match outcome.fate {
-            Fate::Delivered => {
+        let sign = match outcome.outcome {
+            AttemptOutcome::Succeeded => {
                 self.out.delivered += 1;
-                self.all[number].forwards.remove(&outcome.hit);
+                self.all[number].forwards.remove(&outcome.request);
                 let back = self
                     .plan
                     .dead
@@ -276,12 +282,12 @@
                 if let (Some((.., to)), None) = (back, self.out.back_after) {
                     self.out.back_after = Some(self.now - to);
                 }
-                Sign::Answered(outcome.took.as_secs_f64())
+                Sign::Answered(outcome.duration.as_secs_f64())
             }
             _ => Sign::Unreached,
         };
         self.all[number].choices.ended(self.now, pod_key(pod), sign);
-        self.tell(number, vec![Event::Outcome(outcome)]);
+        self.tell(number, vec![Event::AttemptFinished(outcome)]);
     }
 
     /// Every 20 ms, as a host does: the module's beat, and what the fleet says.
@@ -310,13 +316,13 @@
                     .map(|pod| (pod_key(pod), PodId(pod as u64)))
                     .collect();
                 let view = view.map(|view| FleetView {
-                    order: view
+                    preference: view
                         .order
                         .iter()
                         .filter_map(|key| ids.get(key).copied())
                         .collect(),
-                    uses: view.uses,
-                    held: view
+                    min_endpoints: view.uses,
+                    probed_by_peers: view
                         .held
                         .iter()
                         .filter_map(|key| ids.get(key).copied())
@@ -331,8 +337,10 @@
     fn tell(&mut self, number: usize, events: Vec<Event>) {
         for action in self.all[number].module.handle(self.now, events) {
             match action {
-                Action::Forward { hit, pod, .. } => self.forward(number, hit, pod),
-                Action::Bounce { hit, .. } | Action::Fail { hit } => {
+                Action::StartAttempt {
+                    request: hit, pod, ..
+                } => self.forward(number, hit, pod),
+                Action::Reject { request: hit, .. } | Action::Fail { request: hit } => {
                     self.all[number].forwards.remove(&hit);
                     self.out.given_up += 1;
                 }
@@ -341,10 +349,10 @@
         }
     }
 
-    fn forward(&mut self, number: usize, hit: HitId, pod: PodId) {
+    fn forward(&mut self, number: usize, hit: RequestId, pod: PodId) {
         let (now, place) = (self.now, pod.0 as usize);
         let no = self.all[number].forwards.entry(hit).or_insert(0);
-        let this = ForwardNo(*no);
+        let this = AttemptIndex(*no);
         *no += 1;
         let dead = self
             .plan
@@ -357,22 +365,25 @@
                     .to_dead
                     .resize(self.out.to_dead.len().max(second + 1), 0);
                 self.out.to_dead[second] += 1;
-                (Fate::Unreached, Duration::from_millis(1))
+                (AttemptOutcome::ConnectFailed, Duration::from_millis(1))
             }
-            None => (Fate::Delivered, Duration::from_secs_f64(ANSWERS_IN)),
+            None => (
+                AttemptOutcome::Succeeded,
+                Duration::from_secs_f64(ANSWERS_IN),
+            ),
         };
         if now >= self.plan.lasts / 2 {
             self.sent[place] += 1.0;
         }
         self.measure_cold(place);
-        let over = fate == Fate::Delivered;
-        let outcome = Outcome {
-            hit,
-            no: this,
+        let over = fate == AttemptOutcome::Succeeded;
+        let outcome = AttemptResult {
+            request: hit,
+            attempt: this,
             pod,
-            fate,
-            took,
-            over,
+            outcome: fate,
+            duration: took,
+            request_over: over,
         };
         self.mark(took, number, Due::Outcome(outcome));
     }
--- a/crates/http-proxy/src/pods.rs
+++ b/crates/http-proxy/src/pods.rs
@@ -6,7 +6,9 @@
 //! `kind`), `Node.Node` (the machine's name), `Node.Datacenter` (zone where Meta has none) and `Checks[].Status`: a critical check, as the
 //! maintenance mode sets one, means that the pod drains.
 
-use limewing_decision::interface::{BuildId, CellId, KindId, PodEntry, PodId, PodState, ZoneId};
+use limewing_decision::interface::{
+    BuildId, CellId, Endpoint, MachineTypeId, PodId, PodState, ZoneId,
+};
 use limewing_proxy_core::clock;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -199,7 +201,7 @@
     }
 
     /// A whole list as the module's rows; pods that are not in it are forgotten here too.
-    pub fn entries(&mut self, rows: &[Row], now: Duration, today: SystemTime) -> Vec<PodEntry> {
+    pub fn entries(&mut self, rows: &[Row], now: Duration, today: SystemTime) -> Vec<Endpoint> {
         self.starts
             .retain(|address, _| rows.iter().any(|row| row.address == *address));
         rows.iter().map(|row| self.entry(row, now, today)).collect()
@@ -213,12 +215,12 @@
         new: &[Row],
         now: Duration,
         today: SystemTime,
-    ) -> Vec<PodEntry> {
+    ) -> Vec<Endpoint> {
         let before: BTreeMap<SocketAddr, &Row> = old.iter().map(|row| (row.address, row)).collect();
         let here: BTreeSet<SocketAddr> = new.iter().map(|row| row.address).collect();
         let gone = old.iter().filter(|row| !here.contains(&row.address));
-        let gone: Vec<PodEntry> = gone
-            .map(|row| PodEntry {
+        let gone: Vec<Endpoint> = gone
+            .map(|row| Endpoint {
                 state: PodState::Gone,
                 ..self.entry(row, now, today)
             })
@@ -227,11 +229,11 @@
         let changed = new
             .iter()
             .filter(|row| before.get(&row.address) != Some(row));
-        let changed: Vec<PodEntry> = changed.map(|row| self.entry(row, now, today)).collect();
+        let changed: Vec<Endpoint> = changed.map(|row| self.entry(row, now, today)).collect();
         gone.into_iter().chain(changed).collect()
     }
 
-    fn entry(&mut self, row: &Row, now: Duration, today: SystemTime) -> PodEntry {
+    fn entry(&mut self, row: &Row, now: Duration, today: SystemTime) -> Endpoint {
         let known = self
             .starts
             .get(&row.address)
@@ -245,7 +247,7 @@
                 started
             }
         };
-        PodEntry {
+        Endpoint {
             pod: self.pod(row.address),
             state: if row.drains {
                 PodState::Draining
@@ -253,8 +255,8 @@
                 PodState::Ready
             },
             build: BuildId(row.build),
-            size: row.size,
-            started,
+            weight: row.size,
+            started_at: started,
             // A zone that the settings don't name is one that is not ours.
             zone: ZoneId(
                 self.zones
@@ -263,7 +265,7 @@
                     .unwrap_or(self.zones.len()) as u16,
             ),
             cell: CellId(row.cell),
-            kind: KindId(place_of(&mut self.kinds, &row.kind).into()),
+            machine_type: MachineTypeId(place_of(&mut self.kinds, &row.kind).into()),
         }
     }
 
--- a/crates/http-proxy/src/routes.rs
+++ b/crates/http-proxy/src/routes.rs
@@ -1,6 +1,6 @@
 //! What a request is as a hit: its path group by method and path, customer, key and deadline by header.
 
-use limewing_decision::interface::{CustomerId, GroupId, KeyId};
+use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
 use limewing_net::http::RequestHead;
 use limewing_settings::{Headers, Misfit, Repeat, Router, SidecarSettings};
 use siphasher::sip::SipHasher13;
@@ -13,7 +13,7 @@
 pub struct Routes {
     router: Router,
     groups: Vec<Group>,
-    customers: BTreeMap<String, CustomerId>,
+    customers: BTreeMap<String, TenantId>,
     headers: Headers,
     margin: Duration,
 }
@@ -27,9 +27,9 @@
 /// A request as the decision module needs it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Traits {
-    pub group: GroupId,
-    pub customer: Option<CustomerId>,
-    pub key: Option<KeyId>,
+    pub group: ClassId,
+    pub customer: Option<TenantId>,
+    pub key: Option<RoutingKey>,
     pub due: Duration,
     /// The hash of the tag of a hit that may not run twice.
     pub once: Option<u64>,
@@ -54,7 +54,7 @@
         });
         let customers = (0u32..)
             .zip(&settings.customers)
-            .map(|(n, c)| (c.name.clone(), CustomerId(n)));
+            .map(|(n, c)| (c.name.clone(), TenantId(n)));
         Ok(Self {
             router,
             groups: groups.collect(),
@@ -77,7 +77,7 @@
             status: 404,
             why: "no path group has this method and path",
         })?;
-        let group = GroupId(place as u16);
+        let group = ClassId(place as u16);
         let of = &self.groups[usize::from(group.0)];
         if of.tagged && head.fields.get(TAG).is_none_or(<[u8]>::is_empty) {
             return Err(NoHit {
@@ -137,6 +137,6 @@
     SipHasher13::new().hash(bytes)
 }
 
-fn key_of(text: &str) -> KeyId {
-    KeyId(hash_of(text.as_bytes()))
+fn key_of(text: &str) -> RoutingKey {
+    RoutingKey(hash_of(text.as_bytes()))
 }
--- a/crates/http-proxy/src/service/asks.rs
+++ b/crates/http-proxy/src/service/asks.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use limewing_coordination::Service as Asked;
 use limewing_decision::interface::{
-    BuildId, Event, ListLoss, ListNews, StageNews, StageNo, Verdict, VoteAnswer,
+    BuildId, EndpointUpdate, Event, StageIndex, StageUpdate, Verdict, VoteAnswer, WatchLoss,
 };
 use limewing_net::body::{BodyReader, Framing};
 use limewing_net::call::{Call, Heard};
@@ -35,7 +35,7 @@
     quiet: TimerKey,
 }
 
-pub(super) fn not_old(latest: &mut Latest, message: StageMessage) -> Option<StageNews> {
+pub(super) fn not_old(latest: &mut Latest, message: StageMessage) -> Option<StageUpdate> {
     let news = latest.take(message);
     if news.is_none() {
         tracing::warn!(number = message.number, "old stage news left out");
@@ -169,10 +169,10 @@
         let today = today();
         // The first one tells what of the remembered list is gone; later ones only what changed.
         let news = match std::mem::replace(&mut self.list_known, true) {
-            false => ListNews::Whole(self.book.entries(&rows, self.now, today)),
-            true => ListNews::Change(self.book.changes(&self.rows, &rows, self.now, today)),
+            false => EndpointUpdate::Snapshot(self.book.entries(&rows, self.now, today)),
+            true => EndpointUpdate::Delta(self.book.changes(&self.rows, &rows, self.now, today)),
         };
-        self.events.push(Event::List(news));
+        self.events.push(Event::Endpoints(news));
         if rows != self.rows {
             self.rows = rows;
             tracing::info!(
@@ -200,8 +200,9 @@
         tracing::warn!(why, "the node list was not had; the old one stays");
         self.service_answers(Asked::List, false);
         self.drop_list();
-        self.events
-            .push(Event::List(ListNews::Failed(ListLoss::default())));
+        self.events.push(Event::Endpoints(EndpointUpdate::WatchLost(
+            WatchLoss::default(),
+        )));
     }
 
     pub(super) fn ask_news(&mut self) {
@@ -290,8 +291,8 @@
                             .iter_mut()
                             .for_each(|copies| copies.stage_told(self.now, &message));
                         self.events.push(Event::Stage {
-                            news: Some(news),
-                            answer: None,
+                            update: Some(news),
+                            vote_answer: None,
                         });
                     }
                 }
@@ -324,7 +325,7 @@
         self.wheel.arm(self.now + wait, Due::AskNews);
     }
 
-    pub(super) fn vote(&mut self, verdict: Verdict, build: BuildId, stage: StageNo) {
+    pub(super) fn vote(&mut self, verdict: Verdict, build: BuildId, stage: StageIndex) {
         tracing::info!(?verdict, build = build.0, stage = stage.0, "votes");
         let vote = VoteMessage::new(&self.terms.name, verdict, build, stage);
         let link = self
@@ -334,8 +335,8 @@
             .map(|installer| self.sockets.connect(installer.address));
         let (Some(Ok(link)), Some(installer)) = (link, &self.terms.installer) else {
             self.events.push(Event::Stage {
-                news: None,
-                answer: Some(VoteAnswer::Failed),
+                update: None,
+                vote_answer: Some(VoteAnswer::Failed),
             });
             return;
         };
@@ -395,8 +396,8 @@
             copies.stage_told(self.now, &message);
         }
         self.events.push(Event::Stage {
-            news: now,
-            answer: Some(answer),
+            update: now,
+            vote_answer: Some(answer),
         });
     }
 }
--- a/crates/http-proxy/src/service/back.rs
+++ b/crates/http-proxy/src/service/back.rs
@@ -7,13 +7,13 @@
 use super::front::FORWARD;
 use super::{Due, Peer, Service};
 use bytes::BytesMut;
-use limewing_decision::interface::{Event, Fate, ForwardNo, HitId, PodId};
+use limewing_decision::interface::{AttemptIndex, AttemptOutcome, Event, PodId, RequestId};
 use limewing_net::body::{write_chunk, BodyReader, Framing};
 use limewing_net::http::{self, HeadLimits, ResponseHead};
 use limewing_net::sockets::{is_own_want, SocketId};
 use limewing_net::wheel::TimerKey;
 use limewing_proxy_core::kept::Link;
-use limewing_proxy_core::open::Forward;
+use limewing_proxy_core::open::Attempt;
 use limewing_proxy_core::permit::SendPermit;
 use std::time::Duration;
 
@@ -28,8 +28,8 @@
 
 /// One forward on a connection.
 struct Job {
-    hit: HitId,
-    no: ForwardNo,
+    hit: RequestId,
+    no: AttemptIndex,
     /// Bytes written on this connection before it.
     from: u64,
     answer: Option<(ResponseHead, BodyReader)>,
@@ -47,39 +47,39 @@
 }
 
 impl Service {
-    pub(super) fn forward(&mut self, hit: HitId, pod: PodId, within: Duration) {
+    pub(super) fn forward(&mut self, hit: RequestId, pod: PodId, within: Duration) {
         let Some(open) = self.hits.get_mut(hit) else {
             return;
         };
-        let no = ForwardNo(open.forwards.len() as u16);
+        let no = AttemptIndex(open.attempts.len() as u16);
         let due = if within.is_zero() {
             open.due
         } else {
             open.due.min(self.now + within)
         };
         let timer = self.wheel.arm(due, Due::Forward(hit, no));
-        let forward = Forward {
+        let forward = Attempt {
             pod,
             sent: self.now,
             link: None,
             timer: Some(timer),
             ended: false,
         };
-        open.forwards.push(forward);
-        let spent = open.forwards.len() > self.terms.max_forwards;
+        open.attempts.push(forward);
+        let spent = open.attempts.len() > self.terms.max_forwards;
         // A body that was passed on is gone: nothing is left for another forward.
         let gone = !open.of.whole && open.of.carrier.is_some();
         if let (Some(tag), Some(copies)) = (open.of.once, &mut self.copies) {
             copies.sent(self.now, hit, tag);
         }
         if open.over || open.of.passing.is_some() || spent || gone || self.now >= due {
-            return self.end_forward(hit, no, Fate::Void);
+            return self.end_forward(hit, no, AttemptOutcome::NeverSent);
         }
         let link = match self.kept_link(pod) {
             Some(link) => link,
             // What is left is for list, news and votes.
             None if !self.makes_room() => {
-                return self.end_forward(hit, no, Fate::Void);
+                return self.end_forward(hit, no, AttemptOutcome::NeverSent);
             }
             None => match self.book.address(pod).map(|to| self.sockets.connect(to)) {
                 Some(Ok(link)) => {
@@ -99,7 +99,11 @@
                     // Our own want is no sign of the pod: it must not be shut for it.
                     let own = trouble.as_ref().is_some_and(is_own_want);
                     tracing::warn!(?trouble, own, "no way to a pod");
-                    let fate = if own { Fate::Void } else { Fate::Unreached };
+                    let fate = if own {
+                        AttemptOutcome::NeverSent
+                    } else {
+                        AttemptOutcome::ConnectFailed
+                    };
                     return self.end_forward(hit, no, fate);
                 }
             },
@@ -231,12 +235,12 @@
         };
         of.connecting.map(|timer| self.wheel.cancel(timer));
         match of.job {
-            Some(job) if job.passing => self.end_passed(job, Fate::Broken),
+            Some(job) if job.passing => self.end_passed(job, AttemptOutcome::ConnectionReset),
             Some(job) => {
                 let fate = if written <= job.from {
-                    Fate::Unreached
+                    AttemptOutcome::ConnectFailed
                 } else {
-                    Fate::Broken
+                    AttemptOutcome::ConnectionReset
                 };
                 self.end_forward(job.hit, job.no, fate);
             }
@@ -263,7 +267,7 @@
             Step::Broken => self.answer_broken(link),
             Step::Unwanted => {
                 self.drop_job(Some(link));
-                self.end_forward(hit, no, Fate::Cancelled);
+                self.end_forward(hit, no, AttemptOutcome::Cancelled);
             }
         }
     }
@@ -337,7 +341,7 @@
             let head = head.clone();
             if begins {
                 self.begin_passing(hit, no, &head);
-                self.events.push(Event::StreamStarted { hit });
+                self.events.push(Event::StreamStarted { request: hit });
                 // It is the client's now: its time-out stops.
                 if let Some(timer) = self.hits.out(hit, no).and_then(|f| f.timer.take()) {
                     self.wheel.cancel(timer);
@@ -385,14 +389,14 @@
             self.sockets.close(link);
         }
         if job.passing {
-            return self.end_passed(job, Fate::Delivered);
+            return self.end_passed(job, AttemptOutcome::Succeeded);
         }
         let fate = match head.status {
-            503 if head.fields.get(NOT_BEGUN).is_some() => Fate::TurnedAway,
-            500.. => Fate::Errored,
-            _ => Fate::Delivered,
+            503 if head.fields.get(NOT_BEGUN).is_some() => AttemptOutcome::Rejected,
+            500.. => AttemptOutcome::Failed,
+            _ => AttemptOutcome::Succeeded,
         };
-        if fate == Fate::Delivered {
+        if fate == AttemptOutcome::Succeeded {
             self.deliver(job.hit, job.no, head, &job.gathered);
         }
         self.end_forward(job.hit, job.no, fate);
@@ -436,21 +440,21 @@
             return;
         };
         match of.job {
-            Some(job) if job.passing => self.end_passed(job, Fate::Broken),
-            Some(job) => self.end_forward(job.hit, job.no, Fate::Broken),
+            Some(job) if job.passing => self.end_passed(job, AttemptOutcome::ConnectionReset),
+            Some(job) => self.end_forward(job.hit, job.no, AttemptOutcome::ConnectionReset),
             None => {}
         }
     }
 
-    fn end_passed(&mut self, job: Job, fate: Fate) {
+    fn end_passed(&mut self, job: Job, fate: AttemptOutcome) {
         if let Some((head, _)) = &job.answer {
-            self.end_passing(job.hit, head, fate == Fate::Delivered);
+            self.end_passing(job.hit, head, fate == AttemptOutcome::Succeeded);
         }
         self.end_forward(job.hit, job.no, fate);
     }
 
     /// Tells the module how a forward ended; each ends once.
-    fn end_forward(&mut self, hit: HitId, no: ForwardNo, fate: Fate) {
+    fn end_forward(&mut self, hit: RequestId, no: AttemptIndex, fate: AttemptOutcome) {
         let Some(ended) = self.hits.end(hit, no, fate, self.now) else {
             return;
         };
@@ -463,57 +467,57 @@
                 .and_then(|of| of.key);
             copies.ended(self.now, &ended.outcome, key);
         }
-        self.events.push(Event::Outcome(ended.outcome));
+        self.events.push(Event::AttemptFinished(ended.outcome));
     }
 
-    pub(super) fn forward_late(&mut self, hit: HitId, no: ForwardNo) {
+    pub(super) fn forward_late(&mut self, hit: RequestId, no: AttemptIndex) {
         let Some(forward) = self.hits.out(hit, no) else {
             return;
         };
         forward.timer = None;
         let link = forward.link.take();
-        let fate = self.drop_job(link).unwrap_or(Fate::TimedOut);
+        let fate = self.drop_job(link).unwrap_or(AttemptOutcome::TimedOut);
         self.end_forward(hit, no, fate);
     }
 
-    pub(super) fn cancel(&mut self, hit: HitId, no: ForwardNo) {
+    pub(super) fn cancel(&mut self, hit: RequestId, no: AttemptIndex) {
         let Some(open) = self.hits.get(hit) else {
             return;
         };
-        let Some(forward) = open.forwards.get(usize::from(no.0)).filter(|f| !f.ended) else {
+        let Some(forward) = open.attempts.get(usize::from(no.0)).filter(|f| !f.ended) else {
             return;
         };
         if open.of.passing == Some(no) {
             return;
         }
         let link = forward.link;
-        let fate = self.drop_job(link).unwrap_or(Fate::Cancelled);
+        let fate = self.drop_job(link).unwrap_or(AttemptOutcome::Cancelled);
         self.end_forward(hit, no, fate);
     }
 
     /// Ends a forward whose answer was passed on to a client that went.
-    pub(super) fn cut(&mut self, hit: HitId, no: ForwardNo) {
+    pub(super) fn cut(&mut self, hit: RequestId, no: AttemptIndex) {
         let link = self.hits.out(hit, no).and_then(|forward| forward.link);
         self.drop_job(link);
-        self.end_forward(hit, no, Fate::Cancelled);
+        self.end_forward(hit, no, AttemptOutcome::Cancelled);
     }
 
     /// Takes a forward off its connection. One that is still being made is left to be used by others, and
     /// nothing was written of the forward: it never ran. A connection with a forward on it is closed, as
     /// its answer may still come.
-    fn drop_job(&mut self, link: Option<SocketId>) -> Option<Fate> {
+    fn drop_job(&mut self, link: Option<SocketId>) -> Option<AttemptOutcome> {
         let link = link?;
         let Some(Peer::Pod(of)) = self.peers.get_mut(&link) else {
             return None;
         };
         let job = of.job.take()?;
         if of.connecting.is_some() {
-            return Some(Fate::Unreached);
+            return Some(AttemptOutcome::ConnectFailed);
         }
         let unwritten = self.sockets.written(link) <= job.from;
         self.peers.remove(&link);
         self.sockets.close(link);
-        unwritten.then_some(Fate::Unreached)
+        unwritten.then_some(AttemptOutcome::ConnectFailed)
     }
 
     /// Permission for the attempt on a connection to begin now.
@@ -541,7 +545,7 @@
             "withdrawn before it was written"
         );
         self.keep(link, pod);
-        self.end_forward(hit, no, Fate::Void);
+        self.end_forward(hit, no, AttemptOutcome::NeverSent);
     }
 
     /// Ends the attempts that are not written yet and are no longer allowed: they never run.
@@ -558,7 +562,7 @@
                     "withdrawn before it was written"
                 );
                 self.drop_job(Some(link));
-                self.end_forward(hit, no, Fate::Void);
+                self.end_forward(hit, no, AttemptOutcome::NeverSent);
             }
         }
     }
--- a/crates/http-proxy/src/service/copies.rs
+++ b/crates/http-proxy/src/service/copies.rs
@@ -4,7 +4,8 @@
 use super::fleet::Fleet;
 use crate::stages::{PhaseName, StageMessage};
 use limewing_decision::interface::{
-    BuildId, Event, Fate, HitId, KeyId, ListNews, Outcome, PodId, PodState,
+    AttemptOutcome, AttemptResult, BuildId, EndpointUpdate, Event, PodId, PodState, RequestId,
+    RoutingKey,
 };
 use limewing_proxy_core::clock::today;
 use limewing_replication::{
@@ -148,7 +149,7 @@
     }
 
     /// A forward of a hit that may not run twice is about to leave.
-    pub(super) fn sent(&mut self, now: Duration, hit: HitId, tag: u64) {
+    pub(super) fn sent(&mut self, now: Duration, hit: RequestId, tag: u64) {
         if let Some(fact) = self.own.sent(hit.0, tag) {
             self.put(now, &fact, HITS_FOR);
         }
@@ -156,8 +157,12 @@
 
     /// Which build a pod runs is told by the list.
     pub(super) fn see(&mut self, event: &Event) {
-        let Event::List(news) = event else { return };
-        let (ListNews::Change(rows) | ListNews::Whole(rows) | ListNews::Remembered(rows)) = news
+        let Event::Endpoints(news) = event else {
+            return;
+        };
+        let (EndpointUpdate::Delta(rows)
+        | EndpointUpdate::Snapshot(rows)
+        | EndpointUpdate::Cached(rows)) = news
         else {
             return;
         };
@@ -168,22 +173,30 @@
         self.builds.extend(here.map(|row| (row.pod, row.build)));
     }
 
-    pub(super) fn ended(&mut self, now: Duration, outcome: &Outcome, key: Option<KeyId>) {
+    pub(super) fn ended(
+        &mut self,
+        now: Duration,
+        outcome: &AttemptResult,
+        key: Option<RoutingKey>,
+    ) {
         let build = self.builds.get(&outcome.pod).copied();
-        if let Some(fact) = self
-            .own
-            .ended(outcome.hit.0, outcome.fate.never_ran(), outcome.over)
-        {
+        if let Some(fact) = self.own.ended(
+            outcome.request.0,
+            outcome.outcome.never_ran(),
+            outcome.request_over,
+        ) {
             self.put(now, &fact, HITS_FOR);
         }
-        let met = key.zip(build).filter(|_| outcome.fate == Fate::Delivered);
+        let met = key
+            .zip(build)
+            .filter(|_| outcome.outcome == AttemptOutcome::Succeeded);
         if let Some(fact) = met.and_then(|(key, build)| self.own.met(now, key.0, build.0)) {
             self.put(now, &fact, KEYS_FOR);
         }
     }
 
     /// Nothing more is sent of a hit.
-    pub(super) fn over(&mut self, hit: HitId) {
+    pub(super) fn over(&mut self, hit: RequestId) {
         self.own.over(hit.0);
     }
 
@@ -228,7 +241,7 @@
             let fresh = self.facts.take(&origin, entry.no, until, &fact);
             match fact {
                 Fact::Met { key, build } if fresh => {
-                    events.push(Event::Met(KeyId(key), BuildId(build)))
+                    events.push(Event::KeyServed(RoutingKey(key), BuildId(build)))
                 }
                 Fact::Stage(_) => stages = true,
                 _ => {}
--- a/crates/http-proxy/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/fleet.rs
@@ -3,7 +3,9 @@
 
 use super::StartTrouble;
 use limewing_coordination::{key, Choices, Pod, Says, Service, Sign};
-use limewing_decision::interface::{Event, Fate, FleetView, ListNews, PodEntry, PodId, PodState};
+use limewing_decision::interface::{
+    AttemptOutcome, Endpoint, EndpointUpdate, Event, FleetView, PodId, PodState,
+};
 use limewing_membership::{Key, Name, Peers, Terms};
 use limewing_net::sockets::{SocketId, Sockets};
 use limewing_proxy_core::clock::today;
@@ -27,7 +29,7 @@
 /// The choices, and the pods by their keys.
 struct Chooser {
     choices: Choices,
-    pods: BTreeMap<PodId, (PodEntry, u64)>,
+    pods: BTreeMap<PodId, (Endpoint, u64)>,
     changed: bool,
     view: Option<FleetView>,
 }
@@ -291,28 +293,34 @@
         address: &impl Fn(PodId) -> Option<SocketAddr>,
     ) {
         match event {
-            Event::Hit(_) => self.choices.took(),
-            Event::Outcome(outcome) => {
-                let sign = match outcome.fate {
-                    Fate::Delivered | Fate::Errored => {
-                        Some(Sign::Answered(outcome.took.as_secs_f64()))
+            Event::RequestArrived(_) => self.choices.took(),
+            Event::AttemptFinished(outcome) => {
+                let sign = match outcome.outcome {
+                    AttemptOutcome::Succeeded | AttemptOutcome::Failed => {
+                        Some(Sign::Answered(outcome.duration.as_secs_f64()))
                     }
-                    Fate::TimedOut | Fate::Broken => Some(Sign::Unanswered),
-                    Fate::Unreached => Some(Sign::Unreached),
-                    Fate::TurnedAway => Some(Sign::TurnedAway),
-                    Fate::Cancelled => Some(Sign::CalledOff(outcome.took.as_secs_f64())),
-                    Fate::Void => None,
+                    AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset => {
+                        Some(Sign::Unanswered)
+                    }
+                    AttemptOutcome::ConnectFailed => Some(Sign::Unreached),
+                    AttemptOutcome::Rejected => Some(Sign::TurnedAway),
+                    AttemptOutcome::Cancelled => {
+                        Some(Sign::CalledOff(outcome.duration.as_secs_f64()))
+                    }
+                    AttemptOutcome::NeverSent => None,
                 };
                 let known = self.pods.get(&outcome.pod).zip(sign);
                 known
                     .into_iter()
                     .for_each(|((_, key), sign)| self.choices.ended(now, *key, sign));
             }
-            Event::List(news) => {
+            Event::Endpoints(news) => {
                 let (whole, rows) = match news {
-                    ListNews::Whole(rows) | ListNews::Remembered(rows) => (true, rows.as_slice()),
-                    ListNews::Change(rows) => (false, rows.as_slice()),
-                    ListNews::Failed(_) => (false, [].as_slice()),
+                    EndpointUpdate::Snapshot(rows) | EndpointUpdate::Cached(rows) => {
+                        (true, rows.as_slice())
+                    }
+                    EndpointUpdate::Delta(rows) => (false, rows.as_slice()),
+                    EndpointUpdate::WatchLost(_) => (false, [].as_slice()),
                 };
                 if whole {
                     self.pods.clear();
@@ -336,10 +344,10 @@
             return None;
         }
         if std::mem::take(&mut self.changed) {
-            let pod = |(row, key): &(PodEntry, u64)| Pod {
+            let pod = |(row, key): &(Endpoint, u64)| Pod {
                 key: *key,
                 zone: row.zone.0,
-                strength: row.size,
+                strength: row.weight,
             };
             self.choices.pods(self.pods.values().map(pod).collect());
         }
@@ -366,14 +374,13 @@
             .collect();
         let pod = |key: &u64| by_key.get(key).copied();
         self.view = view.map(|view| FleetView {
-            order: view.order.iter().filter_map(pod).collect(),
-            uses: view.uses,
-            held: view.held.iter().filter_map(pod).collect(),
+            preference: view.order.iter().filter_map(pod).collect(),
+            min_endpoints: view.uses,
+            probed_by_peers: view.held.iter().filter_map(pod).collect(),
+        });
+        let (uses, held) = self.view.as_ref().map_or((0, 0), |view| {
+            (view.min_endpoints, view.probed_by_peers.len())
         });
-        let (uses, held) = self
-            .view
-            .as_ref()
-            .map_or((0, 0), |view| (view.uses, view.held.len()));
         tracing::info!(uses, held, "the fleet's word on the choices changed");
         Some(self.view.clone())
     }
@@ -382,8 +389,13 @@
         let view = self.view.as_ref()?;
         let name = |pod: &PodId| address(*pod).map(|at| at.to_string());
         Some(Chosen {
-            uses: view.order.iter().take(view.uses).filter_map(name).collect(),
-            held: view.held.iter().filter_map(name).collect(),
+            uses: view
+                .preference
+                .iter()
+                .take(view.min_endpoints)
+                .filter_map(name)
+                .collect(),
+            held: view.probed_by_peers.iter().filter_map(name).collect(),
         })
     }
 }
--- a/crates/http-proxy/src/service/front.rs
+++ b/crates/http-proxy/src/service/front.rs
@@ -3,7 +3,9 @@
 use super::{Due, Peer, Service};
 use crate::routes::{path_of, Traits};
 use bytes::{Bytes, BytesMut};
-use limewing_decision::interface::{Event, ForwardNo, GroupId, Hit, HitId, KeyId, PodId};
+use limewing_decision::interface::{
+    AttemptIndex, ClassId, Event, PodId, Request, RequestId, RoutingKey,
+};
 use limewing_net::body::{write_chunk, BodyReader, Framing};
 use limewing_net::http::{self, Refused, RequestHead, ResponseHead};
 use limewing_net::message::Requests;
@@ -28,7 +30,7 @@
 
 pub struct Client {
     requests: Requests,
-    hit: Option<HitId>,
+    hit: Option<RequestId>,
     /// Reads the part of the hit's body that is passed on as it comes.
     rest: Option<BodyReader>,
     /// What it is told goes no further than the present answer.
@@ -49,35 +51,35 @@
 }
 
 /// What is held of a hit's request.
-pub struct Request {
+pub struct ClientRequest {
     pub head: RequestHead,
     pub body: Bytes,
     /// The body is whole in `body`; else the rest is passed on as it comes, and no second forward can have it.
     pub whole: bool,
     /// The forward that the rest of the body goes with.
-    pub carrier: Option<ForwardNo>,
-    pub group: GroupId,
-    pub key: Option<KeyId>,
+    pub carrier: Option<AttemptIndex>,
+    pub group: ClassId,
+    pub key: Option<RoutingKey>,
     /// The hash of its tag, if it may not run twice.
     pub once: Option<u64>,
     /// The forward whose answer is passed on as it comes.
-    pub passing: Option<ForwardNo>,
+    pub passing: Option<AttemptIndex>,
 }
 
 /// Whether no answer has been given, or begun.
-fn is_free(open: &Open<Request>) -> bool {
+fn is_free(open: &Open<ClientRequest>) -> bool {
     !open.over && open.of.passing.is_none()
 }
 
 /// Which pod each answer given lately came from, so that reports can be understood.
 #[derive(Default)]
-pub struct Reports(BTreeMap<(HitId, ForwardNo), (PodId, GroupId)>);
+pub struct Reports(BTreeMap<(RequestId, AttemptIndex), (PodId, ClassId)>);
 
 /// Answers remembered for reports.
 const REMEMBERED: usize = 50_000;
 
 impl Reports {
-    fn note(&mut self, hit: HitId, no: ForwardNo, of: (PodId, GroupId)) {
+    fn note(&mut self, hit: RequestId, no: AttemptIndex, of: (PodId, ClassId)) {
         self.0.insert((hit, no), of);
         if self.0.len() > REMEMBERED {
             self.0.pop_first();
@@ -240,7 +242,7 @@
         let id = self.hits.open(
             client,
             due,
-            Request {
+            ClientRequest {
                 head,
                 body,
                 whole,
@@ -251,12 +253,12 @@
                 passing,
             },
         );
-        self.events.push(Event::Hit(Hit {
+        self.events.push(Event::RequestArrived(Request {
             id,
-            group,
-            customer,
-            key,
-            due,
+            class: group,
+            tenant: customer,
+            routing_key: key,
+            deadline: due,
         }));
         if let Some(client) = self.client(client) {
             client.hit = Some(id);
@@ -274,7 +276,7 @@
         };
         let open = self.hits.get(hit).filter(|open| !open.over);
         let link = open.and_then(|open| {
-            let carrier = open.forwards.get(usize::from(open.of.carrier?.0))?;
+            let carrier = open.attempts.get(usize::from(open.of.carrier?.0))?;
             Some((carrier.link?, open.of.head.framing))
         });
         // Before a pod has it, or while that one is full, the client is read no further.
@@ -365,7 +367,7 @@
         )
     }
 
-    pub(super) fn bounce(&mut self, hit: HitId, retry_after: Duration) {
+    pub(super) fn bounce(&mut self, hit: RequestId, retry_after: Duration) {
         // Whole seconds are all that the field can say.
         let wait = retry_after.as_secs_f64().ceil().to_string();
         let status = self.proxy_status("bounced", true);
@@ -378,7 +380,7 @@
         );
     }
 
-    pub(super) fn fail(&mut self, hit: HitId) {
+    pub(super) fn fail(&mut self, hit: RequestId) {
         let late = self.hits.get(hit).is_some_and(|open| self.now >= open.due);
         let status = self.proxy_status("errored", false);
         self.settle(
@@ -389,7 +391,7 @@
     }
 
     /// The final answer of a hit that no pod answered.
-    fn settle(&mut self, hit: HitId, status: u16, fields: &[(&str, &str)]) {
+    fn settle(&mut self, hit: RequestId, status: u16, fields: &[(&str, &str)]) {
         self.copies.iter_mut().for_each(|copies| copies.over(hit));
         let Some(open) = self.hits.unsettled(hit) else {
             return;
@@ -403,7 +405,13 @@
     }
 
     /// Passes a gathered answer on: the hit is delivered.
-    pub(super) fn deliver(&mut self, hit: HitId, no: ForwardNo, head: &ResponseHead, body: &[u8]) {
+    pub(super) fn deliver(
+        &mut self,
+        hit: RequestId,
+        no: AttemptIndex,
+        head: &ResponseHead,
+        body: &[u8],
+    ) {
         // The first answer is the client's, also one that is still passed on.
         let Some(open) = self.hits.get_mut(hit).filter(|open| is_free(open)) else {
             return;
@@ -429,7 +437,7 @@
     }
 
     /// Begins an answer that is passed on as it comes.
-    pub(super) fn begin_passing(&mut self, hit: HitId, no: ForwardNo, head: &ResponseHead) {
+    pub(super) fn begin_passing(&mut self, hit: RequestId, no: AttemptIndex, head: &ResponseHead) {
         let Some(open) = self.hits.get_mut(hit) else {
             return;
         };
@@ -440,7 +448,7 @@
         self.sockets.send(client, &out);
     }
 
-    pub(super) fn pass(&mut self, hit: HitId, head: &ResponseHead, piece: &[u8]) {
+    pub(super) fn pass(&mut self, hit: RequestId, head: &ResponseHead, piece: &[u8]) {
         let Some(client) = self.hits.get(hit).and_then(|open| open.client) else {
             return;
         };
@@ -457,7 +465,7 @@
     }
 
     /// Ends an answer that was passed on; one that broke is cut, so that the client sees it.
-    pub(super) fn end_passing(&mut self, hit: HitId, head: &ResponseHead, whole: bool) {
+    pub(super) fn end_passing(&mut self, hit: RequestId, head: &ResponseHead, whole: bool) {
         let Some(open) = self.hits.get_mut(hit) else {
             return;
         };
@@ -478,16 +486,16 @@
     }
 
     /// Whether the client of a hit takes no more for now.
-    pub(super) fn is_full(&mut self, hit: HitId) -> bool {
+    pub(super) fn is_full(&mut self, hit: RequestId) -> bool {
         let client = self.hits.get(hit).and_then(|open| open.client);
         client.is_some_and(|client| self.sockets.unsent(client) > MOST_UNSENT)
     }
 
-    fn answered(&mut self, hit: HitId, no: ForwardNo) {
+    fn answered(&mut self, hit: RequestId, no: AttemptIndex) {
         let Some(open) = self.hits.get(hit) else {
             return;
         };
-        let Some(forward) = open.forwards.get(usize::from(no.0)) else {
+        let Some(forward) = open.attempts.get(usize::from(no.0)) else {
             return;
         };
         self.reports.note(hit, no, (forward.pod, open.of.group));
@@ -497,8 +505,8 @@
     fn answer_head(
         &mut self,
         to: SocketId,
-        hit: HitId,
-        no: ForwardNo,
+        hit: RequestId,
+        no: AttemptIndex,
         head: &ResponseHead,
         framing: Framing,
     ) -> BytesMut {
@@ -548,7 +556,7 @@
     }
 
     /// The mark of a forward: this sidecar's name and life, the hit and the forward's number.
-    pub(super) fn mark(&self, hit: HitId, no: ForwardNo) -> String {
+    pub(super) fn mark(&self, hit: RequestId, no: AttemptIndex) -> String {
         let (mut life, mut number, mut last) = (
             itoa::Buffer::new(),
             itoa::Buffer::new(),
@@ -566,10 +574,10 @@
         parts.concat()
     }
 
-    fn unmark(&self, mark: &str) -> Option<(HitId, ForwardNo)> {
+    fn unmark(&self, mark: &str) -> Option<(RequestId, AttemptIndex)> {
         let own = format!("{}.{}.", self.terms.name, self.life);
         let (hit, no) = mark.strip_prefix(&own)?.split_once('.')?;
-        Some((HitId(hit.parse().ok()?), ForwardNo(no.parse().ok()?)))
+        Some((RequestId(hit.parse().ok()?), AttemptIndex(no.parse().ok()?)))
     }
 
     fn reported(&mut self, id: SocketId, body: &[u8]) {
@@ -583,7 +591,7 @@
         let Some((pod, group)) = of else {
             return self.reply(id, 404, &[], b"no such forward\n");
         };
-        self.events.push(Event::Flagged { pod, group });
+        self.events.push(Event::Flagged { pod, class: group });
         self.reply(id, 202, &[], b"");
     }
 
@@ -686,7 +694,7 @@
                 let link = open
                     .of
                     .passing
-                    .and_then(|no| open.forwards.get(usize::from(no.0)))
+                    .and_then(|no| open.attempts.get(usize::from(no.0)))
                     .and_then(|f| f.link);
                 link.into_iter().for_each(|link| self.pod_wrote(link));
             }
@@ -729,7 +737,7 @@
         if !open.over {
             open.over = true;
             self.copies.iter_mut().for_each(|copies| copies.over(hit));
-            self.events.push(Event::Left(hit));
+            self.events.push(Event::ClientDisconnected(hit));
             // An answer in mid-way has nobody to go to.
             if let Some(no) = open.of.passing {
                 self.cut(hit, no);
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -22,9 +22,9 @@
 pub use copies::{LogView, StateView};
 use fleet::Fleet;
 pub use fleet::{Seen, View};
-use front::{Client, Reports, Request, MOST_UNSENT};
+use front::{Client, ClientRequest, Reports, MOST_UNSENT};
 use limewing_decision::interface::{
-    Action, Event, ForwardNo, HitId, ListNews, Phase, StartTerms, VoteAnswer,
+    Action, AttemptIndex, EndpointUpdate, Event, Phase, RequestId, SidecarConfig, VoteAnswer,
 };
 use limewing_decision::sidecar::Sidecar;
 use limewing_net::call::Call;
@@ -105,7 +105,7 @@
 
 /// What is due at a time.
 enum Due {
-    Forward(HitId, ForwardNo),
+    Forward(RequestId, AttemptIndex),
     Connect(SocketId),
     Idle(SocketId),
     SlowRequest(SocketId),
@@ -152,7 +152,7 @@
     listener: SocketId,
     address: SocketAddr,
     clients: usize,
-    hits: OpenHits<Request>,
+    hits: OpenHits<ClientRequest>,
     /// Told apart from the same sidecar's earlier lives.
     life: u32,
     idle: Kept,
@@ -196,7 +196,7 @@
     /// As `start`.
     pub fn start_with(
         settings: &SidecarSettings,
-        decisions: impl FnOnce(Duration, StartTerms) -> Box<dyn Decisions + Send>,
+        decisions: impl FnOnce(Duration, SidecarConfig) -> Box<dyn Decisions + Send>,
     ) -> Result<Self, StartTrouble> {
         let routes = Routes::new(settings).map_err(StartTrouble::Settings)?;
         let mut sockets = Sockets::new()?;
@@ -377,7 +377,7 @@
             let events = std::mem::take(&mut self.events);
             let forbids = events
                 .iter()
-                .any(|event| matches!(event, Event::List(_) | Event::Stage { .. }));
+                .any(|event| matches!(event, Event::Endpoints(_) | Event::Stage { .. }));
             let actions = self.module.handle(self.now, events);
             decided = self.clock.now();
             actions
@@ -476,8 +476,8 @@
         self.events.extend(events);
         if let Some(news) = stage.and_then(|message| asks::not_old(&mut self.latest, message)) {
             self.events.push(Event::Stage {
-                news: Some(news),
-                answer: None,
+                update: Some(news),
+                vote_answer: None,
             });
         }
     }
@@ -490,11 +490,11 @@
         for event in &self.events {
             match event {
                 Event::Stage {
-                    news: Some(news), ..
+                    update: Some(news), ..
                 } => {
-                    work.trial(matches!(news.phase, Phase::OnTrial | Phase::GoingBack));
+                    work.trial(matches!(news.phase, Phase::OnTrial | Phase::RollingBack));
                 }
-                Event::Hit { .. } => work.count(self.now, 1, 0),
+                Event::RequestArrived { .. } => work.count(self.now, 1, 0),
                 _ => {}
             }
         }
@@ -516,7 +516,8 @@
             let news = self.book.changes(&self.rows, &rows, self.now, today());
             self.rows = rows;
             if !news.is_empty() {
-                self.events.push(Event::List(ListNews::Change(news)));
+                self.events
+                    .push(Event::Endpoints(EndpointUpdate::Delta(news)));
             }
         }
     }
@@ -542,7 +543,8 @@
         self.listed = kept;
         self.rows = self.told(self.listed.clone());
         let entries = self.book.entries(&self.rows, self.now, today());
-        self.events.push(Event::List(ListNews::Remembered(entries)));
+        self.events
+            .push(Event::Endpoints(EndpointUpdate::Cached(entries)));
     }
 
     fn happened(&mut self, what: Happening) {
@@ -622,22 +624,32 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Forward { hit, pod, within } => self.forward(hit, pod, within),
-            Action::Cancel { hit, no } => self.cancel(hit, no),
-            Action::Bounce { hit, retry_after } => {
+            Action::StartAttempt {
+                request: hit,
+                pod,
+                timeout: within,
+            } => self.forward(hit, pod, within),
+            Action::CancelAttempt {
+                request: hit,
+                attempt: no,
+            } => self.cancel(hit, no),
+            Action::Reject {
+                request: hit,
+                retry_after,
+            } => {
                 self.work
                     .iter_mut()
                     .for_each(|work| work.count(self.now, 0, 1));
                 self.bounce(hit, retry_after);
             }
-            Action::Fail { hit } => self.fail(hit),
+            Action::Fail { request: hit } => self.fail(hit),
             Action::Vote {
                 verdict,
                 build,
                 stage,
             } => self.vote(verdict, build, stage),
-            Action::Watch => self.ask_list(),
-            Action::Wake { at } => self.wake = at,
+            Action::WatchEndpoints => self.ask_list(),
+            Action::WakeAt { at } => self.wake = at,
             Action::Log(line) => tracing::info!(target: "limewing_decision::decisions", "{line}"),
         }
     }
@@ -708,7 +720,7 @@
                 // Its client sees that what was passed on is not whole.
                 Some(client) => self.client_gone(client),
                 None => {
-                    self.events.push(Event::Left(hit));
+                    self.events.push(Event::ClientDisconnected(hit));
                     self.fail(hit);
                 }
             }
--- a/crates/http-proxy/src/stages.rs
+++ b/crates/http-proxy/src/stages.rs
@@ -2,7 +2,7 @@
 //! JSON. `docs/protocol.md` has the pages of both.
 
 use bytes::BytesMut;
-use limewing_decision::interface::{BuildId, Phase, StageNews, StageNo, Verdict, VoteAnswer};
+use limewing_decision::interface::{BuildId, Phase, StageIndex, StageUpdate, Verdict, VoteAnswer};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -31,15 +31,15 @@
 }
 
 impl StageMessage {
-    pub fn news(self) -> StageNews {
-        StageNews {
+    pub fn news(self) -> StageUpdate {
+        StageUpdate {
             build: BuildId(self.build),
-            stage: StageNo(self.stage),
+            stage: StageIndex(self.stage),
             phase: match self.phase {
                 PhaseName::OnTrial => Phase::OnTrial,
-                PhaseName::GoingBack => Phase::GoingBack,
+                PhaseName::GoingBack => Phase::RollingBack,
                 PhaseName::Released => Phase::Released,
-                PhaseName::Withdrawn => Phase::Withdrawn,
+                PhaseName::Withdrawn => Phase::RolledBack,
             },
             cap: if self.cap.is_finite() {
                 self.cap.clamp(0.0, 1.0)
@@ -60,7 +60,7 @@
 }
 
 impl Latest {
-    pub fn take(&mut self, message: StageMessage) -> Option<StageNews> {
+    pub fn take(&mut self, message: StageMessage) -> Option<StageUpdate> {
         if message.number != 0 && message.number < self.number {
             return None;
         }
@@ -87,12 +87,12 @@
 }
 
 impl VoteMessage {
-    pub fn new(sidecar: &str, verdict: Verdict, build: BuildId, stage: StageNo) -> Self {
+    pub fn new(sidecar: &str, verdict: Verdict, build: BuildId, stage: StageIndex) -> Self {
         let verdict = match verdict {
-            Verdict::Withhold => VerdictName::Withhold,
-            Verdict::On => VerdictName::On,
+            Verdict::Abstain => VerdictName::Withhold,
+            Verdict::Promote => VerdictName::On,
             Verdict::Hold => VerdictName::Hold,
-            Verdict::Back => VerdictName::Back,
+            Verdict::RollBack => VerdictName::Back,
         };
         Self {
             sidecar: sidecar.to_owned(),
--- a/crates/http-proxy/tests/sockets/crossings.rs
+++ b/crates/http-proxy/tests/sockets/crossings.rs
@@ -2,7 +2,7 @@
 //! the loop. The loop is held by its decisions, as a process that is stopped.
 
 use crate::help::{run, settings, state_file, Client, Does, Pod, CHARGE, DONE, QUOTE};
-use limewing_decision::interface::{Action, Event, ForwardNo, HitId};
+use limewing_decision::interface::{Action, AttemptIndex, Event, RequestId};
 use limewing_decision::sidecar::Sidecar;
 use limewing_http_proxy::service::{Decisions, Service};
 use limewing_proxy_core::permit::Permits;
@@ -44,7 +44,7 @@
         let holds = self.hold.swap(false, Ordering::SeqCst);
         let attempts = actions
             .iter()
-            .any(|action| matches!(action, Action::Forward { .. }));
+            .any(|action| matches!(action, Action::StartAttempt { .. }));
         if attempts {
             let _ = self.tell.send(Told::Forwards);
         }
@@ -57,7 +57,7 @@
 }
 
 impl Permits for Holding {
-    fn may_begin(&self, now: Duration, hit: HitId, no: ForwardNo) -> bool {
+    fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         !self.forbids.load(Ordering::SeqCst) && self.real.may_begin(now, hit, no)
     }
 }
--- a/crates/http-proxy/tests/sockets/help.rs
+++ b/crates/http-proxy/tests/sockets/help.rs
@@ -1,6 +1,6 @@
 //! A sidecar on a thread, pods that do as they are told, and a client that reads answer by answer.
 
-use limewing_decision::interface::{Action, Event, ForwardNo, HitId, PodId};
+use limewing_decision::interface::{Action, AttemptIndex, Event, PodId, RequestId};
 use limewing_http_proxy::memory;
 use limewing_http_proxy::pods::{PodBook, Row};
 use limewing_http_proxy::service::{Decisions, Service};
@@ -98,7 +98,7 @@
 struct ToAll(Vec<SocketAddr>);
 
 impl Permits for ToAll {
-    fn may_begin(&self, _: Duration, _: HitId, _: ForwardNo) -> bool {
+    fn may_begin(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
         true
     }
 }
@@ -112,17 +112,17 @@
         let mut book = PodBook::new(&[]);
         let pods: Vec<PodId> = self.0.iter().map(|at| book.pod(*at)).collect();
         let forwards = events.iter().filter_map(|event| match event {
-            Event::Hit(hit) => Some(hit.id),
+            Event::RequestArrived(hit) => Some(hit.id),
             _ => None,
         });
         let forwards = forwards.flat_map(|hit| {
-            pods.iter().map(move |pod| Action::Forward {
-                hit,
+            pods.iter().map(move |pod| Action::StartAttempt {
+                request: hit,
                 pod: *pod,
-                within: Duration::ZERO,
+                timeout: Duration::ZERO,
             })
         });
-        let beat = Action::Wake {
+        let beat = Action::WakeAt {
             at: now + Duration::from_millis(20),
         };
         forwards.chain([beat]).collect()
--- a/crates/http-proxy/tests/sockets/wants.rs
+++ b/crates/http-proxy/tests/sockets/wants.rs
@@ -1,7 +1,7 @@
 //! What a sidecar lacks is its own trouble: descriptors, disk, memory. And how it comes back.
 
 use crate::help::{listing, run, settings, state_file, Client, Does, Pod, DONE, QUOTE};
-use limewing_decision::interface::{Action, Event, Fate, ForwardNo, HitId};
+use limewing_decision::interface::{Action, AttemptIndex, AttemptOutcome, Event, RequestId};
 use limewing_decision::sidecar::Sidecar;
 use limewing_http_proxy::service::{Decisions, Service};
 use limewing_proxy_core::permit::Permits;
@@ -14,20 +14,20 @@
 use std::time::Duration;
 
 /// The real decisions, and a word of each outcome that they are told.
-struct Overheard(Sidecar, Sender<Fate>);
+struct Overheard(Sidecar, Sender<AttemptOutcome>);
 
 impl Overheard {
     fn tell(&self, events: &[Event]) {
         for event in events {
-            if let Event::Outcome(outcome) = event {
-                let _ = self.1.send(outcome.fate);
+            if let Event::AttemptFinished(outcome) = event {
+                let _ = self.1.send(outcome.outcome);
             }
         }
     }
 }
 
 impl Permits for Overheard {
-    fn may_begin(&self, now: Duration, hit: HitId, no: ForwardNo) -> bool {
+    fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         self.0.may_begin(now, hit, no)
     }
 }
@@ -92,9 +92,9 @@
                 head.starts_with("HTTP/1.1 503") && head.contains("a retry is harmless"),
                 "{head}"
             );
-            let fates: Vec<Fate> = told.try_iter().collect();
+            let fates: Vec<AttemptOutcome> = told.try_iter().collect();
             assert!(
-                !fates.is_empty() && fates.iter().all(|fate| *fate == Fate::Void),
+                !fates.is_empty() && fates.iter().all(|fate| *fate == AttemptOutcome::NeverSent),
                 "{fates:?}"
             );
             drop(held);
--- a/crates/http-proxy/tests/words.rs
+++ b/crates/http-proxy/tests/words.rs
@@ -50,10 +50,10 @@
     let day = |seconds| SystemTime::UNIX_EPOCH + Duration::from_secs_f64(seconds);
     let first = book.entries(&rows, Duration::from_secs(3600), day(1002.5));
     let later = book.entries(&rows, Duration::from_secs(3610), day(5.0));
-    assert_eq!(first[0].started, Some(Duration::from_secs(3598)));
+    assert_eq!(first[0].started_at, Some(Duration::from_secs(3598)));
     assert_eq!(
-        (later[0].started, later[0].state),
-        (first[0].started, PodState::Ready)
+        (later[0].started_at, later[0].state),
+        (first[0].started_at, PodState::Ready)
     );
     let address = book.address(first[0].pod).unwrap();
     assert_eq!(address.to_string(), "127.0.0.1:1");
--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -49,20 +49,22 @@
     way: Way,
     grace: Duration,
     mutating: Vec<bool>,
-    groups: BTreeMap<HitId, GroupId>,
-    pods: BTreeMap<PodId, PodEntry>,
+    groups: BTreeMap<RequestId, ClassId>,
+    pods: BTreeMap<PodId, Endpoint>,
     drained: BTreeMap<PodId, Duration>,
-    news: Option<StageNews>,
-    sent: BTreeSet<HitId>,
+    news: Option<StageUpdate>,
+    sent: BTreeSet<RequestId>,
     turn: u64,
 }
 
 impl Crooked {
     fn look(&mut self, now: Duration, event: &Event) {
         match event {
-            Event::Hit(hit) => drop(self.groups.insert(hit.id, hit.group)),
-            Event::List(
-                ListNews::Whole(rows) | ListNews::Change(rows) | ListNews::Remembered(rows),
+            Event::RequestArrived(hit) => drop(self.groups.insert(hit.id, hit.class)),
+            Event::Endpoints(
+                EndpointUpdate::Snapshot(rows)
+                | EndpointUpdate::Delta(rows)
+                | EndpointUpdate::Cached(rows),
             ) => {
                 for row in rows {
                     if row.state == PodState::Draining {
@@ -72,21 +74,21 @@
                 }
             }
             Event::Stage {
-                news: Some(news), ..
+                update: Some(news), ..
             } => self.news = Some(*news),
             _ => {}
         }
     }
 
-    fn is_mutating(&self, hit: HitId) -> bool {
+    fn is_mutating(&self, hit: RequestId) -> bool {
         self.groups
             .get(&hit)
             .is_some_and(|group| self.mutating[usize::from(group.0)])
     }
 
     /// Where a forward goes instead.
-    fn instead(&self, now: Duration, hit: HitId) -> Option<PodId> {
-        let ready = |pod: &&PodEntry| pod.state == PodState::Ready;
+    fn instead(&self, now: Duration, hit: RequestId) -> Option<PodId> {
+        let ready = |pod: &&Endpoint| pod.state == PodState::Ready;
         match self.way {
             Way::Cap if !self.is_mutating(hit) && self.turn.is_multiple_of(3) => {
                 let trial = self.news.filter(|news| news.phase == Phase::OnTrial)?.build;
@@ -104,8 +106,8 @@
                     .map(|(pod, _)| *pod)
             }
             Way::Cold => {
-                let young = |pod: &&PodEntry| {
-                    pod.started
+                let young = |pod: &&Endpoint| {
+                    pod.started_at
                         .is_some_and(|at| now < at + Duration::from_secs(2))
                 };
                 self.pods
@@ -121,7 +123,7 @@
 
 impl Permits for Crooked {
     /// The honest module does not know attempts that were planted, or that went to another pod than its own.
-    fn may_begin(&self, now: Duration, hit: HitId, no: ForwardNo) -> bool {
+    fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         let plants = matches!(self.way, Way::Drained | Way::Resend | Way::Cap | Way::Cold);
         plants || self.honest.may_begin(now, hit, no)
     }
@@ -146,7 +148,12 @@
     fn bend(&mut self, now: Duration, actions: Vec<Action>) -> Vec<Action> {
         let mut out = Vec::new();
         for action in actions {
-            let Action::Forward { hit, pod, within } = action else {
+            let Action::StartAttempt {
+                request: hit,
+                pod,
+                timeout: within,
+            } = action
+            else {
                 out.push(action);
                 continue;
             };
@@ -155,7 +162,11 @@
                 continue;
             }
             let pod = self.instead(now, hit).unwrap_or(pod);
-            out.push(Action::Forward { hit, pod, within });
+            out.push(Action::StartAttempt {
+                request: hit,
+                pod,
+                timeout: within,
+            });
             let first = self.sent.insert(hit);
             let again = self
                 .pods
@@ -163,15 +174,15 @@
                 .find(|other| other.state == PodState::Ready && other.pod != pod);
             match self.way {
                 Way::Resend if first && self.is_mutating(hit) => {
-                    out.extend(again.map(|other| Action::Forward {
-                        hit,
+                    out.extend(again.map(|other| Action::StartAttempt {
+                        request: hit,
                         pod: other.pod,
-                        within,
+                        timeout: within,
                     }));
                 }
                 Way::Bounce if self.is_mutating(hit) && self.turn.is_multiple_of(5) => {
-                    out.push(Action::Bounce {
-                        hit,
+                    out.push(Action::Reject {
+                        request: hit,
                         retry_after: Duration::ZERO,
                     });
                 }
@@ -209,11 +220,11 @@
     });
     let service = Service::start_with(&settings, |now, terms| {
         let mutating = terms
-            .groups
+            .classes
             .iter()
-            .map(|group| group.repeat == Repeat::Mutating)
+            .map(|group| group.idempotency == Idempotency::NonIdempotent)
             .collect();
-        let grace = terms.rules.drain_grace;
+        let grace = terms.safety.drain_grace;
         Box::new(Crooked {
             honest: Sidecar::new(now, terms),
             way,
--- a/crates/postgres-proxy/src/config.rs
+++ b/crates/postgres-proxy/src/config.rs
@@ -4,7 +4,7 @@
 use crate::bounds;
 use crate::listing::Listing;
 use crate::news::State;
-use limewing_decision::interface::StartTerms;
+use limewing_decision::interface::SidecarConfig;
 use limewing_simulator_protocol::SocketTerms;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -65,7 +65,7 @@
     pub descriptors: Option<usize>,
     pub news: Option<State>,
     pub known: Option<Listing>,
-    pub terms: StartTerms,
+    pub terms: SidecarConfig,
     pub sockets: SocketTerms,
     /// Tells the settings from others; spaces count.
     pub mark: u64,
@@ -94,8 +94,8 @@
     let mut terms = limewing_simulator_protocol::start_terms(seed, settings)
         .map_err(|e| format!("settings: {e}"))?;
     // On sockets a list comes by no other way than a watch.
-    terms.list_on_request = true;
-    terms.list_lease = Some(bounds::LIST_LEASE);
+    terms.watch_on_request = true;
+    terms.endpoint_lease = Some(bounds::LIST_LEASE);
     let sockets = limewing_simulator_protocol::socket_terms(settings)
         .map_err(|e| format!("settings: {e}"))?;
     if sockets.groups.iter().any(String::is_empty) {
--- a/crates/postgres-proxy/src/listing.rs
+++ b/crates/postgres-proxy/src/listing.rs
@@ -1,7 +1,7 @@
 //! Discovery's list as rows of the decision module.
 
 use limewing_decision::interface::{
-    BuildId, CellId, KindId, ListNews, PodEntry, PodId, PodState, ZoneId,
+    BuildId, CellId, Endpoint, EndpointUpdate, MachineTypeId, PodId, PodState, ZoneId,
 };
 use limewing_proxy_core::clock;
 use rustc_hash::FxHashMap;
@@ -131,7 +131,7 @@
 
 /// What a listing changed.
 pub struct Change {
-    pub news: ListNews,
+    pub news: EndpointUpdate,
     /// Pods whose connections lead to where they are no longer, or to an earlier life of theirs.
     pub moved: Vec<PodId>,
     /// Why entries can't be used; their pods count as gone.
@@ -155,7 +155,7 @@
     }
 
     /// The list as it was held last, before the start.
-    pub fn recall(&mut self, known: Listing, now: Duration, today: SystemTime) -> ListNews {
+    pub fn recall(&mut self, known: Listing, now: Duration, today: SystemTime) -> EndpointUpdate {
         let seq = known.seq;
         let entries = known.hosts.into_iter().filter_map(|told| match told {
             Ok(entry) => Some(entry).filter(|entry| entry.health != Health::Terminated),
@@ -170,7 +170,7 @@
             .values_mut()
             .for_each(|row| row.since = Duration::ZERO);
         self.seq = seq;
-        ListNews::Remembered(entries)
+        EndpointUpdate::Cached(entries)
     }
 
     /// Takes what a watch told. What is told again though nothing changed is left out: it would have the
@@ -237,7 +237,7 @@
         self.forget(now);
         self.seq = told.seq;
         Ok(Change {
-            news: ListNews::Change(rows),
+            news: EndpointUpdate::Delta(rows),
             moved,
             unusable,
         })
@@ -259,7 +259,7 @@
         }
     }
 
-    fn remove(&mut self, host: &str, now: Duration, moved: &mut Vec<PodId>) -> Option<PodEntry> {
+    fn remove(&mut self, host: &str, now: Duration, moved: &mut Vec<PodId>) -> Option<Endpoint> {
         let row = self.rows.remove(host)?;
         self.left.push_back(Left {
             at: now,
@@ -267,7 +267,7 @@
             born_ms: row.entry.born_ms,
         });
         moved.push(row.pod);
-        Some(PodEntry {
+        Some(Endpoint {
             state: PodState::Gone,
             ..self.entry(&row)
         })
@@ -287,7 +287,7 @@
         }
     }
 
-    fn put(&mut self, entry: Entry, now: Duration, today: SystemTime) -> PodEntry {
+    fn put(&mut self, entry: Entry, now: Duration, today: SystemTime) -> Endpoint {
         let pod = self.pod(&entry.host);
         let told = |row: &&Row| row.entry.born_ms == entry.born_ms;
         let same = |row: &&Row| row.entry.version_no == entry.version_no;
@@ -313,14 +313,14 @@
         told
     }
 
-    fn entry(&self, row: &Row) -> PodEntry {
+    fn entry(&self, row: &Row) -> Endpoint {
         // Names beyond the numbers that there are share the last one.
         let place = |names: &[String], name: &str| {
             let place = names.iter().position(|n| n == name).unwrap_or(names.len());
             u16::try_from(place).unwrap_or(u16::MAX)
         };
         let entry = &row.entry;
-        PodEntry {
+        Endpoint {
             pod: row.pod,
             state: match entry.health {
                 Health::InService => PodState::Ready,
@@ -328,15 +328,15 @@
                 Health::Terminated => PodState::Gone,
             },
             build: BuildId(entry.version_no),
-            size: if entry.share.is_finite() && entry.share > 0.0 {
+            weight: if entry.share.is_finite() && entry.share > 0.0 {
                 entry.share
             } else {
                 1.0
             },
-            started: row.started,
+            started_at: row.started,
             zone: ZoneId(place(&self.zones, &entry.site)),
             cell: CellId(entry.block),
-            kind: KindId(place(&self.kinds, &entry.class)),
+            machine_type: MachineTypeId(place(&self.kinds, &entry.class)),
         }
     }
 
--- a/crates/postgres-proxy/src/news.rs
+++ b/crates/postgres-proxy/src/news.rs
@@ -1,6 +1,6 @@
 //! What rollouts and a sidecar say to each other: how the newest build stands, reports of wrong answers, votes.
 
-use limewing_decision::interface::{BuildId, Phase, StageNews, StageNo, Verdict, VoteAnswer};
+use limewing_decision::interface::{BuildId, Phase, StageIndex, StageUpdate, Verdict, VoteAnswer};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -27,15 +27,15 @@
 }
 
 impl State {
-    pub fn news(self) -> StageNews {
-        StageNews {
+    pub fn news(self) -> StageUpdate {
+        StageUpdate {
             build: BuildId(self.revision),
-            stage: StageNo(self.wave),
+            stage: StageIndex(self.wave),
             phase: match self.state {
                 Standing::Progressing => Phase::OnTrial,
-                Standing::Aborting => Phase::GoingBack,
+                Standing::Aborting => Phase::RollingBack,
                 Standing::Healthy => Phase::Released,
-                Standing::Aborted => Phase::Withdrawn,
+                Standing::Aborted => Phase::RolledBack,
             },
             cap: if self.max_share.is_finite() {
                 self.max_share.clamp(0.0, 1.0)
@@ -66,13 +66,13 @@
 impl Latest {
     /// The news, if it is none that was overtaken, and the build that it closes to what has not gone out: one that goes
     /// back, or whose cap was lowered. That binds soon, and an attempt that was granted before may be on its way for longer.
-    pub fn take(&mut self, state: State) -> Option<(StageNews, Option<BuildId>)> {
+    pub fn take(&mut self, state: State) -> Option<(StageUpdate, Option<BuildId>)> {
         if self.0.is_some_and(|old| old.progress() > state.progress()) {
             return None;
         }
         let (old, news) = (self.0.replace(state).map(State::news), state.news());
         let lower = old.is_some_and(|old| old.build == news.build && news.cap < old.cap);
-        let closes = lower || matches!(news.phase, Phase::GoingBack | Phase::Withdrawn);
+        let closes = lower || matches!(news.phase, Phase::RollingBack | Phase::RolledBack);
         Some((news, closes.then_some(news.build)))
     }
 }
@@ -190,12 +190,12 @@
     decision: &'static str,
 }
 
-pub fn vote(verdict: Verdict, build: BuildId, stage: StageNo) -> Vec<u8> {
+pub fn vote(verdict: Verdict, build: BuildId, stage: StageIndex) -> Vec<u8> {
     let decision = match verdict {
-        Verdict::Withhold => "abstain",
-        Verdict::On => "promote",
+        Verdict::Abstain => "abstain",
+        Verdict::Promote => "promote",
         Verdict::Hold => "pause",
-        Verdict::Back => "abort",
+        Verdict::RollBack => "abort",
     };
     serde_json::to_vec(&Vote {
         revision: build.0,
--- a/crates/postgres-proxy/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -7,16 +7,16 @@
 //!
 //! Whoever writes bytes of an attempt needs a [`SendPermit`], which is asked for in that moment.
 
-use super::pod_connection::{Attempt, Phase, PodConnection, Step};
+use super::pod_connection::{CarriedAttempt, Phase, PodConnection, Step};
 use super::{Due, Peer, Service};
 use crate::bounds::{self, Next, HELD_BACK, READY_WITHIN, RESTS, WHOLE_WITHIN};
 use crate::listing::List;
 use bytes::{Bytes, BytesMut};
-use limewing_decision::interface::{Event, Fate, ForwardNo, HitId, PodId};
+use limewing_decision::interface::{AttemptIndex, AttemptOutcome, Event, PodId, RequestId};
 use limewing_net::sockets::{is_own_want, SocketId};
 use limewing_postgres_protocol::write;
 use limewing_proxy_core::kept::Link;
-use limewing_proxy_core::open::Forward;
+use limewing_proxy_core::open::Attempt;
 use limewing_proxy_core::permit::SendPermit;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -41,28 +41,28 @@
 /// The life of an attempt.
 impl Service {
     /// Begins an attempt that the decisions have allowed.
-    pub(super) fn begin_attempt(&mut self, hit: HitId, pod: PodId, within: Duration) {
+    pub(super) fn begin_attempt(&mut self, hit: RequestId, pod: PodId, within: Duration) {
         let now = self.now;
         let Some(open) = self.hits.get_mut(hit) else {
             return;
         };
-        let no = ForwardNo(open.forwards.len() as u16);
+        let no = AttemptIndex(open.attempts.len() as u16);
         let due = if within.is_zero() {
             open.due
         } else {
             open.due.min(now + within)
         };
         let timer = Some(self.wheel.arm(due, Due::Attempt(hit, no)));
-        open.forwards.push(Forward {
+        open.attempts.push(Attempt {
             pod,
             sent: now,
             link: None,
             timer,
             ended: false,
         });
-        let spent = open.forwards.len() > self.terms.max_forwards;
+        let spent = open.attempts.len() > self.terms.max_forwards;
         if open.over || spent || now >= due {
-            return self.end_attempt(hit, no, Fate::Void);
+            return self.end_attempt(hit, no, AttemptOutcome::NeverSent);
         }
         let (id, list) = (open.of.id.as_str(), self.list.seq);
         tracing::debug!(
@@ -78,9 +78,9 @@
     }
 
     /// Gives an attempt to a connection, after so many that broke under it before it was written.
-    fn dispatch(&mut self, hit: HitId, no: ForwardNo, redials: u8) {
+    fn dispatch(&mut self, hit: RequestId, no: AttemptIndex, redials: u8) {
         if self.permit(hit, no).is_none() {
-            return self.end_attempt(hit, no, Fate::Void);
+            return self.end_attempt(hit, no, AttemptOutcome::NeverSent);
         }
         let Some(pod) = self.hits.out(hit, no).map(|forward| forward.pod) else {
             return;
@@ -95,7 +95,7 @@
         if let Some(forward) = self.hits.out(hit, no) {
             forward.link = Some(link);
         }
-        let attempt = Attempt::new(hit, no, redials);
+        let attempt = CarriedAttempt::new(hit, no, redials);
         let Some(Peer::Pod(connection)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -106,12 +106,12 @@
     }
 
     /// Permission to write an attempt now.
-    fn permit(&self, hit: HitId, no: ForwardNo) -> Option<SendPermit> {
+    fn permit(&self, hit: RequestId, no: AttemptIndex) -> Option<SendPermit> {
         SendPermit::ask(&self.module, self.now, hit, no)
     }
 
     /// Writes an attempt to a connection that carries nothing, or ends the attempt if it is no longer allowed.
-    fn begin_writing(&mut self, link: SocketId, attempt: Attempt) {
+    fn begin_writing(&mut self, link: SocketId, attempt: CarriedAttempt) {
         match self.permit(attempt.hit, attempt.no) {
             Some(permit) => self.write_first_bytes(link, attempt, permit),
             None => {
@@ -122,7 +122,12 @@
     }
 
     /// All but the last byte leaves.
-    fn write_first_bytes(&mut self, link: SocketId, mut attempt: Attempt, _permit: SendPermit) {
+    fn write_first_bytes(
+        &mut self,
+        link: SocketId,
+        mut attempt: CarriedAttempt,
+        _permit: SendPermit,
+    ) {
         let Some(Peer::Pod(connection)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -137,7 +142,7 @@
         );
         attempt.until = self.sockets.written(link) + out.len() as u64;
         let sent = open
-            .forwards
+            .attempts
             .get(usize::from(attempt.no.0))
             .map_or(self.now, |forward| forward.sent);
         let waited_ms = (self.now - sent).as_millis() as u64;
@@ -193,7 +198,7 @@
         }
     }
 
-    fn write_last_byte(&mut self, link: SocketId, attempt: Attempt, _permit: SendPermit) {
+    fn write_last_byte(&mut self, link: SocketId, attempt: CarriedAttempt, _permit: SendPermit) {
         let Some(Peer::Pod(connection)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -208,35 +213,39 @@
     }
 
     /// An attempt was not written and is no longer allowed: it never ran.
-    fn withdrawn(&mut self, attempt: Attempt) {
+    fn withdrawn(&mut self, attempt: CarriedAttempt) {
         tracing::debug!(
             hit = attempt.hit.0,
             no = attempt.no.0,
             "withdrawn before it was written"
         );
-        self.end_attempt(attempt.hit, attempt.no, Fate::Void);
+        self.end_attempt(attempt.hit, attempt.no, AttemptOutcome::NeverSent);
     }
 
     /// What becomes of an attempt whose connection is gone.
-    fn go_on(&mut self, attempt: Attempt, next: Next) {
+    fn go_on(&mut self, attempt: CarriedAttempt, next: Next) {
         match next {
             Next::Again => self.dispatch(attempt.hit, attempt.no, attempt.redials + 1),
-            Next::Unreached => self.end_attempt(attempt.hit, attempt.no, Fate::Unreached),
-            Next::Broken => self.end_attempt(attempt.hit, attempt.no, Fate::Broken),
+            Next::Unreached => {
+                self.end_attempt(attempt.hit, attempt.no, AttemptOutcome::ConnectFailed)
+            }
+            Next::Broken => {
+                self.end_attempt(attempt.hit, attempt.no, AttemptOutcome::ConnectionReset)
+            }
         }
     }
 
     /// Tells the decisions how an attempt ended; each ends once.
-    fn end_attempt(&mut self, hit: HitId, no: ForwardNo, fate: Fate) {
+    fn end_attempt(&mut self, hit: RequestId, no: AttemptIndex, fate: AttemptOutcome) {
         let Some(ended) = self.hits.end(hit, no, fate, self.now) else {
             return;
         };
         ended.timer.map(|timer| self.wheel.cancel(timer));
-        self.events.push(Event::Outcome(ended.outcome));
+        self.events.push(Event::AttemptFinished(ended.outcome));
         self.forget(ended.last);
     }
 
-    pub(super) fn attempt_late(&mut self, hit: HitId, no: ForwardNo) {
+    pub(super) fn attempt_late(&mut self, hit: RequestId, no: AttemptIndex) {
         let Some(forward) = self.hits.out(hit, no) else {
             return;
         };
@@ -244,20 +253,20 @@
         let link = forward.link.take();
         // Not written for want of time: no sign of the pod, whose connection has a time-out of its own.
         let fate = if self.drop_attempt(link) {
-            Fate::TimedOut
+            AttemptOutcome::TimedOut
         } else {
-            Fate::Void
+            AttemptOutcome::NeverSent
         };
         self.end_attempt(hit, no, fate);
     }
 
-    pub(super) fn cancel(&mut self, hit: HitId, no: ForwardNo) {
+    pub(super) fn cancel(&mut self, hit: RequestId, no: AttemptIndex) {
         let Some(forward) = self.hits.out(hit, no) else {
             return;
         };
         let link = forward.link.take();
         self.drop_attempt(link);
-        self.end_attempt(hit, no, Fate::Cancelled);
+        self.end_attempt(hit, no, AttemptOutcome::Cancelled);
     }
 
     /// Ends the attempts that have not been written and are no longer allowed.
@@ -280,19 +289,19 @@
 
     /// Nothing more is sent for a request that has its answer, or whose client is gone, whether or not an attempt that has
     /// been written may be cancelled.
-    pub(super) fn call_off_rest(&mut self, hit: HitId) {
+    pub(super) fn call_off_rest(&mut self, hit: RequestId) {
         for (no, link) in self.hits.out_of(hit) {
             self.call_off_one(hit, no, link);
         }
     }
 
-    fn call_off_one(&mut self, hit: HitId, no: ForwardNo, link: Option<SocketId>) {
+    fn call_off_one(&mut self, hit: RequestId, no: AttemptIndex, link: Option<SocketId>) {
         let Some(Peer::Pod(connection)) = link.and_then(|link| self.peers.get(&link)) else {
             return;
         };
         if connection.phase.is_unwritten() {
             self.drop_attempt(link);
-            self.end_attempt(hit, no, Fate::Void);
+            self.end_attempt(hit, no, AttemptOutcome::NeverSent);
         }
     }
 
@@ -441,7 +450,7 @@
         old.map(|timer| self.wheel.cancel(timer));
     }
 
-    fn answer_whole(&mut self, link: SocketId, attempt: Attempt, answer: &[Bytes; 3]) {
+    fn answer_whole(&mut self, link: SocketId, attempt: CarriedAttempt, answer: &[Bytes; 3]) {
         let Some(Peer::Pod(connection)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -454,11 +463,16 @@
             write::again(&mut out, kind, body);
         }
         self.settle(attempt.hit, out);
-        self.end_attempt(attempt.hit, attempt.no, Fate::Delivered);
+        self.end_attempt(attempt.hit, attempt.no, AttemptOutcome::Succeeded);
     }
 
     /// The pod answered with an error, or takes no more connections.
-    fn answer_failed(&mut self, link: SocketId, attempt: Option<Attempt>, fate: Fate) {
+    fn answer_failed(
+        &mut self,
+        link: SocketId,
+        attempt: Option<CarriedAttempt>,
+        fate: AttemptOutcome,
+    ) {
         let Some(Peer::Pod(connection)) = self.peers.get(&link) else {
             return;
         };
@@ -511,20 +525,20 @@
         }
     }
 
-    fn connect(&mut self, pod: PodId) -> Result<SocketId, Fate> {
+    fn connect(&mut self, pod: PodId) -> Result<SocketId, AttemptOutcome> {
         // What is left is for discovery, news and votes.
         if !self.makes_room() {
-            return Err(Fate::Void);
+            return Err(AttemptOutcome::NeverSent);
         }
-        let life = self.list.life(pod).ok_or(Fate::Unreached)?;
+        let life = self.list.life(pod).ok_or(AttemptOutcome::ConnectFailed)?;
         let link = self.sockets.connect(life.dial).map_err(|trouble| {
             // Our own want is no sign of the pod: it must not be shut for it.
             let own = is_own_want(&trouble);
             tracing::warn!(%trouble, own, "no way to a pod");
             if own {
-                Fate::Void
+                AttemptOutcome::NeverSent
             } else {
-                Fate::Unreached
+                AttemptOutcome::ConnectFailed
             }
         })?;
         let timer = self
