--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -6,7 +6,7 @@
 use crate::lines::{Broken, Objects};
 use crate::listing::Listing;
 use bytes::{Bytes, BytesMut};
-use limewing_decision::interface::{Event, ListLoss, ListNews, LossCause};
+use limewing_decision::interface::{EndpointUpdate, Event, WatchLoss, WatchLossCause};
 use limewing_net::body::Framing;
 use limewing_net::http;
 use limewing_net::sockets::SocketId;
@@ -56,16 +56,16 @@
     }
 
     /// What that means of the list.
-    fn cause(&self, watch: &WatchLink) -> LossCause {
+    fn cause(&self, watch: &WatchLink) -> WatchLossCause {
         match self {
-            Self::Broken(broken) if broken.is_refusal() => LossCause::Refused,
+            Self::Broken(broken) if broken.is_refusal() => WatchLossCause::Refused,
             // A call that can't be taken may end by a reset, too.
-            Self::Lost if !watch.answered => LossCause::Refused,
-            Self::Silent if !watch.answered => LossCause::Unanswered,
+            Self::Lost if !watch.answered => WatchLossCause::Refused,
+            Self::Silent if !watch.answered => WatchLossCause::TimedOut,
             // Half an object, and no more of it.
-            Self::Silent if !watch.listed => LossCause::NoService,
-            Self::Unreachable | Self::Broken(_) | Self::Unusable(_) => LossCause::NoService,
-            Self::Lost | Self::Ended | Self::Silent => LossCause::Ended,
+            Self::Silent if !watch.listed => WatchLossCause::NoService,
+            Self::Unreachable | Self::Broken(_) | Self::Unusable(_) => WatchLossCause::NoService,
+            Self::Lost | Self::Ended | Self::Silent => WatchLossCause::Ended,
         }
     }
 }
@@ -103,7 +103,7 @@
             return;
         }
         let Ok(link) = self.sockets.connect(self.places.discovery) else {
-            return self.list_fails(LossCause::Ended);
+            return self.list_fails(WatchLossCause::Ended);
         };
         let quiet = self
             .wheel
@@ -186,7 +186,7 @@
             );
         }
         tracing::debug!(seq = self.list.seq, pods = self.list.len(), "the list");
-        self.events.push(Event::List(change.news));
+        self.events.push(Event::Endpoints(change.news));
         // An attempt to a pod that drains or left is withdrawn by the decisions; they do not know of addresses.
         for pod in &change.moved {
             self.kept
@@ -206,7 +206,7 @@
     }
 
     pub(super) fn watch_lost(&mut self, link: SocketId, why: &WatchEnd) {
-        let mut cause = LossCause::Ended;
+        let mut cause = WatchLossCause::Ended;
         if let Some(Peer::Watch(of)) = self.peers.get(&link) {
             cause = why.cause(of);
             let waited_ms = (self.now - of.asked).as_millis() as u64;
@@ -223,9 +223,12 @@
         }
     }
 
-    fn list_fails(&mut self, why: LossCause) {
+    fn list_fails(&mut self, why: WatchLossCause) {
         let silent = self.now.saturating_sub(self.list_heard);
         self.events
-            .push(Event::List(ListNews::Failed(ListLoss { silent, why })));
+            .push(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
+                silent_for: silent,
+                cause: why,
+            })));
     }
 }
--- a/crates/postgres-proxy/src/service/front.rs
+++ b/crates/postgres-proxy/src/service/front.rs
@@ -4,7 +4,7 @@
 use crate::bounds::{self, Idle, MOST_WAITING, SPEAKS_WITHIN, SWEEP_EVERY, TURNED_AWAY_AFTER};
 use crate::statement;
 use bytes::BytesMut;
-use limewing_decision::interface::{Event, Hit, HitId};
+use limewing_decision::interface::{Event, Request, RequestId};
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
 use limewing_postgres_protocol::{read, waiting, write, Frames};
@@ -24,7 +24,7 @@
     begun: bool,
     /// It has had an answer to a statement of the form that is served.
     served: bool,
-    hit: Option<HitId>,
+    hit: Option<RequestId>,
     since: Duration,
     /// When it is closed if it says nothing whole.
     silent: Option<TimerKey>,
@@ -197,19 +197,19 @@
         let (group, customer, key) = (statement.group, statement.customer, statement.key);
         self.ids.insert(statement.id.clone());
         let hit = self.hits.open(id, due, statement);
-        self.events.push(Event::Hit(Hit {
+        self.events.push(Event::RequestArrived(Request {
             id: hit,
-            group,
-            customer,
-            key,
-            due,
+            class: group,
+            tenant: customer,
+            routing_key: key,
+            deadline: due,
         }));
         if let Some(client) = self.client(id) {
             client.hit = Some(hit);
         }
     }
 
-    pub(super) fn bounce(&mut self, hit: HitId, retry_after: Duration) {
+    pub(super) fn bounce(&mut self, hit: RequestId, retry_after: Duration) {
         let mut digits = itoa::Buffer::new();
         // No time is no advice.
         let wait = (!retry_after.is_zero()).then(|| digits.format(retry_after.as_millis() as u64));
@@ -224,7 +224,7 @@
         self.settle(hit, out);
     }
 
-    pub(super) fn fail(&mut self, hit: HitId) {
+    pub(super) fn fail(&mut self, hit: RequestId) {
         let late = self.hits.get(hit).is_some_and(|open| self.now >= open.due);
         let mut out = BytesMut::new();
         write::error(
@@ -238,7 +238,7 @@
     }
 
     /// The final answer of a hit; `out` lacks the word that the next statement may come.
-    pub(super) fn settle(&mut self, hit: HitId, mut out: BytesMut) {
+    pub(super) fn settle(&mut self, hit: RequestId, mut out: BytesMut) {
         let Some(open) = self.hits.unsettled(hit) else {
             return;
         };
@@ -260,7 +260,7 @@
         }
     }
 
-    pub(super) fn tidy(&mut self, hit: HitId) {
+    pub(super) fn tidy(&mut self, hit: RequestId) {
         let last = self.hits.tidy(hit);
         self.forget(last);
     }
@@ -405,7 +405,7 @@
         self.turn_away(id, "54000", TOO_MANY.into());
     }
 
-    fn left(&mut self, hit: Option<HitId>) {
+    fn left(&mut self, hit: Option<RequestId>) {
         let Some(hit) = hit else { return };
         let Some(open) = self.hits.get_mut(hit) else {
             return;
@@ -413,7 +413,7 @@
         open.client = None;
         if !open.over {
             open.over = true;
-            self.events.push(Event::Left(hit));
+            self.events.push(Event::ClientDisconnected(hit));
             self.call_off_rest(hit);
             self.tidy(hit);
         }
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -16,7 +16,9 @@
 use crate::statement::{Names, Statement};
 use discovery::{WatchEnd, WatchLink};
 use front::Client;
-use limewing_decision::interface::{Action, Event, ForwardNo, HitId, Repeat, VoteAnswer};
+use limewing_decision::interface::{
+    Action, AttemptIndex, Event, Idempotency, RequestId, VoteAnswer,
+};
 use limewing_decision::sidecar::Sidecar;
 use limewing_net::call::Call;
 use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
@@ -64,7 +66,7 @@
 
 /// What is due at a time.
 enum Due {
-    Attempt(HitId, ForwardNo),
+    Attempt(RequestId, AttemptIndex),
     Connect(SocketId),
     LastByte(SocketId),
     Idle(SocketId),
@@ -163,12 +165,12 @@
         sockets.accept_up_to(room.accepted, room.shared);
         let clock = Clock::default();
         let now = clock.now();
-        let tagged = |repeat: Repeat| matches!(repeat, Repeat::Tagged { .. });
+        let tagged = |repeat: Idempotency| matches!(repeat, Idempotency::Keyed { .. });
         let tagged: Vec<bool> = told
             .terms
-            .groups
+            .classes
             .iter()
-            .map(|group| tagged(group.repeat))
+            .map(|group| tagged(group.idempotency))
             .collect();
         let terms = Terms {
             name: told.name,
@@ -176,12 +178,12 @@
             mark: told.mark,
             connect_timeout: told.sockets.connect_timeout,
             idle_close: told.sockets.idle_close,
-            max_forwards: told.terms.max_forwards.into(),
-            vote_answer_within: told.terms.release.vote_answer_within,
+            max_forwards: told.terms.max_attempts.into(),
+            vote_answer_within: told.terms.rollout.vote_timeout,
         };
         let longest = told
             .terms
-            .groups
+            .classes
             .iter()
             .map(|g| g.client_timeout)
             .max()
@@ -228,7 +230,7 @@
         }
         if let Some(known) = told.known {
             let news = service.list.recall(known, now, SystemTime::now());
-            service.events.push(Event::List(news));
+            service.events.push(Event::Endpoints(news));
         } else {
             service.ask_watch();
         }
@@ -407,17 +409,27 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Forward { hit, pod, within } => self.begin_attempt(hit, pod, within),
-            Action::Cancel { hit, no } => self.cancel(hit, no),
-            Action::Bounce { hit, retry_after } => self.bounce(hit, retry_after),
-            Action::Fail { hit } => self.fail(hit),
+            Action::StartAttempt {
+                request: hit,
+                pod,
+                timeout: within,
+            } => self.begin_attempt(hit, pod, within),
+            Action::CancelAttempt {
+                request: hit,
+                attempt: no,
+            } => self.cancel(hit, no),
+            Action::Reject {
+                request: hit,
+                retry_after,
+            } => self.bounce(hit, retry_after),
+            Action::Fail { request: hit } => self.fail(hit),
             Action::Vote {
                 verdict,
                 build,
                 stage,
             } => self.vote(verdict, build, stage),
-            Action::Watch => self.ask_watch(),
-            Action::Wake { at } => self.wake = at,
+            Action::WatchEndpoints => self.ask_watch(),
+            Action::WakeAt { at } => self.wake = at,
             Action::Log(line) => tracing::info!(target: "limewing_decision::decisions", "{line}"),
         }
     }
@@ -509,7 +521,7 @@
     fn answer_all(&mut self) {
         for hit in self.hits.all_unsettled() {
             tracing::warn!(hit = hit.0, "not answered before the end");
-            self.events.push(Event::Left(hit));
+            self.events.push(Event::ClientDisconnected(hit));
             self.fail(hit);
         }
     }
--- a/crates/postgres-proxy/src/service/pod_connection.rs
+++ b/crates/postgres-proxy/src/service/pod_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::listing::Life;
 use bytes::Bytes;
-use limewing_decision::interface::{Fate, ForwardNo, HitId, PodId};
+use limewing_decision::interface::{AttemptIndex, AttemptOutcome, PodId, RequestId};
 use limewing_net::wheel::TimerKey;
 use limewing_postgres_protocol::{read, Frame, Frames};
 use std::mem;
@@ -27,24 +27,24 @@
 /// Where a connection stands, with the attempt that it carries.
 pub enum Phase {
     /// It comes up. The attempt that it was made for may have ended since.
-    Connecting(Option<Attempt>),
+    Connecting(Option<CarriedAttempt>),
     /// It waits for the next attempt.
     Idle,
     /// All but the last byte of the attempt is written, behind an empty query that is not answered yet.
-    Checking(Attempt),
+    Checking(CarriedAttempt),
     /// The empty query is answered, and the last byte is held back for a moment.
-    HoldingBack(Attempt),
+    HoldingBack(CarriedAttempt),
     /// The attempt is written whole.
-    Sent(Attempt, Answer),
+    Sent(CarriedAttempt, Answer),
     /// The answer has come, but not yet the word that the next attempt may.
     Settling,
 }
 
 /// An attempt on a connection.
 #[derive(Clone, Copy)]
-pub struct Attempt {
-    pub hit: HitId,
-    pub no: ForwardNo,
+pub struct CarriedAttempt {
+    pub hit: RequestId,
+    pub no: AttemptIndex,
     /// Bytes written on this connection when all of the attempt is.
     pub until: u64,
     /// Connections that broke under it before it was written.
@@ -67,15 +67,15 @@
     /// The empty query is answered.
     CheckAnswered,
     /// The answer is whole: the bodies of its description, its row and its completion.
-    Whole(Attempt, [Bytes; 3]),
+    Whole(CarriedAttempt, [Bytes; 3]),
     /// The pod answered with an error.
-    Failed(Option<Attempt>, Fate),
+    Failed(Option<CarriedAttempt>, AttemptOutcome),
     /// What can't be an answer.
     Spoilt,
 }
 
-impl Attempt {
-    pub fn new(hit: HitId, no: ForwardNo, redials: u8) -> Self {
+impl CarriedAttempt {
+    pub fn new(hit: RequestId, no: AttemptIndex, redials: u8) -> Self {
         Self {
             hit,
             no,
@@ -86,7 +86,7 @@
 }
 
 impl Phase {
-    pub fn attempt(&self) -> Option<&Attempt> {
+    pub fn attempt(&self) -> Option<&CarriedAttempt> {
         match self {
             Self::Connecting(attempt) => attempt.as_ref(),
             Self::Checking(attempt) | Self::HoldingBack(attempt) | Self::Sent(attempt, _) => {
@@ -133,7 +133,7 @@
     }
 
     /// Takes the attempt off a connection that still comes up.
-    pub fn take_waiting(&mut self) -> Option<Attempt> {
+    pub fn take_waiting(&mut self) -> Option<CarriedAttempt> {
         match &mut self.phase {
             Phase::Connecting(attempt) => attempt.take(),
             _ => None,
@@ -184,8 +184,8 @@
 
     fn failed(&mut self, begun: bool, body: &Bytes) -> Step {
         let fate = match read::code(body) {
-            Some(TURNED_AWAY) if !begun => Fate::TurnedAway,
-            Some(_) => Fate::Errored,
+            Some(TURNED_AWAY) if !begun => AttemptOutcome::Rejected,
+            Some(_) => AttemptOutcome::Failed,
             None => return Step::Spoilt,
         };
         let attempt = mem::replace(&mut self.phase, Phase::Settling)
@@ -196,9 +196,9 @@
 }
 
 /// A pod that takes no more connections has not begun anything.
-fn connecting_fate(body: &Bytes) -> Fate {
+fn connecting_fate(body: &Bytes) -> AttemptOutcome {
     match read::code(body) {
-        Some(TURNED_AWAY) => Fate::TurnedAway,
-        _ => Fate::Unreached,
+        Some(TURNED_AWAY) => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::ConnectFailed,
     }
 }
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -5,7 +5,7 @@
 use crate::lines::Lines;
 use crate::news::{self, State, Told};
 use bytes::Bytes;
-use limewing_decision::interface::{BuildId, Event, GroupId, StageNo, Verdict, VoteAnswer};
+use limewing_decision::interface::{BuildId, ClassId, Event, StageIndex, Verdict, VoteAnswer};
 use limewing_net::call::{Call, Heard};
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
@@ -34,7 +34,10 @@
             self.call_off(|list, pod| list.life(pod).is_some_and(|life| life.build >= closed));
         }
         if news.is_some() || answer.is_some() {
-            self.events.push(Event::Stage { news, answer });
+            self.events.push(Event::Stage {
+                update: news,
+                vote_answer: answer,
+            });
         }
     }
 
@@ -109,7 +112,7 @@
                 if let (Some(pod), Some(group)) = (pod, group) {
                     self.events.push(Event::Flagged {
                         pod,
-                        group: GroupId(group as u16),
+                        class: ClassId(group as u16),
                     });
                 }
             }
@@ -142,18 +145,18 @@
         self.wheel.arm(self.now + wait, Due::AskNews);
     }
 
-    pub(super) fn vote(&mut self, verdict: Verdict, build: BuildId, stage: StageNo) {
+    pub(super) fn vote(&mut self, verdict: Verdict, build: BuildId, stage: StageIndex) {
         tracing::info!(?verdict, build = build.0, stage = stage.0, "votes");
         let Some(at) = self.places.rollouts else {
             return self.events.push(Event::Stage {
-                news: None,
-                answer: Some(VoteAnswer::Failed),
+                update: None,
+                vote_answer: Some(VoteAnswer::Failed),
             });
         };
         let Ok(link) = self.sockets.connect(at) else {
             return self.events.push(Event::Stage {
-                news: None,
-                answer: Some(VoteAnswer::Failed),
+                update: None,
+                vote_answer: Some(VoteAnswer::Failed),
             });
         };
         let body = news::vote(verdict, build, stage);
@@ -198,8 +201,8 @@
         match state {
             Some(state) => self.stands(state, Some(answer)),
             None => self.events.push(Event::Stage {
-                news: None,
-                answer: Some(answer),
+                update: None,
+                vote_answer: Some(answer),
             }),
         }
     }
--- a/crates/postgres-proxy/src/statement.rs
+++ b/crates/postgres-proxy/src/statement.rs
@@ -1,6 +1,6 @@
 //! The one form of statement that a hit has, and its comment. What has another form goes to no pod.
 
-use limewing_decision::interface::{CustomerId, GroupId, KeyId};
+use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::Range;
@@ -23,9 +23,9 @@
 pub struct Statement {
     pub verb: Verb,
     pub id: String,
-    pub group: GroupId,
-    pub customer: Option<CustomerId>,
-    pub key: Option<KeyId>,
+    pub group: ClassId,
+    pub customer: Option<TenantId>,
+    pub key: Option<RoutingKey>,
     pub waits: Duration,
     pub text: String,
     waits_at: Range<usize>,
@@ -46,21 +46,21 @@
 
 /// The names that a comment may hold, in the order of the module's numbers.
 pub struct Names {
-    groups: BTreeMap<String, (GroupId, bool)>,
-    customers: BTreeMap<String, CustomerId>,
+    groups: BTreeMap<String, (ClassId, bool)>,
+    customers: BTreeMap<String, TenantId>,
 }
 
 impl Names {
     /// `tagged`: which groups need a mark against repeats.
     pub fn new(groups: &[String], tagged: &[bool], customers: &[String]) -> Self {
-        let of = |n: usize| (GroupId(n as u16), tagged.get(n).copied().unwrap_or(false));
+        let of = |n: usize| (ClassId(n as u16), tagged.get(n).copied().unwrap_or(false));
         let groups = groups
             .iter()
             .enumerate()
             .map(|(n, name)| (name.clone(), of(n)));
         let customers = (0u32..)
             .zip(customers)
-            .map(|(n, name)| (name.clone(), CustomerId(n)));
+            .map(|(n, name)| (name.clone(), TenantId(n)));
         Self {
             groups: groups.collect(),
             customers: customers.collect(),
@@ -157,8 +157,8 @@
     (1..=LONGEST_ID).contains(&text.len()) && text.bytes().all(plain)
 }
 
-fn key_of(handle: &str) -> KeyId {
+fn key_of(handle: &str) -> RoutingKey {
     let mut hasher = DefaultHasher::new();
     handle.hash(&mut hasher);
-    KeyId(hasher.finish())
+    RoutingKey(hasher.finish())
 }
--- a/crates/postgres-proxy/tests/caps.rs
+++ b/crates/postgres-proxy/tests/caps.rs
@@ -1,7 +1,9 @@
 //! Fleets of hundreds of sidecars and more than a thousand pods: nothing here has room for fewer.
 
 use bytes::BytesMut;
-use limewing_decision::interface::{Action, Event, GroupId, Hit, HitId, ListNews, PodEntry, PodId};
+use limewing_decision::interface::{
+    Action, ClassId, Endpoint, EndpointUpdate, Event, PodId, Request, RequestId,
+};
 use limewing_decision::sidecar::Sidecar;
 use limewing_emulators::platform::{listing, Config, Listed};
 use limewing_postgres_proxy::config::{self, Told};
@@ -36,9 +38,9 @@
     serde_json::from_str(text).unwrap()
 }
 
-fn recalled(list: &mut List, known: Listing) -> Vec<PodEntry> {
+fn recalled(list: &mut List, known: Listing) -> Vec<Endpoint> {
     match list.recall(known, NOW, SystemTime::now()) {
-        ListNews::Remembered(rows) => rows,
+        EndpointUpdate::Cached(rows) => rows,
         other => panic!("a list that is remembered, not {other:?}"),
     }
 }
@@ -62,7 +64,7 @@
         entries.join(",")
     ));
     let rows = recalled(&mut List::new(&["a".into()], &kinds), known);
-    let told: BTreeSet<_> = rows.iter().map(|row| row.kind).collect();
+    let told: BTreeSet<_> = rows.iter().map(|row| row.machine_type).collect();
     assert_eq!(told.len(), PODS);
 }
 
@@ -117,7 +119,7 @@
 fn a_configuration_names_the_whole_fleet(#[case] own_number: u32) {
     let told = told(own_number);
     assert_eq!(
-        (told.terms.sidecars, told.terms.own_number),
+        (told.terms.sidecar_count, told.terms.sidecar_index),
         (SIDECARS, own_number)
     );
     let known = told.known.unwrap();
@@ -162,9 +164,9 @@
     assert_eq!((rows(change.news).len(), change.unusable.len()), (PODS, 0));
 }
 
-fn rows(news: ListNews) -> Vec<PodEntry> {
+fn rows(news: EndpointUpdate) -> Vec<Endpoint> {
     match news {
-        ListNews::Change(rows) => rows,
+        EndpointUpdate::Delta(rows) => rows,
         other => panic!("a change, not {other:?}"),
     }
 }
@@ -182,7 +184,7 @@
         let mut list = List::new(&told.sockets.zones, &told.sockets.kinds);
         let mut module = Sidecar::new(NOW, told.terms);
         let known = list.recall(told.known.unwrap(), NOW, SystemTime::now());
-        module.handle(NOW, vec![Event::List(known)]);
+        module.handle(NOW, vec![Event::Endpoints(known)]);
         Self {
             list,
             module,
@@ -201,26 +203,28 @@
         (
             many,
             self.module
-                .handle(now, vec![Event::List(ListNews::Change(told))])
+                .handle(now, vec![Event::Endpoints(EndpointUpdate::Delta(told))])
                 .len(),
         )
     }
 
     /// As many requests as that at once: the pods that their attempts go to, one of each request.
     fn asks(&mut self, many: usize, now: Duration) -> Vec<PodId> {
-        let (group, due) = (GroupId(0), now + Duration::from_secs(5));
+        let (group, due) = (ClassId(0), now + Duration::from_secs(5));
         let first = self.hits;
         self.hits += many as u64;
-        let hit = |id| Hit {
-            id: HitId(id),
-            group,
-            customer: None,
-            key: None,
-            due,
+        let hit = |id| Request {
+            id: RequestId(id),
+            class: group,
+            tenant: None,
+            routing_key: None,
+            deadline: due,
         };
-        let asked = (first..self.hits).map(|id| Event::Hit(hit(id))).collect();
+        let asked = (first..self.hits)
+            .map(|id| Event::RequestArrived(hit(id)))
+            .collect();
         let goes = |action| match action {
-            Action::Forward { pod, .. } => Some(pod),
+            Action::StartAttempt { pod, .. } => Some(pod),
             _ => None,
         };
         self.module
--- a/crates/postgres-proxy/tests/golden.rs
+++ b/crates/postgres-proxy/tests/golden.rs
@@ -4,7 +4,7 @@
 //! after a wanted change.
 
 use limewing_decision::interface::{
-    BuildId, Control, ListNews, Phase, PodEntry, PodState, StageNews, StageNo, Verdict,
+    BuildId, Control, Endpoint, EndpointUpdate, Phase, PodState, StageIndex, StageUpdate, Verdict,
 };
 use limewing_emulators::platform::{listing, state, Config, Discovery, Listed, Rollouts, Vote};
 use limewing_postgres_proxy::config;
@@ -73,12 +73,12 @@
     assert_golden("statements_read.txt", &read);
 }
 
-fn describe_stage(news: &StageNews) -> String {
+fn describe_stage(news: &StageUpdate) -> String {
     let phase = match news.phase {
         Phase::OnTrial => "progressing",
-        Phase::GoingBack => "aborting",
+        Phase::RollingBack => "aborting",
         Phase::Released => "healthy",
-        Phase::Withdrawn => "aborted",
+        Phase::RolledBack => "aborted",
     };
     format!(
         "revision {} wave {} {phase} share {} age {}",
@@ -139,34 +139,39 @@
 
 #[test]
 fn votes_have_their_form() {
-    let verdicts = [Verdict::Withhold, Verdict::On, Verdict::Hold, Verdict::Back];
+    let verdicts = [
+        Verdict::Abstain,
+        Verdict::Promote,
+        Verdict::Hold,
+        Verdict::RollBack,
+    ];
     let mut written = String::new();
     for verdict in verdicts {
-        let body = vote(verdict, BuildId(513), StageNo(2));
+        let body = vote(verdict, BuildId(513), StageIndex(2));
         writeln!(written, "{}", String::from_utf8(body).unwrap()).unwrap();
     }
     assert_golden("votes.jsonl", &written);
 }
 
-fn describe_row(row: &PodEntry, now: Duration) -> String {
+fn describe_row(row: &Endpoint, now: Duration) -> String {
     let state = match row.state {
         PodState::Ready => "in service",
         PodState::Draining => "terminating",
         PodState::Gone => "terminated",
     };
-    let age = row.started.map(|at| (now - at).as_millis());
+    let age = row.started_at.map(|at| (now - at).as_millis());
     format!(
         "pod {} {state} build {} size {} age {age:?} zone {} cell {} kind {}",
-        row.pod.0, row.build.0, row.size, row.zone.0, row.cell.0, row.kind.0
+        row.pod.0, row.build.0, row.weight, row.zone.0, row.cell.0, row.machine_type.0
     )
 }
 
-fn describe_list(list: &List, news: &ListNews, now: Duration) -> String {
+fn describe_list(list: &List, news: &EndpointUpdate, now: Duration) -> String {
     let (how, rows) = match news {
-        ListNews::Change(rows) => ("change", rows),
-        ListNews::Whole(rows) => ("whole", rows),
-        ListNews::Remembered(rows) => ("known at the start", rows),
-        ListNews::Failed(_) => panic!("no list"),
+        EndpointUpdate::Delta(rows) => ("change", rows),
+        EndpointUpdate::Snapshot(rows) => ("whole", rows),
+        EndpointUpdate::Cached(rows) => ("known at the start", rows),
+        EndpointUpdate::WatchLost(_) => panic!("no list"),
     };
     let mut text = format!("{how}, seq {}\n", list.seq);
     for row in rows {
@@ -253,14 +258,14 @@
     line("settings hash", format!("{:016x}", told.mark));
     let terms = &told.terms;
     line("terms seed", format!("{:016x}", terms.seed));
-    line("balancers", terms.sidecars.to_string());
-    line("me", terms.own_number.to_string());
+    line("balancers", terms.sidecar_count.to_string());
+    line("me", terms.sidecar_index.to_string());
     line("zone", terms.zone.0.to_string());
-    line("classes", terms.groups.len().to_string());
-    line("list on request", terms.list_on_request.to_string());
-    line("list pushed", terms.list_pushed.to_string());
-    line("list lease", format!("{:?}", terms.list_lease));
-    let by_clock = terms.release.control == Control::Clock;
+    line("classes", terms.classes.len().to_string());
+    line("list on request", terms.watch_on_request.to_string());
+    line("list pushed", terms.endpoints_pushed.to_string());
+    line("list lease", format!("{:?}", terms.endpoint_lease));
+    let by_clock = terms.rollout.control == Control::Clock;
     line("gate mode by clock", by_clock.to_string());
     line("class names", told.sockets.groups.join(","));
     line("realm names", told.sockets.customers.join(","));
--- a/crates/postgres-proxy/tests/words.rs
+++ b/crates/postgres-proxy/tests/words.rs
@@ -1,6 +1,6 @@
 //! The platform's words as the module's: statements, the list, news.
 
-use limewing_decision::interface::{ListNews, Phase, PodState, StageNo, VoteAnswer};
+use limewing_decision::interface::{EndpointUpdate, Phase, PodState, StageIndex, VoteAnswer};
 use limewing_emulators::platform::{listing, state, Config, Listed};
 use limewing_postgres_proxy::config;
 use limewing_postgres_proxy::lines::{Lines, Objects};
@@ -148,7 +148,7 @@
     let change = list
         .take(told(9, true, &[moved, three]), now, SystemTime::now())
         .unwrap();
-    let ListNews::Change(rows) = change.news else {
+    let EndpointUpdate::Delta(rows) = change.news else {
         panic!("a change")
     };
     let told: Vec<_> = rows
@@ -199,11 +199,11 @@
             .take(stands(build, stage, name))
             .map(|(news, _)| news)
     };
-    assert_eq!(take(4, 1, "Progressing").unwrap().stage, StageNo(1));
+    assert_eq!(take(4, 1, "Progressing").unwrap().stage, StageIndex(1));
     assert!(take(4, 0, "Progressing").is_none());
     assert!(take(3, 2, "Healthy").is_none());
     assert_eq!(take(4, 2, "Healthy").unwrap().phase, Phase::Released);
-    assert_eq!(take(4, 2, "Aborting").unwrap().phase, Phase::GoingBack);
+    assert_eq!(take(4, 2, "Aborting").unwrap().phase, Phase::RollingBack);
     assert!(take(4, 1, "Progressing").is_none());
     assert!(take(5, 0, "Progressing").is_some());
 }
@@ -332,7 +332,7 @@
 }
 
 fn change(list: &mut List, told: Listing) -> Vec<(u64, PodState)> {
-    let ListNews::Change(rows) = list
+    let EndpointUpdate::Delta(rows) = list
         .take(told, Duration::from_secs(3610), SystemTime::now())
         .unwrap()
         .news
@@ -416,7 +416,7 @@
         .take(read.clone(), Duration::from_secs(3610), SystemTime::now())
         .unwrap();
     assert!(
-        matches!(&changed.news, ListNews::Change(rows) if rows.len() == 1 && rows[0].state == PodState::Gone)
+        matches!(&changed.news, EndpointUpdate::Delta(rows) if rows.len() == 1 && rows[0].state == PodState::Gone)
     );
     assert!(
         changed.unusable[0].starts_with("host p2: ")
@@ -425,7 +425,7 @@
     // Nor does one in the list that was held before the start.
     let mut list = List::new(&[], &[]);
     let held = list.recall(read, Duration::from_secs(3600), SystemTime::now());
-    assert!(matches!(held, ListNews::Remembered(rows) if rows.len() == 1));
+    assert!(matches!(held, EndpointUpdate::Cached(rows) if rows.len() == 1));
 }
 
 /// While the stream to where rollouts were before stands beside the new one, each tells of a wrong answer: it counts once.
--- a/crates/proxy-core/src/open.rs
+++ b/crates/proxy-core/src/open.rs
@@ -1,6 +1,6 @@
 //! The hits that a host holds: each gets one final answer, and each of its forwards ends once.
 
-use limewing_decision::interface::{Fate, ForwardNo, HitId, Outcome, PodId};
+use limewing_decision::interface::{AttemptIndex, AttemptOutcome, AttemptResult, PodId, RequestId};
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
 use rustc_hash::FxHashMap;
@@ -11,11 +11,11 @@
     pub client: Option<SocketId>,
     pub due: Duration,
     pub over: bool,
-    pub forwards: Vec<Forward>,
+    pub attempts: Vec<Attempt>,
     pub of: T,
 }
 
-pub struct Forward {
+pub struct Attempt {
     pub pod: PodId,
     pub sent: Duration,
     pub link: Option<SocketId>,
@@ -24,7 +24,7 @@
 }
 
 pub struct OpenHits<T> {
-    hits: FxHashMap<HitId, Open<T>>,
+    hits: FxHashMap<RequestId, Open<T>>,
     next: u64,
 }
 
@@ -39,7 +39,7 @@
 
 /// What came of ending a forward.
 pub struct Ended<T> {
-    pub outcome: Outcome,
+    pub outcome: AttemptResult,
     /// To be cancelled.
     pub timer: Option<TimerKey>,
     /// The hit, if that was the last of it.
@@ -47,41 +47,41 @@
 }
 
 impl<T> OpenHits<T> {
-    pub fn open(&mut self, client: SocketId, due: Duration, of: T) -> HitId {
-        let id = HitId(self.next);
+    pub fn open(&mut self, client: SocketId, due: Duration, of: T) -> RequestId {
+        let id = RequestId(self.next);
         self.next += 1;
         let open = Open {
             client: Some(client),
             due,
             over: false,
-            forwards: Vec::new(),
+            attempts: Vec::new(),
             of,
         };
         self.hits.insert(id, open);
         id
     }
 
-    pub fn get(&self, hit: HitId) -> Option<&Open<T>> {
+    pub fn get(&self, hit: RequestId) -> Option<&Open<T>> {
         self.hits.get(&hit)
     }
 
-    pub fn get_mut(&mut self, hit: HitId) -> Option<&mut Open<T>> {
+    pub fn get_mut(&mut self, hit: RequestId) -> Option<&mut Open<T>> {
         self.hits.get_mut(&hit)
     }
 
     /// One that is not over.
-    pub fn unsettled(&mut self, hit: HitId) -> Option<&mut Open<T>> {
+    pub fn unsettled(&mut self, hit: RequestId) -> Option<&mut Open<T>> {
         self.hits.get_mut(&hit).filter(|open| !open.over)
     }
 
     /// Those that are not over, in their order.
-    pub fn all_unsettled(&self) -> Vec<HitId> {
+    pub fn all_unsettled(&self) -> Vec<RequestId> {
         let open = self
             .hits
             .iter()
             .filter(|(_, open)| !open.over)
             .map(|(hit, _)| *hit);
-        let mut open: Vec<HitId> = open.collect();
+        let mut open: Vec<RequestId> = open.collect();
         open.sort_unstable();
         open
     }
@@ -92,15 +92,15 @@
     }
 
     /// The forwards that are out, in their order, each with its pod and connection.
-    pub fn all_out(&self) -> Vec<(HitId, ForwardNo, PodId, Option<SocketId>)> {
-        let of = |(hit, open): (&HitId, &Open<T>)| {
+    pub fn all_out(&self) -> Vec<(RequestId, AttemptIndex, PodId, Option<SocketId>)> {
+        let of = |(hit, open): (&RequestId, &Open<T>)| {
             let (hit, out) = (
                 *hit,
                 (0..)
-                    .zip(&open.forwards)
+                    .zip(&open.attempts)
                     .filter(|(_, forward)| !forward.ended),
             );
-            out.map(|(no, forward)| (hit, ForwardNo(no), forward.pod, forward.link))
+            out.map(|(no, forward)| (hit, AttemptIndex(no), forward.pod, forward.link))
                 .collect::<Vec<_>>()
         };
         let mut all: Vec<_> = self.hits.iter().flat_map(of).collect();
@@ -109,20 +109,20 @@
     }
 
     /// The forwards of a hit that are out, each with its connection.
-    pub fn out_of(&self, hit: HitId) -> Vec<(ForwardNo, Option<SocketId>)> {
+    pub fn out_of(&self, hit: RequestId) -> Vec<(AttemptIndex, Option<SocketId>)> {
         let forwards = self
             .hits
             .get(&hit)
             .into_iter()
-            .flat_map(|open| &open.forwards);
+            .flat_map(|open| &open.attempts);
         let out = (0..).zip(forwards).filter(|(_, forward)| !forward.ended);
-        out.map(|(no, forward)| (ForwardNo(no), forward.link))
+        out.map(|(no, forward)| (AttemptIndex(no), forward.link))
             .collect()
     }
 
     /// The pods that forwards are out to, each as often as there are.
     pub fn pods_out(&self) -> impl Iterator<Item = PodId> + '_ {
-        let forwards = self.hits.values().flat_map(|open| &open.forwards);
+        let forwards = self.hits.values().flat_map(|open| &open.attempts);
         forwards
             .filter(|forward| !forward.ended)
             .map(|forward| forward.pod)
@@ -141,15 +141,15 @@
         self.hits.is_empty()
     }
 
-    pub fn forward(&self, hit: HitId, no: ForwardNo) -> Option<&Forward> {
-        self.hits.get(&hit)?.forwards.get(usize::from(no.0))
+    pub fn forward(&self, hit: RequestId, no: AttemptIndex) -> Option<&Attempt> {
+        self.hits.get(&hit)?.attempts.get(usize::from(no.0))
     }
 
     /// A forward that has not ended.
-    pub fn out(&mut self, hit: HitId, no: ForwardNo) -> Option<&mut Forward> {
+    pub fn out(&mut self, hit: RequestId, no: AttemptIndex) -> Option<&mut Attempt> {
         self.hits
             .get_mut(&hit)?
-            .forwards
+            .attempts
             .get_mut(usize::from(no.0))
             .filter(|forward| !forward.ended)
     }
@@ -157,9 +157,9 @@
     /// Ends a forward; nothing if it had ended.
     pub fn end(
         &mut self,
-        hit: HitId,
-        no: ForwardNo,
-        fate: Fate,
+        hit: RequestId,
+        no: AttemptIndex,
+        fate: AttemptOutcome,
         now: Duration,
     ) -> Option<Ended<T>> {
         let over = self.hits.get(&hit)?.over;
@@ -170,13 +170,13 @@
             now.saturating_sub(forward.sent),
             forward.timer.take(),
         );
-        let outcome = Outcome {
-            hit,
-            no,
+        let outcome = AttemptResult {
+            request: hit,
+            attempt: no,
             pod,
-            fate,
-            took,
-            over,
+            outcome: fate,
+            duration: took,
+            request_over: over,
         };
         Some(Ended {
             outcome,
@@ -186,8 +186,8 @@
     }
 
     /// Forgets a hit that is over once nothing of it is out.
-    pub fn tidy(&mut self, hit: HitId) -> Option<T> {
-        let settled = |open: &Open<T>| open.over && open.forwards.iter().all(|f| f.ended);
+    pub fn tidy(&mut self, hit: RequestId) -> Option<T> {
+        let settled = |open: &Open<T>| open.over && open.attempts.iter().all(|f| f.ended);
         self.hits.get(&hit).filter(|open| settled(open))?;
         self.hits.remove(&hit).map(|open| open.of)
     }
--- a/crates/proxy-core/src/permit.rs
+++ b/crates/proxy-core/src/permit.rs
@@ -1,18 +1,18 @@
 //! Permission to write an attempt to its pod. Between the decision to send and the first byte a connection has to come up,
 //! or to show that it lives; meanwhile the pod may be told to leave.
 
-use limewing_decision::interface::{ForwardNo, HitId};
+use limewing_decision::interface::{AttemptIndex, RequestId};
 use limewing_decision::sidecar::Sidecar;
 use std::time::Duration;
 
 /// What a permission is asked of.
 pub trait Permits {
     /// Whether the first byte of an attempt may leave now.
-    fn may_begin(&self, now: Duration, hit: HitId, no: ForwardNo) -> bool;
+    fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool;
 }
 
 impl Permits for Sidecar {
-    fn may_begin(&self, now: Duration, hit: HitId, no: ForwardNo) -> bool {
+    fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         Sidecar::may_begin(self, now, hit, no)
     }
 }
@@ -27,8 +27,8 @@
     pub fn ask(
         decisions: &(impl Permits + ?Sized),
         now: Duration,
-        hit: HitId,
-        no: ForwardNo,
+        hit: RequestId,
+        no: AttemptIndex,
     ) -> Option<Self> {
         decisions.may_begin(now, hit, no).then_some(Self(()))
     }
--- a/crates/reference-model/src/crooked.rs
+++ b/crates/reference-model/src/crooked.rs
@@ -55,67 +55,80 @@
     how: Crook,
     turn: u64,
     actions: Vec<Action>,
-    held: &[PodEntry],
-    hits: &BTreeMap<HitId, (GroupId, Option<KeyId>)>,
-    terms: &StartTerms,
+    held: &[Endpoint],
+    hits: &BTreeMap<RequestId, (ClassId, Option<RoutingKey>)>,
+    terms: &SidecarConfig,
     now: Duration,
 ) -> Vec<Action> {
-    let repeat = |hit: &HitId| {
+    let repeat = |hit: &RequestId| {
         hits.get(hit)
-            .map(|(group, _)| terms.groups[usize::from(group.0)].repeat)
+            .map(|(group, _)| terms.classes[usize::from(group.0)].idempotency)
     };
-    let mutating = |hit: &HitId| repeat(hit) == Some(Repeat::Mutating);
+    let mutating = |hit: &RequestId| repeat(hit) == Some(Idempotency::NonIdempotent);
     let ready = || held.iter().filter(|row| row.state == PodState::Ready);
     let newest = ready().max_by_key(|row| row.build);
     let oldest = ready().min_by_key(|row| row.build);
-    let forward = |hit: HitId, pod: PodId| Action::Forward {
-        hit,
+    let forward = |hit: RequestId, pod: PodId| Action::StartAttempt {
+        request: hit,
         pod,
-        within: Duration::ZERO,
+        timeout: Duration::ZERO,
     };
     let mut out = Vec::new();
     for action in actions {
         match (how, &action) {
-            (Crook::AsksNoMore, Action::Watch) => continue,
-            (Crook::Silent, Action::Bounce { .. } | Action::Fail { .. }) => continue,
-            (Crook::Twice, Action::Bounce { hit, .. }) => out.push(Action::Fail { hit: *hit }),
-            (Crook::AfterTheEnd, Action::Bounce { hit, .. }) => {
+            (Crook::AsksNoMore, Action::WatchEndpoints) => continue,
+            (Crook::Silent, Action::Reject { .. } | Action::Fail { .. }) => continue,
+            (Crook::Twice, Action::Reject { request: hit, .. }) => {
+                out.push(Action::Fail { request: *hit })
+            }
+            (Crook::AfterTheEnd, Action::Reject { request: hit, .. }) => {
                 out.push(action.clone());
                 out.extend(ready().next().map(|row| forward(*hit, row.pod)));
                 continue;
             }
-            (Crook::Resends, Action::Forward { hit, pod, .. }) if mutating(hit) => {
+            (
+                Crook::Resends,
+                Action::StartAttempt {
+                    request: hit, pod, ..
+                },
+            ) if mutating(hit) => {
                 out.extend(
                     ready()
                         .find(|row| row.pod != *pod)
                         .map(|row| forward(*hit, row.pod)),
                 );
             }
-            (Crook::BouncesAll, Action::Fail { hit }) => {
-                out.push(Action::Bounce {
-                    hit: *hit,
+            (Crook::BouncesAll, Action::Fail { request: hit }) => {
+                out.push(Action::Reject {
+                    request: *hit,
                     retry_after: Duration::ZERO,
                 });
                 continue;
             }
-            (Crook::OutOfReach, Action::Forward { hit, pod, .. }) => {
+            (
+                Crook::OutOfReach,
+                Action::StartAttempt {
+                    request: hit, pod, ..
+                },
+            ) => {
                 let from = held.iter().find(|row| row.pod == *pod);
                 let reach = match repeat(hit) {
-                    Some(Repeat::Tagged { drops_repeats, .. }) if terms.second_copies => {
-                        drops_repeats
-                    }
-                    _ => Reach::All,
+                    Some(Idempotency::Keyed {
+                        deduplicated_by: drops_repeats,
+                        ..
+                    }) if terms.hedging => drops_repeats,
+                    _ => DeduplicationScope::All,
                 };
-                let away = |row: &&PodEntry| match (reach, from) {
-                    (Reach::Zone, Some(from)) => row.zone != from.zone,
-                    (Reach::Cell, Some(from)) => row.cell != from.cell,
+                let away = |row: &&Endpoint| match (reach, from) {
+                    (DeduplicationScope::Zone, Some(from)) => row.zone != from.zone,
+                    (DeduplicationScope::Cell, Some(from)) => row.cell != from.cell,
                     _ => false,
                 };
                 out.push(action.clone());
                 out.extend(ready().find(away).map(|row| forward(*hit, row.pod)));
                 continue;
             }
-            (Crook::Drained, Action::Forward { hit, .. }) => {
+            (Crook::Drained, Action::StartAttempt { request: hit, .. }) => {
                 // Pods are numbered as they come: one that is not held any more has been told gone.
                 let gone = (1..1000)
                     .map(PodId)
@@ -126,41 +139,41 @@
                     continue;
                 }
             }
-            (Crook::Cold, Action::Forward { hit, .. }) => {
+            (Crook::Cold, Action::StartAttempt { request: hit, .. }) => {
                 // Of the earlier build, or the cap would be broken first.
                 let base = oldest.map(|row| row.build);
                 let young = ready().filter(|row| Some(row.build) == base);
                 let young = young.filter(|row| {
-                    row.started
+                    row.started_at
                         .is_some_and(|at| now < at + Duration::from_secs(3))
                 });
-                if let Some(row) = young.max_by_key(|row| row.started) {
+                if let Some(row) = young.max_by_key(|row| row.started_at) {
                     out.push(forward(*hit, row.pod));
                     continue;
                 }
             }
-            (Crook::Cap, Action::Forward { hit, .. })
+            (Crook::Cap, Action::StartAttempt { request: hit, .. })
                 if turn.is_multiple_of(2) && !mutating(hit) =>
             {
                 out.extend(newest.map(|row| forward(*hit, row.pod)));
                 continue;
             }
-            (Crook::Guarded, Action::Forward { hit, .. })
+            (Crook::Guarded, Action::StartAttempt { request: hit, .. })
                 if turn.is_multiple_of(20) && mutating(hit) =>
             {
                 out.extend(newest.map(|row| forward(*hit, row.pod)));
                 continue;
             }
-            (Crook::Keys, Action::Forward { hit, .. })
+            (Crook::Keys, Action::StartAttempt { request: hit, .. })
                 if hit.0.is_multiple_of(2)
-                    && repeat(hit) == Some(Repeat::Repeatable)
+                    && repeat(hit) == Some(Idempotency::Idempotent)
                     && hits.get(hit).is_some_and(|(_, key)| key.is_some()) =>
             {
                 out.extend(oldest.map(|row| forward(*hit, row.pod)));
                 continue;
             }
-            (Crook::Doubles, Action::Forward { hit, .. })
-                if repeat(hit) == Some(Repeat::Repeatable) =>
+            (Crook::Doubles, Action::StartAttempt { request: hit, .. })
+                if repeat(hit) == Some(Idempotency::Idempotent) =>
             {
                 out.push(action.clone());
             }
--- a/crates/reference-model/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -74,11 +74,11 @@
 
 /// One forward, with what the instance's list said of its pod.
 struct Sent {
-    entry: PodEntry,
+    entry: Endpoint,
     /// How it stood with the lease when this was decided; none while lists are heard or were until lately.
     unheard: Option<Unheard>,
     at: Duration,
-    fate: Option<Fate>,
+    fate: Option<AttemptOutcome>,
     /// The turn in which the fate was told.
     told: usize,
 }
@@ -93,7 +93,7 @@
 }
 
 struct Story {
-    hit: Hit,
+    hit: Request,
     sent: Vec<Sent>,
     /// Until when it waits: longer than its client where the instance did not run.
     owed: Duration,
@@ -106,14 +106,14 @@
 
 /// One life of an instance.
 struct Life {
-    terms: StartTerms,
+    terms: SidecarConfig,
     turn: usize,
-    stories: BTreeMap<HitId, Story>,
+    stories: BTreeMap<RequestId, Story>,
     /// All that was told of each pod.
-    rows: BTreeMap<PodId, Vec<(Duration, PodEntry)>>,
-    news: Vec<(Duration, StageNews)>,
-    taken: Vec<(Duration, GroupId)>,
-    forwards: Vec<(Duration, BuildId, GroupId)>,
+    rows: BTreeMap<PodId, Vec<(Duration, Endpoint)>>,
+    news: Vec<(Duration, StageUpdate)>,
+    taken: Vec<(Duration, ClassId)>,
+    forwards: Vec<(Duration, BuildId, ClassId)>,
     /// When anything was heard of the list last.
     heard: Duration,
     /// When the list was asked for last, whether that failed, and whether it is watched.
@@ -135,13 +135,16 @@
     lives: BTreeMap<usize, Life>,
     starts: BTreeMap<PodId, Start>,
     /// What the list service holds, since when.
-    truth: Vec<(Duration, Vec<PodEntry>)>,
+    truth: Vec<(Duration, Vec<Endpoint>)>,
     pub tested: Tested,
 }
 
 /// Outcomes that prove that a forward never ran.
-fn never_ran(fate: Option<Fate>) -> bool {
-    matches!(fate, Some(Fate::TurnedAway | Fate::Unreached | Fate::Void))
+fn never_ran(fate: Option<AttemptOutcome>) -> bool {
+    matches!(
+        fate,
+        Some(AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent)
+    )
 }
 
 impl Story {
@@ -151,7 +154,7 @@
 }
 
 impl Life {
-    fn row(&self, pod: PodId) -> Option<&PodEntry> {
+    fn row(&self, pod: PodId) -> Option<&Endpoint> {
         self.rows
             .get(&pod)
             .and_then(|rows| rows.last())
@@ -171,12 +174,12 @@
     /// Whether this instance has known for longer than the grace that a pod drains or is gone.
     fn past_grace(&self, pod: PodId, now: Duration) -> bool {
         self.ended(pod)
-            .is_some_and(|told| now > told + self.terms.rules.drain_grace)
+            .is_some_and(|told| now > told + self.terms.safety.drain_grace)
     }
 
-    fn list(&mut self, now: Duration, news: &ListNews) {
+    fn list(&mut self, now: Duration, news: &EndpointUpdate) {
         let rows = match news {
-            ListNews::Failed(_) => {
+            EndpointUpdate::WatchLost(_) => {
                 // What a watch would have told until now is known.
                 if std::mem::replace(&mut self.watched, false) {
                     self.asked = now;
@@ -184,13 +187,13 @@
                 self.failed = true;
                 return;
             }
-            ListNews::Change(rows) => rows.clone(),
-            ListNews::Whole(rows) | ListNews::Remembered(rows) => {
+            EndpointUpdate::Delta(rows) => rows.clone(),
+            EndpointUpdate::Snapshot(rows) | EndpointUpdate::Cached(rows) => {
                 let missing = self.rows.iter().filter_map(|(pod, told)| {
                     let (_, last) = told.last()?;
                     let missing =
                         rows.iter().all(|row| row.pod != *pod) && last.state != PodState::Gone;
-                    missing.then(|| PodEntry {
+                    missing.then(|| Endpoint {
                         state: PodState::Gone,
                         ..last.clone()
                     })
@@ -202,7 +205,7 @@
                     .collect()
             }
         };
-        if !matches!(news, ListNews::Remembered(_)) {
+        if !matches!(news, EndpointUpdate::Cached(_)) {
             self.heard = now;
             (self.failed, self.watched) = (false, true);
         }
@@ -212,9 +215,9 @@
     }
 
     /// The attempts of this instance at a pod as it is listed now: another start of it is another pod.
-    fn sent_to<'a>(&'a self, entry: &'a PodEntry) -> impl Iterator<Item = &'a Sent> {
+    fn sent_to<'a>(&'a self, entry: &'a Endpoint) -> impl Iterator<Item = &'a Sent> {
         let same =
-            |sent: &&Sent| sent.entry.pod == entry.pod && sent.entry.started == entry.started;
+            |sent: &&Sent| sent.entry.pod == entry.pod && sent.entry.started_at == entry.started_at;
         self.stories
             .values()
             .flat_map(|story| &story.sent)
@@ -223,39 +226,42 @@
 
     /// Whether a pod served what was sent since then, as far as this instance was told by a turn, and has turned nothing away
     /// after that.
-    fn served_since(&self, entry: &PodEntry, since: Duration, by: usize) -> bool {
+    fn served_since(&self, entry: &Endpoint, since: Duration, by: usize) -> bool {
         let ended: Vec<&Sent> = self.sent_to(entry).filter(|sent| sent.told <= by).collect();
-        let with = |fate: Fate| ended.iter().filter(move |sent| sent.fate == Some(fate));
-        let turned_away = with(Fate::TurnedAway)
+        let with = |fate: AttemptOutcome| ended.iter().filter(move |sent| sent.fate == Some(fate));
+        let turned_away = with(AttemptOutcome::Rejected)
             .map(|sent| sent.told)
             .max()
             .unwrap_or(0);
-        with(Fate::Delivered).any(|sent| sent.at >= since && sent.told >= turned_away)
+        with(AttemptOutcome::Succeeded).any(|sent| sent.at >= since && sent.told >= turned_away)
     }
 
     /// Whether nothing that this instance was told speaks against a pod: all that ended there lately was served,
     /// and nothing has been out for long.
-    fn is_sound(&self, entry: &PodEntry, since: Duration, now: Duration) -> bool {
+    fn is_sound(&self, entry: &Endpoint, since: Duration, now: Duration) -> bool {
         let mut lately = self.sent_to(entry).filter(|sent| sent.at >= since);
         lately.all(|sent| match sent.fate {
             None => now <= sent.at + QUIET,
-            Some(fate) => matches!(fate, Fate::Delivered | Fate::Void | Fate::Cancelled),
+            Some(fate) => matches!(
+                fate,
+                AttemptOutcome::Succeeded | AttemptOutcome::NeverSent | AttemptOutcome::Cancelled
+            ),
         })
     }
 
     /// How a decision stands with the lease of the list.
-    fn unheard(&self, story: &Story, entry: &PodEntry, now: Duration) -> Option<Unheard> {
+    fn unheard(&self, story: &Story, entry: &Endpoint, now: Duration) -> Option<Unheard> {
         let lease = self
             .terms
-            .list_lease
+            .endpoint_lease
             .filter(|lease| now > self.heard + *lease)?;
         let since = now.saturating_sub(lease);
-        let could = |other: &&PodEntry| {
+        let could = |other: &&Endpoint| {
             let ready = other.state == PodState::Ready && other.build == entry.build;
             let tried = story.sent.iter().any(|sent| sent.entry.pod == other.pod);
             let warm = other
-                .started
-                .is_some_and(|at| now > at + self.terms.rules.cold_for);
+                .started_at
+                .is_some_and(|at| now > at + self.terms.safety.slow_start_duration);
             let near =
                 other.zone == entry.zone && other.cell == entry.cell || story.sent.is_empty();
             ready && !tried && warm && near
@@ -278,11 +284,11 @@
     }
 
     /// The cap and stage of a build by the news of one moment; none for a build that is not on trial.
-    fn trial(&self, build: BuildId, news: &StageNews) -> Option<(f64, u8)> {
+    fn trial(&self, build: BuildId, news: &StageUpdate) -> Option<(f64, u8)> {
         if build < news.build || (build == news.build && news.phase == Phase::Released) {
             return None;
         }
-        let first = (self.terms.release.caps[0], 0);
+        let first = (self.terms.rollout.exposure_caps[0], 0);
         Some(if build == news.build {
             (news.cap, news.stage.0)
         } else {
@@ -293,7 +299,7 @@
     /// The cap that binds now, and since when forwards count: a lower cap binds after the grace, and the count
     /// begins anew then. None: the build is not on trial.
     fn cap(&self, build: BuildId, now: Duration) -> Option<(f64, Duration)> {
-        let grace = self.terms.rules.drain_grace;
+        let grace = self.terms.safety.drain_grace;
         let told: Vec<(Duration, f64)> = self
             .news
             .iter()
@@ -322,7 +328,7 @@
 }
 
 impl Referee {
-    pub fn start(&mut self, sidecar: usize, now: Duration, terms: StartTerms) {
+    pub fn start(&mut self, sidecar: usize, now: Duration, terms: SidecarConfig) {
         let life = Life {
             terms,
             turn: 0,
@@ -365,7 +371,7 @@
         );
     }
 
-    pub fn list_is(&mut self, now: Duration, rows: Vec<PodEntry>) {
+    pub fn list_is(&mut self, now: Duration, rows: Vec<Endpoint>) {
         self.truth.push((now, rows));
     }
 
@@ -377,22 +383,22 @@
         let turn = life.turn;
         for event in events {
             match event {
-                Event::List(news) => life.list(now, news),
-                Event::Hit(hit) => {
+                Event::Endpoints(news) => life.list(now, news),
+                Event::RequestArrived(hit) => {
                     self.tested.hits += 1;
                     let last = life.news.last().map(|(_, news)| news);
                     let stage = last
                         .filter(|news| news.phase == Phase::OnTrial)
                         .map(|news| news.stage.0);
-                    let firm =
-                        life.terms.groups[usize::from(hit.group.0)].repeat != Repeat::Repeatable;
-                    if firm && stage.is_some_and(|stage| stage < life.terms.release.guarded_stages)
+                    let firm = life.terms.classes[usize::from(hit.class.0)].idempotency
+                        != Idempotency::Idempotent;
+                    if firm && stage.is_some_and(|stage| stage < life.terms.rollout.guarded_stages)
                     {
                         self.tested.guarded += 1;
                     }
-                    life.taken.push((now, hit.group));
+                    life.taken.push((now, hit.class));
                     let (sent, answered, over, streams) = (Vec::new(), None, None, None);
-                    let owed = hit.due.max(now);
+                    let owed = hit.deadline.max(now);
                     let story = Story {
                         hit: hit.clone(),
                         sent,
@@ -403,30 +409,30 @@
                     };
                     life.stories.insert(hit.id, story);
                 }
-                Event::Outcome(outcome) => {
-                    let Some(story) = life.stories.get_mut(&outcome.hit) else {
+                Event::AttemptFinished(outcome) => {
+                    let Some(story) = life.stories.get_mut(&outcome.request) else {
                         continue;
                     };
-                    if let Some(sent) = story.sent.get_mut(usize::from(outcome.no.0)) {
-                        (sent.fate, sent.told) = (Some(outcome.fate), turn);
+                    if let Some(sent) = story.sent.get_mut(usize::from(outcome.attempt.0)) {
+                        (sent.fate, sent.told) = (Some(outcome.outcome), turn);
                     }
-                    if outcome.over {
+                    if outcome.request_over {
                         story.over = story.over.or(Some(turn));
                     }
                 }
-                Event::StreamStarted { hit } => {
+                Event::StreamStarted { request: hit } => {
                     self.tested.streams += 1;
                     life.stories
                         .entry(*hit)
                         .and_modify(|story| story.streams = Some(turn));
                 }
-                Event::Left(hit) => {
+                Event::ClientDisconnected(hit) => {
                     life.stories
                         .entry(*hit)
                         .and_modify(|story| story.over = story.over.or(Some(turn)));
                 }
                 Event::Stage {
-                    news: Some(news), ..
+                    update: Some(news), ..
                 } => {
                     let before = life.cap(news.build, now).map(|(cap, _)| cap);
                     self.tested.lowered +=
@@ -443,10 +449,12 @@
     pub fn did(&mut self, sidecar: usize, now: Duration, actions: &[Action]) -> Result<(), Breach> {
         for action in actions {
             let broken = match action {
-                Action::Forward { hit, pod, .. } => self.forward(sidecar, now, *hit, *pod),
-                Action::Bounce { hit, .. } => self.answer(sidecar, now, *hit, true),
-                Action::Fail { hit } => self.answer(sidecar, now, *hit, false),
-                Action::Watch => {
+                Action::StartAttempt {
+                    request: hit, pod, ..
+                } => self.forward(sidecar, now, *hit, *pod),
+                Action::Reject { request: hit, .. } => self.answer(sidecar, now, *hit, true),
+                Action::Fail { request: hit } => self.answer(sidecar, now, *hit, false),
+                Action::WatchEndpoints => {
                     if let Some(life) = self.lives.get_mut(&sidecar) {
                         (life.asked, life.failed) = (now, false);
                     }
@@ -475,7 +483,7 @@
                 if now > story.owed + ANSWER_SLACK {
                     let what = format!(
                         "{:?}, due at {:?}, has no answer",
-                        story.hit.id, story.hit.due
+                        story.hit.id, story.hit.deadline
                     );
                     return Err(Breach {
                         rule: 1,
@@ -493,7 +501,7 @@
         &mut self,
         sidecar: usize,
         now: Duration,
-        hit: HitId,
+        hit: RequestId,
         bounce: bool,
     ) -> Result<(), (u8, String)> {
         let life = self
@@ -520,13 +528,13 @@
         self.tested.answers += 1;
         let ran = story.may_have_run().count() > 0;
         self.tested.after_run += usize::from(ran);
-        let harmless = match life.terms.groups[usize::from(story.hit.group.0)].repeat {
-            Repeat::Repeatable
-            | Repeat::Tagged {
-                drops_repeats: Reach::All,
+        let harmless = match life.terms.classes[usize::from(story.hit.class.0)].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                deduplicated_by: DeduplicationScope::All,
                 ..
             } => true,
-            Repeat::Tagged { .. } | Repeat::Mutating => !ran,
+            Idempotency::Keyed { .. } | Idempotency::NonIdempotent => !ran,
         };
         if bounce && !harmless {
             return Err((2, format!("{hit:?} is bounced though it may have run")));
@@ -554,7 +562,7 @@
 
     /// Since when a pod drains or is gone in truth.
     fn ended_in_truth(&self, pod: PodId) -> Option<Duration> {
-        let ready = |rows: &[PodEntry]| {
+        let ready = |rows: &[Endpoint]| {
             rows.iter()
                 .any(|row| row.pod == pod && row.state == PodState::Ready)
         };
@@ -575,7 +583,7 @@
         &mut self,
         sidecar: usize,
         now: Duration,
-        (hit, no): (HitId, ForwardNo),
+        (hit, no): (RequestId, AttemptIndex),
         again: bool,
     ) -> Result<(), Breach> {
         self.tested.dialled_again += usize::from(again);
@@ -595,8 +603,8 @@
         &mut self,
         sidecar: usize,
         now: Duration,
-        hit: HitId,
-        no: ForwardNo,
+        hit: RequestId,
+        no: AttemptIndex,
     ) -> Result<(), (u8, String)> {
         let Some(life) = self.lives.get(&sidecar) else {
             return Ok(());
@@ -622,8 +630,8 @@
                 format!("{no:?} of {hit:?} begins at {pod:?}, which has another build by now"),
             ));
         }
-        let grace = life.terms.rules.drain_grace;
-        let span = life.terms.list_lease.map(|lease| lease + grace);
+        let grace = life.terms.safety.drain_grace;
+        let span = life.terms.endpoint_lease.map(|lease| lease + grace);
         let Some(span) = span.filter(|span| now > life.heard + *span) else {
             return Ok(());
         };
@@ -665,7 +673,7 @@
         &mut self,
         sidecar: usize,
         now: Duration,
-        hit: HitId,
+        hit: RequestId,
         pod: PodId,
     ) -> Result<(), (u8, String)> {
         let life = self
@@ -694,27 +702,27 @@
         }
 
         // 2. No effect twice.
-        let group = story.hit.group;
-        let repeat = terms.groups[usize::from(group.0)].repeat;
+        let group = story.hit.class;
+        let repeat = terms.classes[usize::from(group.0)].idempotency;
         let ran: Vec<&Sent> = story.may_have_run().collect();
-        if !terms.second_copies && story.sent.iter().any(|sent| sent.fate.is_none()) {
+        if !terms.hedging && story.sent.iter().any(|sent| sent.fate.is_none()) {
             return Err((2, format!("{hit:?} is out twice at once")));
         }
         match repeat {
-            Repeat::Repeatable => {}
-            Repeat::Mutating if ran.is_empty() => {}
-            Repeat::Mutating => {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent if ran.is_empty() => {}
+            Idempotency::NonIdempotent => {
                 return Err((2, format!("{hit:?} goes out again though it may have run")))
             }
-            Repeat::Tagged {
-                drops_repeats,
-                memory,
+            Idempotency::Keyed {
+                deduplicated_by: drops_repeats,
+                window: memory,
             } => {
                 for sent in &ran {
                     let reached = match drops_repeats {
-                        Reach::All => true,
-                        Reach::Zone => sent.entry.zone == entry.zone,
-                        Reach::Cell => sent.entry.cell == entry.cell,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => sent.entry.zone == entry.zone,
+                        DeduplicationScope::Cell => sent.entry.cell == entry.cell,
                     };
                     if !reached || now > sent.at + memory {
                         let what = format!("{hit:?} goes to {pod:?}, which may not know its mark");
@@ -724,18 +732,19 @@
             }
         }
         self.tested.repeats += usize::from(!ran.is_empty());
-        self.tested.proofs +=
-            usize::from(repeat == Repeat::Mutating && ran.is_empty() && !story.sent.is_empty());
+        self.tested.proofs += usize::from(
+            repeat == Idempotency::NonIdempotent && ran.is_empty() && !story.sent.is_empty(),
+        );
 
         // 3. Drains.
-        let grace = terms.rules.drain_grace;
+        let grace = terms.safety.drain_grace;
         let past = |pod: PodId| life.past_grace(pod, now);
         if past(pod) {
             return Err((3, format!("{pod:?} is sent to past the grace")));
         }
         // Who watches no list and has not asked for long counts as told of what was in it then.
         let within = ASK_LIST_WITHIN * if life.failed { 4 } else { 1 };
-        if terms.list_on_request && !life.watched && now > life.asked + within {
+        if terms.watch_on_request && !life.watched && now > life.asked + within {
             let then = now - within;
             let known = self.truth.iter().rev().find(|(at, _)| *at <= then);
             let row = known.and_then(|(_, rows)| rows.iter().find(|row| row.pod == pod));
@@ -760,8 +769,8 @@
         if let Some((at, last)) = life.news.last() {
             let (phase, newest, since) = (last.phase, last.build, *at);
             if let Some((_, stage)) = life.trial(build, last) {
-                let firm = repeat != Repeat::Repeatable;
-                if firm && stage < terms.release.guarded_stages {
+                let firm = repeat != Idempotency::Idempotent;
+                if firm && stage < terms.rollout.guarded_stages {
                     let what = format!(
                         "{hit:?} goes to {build:?} in guarded stage {stage}, told at {since:?}"
                     );
@@ -769,8 +778,8 @@
                 }
             }
             if let Some((cap, from)) = life.cap(build, now) {
-                let same = |of: GroupId| !terms.release.cap_by_group || of == group;
-                let window = terms.release.cap_window;
+                let same = |of: ClassId| !terms.rollout.exposure_per_class || of == group;
+                let window = terms.rollout.exposure_window;
                 let taken = life
                     .taken
                     .iter()
@@ -780,7 +789,7 @@
                     *at + window > now && *at >= from && *of == build && same(*group)
                 });
                 let sent = sent.count() + 1;
-                let most = terms.release.cap_free + cap * taken as f64;
+                let most = terms.rollout.exposure_free + cap * taken as f64;
                 if sent as f64 > most + 1e-9 || cap <= 0.0 {
                     let what =
                         format!("{sent} forwards at {build:?}, {most:.2} allowed by cap {cap}");
@@ -789,14 +798,15 @@
                 self.tested.on_trial += 1;
             }
             let stays =
-                terms.release.keys_stay && matches!(phase, Phase::OnTrial | Phase::Released);
-            if let Some(key) = story.hit.key.filter(|_| stays) {
+                terms.rollout.sticky_keys && matches!(phase, Phase::OnTrial | Phase::Released);
+            if let Some(key) = story.hit.routing_key.filter(|_| stays) {
                 let answered = |other: &Story| {
                     let here = |sent: &Sent| {
-                        let ok = sent.fate == Some(Fate::Delivered) && sent.told < life.turn;
+                        let ok =
+                            sent.fate == Some(AttemptOutcome::Succeeded) && sent.told < life.turn;
                         ok && sent.entry.build == newest
                     };
-                    other.hit.key == Some(key) && other.sent.iter().any(here)
+                    other.hit.routing_key == Some(key) && other.sent.iter().any(here)
                 };
                 if life.stories.values().any(answered) {
                     let older = life.rows.values().filter_map(|rows| rows.last());
@@ -814,15 +824,15 @@
         }
 
         // 4. Cold pods, by what all instances together send.
-        let rules = terms.rules.clone();
+        let rules = terms.safety.clone();
         if let Some(start) = self.starts.get_mut(&pod) {
             let age = now.saturating_sub(start.at);
-            let grown = (age.as_secs_f64() / rules.cold_for.as_secs_f64()).min(1.0);
-            let informed = entry.started == Some(start.at);
+            let grown = (age.as_secs_f64() / rules.slow_start_duration.as_secs_f64()).min(1.0);
+            let informed = entry.started_at == Some(start.at);
             start.got.push((now, informed));
             if grown < 1.0 {
-                let strength = rules.cold_from + (1.0 - rules.cold_from) * grown;
-                let span = rules.fall_within;
+                let strength = rules.slow_start_from + (1.0 - rules.slow_start_from) * grown;
+                let span = rules.overload_window;
                 let got: Vec<bool> = start
                     .got
                     .iter()
@@ -830,7 +840,7 @@
                     .map(|(_, informed)| *informed)
                     .collect();
                 let knowing = got.iter().filter(|informed| **informed).count();
-                let most = rules.fall_multiple * start.capacity * strength * span.as_secs_f64();
+                let most = rules.overload_multiple * start.capacity * strength * span.as_secs_f64();
                 // A little slack for chance.
                 let most = most + most.sqrt();
                 if got.len() as f64 > most && knowing * 3 >= got.len() * 2 {
--- a/crates/reference-model/src/world.rs
+++ b/crates/reference-model/src/world.rs
@@ -42,20 +42,20 @@
     /// A forward comes to its pod.
     Arrives(usize, Job),
     /// Its result comes back.
-    Returns(Job, Fate),
+    Returns(Job, AttemptOutcome),
     /// Its client waits no longer.
     Due(Job),
-    StreamEnds(Job, Fate),
+    StreamEnds(Job, AttemptOutcome),
     Arrival,
-    Retry(GroupId, Option<KeyId>, u8),
-    Leaves(usize, u32, HitId),
+    Retry(ClassId, Option<RoutingKey>, u8),
+    Leaves(usize, u32, RequestId),
     PodDies(usize),
     PodStarts {
         place: usize,
         build: u16,
     },
     PodGoes(usize),
-    Listed(Vec<PodEntry>),
+    Listed(Vec<Endpoint>),
     Hangs(usize, bool),
     Slow(usize, f64),
     LosesAnswers(usize, bool),
@@ -87,14 +87,14 @@
 struct Job {
     sidecar: usize,
     life: u32,
-    hit: HitId,
-    no: ForwardNo,
-    group: GroupId,
+    hit: RequestId,
+    no: AttemptIndex,
+    group: ClassId,
     pod: PodId,
 }
 
 struct PodNow {
-    entry: PodEntry,
+    entry: Endpoint,
     runs: bool,
     began: Duration,
     hung: bool,
@@ -105,8 +105,8 @@
 }
 
 struct Open {
-    group: GroupId,
-    key: Option<KeyId>,
+    group: ClassId,
+    key: Option<RoutingKey>,
     due: Duration,
     retries: u8,
     /// Its forwards, and whether each has ended.
@@ -121,10 +121,10 @@
     stalled: bool,
     waiting: Vec<Event>,
     wake: Duration,
-    open: BTreeMap<HitId, Open>,
+    open: BTreeMap<RequestId, Open>,
     /// How much of the list's log it has had, and when it had it at the latest.
     listed: usize,
-    held: BTreeMap<PodId, PodEntry>,
+    held: BTreeMap<PodId, Endpoint>,
     watches: bool,
     /// When anything was last heard of the list: a standing watch has an empty line in each step.
     heard: Duration,
@@ -132,9 +132,9 @@
     standing: Vec<(Job, u8)>,
     lag: Duration,
     news_lag: Duration,
-    told: Option<StageNews>,
+    told: Option<StageUpdate>,
     news_due: Duration,
-    vote: Option<(Duration, Verdict, BuildId, StageNo)>,
+    vote: Option<(Duration, Verdict, BuildId, StageIndex)>,
 }
 
 pub struct World {
@@ -146,14 +146,14 @@
     drains_turn_away: bool,
     now: Duration,
     step: usize,
-    terms: StartTerms,
+    terms: SidecarConfig,
     due: BTreeMap<(Duration, u64), Happens>,
     number: u64,
     pods: Vec<PodNow>,
     next_pod: u64,
     hosts: Vec<Host>,
-    log: Vec<(Duration, Vec<PodEntry>)>,
-    news: StageNews,
+    log: Vec<(Duration, Vec<Endpoint>)>,
+    news: StageUpdate,
     /// Counts the installer's states: a step due from an older one is moot.
     state: u64,
     installer_down: bool,
@@ -191,13 +191,13 @@
 }
 
 fn is_control(event: &Event) -> bool {
-    matches!(event, Event::List(_) | Event::Stage { .. })
+    matches!(event, Event::Endpoints(_) | Event::Stage { .. })
 }
 
 /// Tells truly for how long nothing had been heard when the loss of a list is told.
 fn fill_loss(event: &mut Event, silent: Duration) {
-    if let Event::List(ListNews::Failed(loss)) = event {
-        loss.silent = silent;
+    if let Event::Endpoints(EndpointUpdate::WatchLost(loss)) = event {
+        loss.silent_for = silent;
     }
 }
 
@@ -205,72 +205,76 @@
     fn draw(seed: u64, crook: Crook) -> Self {
         let mut chance = StdRng::seed_from_u64(seed);
         let mut links = StdRng::seed_from_u64(!seed);
-        let reach = [Reach::All, Reach::Zone, Reach::Cell][chance.random_range(0..3)];
-        let group = |repeat, target, timeout, streamed| PathGroup {
-            repeat,
-            target_latency: ms(target),
+        let reach = [
+            DeduplicationScope::All,
+            DeduplicationScope::Zone,
+            DeduplicationScope::Cell,
+        ][chance.random_range(0..3)];
+        let group = |repeat, target, timeout, streamed| RequestClass {
+            idempotency: repeat,
+            latency_objective: ms(target),
             client_timeout: ms(timeout),
-            benefit: 1.0,
-            late_benefit: if target == 300 { 0.2 } else { 0.0 },
-            streamed,
+            priority_weight: 1.0,
+            late_weight: if target == 300 { 0.2 } else { 0.0 },
+            streaming: streamed,
         };
-        let tagged = Repeat::Tagged {
-            drops_repeats: reach,
-            memory: ms(1500),
+        let tagged = Idempotency::Keyed {
+            deduplicated_by: reach,
+            window: ms(1500),
         };
         let groups = vec![
-            group(Repeat::Repeatable, 300, 1200, false),
+            group(Idempotency::Idempotent, 300, 1200, false),
             group(tagged, 600, 2500, false),
-            group(Repeat::Mutating, 500, 2000, false),
-            group(Repeat::Repeatable, 600, 1500, true),
+            group(Idempotency::NonIdempotent, 500, 2000, false),
+            group(Idempotency::Idempotent, 600, 1500, true),
         ];
         let sidecars = chance.random_range(2..=4u32);
         let clock = chance.random_bool(0.6);
-        let terms = StartTerms {
+        let terms = SidecarConfig {
             seed: 0,
-            sidecars,
-            own_number: 0,
+            sidecar_count: sidecars,
+            sidecar_index: 0,
             zone: ZoneId(0),
-            groups,
-            list_on_request: chance.random_bool(0.6),
-            list_pushed: false,
-            list_lease: None,
-            may_cancel: chance.random_bool(0.7),
-            second_copies: chance.random_bool(0.6),
+            classes: groups,
+            watch_on_request: chance.random_bool(0.6),
+            endpoints_pushed: false,
+            endpoint_lease: None,
+            cancellation: chance.random_bool(0.7),
+            hedging: chance.random_bool(0.6),
             retry_after: chance.random_bool(0.5).then_some(ms(500)),
-            max_forwards: chance.random_range(2..=6),
-            rules: RuleTerms {
+            max_attempts: chance.random_range(2..=6),
+            safety: SafetyLimits {
                 drain_grace: ms([500, 1000][chance.random_range(0..2)]),
-                cold_from: 0.35,
-                cold_for: ms(3400),
-                fall_multiple: [2.0, 2.5][chance.random_range(0..2)],
-                fall_within: ms([1000, 1500, 3000][chance.random_range(0..3)]),
+                slow_start_from: 0.35,
+                slow_start_duration: ms(3400),
+                overload_multiple: [2.0, 2.5][chance.random_range(0..2)],
+                overload_window: ms([1000, 1500, 3000][chance.random_range(0..3)]),
             },
-            release: ReleaseTerms {
+            rollout: RolloutConfig {
                 control: if clock {
                     Control::Clock
                 } else {
                     Control::Votes
                 },
                 stage_shares: vec![0.15, 0.4, 1.0],
-                caps: vec![0.2, 0.5, 1.0],
-                cap_window: ms(2000),
-                cap_free: 1.0,
-                cap_by_group: chance.random_bool(0.5),
+                exposure_caps: vec![0.2, 0.5, 1.0],
+                exposure_window: ms(2000),
+                exposure_free: 1.0,
+                exposure_per_class: chance.random_bool(0.5),
                 guarded_stages: chance.random_range(0..3),
-                keys_stay: chance.random_bool(0.5),
-                vote_life: ms(4000),
-                vote_answer_within: ms(1000),
-                back_votes: 1,
-                hold_votes: 1,
-                on_votes: 1,
-                vote_allowance: None,
+                sticky_keys: chance.random_bool(0.5),
+                vote_ttl: ms(4000),
+                vote_timeout: ms(1000),
+                rollback_quorum: 1,
+                hold_quorum: 1,
+                promote_quorum: 1,
+                vote_rate_limit: None,
             },
         };
-        let leased = terms.list_on_request && links.random_bool(0.4);
+        let leased = terms.watch_on_request && links.random_bool(0.4);
         let list_lease = leased.then(|| ms(links.random_range(1500..2500)));
-        let terms = StartTerms {
-            list_lease,
+        let terms = SidecarConfig {
+            endpoint_lease: list_lease,
             ..terms
         };
         let drains_turn_away = links.random_bool(0.7);
@@ -279,9 +283,9 @@
         let rate = pods as f64 * cores as f64 / work * chance.random_range(0.25..0.8);
         let (now, build) = (START, BuildId(1));
         let age = Duration::ZERO;
-        let news = StageNews {
+        let news = StageUpdate {
             build,
-            stage: StageNo(2),
+            stage: StageIndex(2),
             phase: Phase::Released,
             cap: 1.0,
             age,
@@ -330,7 +334,7 @@
                 },
             );
         }
-        let rows: Vec<PodEntry> = world.pods.iter().map(|pod| pod.entry.clone()).collect();
+        let rows: Vec<Endpoint> = world.pods.iter().map(|pod| pod.entry.clone()).collect();
         world.log.push((START - ms(60_000), rows));
         world.referee.list_is(START - ms(60_000), world.list_at(1));
         for _ in 0..sidecars {
@@ -545,8 +549,8 @@
         self.referee.told(sidecar, self.now, &events);
         let actions = to(module, self.now, events);
         self.turns += 1;
-        let held: Vec<PodEntry> = host.held.values().cloned().collect();
-        let groups: BTreeMap<HitId, (GroupId, Option<KeyId>)> = host
+        let held: Vec<Endpoint> = host.held.values().cloned().collect();
+        let groups: BTreeMap<RequestId, (ClassId, Option<RoutingKey>)> = host
             .open
             .iter()
             .map(|(hit, open)| (*hit, (open.group, open.key)))
@@ -585,7 +589,7 @@
             return Ok(());
         }
         if open.over || open.streams || self.now >= open.due {
-            self.returns(&job, Fate::Void);
+            self.returns(&job, AttemptOutcome::NeverSent);
             return Ok(());
         }
         let place = self
@@ -595,12 +599,15 @@
         let Some(place) = place else {
             // No process there: refused at once, or nothing at all for as long as a connection may take.
             let wait = if self.chance.random_bool(0.5) { 2 } else { 250 };
-            self.later(ms(wait), Happens::Returns(job, Fate::Unreached));
+            self.later(
+                ms(wait),
+                Happens::Returns(job, AttemptOutcome::ConnectFailed),
+            );
             return Ok(());
         };
         if asks_to_begin(self.crook, broken) && !module.may_begin(self.now, job.hit, job.no) {
             self.referee.withheld(job.sidecar, self.now, job.pod);
-            self.returns(&job, Fate::Void);
+            self.returns(&job, AttemptOutcome::NeverSent);
             return Ok(());
         }
         if self.links.random_bool(BROKEN_UNUSED[usize::from(broken)]) {
@@ -626,8 +633,13 @@
     fn carry_out(&mut self, sidecar: usize, action: Action) {
         let life = self.hosts[sidecar].life;
         match action {
-            Action::Forward { hit, pod, .. } => self.send(sidecar, hit, pod),
-            Action::Cancel { hit, no } => {
+            Action::StartAttempt {
+                request: hit, pod, ..
+            } => self.send(sidecar, hit, pod),
+            Action::CancelAttempt {
+                request: hit,
+                attempt: no,
+            } => {
                 let Some(open) = self.hosts[sidecar].open.get_mut(&hit) else {
                     return;
                 };
@@ -647,10 +659,10 @@
                     group,
                     pod: PodId(0),
                 };
-                self.tell_outcome(&job, Fate::Cancelled, over, STEP);
+                self.tell_outcome(&job, AttemptOutcome::Cancelled, over, STEP);
             }
-            Action::Bounce { hit, .. } | Action::Fail { hit } => {
-                let bounced = matches!(action, Action::Bounce { .. });
+            Action::Reject { request: hit, .. } | Action::Fail { request: hit } => {
+                let bounced = matches!(action, Action::Reject { .. });
                 let Some(open) = self.hosts[sidecar]
                     .open
                     .get_mut(&hit)
@@ -660,8 +672,9 @@
                 };
                 open.over = true;
                 let (group, key, retries) = (open.group, open.key, open.retries);
-                let again =
-                    bounced || self.terms.groups[usize::from(group.0)].repeat == Repeat::Repeatable;
+                let again = bounced
+                    || self.terms.classes[usize::from(group.0)].idempotency
+                        == Idempotency::Idempotent;
                 if again && retries > 0 && self.chance.random_bool(0.6) {
                     let wait = ms(self.chance.random_range(20..600));
                     self.later(wait, Happens::Retry(group, key, retries - 1));
@@ -672,21 +685,21 @@
                 build,
                 stage,
             } => self.vote(sidecar, verdict, build, stage),
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 let wait = ms(self.chance.random_range(40..400));
                 self.later(wait, Happens::Call(sidecar, life));
             }
-            Action::Wake { at } => self.hosts[sidecar].wake = at,
+            Action::WakeAt { at } => self.hosts[sidecar].wake = at,
             _ => {}
         }
     }
 
-    fn send(&mut self, sidecar: usize, hit: HitId, pod: PodId) {
-        let (life, most) = (self.hosts[sidecar].life, self.terms.max_forwards);
+    fn send(&mut self, sidecar: usize, hit: RequestId, pod: PodId) {
+        let (life, most) = (self.hosts[sidecar].life, self.terms.max_attempts);
         let Some(open) = self.hosts[sidecar].open.get_mut(&hit) else {
             return;
         };
-        let no = ForwardNo(open.out.len() as u16);
+        let no = AttemptIndex(open.out.len() as u16);
         let void = open.over || open.streams || no.0 >= most || self.now >= open.due;
         open.out.push(void);
         let (group, over, due) = (open.group, open.over, open.due);
@@ -699,23 +712,23 @@
             pod,
         };
         if void {
-            return self.tell_outcome(&job, Fate::Void, over, STEP);
+            return self.tell_outcome(&job, AttemptOutcome::NeverSent, over, STEP);
         }
         self.at(due, Happens::Due(job.clone()));
         self.dial(job, 0);
     }
 
-    fn tell_outcome(&mut self, job: &Job, fate: Fate, over: bool, took: Duration) {
+    fn tell_outcome(&mut self, job: &Job, fate: AttemptOutcome, over: bool, took: Duration) {
         let (hit, no, pod) = (job.hit, job.no, job.pod);
-        let event = Event::Outcome(Outcome {
-            hit,
-            no,
+        let event = Event::AttemptFinished(AttemptResult {
+            request: hit,
+            attempt: no,
             pod,
-            fate,
-            took,
-            over,
+            outcome: fate,
+            duration: took,
+            request_over: over,
         });
-        let late = if fate != Fate::TimedOut && self.chance.random_bool(0.02) {
+        let late = if fate != AttemptOutcome::TimedOut && self.chance.random_bool(0.02) {
             ms(self.chance.random_range(5..15))
         } else {
             STEP
@@ -739,7 +752,7 @@
             }
             Happens::Arrives(place, job) => self.arrives(place, job),
             Happens::Returns(job, fate) => self.returns(&job, fate),
-            Happens::Due(job) => self.returns(&job, Fate::TimedOut),
+            Happens::Due(job) => self.returns(&job, AttemptOutcome::TimedOut),
             Happens::StreamEnds(job, fate) => {
                 let host = &mut self.hosts[job.sidecar];
                 if host.life != job.life {
@@ -753,11 +766,11 @@
                 self.tell_outcome(&job, fate, true, STEP);
             }
             Happens::Arrival => {
-                let group = GroupId([0, 0, 1, 1, 2, 2, 3][self.chance.random_range(0..7)]);
+                let group = ClassId([0, 0, 1, 1, 2, 2, 3][self.chance.random_range(0..7)]);
                 let key = self
                     .chance
                     .random_bool(0.7)
-                    .then(|| KeyId(self.chance.random_range(1..60)));
+                    .then(|| RoutingKey(self.chance.random_range(1..60)));
                 self.hit(group, key, 2);
                 let wait =
                     -self.chance.random_range(1e-9..1.0_f64).ln() / (self.rate * self.overload);
@@ -774,7 +787,7 @@
                     return;
                 };
                 open.over = true;
-                host.waiting.push(Event::Left(hit));
+                host.waiting.push(Event::ClientDisconnected(hit));
             }
             Happens::PodDies(place) => {
                 let pod = &mut self.pods[place];
@@ -786,9 +799,13 @@
                     .drain(..)
                     .chain(pod.working.drain(..).map(|(_, job)| job))
                     .collect();
-                held.into_iter()
-                    .for_each(|job| self.later(ms(2), Happens::Returns(job, Fate::Broken)));
-                let gone = PodEntry {
+                held.into_iter().for_each(|job| {
+                    self.later(
+                        ms(2),
+                        Happens::Returns(job, AttemptOutcome::ConnectionReset),
+                    )
+                });
+                let gone = Endpoint {
                     state: PodState::Gone,
                     ..self.pods[place].entry.clone()
                 };
@@ -813,9 +830,13 @@
                     .drain(..)
                     .chain(pod.working.drain(..).map(|(_, job)| job))
                     .collect();
-                held.into_iter()
-                    .for_each(|job| self.later(ms(2), Happens::Returns(job, Fate::Broken)));
-                let gone = PodEntry {
+                held.into_iter().for_each(|job| {
+                    self.later(
+                        ms(2),
+                        Happens::Returns(job, AttemptOutcome::ConnectionReset),
+                    )
+                });
+                let gone = Endpoint {
                     state: PodState::Gone,
                     ..self.pods[place].entry.clone()
                 };
@@ -823,15 +844,15 @@
             }
             Happens::Listed(rows) => {
                 // Word of an end that came to nothing: the pod runs again.
-                let stale = |row: &PodEntry| {
+                let stale = |row: &Endpoint| {
                     let now = self
                         .pods
                         .iter()
                         .find(|pod| pod.entry.pod == row.pod && pod.runs);
                     row.state == PodState::Gone
-                        && now.is_some_and(|pod| pod.entry.started != row.started)
+                        && now.is_some_and(|pod| pod.entry.started_at != row.started_at)
                 };
-                let rows: Vec<PodEntry> = rows.into_iter().filter(|row| !stale(row)).collect();
+                let rows: Vec<Endpoint> = rows.into_iter().filter(|row| !stale(row)).collect();
                 if !rows.is_empty() {
                     self.log.push((self.now, rows));
                     let whole = self.list_at(self.log.len());
@@ -843,13 +864,13 @@
             Happens::LosesAnswers(place, loses) => self.pods[place].loses = loses,
             Happens::Call(sidecar, life) => self.call(sidecar, life),
             Happens::WatchBreaks(sidecar) => {
-                if self.hosts[sidecar].module.is_some() && self.terms.list_on_request {
-                    self.lose_list(sidecar, LossCause::Ended);
+                if self.hosts[sidecar].module.is_some() && self.terms.watch_on_request {
+                    self.lose_list(sidecar, WatchLossCause::Ended);
                 }
             }
             Happens::CallGivenUp(sidecar, life) => {
                 if self.hosts[sidecar].life == life && self.hosts[sidecar].module.is_some() {
-                    self.lose_list(sidecar, LossCause::Ended);
+                    self.lose_list(sidecar, WatchLossCause::Ended);
                 }
             }
             Happens::Discovery(how) => {
@@ -859,7 +880,7 @@
                 let closed: Vec<usize> = watching.filter(|_| how == Discovery::Refuses).collect();
                 closed
                     .into_iter()
-                    .for_each(|sidecar| self.lose_list(sidecar, LossCause::Ended));
+                    .for_each(|sidecar| self.lose_list(sidecar, WatchLossCause::Ended));
             }
             Happens::Stalls(sidecar, stalls) => {
                 self.hosts[sidecar].stalled = stalls;
@@ -883,7 +904,7 @@
             Happens::InstallerDown(down) => self.installer_down = down,
             Happens::LowersCap => {
                 if self.news.phase == Phase::OnTrial {
-                    self.change(StageNews {
+                    self.change(StageUpdate {
                         cap: self.news.cap * 0.4,
                         ..self.news
                     });
@@ -894,7 +915,7 @@
         }
     }
 
-    fn hit(&mut self, group: GroupId, key: Option<KeyId>, retries: u8) {
+    fn hit(&mut self, group: ClassId, key: Option<RoutingKey>, retries: u8) {
         let up: Vec<usize> = (0..self.hosts.len())
             .filter(|s| self.hosts[*s].module.is_some())
             .collect();
@@ -905,10 +926,10 @@
         let sidecar =
             up[(up.len() as f64 * self.chance.random_range(0.0..1.0_f64).powi(2)) as usize];
         self.next_hit += 1;
-        let id = HitId(self.next_hit);
-        let timeout = self.terms.groups[usize::from(group.0)].client_timeout;
+        let id = RequestId(self.next_hit);
+        let timeout = self.terms.classes[usize::from(group.0)].client_timeout;
         let due = self.now + timeout.mul_f64(self.chance.random_range(0.4..1.0));
-        let customer = Some(CustomerId(self.chance.random_range(0..3)));
+        let customer = Some(TenantId(self.chance.random_range(0..3)));
         let host = &mut self.hosts[sidecar];
         let (out, over, streams) = (Vec::new(), false, false);
         host.open.insert(
@@ -923,12 +944,12 @@
                 streams,
             },
         );
-        host.waiting.push(Event::Hit(Hit {
+        host.waiting.push(Event::RequestArrived(Request {
             id,
-            group,
-            customer,
-            key,
-            due,
+            class: group,
+            tenant: customer,
+            routing_key: key,
+            deadline: due,
         }));
         let life = host.life;
         if self.chance.random_bool(0.02) {
@@ -941,17 +962,17 @@
     fn arrives(&mut self, place: usize, job: Job) {
         let pod = &mut self.pods[place];
         if !pod.runs || pod.entry.pod != job.pod {
-            return self.returns(&job, Fate::Broken);
+            return self.returns(&job, AttemptOutcome::ConnectionReset);
         }
         let leaves = self.drains_turn_away && pod.entry.state == PodState::Draining;
         if leaves || pod.waiting.len() >= 20 {
-            return self.later(ms(1), Happens::Returns(job, Fate::TurnedAway));
+            return self.later(ms(1), Happens::Returns(job, AttemptOutcome::Rejected));
         }
         pod.waiting.push_back(job);
     }
 
     fn pods_work(&mut self) {
-        let (now, rules) = (self.now, self.terms.rules.clone());
+        let (now, rules) = (self.now, self.terms.safety.clone());
         for place in 0..self.pods.len() {
             let pod = &mut self.pods[place];
             if pod.hung || !pod.runs {
@@ -965,8 +986,9 @@
                 .collect();
             pod.working.retain(|(at, _)| *at > now);
             let (build, loses) = (pod.entry.build.0, pod.loses);
-            let age = now.saturating_sub(pod.began).as_secs_f64() / rules.cold_for.as_secs_f64();
-            let strength = (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0);
+            let age = now.saturating_sub(pod.began).as_secs_f64()
+                / rules.slow_start_duration.as_secs_f64();
+            let strength = (rules.slow_start_from + (1.0 - rules.slow_start_from) * age).min(1.0);
             while pod.working.len() < self.cores && !pod.waiting.is_empty() {
                 let Some(job) = pod.waiting.pop_front() else {
                     break;
@@ -977,9 +999,9 @@
             for job in done {
                 let bad = self.bad.get(&build).copied().unwrap_or(0.0);
                 let fate = match self.chance.random_range(0.0..1.0) {
-                    x if x < bad => Fate::Errored,
-                    x if x < bad + 0.002 => Fate::Broken,
-                    _ => Fate::Delivered,
+                    x if x < bad => AttemptOutcome::Failed,
+                    x if x < bad + 0.002 => AttemptOutcome::ConnectionReset,
+                    _ => AttemptOutcome::Succeeded,
                 };
                 if !(loses && self.chance.random_bool(0.4)) {
                     self.later(ms(1), Happens::Returns(job, fate));
@@ -988,7 +1010,7 @@
         }
     }
 
-    fn returns(&mut self, job: &Job, fate: Fate) {
+    fn returns(&mut self, job: &Job, fate: AttemptOutcome) {
         let host = &mut self.hosts[job.sidecar];
         if host.life != job.life {
             return;
@@ -997,29 +1019,29 @@
             return;
         };
         let no = usize::from(job.no.0);
-        if open.out[no] || open.streams && fate == Fate::TimedOut {
+        if open.out[no] || open.streams && fate == AttemptOutcome::TimedOut {
             return;
         }
-        let streamed = self.terms.groups[usize::from(job.group.0)].streamed;
-        if streamed && fate == Fate::Delivered && !open.over {
+        let streamed = self.terms.classes[usize::from(job.group.0)].streaming;
+        if streamed && fate == AttemptOutcome::Succeeded && !open.over {
             // The others of this hit end by themselves; their answers go nowhere.
             open.streams = true;
-            host.waiting.push(Event::StreamStarted { hit: job.hit });
+            host.waiting.push(Event::StreamStarted { request: job.hit });
             let ends = if self.chance.random_bool(0.2) {
-                Fate::Broken
+                AttemptOutcome::ConnectionReset
             } else {
-                Fate::Delivered
+                AttemptOutcome::Succeeded
             };
             let wait = ms(self.chance.random_range(20..800));
             return self.later(wait, Happens::StreamEnds(job.clone(), ends));
         }
         open.out[no] = true;
-        let fate = if open.streams && fate == Fate::Delivered {
-            Fate::Cancelled
+        let fate = if open.streams && fate == AttemptOutcome::Succeeded {
+            AttemptOutcome::Cancelled
         } else {
             fate
         };
-        open.over |= fate == Fate::Delivered;
+        open.over |= fate == AttemptOutcome::Succeeded;
         let over = open.over;
         self.tell_outcome(job, fate, over, ms(50));
     }
@@ -1027,15 +1049,15 @@
     fn start_pod(&mut self, id: PodId, build: u16, began: Option<Duration>) {
         let place = self.pods.len() as u64;
         let (zone, cell) = (ZoneId((place % 2) as u16), CellId((place / 3) as u16));
-        let entry = PodEntry {
+        let entry = Endpoint {
             pod: id,
             state: PodState::Ready,
             build: BuildId(build),
-            size: 1.0,
-            started: Some(began.unwrap_or(self.now)),
+            weight: 1.0,
+            started_at: Some(began.unwrap_or(self.now)),
             zone,
             cell,
-            kind: KindId(0),
+            machine_type: MachineTypeId(0),
         };
         let (runs, hung, slow, loses) = (true, false, 1.0, false);
         let (waiting, working) = (VecDeque::new(), Vec::new());
@@ -1060,11 +1082,11 @@
             .pod_started(id, self.now, self.cores as f64 / self.work);
         let now = self.now;
         let pod = &mut self.pods[place];
-        pod.entry = PodEntry {
+        pod.entry = Endpoint {
             pod: id,
             state: PodState::Ready,
             build: BuildId(build),
-            started: Some(now),
+            started_at: Some(now),
             ..pod.entry.clone()
         };
         (pod.runs, pod.began, pod.slow, pod.hung, pod.loses) = (true, now, 1.0, false, false);
@@ -1073,8 +1095,8 @@
     }
 
     /// The list after so many entries of the log.
-    fn list_at(&self, entries: usize) -> Vec<PodEntry> {
-        let mut rows: BTreeMap<PodId, PodEntry> = BTreeMap::new();
+    fn list_at(&self, entries: usize) -> Vec<Endpoint> {
+        let mut rows: BTreeMap<PodId, Endpoint> = BTreeMap::new();
         for row in self.log[..entries].iter().flat_map(|(_, rows)| rows) {
             rows.insert(row.pod, row.clone());
         }
@@ -1095,24 +1117,24 @@
 
     fn bring_list(&mut self, sidecar: usize) {
         if self.hosts[sidecar].module.is_none()
-            || (self.terms.list_on_request && !self.hosts[sidecar].watches)
+            || (self.terms.watch_on_request && !self.hosts[sidecar].watches)
         {
             return;
         }
-        if self.terms.list_on_request && !self.hears(sidecar) {
+        if self.terms.watch_on_request && !self.hears(sidecar) {
             return;
         }
         let upto = self.known_by(sidecar);
         let from = self.hosts[sidecar].listed;
         if upto > from {
-            let rows: Vec<PodEntry> = self.log[from..upto]
+            let rows: Vec<Endpoint> = self.log[from..upto]
                 .iter()
                 .flat_map(|(_, rows)| rows.clone())
                 .collect();
             let news = if self.chance.random_bool(0.1) {
-                ListNews::Whole(self.list_at(upto))
+                EndpointUpdate::Snapshot(self.list_at(upto))
             } else {
-                ListNews::Change(rows)
+                EndpointUpdate::Delta(rows)
             };
             self.give_list(sidecar, upto, news);
         }
@@ -1127,22 +1149,23 @@
             self.referee.heard(sidecar, self.now);
         }
         if !speaks && self.now >= host.heard + LIST_QUIET {
-            self.lose_list(sidecar, LossCause::Ended);
+            self.lose_list(sidecar, WatchLossCause::Ended);
         }
         speaks
     }
 
     /// The host tells the decisions that a watch or a call was lost.
-    fn lose_list(&mut self, sidecar: usize, why: LossCause) {
+    fn lose_list(&mut self, sidecar: usize, why: WatchLossCause) {
         let host = &mut self.hosts[sidecar];
         host.watches = false;
-        host.waiting.push(Event::List(ListNews::Failed(ListLoss {
-            why,
-            ..ListLoss::default()
-        })));
+        host.waiting
+            .push(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
+                cause: why,
+                ..WatchLoss::default()
+            })));
     }
 
-    fn give_list(&mut self, sidecar: usize, upto: usize, news: ListNews) {
+    fn give_list(&mut self, sidecar: usize, upto: usize, news: EndpointUpdate) {
         let held = self
             .list_at(upto)
             .into_iter()
@@ -1150,7 +1173,7 @@
             .collect();
         let host = &mut self.hosts[sidecar];
         (host.listed, host.held) = (upto, held);
-        host.waiting.push(Event::List(news));
+        host.waiting.push(Event::Endpoints(news));
     }
 
     /// The list service answers a call: the changes missed, all of it, or not at all.
@@ -1159,24 +1182,24 @@
             return;
         }
         match self.discovery {
-            Discovery::Refuses => return self.lose_list(sidecar, LossCause::Refused),
+            Discovery::Refuses => return self.lose_list(sidecar, WatchLossCause::Refused),
             Discovery::Silent => {
                 return self.later(LIST_QUIET, Happens::CallGivenUp(sidecar, life))
             }
             Discovery::Answers if self.chance.random_bool(0.15) => {
-                return self.lose_list(sidecar, LossCause::Ended)
+                return self.lose_list(sidecar, WatchLossCause::Ended)
             }
             Discovery::Answers => {}
         }
         self.hosts[sidecar].watches = true;
         let (from, upto) = (self.hosts[sidecar].listed, self.known_by(sidecar));
         let news = if self.chance.random_bool(0.3) {
-            ListNews::Whole(self.list_at(upto))
+            EndpointUpdate::Snapshot(self.list_at(upto))
         } else {
             let rows = self.log[from..upto]
                 .iter()
                 .flat_map(|(_, rows)| rows.clone());
-            ListNews::Change(rows.collect())
+            EndpointUpdate::Delta(rows.collect())
         };
         self.give_list(sidecar, upto, news);
     }
@@ -1187,42 +1210,42 @@
         }
         let zone = ZoneId((sidecar % 2) as u16);
         let seed = self.chance.random_range(0..u64::MAX);
-        let terms = StartTerms {
+        let terms = SidecarConfig {
             seed,
-            own_number: sidecar as u32,
+            sidecar_index: sidecar as u32,
             zone,
             ..self.terms.clone()
         };
         self.referee.start(sidecar, self.now, terms.clone());
-        let remembered: Vec<PodEntry> = self.hosts[sidecar].held.values().cloned().collect();
+        let remembered: Vec<Endpoint> = self.hosts[sidecar].held.values().cloned().collect();
         let news = self.hosts[sidecar].told.unwrap_or(self.news);
         let list_lease = terms
-            .list_lease
+            .endpoint_lease
             .filter(|_| self.crook != Crook::ForgetsLease);
         let host = &mut self.hosts[sidecar];
         host.module = Some(Sidecar::new(
             self.now,
-            StartTerms {
-                list_lease,
+            SidecarConfig {
+                endpoint_lease: list_lease,
                 ..terms
             },
         ));
         (host.watches, host.wake, host.told, host.heard) = (false, self.now, Some(news), self.now);
         host.waiting = vec![
-            Event::List(ListNews::Remembered(remembered)),
+            Event::Endpoints(EndpointUpdate::Cached(remembered)),
             Event::Stage {
-                news: Some(news),
-                answer: None,
+                update: Some(news),
+                vote_answer: None,
             },
         ];
-        if self.terms.list_on_request {
+        if self.terms.watch_on_request {
             // Whoever hosts the module asks once for it.
             let life = host.life;
             self.later(ms(100), Happens::Call(sidecar, life));
         }
     }
 
-    fn change(&mut self, news: StageNews) {
+    fn change(&mut self, news: StageUpdate) {
         self.news = news;
         self.state += 1;
         self.held_for = Duration::ZERO;
@@ -1238,8 +1261,8 @@
                     sidecar,
                     life,
                     Event::Stage {
-                        news: Some(news),
-                        answer: None,
+                        update: Some(news),
+                        vote_answer: None,
                     },
                 ),
             );
@@ -1250,7 +1273,7 @@
         let host = &mut self.hosts[sidecar];
         for event in &host.waiting {
             if let Event::Stage {
-                news: Some(news), ..
+                update: Some(news), ..
             } = event
             {
                 host.told = Some(*news);
@@ -1258,10 +1281,10 @@
         }
     }
 
-    fn vote(&mut self, sidecar: usize, verdict: Verdict, build: BuildId, stage: StageNo) {
+    fn vote(&mut self, sidecar: usize, verdict: Verdict, build: BuildId, stage: StageIndex) {
         let wait = ms(self.chance.random_range(30..250));
         let here =
-            build == self.news.build && (stage == self.news.stage || verdict == Verdict::Back);
+            build == self.news.build && (stage == self.news.stage || verdict == Verdict::RollBack);
         let answer = match self.chance.random_range(0..20) {
             _ if self.installer_down && self.chance.random_bool(0.5) => VoteAnswer::Failed,
             _ if self.installer_down => VoteAnswer::Unanswered,
@@ -1274,14 +1297,14 @@
             || (answer == VoteAnswer::Unanswered && self.chance.random_bool(0.5) && here);
         if counts {
             self.hosts[sidecar].vote = Some((self.now, verdict, build, stage));
-            if verdict == Verdict::Back
+            if verdict == Verdict::RollBack
                 && matches!(self.news.phase, Phase::OnTrial | Phase::Released)
             {
                 self.go_back();
             }
         }
         let wait = if answer == VoteAnswer::Unanswered {
-            self.terms.release.vote_answer_within
+            self.terms.rollout.vote_timeout
         } else {
             wait
         };
@@ -1289,15 +1312,15 @@
             wait,
             sidecar,
             Event::Stage {
-                news: None,
-                answer: Some(answer),
+                update: None,
+                vote_answer: Some(answer),
             },
         );
     }
 
     fn go_back(&mut self) {
-        self.change(StageNews {
-            phase: Phase::GoingBack,
+        self.change(StageUpdate {
+            phase: Phase::RollingBack,
             cap: 0.0,
             ..self.news
         });
@@ -1334,7 +1357,7 @@
             let drains = self.pods[place].entry.clone();
             self.happen(Happens::Listed(vec![row, drains]));
             let mut wait = ms(self.chance.random_range(1500..3500));
-            if self.terms.list_lease.is_some() {
+            if self.terms.endpoint_lease.is_some() {
                 // Long beside the lease, or no pod would be there that has drained for longer.
                 wait += ms(self.links.random_range(0..5000));
             }
@@ -1349,20 +1372,20 @@
         if self.installer_down {
             return self.later(ms(500), Happens::Steps(state));
         }
-        let life = self.terms.release.vote_life;
+        let life = self.terms.rollout.vote_ttl;
         let standing = |verdict: Verdict| {
-            let here = |(at, what, build, stage): (Duration, Verdict, BuildId, StageNo)| {
+            let here = |(at, what, build, stage): (Duration, Verdict, BuildId, StageIndex)| {
                 let now = build == self.news.build && stage == self.news.stage;
                 what == verdict && now && self.now < at + life
             };
             self.hosts.iter().any(|host| host.vote.is_some_and(here))
         };
-        let clock = self.terms.release.control == Control::Clock;
+        let clock = self.terms.rollout.control == Control::Clock;
         if self.news.phase == Phase::OnTrial {
             let waits = if clock {
                 standing(Verdict::Hold)
             } else {
-                !standing(Verdict::On)
+                !standing(Verdict::Promote)
             };
             // An operator gives up on a build that nothing moves.
             if waits && self.held_for < ms(6000) {
@@ -1370,11 +1393,11 @@
                 return self.later(ms(250), Happens::Steps(state));
             }
         }
-        let shares = self.terms.release.stage_shares.clone();
-        let caps = self.terms.release.caps.clone();
+        let shares = self.terms.rollout.stage_shares.clone();
+        let caps = self.terms.rollout.exposure_caps.clone();
         let (build, stage) = (self.news.build, usize::from(self.news.stage.0));
         match self.news.phase {
-            Phase::Released | Phase::Withdrawn => {
+            Phase::Released | Phase::RolledBack => {
                 let next = BuildId(build.0 + 1);
                 let bad = if self.chance.random_bool(0.4) {
                     self.chance.random_range(0.1..0.5)
@@ -1389,8 +1412,8 @@
                     .filter(|pod| pod.runs && pod.entry.state == PodState::Ready);
                 let of = of.map(|pod| pod.entry.build.0).min().unwrap_or(1);
                 self.bring_in(of, next.0, shares[0]);
-                let (stage, phase, cap) = (StageNo(0), Phase::OnTrial, caps[0]);
-                self.change(StageNews {
+                let (stage, phase, cap) = (StageIndex(0), Phase::OnTrial, caps[0]);
+                self.change(StageUpdate {
                     build: next,
                     stage,
                     phase,
@@ -1405,20 +1428,20 @@
                     .filter(|pod| pod.runs && pod.entry.build < build);
                 let of = before.map(|pod| pod.entry.build.0).max().unwrap_or(build.0);
                 self.bring_in(of, build.0, shares[stage + 1]);
-                let (stage, cap) = (StageNo(stage as u8 + 1), caps[stage + 1]);
-                self.change(StageNews {
+                let (stage, cap) = (StageIndex(stage as u8 + 1), caps[stage + 1]);
+                self.change(StageUpdate {
                     stage,
                     cap,
                     ..self.news
                 });
             }
-            Phase::OnTrial => self.change(StageNews {
+            Phase::OnTrial => self.change(StageUpdate {
                 phase: Phase::Released,
                 cap: 1.0,
                 ..self.news
             }),
-            Phase::GoingBack => self.change(StageNews {
-                phase: Phase::Withdrawn,
+            Phase::RollingBack => self.change(StageUpdate {
+                phase: Phase::RolledBack,
                 cap: 0.0,
                 ..self.news
             }),
--- a/crates/reference-model/tests/digest.rs
+++ b/crates/reference-model/tests/digest.rs
@@ -46,23 +46,33 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Forward { hit, pod, within } => {
+            Action::StartAttempt {
+                request: hit,
+                pod,
+                timeout: within,
+            } => {
                 self.number(0);
                 self.number(hit.0);
                 self.number(pod.0);
                 self.span(*within);
             }
-            Action::Cancel { hit, no } => {
+            Action::CancelAttempt {
+                request: hit,
+                attempt: no,
+            } => {
                 self.number(1);
                 self.number(hit.0);
                 self.number(no.0.into());
             }
-            Action::Bounce { hit, retry_after } => {
+            Action::Reject {
+                request: hit,
+                retry_after,
+            } => {
                 self.number(2);
                 self.number(hit.0);
                 self.span(*retry_after);
             }
-            Action::Fail { hit } => {
+            Action::Fail { request: hit } => {
                 self.number(3);
                 self.number(hit.0);
             }
@@ -73,16 +83,16 @@
             } => {
                 self.number(4);
                 self.number(match verdict {
-                    Verdict::Withhold => 0,
-                    Verdict::On => 1,
+                    Verdict::Abstain => 0,
+                    Verdict::Promote => 1,
                     Verdict::Hold => 2,
-                    Verdict::Back => 3,
+                    Verdict::RollBack => 3,
                 });
                 self.number(build.0.into());
                 self.number(stage.0.into());
             }
-            Action::Watch => self.number(5),
-            Action::Wake { at } => {
+            Action::WatchEndpoints => self.number(5),
+            Action::WakeAt { at } => {
                 self.number(6);
                 self.span(*at);
             }
@@ -108,20 +118,20 @@
 impl Counts {
     fn count(&mut self, action: &Action) {
         match action {
-            Action::Forward { .. } => self.forwards += 1,
-            Action::Cancel { .. } => self.cancels += 1,
-            Action::Bounce { .. } => self.bounces += 1,
+            Action::StartAttempt { .. } => self.forwards += 1,
+            Action::CancelAttempt { .. } => self.cancels += 1,
+            Action::Reject { .. } => self.bounces += 1,
             Action::Fail { .. } => self.fails += 1,
             Action::Vote { verdict, .. } => {
                 self.votes[match verdict {
-                    Verdict::Withhold => 0,
-                    Verdict::On => 1,
+                    Verdict::Abstain => 0,
+                    Verdict::Promote => 1,
                     Verdict::Hold => 2,
-                    Verdict::Back => 3,
+                    Verdict::RollBack => 3,
                 }] += 1
             }
-            Action::Watch => self.watches += 1,
-            Action::Wake { .. } => self.wakes += 1,
+            Action::WatchEndpoints => self.watches += 1,
+            Action::WakeAt { .. } => self.wakes += 1,
             Action::Log(_) => self.logs += 1,
         }
     }
@@ -131,8 +141,8 @@
 #[derive(Clone, Copy)]
 struct Attempt {
     incarnation: u32,
-    request: HitId,
-    index: ForwardNo,
+    request: RequestId,
+    index: AttemptIndex,
     pod: PodId,
 }
 
@@ -147,7 +157,7 @@
 }
 
 struct Server {
-    entry: PodEntry,
+    entry: Endpoint,
     runs: bool,
     hangs: bool,
     slowness: f64,
@@ -159,10 +169,10 @@
     Arrival,
     Tell(u32, Event),
     Connected(Attempt),
-    Answer(Attempt, Fate),
+    Answer(Attempt, AttemptOutcome),
     TimeUp(Attempt),
-    StreamEnd(Attempt, Fate),
-    ClientLeaves(u32, HitId),
+    StreamEnd(Attempt, AttemptOutcome),
+    ClientLeaves(u32, RequestId),
     ServerFault,
     ServerRecovers(usize),
     ServerDies(usize),
@@ -182,7 +192,7 @@
 struct Simulation {
     rng: StdRng,
     now: Duration,
-    settings: StartTerms,
+    settings: SidecarConfig,
     sidecar: Sidecar,
     incarnation: u32,
     events: Vec<Event>,
@@ -191,13 +201,13 @@
     queue: BTreeMap<(Duration, u64), Scheduled>,
     queued: u64,
     servers: Vec<Server>,
-    requests: BTreeMap<HitId, Open>,
+    requests: BTreeMap<RequestId, Open>,
     next_request: u64,
     overload: f64,
     watching: bool,
     last_heard: Duration,
-    missed: Vec<PodEntry>,
-    stage: StageNews,
+    missed: Vec<Endpoint>,
+    stage: StageUpdate,
     stage_since: Duration,
 }
 
@@ -205,66 +215,70 @@
     Duration::from_millis(ms)
 }
 
-fn class(repeat: Repeat, latency: u64, timeout: u64, streamed: bool) -> PathGroup {
-    PathGroup {
-        repeat,
-        target_latency: ms(latency),
+fn class(repeat: Idempotency, latency: u64, timeout: u64, streamed: bool) -> RequestClass {
+    RequestClass {
+        idempotency: repeat,
+        latency_objective: ms(latency),
         client_timeout: ms(timeout),
-        benefit: latency as f64 / 300.0,
-        late_benefit: if latency == 300 { 0.2 } else { 0.0 },
-        streamed,
+        priority_weight: latency as f64 / 300.0,
+        late_weight: if latency == 300 { 0.2 } else { 0.0 },
+        streaming: streamed,
     }
 }
 
-fn settings(seed: u64, rng: &mut StdRng) -> StartTerms {
-    let reach = [Reach::All, Reach::Zone, Reach::Cell][rng.random_range(0..3)];
-    let keyed = Repeat::Tagged {
-        drops_repeats: reach,
-        memory: ms(1500),
+fn settings(seed: u64, rng: &mut StdRng) -> SidecarConfig {
+    let reach = [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ][rng.random_range(0..3)];
+    let keyed = Idempotency::Keyed {
+        deduplicated_by: reach,
+        window: ms(1500),
     };
     let control = [Control::Votes, Control::Clock][(seed % 2) as usize];
     let list_on_request = rng.random_bool(0.8);
     let lease = list_on_request && rng.random_bool(0.6);
-    StartTerms {
+    SidecarConfig {
         seed: rng.random_range(0..u64::MAX),
-        sidecars: rng.random_range(1..=5),
-        own_number: 0,
+        sidecar_count: rng.random_range(1..=5),
+        sidecar_index: 0,
         zone: ZoneId(rng.random_range(0..2)),
-        groups: vec![
-            class(Repeat::Repeatable, 300, 1200, false),
+        classes: vec![
+            class(Idempotency::Idempotent, 300, 1200, false),
             class(keyed, 600, 2500, false),
-            class(Repeat::Mutating, 500, 2000, false),
-            class(Repeat::Repeatable, 600, 1500, true),
+            class(Idempotency::NonIdempotent, 500, 2000, false),
+            class(Idempotency::Idempotent, 600, 1500, true),
         ],
-        list_on_request,
-        list_pushed: false,
-        list_lease: lease.then_some(ms(2000)),
-        may_cancel: rng.random_bool(0.7),
-        second_copies: rng.random_bool(0.7),
+        watch_on_request: list_on_request,
+        endpoints_pushed: false,
+        endpoint_lease: lease.then_some(ms(2000)),
+        cancellation: rng.random_bool(0.7),
+        hedging: rng.random_bool(0.7),
         retry_after: rng.random_bool(0.6).then_some(ms(500)),
-        max_forwards: rng.random_range(2..=6),
-        rules: RuleTerms {
+        max_attempts: rng.random_range(2..=6),
+        safety: SafetyLimits {
             drain_grace: ms([500, 1000][rng.random_range(0..2)]),
-            cold_from: 0.35,
-            cold_for: ms(3400),
-            fall_multiple: [2.0, 2.5][rng.random_range(0..2)],
-            fall_within: ms([1000, 1500, 3000][rng.random_range(0..3)]),
+            slow_start_from: 0.35,
+            slow_start_duration: ms(3400),
+            overload_multiple: [2.0, 2.5][rng.random_range(0..2)],
+            overload_window: ms([1000, 1500, 3000][rng.random_range(0..3)]),
         },
-        release: ReleaseTerms {
+        rollout: RolloutConfig {
             control,
             stage_shares: vec![0.15, 0.4, 1.0],
-            caps: vec![0.2, 0.5, 1.0],
-            cap_window: ms(2000),
-            cap_free: 1.0,
-            cap_by_group: rng.random_bool(0.5),
+            exposure_caps: vec![0.2, 0.5, 1.0],
+            exposure_window: ms(2000),
+            exposure_free: 1.0,
+            exposure_per_class: rng.random_bool(0.5),
             guarded_stages: rng.random_range(0..3),
-            keys_stay: rng.random_bool(0.5),
-            vote_life: ms(4000),
-            vote_answer_within: ms(1000),
-            back_votes: rng.random_range(1..3),
-            hold_votes: 1,
-            on_votes: rng.random_range(1..3),
-            vote_allowance: rng.random_bool(0.5).then_some(5.0),
+            sticky_keys: rng.random_bool(0.5),
+            vote_ttl: ms(4000),
+            vote_timeout: ms(1000),
+            rollback_quorum: rng.random_range(1..3),
+            hold_quorum: 1,
+            promote_quorum: rng.random_range(1..3),
+            vote_rate_limit: rng.random_bool(0.5).then_some(5.0),
         },
     }
 }
@@ -273,9 +287,9 @@
     fn new(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let settings = settings(seed, &mut rng);
-        let stage = StageNews {
+        let stage = StageUpdate {
             build: BuildId(1),
-            stage: StageNo(2),
+            stage: StageIndex(2),
             phase: Phase::Released,
             cap: 1.0,
             age: Duration::ZERO,
@@ -337,7 +351,7 @@
                 let what = entry.remove();
                 self.happen(what, digest, counts);
             }
-            if self.watching || !self.settings.list_on_request {
+            if self.watching || !self.settings.watch_on_request {
                 self.last_heard = self.now;
             }
             let due = !self.events.is_empty() || self.now >= self.wake_at;
@@ -353,7 +367,8 @@
         let mut actions = Vec::new();
         let mut rest = events;
         if self.rng.random_bool(0.3) {
-            let is_control = |event: &Event| matches!(event, Event::List(_) | Event::Stage { .. });
+            let is_control =
+                |event: &Event| matches!(event, Event::Endpoints(_) | Event::Stage { .. });
             let (first, then): (Vec<Event>, Vec<Event>) = rest.into_iter().partition(is_control);
             actions.extend(self.sidecar.learn(self.now, first));
             rest = then;
@@ -369,29 +384,34 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Forward { hit, pod, .. } => self.forward(hit, pod),
-            Action::Cancel { hit, no } => self.cancel(hit, no),
-            Action::Bounce { hit, .. } | Action::Fail { hit } => {
+            Action::StartAttempt {
+                request: hit, pod, ..
+            } => self.forward(hit, pod),
+            Action::CancelAttempt {
+                request: hit,
+                attempt: no,
+            } => self.cancel(hit, no),
+            Action::Reject { request: hit, .. } | Action::Fail { request: hit } => {
                 if let Some(open) = self.requests.get_mut(&hit) {
                     open.over = true;
                 }
             }
             Action::Vote { build, stage, .. } => self.answer_vote(build, stage),
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 let wait = self.after(40, 400);
                 self.later(wait, Scheduled::ListCall(self.incarnation));
             }
-            Action::Wake { at } => self.wake_at = at,
+            Action::WakeAt { at } => self.wake_at = at,
             Action::Log(_) => {}
         }
     }
 
-    fn forward(&mut self, request: HitId, pod: PodId) {
+    fn forward(&mut self, request: RequestId, pod: PodId) {
         let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        let index = ForwardNo(open.ended.len() as u16);
-        let too_many = index.0 >= self.settings.max_forwards;
+        let index = AttemptIndex(open.ended.len() as u16);
+        let too_many = index.0 >= self.settings.max_attempts;
         let never_sent = open.over || open.streams || too_many || self.now >= open.due;
         open.ended.push(never_sent);
         let due = open.due;
@@ -402,7 +422,7 @@
             pod,
         };
         if never_sent {
-            return self.tell_outcome(attempt, Fate::Void, STEP);
+            return self.tell_outcome(attempt, AttemptOutcome::NeverSent, STEP);
         }
         self.later(due.saturating_sub(self.now), Scheduled::TimeUp(attempt));
         let dials = self.rng.random_bool(0.15);
@@ -414,7 +434,7 @@
         self.later(wait, Scheduled::Connected(attempt));
     }
 
-    fn cancel(&mut self, request: HitId, index: ForwardNo) {
+    fn cancel(&mut self, request: RequestId, index: AttemptIndex) {
         let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
@@ -431,10 +451,10 @@
             index,
             pod: PodId(0),
         };
-        self.tell_outcome(attempt, Fate::Cancelled, STEP);
+        self.tell_outcome(attempt, AttemptOutcome::Cancelled, STEP);
     }
 
-    fn answer_vote(&mut self, build: BuildId, stage: StageNo) {
+    fn answer_vote(&mut self, build: BuildId, stage: StageIndex) {
         let current = build == self.stage.build && stage == self.stage.stage;
         let answer = match self.rng.random_range(0..12) {
             0 => VoteAnswer::Full,
@@ -444,29 +464,29 @@
             _ => VoteAnswer::Counted,
         };
         let wait = match answer {
-            VoteAnswer::Unanswered => self.settings.release.vote_answer_within,
+            VoteAnswer::Unanswered => self.settings.rollout.vote_timeout,
             _ => self.after(30, 250),
         };
         let news = (answer == VoteAnswer::Counted).then_some(self.stage);
         let event = Event::Stage {
-            news,
-            answer: Some(answer),
+            update: news,
+            vote_answer: Some(answer),
         };
         self.later(wait, Scheduled::Tell(self.incarnation, event));
     }
 
-    fn tell_outcome(&mut self, attempt: Attempt, fate: Fate, took: Duration) {
+    fn tell_outcome(&mut self, attempt: Attempt, fate: AttemptOutcome, took: Duration) {
         let over = self
             .requests
             .get(&attempt.request)
             .is_some_and(|open| open.over);
-        let event = Event::Outcome(Outcome {
-            hit: attempt.request,
-            no: attempt.index,
+        let event = Event::AttemptFinished(AttemptResult {
+            request: attempt.request,
+            attempt: attempt.index,
             pod: attempt.pod,
-            fate,
-            took,
-            over,
+            outcome: fate,
+            duration: took,
+            request_over: over,
         });
         self.later(STEP, Scheduled::Tell(attempt.incarnation, event));
     }
@@ -481,7 +501,7 @@
             }
             Scheduled::Connected(attempt) => self.begin(attempt, digest, counts),
             Scheduled::Answer(attempt, fate) => self.attempt_ends(attempt, fate),
-            Scheduled::TimeUp(attempt) => self.attempt_ends(attempt, Fate::TimedOut),
+            Scheduled::TimeUp(attempt) => self.attempt_ends(attempt, AttemptOutcome::TimedOut),
             Scheduled::StreamEnd(attempt, fate) => self.stream_ends(attempt, fate),
             Scheduled::ClientLeaves(incarnation, request) => {
                 self.client_leaves(incarnation, request);
@@ -503,15 +523,15 @@
             Scheduled::StageStep => self.stage_step(),
             Scheduled::FleetChange => self.fleet_change(),
             Scheduled::KeyMet => {
-                let key = KeyId(self.rng.random_range(1..80));
-                self.events.push(Event::Met(key, self.stage.build));
+                let key = RoutingKey(self.rng.random_range(1..80));
+                self.events.push(Event::KeyServed(key, self.stage.build));
                 let wait = self.after(300, 3000);
                 self.later(wait, Scheduled::KeyMet);
             }
             Scheduled::WrongAnswer => {
                 let pod = PodId(self.rng.random_range(1..=PODS));
-                let group = GroupId(self.rng.random_range(0..4));
-                self.events.push(Event::Flagged { pod, group });
+                let group = ClassId(self.rng.random_range(0..4));
+                self.events.push(Event::Flagged { pod, class: group });
                 let wait = self.after(200, 4000);
                 self.later(wait, Scheduled::WrongAnswer);
             }
@@ -529,13 +549,13 @@
         let wait = -self.rng.random_range(1e-9..1.0_f64).ln() / (RATE * self.overload.min(4.0));
         self.later(Duration::from_secs_f64(wait), Scheduled::Arrival);
         self.next_request += 1;
-        let id = HitId(self.next_request);
+        let id = RequestId(self.next_request);
         let class = [0, 0, 0, 1, 1, 2, 2, 3][self.rng.random_range(0..8)];
         let keyed = self.rng.random_bool(0.6);
-        let key = keyed.then(|| KeyId(self.rng.random_range(1..80)));
+        let key = keyed.then(|| RoutingKey(self.rng.random_range(1..80)));
         let known = self.rng.random_bool(0.9);
-        let customer = known.then(|| CustomerId(self.rng.random_range(0..4)));
-        let timeout = self.settings.groups[class].client_timeout;
+        let customer = known.then(|| TenantId(self.rng.random_range(0..4)));
+        let timeout = self.settings.classes[class].client_timeout;
         let due = self.now + timeout.mul_f64(self.rng.random_range(0.3..1.0));
         let open = Open {
             class,
@@ -545,12 +565,12 @@
             streams: false,
         };
         self.requests.insert(id, open);
-        self.events.push(Event::Hit(Hit {
+        self.events.push(Event::RequestArrived(Request {
             id,
-            group: GroupId(class as u16),
-            customer,
-            key,
-            due,
+            class: ClassId(class as u16),
+            tenant: customer,
+            routing_key: key,
+            deadline: due,
         }));
         if self.rng.random_bool(0.03) {
             let wait = self.after(10, 400);
@@ -572,14 +592,17 @@
             return;
         }
         if open.over || open.streams || self.now >= open.due {
-            return self.attempt_ends(attempt, Fate::Void);
+            return self.attempt_ends(attempt, AttemptOutcome::NeverSent);
         }
         let Some(at) = self
             .server_of(attempt.pod)
             .filter(|at| self.servers[*at].runs)
         else {
             let wait = [ms(2), ms(250)][usize::from(self.rng.random_bool(0.5))];
-            return self.later(wait, Scheduled::Answer(attempt, Fate::Unreached));
+            return self.later(
+                wait,
+                Scheduled::Answer(attempt, AttemptOutcome::ConnectFailed),
+            );
         };
         let allowed = self
             .sidecar
@@ -588,7 +611,7 @@
         digest.number(u64::from(allowed));
         if !allowed {
             counts.refused_starts += 1;
-            return self.attempt_ends(attempt, Fate::Void);
+            return self.attempt_ends(attempt, AttemptOutcome::NeverSent);
         }
         self.serve(at, attempt);
     }
@@ -603,7 +626,7 @@
         let (slowness, error_rate) = (self.servers[at].slowness, self.servers[at].error_rate);
         let drains = self.servers[at].entry.state == PodState::Draining;
         if self.servers[at].open >= 40 || (drains && self.rng.random_bool(0.7)) {
-            return self.later(ms(2), Scheduled::Answer(attempt, Fate::TurnedAway));
+            return self.later(ms(2), Scheduled::Answer(attempt, AttemptOutcome::Rejected));
         }
         if self.servers[at].hangs || self.rng.random_bool(0.01) {
             return;
@@ -612,15 +635,18 @@
         let load = 1.0 + f64::from(self.servers[at].open) / 4.0;
         let took = 30.0 * load * slowness * self.rng.random_range(0.5..1.6);
         let fate = match self.rng.random_range(0.0..1.0) {
-            draw if draw < error_rate => Fate::Errored,
-            draw if draw < error_rate + 0.004 => Fate::Broken,
-            _ => Fate::Delivered,
+            draw if draw < error_rate => AttemptOutcome::Failed,
+            draw if draw < error_rate + 0.004 => AttemptOutcome::ConnectionReset,
+            _ => AttemptOutcome::Succeeded,
         };
         self.later(ms(took as u64), Scheduled::Answer(attempt, fate));
     }
 
-    fn attempt_ends(&mut self, attempt: Attempt, fate: Fate) {
-        let served = matches!(fate, Fate::Delivered | Fate::Errored | Fate::Broken);
+    fn attempt_ends(&mut self, attempt: Attempt, fate: AttemptOutcome) {
+        let served = matches!(
+            fate,
+            AttemptOutcome::Succeeded | AttemptOutcome::Failed | AttemptOutcome::ConnectionReset
+        );
         if let Some(at) = self.server_of(attempt.pod).filter(|_| served) {
             self.servers[at].open = self.servers[at].open.saturating_sub(1);
         }
@@ -631,30 +657,31 @@
             return;
         };
         let index = usize::from(attempt.index.0);
-        if open.ended[index] || (open.streams && fate == Fate::TimedOut) {
+        if open.ended[index] || (open.streams && fate == AttemptOutcome::TimedOut) {
             return;
         }
-        let streamed = self.settings.groups[open.class].streamed;
-        if streamed && fate == Fate::Delivered && !open.over && !open.streams {
+        let streamed = self.settings.classes[open.class].streaming;
+        if streamed && fate == AttemptOutcome::Succeeded && !open.over && !open.streams {
             open.streams = true;
             self.events.push(Event::StreamStarted {
-                hit: attempt.request,
+                request: attempt.request,
             });
-            let ends = [Fate::Delivered, Fate::Broken][usize::from(self.rng.random_bool(0.2))];
+            let ends = [AttemptOutcome::Succeeded, AttemptOutcome::ConnectionReset]
+                [usize::from(self.rng.random_bool(0.2))];
             let wait = self.after(20, 800);
             return self.later(wait, Scheduled::StreamEnd(attempt, ends));
         }
         open.ended[index] = true;
         let fate = match fate {
-            Fate::Delivered if open.streams => Fate::Cancelled,
+            AttemptOutcome::Succeeded if open.streams => AttemptOutcome::Cancelled,
             fate => fate,
         };
-        open.over |= fate == Fate::Delivered;
+        open.over |= fate == AttemptOutcome::Succeeded;
         let took = self.after(20, 400);
         self.tell_outcome(attempt, fate, took);
     }
 
-    fn stream_ends(&mut self, attempt: Attempt, fate: Fate) {
+    fn stream_ends(&mut self, attempt: Attempt, fate: AttemptOutcome) {
         if attempt.incarnation != self.incarnation {
             return;
         }
@@ -666,7 +693,7 @@
         self.tell_outcome(attempt, fate, ms(60));
     }
 
-    fn client_leaves(&mut self, incarnation: u32, request: HitId) {
+    fn client_leaves(&mut self, incarnation: u32, request: RequestId) {
         if incarnation != self.incarnation {
             return;
         }
@@ -675,7 +702,7 @@
         };
         if !open.over {
             open.over = true;
-            self.events.push(Event::Left(request));
+            self.events.push(Event::ClientDisconnected(request));
         }
     }
 
@@ -729,20 +756,20 @@
         server.open = 0;
         server.entry.state = PodState::Ready;
         server.entry.build = BuildId(build);
-        server.entry.started = Some(self.now);
+        server.entry.started_at = Some(self.now);
         self.list_changed(at);
     }
 
     fn list_changed(&mut self, at: usize) {
         let entry = self.servers[at].entry.clone();
-        if self.watching || !self.settings.list_on_request {
+        if self.watching || !self.settings.watch_on_request {
             let whole = self.rng.random_bool(0.15);
             let news = if whole {
-                ListNews::Whole(self.list())
+                EndpointUpdate::Snapshot(self.list())
             } else {
-                ListNews::Change(vec![entry])
+                EndpointUpdate::Delta(vec![entry])
             };
-            let event = Event::List(news);
+            let event = Event::Endpoints(news);
             let wait = self.after(20, 1200);
             self.later(wait, Scheduled::Tell(self.incarnation, event));
         } else {
@@ -750,7 +777,7 @@
         }
     }
 
-    fn list(&self) -> Vec<PodEntry> {
+    fn list(&self) -> Vec<Endpoint> {
         let listed = |server: &&Server| server.entry.state != PodState::Gone;
         let servers = self.servers.iter().filter(listed);
         servers.map(|server| server.entry.clone()).collect()
@@ -766,28 +793,32 @@
         self.watching = true;
         let missed = std::mem::take(&mut self.missed);
         let news = if self.rng.random_bool(0.5) {
-            ListNews::Whole(self.list())
+            EndpointUpdate::Snapshot(self.list())
         } else {
-            ListNews::Change(missed)
+            EndpointUpdate::Delta(missed)
         };
-        self.events.push(Event::List(news));
+        self.events.push(Event::Endpoints(news));
     }
 
     fn lose_list(&mut self) {
         self.watching = false;
         let silent = self.now.saturating_sub(self.last_heard);
         let why = [
-            LossCause::Ended,
-            LossCause::NoService,
-            LossCause::Unanswered,
-            LossCause::Refused,
+            WatchLossCause::Ended,
+            WatchLossCause::NoService,
+            WatchLossCause::TimedOut,
+            WatchLossCause::Refused,
         ][self.rng.random_range(0..4)];
-        let loss = ListLoss { silent, why };
-        self.events.push(Event::List(ListNews::Failed(loss)));
+        let loss = WatchLoss {
+            silent_for: silent,
+            cause: why,
+        };
+        self.events
+            .push(Event::Endpoints(EndpointUpdate::WatchLost(loss)));
     }
 
     fn watch_breaks(&mut self) {
-        if self.watching && self.settings.list_on_request {
+        if self.watching && self.settings.watch_on_request {
             self.lose_list();
         }
         let wait = self.after(4000, 15_000);
@@ -797,11 +828,11 @@
     fn stage_step(&mut self) {
         let shares = [2, 5, PODS as usize];
         match self.stage.phase {
-            Phase::Released | Phase::Withdrawn => {
+            Phase::Released | Phase::RolledBack => {
                 let build = BuildId(self.stage.build.0 + 1);
-                self.stage = StageNews {
+                self.stage = StageUpdate {
                     build,
-                    stage: StageNo(0),
+                    stage: StageIndex(0),
                     phase: Phase::OnTrial,
                     cap: 0.2,
                     age: Duration::ZERO,
@@ -809,7 +840,7 @@
                 self.roll_out(build.0, shares[0]);
             }
             Phase::OnTrial if self.rng.random_bool(0.2) => {
-                self.stage.phase = Phase::GoingBack;
+                self.stage.phase = Phase::RollingBack;
                 self.stage.cap = 0.0;
                 self.roll_out(self.stage.build.0 - 1, PODS as usize);
             }
@@ -824,13 +855,13 @@
                 self.stage.phase = Phase::Released;
                 self.stage.cap = 1.0;
             }
-            Phase::GoingBack => self.stage.phase = Phase::Withdrawn,
+            Phase::RollingBack => self.stage.phase = Phase::RolledBack,
         }
         self.stage_since = self.now;
         let wait = self.after(20, 900);
         let event = Event::Stage {
-            news: Some(self.stage),
-            answer: None,
+            update: Some(self.stage),
+            vote_answer: None,
         };
         self.later(wait, Scheduled::Tell(self.incarnation, event));
         let wait = self.after(2500, 9000);
@@ -861,7 +892,11 @@
             let held = (0..self.rng.random_range(0..3))
                 .map(|_| PodId(self.rng.random_range(1..=PODS)))
                 .collect();
-            Some(FleetView { order, uses, held })
+            Some(FleetView {
+                preference: order,
+                min_endpoints: uses,
+                probed_by_peers: held,
+            })
         };
         self.events.push(Event::Fleet(view));
         let wait = self.after(1000, 6000);
@@ -879,12 +914,12 @@
         self.wake_at = self.now;
         self.stalled_until = self.now;
         let age = self.now - self.stage_since;
-        let news = StageNews { age, ..self.stage };
+        let news = StageUpdate { age, ..self.stage };
         self.events
-            .push(Event::List(ListNews::Remembered(self.list())));
+            .push(Event::Endpoints(EndpointUpdate::Cached(self.list())));
         self.events.push(Event::Stage {
-            news: Some(news),
-            answer: None,
+            update: Some(news),
+            vote_answer: None,
         });
         self.later(ms(100), Scheduled::ListCall(self.incarnation));
     }
@@ -892,15 +927,15 @@
 
 impl Server {
     fn new(number: u64, build: u16) -> Self {
-        let entry = PodEntry {
+        let entry = Endpoint {
             pod: PodId(number),
             state: PodState::Ready,
             build: BuildId(build),
-            size: [1.0, 1.0, 0.5, 2.0][(number % 4) as usize],
-            started: (!number.is_multiple_of(3)).then_some(START - Duration::from_secs(600)),
+            weight: [1.0, 1.0, 0.5, 2.0][(number % 4) as usize],
+            started_at: (!number.is_multiple_of(3)).then_some(START - Duration::from_secs(600)),
             zone: ZoneId((number % 2) as u16),
             cell: CellId((number / 4) as u16),
-            kind: KindId((number % 2) as u16),
+            machine_type: MachineTypeId((number % 2) as u16),
         };
         Self {
             entry,
--- a/crates/settings/src/terms.rs
+++ b/crates/settings/src/terms.rs
@@ -5,7 +5,7 @@
 
 impl SidecarSettings {
     /// What the decision module is told at its start.
-    pub fn start_terms(&self, seed: u64) -> words::StartTerms {
+    pub fn start_terms(&self, seed: u64) -> words::SidecarConfig {
         let (limits, rules, releases) = (&self.limits, &self.rules, &self.releases);
         let zone = self
             .fleet
@@ -13,71 +13,71 @@
             .iter()
             .position(|zone| *zone == self.fleet.zone)
             .unwrap_or(0);
-        words::StartTerms {
+        words::SidecarConfig {
             seed,
-            sidecars: self.fleet.sidecars,
-            own_number: self.fleet.own_number,
+            sidecar_count: self.fleet.sidecars,
+            sidecar_index: self.fleet.own_number,
             zone: words::ZoneId(zone as u16),
-            groups: self.path_groups.iter().map(group).collect(),
+            classes: self.path_groups.iter().map(group).collect(),
             // Whoever hosts the module asks the list service whenever the module says so.
-            list_on_request: true,
-            list_pushed: false,
-            list_lease: None,
-            may_cancel: limits.may_cancel,
-            second_copies: limits.second_copies,
+            watch_on_request: true,
+            endpoints_pushed: false,
+            endpoint_lease: None,
+            cancellation: limits.may_cancel,
+            hedging: limits.second_copies,
             retry_after: limits.retry_after.map(Into::into),
-            max_forwards: limits.max_forwards,
-            rules: words::RuleTerms {
+            max_attempts: limits.max_forwards,
+            safety: words::SafetyLimits {
                 drain_grace: rules.drain_grace.into(),
-                cold_from: rules.cold_from,
-                cold_for: rules.cold_for.into(),
-                fall_multiple: rules.fall_multiple,
-                fall_within: rules.fall_within.into(),
+                slow_start_from: rules.cold_from,
+                slow_start_duration: rules.cold_for.into(),
+                overload_multiple: rules.fall_multiple,
+                overload_window: rules.fall_within.into(),
             },
-            release: words::ReleaseTerms {
+            rollout: words::RolloutConfig {
                 control: match releases.control {
                     Control::Votes => words::Control::Votes,
                     Control::Clock => words::Control::Clock,
                 },
                 stage_shares: releases.stages.iter().map(|stage| stage.share).collect(),
-                caps: releases.stages.iter().map(|stage| stage.cap).collect(),
-                cap_window: releases.cap_window.into(),
-                cap_free: releases.cap_free,
-                cap_by_group: releases.cap_by_group,
+                exposure_caps: releases.stages.iter().map(|stage| stage.cap).collect(),
+                exposure_window: releases.cap_window.into(),
+                exposure_free: releases.cap_free,
+                exposure_per_class: releases.cap_by_group,
                 guarded_stages: releases.guarded_stages,
-                keys_stay: releases.keys_stay,
-                vote_life: releases.vote_life.into(),
-                vote_answer_within: releases.vote_answer_within.into(),
-                back_votes: releases.back_votes,
-                hold_votes: releases.hold_votes,
-                on_votes: releases.on_votes,
-                vote_allowance: releases.vote_allowance,
+                sticky_keys: releases.keys_stay,
+                vote_ttl: releases.vote_life.into(),
+                vote_timeout: releases.vote_answer_within.into(),
+                rollback_quorum: releases.back_votes,
+                hold_quorum: releases.hold_votes,
+                promote_quorum: releases.on_votes,
+                vote_rate_limit: releases.vote_allowance,
             },
         }
     }
 }
 
-fn group(group: &PathGroup) -> words::PathGroup {
-    words::PathGroup {
-        repeat: match group.repeat {
-            Repeat::Repeatable => words::Repeat::Repeatable,
-            Repeat::Mutating => words::Repeat::Mutating,
+fn group(group: &PathGroup) -> words::RequestClass {
+    words::RequestClass {
+        idempotency: match group.repeat {
+            Repeat::Repeatable => words::Idempotency::Idempotent,
+            Repeat::Mutating => words::Idempotency::NonIdempotent,
             Repeat::Tagged { reach, memory } => {
                 let drops_repeats = match reach {
-                    Reach::All => words::Reach::All,
-                    Reach::Zone => words::Reach::Zone,
-                    Reach::Cell => words::Reach::Cell,
+                    Reach::All => words::DeduplicationScope::All,
+                    Reach::Zone => words::DeduplicationScope::Zone,
+                    Reach::Cell => words::DeduplicationScope::Cell,
                 };
-                words::Repeat::Tagged {
-                    drops_repeats,
-                    memory: memory.into(),
+                words::Idempotency::Keyed {
+                    deduplicated_by: drops_repeats,
+                    window: memory.into(),
                 }
             }
         },
-        target_latency: group.target_latency.into(),
+        latency_objective: group.target_latency.into(),
         client_timeout: group.client_timeout.into(),
-        benefit: group.benefit,
-        late_benefit: group.late_benefit,
-        streamed: group.streamed,
+        priority_weight: group.benefit,
+        late_weight: group.late_benefit,
+        streaming: group.streamed,
     }
 }
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -107,7 +107,11 @@
     let settings: SidecarSettings = read_text("a.json", GOOD).unwrap();
     let terms = settings.start_terms(7);
     assert_eq!(
-        (terms.sidecars, terms.groups.len(), terms.release.caps),
+        (
+            terms.sidecar_count,
+            terms.classes.len(),
+            terms.rollout.exposure_caps
+        ),
         (2, 1, vec![0.2, 1.0])
     );
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Hosts instances of the decision module on the simulator wire: translates, decides nothing.
 
-use limewing_decision::interface::{Event, ListLoss, ListNews, PodEntry};
+use limewing_decision::interface::{Endpoint, EndpointUpdate, Event, WatchLoss};
 use limewing_decision::sidecar::Sidecar;
 use limewing_simulator_protocol::{
     read_batch, start_terms, Batch, ListHow, Record, Reply, Trouble,
@@ -18,7 +18,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    tables: BTreeMap<u16, Vec<PodEntry>>,
+    tables: BTreeMap<u16, Vec<Endpoint>>,
 }
 
 fn main() -> ExitCode {
@@ -95,11 +95,11 @@
                         };
                         self.tables.get(&table).cloned().ok_or_else(unknown)
                     };
-                    Event::List(match how {
-                        ListHow::Change => ListNews::Change(rows()?),
-                        ListHow::Whole => ListNews::Whole(rows()?),
-                        ListHow::Remembered => ListNews::Remembered(rows()?),
-                        ListHow::Failed => ListNews::Failed(ListLoss::default()),
+                    Event::Endpoints(match how {
+                        ListHow::Change => EndpointUpdate::Delta(rows()?),
+                        ListHow::Whole => EndpointUpdate::Snapshot(rows()?),
+                        ListHow::Remembered => EndpointUpdate::Cached(rows()?),
+                        ListHow::Failed => EndpointUpdate::WatchLost(WatchLoss::default()),
                     })
                 }
                 Record::Plain(event) => event,
--- a/crates/simulator-protocol/src/read.rs
+++ b/crates/simulator-protocol/src/read.rs
@@ -39,7 +39,7 @@
     SwitchTo(u32),
     Inventory {
         table: u16,
-        rows: Vec<PodEntry>,
+        rows: Vec<Endpoint>,
     },
     PowerOn {
         seed: u64,
@@ -124,21 +124,21 @@
         let n = usize::from(self.u8()?);
         self.take(4 * n).map(drop)
     }
-    fn fate(&mut self) -> Got<Fate> {
+    fn fate(&mut self) -> Got<AttemptOutcome> {
         Ok(match self.u16()? {
-            0 => Fate::Delivered,
-            13 => Fate::Errored,
-            8 => Fate::TurnedAway,
-            4 => Fate::TimedOut,
-            14 => Fate::Unreached,
-            10 => Fate::Broken,
-            1 => Fate::Cancelled,
-            9 => Fate::Void,
+            0 => AttemptOutcome::Succeeded,
+            13 => AttemptOutcome::Failed,
+            8 => AttemptOutcome::Rejected,
+            4 => AttemptOutcome::TimedOut,
+            14 => AttemptOutcome::ConnectFailed,
+            10 => AttemptOutcome::ConnectionReset,
+            1 => AttemptOutcome::Cancelled,
+            9 => AttemptOutcome::NeverSent,
             other => return self.trouble(format!("unknown result {other}")),
         })
     }
-    fn entry(&mut self) -> Got<PodEntry> {
-        let kind = KindId(self.u8()?.into());
+    fn entry(&mut self) -> Got<Endpoint> {
+        let kind = MachineTypeId(self.u8()?.into());
         let state = match self.u8()? {
             0 => PodState::Gone,
             1 => PodState::Ready,
@@ -151,44 +151,44 @@
         let cell = CellId(self.u16()?);
         let pod = self.pod()?;
         let zone = ZoneId(self.u16()?);
-        Ok(PodEntry {
+        Ok(Endpoint {
             pod,
             state,
             build,
-            size,
-            started,
+            weight: size,
+            started_at: started,
             zone,
             cell,
-            kind,
+            machine_type: kind,
         })
     }
     fn hit(&mut self) -> Got<Event> {
-        let id = HitId(self.u64()?);
-        let group = GroupId(self.u16()?);
-        let customer = Some(CustomerId(self.u32()?));
-        let key = Some(self.u64()?).filter(|k| *k != 0).map(KeyId);
+        let id = RequestId(self.u64()?);
+        let group = ClassId(self.u16()?);
+        let customer = Some(TenantId(self.u32()?));
+        let key = Some(self.u64()?).filter(|k| *k != 0).map(RoutingKey);
         let due = self.span()?;
         let (_work_hint, _marks) = (self.take(8)?, self.u8()?);
-        Ok(Event::Hit(Hit {
+        Ok(Event::RequestArrived(Request {
             id,
-            group,
-            customer,
-            key,
-            due,
+            class: group,
+            tenant: customer,
+            routing_key: key,
+            deadline: due,
         }))
     }
     fn stage(&mut self) -> Got<Event> {
         let cap = f64::from(self.f32()?);
         let phase = match self.u8()? {
             0 => Phase::OnTrial,
-            1 => Phase::GoingBack,
+            1 => Phase::RollingBack,
             2 => Phase::Released,
-            3 => Phase::Withdrawn,
+            3 => Phase::RolledBack,
             other => return self.trouble(format!("unknown course {other}")),
         };
         let build = BuildId(self.u16()?);
         let age = self.span()?;
-        let stage = StageNo(self.u8()?);
+        let stage = StageIndex(self.u8()?);
         let answer = match self.u16()? {
             0 => VoteAnswer::Counted,
             9 => VoteAnswer::Moot,
@@ -198,7 +198,7 @@
             other => return self.trouble(format!("unknown vote result {other}")),
         };
         let asked = self.u8()? != 0;
-        let news = (answer == VoteAnswer::Counted).then_some(StageNews {
+        let news = (answer == VoteAnswer::Counted).then_some(StageUpdate {
             build,
             stage,
             phase,
@@ -206,8 +206,8 @@
             age,
         });
         Ok(Event::Stage {
-            news,
-            answer: asked.then_some(answer),
+            update: news,
+            vote_answer: asked.then_some(answer),
         })
     }
     fn record(&mut self) -> Got<Record> {
@@ -239,9 +239,9 @@
                 }
             }
             260 => {
-                let (pod, group) = (self.pod()?, GroupId(self.u16()?));
+                let (pod, group) = (self.pod()?, ClassId(self.u16()?));
                 let _age = self.span()?;
-                Record::Plain(Event::Flagged { pod, group })
+                Record::Plain(Event::Flagged { pod, class: group })
             }
             261 => {
                 let _sender = self.u32()?;
@@ -250,20 +250,20 @@
                 Record::Unused
             }
             262 => {
-                let hit = HitId(self.u64()?);
+                let hit = RequestId(self.u64()?);
                 let pod = self.pod()?;
                 let over = self.u8()? != 0;
                 let took = self.span()?;
                 let fate = self.fate()?;
-                let no = ForwardNo(self.u16()?);
+                let no = AttemptIndex(self.u16()?);
                 self.skip_report()?;
-                Record::Plain(Event::Outcome(Outcome {
-                    hit,
-                    no,
+                Record::Plain(Event::AttemptFinished(AttemptResult {
+                    request: hit,
+                    attempt: no,
                     pod,
-                    fate,
-                    took,
-                    over,
+                    outcome: fate,
+                    duration: took,
+                    request_over: over,
                 }))
             }
             263 => Record::SwitchTo(self.u32()?),
@@ -278,11 +278,11 @@
                 let rows = (0..n).map(|_| self.entry()).collect::<Got<_>>()?;
                 Record::Inventory { table, rows }
             }
-            266 => Record::Plain(Event::Left(HitId(self.u64()?))),
+            266 => Record::Plain(Event::ClientDisconnected(RequestId(self.u64()?))),
             267 => {
-                let hit = HitId(self.u64()?);
+                let hit = RequestId(self.u64()?);
                 self.take(2 + 6 + 8)?;
-                Record::Plain(Event::StreamStarted { hit })
+                Record::Plain(Event::StreamStarted { request: hit })
             }
             268 => Record::Halt,
             269 => Record::Plain(self.hit()?),
@@ -395,11 +395,17 @@
         let batch = read_batch(&mut &hex(TWO)[..]).unwrap().unwrap();
         assert_eq!(batch.number, 12);
         assert!(matches!(batch.records[0], Record::SwitchTo(3)));
-        let Record::Plain(Event::Hit(hit)) = &batch.records[1] else {
+        let Record::Plain(Event::RequestArrived(hit)) = &batch.records[1] else {
             panic!("a hit")
         };
-        assert_eq!((hit.group, hit.id), (GroupId(0), HitId(0xa7d0c5d3a91c4)));
-        assert!(matches!(batch.records[4], Record::Plain(Event::Left(_))));
+        assert_eq!(
+            (hit.class, hit.id),
+            (ClassId(0), RequestId(0xa7d0c5d3a91c4))
+        );
+        assert!(matches!(
+            batch.records[4],
+            Record::Plain(Event::ClientDisconnected(_))
+        ));
     }
 
     #[rstest]
--- a/crates/simulator-protocol/src/start.rs
+++ b/crates/simulator-protocol/src/start.rs
@@ -121,31 +121,31 @@
     Ok(Duration::from_micros((seconds * 1e6).round() as u64))
 }
 
-fn path_group(p: &Profile) -> Result<PathGroup, String> {
+fn path_group(p: &Profile) -> Result<RequestClass, String> {
     let repeat = match p.repeat.as_str() {
-        "free" => Repeat::Repeatable,
-        "single_shot" => Repeat::Mutating,
+        "free" => Idempotency::Idempotent,
+        "single_shot" => Idempotency::NonIdempotent,
         "guarded" => {
             let drops_repeats = match p.group.as_str() {
-                "all" => Reach::All,
-                "zone" => Reach::Zone,
-                "cell" => Reach::Cell,
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
                 other => return Err(format!("start terms: unknown profiles.group {other:?}")),
             };
-            Repeat::Tagged {
-                drops_repeats,
-                memory: span("profiles.window_s", p.window_s)?,
+            Idempotency::Keyed {
+                deduplicated_by: drops_repeats,
+                window: span("profiles.window_s", p.window_s)?,
             }
         }
         other => return Err(format!("start terms: unknown profiles.repeat {other:?}")),
     };
-    Ok(PathGroup {
-        repeat,
-        target_latency: span("profiles.target_s", p.target_s)?,
+    Ok(RequestClass {
+        idempotency: repeat,
+        latency_objective: span("profiles.target_s", p.target_s)?,
         client_timeout: span("profiles.deadline_s", p.deadline_s)?,
-        benefit: p.worth,
-        late_benefit: p.late_worth,
-        streamed: p.streaming,
+        priority_weight: p.worth,
+        late_weight: p.late_worth,
+        streaming: p.streaming,
     })
 }
 
@@ -179,7 +179,7 @@
 }
 
 /// Reads the start terms; what cannot be used is told in one line.
-pub fn start_terms(seed: u64, json: &[u8]) -> Result<StartTerms, String> {
+pub fn start_terms(seed: u64, json: &[u8]) -> Result<SidecarConfig, String> {
     let o = options(json)?;
     if o.layers.is_empty() || o.profiles.is_empty() || o.balancers == 0 {
         return Err("start terms: layers, profiles or balancers is empty".into());
@@ -199,45 +199,45 @@
         other => return Err(format!("start terms: unknown domain.gate_mode {other:?}")),
     };
     let retry_after = span("limits.max_retry_after_s", o.limits.max_retry_after_s)?;
-    Ok(StartTerms {
+    Ok(SidecarConfig {
         seed,
-        sidecars: o.balancers,
-        own_number: o.me,
+        sidecar_count: o.balancers,
+        sidecar_index: o.me,
         zone: ZoneId(o.zone),
-        groups: o
+        classes: o
             .profiles
             .iter()
             .map(path_group)
             .collect::<Result<_, _>>()?,
-        list_on_request: o.membership_mode == "subscribe",
-        list_pushed: o.membership_mode != "subscribe",
-        list_lease: None,
-        may_cancel: o.limits.cancel,
-        second_copies: o.limits.second_copies,
+        watch_on_request: o.membership_mode == "subscribe",
+        endpoints_pushed: o.membership_mode != "subscribe",
+        endpoint_lease: None,
+        cancellation: o.limits.cancel,
+        hedging: o.limits.second_copies,
         retry_after: o.limits.retry_after.then_some(retry_after),
-        max_forwards: o.limits.max_attempts,
-        rules: RuleTerms {
+        max_attempts: o.limits.max_attempts,
+        safety: SafetyLimits {
             drain_grace: span("rules.stop_sending_within_s", o.rules.stop_sending_within_s)?,
-            cold_from: o.rules.cold_from,
-            cold_for: span("rules.cold_s", o.rules.cold_s)?,
-            fall_multiple: o.rules.fall_multiple,
-            fall_within: span("rules.fall_s", o.rules.fall_s)?,
+            slow_start_from: o.rules.cold_from,
+            slow_start_duration: span("rules.cold_s", o.rules.cold_s)?,
+            overload_multiple: o.rules.fall_multiple,
+            overload_window: span("rules.fall_s", o.rules.fall_s)?,
         },
-        release: ReleaseTerms {
+        rollout: RolloutConfig {
             control,
             stage_shares: o.domain.stage_share,
-            caps: o.domain.most_shares,
-            cap_window: span("domain.span_s", o.domain.span_s)?,
-            cap_free: o.domain.uncounted,
-            cap_by_group: o.domain.counted_by == "class",
+            exposure_caps: o.domain.most_shares,
+            exposure_window: span("domain.span_s", o.domain.span_s)?,
+            exposure_free: o.domain.uncounted,
+            exposure_per_class: o.domain.counted_by == "class",
             guarded_stages: o.domain.shielded,
-            keys_stay: o.domain.keys_stay,
-            vote_life: span("domain.vote_ttl_s", o.domain.vote_ttl_s)?,
-            vote_answer_within: span("domain.api_timeout_s", o.domain.api_timeout_s)?,
-            back_votes: o.domain.votes_to_revert,
-            hold_votes: o.domain.votes_to_hold,
-            on_votes: o.domain.ayes_needed,
-            vote_allowance: o.domain.vote_allowance,
+            sticky_keys: o.domain.keys_stay,
+            vote_ttl: span("domain.vote_ttl_s", o.domain.vote_ttl_s)?,
+            vote_timeout: span("domain.api_timeout_s", o.domain.api_timeout_s)?,
+            rollback_quorum: o.domain.votes_to_revert,
+            hold_quorum: o.domain.votes_to_hold,
+            promote_quorum: o.domain.ayes_needed,
+            vote_rate_limit: o.domain.vote_allowance,
         },
     })
 }
--- a/crates/simulator-protocol/src/write.rs
+++ b/crates/simulator-protocol/src/write.rs
@@ -46,10 +46,10 @@
 
     pub fn act(&mut self, action: &Action) {
         match action {
-            Action::Forward {
-                hit,
+            Action::StartAttempt {
+                request: hit,
                 pod: to,
-                within,
+                timeout: within,
             } => {
                 let within = within.as_secs_f64().to_le_bytes();
                 self.code(257)
@@ -57,16 +57,22 @@
                     .put(&pod(*to))
                     .put(&within);
             }
-            Action::Cancel { hit, no } => {
+            Action::CancelAttempt {
+                request: hit,
+                attempt: no,
+            } => {
                 self.code(260)
                     .put(&hit.0.to_le_bytes())
                     .put(&no.0.to_le_bytes());
             }
-            Action::Bounce { hit, retry_after } => {
+            Action::Reject {
+                request: hit,
+                retry_after,
+            } => {
                 let wait = retry_after.as_secs_f64().to_le_bytes();
                 self.code(265).put(&hit.0.to_le_bytes()).put(&wait);
             }
-            Action::Fail { hit } => {
+            Action::Fail { request: hit } => {
                 self.code(261).put(&hit.0.to_le_bytes());
             }
             Action::Vote {
@@ -75,20 +81,20 @@
                 stage,
             } => {
                 let mark = match verdict {
-                    Verdict::Withhold => 0,
-                    Verdict::On => 1,
+                    Verdict::Abstain => 0,
+                    Verdict::Promote => 1,
                     Verdict::Hold => 2,
-                    Verdict::Back => 3,
+                    Verdict::RollBack => 3,
                 };
                 self.code(259)
                     .put(&[mark])
                     .put(&build.0.to_le_bytes())
                     .put(&[stage.0]);
             }
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 self.code(263).put(&[1]);
             }
-            Action::Wake { at } => {
+            Action::WakeAt { at } => {
                 self.code(269)
                     .put(&at.as_secs_f64().to_le_bytes())
                     .put(&[0; 8]);
@@ -122,10 +128,10 @@
             0x0a, 0x12, 0x4a, 0x07, 0x43, 0x1f, 0, 0,
         ]));
         let within = std::time::Duration::from_millis(80);
-        reply.act(&Action::Forward {
-            hit: HitId(0xa7d0c5d3a91c4),
+        reply.act(&Action::StartAttempt {
+            request: RequestId(0xa7d0c5d3a91c4),
             pod: to,
-            within,
+            timeout: within,
         });
         let mut out = Vec::new();
         reply.send(12, &mut out).unwrap();
--- a/crates/simulator-protocol/tests/golden.rs
+++ b/crates/simulator-protocol/tests/golden.rs
@@ -184,53 +184,58 @@
     span.as_micros()
 }
 
-fn describe_row(row: &PodEntry) -> String {
+fn describe_row(row: &Endpoint) -> String {
     let state = match row.state {
         PodState::Gone => 0,
         PodState::Ready => 1,
         PodState::Draining => 2,
     };
-    let started = row.started.map_or("-".into(), |at| micros(at).to_string());
+    let started = row
+        .started_at
+        .map_or("-".into(), |at| micros(at).to_string());
     format!(
         "(pod {} state {state} build {} size {} started {started} zone {} cell {} kind {})",
-        row.pod.0, row.build.0, row.size, row.zone.0, row.cell.0, row.kind.0
+        row.pod.0, row.build.0, row.weight, row.zone.0, row.cell.0, row.machine_type.0
     )
 }
 
 fn describe_event(event: &Event) -> String {
     match event {
-        Event::Hit(request) => format!(
+        Event::RequestArrived(request) => format!(
             "request {} class {} tenant {:?} key {:?} due {}",
             request.id.0,
-            request.group.0,
-            request.customer.map(|tenant| tenant.0),
-            request.key.map(|key| key.0),
-            micros(request.due)
+            request.class.0,
+            request.tenant.map(|tenant| tenant.0),
+            request.routing_key.map(|key| key.0),
+            micros(request.deadline)
         ),
-        Event::Outcome(outcome) => {
-            let result = match outcome.fate {
-                Fate::Delivered => 0,
-                Fate::Cancelled => 1,
-                Fate::TimedOut => 4,
-                Fate::TurnedAway => 8,
-                Fate::Void => 9,
-                Fate::Broken => 10,
-                Fate::Errored => 13,
-                Fate::Unreached => 14,
+        Event::AttemptFinished(outcome) => {
+            let result = match outcome.outcome {
+                AttemptOutcome::Succeeded => 0,
+                AttemptOutcome::Cancelled => 1,
+                AttemptOutcome::TimedOut => 4,
+                AttemptOutcome::Rejected => 8,
+                AttemptOutcome::NeverSent => 9,
+                AttemptOutcome::ConnectionReset => 10,
+                AttemptOutcome::Failed => 13,
+                AttemptOutcome::ConnectFailed => 14,
             };
             format!(
                 "outcome {result} of request {} attempt {} pod {} after {} over {}",
-                outcome.hit.0,
-                outcome.no.0,
+                outcome.request.0,
+                outcome.attempt.0,
                 outcome.pod.0,
-                micros(outcome.took),
-                outcome.over
+                micros(outcome.duration),
+                outcome.request_over
             )
         }
-        Event::StreamStarted { hit } => format!("stream of request {}", hit.0),
-        Event::Left(request) => format!("left {}", request.0),
-        Event::Flagged { pod, group } => format!("flagged pod {} class {}", pod.0, group.0),
-        Event::Stage { news, answer } => {
+        Event::StreamStarted { request: hit } => format!("stream of request {}", hit.0),
+        Event::ClientDisconnected(request) => format!("left {}", request.0),
+        Event::Flagged { pod, class: group } => format!("flagged pod {} class {}", pod.0, group.0),
+        Event::Stage {
+            update: news,
+            vote_answer: answer,
+        } => {
             let news = news.map_or("-".into(), |news| describe_stage(&news));
             let answer = answer.map(|answer| match answer {
                 VoteAnswer::Counted => 0,
@@ -241,16 +246,18 @@
             });
             format!("stage {news} answer {answer:?}")
         }
-        Event::List(_) | Event::Fleet(_) | Event::Met(..) => "no event of this wire".into(),
+        Event::Endpoints(_) | Event::Fleet(_) | Event::KeyServed(..) => {
+            "no event of this wire".into()
+        }
     }
 }
 
-fn describe_stage(news: &StageNews) -> String {
+fn describe_stage(news: &StageUpdate) -> String {
     let phase = match news.phase {
         Phase::OnTrial => 0,
-        Phase::GoingBack => 1,
+        Phase::RollingBack => 1,
         Phase::Released => 2,
-        Phase::Withdrawn => 3,
+        Phase::RolledBack => 3,
     };
     format!(
         "(build {} stage {} phase {phase} cap {} age {})",
@@ -314,27 +321,40 @@
 
 /// Each kind of action, under the name of its line in `golden/replies.hex`.
 fn actions() -> Vec<(&'static str, Action)> {
-    let (hit, pod) = (HitId(REQUEST), PodId(POD));
+    let (request, pod) = (RequestId(REQUEST), PodId(POD));
     let vote = |verdict| Action::Vote {
         verdict,
         build: BuildId(513),
-        stage: StageNo(2),
+        stage: StageIndex(2),
     };
     let at = Duration::from_micros(1_000_270_125);
-    let no = ForwardNo(258);
-    let within = Duration::from_millis(80);
+    let attempt = AttemptIndex(258);
+    let timeout = Duration::from_millis(80);
     let retry_after = Duration::from_micros(250_001);
     vec![
-        ("forward", Action::Forward { hit, pod, within }),
-        ("cancel", Action::Cancel { hit, no }),
-        ("bounce", Action::Bounce { hit, retry_after }),
-        ("fail", Action::Fail { hit }),
-        ("vote_abstain", vote(Verdict::Withhold)),
-        ("vote_on", vote(Verdict::On)),
+        (
+            "forward",
+            Action::StartAttempt {
+                request,
+                pod,
+                timeout,
+            },
+        ),
+        ("cancel", Action::CancelAttempt { request, attempt }),
+        (
+            "bounce",
+            Action::Reject {
+                request,
+                retry_after,
+            },
+        ),
+        ("fail", Action::Fail { request }),
+        ("vote_abstain", vote(Verdict::Abstain)),
+        ("vote_on", vote(Verdict::Promote)),
         ("vote_hold", vote(Verdict::Hold)),
-        ("vote_back", vote(Verdict::Back)),
-        ("watch", Action::Watch),
-        ("wake", Action::Wake { at }),
+        ("vote_back", vote(Verdict::RollBack)),
+        ("watch", Action::WatchEndpoints),
+        ("wake", Action::WakeAt { at }),
         ("log", Action::Log("a line, in UTF-8: ü".into())),
     ]
 }
@@ -380,49 +400,49 @@
     let mut text = String::new();
     let mut line = |name: &str, value: String| writeln!(text, "{name}: {value}").unwrap();
     line("seed", format!("{:016x}", terms.seed));
-    line("balancers", terms.sidecars.to_string());
-    line("me", terms.own_number.to_string());
+    line("balancers", terms.sidecar_count.to_string());
+    line("me", terms.sidecar_index.to_string());
     line("zone", terms.zone.0.to_string());
-    for class in &terms.groups {
+    for class in &terms.classes {
         line("profile", describe_class(class));
     }
-    line("list on request", terms.list_on_request.to_string());
-    line("list pushed", terms.list_pushed.to_string());
-    line("list lease", format!("{:?}", terms.list_lease.map(micros)));
-    line("cancel", terms.may_cancel.to_string());
-    line("second copies", terms.second_copies.to_string());
+    line("list on request", terms.watch_on_request.to_string());
+    line("list pushed", terms.endpoints_pushed.to_string());
+    line(
+        "list lease",
+        format!("{:?}", terms.endpoint_lease.map(micros)),
+    );
+    line("cancel", terms.cancellation.to_string());
+    line("second copies", terms.hedging.to_string());
     line(
         "retry after",
         format!("{:?}", terms.retry_after.map(micros)),
     );
-    line("max attempts", terms.max_forwards.to_string());
-    let rules = &terms.rules;
+    line("max attempts", terms.max_attempts.to_string());
+    let rules = &terms.safety;
     line("stop sending within", micros(rules.drain_grace).to_string());
-    line("cold from", rules.cold_from.to_string());
-    line("cold", micros(rules.cold_for).to_string());
-    line("fall multiple", rules.fall_multiple.to_string());
-    line("fall", micros(rules.fall_within).to_string());
-    let release = &terms.release;
+    line("cold from", rules.slow_start_from.to_string());
+    line("cold", micros(rules.slow_start_duration).to_string());
+    line("fall multiple", rules.overload_multiple.to_string());
+    line("fall", micros(rules.overload_window).to_string());
+    let release = &terms.rollout;
     line(
         "gate mode by clock",
         (release.control == Control::Clock).to_string(),
     );
     line("stage share", format!("{:?}", release.stage_shares));
-    line("most shares", format!("{:?}", release.caps));
-    line("span", micros(release.cap_window).to_string());
-    line("uncounted", release.cap_free.to_string());
-    line("counted by class", release.cap_by_group.to_string());
+    line("most shares", format!("{:?}", release.exposure_caps));
+    line("span", micros(release.exposure_window).to_string());
+    line("uncounted", release.exposure_free.to_string());
+    line("counted by class", release.exposure_per_class.to_string());
     line("shielded", release.guarded_stages.to_string());
-    line("keys stay", release.keys_stay.to_string());
-    line("vote ttl", micros(release.vote_life).to_string());
-    line(
-        "api timeout",
-        micros(release.vote_answer_within).to_string(),
-    );
-    line("votes to revert", release.back_votes.to_string());
-    line("votes to hold", release.hold_votes.to_string());
-    line("ayes needed", release.on_votes.to_string());
-    line("vote allowance", format!("{:?}", release.vote_allowance));
+    line("keys stay", release.sticky_keys.to_string());
+    line("vote ttl", micros(release.vote_ttl).to_string());
+    line("api timeout", micros(release.vote_timeout).to_string());
+    line("votes to revert", release.rollback_quorum.to_string());
+    line("votes to hold", release.hold_quorum.to_string());
+    line("ayes needed", release.promote_quorum.to_string());
+    line("vote allowance", format!("{:?}", release.vote_rate_limit));
     line("class names", sockets.groups.join(","));
     line("realm names", sockets.customers.join(","));
     line("azs", sockets.zones.join(","));
@@ -435,29 +455,29 @@
     text
 }
 
-fn describe_class(class: &PathGroup) -> String {
-    let repeat = match class.repeat {
-        Repeat::Repeatable => "free".to_owned(),
-        Repeat::Mutating => "single_shot".to_owned(),
-        Repeat::Tagged {
-            drops_repeats,
-            memory,
+fn describe_class(class: &RequestClass) -> String {
+    let repeat = match class.idempotency {
+        Idempotency::Idempotent => "free".to_owned(),
+        Idempotency::NonIdempotent => "single_shot".to_owned(),
+        Idempotency::Keyed {
+            deduplicated_by: drops_repeats,
+            window: memory,
         } => {
             let group = match drops_repeats {
-                Reach::All => "all",
-                Reach::Zone => "zone",
-                Reach::Cell => "cell",
+                DeduplicationScope::All => "all",
+                DeduplicationScope::Zone => "zone",
+                DeduplicationScope::Cell => "cell",
             };
             format!("guarded {group} {}", micros(memory))
         }
     };
     format!(
         "{repeat}, target {} deadline {} worth {} late worth {} streaming {}",
-        micros(class.target_latency),
+        micros(class.latency_objective),
         micros(class.client_timeout),
-        class.benefit,
-        class.late_benefit,
-        class.streamed
+        class.priority_weight,
+        class.late_weight,
+        class.streaming
     )
 }
 
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -42,7 +42,7 @@
 
 enum Due {
     Hit,
-    Answer(HitId, ForwardNo),
+    Answer(RequestId, AttemptIndex),
     Release,
     Stage(u8),
     Released,
@@ -59,11 +59,11 @@
     due: BTreeMap<(Duration, u64), Due>,
     number: u64,
     chance: StdRng,
-    rows: Vec<PodEntry>,
+    rows: Vec<Endpoint>,
     next_pod: u64,
     build: u16,
     next_hit: u64,
-    open: BTreeMap<HitId, Open>,
+    open: BTreeMap<RequestId, Open>,
     list_down: bool,
     left_today: u64,
     pub day: Day,
@@ -78,58 +78,58 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn start_terms(terms: &Terms) -> StartTerms {
-    let group = |repeat, benefit| PathGroup {
-        repeat,
-        target_latency: spans(1.0),
+fn start_terms(terms: &Terms) -> SidecarConfig {
+    let group = |repeat, benefit| RequestClass {
+        idempotency: repeat,
+        latency_objective: spans(1.0),
         client_timeout: spans(3.0),
-        benefit,
-        late_benefit: 0.0,
-        streamed: false,
+        priority_weight: benefit,
+        late_weight: 0.0,
+        streaming: false,
     };
-    let tagged = Repeat::Tagged {
-        drops_repeats: Reach::All,
-        memory: spans(3.0),
+    let tagged = Idempotency::Keyed {
+        deduplicated_by: DeduplicationScope::All,
+        window: spans(3.0),
     };
-    StartTerms {
+    SidecarConfig {
         seed: terms.seed,
-        sidecars: 3,
-        own_number: 0,
+        sidecar_count: 3,
+        sidecar_index: 0,
         zone: ZoneId(0),
-        groups: vec![
-            group(Repeat::Repeatable, 1.0),
+        classes: vec![
+            group(Idempotency::Idempotent, 1.0),
             group(tagged, 3.0),
-            group(Repeat::Mutating, 5.0),
+            group(Idempotency::NonIdempotent, 5.0),
         ],
-        list_on_request: true,
-        list_pushed: false,
-        list_lease: None,
-        may_cancel: true,
-        second_copies: true,
+        watch_on_request: true,
+        endpoints_pushed: false,
+        endpoint_lease: None,
+        cancellation: true,
+        hedging: true,
         retry_after: Some(spans(0.5)),
-        max_forwards: 6,
-        rules: RuleTerms {
+        max_attempts: 6,
+        safety: SafetyLimits {
             drain_grace: spans(1.0),
-            cold_from: 0.35,
-            cold_for: spans(3.0),
-            fall_multiple: 2.0,
-            fall_within: spans(3.0),
+            slow_start_from: 0.35,
+            slow_start_duration: spans(3.0),
+            overload_multiple: 2.0,
+            overload_window: spans(3.0),
         },
-        release: ReleaseTerms {
+        rollout: RolloutConfig {
             control: Control::Clock,
             stage_shares: vec![0.1, 0.35, 1.0],
-            caps: vec![0.14, 0.45, 1.0],
-            cap_window: spans(2.0),
-            cap_free: 1.0,
-            cap_by_group: true,
+            exposure_caps: vec![0.14, 0.45, 1.0],
+            exposure_window: spans(2.0),
+            exposure_free: 1.0,
+            exposure_per_class: true,
             guarded_stages: 0,
-            keys_stay: terms.keys_stay,
-            vote_life: spans(4.0),
-            vote_answer_within: spans(1.0),
-            back_votes: 1,
-            hold_votes: 1,
-            on_votes: 1,
-            vote_allowance: None,
+            sticky_keys: terms.keys_stay,
+            vote_ttl: spans(4.0),
+            vote_timeout: spans(1.0),
+            rollback_quorum: 1,
+            hold_quorum: 1,
+            promote_quorum: 1,
+            vote_rate_limit: None,
         },
     }
 }
@@ -158,42 +158,42 @@
         soak.rows.clone_from(&rows);
         let news = soak.news(0, Phase::Released, 1.0);
         let first = vec![
-            Event::List(ListNews::Remembered(Vec::new())),
-            Event::List(ListNews::Whole(rows)),
+            Event::Endpoints(EndpointUpdate::Cached(Vec::new())),
+            Event::Endpoints(EndpointUpdate::Snapshot(rows)),
             news,
         ];
         soak.tell(first);
         soak
     }
 
-    fn new_pods(&mut self, many: usize, started: Option<Duration>) -> Vec<PodEntry> {
+    fn new_pods(&mut self, many: usize, started: Option<Duration>) -> Vec<Endpoint> {
         let pods = (0..many).map(|_| {
             self.next_pod += 1;
-            PodEntry {
+            Endpoint {
                 pod: PodId(self.next_pod),
                 state: PodState::Ready,
                 build: BuildId(self.build),
-                size: 4.0,
-                started,
+                weight: 4.0,
+                started_at: started,
                 zone: ZoneId((self.next_pod % 2) as u16),
                 cell: CellId((self.next_pod / 4 % 64) as u16),
-                kind: KindId(0),
+                machine_type: MachineTypeId(0),
             }
         });
         pods.collect()
     }
 
     fn news(&self, stage: u8, phase: Phase, cap: f64) -> Event {
-        let (build, stage) = (BuildId(self.build), StageNo(stage));
+        let (build, stage) = (BuildId(self.build), StageIndex(stage));
         Event::Stage {
-            news: Some(StageNews {
+            update: Some(StageUpdate {
                 build,
                 stage,
                 phase,
                 cap,
                 age: Duration::ZERO,
             }),
-            answer: None,
+            vote_answer: None,
         }
     }
 
@@ -271,7 +271,7 @@
                 }
                 self.next_hit += 1;
                 self.day.hits += 1;
-                let id = HitId(self.next_hit);
+                let id = RequestId(self.next_hit);
                 self.open.insert(
                     id,
                     Open {
@@ -279,15 +279,15 @@
                         over: false,
                     },
                 );
-                let group = GroupId(self.chance.random_range(0..3));
-                let customer = Some(CustomerId(self.chance.random_range(0..4)));
+                let group = ClassId(self.chance.random_range(0..3));
+                let customer = Some(TenantId(self.chance.random_range(0..4)));
                 let due = self.now + spans(3.0);
-                events.push(Event::Hit(Hit {
+                events.push(Event::RequestArrived(Request {
                     id,
-                    group,
-                    customer,
-                    key: Some(KeyId(self.next_hit)),
-                    due,
+                    class: group,
+                    tenant: customer,
+                    routing_key: Some(RoutingKey(self.next_hit)),
+                    deadline: due,
                 }));
             }
             Due::Answer(hit, no) => {
@@ -302,20 +302,20 @@
                 }
                 let (pod, took) = (*pod, self.now - *sent);
                 let fate = if self.chance.random_bool(0.002) {
-                    Fate::Errored
+                    AttemptOutcome::Failed
                 } else {
-                    Fate::Delivered
+                    AttemptOutcome::Succeeded
                 };
-                self.day.delivered += u64::from(fate == Fate::Delivered && !open.over);
-                open.over |= fate == Fate::Delivered;
+                self.day.delivered += u64::from(fate == AttemptOutcome::Succeeded && !open.over);
+                open.over |= fate == AttemptOutcome::Succeeded;
                 let over = open.over;
-                events.push(Event::Outcome(Outcome {
-                    hit,
-                    no,
+                events.push(Event::AttemptFinished(AttemptResult {
+                    request: hit,
+                    attempt: no,
                     pod,
-                    fate,
-                    took,
-                    over,
+                    outcome: fate,
+                    duration: took,
+                    request_over: over,
                 }));
                 self.tidy(hit);
             }
@@ -340,27 +340,29 @@
             }
             Due::Released => events.push(self.news(2, Phase::Released, 1.0)),
             Due::PodsGo(build) => {
-                let gone = |row: &PodEntry| row.build.0 == build && row.state == PodState::Draining;
+                let gone = |row: &Endpoint| row.build.0 == build && row.state == PodState::Draining;
                 let changes = self.rows.iter().filter(|row| gone(row));
-                let changes = changes.map(|row| PodEntry {
+                let changes = changes.map(|row| Endpoint {
                     state: PodState::Gone,
                     ..row.clone()
                 });
-                events.push(Event::List(ListNews::Change(changes.collect())));
+                events.push(Event::Endpoints(EndpointUpdate::Delta(changes.collect())));
                 self.rows.retain(|row| !gone(row));
             }
             Due::ListFails => {
                 self.list_down = true;
-                events.push(Event::List(ListNews::Failed(ListLoss::default())));
+                events.push(Event::Endpoints(EndpointUpdate::WatchLost(
+                    WatchLoss::default(),
+                )));
             }
             Due::Watch => {
                 // After hours the service is there again: the whole list comes.
                 self.list_down &= self.chance.random_bool(0.9999);
                 let rows = self.rows.clone();
-                events.push(Event::List(if self.list_down {
-                    ListNews::Failed(ListLoss::default())
+                events.push(Event::Endpoints(if self.list_down {
+                    EndpointUpdate::WatchLost(WatchLoss::default())
                 } else {
-                    ListNews::Whole(rows)
+                    EndpointUpdate::Snapshot(rows)
                 }));
             }
         }
@@ -388,11 +390,11 @@
         });
         changes.extend(drained.collect::<Vec<_>>());
         let before = changes.last().map_or(0, |row| row.build.0);
-        events.push(Event::List(ListNews::Change(changes)));
+        events.push(Event::Endpoints(EndpointUpdate::Delta(changes)));
         self.later(STEP, Due::PodsGo(before));
     }
 
-    fn tidy(&mut self, hit: HitId) {
+    fn tidy(&mut self, hit: RequestId) {
         let settled = |open: &Open| open.over && open.forwards.iter().all(|(.., ended)| *ended);
         if self.open.get(&hit).is_some_and(settled) {
             self.open.remove(&hit);
@@ -401,24 +403,29 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Forward { hit, pod, .. } => {
+            Action::StartAttempt {
+                request: hit, pod, ..
+            } => {
                 let Some(open) = self.open.get_mut(&hit) else {
                     return;
                 };
-                let no = ForwardNo(open.forwards.len() as u16);
+                let no = AttemptIndex(open.forwards.len() as u16);
                 open.forwards.push((pod, self.now, false));
                 let took =
                     LogNormal::new(-2.0, 0.35).map_or(0.1, |took| took.sample(&mut self.chance));
                 self.later(spans(took), Due::Answer(hit, no));
             }
-            Action::Bounce { hit, .. } | Action::Fail { hit } => {
-                let bounced = matches!(action, Action::Bounce { .. });
+            Action::Reject { request: hit, .. } | Action::Fail { request: hit } => {
+                let bounced = matches!(action, Action::Reject { .. });
                 self.day.bounced += u64::from(bounced);
                 self.day.errored += u64::from(!bounced);
                 self.open.entry(hit).and_modify(|open| open.over = true);
                 self.tidy(hit);
             }
-            Action::Cancel { hit, no } => {
+            Action::CancelAttempt {
+                request: hit,
+                attempt: no,
+            } => {
                 let Some(open) = self.open.get_mut(&hit) else {
                     return;
                 };
@@ -429,29 +436,29 @@
                     return;
                 }
                 let (pod, took, over) = (*pod, self.now - *sent, open.over);
-                let fate = Fate::Cancelled;
+                let fate = AttemptOutcome::Cancelled;
                 self.tidy(hit);
-                self.tell(vec![Event::Outcome(Outcome {
-                    hit,
-                    no,
+                self.tell(vec![Event::AttemptFinished(AttemptResult {
+                    request: hit,
+                    attempt: no,
                     pod,
-                    fate,
-                    took,
-                    over,
+                    outcome: fate,
+                    duration: took,
+                    request_over: over,
                 })]);
             }
             Action::Vote { .. } => {
                 self.day.votes += 1;
                 let answer = Event::Stage {
-                    news: None,
-                    answer: Some(VoteAnswer::Counted),
+                    update: None,
+                    vote_answer: Some(VoteAnswer::Counted),
                 };
                 self.tell(vec![answer]);
             }
-            Action::Watch if self.list_down || self.rows.is_empty() => {
+            Action::WatchEndpoints if self.list_down || self.rows.is_empty() => {
                 self.later(spans(1.0), Due::Watch)
             }
-            Action::Wake { at } => self.wake = at,
+            Action::WakeAt { at } => self.wake = at,
             _ => {}
         }
     }
