--- a/crates/consensus/src/words.rs
+++ b/crates/consensus/src/words.rs
@@ -1,5 +1,6 @@
 //! What members say to each other, as bytes.
 
+use limewing_versioned_codec::{decode, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -196,9 +197,18 @@
     }
 }
 
+impl From<DecodeError> for Unreadable {
+    fn from(error: DecodeError) -> Self {
+        match error {
+            DecodeError::Version { .. } => Self::Version,
+            DecodeError::Malformed => Self::Damaged,
+        }
+    }
+}
+
 impl Packet {
     pub fn write(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
+        encode(VERSION, self)
     }
 
     /// # Errors
@@ -207,11 +217,7 @@
         if bytes.len() > MOST_PACKET {
             return Err(Unreadable::Long);
         }
-        let (version, rest) = bytes.split_first().ok_or(Unreadable::Damaged)?;
-        if *version != VERSION {
-            return Err(Unreadable::Version);
-        }
-        let packet: Self = postcard::from_bytes(rest).map_err(|_| Unreadable::Damaged)?;
+        let packet: Self = decode(VERSION, bytes)?;
         let sound = match &packet.say {
             Say::HereToo { first, .. } | Say::ToldPiece { members: first, .. } => fits(first),
             Say::Append { entries, .. } | Say::Told { entries, .. } => {
--- a/crates/coordination/src/says.rs
+++ b/crates/coordination/src/says.rs
@@ -1,5 +1,6 @@
 //! What a member says of itself and of pods, as bytes.
 
+use limewing_versioned_codec::{decode_prefix, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 
 /// Pods that one member may hint at.
@@ -39,9 +40,18 @@
     ManyHints,
 }
 
+impl From<DecodeError> for Unreadable {
+    fn from(error: DecodeError) -> Self {
+        match error {
+            DecodeError::Version { .. } => Self::Version,
+            DecodeError::Malformed => Self::Damaged,
+        }
+    }
+}
+
 impl Says {
     pub fn write(&self) -> Vec<u8> {
-        let mut bytes = postcard::to_extend(self, vec![VERSION]).unwrap_or_default();
+        let mut bytes = encode(VERSION, self);
         bytes.push(self.lost);
         bytes
     }
@@ -49,12 +59,7 @@
     /// # Errors
     /// Why it can't be used. What follows a known version's fields is left to later ones.
     pub fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
-        let (version, rest) = bytes.split_first().ok_or(Unreadable::Damaged)?;
-        if *version != VERSION {
-            return Err(Unreadable::Version);
-        }
-        let (says, rest): (Self, _) =
-            postcard::take_from_bytes(rest).map_err(|_| Unreadable::Damaged)?;
+        let (says, rest): (Self, _) = decode_prefix(VERSION, bytes)?;
         if says.hints.len() > MOST_HINTS {
             return Err(Unreadable::ManyHints);
         }
--- a/crates/maintenance/src/words.rs
+++ b/crates/maintenance/src/words.rs
@@ -1,5 +1,6 @@
 //! What is settled about work, as bytes.
 
+use limewing_versioned_codec::{decode, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 
 pub const MOST_LISTS: usize = 16;
@@ -149,13 +150,13 @@
 
 impl Talk {
     pub fn write(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
+        encode(VERSION, self)
     }
 
     /// # Errors
     /// Why it can't be used.
     pub fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
-        versioned(bytes)
+        Ok(decode(VERSION, bytes)?)
     }
 }
 
@@ -170,12 +171,13 @@
     Bounds,
 }
 
-fn versioned<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Unreadable> {
-    let (version, rest) = bytes.split_first().ok_or(Unreadable::Damaged)?;
-    if *version != VERSION {
-        return Err(Unreadable::Version);
+impl From<DecodeError> for Unreadable {
+    fn from(error: DecodeError) -> Self {
+        match error {
+            DecodeError::Version { .. } => Self::Version,
+            DecodeError::Malformed => Self::Damaged,
+        }
     }
-    postcard::from_bytes(rest).map_err(|_| Unreadable::Damaged)
 }
 
 fn machine_fits(machine: &Machine) -> bool {
@@ -197,13 +199,13 @@
 
 impl Word {
     pub fn write(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
+        encode(VERSION, self)
     }
 
     /// # Errors
     /// Why it can't be used.
     pub fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
-        let word: Self = versioned(bytes)?;
+        let word: Self = decode(VERSION, bytes)?;
         let sound = match &word {
             Word::Ask {
                 terms, machines, ..
--- a/crates/replication/src/words.rs
+++ b/crates/replication/src/words.rs
@@ -1,6 +1,7 @@
 //! What replicas say to each other, as bytes. An entry's body is opaque to whoever passes it on: one of a later version of the program is
 //! kept and passed on by an earlier one, which does not know what it says.
 
+use limewing_versioned_codec::{decode, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -156,9 +157,18 @@
     }
 }
 
+impl From<DecodeError> for Unreadable {
+    fn from(error: DecodeError) -> Self {
+        match error {
+            DecodeError::Version { .. } => Self::Version,
+            DecodeError::Malformed => Self::Damaged,
+        }
+    }
+}
+
 impl Packet {
     pub fn write(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
+        encode(VERSION, self)
     }
 
     /// # Errors
@@ -167,11 +177,7 @@
         if bytes.len() > MOST_PACKET {
             return Err(Unreadable::Bounds);
         }
-        let (version, rest) = bytes.split_first().ok_or(Unreadable::Damaged)?;
-        if *version != VERSION {
-            return Err(Unreadable::Version);
-        }
-        let packet: Self = postcard::from_bytes(rest).map_err(|_| Unreadable::Damaged)?;
+        let packet: Self = decode(VERSION, bytes)?;
         let named = |origin: &Origin| (1..=MOST_NAME).contains(&origin.name.len());
         let fits = |row: &Row| named(&row.origin) && row.upto <= MOST_NO;
         let rows_fit = |rows: &[Row]| rows.len() <= MOST_ROWS && rows.iter().all(fits);
