--- a/crates/consensus/src/agree.rs
+++ b/crates/consensus/src/agree.rs
@@ -1,10 +1,11 @@
 //! One voter: who leads, which entries are held, and up to where they are settled.
 
-use crate::begin::{voters_mark, Begin};
-use crate::disk::{Held, Record};
+use crate::begin::{voters_mark, Bootstrap};
+use crate::disk::{PersistentState, Record};
 use crate::log::Log;
 use crate::words::{
-    Entry, Id, Members, Packet, Place, Say, Voters, What, MOST_VOTERS, MOST_WORD, PIECE,
+    Configuration, Entry, EntryPayload, LogPosition, Members, Message, NodeId, Packet,
+    MAX_COMMAND_BYTES, MAX_VOTERS, SNAPSHOT_CHUNK_BYTES,
 };
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,59 +23,56 @@
 const NEWCOMERS_WAIT: u32 = 3;
 
 #[derive(Clone)]
-pub struct Terms {
+pub struct RaftConfig {
     /// All that have a vote at the start, this one among them, by name.
     pub voters: Vec<String>,
     /// Between two words of a leader.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Without a word of the leader for so long a member thinks of standing; up to twice that, by chance.
-    pub patience: Duration,
+    pub election_timeout: Duration,
     pub seed: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Role {
     /// In no group yet.
-    Free,
-    Follows,
+    Unjoined,
+    Follower,
     /// Asks whether it would get the votes.
-    Tries,
-    Stands,
-    Leads,
+    PreCandidate,
+    Candidate,
+    Leader,
 }
 
 /// What is to be kept on disk, in this order, and then told by its number.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Write {
-    pub no: u64,
+pub struct WriteBatch {
+    pub number: u64,
     pub records: Vec<Record>,
 }
 
 /// What is settled, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
-    Word {
-        at: Place,
-        bytes: Vec<u8>,
+pub enum Committed {
+    Command {
+        position: LogPosition,
+        command: Vec<u8>,
     },
     /// The host's own state up to an entry, in the place of all words up to it.
-    Whole {
-        upto: u64,
-        state: Vec<u8>,
-    },
+    Snapshot { last_index: u64, state: Vec<u8> },
 }
 
 /// Why a word is not taken now.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotNow {
+pub enum ProposeError {
     #[error("it does not lead; as far as it knows {0:?} does")]
-    Follows(Option<String>),
-    #[error("longer than {MOST_WORD} bytes")]
-    Long,
+    NotLeader(Option<String>),
+    #[error("longer than {MAX_COMMAND_BYTES} bytes")]
+    TooLong,
     #[error("another change of members is not settled yet, or this term has settled nothing")]
-    Changing,
-    #[error("expected 1 to {MOST_VOTERS} members, one of them other than now")]
-    Members,
+    ChangeInProgress,
+    #[error("expected 1 to {MAX_VOTERS} members, one of them other than now")]
+    InvalidMembers,
 }
 
 #[derive(Clone, Debug)]
@@ -91,30 +89,30 @@
     piece: (u64, u32),
 }
 
-pub struct Agree {
-    me: Id,
-    terms: Terms,
+pub struct RaftNode {
+    me: NodeId,
+    terms: RaftConfig,
     chance: WyRand,
     group: u64,
     term: u64,
-    voted: Option<Id>,
+    voted: Option<NodeId>,
     log: Log,
-    standing: Standing,
-    leader: Option<Id>,
+    standing: Role,
+    leader: Option<NodeId>,
     heard: Duration,
     stand_at: Duration,
     beat_at: Duration,
-    votes: BTreeSet<Id>,
+    votes: BTreeSet<NodeId>,
     /// Its own vote counts once this much is on disk.
     vote_no: u64,
-    progress: BTreeMap<Id, Progress>,
+    progress: BTreeMap<NodeId, Progress>,
     round: u64,
     led_since: Duration,
     settled: u64,
     handed: u64,
-    taken_in: Option<(Place, Vec<u8>)>,
+    taken_in: Option<(LogPosition, Vec<u8>)>,
     whole: Option<(u64, Vec<u8>)>,
-    begin: Begin,
+    begin: Bootstrap,
     /// What is to be written, what was handed out to be, and up to which number it is.
     pending: Vec<Record>,
     write_no: u64,
@@ -129,18 +127,24 @@
     members.len() / 2 + 1
 }
 
-impl Agree {
+impl RaftNode {
     /// With what its disk holds. An empty disk makes a new life, of the number `disk`, which must never come twice.
-    pub fn new(now: Duration, name: &str, disk: u64, records: &[Record], terms: Terms) -> Self {
-        let mut held = Held::default();
+    pub fn new(
+        now: Duration,
+        name: &str,
+        disk: u64,
+        records: &[Record],
+        terms: RaftConfig,
+    ) -> Self {
+        let mut held = PersistentState::default();
         let _ = records.iter().all(|record| held.take(record));
         let fresh = held.life.is_none();
-        let me = held.life.clone().unwrap_or(Id {
+        let me = held.life.clone().unwrap_or(NodeId {
             name: name.to_owned(),
-            disk,
+            incarnation: disk,
         });
-        let mut chance = WyRand::new_seed(terms.seed ^ me.disk);
-        let begin = Begin::new(chance.generate::<u64>() | 1);
+        let mut chance = WyRand::new_seed(terms.seed ^ me.incarnation);
+        let begin = Bootstrap::new(chance.generate::<u64>() | 1);
         let (base, last) = (held.log.base().index, held.log.last().index);
         let whole = (base > 0).then(|| (base, held.log.state().to_vec()));
         let mut agree = Self {
@@ -150,9 +154,9 @@
             term: held.term,
             voted: held.voted,
             standing: if held.group == 0 {
-                Standing::Free
+                Role::Unjoined
             } else {
-                Standing::Follows
+                Role::Follower
             },
             leader: None,
             heard: now,
@@ -169,7 +173,7 @@
             whole,
             begin,
             pending: if fresh {
-                vec![Record::Life(me.clone())]
+                vec![Record::Identity(me.clone())]
             } else {
                 Vec::new()
             },
@@ -185,17 +189,17 @@
         agree
     }
 
-    pub fn me(&self) -> &Id {
+    pub fn id(&self) -> &NodeId {
         &self.me
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn role(&self) -> Role {
         self.standing
     }
 
     /// It leads, and has settled an entry of its term: what was settled before it knows too.
-    pub fn leads_for_good(&self) -> bool {
-        self.standing == Standing::Leads && self.log.term_at(self.settled) == Some(self.term)
+    pub fn is_established_leader(&self) -> bool {
+        self.standing == Role::Leader && self.log.term_at(self.settled) == Some(self.term)
     }
 
     pub fn term(&self) -> u64 {
@@ -206,28 +210,28 @@
         self.group
     }
 
-    pub fn leader(&self) -> Option<&Id> {
+    pub fn leader(&self) -> Option<&NodeId> {
         self.leader.as_ref()
     }
 
     pub fn members(&self) -> &Members {
-        &self.log.members().1.ids
+        &self.log.members().1.voters
     }
 
     /// Up to which entry all is settled, as far as it knows.
-    pub fn upto(&self) -> u64 {
+    pub fn commit_index(&self) -> u64 {
         self.settled
     }
 
     /// Entries held beyond the last state: when many, `compact` is due.
-    pub fn held(&self) -> u64 {
+    pub fn uncompacted_entries(&self) -> u64 {
         self.log.last().index - self.log.base().index
     }
 
     /// When `tick` is to be called at the latest.
-    pub fn next(&self) -> Duration {
+    pub fn next_deadline(&self) -> Duration {
         match self.standing {
-            Standing::Free | Standing::Leads => self.beat_at,
+            Role::Unjoined | Role::Leader => self.beat_at,
             _ if self.has_vote() => self.stand_at,
             _ => self.beat_at,
         }
@@ -239,7 +243,7 @@
 
     fn be_patient(&mut self, now: Duration) {
         let part = (self.chance.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64;
-        self.stand_at = now + self.terms.patience.mul_f64(1.0 + part);
+        self.stand_at = now + self.terms.election_timeout.mul_f64(1.0 + part);
     }
 
     fn keep(&mut self, record: Record) {
@@ -247,20 +251,20 @@
     }
 
     /// What is to be put on disk before anything that hangs on it leaves.
-    pub fn write(&mut self) -> Option<Write> {
+    pub fn next_write_batch(&mut self) -> Option<WriteBatch> {
         if self.pending.is_empty() {
             return None;
         }
         self.write_no += 1;
         self.marks.push_back((self.write_no, self.log.last().index));
-        Some(Write {
-            no: self.write_no,
+        Some(WriteBatch {
+            number: self.write_no,
             records: std::mem::take(&mut self.pending),
         })
     }
 
     /// All up to this write is on disk, for good.
-    pub fn wrote(&mut self, now: Duration, no: u64) {
+    pub fn persisted(&mut self, now: Duration, no: u64) {
         self.written = self.written.max(no);
         while let Some((_, upto)) = self
             .marks
@@ -272,17 +276,17 @@
             self.stable = self.stable.max(upto);
         }
         match self.standing {
-            Standing::Stands | Standing::Tries => self.count(now),
-            Standing::Leads => self.settle(now),
+            Role::Candidate | Role::PreCandidate => self.count(now),
+            Role::Leader => self.settle(now),
             _ => {}
         }
     }
 
     /// The whole of what the disk is to hold, in the fewest words: a host may put it in the place of a long file, if all that
     /// was handed out before is written.
-    pub fn records(&self) -> Vec<Record> {
+    pub fn compacted_records(&self) -> Vec<Record> {
         let (life, group, term) = (Some(self.me.clone()), self.group, self.term);
-        Held {
+        PersistentState {
             life,
             group,
             term,
@@ -293,7 +297,7 @@
     }
 
     /// The next packet to send, and to whom by name.
-    pub fn take(&mut self) -> Option<(String, Packet)> {
+    pub fn take_packet(&mut self) -> Option<(String, Packet)> {
         let (needs, ..) = self.out.front()?;
         if *needs > self.written {
             return None;
@@ -301,17 +305,17 @@
         self.out.pop_front().map(|(_, to, packet)| (to, packet))
     }
 
-    fn say(&mut self, to: &Id, say: Say) {
-        self.say_to(&to.name.clone(), to.disk, say);
+    fn say(&mut self, to: &NodeId, say: Message) {
+        self.say_to(&to.name.clone(), to.incarnation, say);
     }
 
-    fn say_to(&mut self, name: &str, disk: u64, say: Say) {
+    fn say_to(&mut self, name: &str, disk: u64, say: Message) {
         let packet = Packet {
             group: self.group,
             from: self.me.clone(),
-            to: disk,
+            to_incarnation: disk,
             term: self.term,
-            say,
+            message: say,
         };
         let needs = self.write_no + u64::from(!self.pending.is_empty());
         if self.out.len() >= MOST_WAITING {
@@ -321,22 +325,25 @@
     }
 
     /// What is settled next, in order; each once in this life of the process.
-    pub fn settled(&mut self) -> Option<Settled> {
+    pub fn take_committed(&mut self) -> Option<Committed> {
         if let Some((upto, state)) = self.whole.take() {
             self.handed = self.handed.max(upto);
-            return Some(Settled::Whole { upto, state });
+            return Some(Committed::Snapshot {
+                last_index: upto,
+                state,
+            });
         }
         while self.handed < self.settled {
             self.handed += 1;
             let entry = self.log.get(self.handed)?;
-            if let What::Word(bytes) = &entry.what {
-                let at = Place {
+            if let EntryPayload::Command(bytes) = &entry.payload {
+                let at = LogPosition {
                     index: self.handed,
                     term: entry.term,
                 };
-                return Some(Settled::Word {
-                    at,
-                    bytes: bytes.clone(),
+                return Some(Committed::Command {
+                    position: at,
+                    command: bytes.clone(),
                 });
             }
         }
@@ -348,9 +355,9 @@
         if upto <= self.handed && self.log.compact(upto, state) {
             let (last, members) = (self.log.base(), self.log.base_members().clone());
             let state = self.log.state().to_vec();
-            self.keep(Record::State {
+            self.keep(Record::Snapshot {
                 last,
-                members,
+                configuration: members,
                 state,
             });
         }
@@ -360,24 +367,24 @@
     ///
     /// # Errors
     /// It does not lead, or the word is too long.
-    pub fn propose(&mut self, now: Duration, bytes: Vec<u8>) -> Result<Place, NotNow> {
-        if bytes.len() > MOST_WORD {
-            return Err(NotNow::Long);
+    pub fn propose(&mut self, now: Duration, bytes: Vec<u8>) -> Result<LogPosition, ProposeError> {
+        if bytes.len() > MAX_COMMAND_BYTES {
+            return Err(ProposeError::TooLong);
         }
-        if self.standing != Standing::Leads {
-            return Err(NotNow::Follows(
+        if self.standing != Role::Leader {
+            return Err(ProposeError::NotLeader(
                 self.leader.as_ref().map(|id| id.name.clone()),
             ));
         }
-        let place = self.push(What::Word(bytes));
+        let place = self.push(EntryPayload::Command(bytes));
         self.spread(now);
         Ok(place)
     }
 
     /// Gives the leader a word to settle; nobody tells whether it came there.
-    pub fn pass_on(&mut self, bytes: Vec<u8>) {
+    pub fn forward_proposal(&mut self, bytes: Vec<u8>) {
         if let Some(leader) = self.leader.clone().filter(|leader| *leader != self.me) {
-            self.say(&leader, Say::Propose { bytes });
+            self.say(&leader, Message::Propose { command: bytes });
         }
     }
 
@@ -385,12 +392,16 @@
     ///
     /// # Errors
     /// It does not lead, or can't change now.
-    pub fn change(&mut self, now: Duration, members: Members) -> Result<Place, NotNow> {
+    pub fn change_members(
+        &mut self,
+        now: Duration,
+        members: Members,
+    ) -> Result<LogPosition, ProposeError> {
         self.change_to(
             now,
-            Voters {
-                ids: members,
-                awaited: None,
+            Configuration {
+                voters: members,
+                pending_voter: None,
             },
         )
     }
@@ -400,15 +411,15 @@
     ///
     /// # Errors
     /// It does not lead, can't change now, or there are as many members as may be.
-    pub fn give_vote_to(&mut self, now: Duration, name: &str) -> Result<Place, NotNow> {
-        if self.members().iter().any(|id| id.name == name) || self.members().len() >= MOST_VOTERS {
-            return Err(NotNow::Members);
+    pub fn add_voter(&mut self, now: Duration, name: &str) -> Result<LogPosition, ProposeError> {
+        if self.members().iter().any(|id| id.name == name) || self.members().len() >= MAX_VOTERS {
+            return Err(ProposeError::InvalidMembers);
         }
         self.change_to(
             now,
-            Voters {
-                ids: self.members().clone(),
-                awaited: Some(name.to_owned()),
+            Configuration {
+                voters: self.members().clone(),
+                pending_voter: Some(name.to_owned()),
             },
         )
     }
@@ -417,53 +428,63 @@
     ///
     /// # Errors
     /// It does not lead, can't change now, or there is no such member, or no other.
-    pub fn take_vote_of(&mut self, now: Duration, name: &str) -> Result<Place, NotNow> {
+    pub fn remove_voter(&mut self, now: Duration, name: &str) -> Result<LogPosition, ProposeError> {
         let mut ids = self.members().clone();
-        let awaited = self.awaited().is_some_and(|awaited| awaited == name);
+        let awaited = self.pending_voter().is_some_and(|awaited| awaited == name);
         ids.retain(|id| id.name != name);
         if ids == *self.members() && !awaited {
-            return Err(NotNow::Members);
+            return Err(ProposeError::InvalidMembers);
         }
-        self.change_to(now, Voters { ids, awaited: None })
+        self.change_to(
+            now,
+            Configuration {
+                voters: ids,
+                pending_voter: None,
+            },
+        )
     }
 
     /// Whose new life is to get a vote next.
-    pub fn awaited(&self) -> Option<&str> {
-        self.log.members().1.awaited.as_deref()
+    pub fn pending_voter(&self) -> Option<&str> {
+        self.log.members().1.pending_voter.as_deref()
     }
 
-    fn change_to(&mut self, now: Duration, voters: Voters) -> Result<Place, NotNow> {
-        if self.standing != Standing::Leads {
-            return Err(NotNow::Follows(
+    fn change_to(
+        &mut self,
+        now: Duration,
+        voters: Configuration,
+    ) -> Result<LogPosition, ProposeError> {
+        if self.standing != Role::Leader {
+            return Err(ProposeError::NotLeader(
                 self.leader.as_ref().map(|id| id.name.clone()),
             ));
         }
         let (said_at, old) = self.log.members();
-        let one = match old.ids.symmetric_difference(&voters.ids).count() {
+        let one = match old.voters.symmetric_difference(&voters.voters).count() {
             // Who is awaited alone changes: all majorities stay as they are.
-            0 => old.awaited != voters.awaited,
+            0 => old.pending_voter != voters.pending_voter,
             many => many == 1,
         };
-        if !one || voters.ids.is_empty() || voters.ids.len() > MOST_VOTERS {
-            return Err(NotNow::Members);
+        if !one || voters.voters.is_empty() || voters.voters.len() > MAX_VOTERS {
+            return Err(ProposeError::InvalidMembers);
         }
         // Without an entry of its own term settled, two leaders might each change by one from different members.
         if said_at > self.settled || self.log.term_at(self.settled) != Some(self.term) {
-            return Err(NotNow::Changing);
+            return Err(ProposeError::ChangeInProgress);
         }
-        let place = self.push(What::Members(voters));
+        let place = self.push(EntryPayload::Configuration(voters));
         self.spread(now);
         Ok(place)
     }
 
-    fn push(&mut self, what: What) -> Place {
+    fn push(&mut self, what: EntryPayload) -> LogPosition {
         let entry = Entry {
             term: self.term,
-            what,
+            payload: what,
         };
         let index = self.log.push(entry.clone());
         self.keep(Record::Entry { index, entry });
-        Place {
+        LogPosition {
             index,
             term: self.term,
         }
@@ -472,11 +493,14 @@
     fn step_to(&mut self, now: Duration, term: u64) {
         if term > self.term {
             (self.term, self.voted) = (term, None);
-            self.keep(Record::Term { term, voted: None });
+            self.keep(Record::Term {
+                term,
+                voted_for: None,
+            });
             self.leader = None;
         }
-        if !matches!(self.standing, Standing::Free | Standing::Follows) {
-            self.standing = Standing::Follows;
+        if !matches!(self.standing, Role::Unjoined | Role::Follower) {
+            self.standing = Role::Follower;
             self.be_patient(now);
         }
         self.progress.clear();
@@ -486,18 +510,18 @@
     /// Does what is due.
     pub fn tick(&mut self, now: Duration) {
         match self.standing {
-            Standing::Free if now >= self.beat_at => self.look_for_a_group(now),
-            Standing::Leads if now >= self.beat_at => self.beat(now),
-            Standing::Follows | Standing::Tries | Standing::Stands if self.has_vote() => {
+            Role::Unjoined if now >= self.beat_at => self.look_for_a_group(now),
+            Role::Leader if now >= self.beat_at => self.beat(now),
+            Role::Follower | Role::PreCandidate | Role::Candidate if self.has_vote() => {
                 if now < self.stand_at {
                     return;
                 }
                 self.try_to_lead(now);
             }
             // One that is not taken in yet, or not any more.
-            Standing::Follows if now >= self.beat_at => {
-                self.beat_at = now + self.terms.patience;
-                if now >= self.heard + self.terms.patience * 2 {
+            Role::Follower if now >= self.beat_at => {
+                self.beat_at = now + self.terms.election_timeout;
+                if now >= self.heard + self.terms.election_timeout * 2 {
                     self.ask_to_be_taken_in();
                 }
             }
@@ -517,36 +541,43 @@
 
     fn ask_to_be_taken_in(&mut self) {
         for name in self.others_named() {
-            self.say_to(&name, 0, Say::TakeMeIn);
+            self.say_to(&name, 0, Message::JoinRequest);
         }
     }
 
     fn look_for_a_group(&mut self, now: Duration) {
-        self.beat_at = now + self.terms.beat * 2;
+        self.beat_at = now + self.terms.heartbeat_interval * 2;
         let (nonce, voters) = (self.begin.nonce, voters_mark(&self.terms.voters));
         for name in self.others_named() {
-            self.say_to(&name, 0, Say::Here { nonce, voters });
+            self.say_to(
+                &name,
+                0,
+                Message::DiscoveryRequest {
+                    nonce,
+                    voters_checksum: voters,
+                },
+            );
         }
         self.make_a_group(now);
     }
 
     fn make_a_group(&mut self, now: Duration) {
         if let Some(members) = self.begin.group(&self.me, &self.terms.voters) {
-            self.join(now, self.me.disk, members);
+            self.join(now, self.me.incarnation, members);
         }
     }
 
     fn join(&mut self, now: Duration, group: u64, members: Members) {
         self.group = group;
-        self.standing = Standing::Follows;
-        let members = Voters {
-            ids: members,
-            awaited: None,
+        self.standing = Role::Follower;
+        let members = Configuration {
+            voters: members,
+            pending_voter: None,
         };
-        self.log = Log::of(Place::default(), members.clone(), Vec::new());
+        self.log = Log::of(LogPosition::default(), members.clone(), Vec::new());
         self.keep(Record::Group {
             group,
-            first: members,
+            initial: members,
         });
         self.heard = now;
         self.beat_at = now;
@@ -555,11 +586,11 @@
 
     /// Whether there would be votes: nobody's term goes up for one that is cut off and comes back.
     fn try_to_lead(&mut self, now: Duration) {
-        self.standing = Standing::Tries;
+        self.standing = Role::PreCandidate;
         (self.leader, self.votes) = (None, BTreeSet::from([self.me.clone()]));
         self.be_patient(now);
         // Its vote may have been taken while it heard nobody: then nobody would tell it.
-        if now >= self.heard + self.terms.patience * NEWCOMERS_WAIT {
+        if now >= self.heard + self.terms.election_timeout * NEWCOMERS_WAIT {
             self.ask_to_be_taken_in();
         }
         self.ask_for_votes(true);
@@ -567,12 +598,12 @@
     }
 
     fn stand(&mut self, now: Duration) {
-        self.standing = Standing::Stands;
+        self.standing = Role::Candidate;
         self.term += 1;
         self.voted = Some(self.me.clone());
         self.keep(Record::Term {
             term: self.term,
-            voted: self.voted.clone(),
+            voted_for: self.voted.clone(),
         });
         self.vote_no = self.write_no + 1;
         self.votes = BTreeSet::from([self.me.clone()]);
@@ -584,11 +615,17 @@
     fn ask_for_votes(&mut self, trial: bool) {
         let last = self.log.last();
         for id in self.other_members() {
-            self.say(&id, Say::MayI { last, trial });
+            self.say(
+                &id,
+                Message::VoteRequest {
+                    last,
+                    pre_vote: trial,
+                },
+            );
         }
     }
 
-    fn other_members(&self) -> Vec<Id> {
+    fn other_members(&self) -> Vec<NodeId> {
         self.members()
             .iter()
             .filter(|id| **id != self.me)
@@ -603,18 +640,18 @@
             return;
         }
         match self.standing {
-            Standing::Tries => self.stand(now),
-            Standing::Stands if self.written >= self.vote_no => self.lead(now),
+            Role::PreCandidate => self.stand(now),
+            Role::Candidate if self.written >= self.vote_no => self.lead(now),
             _ => {}
         }
     }
 
     fn lead(&mut self, now: Duration) {
-        self.standing = Standing::Leads;
+        self.standing = Role::Leader;
         self.leader = Some(self.me.clone());
         self.led_since = now;
         self.progress.clear();
-        self.push(What::Begins);
+        self.push(EntryPayload::Noop);
         self.beat(now);
     }
 
@@ -632,23 +669,23 @@
             };
             self.progress.entry(id.clone()).or_insert(fresh);
         }
-        let wait = self.terms.patience * NEWCOMERS_WAIT;
+        let wait = self.terms.election_timeout * NEWCOMERS_WAIT;
         self.progress
             .retain(|id, of| members.contains(id) || now < of.heard + wait);
     }
 
     fn beat(&mut self, now: Duration) {
-        self.beat_at = now + self.terms.beat;
+        self.beat_at = now + self.terms.heartbeat_interval;
         self.track(now);
         // Without a majority that hears it, another may lead by now.
-        let heard = |id: &Id| {
-            let patient = now < self.led_since + self.terms.patience;
+        let heard = |id: &NodeId| {
+            let patient = now < self.led_since + self.terms.election_timeout;
             *id == self.me
                 || patient
                 || self
                     .progress
                     .get(id)
-                    .is_some_and(|of| now < of.heard + self.terms.patience)
+                    .is_some_and(|of| now < of.heard + self.terms.election_timeout)
         };
         let members = self.members();
         if members.iter().filter(|id| heard(id)).count() < majority(members) {
@@ -670,7 +707,7 @@
         }
     }
 
-    fn append_to(&mut self, id: &Id) {
+    fn append_to(&mut self, id: &NodeId) {
         let (base, last, round) = (self.log.base(), self.log.last().index, self.round);
         let Some(of) = self.progress.get_mut(id) else {
             return;
@@ -681,7 +718,7 @@
                 of.piece = (base.index, 0);
             }
             let (from, whole) = (of.piece.1, self.log.state().len() as u32);
-            let upto = (from as usize + PIECE).min(whole as usize);
+            let upto = (from as usize + SNAPSHOT_CHUNK_BYTES).min(whole as usize);
             let bytes = self
                 .log
                 .state()
@@ -689,12 +726,12 @@
                 .unwrap_or_default()
                 .to_vec();
             let members = self.log.base_members().clone();
-            let say = Say::Piece {
+            let say = Message::SnapshotRequest {
                 last: base,
-                members,
-                from,
-                whole,
-                bytes,
+                configuration: members,
+                offset: from,
+                total_length: whole,
+                data: bytes,
                 round,
             };
             return self.say(id, say);
@@ -713,13 +750,13 @@
         let settled = self.settled;
         self.say(
             id,
-            Say::Append {
-                before: Place {
+            Message::AppendRequest {
+                previous: LogPosition {
                     index: before,
                     term,
                 },
                 entries,
-                settled,
+                commit_index: settled,
                 round,
             },
         );
@@ -728,7 +765,7 @@
     /// What a majority has on disk, of this term, is settled, and all before it.
     fn settle(&mut self, now: Duration) {
         let members = self.members().clone();
-        let same = |id: &Id| {
+        let same = |id: &NodeId| {
             if *id == self.me {
                 self.stable.min(self.log.last().index)
             } else {
@@ -758,9 +795,9 @@
     fn take_others_in(&mut self, now: Duration) {
         let near = self.settled.saturating_sub(8);
         let newcomer = self.progress.iter().find(|(id, of)| {
-            let silent = |old: &Id| {
+            let silent = |old: &NodeId| {
                 let of = self.progress.get(old);
-                of.is_none_or(|of| now >= of.heard + self.terms.patience * GONE)
+                of.is_none_or(|of| now >= of.heard + self.terms.election_timeout * GONE)
             };
             let gone = self
                 .members()
@@ -768,50 +805,58 @@
                 .filter(|old| old.name == id.name)
                 .all(silent);
             let old = self.members().iter().any(|old| old.name == id.name);
-            let place = old || self.log.members().1.awaited.as_ref() == Some(&id.name);
+            let place = old || self.log.members().1.pending_voter.as_ref() == Some(&id.name);
             !self.members().contains(id) && place && of.same >= near.max(1) && gone
         });
         let Some(id) = newcomer.map(|(id, _)| id.clone()) else {
             return;
         };
-        let mut voters = Voters {
-            ids: self.members().clone(),
-            awaited: None,
+        let mut voters = Configuration {
+            voters: self.members().clone(),
+            pending_voter: None,
         };
-        match voters.ids.iter().find(|old| old.name == id.name).cloned() {
+        match voters
+            .voters
+            .iter()
+            .find(|old| old.name == id.name)
+            .cloned()
+        {
             Some(old) => {
-                voters.ids.remove(&old);
-                voters.awaited = Some(id.name);
+                voters.voters.remove(&old);
+                voters.pending_voter = Some(id.name);
             }
-            None => drop(voters.ids.insert(id)),
+            None => drop(voters.voters.insert(id)),
         }
         // Not now: with a later beat.
         let _ = self.change_to(now, voters);
     }
 
     /// Takes a packet in.
-    pub fn hear(&mut self, now: Duration, packet: Packet) {
+    pub fn receive(&mut self, now: Duration, packet: Packet) {
         let Packet {
             group,
             from,
-            to,
+            to_incarnation: to,
             term,
-            say,
+            message: say,
         } = packet;
-        if from == self.me || (to != 0 && to != self.me.disk) {
+        if from == self.me || (to != 0 && to != self.me.incarnation) {
             return;
         }
         match &say {
-            Say::Here { nonce, voters } => return self.tell_who_is_here(&from, *nonce, *voters),
-            Say::HereToo {
+            Message::DiscoveryRequest {
+                nonce,
+                voters_checksum: voters,
+            } => return self.tell_who_is_here(&from, *nonce, *voters),
+            Message::DiscoveryResponse {
                 nonce,
-                voters,
-                first,
+                voters_checksum: voters,
+                initial_members: first,
             } => return self.heard_who_is_here(now, group, &from, (*nonce, *voters), first),
-            Say::Ask {
-                next,
-                of,
-                from: byte,
+            Message::LearnerRequest {
+                next_index: next,
+                snapshot_index: of,
+                snapshot_offset: byte,
             } => return self.tell_follower(group, &from, *next, *of, *byte),
             _ => {}
         }
@@ -819,18 +864,20 @@
             return;
         }
         match say {
-            Say::TakeMeIn if self.standing == Standing::Leads => return self.take_in(now, from),
+            Message::JoinRequest if self.standing == Role::Leader => {
+                return self.take_in(now, from)
+            }
             // Who asks may know nobody that leads now.
-            Say::TakeMeIn => {
+            Message::JoinRequest => {
                 if let Some(leader) = self.leader.clone() {
-                    self.say(&leader, Say::TakeIn { id: from });
+                    self.say(&leader, Message::JoinForwarded { id: from });
                 }
                 return;
             }
-            Say::TakeIn { id } => return self.take_in(now, id),
+            Message::JoinForwarded { id } => return self.take_in(now, id),
             _ => {}
         }
-        if let Say::Propose { bytes } = say {
+        if let Message::Propose { command: bytes } = say {
             // Not led by this one: whoever gave it will ask again.
             let _ = self.propose(now, bytes);
             return;
@@ -840,22 +887,28 @@
             self.step_to(now, term);
         }
         match say {
-            Say::MayI { last, trial } => self.give_vote(now, &from, term, last, trial),
-            Say::Vote { yes, trial } => {
+            Message::VoteRequest {
+                last,
+                pre_vote: trial,
+            } => self.give_vote(now, &from, term, last, trial),
+            Message::VoteResponse {
+                granted: yes,
+                pre_vote: trial,
+            } => {
                 let asked = if trial {
-                    Standing::Tries
+                    Role::PreCandidate
                 } else {
-                    Standing::Stands
+                    Role::Candidate
                 };
                 if yes && term == self.term && self.standing == asked {
                     self.votes.insert(from);
                     self.count(now);
                 }
             }
-            Say::Append {
-                before,
+            Message::AppendRequest {
+                previous: before,
                 entries,
-                settled,
+                commit_index: settled,
                 round,
             } => {
                 if !self.is_led_by(now, &from, term, round) {
@@ -863,12 +916,12 @@
                 }
                 self.append(&from, before, entries, settled, round);
             }
-            Say::Piece {
+            Message::SnapshotRequest {
                 last,
-                members,
-                from: byte,
-                whole,
-                bytes,
+                configuration: members,
+                offset: byte,
+                total_length: whole,
+                data: bytes,
                 round,
             } => {
                 if !self.is_led_by(now, &from, term, round) {
@@ -876,14 +929,21 @@
                 }
                 self.take_piece(&from, last, members, (byte, whole), &bytes, round);
             }
-            Say::Appended { same, round } => {
-                if term != self.term || self.standing != Standing::Leads {
+            Message::AppendResponse {
+                matched: same,
+                round,
+            } => {
+                if term != self.term || self.standing != Role::Leader {
                     return;
                 }
                 self.was_appended(now, &from, same, round);
             }
-            Say::HadPiece { last, upto, round } => {
-                if term != self.term || self.standing != Standing::Leads {
+            Message::SnapshotResponse {
+                last,
+                received: upto,
+                round,
+            } => {
+                if term != self.term || self.standing != Role::Leader {
                     return;
                 }
                 self.had_piece(now, &from, last, upto, round);
@@ -893,8 +953,8 @@
     }
 
     /// One without a vote is written to from now on, for as long as it answers.
-    fn take_in(&mut self, now: Duration, id: Id) {
-        if self.standing == Standing::Leads && !self.members().contains(&id) {
+    fn take_in(&mut self, now: Duration, id: NodeId) {
+        if self.standing == Role::Leader && !self.members().contains(&id) {
             let next = self.log.last().index.max(1);
             let fresh = Progress {
                 next,
@@ -908,23 +968,23 @@
         }
     }
 
-    fn tell_who_is_here(&mut self, from: &Id, nonce: u64, theirs: u64) {
+    fn tell_who_is_here(&mut self, from: &NodeId, nonce: u64, theirs: u64) {
         let voters = voters_mark(&self.terms.voters);
         if theirs != voters && self.group == 0 {
             return;
         }
         let reaches_back = self.log.base().index == 0;
         let first = if reaches_back {
-            self.log.base_members().ids.clone()
+            self.log.base_members().voters.clone()
         } else {
             Members::new()
         };
         self.say(
             from,
-            Say::HereToo {
+            Message::DiscoveryResponse {
                 nonce,
-                voters,
-                first,
+                voters_checksum: voters,
+                initial_members: first,
             },
         );
     }
@@ -933,7 +993,7 @@
         &mut self,
         now: Duration,
         group: u64,
-        from: &Id,
+        from: &NodeId,
         of: (u64, u64),
         first: &Members,
     ) {
@@ -961,7 +1021,7 @@
         }
     }
 
-    fn tell_follower(&mut self, group: u64, from: &Id, next: u64, of: u64, byte: u32) {
+    fn tell_follower(&mut self, group: u64, from: &NodeId, next: u64, of: u64, byte: u32) {
         if self.group == 0 || (group != 0 && group != self.group) {
             return;
         }
@@ -970,18 +1030,18 @@
             let state = self.log.state();
             let byte = if of == base { byte as usize } else { 0 };
             let bytes = state
-                .get(byte..(byte + PIECE).min(state.len()))
+                .get(byte..(byte + SNAPSHOT_CHUNK_BYTES).min(state.len()))
                 .unwrap_or_default()
                 .to_vec();
             let (index, byte, whole) = (base, byte as u32, state.len() as u32);
-            let members = self.log.base_members().ids.clone();
+            let members = self.log.base_members().voters.clone();
             return self.say(
                 from,
-                Say::ToldPiece {
-                    index,
-                    from: byte,
-                    whole,
-                    bytes,
+                Message::LearnerSnapshot {
+                    last_index: index,
+                    offset: byte,
+                    total_length: whole,
+                    data: bytes,
                     members,
                 },
             );
@@ -989,61 +1049,81 @@
         let entries = self.log.some_from(next, BATCH, self.settled);
         self.say(
             from,
-            Say::Told {
-                first: next,
+            Message::LearnerEntries {
+                first_index: next,
                 entries,
-                settled: self.settled,
+                commit_index: self.settled,
             },
         );
     }
 
-    fn give_vote(&mut self, now: Duration, from: &Id, term: u64, last: Place, trial: bool) {
-        let reaches = term == self.term && last.reaches(&self.log.last());
+    fn give_vote(
+        &mut self,
+        now: Duration,
+        from: &NodeId,
+        term: u64,
+        last: LogPosition,
+        trial: bool,
+    ) {
+        let reaches = term == self.term && last.is_up_to_date_with(&self.log.last());
         let yes = if trial {
             // While a leader is heard nobody is to be troubled by one that does not hear it.
-            let led = self.leader.is_some() && now < self.heard + self.terms.patience;
-            reaches && !led && self.standing != Standing::Leads
+            let led = self.leader.is_some() && now < self.heard + self.terms.election_timeout;
+            reaches && !led && self.standing != Role::Leader
         } else {
             let free = self.voted.as_ref().is_none_or(|voted| voted == from);
             let yes =
-                reaches && free && matches!(self.standing, Standing::Follows | Standing::Tries);
+                reaches && free && matches!(self.standing, Role::Follower | Role::PreCandidate);
             if yes && self.voted.is_none() {
                 self.voted = Some(from.clone());
                 self.keep(Record::Term {
                     term: self.term,
-                    voted: self.voted.clone(),
+                    voted_for: self.voted.clone(),
                 });
             }
             if yes {
-                self.standing = Standing::Follows;
+                self.standing = Role::Follower;
                 self.be_patient(now);
             }
             yes
         };
-        self.say(from, Say::Vote { yes, trial });
+        self.say(
+            from,
+            Message::VoteResponse {
+                granted: yes,
+                pre_vote: trial,
+            },
+        );
     }
 
     /// Whether the sender leads this term.
-    fn is_led_by(&mut self, now: Duration, from: &Id, term: u64, round: u64) -> bool {
+    fn is_led_by(&mut self, now: Duration, from: &NodeId, term: u64, round: u64) -> bool {
         if term < self.term {
             // It learns by the answer's term that its own is over.
             self.say(
                 from,
-                Say::Appended {
-                    same: Err(0),
+                Message::AppendResponse {
+                    matched: Err(0),
                     round,
                 },
             );
             return false;
         }
-        self.standing = Standing::Follows;
+        self.standing = Role::Follower;
         self.leader = Some(from.clone());
         self.heard = now;
         self.be_patient(now);
         true
     }
 
-    fn append(&mut self, from: &Id, before: Place, entries: Vec<Entry>, settled: u64, round: u64) {
+    fn append(
+        &mut self,
+        from: &NodeId,
+        before: LogPosition,
+        entries: Vec<Entry>,
+        settled: u64,
+        round: u64,
+    ) {
         let base = self.log.base().index;
         let held = if before.index < base {
             Some(before.term)
@@ -1057,7 +1137,13 @@
                 hint -= 1;
             }
             let same = Err(hint.max(self.settled));
-            return self.say(from, Say::Appended { same, round });
+            return self.say(
+                from,
+                Message::AppendResponse {
+                    matched: same,
+                    round,
+                },
+            );
         }
         let mut index = before.index;
         for entry in entries {
@@ -1070,7 +1156,7 @@
                 other => {
                     if other.is_some() {
                         self.log.cut(index);
-                        self.keep(Record::Cut { from: index });
+                        self.keep(Record::Truncate { from_index: index });
                         self.stable = self.stable.min(index - 1);
                         self.marks
                             .iter_mut()
@@ -1084,8 +1170,8 @@
         self.settled = self.settled.max(settled.min(index));
         self.say(
             from,
-            Say::Appended {
-                same: Ok(index),
+            Message::AppendResponse {
+                matched: Ok(index),
                 round,
             },
         );
@@ -1093,9 +1179,9 @@
 
     fn take_piece(
         &mut self,
-        from: &Id,
-        last: Place,
-        members: Voters,
+        from: &NodeId,
+        last: LogPosition,
+        members: Configuration,
         (byte, whole): (u32, u32),
         bytes: &[u8],
         round: u64,
@@ -1103,8 +1189,8 @@
         if last.index <= self.settled {
             return self.say(
                 from,
-                Say::Appended {
-                    same: Ok(self.settled),
+                Message::AppendResponse {
+                    matched: Ok(self.settled),
                     round,
                 },
             );
@@ -1120,11 +1206,18 @@
         if taken.len() < whole {
             let upto = taken.len() as u32;
             self.taken_in = Some((last, taken));
-            return self.say(from, Say::HadPiece { last, upto, round });
+            return self.say(
+                from,
+                Message::SnapshotResponse {
+                    last,
+                    received: upto,
+                    round,
+                },
+            );
         }
-        let record = Record::State {
+        let record = Record::Snapshot {
             last,
-            members: members.clone(),
+            configuration: members.clone(),
             state: taken.clone(),
         };
         let follows = self.log.term_at(last.index) == Some(last.term);
@@ -1139,14 +1232,14 @@
         (self.settled, self.whole) = (last.index, Some((last.index, taken)));
         self.say(
             from,
-            Say::Appended {
-                same: Ok(last.index),
+            Message::AppendResponse {
+                matched: Ok(last.index),
                 round,
             },
         );
     }
 
-    fn was_appended(&mut self, now: Duration, from: &Id, same: Result<u64, u64>, round: u64) {
+    fn was_appended(&mut self, now: Duration, from: &NodeId, same: Result<u64, u64>, round: u64) {
         let last = self.log.last().index;
         let Some(of) = self.progress.get_mut(from).filter(|of| round >= of.round) else {
             return;
@@ -1164,12 +1257,19 @@
             }
         };
         self.settle(now);
-        if more && self.standing == Standing::Leads {
+        if more && self.standing == Role::Leader {
             self.append_to(from);
         }
     }
 
-    fn had_piece(&mut self, now: Duration, from: &Id, last: Place, upto: u32, round: u64) {
+    fn had_piece(
+        &mut self,
+        now: Duration,
+        from: &NodeId,
+        last: LogPosition,
+        upto: u32,
+        round: u64,
+    ) {
         let base = self.log.base();
         let Some(of) = self.progress.get_mut(from).filter(|of| round >= of.round) else {
             return;
--- a/crates/consensus/src/begin.rs
+++ b/crates/consensus/src/begin.rs
@@ -4,11 +4,11 @@
 //! are in none: so sidecars that lost their disks never make a second one while any of them remembers the first. If a
 //! majority has lost its disks what was settled may be lost, and nobody goes on by itself.
 
-use crate::words::{Id, Members};
+use crate::words::{Members, NodeId};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug)]
-pub struct Begin {
+pub struct Bootstrap {
     /// Only answers to this number count: what an earlier life was asked is not ours.
     pub nonce: u64,
     free: BTreeMap<String, u64>,
@@ -26,7 +26,7 @@
     u64::from(crc32fast::hash(text.as_bytes())) << 8 | sorted.len() as u64
 }
 
-impl Begin {
+impl Bootstrap {
     pub fn new(nonce: u64) -> Self {
         Self {
             nonce,
@@ -35,8 +35,8 @@
     }
 
     /// One is in no group.
-    pub fn is_free(&mut self, id: &Id) {
-        self.free.insert(id.name.clone(), id.disk);
+    pub fn is_free(&mut self, id: &NodeId) {
+        self.free.insert(id.name.clone(), id.incarnation);
     }
 
     /// One is in a group: there is one to be taken into.
@@ -45,17 +45,17 @@
     }
 
     /// Who makes up the group, if it can be made now, by this one.
-    pub fn group(&self, me: &Id, names: &[String]) -> Option<Members> {
+    pub fn group(&self, me: &NodeId, names: &[String]) -> Option<Members> {
         let first = names.iter().min().is_some_and(|first| *first == me.name);
         let of = |name: &String| {
             let disk = if *name == me.name {
-                Some(me.disk)
+                Some(me.incarnation)
             } else {
                 self.free.get(name).copied()
             };
-            disk.map(|disk| Id {
+            disk.map(|disk| NodeId {
                 name: name.clone(),
-                disk,
+                incarnation: disk,
             })
         };
         let all: Option<Members> = names.iter().map(of).collect();
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -3,7 +3,7 @@
 //! records behind it is told with its place: the disk forgot what was promised, and its life is over.
 
 use crate::log::Log;
-use crate::words::{Entry, Id, Place, Voters};
+use crate::words::{Configuration, Entry, LogPosition, NodeId};
 use serde::{Deserialize, Serialize};
 
 const MARK: [u8; 4] = *b"agr1";
@@ -14,34 +14,34 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// Whose disk it is: the first record.
-    Life(Id),
+    Identity(NodeId),
     /// The group it is in, and who had a vote when that was made: in one record, as a write may tear between two.
     Group {
         group: u64,
-        first: Voters,
+        initial: Configuration,
     },
     Term {
         term: u64,
-        voted: Option<Id>,
+        voted_for: Option<NodeId>,
     },
     Entry {
         index: u64,
         entry: Entry,
     },
     /// No entry from here on.
-    Cut {
-        from: u64,
+    Truncate {
+        from_index: u64,
     },
     /// The state is whole up to here; entries behind it stay where their term shows that they follow.
-    State {
-        last: Place,
-        members: Voters,
+    Snapshot {
+        last: LogPosition,
+        configuration: Configuration,
         state: Vec<u8>,
     },
 }
 
 impl Record {
-    pub fn write(&self, out: &mut Vec<u8>) {
+    pub fn encode_into(&self, out: &mut Vec<u8>) {
         let payload = postcard::to_allocvec(self).unwrap_or_default();
         out.extend_from_slice(&MARK);
         out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -52,19 +52,19 @@
 
 /// A disk that can't be gone on with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Damaged {
+pub enum LogError {
     #[error("damaged at byte {0}, with sound records behind it")]
-    At(usize),
+    Corrupt(usize),
     #[error("the record at byte {0} can't follow what is before it")]
-    Order(usize),
+    OutOfOrder(usize),
 }
 
 /// What was read, and up to where.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Read {
+pub struct RecoveredLog {
     pub records: Vec<Record>,
     /// Bytes up to the end of the last sound record: what is behind them is to be cut off before more is written.
-    pub sound: usize,
+    pub valid_length: usize,
 }
 
 fn one(bytes: &[u8]) -> Option<(Record, usize)> {
@@ -86,48 +86,54 @@
 
 /// # Errors
 /// Damage that is not just a tail, or records in an order that nobody wrote.
-pub fn read(bytes: &[u8]) -> Result<Read, Damaged> {
-    let mut read = Read::default();
-    let mut held = Held::default();
-    while let Some((record, length)) = one(&bytes[read.sound..]) {
+pub fn read_log(bytes: &[u8]) -> Result<RecoveredLog, LogError> {
+    let mut recovered = RecoveredLog::default();
+    let mut held = PersistentState::default();
+    while let Some((record, length)) = one(&bytes[recovered.valid_length..]) {
         if !held.take(&record) {
-            return Err(Damaged::Order(read.sound));
+            return Err(LogError::OutOfOrder(recovered.valid_length));
         }
-        read.records.push(record);
-        read.sound += length;
+        recovered.records.push(record);
+        recovered.valid_length += length;
     }
-    let rest = &bytes[read.sound..];
+    let rest = &bytes[recovered.valid_length..];
     let sound_behind =
         (1..rest.len()).any(|at| rest[at..].starts_with(&MARK) && one(&rest[at..]).is_some());
     if sound_behind {
-        return Err(Damaged::At(read.sound));
+        return Err(LogError::Corrupt(recovered.valid_length));
     }
-    Ok(read)
+    Ok(recovered)
 }
 
 /// What a disk holds, record by record; whatever number of them a tear has left, it is a state that was there.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
-    pub life: Option<Id>,
+pub struct PersistentState {
+    pub life: Option<NodeId>,
     pub group: u64,
     pub term: u64,
-    pub voted: Option<Id>,
+    pub voted: Option<NodeId>,
     pub log: Log,
 }
 
-impl Held {
+impl PersistentState {
     /// False if the record can't follow.
     pub fn take(&mut self, record: &Record) -> bool {
         let known = self.life.is_some();
         match record {
-            Record::Life(id) if !known => self.life = Some(id.clone()),
-            Record::Life(_) => return false,
+            Record::Identity(id) if !known => self.life = Some(id.clone()),
+            Record::Identity(_) => return false,
             _ if !known => return false,
-            Record::Group { group, first } => {
+            Record::Group {
+                group,
+                initial: first,
+            } => {
                 self.group = *group;
-                self.log = Log::of(Place::default(), first.clone(), Vec::new());
+                self.log = Log::of(LogPosition::default(), first.clone(), Vec::new());
             }
-            Record::Term { term, voted } => {
+            Record::Term {
+                term,
+                voted_for: voted,
+            } => {
                 if *term < self.term {
                     return false;
                 }
@@ -139,10 +145,10 @@
                 }
                 self.log.push(entry.clone());
             }
-            Record::Cut { from } => self.log.cut(*from),
-            Record::State {
+            Record::Truncate { from_index: from } => self.log.cut(*from),
+            Record::Snapshot {
                 last,
-                members,
+                configuration: members,
                 state,
             } => {
                 let follows = self.log.term_at(last.index) == Some(last.term);
@@ -156,20 +162,20 @@
 
     /// The records that say the same in the fewest words.
     pub fn records(&self) -> Vec<Record> {
-        let mut all: Vec<Record> = self.life.iter().cloned().map(Record::Life).collect();
+        let mut all: Vec<Record> = self.life.iter().cloned().map(Record::Identity).collect();
         let (last, members) = (self.log.base(), self.log.base_members().clone());
         all.push(Record::Group {
             group: self.group,
-            first: members.clone(),
+            initial: members.clone(),
         });
         all.push(Record::Term {
             term: self.term,
-            voted: self.voted.clone(),
+            voted_for: self.voted.clone(),
         });
         if last.index > 0 {
-            all.push(Record::State {
+            all.push(Record::Snapshot {
                 last,
-                members,
+                configuration: members,
                 state: self.log.state().to_vec(),
             });
         }
--- a/crates/consensus/src/follow.rs
+++ b/crates/consensus/src/follow.rs
@@ -1,7 +1,7 @@
 //! All other sidecars: they ask one voter after the other for what is settled.
 
-use crate::agree::Settled;
-use crate::words::{Id, Members, Packet, Place, Say, What};
+use crate::agree::Committed;
+use crate::words::{EntryPayload, LogPosition, Members, Message, NodeId, Packet};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 const MOST_STATE: usize = 4 * 1024 * 1024;
 
 /// One that has no vote, and no disk: it begins with nothing and learns all.
-pub struct Follow {
-    me: Id,
+pub struct Learner {
+    me: NodeId,
     /// Those that may be asked: by the settings, and who has a vote by the log.
     named: Vec<String>,
     voters: Vec<String>,
@@ -24,15 +24,15 @@
     upto: u64,
     /// The state that is being taken in, and up to which entry it goes.
     state: (u64, Vec<u8>),
-    settled: VecDeque<Settled>,
+    settled: VecDeque<Committed>,
     out: VecDeque<(String, Packet)>,
 }
 
-impl Follow {
-    pub fn new(now: Duration, me: Id, mut voters: Vec<String>, every: Duration) -> Self {
+impl Learner {
+    pub fn new(now: Duration, me: NodeId, mut voters: Vec<String>, every: Duration) -> Self {
         voters.sort();
         // Who follows is spread over the voters.
-        let asked = me.disk as usize % voters.len().max(1);
+        let asked = me.incarnation as usize % voters.len().max(1);
         let (state, settled, out) = ((0, Vec::new()), VecDeque::new(), VecDeque::new());
         let named = voters.clone();
         Self {
@@ -51,16 +51,16 @@
         }
     }
 
-    pub fn next(&self) -> Duration {
+    pub fn next_deadline(&self) -> Duration {
         self.next
     }
 
     /// When it last heard what is settled: how old its knowledge may be.
-    pub fn heard(&self) -> Duration {
+    pub fn last_heard(&self) -> Duration {
         self.heard
     }
 
-    pub fn upto(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.upto
     }
 
@@ -100,24 +100,24 @@
         let Some(voter) = self.voters.get(self.asked) else {
             return;
         };
-        let say = Say::Ask {
-            next: self.upto + 1,
-            of: self.state.0,
-            from: self.state.1.len() as u32,
+        let say = Message::LearnerRequest {
+            next_index: self.upto + 1,
+            snapshot_index: self.state.0,
+            snapshot_offset: self.state.1.len() as u32,
         };
         let packet = Packet {
             group: self.group,
             from: self.me.clone(),
-            to: 0,
+            to_incarnation: 0,
             term: 0,
-            say,
+            message: say,
         };
         self.out.push_back((voter.clone(), packet));
     }
 
-    pub fn hear(&mut self, now: Duration, packet: Packet) {
+    pub fn receive(&mut self, now: Duration, packet: Packet) {
         let known = self.voters.contains(&packet.from.name) && packet.group != 0;
-        if !known || (packet.to != 0 && packet.to != self.me.disk) {
+        if !known || (packet.to_incarnation != 0 && packet.to_incarnation != self.me.incarnation) {
             return;
         }
         if self.group == 0 {
@@ -127,33 +127,40 @@
         if packet.group != self.group {
             return;
         }
-        match packet.say {
-            Say::Told { first, entries, .. } if first <= self.upto + 1 => {
+        match packet.message {
+            Message::LearnerEntries {
+                first_index: first,
+                entries,
+                ..
+            } if first <= self.upto + 1 => {
                 self.heard = now;
                 let (skip, many) = ((self.upto + 1 - first) as usize, entries.len());
                 for entry in entries.into_iter().skip(skip) {
                     self.upto += 1;
-                    match entry.what {
-                        What::Word(bytes) => {
-                            let at = Place {
+                    match entry.payload {
+                        EntryPayload::Command(bytes) => {
+                            let at = LogPosition {
                                 index: self.upto,
                                 term: entry.term,
                             };
-                            self.settled.push_back(Settled::Word { at, bytes });
+                            self.settled.push_back(Committed::Command {
+                                position: at,
+                                command: bytes,
+                            });
                         }
-                        What::Members(voters) => self.led_by(&voters.ids),
-                        What::Begins => {}
+                        EntryPayload::Configuration(voters) => self.led_by(&voters.voters),
+                        EntryPayload::Noop => {}
                     }
                 }
                 if many > skip {
                     self.ask();
                 }
             }
-            Say::ToldPiece {
-                index,
-                from,
-                whole,
-                bytes,
+            Message::LearnerSnapshot {
+                last_index: index,
+                offset: from,
+                total_length: whole,
+                data: bytes,
                 members,
             } if index > self.upto => {
                 self.heard = now;
@@ -168,8 +175,10 @@
                     self.upto = index;
                     self.led_by(&members);
                     let state = std::mem::take(&mut self.state).1;
-                    self.settled
-                        .push_back(Settled::Whole { upto: index, state });
+                    self.settled.push_back(Committed::Snapshot {
+                        last_index: index,
+                        state,
+                    });
                 }
                 self.ask();
             }
@@ -177,11 +186,11 @@
         }
     }
 
-    pub fn take(&mut self) -> Option<(String, Packet)> {
+    pub fn take_packet(&mut self) -> Option<(String, Packet)> {
         self.out.pop_front()
     }
 
-    pub fn settled(&mut self) -> Option<Settled> {
+    pub fn take_committed(&mut self) -> Option<Committed> {
         self.settled.pop_front()
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -28,10 +28,10 @@
 mod log;
 mod words;
 
-pub use agree::{Agree, NotNow, Settled, Standing, Terms, Write};
-pub use disk::{read, Damaged, Read, Record};
-pub use follow::Follow;
+pub use agree::{Committed, ProposeError, RaftConfig, RaftNode, Role, WriteBatch};
+pub use disk::{read_log, LogError, Record, RecoveredLog};
+pub use follow::Learner;
 pub use words::{
-    Entry, Id, Members, Packet, Place, Say, Unreadable, Voters, What, MOST_PACKET, MOST_VOTERS,
-    MOST_WORD,
+    Configuration, Entry, EntryPayload, LogPosition, Members, Message, NodeId, Packet, PacketError,
+    MAX_COMMAND_BYTES, MAX_PACKET_BYTES, MAX_VOTERS,
 };
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,19 +1,19 @@
 //! The entries held, from where the state was last made whole.
 
-use crate::words::{Entry, Place, Voters, What};
+use crate::words::{Configuration, Entry, EntryPayload, LogPosition};
 use std::collections::VecDeque;
 
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     /// All up to here is in the state.
-    base: Place,
-    base_members: Voters,
+    base: LogPosition,
+    base_members: Configuration,
     state: Vec<u8>,
     entries: VecDeque<Entry>,
 }
 
 impl Log {
-    pub fn of(base: Place, members: Voters, state: Vec<u8>) -> Self {
+    pub fn of(base: LogPosition, members: Configuration, state: Vec<u8>) -> Self {
         Self {
             base,
             base_members: members,
@@ -22,11 +22,11 @@
         }
     }
 
-    pub fn base(&self) -> Place {
+    pub fn base(&self) -> LogPosition {
         self.base
     }
 
-    pub fn base_members(&self) -> &Voters {
+    pub fn base_members(&self) -> &Configuration {
         &self.base_members
     }
 
@@ -34,9 +34,9 @@
         &self.state
     }
 
-    pub fn last(&self) -> Place {
+    pub fn last(&self) -> LogPosition {
         let index = self.base.index + self.entries.len() as u64;
-        Place {
+        LogPosition {
             index,
             term: self
                 .entries
@@ -69,14 +69,16 @@
     }
 
     /// Who has a vote, by the last entry that says so, and that entry's index.
-    pub fn members(&self) -> (u64, &Voters) {
+    pub fn members(&self) -> (u64, &Configuration) {
         let said = self
             .entries
             .iter()
             .enumerate()
             .rev()
-            .find_map(|(place, entry)| match &entry.what {
-                What::Members(members) => Some((self.base.index + 1 + place as u64, members)),
+            .find_map(|(place, entry)| match &entry.payload {
+                EntryPayload::Configuration(members) => {
+                    Some((self.base.index + 1 + place as u64, members))
+                }
                 _ => None,
             });
         said.unwrap_or((self.base.index, &self.base_members))
@@ -89,14 +91,14 @@
         };
         let mut rest = self.entries.split_off((index - self.base.index) as usize);
         std::mem::swap(&mut self.entries, &mut rest);
-        let said = rest.iter().rev().find_map(|entry| match &entry.what {
-            What::Members(members) => Some(members.clone()),
+        let said = rest.iter().rev().find_map(|entry| match &entry.payload {
+            EntryPayload::Configuration(members) => Some(members.clone()),
             _ => None,
         });
         if let Some(members) = said {
             self.base_members = members;
         }
-        (self.base, self.state) = (Place { index, term }, state);
+        (self.base, self.state) = (LogPosition { index, term }, state);
         true
     }
 
--- a/crates/consensus/src/words.rs
+++ b/crates/consensus/src/words.rs
@@ -5,152 +5,152 @@
 use std::collections::BTreeSet;
 
 /// Bytes of a packet, at most: it rides in one datagram, with its seal.
-pub const MOST_PACKET: usize = 1000;
+pub const MAX_PACKET_BYTES: usize = 1000;
 /// Bytes of one word that is settled, at most.
-pub const MOST_WORD: usize = 700;
+pub const MAX_COMMAND_BYTES: usize = 700;
 /// Bytes of a piece of a snapshot.
-pub const PIECE: usize = 400;
-pub const MOST_VOTERS: usize = 7;
-const MOST_NAME: usize = 32;
+pub const SNAPSHOT_CHUNK_BYTES: usize = 400;
+pub const MAX_VOTERS: usize = 7;
+const MAX_NAME_BYTES: usize = 32;
 const VERSION: u8 = 2;
 
 /// Who takes part: a name, and the life of its disk. One that lost its disk is another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct NodeId {
     pub name: String,
-    pub disk: u64,
+    pub incarnation: u64,
 }
 
-pub type Members = BTreeSet<Id>;
+pub type Members = BTreeSet<NodeId>;
 
 /// Who has a vote, and whose new life is to get one next: its old life's vote was taken for that.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Voters {
-    pub ids: Members,
-    pub awaited: Option<String>,
+pub struct Configuration {
+    pub voters: Members,
+    pub pending_voter: Option<String>,
 }
 
 /// An entry's place in the log; the first one has index 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct LogPosition {
     pub index: u64,
     pub term: u64,
 }
 
-impl Place {
+impl LogPosition {
     /// Whether a log that ends here holds all that one that ends there may have settled.
-    pub fn reaches(&self, other: &Place) -> bool {
+    pub fn is_up_to_date_with(&self, other: &LogPosition) -> bool {
         (self.term, self.index) >= (other.term, other.index)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum EntryPayload {
     /// A leader's first entry: with it all before is settled.
-    Begins,
+    Noop,
     /// These have a vote from here on.
-    Members(Voters),
-    Word(Vec<u8>),
+    Configuration(Configuration),
+    Command(Vec<u8>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub term: u64,
-    pub what: What,
+    pub payload: EntryPayload,
 }
 
 impl Entry {
     /// Bytes that it takes, at most.
     pub(crate) fn size(&self) -> usize {
-        16 + match &self.what {
-            What::Begins => 0,
-            What::Members(voters) => {
-                MOST_NAME
+        16 + match &self.payload {
+            EntryPayload::Noop => 0,
+            EntryPayload::Configuration(voters) => {
+                MAX_NAME_BYTES
                     + voters
-                        .ids
+                        .voters
                         .iter()
                         .map(|id| id.name.len() + 12)
                         .sum::<usize>()
             }
-            What::Word(bytes) => bytes.len(),
+            EntryPayload::Command(bytes) => bytes.len(),
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Say {
+pub enum Message {
     /// One without a group asks who is there; it answers to this number alone. The voters as its settings have them.
-    Here {
+    DiscoveryRequest {
         nonce: u64,
-        voters: u64,
+        voters_checksum: u64,
     },
     /// The answer. Who had a vote when the group was made, if the log still reaches back to that.
-    HereToo {
+    DiscoveryResponse {
         nonce: u64,
-        voters: u64,
-        first: Members,
+        voters_checksum: u64,
+        initial_members: Members,
     },
     /// A new life asks to be taken in.
-    TakeMeIn,
+    JoinRequest,
     /// The same of another, to whoever leads.
-    TakeIn {
-        id: Id,
+    JoinForwarded {
+        id: NodeId,
     },
     /// Asks for a vote; `trial`: only whether there would be one.
-    MayI {
-        last: Place,
-        trial: bool,
+    VoteRequest {
+        last: LogPosition,
+        pre_vote: bool,
     },
-    Vote {
-        yes: bool,
-        trial: bool,
+    VoteResponse {
+        granted: bool,
+        pre_vote: bool,
     },
-    Append {
-        before: Place,
+    AppendRequest {
+        previous: LogPosition,
         entries: Vec<Entry>,
-        settled: u64,
+        commit_index: u64,
         round: u64,
     },
     /// Up to where the two logs are the same; or not that far, and where to try.
-    Appended {
-        same: Result<u64, u64>,
+    AppendResponse {
+        matched: Result<u64, u64>,
         round: u64,
     },
     /// A piece of the state up to `last`, and who had a vote then.
-    Piece {
-        last: Place,
-        members: Voters,
-        from: u32,
-        whole: u32,
-        bytes: Vec<u8>,
+    SnapshotRequest {
+        last: LogPosition,
+        configuration: Configuration,
+        offset: u32,
+        total_length: u32,
+        data: Vec<u8>,
         round: u64,
     },
-    HadPiece {
-        last: Place,
-        upto: u32,
+    SnapshotResponse {
+        last: LogPosition,
+        received: u32,
         round: u64,
     },
     /// A word for the leader to settle.
     Propose {
-        bytes: Vec<u8>,
+        command: Vec<u8>,
     },
     /// One that only follows asks for what is settled from here on, or for the state from this byte on.
-    Ask {
-        next: u64,
-        of: u64,
-        from: u32,
+    LearnerRequest {
+        next_index: u64,
+        snapshot_index: u64,
+        snapshot_offset: u32,
     },
-    Told {
-        first: u64,
+    LearnerEntries {
+        first_index: u64,
         entries: Vec<Entry>,
-        settled: u64,
+        commit_index: u64,
     },
     /// A piece of the state up to an entry, and who had a vote then.
-    ToldPiece {
-        index: u64,
-        from: u32,
-        whole: u32,
-        bytes: Vec<u8>,
+    LearnerSnapshot {
+        last_index: u64,
+        offset: u32,
+        total_length: u32,
+        data: Vec<u8>,
         members: Members,
     },
 }
@@ -159,77 +159,84 @@
 pub struct Packet {
     /// 0: none yet.
     pub group: u64,
-    pub from: Id,
+    pub from: NodeId,
     /// The life of the disk it is meant for; 0: any.
-    pub to: u64,
+    pub to_incarnation: u64,
     pub term: u64,
-    pub say: Say,
+    pub message: Message,
 }
 
 /// Why a packet can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum PacketError {
     #[error("another version")]
-    Version,
+    UnsupportedVersion,
     #[error("it can't be read")]
-    Damaged,
-    #[error("longer than {MOST_PACKET} bytes, or a name, a word or a number of members beyond its bound")]
-    Long,
+    Malformed,
+    #[error("longer than {MAX_PACKET_BYTES} bytes, or a name, a word or a number of members beyond its bound")]
+    LimitExceeded,
 }
 
 fn fits(members: &Members) -> bool {
-    members.len() <= MOST_VOTERS + 1 && members.iter().all(|id| id.name.len() <= MOST_NAME)
+    members.len() <= MAX_VOTERS + 1 && members.iter().all(|id| id.name.len() <= MAX_NAME_BYTES)
 }
 
-fn voters_fit(voters: &Voters) -> bool {
-    fits(&voters.ids)
+fn voters_fit(voters: &Configuration) -> bool {
+    fits(&voters.voters)
         && voters
-            .awaited
+            .pending_voter
             .as_ref()
-            .is_none_or(|name| name.len() <= MOST_NAME)
+            .is_none_or(|name| name.len() <= MAX_NAME_BYTES)
 }
 
 fn entry_fits(entry: &Entry) -> bool {
-    match &entry.what {
-        What::Begins => true,
-        What::Members(voters) => voters_fit(voters),
-        What::Word(bytes) => bytes.len() <= MOST_WORD,
+    match &entry.payload {
+        EntryPayload::Noop => true,
+        EntryPayload::Configuration(voters) => voters_fit(voters),
+        EntryPayload::Command(bytes) => bytes.len() <= MAX_COMMAND_BYTES,
     }
 }
 
-impl From<DecodeError> for Unreadable {
+impl From<DecodeError> for PacketError {
     fn from(error: DecodeError) -> Self {
         match error {
-            DecodeError::Version { .. } => Self::Version,
-            DecodeError::Malformed => Self::Damaged,
+            DecodeError::Version { .. } => Self::UnsupportedVersion,
+            DecodeError::Malformed => Self::Malformed,
         }
     }
 }
 
 impl Packet {
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         encode(VERSION, self)
     }
 
     /// # Errors
     /// Why it can't be used.
-    pub fn read(bytes: &[u8]) -> Result<Self, Unreadable> {
-        if bytes.len() > MOST_PACKET {
-            return Err(Unreadable::Long);
+    pub fn decode(bytes: &[u8]) -> Result<Self, PacketError> {
+        if bytes.len() > MAX_PACKET_BYTES {
+            return Err(PacketError::LimitExceeded);
         }
         let packet: Self = decode(VERSION, bytes)?;
-        let sound = match &packet.say {
-            Say::HereToo { first, .. } | Say::ToldPiece { members: first, .. } => fits(first),
-            Say::Append { entries, .. } | Say::Told { entries, .. } => {
+        let sound = match &packet.message {
+            Message::DiscoveryResponse {
+                initial_members: first,
+                ..
+            }
+            | Message::LearnerSnapshot { members: first, .. } => fits(first),
+            Message::AppendRequest { entries, .. } | Message::LearnerEntries { entries, .. } => {
                 entries.iter().all(entry_fits)
             }
-            Say::Piece { members, .. } => voters_fit(members),
-            Say::TakeIn { id } => id.name.len() <= MOST_NAME,
-            Say::Propose { bytes } => bytes.len() <= MOST_WORD,
+            Message::SnapshotRequest {
+                configuration: members,
+                ..
+            } => voters_fit(members),
+            Message::JoinForwarded { id } => id.name.len() <= MAX_NAME_BYTES,
+            Message::Propose { command: bytes } => bytes.len() <= MAX_COMMAND_BYTES,
             _ => true,
         };
-        (sound && packet.from.name.len() <= MOST_NAME)
+        (sound && packet.from.name.len() <= MAX_NAME_BYTES)
             .then_some(packet)
-            .ok_or(Unreadable::Long)
+            .ok_or(PacketError::LimitExceeded)
     }
 }
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -4,7 +4,10 @@
 mod helpers;
 
 use helpers::{drawn, s, script, smallest, Plant, World, BEAT, PATIENCE};
-use limewing_consensus::{Agree, Id, NotNow, Packet, Place, Record, Say, Standing, Terms, Voters};
+use limewing_consensus::{
+    Configuration, LogPosition, Message, NodeId, Packet, ProposeError, RaftConfig, RaftNode,
+    Record, Role,
+};
 use limewing_fault_injection::{Fault, Script, Step, Who};
 use rstest::rstest;
 use std::time::Duration;
@@ -119,10 +122,10 @@
     ];
     let mut world = World::new(&script(60.0, 0.01, steps), 3, 0, 3, Plant::None);
     world.run_to(s(3.9));
-    let old = world.core(1).map(|core| core.me().clone()).unwrap();
+    let old = world.core(1).map(|core| core.id().clone()).unwrap();
     world.run_to(s(4.6));
-    let new = world.core(1).map(|core| core.me().clone()).unwrap();
-    assert!(old.name == new.name && old.disk != new.disk);
+    let new = world.core(1).map(|core| core.id().clone()).unwrap();
+    assert!(old.name == new.name && old.incarnation != new.incarnation);
     let members = |world: &World| {
         world
             .leader()
@@ -181,14 +184,14 @@
     world.run_to(s(3.0) + PATIENCE * 3);
     assert!(world
         .core(old)
-        .is_some_and(|core| core.standing() != Standing::Leads));
+        .is_some_and(|core| core.role() != Role::Leader));
     world.run_to(s(7.9));
     let (term, settled) = (
         world.core(old).map(|core| core.term()),
-        world.core(old).map(|core| core.upto()),
+        world.core(old).map(|core| core.commit_index()),
     );
     let leader = world.leader().expect("the others have a leader");
-    assert!(leader != old && world.core(leader).map(|core| core.upto()) > settled);
+    assert!(leader != old && world.core(leader).map(|core| core.commit_index()) > settled);
     // It comes back without troubling the leader: its term has not gone up.
     let before = world.core(leader).map(|core| core.term());
     assert!(term < before);
@@ -237,15 +240,21 @@
             .skip(many)
             .cloned()
     };
-    let me = world.core(leader).unwrap().me().clone();
+    let me = world.core(leader).unwrap().id().clone();
     let less = |many: usize| {
         without(many)
             .chain([me.clone()])
             .collect::<std::collections::BTreeSet<_>>()
     };
-    assert_eq!(world.change(leader, less(2)), Err(NotNow::Members));
+    assert_eq!(
+        world.change(leader, less(2)),
+        Err(ProposeError::InvalidMembers)
+    );
     assert!(world.change(leader, less(1)).is_ok());
-    assert_eq!(world.change(leader, less(2)), Err(NotNow::Changing));
+    assert_eq!(
+        world.change(leader, less(2)),
+        Err(ProposeError::ChangeInProgress)
+    );
     world.run_to(s(4.0));
     assert!(world.change(leader, less(2)).is_ok());
     world.run_to(s(5.0));
@@ -279,7 +288,7 @@
             };
             let has = |name: &str| core.members().iter().any(|id| id.name == name);
             let next = wanted.iter().find(|(name, want)| has(name) != *want);
-            let Some((name, want)) = next.filter(|_| core.awaited().is_none()) else {
+            let Some((name, want)) = next.filter(|_| core.pending_voter().is_none()) else {
                 continue;
             };
             // Not now: at the next turn.
@@ -305,7 +314,7 @@
             );
             if world
                 .core(leader.unwrap_or(0))
-                .is_some_and(|core| core.awaited().is_none())
+                .is_some_and(|core| core.pending_voter().is_none())
             {
                 let next = wanted
                     .iter()
@@ -332,57 +341,65 @@
 #[case::kept(true)]
 #[case::forgotten(false)]
 fn a_vote_outlives_a_start(#[case] kept: bool) {
-    let id = |n: u64| Id {
+    let id = |n: u64| NodeId {
         name: format!("s{n}"),
-        disk: n + 1,
+        incarnation: n + 1,
     };
-    let first = Voters {
-        ids: (0..3).map(id).collect(),
-        awaited: None,
+    let first = Configuration {
+        voters: (0..3).map(id).collect(),
+        pending_voter: None,
     };
-    let mut records = vec![Record::Life(id(1)), Record::Group { group: 9, first }];
-    let terms = || Terms {
+    let mut records = vec![
+        Record::Identity(id(1)),
+        Record::Group {
+            group: 9,
+            initial: first,
+        },
+    ];
+    let terms = || RaftConfig {
         voters: (0..3).map(|n| id(n).name).collect(),
-        beat: BEAT,
-        patience: PATIENCE,
+        heartbeat_interval: BEAT,
+        election_timeout: PATIENCE,
         seed: 1,
     };
     let asks = |from: u64| {
-        let say = Say::MayI {
-            last: Place::default(),
-            trial: false,
+        let say = Message::VoteRequest {
+            last: LogPosition::default(),
+            pre_vote: false,
         };
         Packet {
             group: 9,
             from: id(from),
-            to: 2,
+            to_incarnation: 2,
             term: 5,
-            say,
+            message: say,
         }
     };
-    let answers = |voter: &mut Agree, from: u64| {
-        voter.hear(s(1.0), asks(from));
+    let answers = |voter: &mut RaftNode, from: u64| {
+        voter.receive(s(1.0), asks(from));
         // Nothing leaves before it is on disk.
-        let write = voter.write();
-        assert!(write.is_none() || voter.take().is_none());
-        write.iter().for_each(|write| voter.wrote(s(1.0), write.no));
-        let said = voter.take().map(|(_, packet)| packet.say);
+        let write = voter.next_write_batch();
+        assert!(write.is_none() || voter.take_packet().is_none());
+        write
+            .iter()
+            .for_each(|write| voter.persisted(s(1.0), write.number));
+        let said = voter.take_packet().map(|(_, packet)| packet.message);
         (
             write.map(|write| write.records).unwrap_or_default(),
-            said == Some(Say::Vote {
-                yes: true,
-                trial: false,
+            said == Some(Message::VoteResponse {
+                granted: true,
+                pre_vote: false,
             }),
         )
     };
-    let mut voter = Agree::new(s(1.0), "s1", 0, &records, terms());
+    let mut voter = RaftNode::new(s(1.0), "s1", 0, &records, terms());
     let (more, yes) = answers(&mut voter, 0);
     assert!(yes);
     records.extend(more);
     if !kept {
         records.retain(|record| !matches!(record, Record::Term { .. }));
     }
-    let mut again = Agree::new(s(1.0), "s1", 0, &records, terms());
+    let mut again = RaftNode::new(s(1.0), "s1", 0, &records, terms());
     assert!(answers(&mut again, 2).1 != kept);
     assert!(
         answers(&mut again, if kept { 0 } else { 2 }).1,
--- a/crates/consensus/tests/digest.rs
+++ b/crates/consensus/tests/digest.rs
@@ -51,7 +51,7 @@
 
 fn ask_for_next_member_change(world: &mut World) {
     let leader = world.leader().and_then(|number| world.core(number));
-    let Some(core) = leader.filter(|core| core.awaited().is_none()) else {
+    let Some(core) = leader.filter(|core| core.pending_voter().is_none()) else {
         return;
     };
     let has_vote = |name: &str| core.members().iter().any(|id| id.name == name);
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -4,7 +4,8 @@
 //! set the tests write the files anew before they read them.
 
 use limewing_consensus::{
-    read, Agree, Entry, Id, Members, Packet, Place, Record, Say, Settled, Terms, Voters, What,
+    read_log, Committed, Configuration, Entry, EntryPayload, LogPosition, Members, Message, NodeId,
+    Packet, RaftConfig, RaftNode, Record,
 };
 use std::path::Path;
 use std::time::Duration;
@@ -45,10 +46,10 @@
     golden.into_iter().map(|(_, bytes)| bytes).collect()
 }
 
-fn id(number: u64) -> Id {
-    Id {
+fn id(number: u64) -> NodeId {
+    NodeId {
         name: format!("s{number}"),
-        disk: 1000 * number + 7,
+        incarnation: 1000 * number + 7,
     }
 }
 
@@ -56,147 +57,147 @@
     (1..4).map(id).collect()
 }
 
-fn voters(awaited: Option<&str>) -> Voters {
-    Voters {
-        ids: members(),
-        awaited: awaited.map(str::to_owned),
+fn voters(awaited: Option<&str>) -> Configuration {
+    Configuration {
+        voters: members(),
+        pending_voter: awaited.map(str::to_owned),
     }
 }
 
-fn place(index: u64, term: u64) -> Place {
-    Place { index, term }
+fn place(index: u64, term: u64) -> LogPosition {
+    LogPosition { index, term }
 }
 
 fn entries() -> Vec<Entry> {
     vec![
         Entry {
             term: 3,
-            what: What::Begins,
+            payload: EntryPayload::Noop,
         },
         Entry {
             term: 3,
-            what: What::Word(vec![0, 1, 127, 128, 255]),
+            payload: EntryPayload::Command(vec![0, 1, 127, 128, 255]),
         },
         Entry {
             term: 300,
-            what: What::Members(voters(None)),
+            payload: EntryPayload::Configuration(voters(None)),
         },
         Entry {
             term: 300,
-            what: What::Members(voters(Some("s9"))),
+            payload: EntryPayload::Configuration(voters(Some("s9"))),
         },
     ]
 }
 
 /// The name of a message's kind in the golden file; a new kind does not compile without one.
-fn message_kind(say: &Say) -> &'static str {
+fn message_kind(say: &Message) -> &'static str {
     match say {
-        Say::Here { .. } => "discovery-request",
-        Say::HereToo { .. } => "discovery-response",
-        Say::TakeMeIn => "join-request",
-        Say::TakeIn { .. } => "join-forwarded",
-        Say::MayI { .. } => "vote-request",
-        Say::Vote { .. } => "vote-response",
-        Say::Append { .. } => "append-request",
-        Say::Appended { .. } => "append-response",
-        Say::Piece { .. } => "snapshot-request",
-        Say::HadPiece { .. } => "snapshot-response",
-        Say::Propose { .. } => "propose",
-        Say::Ask { .. } => "learner-request",
-        Say::Told { .. } => "learner-entries",
-        Say::ToldPiece { .. } => "learner-snapshot",
+        Message::DiscoveryRequest { .. } => "discovery-request",
+        Message::DiscoveryResponse { .. } => "discovery-response",
+        Message::JoinRequest => "join-request",
+        Message::JoinForwarded { .. } => "join-forwarded",
+        Message::VoteRequest { .. } => "vote-request",
+        Message::VoteResponse { .. } => "vote-response",
+        Message::AppendRequest { .. } => "append-request",
+        Message::AppendResponse { .. } => "append-response",
+        Message::SnapshotRequest { .. } => "snapshot-request",
+        Message::SnapshotResponse { .. } => "snapshot-response",
+        Message::Propose { .. } => "propose",
+        Message::LearnerRequest { .. } => "learner-request",
+        Message::LearnerEntries { .. } => "learner-entries",
+        Message::LearnerSnapshot { .. } => "learner-snapshot",
     }
 }
 
 const MESSAGE_KINDS: usize = 14;
 
-fn messages() -> Vec<Say> {
-    let snapshot_chunk = |awaited| Say::Piece {
+fn messages() -> Vec<Message> {
+    let snapshot_chunk = |awaited| Message::SnapshotRequest {
         last: place(41, 3),
-        members: voters(awaited),
-        from: 400,
-        whole: 1000,
-        bytes: vec![7, 8, 9],
+        configuration: voters(awaited),
+        offset: 400,
+        total_length: 1000,
+        data: vec![7, 8, 9],
         round: 6,
     };
     vec![
-        Say::Here {
+        Message::DiscoveryRequest {
             nonce: u64::MAX,
-            voters: 0x1234_5603,
+            voters_checksum: 0x1234_5603,
         },
-        Say::HereToo {
+        Message::DiscoveryResponse {
             nonce: u64::MAX,
-            voters: 0x1234_5603,
-            first: members(),
+            voters_checksum: 0x1234_5603,
+            initial_members: members(),
         },
-        Say::HereToo {
+        Message::DiscoveryResponse {
             nonce: 5,
-            voters: 0,
-            first: Members::new(),
+            voters_checksum: 0,
+            initial_members: Members::new(),
         },
-        Say::TakeMeIn,
-        Say::TakeIn { id: id(4) },
-        Say::MayI {
+        Message::JoinRequest,
+        Message::JoinForwarded { id: id(4) },
+        Message::VoteRequest {
             last: place(41, 3),
-            trial: true,
+            pre_vote: true,
         },
-        Say::MayI {
+        Message::VoteRequest {
             last: place(0, 0),
-            trial: false,
+            pre_vote: false,
         },
-        Say::Vote {
-            yes: true,
-            trial: true,
+        Message::VoteResponse {
+            granted: true,
+            pre_vote: true,
         },
-        Say::Vote {
-            yes: false,
-            trial: false,
+        Message::VoteResponse {
+            granted: false,
+            pre_vote: false,
         },
-        Say::Append {
-            before: place(40, 2),
+        Message::AppendRequest {
+            previous: place(40, 2),
             entries: entries(),
-            settled: 39,
+            commit_index: 39,
             round: 200,
         },
-        Say::Append {
-            before: place(40, 2),
+        Message::AppendRequest {
+            previous: place(40, 2),
             entries: Vec::new(),
-            settled: 40,
+            commit_index: 40,
             round: 201,
         },
-        Say::Appended {
-            same: Ok(44),
+        Message::AppendResponse {
+            matched: Ok(44),
             round: 200,
         },
-        Say::Appended {
-            same: Err(12),
+        Message::AppendResponse {
+            matched: Err(12),
             round: 200,
         },
         snapshot_chunk(None),
         snapshot_chunk(Some("s9")),
-        Say::HadPiece {
+        Message::SnapshotResponse {
             last: place(41, 3),
-            upto: 403,
+            received: 403,
             round: 6,
         },
-        Say::Propose {
-            bytes: vec![1, 2, 3],
+        Message::Propose {
+            command: vec![1, 2, 3],
         },
-        Say::Ask {
-            next: 12,
-            of: 41,
-            from: 800,
+        Message::LearnerRequest {
+            next_index: 12,
+            snapshot_index: 41,
+            snapshot_offset: 800,
         },
-        Say::Told {
-            first: 12,
+        Message::LearnerEntries {
+            first_index: 12,
             entries: entries(),
-            settled: 15,
+            commit_index: 15,
         },
-        Say::ToldPiece {
-            index: 41,
-            from: 400,
-            whole: 1000,
-            bytes: vec![7; 5],
+        Message::LearnerSnapshot {
+            last_index: 41,
+            offset: 400,
+            total_length: 1000,
+            data: vec![7; 5],
             members: members(),
         },
     ]
@@ -207,29 +208,29 @@
     let packet = |say| Packet {
         group: 1 << 40,
         from: id(2),
-        to: 3007,
+        to_incarnation: 3007,
         term: 300,
-        say,
+        message: say,
     };
     let mut packets: Vec<Packet> = messages().into_iter().map(packet).collect();
     let without_group = Packet {
         group: 0,
-        to: 0,
+        to_incarnation: 0,
         term: 0,
         ..packets[0].clone()
     };
     packets.push(without_group);
     let written: Vec<Item> = packets
         .iter()
-        .map(|packet| (message_kind(&packet.say), packet.write()))
+        .map(|packet| (message_kind(&packet.message), packet.encode()))
         .collect();
     let kinds: std::collections::BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), MESSAGE_KINDS);
     let golden = assert_golden("datagrams.hex", &written);
     for (bytes, packet) in golden.iter().zip(&packets) {
-        assert_eq!(Packet::read(bytes).as_ref(), Ok(packet));
+        assert_eq!(Packet::decode(bytes).as_ref(), Ok(packet));
         assert_eq!(
-            Packet::read(bytes).map(|packet| packet.write()).as_ref(),
+            Packet::decode(bytes).map(|packet| packet.encode()).as_ref(),
             Ok(bytes)
         );
     }
@@ -238,12 +239,12 @@
 /// The name of a record's kind in the golden files; a new kind does not compile without one.
 fn record_kind(record: &Record) -> &'static str {
     match record {
-        Record::Life(_) => "node-id",
+        Record::Identity(_) => "node-id",
         Record::Group { .. } => "group",
         Record::Term { .. } => "term",
         Record::Entry { .. } => "entry",
-        Record::Cut { .. } => "truncate",
-        Record::State { .. } => "snapshot",
+        Record::Truncate { .. } => "truncate",
+        Record::Snapshot { .. } => "snapshot",
     }
 }
 
@@ -252,29 +253,29 @@
 /// Every kind of record, in an order that a log may have.
 fn records() -> Vec<Record> {
     let entry = |(index, entry)| Record::Entry { index, entry };
-    let snapshot = |index, state| Record::State {
+    let snapshot = |index, state| Record::Snapshot {
         last: place(index, 300),
-        members: voters(Some("s9")),
+        configuration: voters(Some("s9")),
         state,
     };
     let mut records = vec![
-        Record::Life(id(1)),
+        Record::Identity(id(1)),
         Record::Group {
             group: 1 << 40,
-            first: voters(None),
+            initial: voters(None),
         },
         Record::Term {
             term: 3,
-            voted: None,
+            voted_for: None,
         },
         Record::Term {
             term: 3,
-            voted: Some(id(2)),
+            voted_for: Some(id(2)),
         },
     ];
     records.extend((1..).zip(entries()).map(entry));
     records.extend([
-        Record::Cut { from: 4 },
+        Record::Truncate { from_index: 4 },
         Record::Entry {
             index: 4,
             entry: entries()[3].clone(),
@@ -288,7 +289,7 @@
 
 fn bytes_of(record: &Record) -> Vec<u8> {
     let mut bytes = Vec::new();
-    record.write(&mut bytes);
+    record.encode_into(&mut bytes);
     bytes
 }
 
@@ -301,9 +302,9 @@
 
 fn assert_log_reads_as(golden: &[Vec<u8>], records: &[Record]) {
     let log = golden.concat();
-    let found = read(&log).expect("the golden log is sound");
+    let found = read_log(&log).expect("the golden log is sound");
     assert_eq!(found.records, records);
-    assert_eq!(found.sound, log.len());
+    assert_eq!(found.valid_length, log.len());
 }
 
 #[test]
@@ -315,22 +316,22 @@
     assert_log_reads_as(&golden, &records());
 }
 
-fn new_voter(records: &[Record]) -> Agree {
-    let config = Terms {
+fn new_voter(records: &[Record]) -> RaftNode {
+    let config = RaftConfig {
         voters: vec!["s1".into()],
-        beat: Duration::from_millis(50),
-        patience: ELECTION_TIMEOUT,
+        heartbeat_interval: Duration::from_millis(50),
+        election_timeout: ELECTION_TIMEOUT,
         seed: 5,
     };
-    Agree::new(Duration::ZERO, "s1", 1007, records, config)
+    RaftNode::new(Duration::ZERO, "s1", 1007, records, config)
 }
 
 /// Adds all that the voter wants written to the log, and tells it so if `durable`.
-fn persist(voter: &mut Agree, now: Duration, durable: bool, log: &mut Vec<Record>) {
-    while let Some(write) = voter.write() {
+fn persist(voter: &mut RaftNode, now: Duration, durable: bool, log: &mut Vec<Record>) {
+    while let Some(write) = voter.next_write_batch() {
         log.extend(write.records);
         if durable {
-            voter.wrote(now, write.no);
+            voter.persisted(now, write.number);
         }
     }
 }
@@ -347,7 +348,7 @@
     voter.propose(now, b"first".to_vec()).expect("it leads");
     persist(&mut voter, now, true, &mut log);
     voter
-        .give_vote_to(now, "s2")
+        .add_voter(now, "s2")
         .expect("it leads, and nothing else changes");
     persist(&mut voter, now, true, &mut log);
     // This one is never committed: the leader of a later term has another in its place.
@@ -355,31 +356,31 @@
     persist(&mut voter, now, false, &mut log);
     let entries = vec![Entry {
         term: 9,
-        what: What::Word(b"second".to_vec()),
+        payload: EntryPayload::Command(b"second".to_vec()),
     }];
     let before = place(lost.index - 1, lost.term);
-    let say = Say::Append {
-        before,
+    let say = Message::AppendRequest {
+        previous: before,
         entries,
-        settled: lost.index - 1,
+        commit_index: lost.index - 1,
         round: 1,
     };
     let group = voter.group();
-    voter.hear(
+    voter.receive(
         now,
         Packet {
             group,
             from: id(2),
-            to: 0,
+            to_incarnation: 0,
             term: 9,
-            say,
+            message: say,
         },
     );
     persist(&mut voter, now, true, &mut log);
-    while let Some(Settled::Word { .. }) = voter.settled() {}
-    voter.compact(voter.upto(), b"state".to_vec());
+    while let Some(Committed::Command { .. }) = voter.take_committed() {}
+    voter.compact(voter.commit_index(), b"state".to_vec());
     persist(&mut voter, now, true, &mut log);
-    (log, voter.records())
+    (log, voter.compacted_records())
 }
 
 #[test]
@@ -394,7 +395,7 @@
     assert_log_reads_as(&golden_compacted, &compacted);
     // A voter that starts with either file has the same state.
     for bytes in [golden.concat(), golden_compacted.concat()] {
-        let found = read(&bytes).expect("the golden log is sound");
-        assert_eq!(new_voter(&found.records).records(), compacted);
+        let found = read_log(&bytes).expect("the golden log is sound");
+        assert_eq!(new_voter(&found.records).compacted_records(), compacted);
     }
 }
--- a/crates/consensus/tests/helpers/mod.rs
+++ b/crates/consensus/tests/helpers/mod.rs
@@ -1,7 +1,8 @@
 //! Voters and followers in simulated time, with disks that write late, tear and get lost, under the scripts of faults.
 
 use limewing_consensus::{
-    read, Agree, Follow, NotNow, Packet, Place, Record, Settled, Standing, Terms,
+    read_log, Committed, Learner, LogPosition, Packet, ProposeError, RaftConfig, RaftNode, Record,
+    Role,
 };
 use limewing_fault_injection::{Act, Fault, Line, Links, Script, Step, Who};
 use nanorand::{Rng, WyRand};
@@ -37,12 +38,12 @@
 
 #[derive(Default)]
 struct Node {
-    core: Option<Agree>,
-    follow: Option<Follow>,
+    core: Option<RaftNode>,
+    follow: Option<Learner>,
     /// What is on disk for good, and writes on their way there.
     disk: Vec<u8>,
     writing: VecDeque<(u64, Vec<u8>)>,
-    life: Option<limewing_consensus::Id>,
+    life: Option<limewing_consensus::NodeId>,
     starts: u64,
     stopped: bool,
     /// Its disk takes nothing.
@@ -99,39 +100,45 @@
     time.as_nanos() as u64
 }
 
-fn standing_number(standing: Standing) -> u64 {
+fn standing_number(standing: Role) -> u64 {
     match standing {
-        Standing::Free => 0,
-        Standing::Follows => 1,
-        Standing::Tries => 2,
-        Standing::Stands => 3,
-        Standing::Leads => 4,
+        Role::Unjoined => 0,
+        Role::Follower => 1,
+        Role::PreCandidate => 2,
+        Role::Candidate => 3,
+        Role::Leader => 4,
     }
 }
 
-fn observe_settled(digest: &mut Option<u64>, one: &Settled) {
+fn observe_settled(digest: &mut Option<u64>, one: &Committed) {
     match one {
-        Settled::Word { at, bytes } => {
+        Committed::Command {
+            position: at,
+            command: bytes,
+        } => {
             observe_numbers(digest, &[0, at.index, at.term]);
             observe(digest, bytes);
         }
-        Settled::Whole { upto, state } => {
+        Committed::Snapshot {
+            last_index: upto,
+            state,
+        } => {
             observe_numbers(digest, &[1, *upto]);
             observe(digest, state);
         }
     }
 }
 
-fn observe_proposal(digest: &mut Option<u64>, result: &Result<Place, NotNow>) {
+fn observe_proposal(digest: &mut Option<u64>, result: &Result<LogPosition, ProposeError>) {
     match result {
         Ok(place) => observe_numbers(digest, &[0, place.index, place.term]),
-        Err(NotNow::Follows(leader)) => {
+        Err(ProposeError::NotLeader(leader)) => {
             observe_numbers(digest, &[1]);
             observe(digest, leader.as_deref().unwrap_or_default().as_bytes());
         }
-        Err(NotNow::Long) => observe_numbers(digest, &[2]),
-        Err(NotNow::Changing) => observe_numbers(digest, &[3]),
-        Err(NotNow::Members) => observe_numbers(digest, &[4]),
+        Err(ProposeError::TooLong) => observe_numbers(digest, &[2]),
+        Err(ProposeError::ChangeInProgress) => observe_numbers(digest, &[3]),
+        Err(ProposeError::InvalidMembers) => observe_numbers(digest, &[4]),
     }
 }
 
@@ -206,15 +213,15 @@
         node.writing.clear();
         let disk = mixed(number as u64 + 1, node.starts) | 1;
         if number >= self.voters {
-            let me = limewing_consensus::Id {
+            let me = limewing_consensus::NodeId {
                 name: name(number),
-                disk,
+                incarnation: disk,
             };
-            node.follow = Some(Follow::new(now, me, voters, BEAT * 4));
+            node.follow = Some(Learner::new(now, me, voters, BEAT * 4));
         } else {
-            let mut records = match read(&node.disk) {
+            let mut records = match read_log(&node.disk) {
                 Ok(read) => {
-                    node.disk.truncate(read.sound);
+                    node.disk.truncate(read.valid_length);
                     read.records
                 }
                 Err(_) => {
@@ -225,16 +232,16 @@
             if let (Plant::SameLife, true, Some(life)) =
                 (self.plant, records.is_empty(), &node.life)
             {
-                records = vec![Record::Life(life.clone())];
+                records = vec![Record::Identity(life.clone())];
             }
-            let terms = Terms {
+            let terms = RaftConfig {
                 voters,
-                beat: BEAT,
-                patience: PATIENCE,
+                heartbeat_interval: BEAT,
+                election_timeout: PATIENCE,
                 seed,
             };
-            let core = Agree::new(now, &name(number), disk, &records, terms);
-            node.life = Some(core.me().clone());
+            let core = RaftNode::new(now, &name(number), disk, &records, terms);
+            node.life = Some(core.id().clone());
             node.core = Some(core);
         }
         self.after(number);
@@ -295,9 +302,9 @@
             return;
         }
         if let Some(core) = &mut node.core {
-            core.hear(now, packet);
+            core.receive(now, packet);
         } else if let Some(follow) = &mut node.follow {
-            follow.hear(now, packet);
+            follow.receive(now, packet);
         }
         self.after(number);
     }
@@ -327,7 +334,7 @@
             node.disk.extend_from_slice(&bytes);
         }
         if let Some(core) = node.core.as_mut() {
-            core.wrote(now, upto);
+            core.persisted(now, upto);
         }
         self.after(number);
     }
@@ -341,20 +348,20 @@
         self.events += 1;
         observe_numbers(&mut self.digest, &[number as u64, nanoseconds(now)]);
         let mut out: Vec<(String, Packet)> = Vec::new();
-        let mut settled: Vec<Settled> = Vec::new();
+        let mut settled: Vec<Committed> = Vec::new();
         let mut next = now + s(3600.0);
         let mut crash = false;
         let node = &mut self.nodes[number];
         if let Some(core) = &mut node.core {
-            while let Some(write) = core.write() {
+            while let Some(write) = core.next_write_batch() {
                 let mut bytes = Vec::new();
                 write
                     .records
                     .iter()
-                    .for_each(|record| record.write(&mut bytes));
-                observe_numbers(&mut self.digest, &[write.no]);
+                    .for_each(|record| record.encode_into(&mut bytes));
+                observe_numbers(&mut self.digest, &[write.number]);
                 observe(&mut self.digest, &bytes);
-                node.writing.push_back((write.no, bytes));
+                node.writing.push_back((write.number, bytes));
                 self.writes += 1;
                 if let Some((of, nth, after)) = self.crash_at {
                     if of == number && nth == self.writes {
@@ -373,49 +380,51 @@
                 let late =
                     Duration::from_micros(500 + slow * self.chance.generate_range(0..8000u64));
                 self.marks += 1;
-                self.due
-                    .insert((now + late, self.marks), (number, Due::Written(write.no)));
+                self.due.insert(
+                    (now + late, self.marks),
+                    (number, Due::Written(write.number)),
+                );
                 if self.plant == Plant::SaysTooEarly {
-                    core.wrote(now, write.no);
+                    core.persisted(now, write.number);
                 }
             }
-            while let Some(packet) = core.take() {
+            while let Some(packet) = core.take_packet() {
                 out.push(packet);
             }
-            while let Some(one) = core.settled() {
+            while let Some(one) = core.take_committed() {
                 settled.push(one);
             }
-            if core.standing() == Standing::Leads {
+            if core.role() == Role::Leader {
                 let of = self.leaders.entry(core.term()).or_insert_with(|| {
                     self.elected.push(now);
-                    (core.me().disk, core.me().name.clone())
+                    (core.id().incarnation, core.id().name.clone())
                 });
-                if *of != (core.me().disk, core.me().name.clone()) {
+                if *of != (core.id().incarnation, core.id().name.clone()) {
                     self.broken.push(format!("two led term {}", core.term()));
                 }
             }
-            next = core.next();
-            let standing = standing_number(core.standing());
+            next = core.next_deadline();
+            let standing = standing_number(core.role());
             let numbers = [
                 standing,
                 core.group(),
                 core.term(),
-                core.upto(),
-                core.held(),
+                core.commit_index(),
+                core.uncompacted_entries(),
                 nanoseconds(next),
             ];
             observe_numbers(&mut self.digest, &numbers);
         } else if let Some(follow) = &mut node.follow {
-            while let Some(packet) = follow.take() {
+            while let Some(packet) = follow.take_packet() {
                 out.push(packet);
             }
-            while let Some(one) = follow.settled() {
+            while let Some(one) = follow.take_committed() {
                 settled.push(one);
             }
-            next = follow.next();
+            next = follow.next_deadline();
             let numbers = [
-                follow.upto(),
-                nanoseconds(follow.heard()),
+                follow.applied_index(),
+                nanoseconds(follow.last_heard()),
                 nanoseconds(next),
             ];
             observe_numbers(&mut self.digest, &numbers);
@@ -438,26 +447,29 @@
             let Some(to) = to.strip_prefix('s').and_then(|n| n.parse::<usize>().ok()) else {
                 continue;
             };
-            let bytes = packet.write();
+            let bytes = packet.encode();
             observe_numbers(&mut self.digest, &[to as u64]);
             observe(&mut self.digest, &bytes);
             assert!(
-                bytes.len() <= limewing_consensus::MOST_PACKET,
+                bytes.len() <= limewing_consensus::MAX_PACKET_BYTES,
                 "{} bytes: {packet:?}",
                 bytes.len()
             );
             for arrival in self.links.pass(now, number, to, &bytes) {
-                if let Ok(packet) = Packet::read(&arrival.bytes) {
+                if let Ok(packet) = Packet::decode(&arrival.bytes) {
                     self.mark(arrival.at.max(now), to, Due::Arrives(packet));
                 }
             }
         }
     }
 
-    fn check(&mut self, number: usize, one: Settled) {
+    fn check(&mut self, number: usize, one: Committed) {
         let node = &mut self.nodes[number];
         match one {
-            Settled::Word { at, bytes } => {
+            Committed::Command {
+                position: at,
+                command: bytes,
+            } => {
                 if at.index <= node.upto {
                     self.broken.push(format!(
                         "s{number} was handed {} after {}",
@@ -478,7 +490,10 @@
                         .push(format!("another order up to {}: s{number}", at.index));
                 }
             }
-            Settled::Whole { upto, state } => {
+            Committed::Snapshot {
+                last_index: upto,
+                state,
+            } => {
                 let number_of = |range: std::ops::Range<usize>| {
                     u64::from_le_bytes(state[range].try_into().expect("eight bytes"))
                 };
@@ -496,18 +511,18 @@
     fn make_whole(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         let Some(core) = &mut node.core else { return };
-        if core.held() > COMPACT_OVER && node.writing.is_empty() && !node.full {
+        if core.uncompacted_entries() > COMPACT_OVER && node.writing.is_empty() && !node.full {
             // Padded, so that it takes several pieces.
             let state = [node.sum.to_le_bytes().as_slice(), &[7; 1500]].concat();
             core.compact(node.upto, state);
             let mut bytes = Vec::new();
-            core.records()
+            core.compacted_records()
                 .iter()
-                .for_each(|record| record.write(&mut bytes));
+                .for_each(|record| record.encode_into(&mut bytes));
             observe(&mut self.digest, &bytes);
-            if let Some(write) = core.write() {
+            if let Some(write) = core.next_write_batch() {
                 node.disk = bytes;
-                core.wrote(self.now, write.no);
+                core.persisted(self.now, write.number);
             }
         }
     }
@@ -528,7 +543,7 @@
             let proposed = core.propose(now, word.clone());
             observe_proposal(&mut self.digest, &proposed);
             if proposed.is_err() {
-                core.pass_on(word);
+                core.forward_proposal(word);
             }
             self.after(to);
         }
@@ -587,7 +602,7 @@
         self.writes > 0 && number < self.voters && self.nodes[number].starts == 1
     }
 
-    pub fn core(&self, number: usize) -> Option<&Agree> {
+    pub fn core(&self, number: usize) -> Option<&RaftNode> {
         self.nodes[number].core.as_ref()
     }
 
@@ -595,24 +610,24 @@
         &mut self,
         number: usize,
         members: limewing_consensus::Members,
-    ) -> Result<(), NotNow> {
+    ) -> Result<(), ProposeError> {
         let now = self.now;
         let core = self.nodes[number].core.as_mut().expect("it runs");
-        let changed = core.change(now, members);
+        let changed = core.change_members(now, members);
         observe_proposal(&mut self.digest, &changed);
         self.after(number);
         changed.map(drop)
     }
 
     /// Gives the vote to one that has none, or takes it; by whoever leads.
-    pub fn vote(&mut self, name: &str, has: bool) -> Result<(), NotNow> {
-        let leader = self.leader().ok_or(NotNow::Follows(None))?;
+    pub fn vote(&mut self, name: &str, has: bool) -> Result<(), ProposeError> {
+        let leader = self.leader().ok_or(ProposeError::NotLeader(None))?;
         let now = self.now;
         let core = self.nodes[leader].core.as_mut().expect("it runs");
         let done = if has {
-            core.give_vote_to(now, name)
+            core.add_voter(now, name)
         } else {
-            core.take_vote_of(now, name)
+            core.remove_voter(now, name)
         };
         observe_proposal(&mut self.digest, &done);
         self.after(leader);
@@ -624,11 +639,11 @@
             self.nodes[*n]
                 .core
                 .as_ref()
-                .is_some_and(|c| c.standing() == Standing::Leads)
+                .is_some_and(|c| c.role() == Role::Leader)
         };
         (0..self.voters)
             .filter(leads)
-            .max_by_key(|n| self.nodes[*n].core.as_ref().map(Agree::term))
+            .max_by_key(|n| self.nodes[*n].core.as_ref().map(RaftNode::term))
     }
 
     pub fn settled(&self) -> usize {
--- a/crates/http-proxy/src/promises.rs
+++ b/crates/http-proxy/src/promises.rs
@@ -1,7 +1,7 @@
 //! What a voter has promised, on disk: one file of records (`limewing_consensus`), written to its end by a thread of its own and
 //! synced before the loop is told so. A file that is damaged is put aside, and the voter begins a new life.
 
-use limewing_consensus::{read, Record};
+use limewing_consensus::{read_log, Record};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
@@ -56,7 +56,7 @@
             .open(&path)?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
-        let found = match read(&bytes) {
+        let found = match read_log(&bytes) {
             Ok(found) => found,
             Err(damage) => {
                 tracing::error!(%damage, "what this voter had promised can't be read: it is put aside, and a new life begins");
@@ -67,13 +67,13 @@
                     .read(true)
                     .write(true)
                     .open(&path)?;
-                limewing_consensus::Read::default()
+                limewing_consensus::RecoveredLog::default()
             }
         };
         let disk = Disk {
             path,
             file,
-            sound: found.sound as u64,
+            sound: found.valid_length as u64,
             _lock: lock,
         };
         let ((jobs, take), (tell, done)) = (channel(), channel());
@@ -92,7 +92,9 @@
 
     fn give(&mut self, no: u64, records: &[Record], whole: bool) {
         let mut bytes = Vec::new();
-        records.iter().for_each(|record| record.write(&mut bytes));
+        records
+            .iter()
+            .for_each(|record| record.encode_into(&mut bytes));
         // The thread ends with the process alone.
         self.under_way += usize::from(self.jobs.send(Job { no, bytes, whole }).is_ok());
     }
--- a/crates/http-proxy/src/service/work.rs
+++ b/crates/http-proxy/src/service/work.rs
@@ -5,7 +5,7 @@
 use crate::pods::Row;
 use crate::promises::Promises;
 use limewing_consensus::{
-    Agree, Follow, Id, Packet, Settled, Standing, Terms, MOST_VOTERS, MOST_WORD,
+    Committed, Learner, NodeId, Packet, RaftConfig, RaftNode, Role, MAX_COMMAND_BYTES, MAX_VOTERS,
 };
 use limewing_maintenance::{
     Clearing, Leader, Lease, Lessor, Limits, Machine, Number, Pod, Sight, Step, Talk, TurnedAway,
@@ -34,8 +34,8 @@
 const MOST_HELD: u64 = 400;
 
 enum Part {
-    Votes(Box<Agree>, Promises),
-    Follows(Box<Follow>),
+    Votes(Box<RaftNode>, Promises),
+    Follows(Box<Learner>),
 }
 
 pub struct Work {
@@ -234,7 +234,7 @@
             first: first as u16,
             machines: all[first..(first + many).min(all.len())].to_vec(),
         };
-        let fits = |many: &usize| part(*many).write().len() <= MOST_WORD;
+        let fits = |many: &usize| part(*many).write().len() <= MAX_COMMAND_BYTES;
         let many = (1..=8)
             .take_while(fits)
             .last()
@@ -242,7 +242,7 @@
         words.push(part(many));
         first += many;
     }
-    if words[0].write().len() > MOST_WORD {
+    if words[0].write().len() > MAX_COMMAND_BYTES {
         return Err("limits, pairs and windows are too long together".into());
     }
     Ok(words)
@@ -258,6 +258,17 @@
     }
 }
 
+/// The word of `/limewing/work` for a voter's role: these words are part of the page's format.
+fn role_on_page(role: Role) -> &'static str {
+    match role {
+        Role::Unjoined => "free",
+        Role::Follower => "follows",
+        Role::PreCandidate => "tries",
+        Role::Candidate => "stands",
+        Role::Leader => "leads",
+    }
+}
+
 impl Work {
     pub(super) fn start(
         name: &str,
@@ -271,23 +282,23 @@
         let part = match told.folder.as_deref() {
             Some(folder) => {
                 let (promises, records) = Promises::open(folder)?;
-                let terms = Terms {
+                let terms = RaftConfig {
                     voters: voters.clone(),
-                    beat: patience / 6,
-                    patience,
+                    heartbeat_interval: patience / 6,
+                    election_timeout: patience,
                     seed,
                 };
                 Part::Votes(
-                    Box::new(Agree::new(now, name, rand::random(), &records, terms)),
+                    Box::new(RaftNode::new(now, name, rand::random(), &records, terms)),
                     promises,
                 )
             }
             None => {
-                let me = Id {
+                let me = NodeId {
                     name: name.to_owned(),
-                    disk: rand::random(),
+                    incarnation: rand::random(),
                 };
-                Part::Follows(Box::new(Follow::new(
+                Part::Follows(Box::new(Learner::new(
                     now,
                     me,
                     voters.clone(),
@@ -329,10 +340,10 @@
 
     pub(super) fn next(&self) -> Duration {
         let part = match &self.part {
-            Part::Votes(agree, promises) if promises.idle() => agree.next(),
+            Part::Votes(agree, promises) if promises.idle() => agree.next_deadline(),
             // It is looked for at the next turn.
             Part::Votes(..) => Duration::ZERO,
-            Part::Follows(follow) => follow.next(),
+            Part::Follows(follow) => follow.next_deadline(),
         };
         part.min(self.next_ask)
     }
@@ -355,7 +366,7 @@
     pub(super) fn hear(&mut self, now: Duration, from: &str, bytes: &[u8]) {
         match bytes.split_first() {
             Some((&AGREES, rest)) => {
-                let Ok(packet) = Packet::read(rest) else {
+                let Ok(packet) = Packet::decode(rest) else {
                     return;
                 };
                 // Nobody speaks for another.
@@ -365,12 +376,12 @@
                 match &mut self.part {
                     Part::Votes(agree, _) => {
                         // Whoever stood still learns that it leads no more before it says another word.
-                        if now >= agree.next() {
+                        if now >= agree.next_deadline() {
                             agree.tick(now);
                         }
-                        agree.hear(now, packet);
+                        agree.receive(now, packet);
                     }
-                    Part::Follows(follow) => follow.hear(now, packet),
+                    Part::Follows(follow) => follow.receive(now, packet),
                 }
             }
             Some((&TALKS, rest)) => {
@@ -382,11 +393,9 @@
         }
     }
 
-    fn leads(&self) -> Option<&Agree> {
+    fn leads(&self) -> Option<&RaftNode> {
         match &self.part {
-            Part::Votes(agree, _) => {
-                Some(&**agree).filter(|agree| agree.standing() == Standing::Leads)
-            }
+            Part::Votes(agree, _) => Some(&**agree).filter(|agree| agree.role() == Role::Leader),
             Part::Follows(_) => None,
         }
     }
@@ -408,7 +417,7 @@
 
     fn talk(&mut self, now: Duration, from: &str, talk: Talk) {
         if let Part::Votes(agree, _) = &mut self.part {
-            if now >= agree.next() {
+            if now >= agree.next_deadline() {
                 agree.tick(now);
             }
         }
@@ -446,10 +455,10 @@
             Talk::Settle { word } => {
                 // Only what can be read is settled.
                 if let (Part::Votes(agree, _), Ok(_)) = (&mut self.part, Word::read(&word)) {
-                    if agree.standing() == Standing::Leads {
+                    if agree.role() == Role::Leader {
                         let _ = agree.propose(now, word);
                     } else {
-                        agree.pass_on(word);
+                        agree.forward_proposal(word);
                     }
                 }
             }
@@ -464,7 +473,10 @@
         says: (u64, &[Number], u16),
     ) -> Option<u64> {
         // What its predecessors settled it has to know, or a lease would hold for one that has not read it.
-        let settled = self.leads().filter(|agree| agree.leads_for_good())?.upto();
+        let settled = self
+            .leads()
+            .filter(|agree| agree.is_established_leader())?
+            .commit_index();
         let leader = self.leader.as_mut()?;
         if leader.lessor.asked(now, &self.turns, (name, start), says) {
             return Some(settled);
@@ -513,44 +525,50 @@
         match &mut self.part {
             Part::Votes(agree, promises) => {
                 if let Some(no) = promises.done() {
-                    agree.wrote(now, no);
+                    agree.persisted(now, no);
                 }
-                if now >= agree.next() {
+                if now >= agree.next_deadline() {
                     agree.tick(now);
                 }
-                if agree.held() > MOST_HELD && promises.idle() && agree.upto() == self.read {
+                if agree.uncompacted_entries() > MOST_HELD
+                    && promises.idle()
+                    && agree.commit_index() == self.read
+                {
                     agree.compact(self.read, self.turns.write());
-                    if let Some(write) = agree.write() {
-                        promises.rewrite(write.no, &agree.records());
+                    if let Some(write) = agree.next_write_batch() {
+                        promises.rewrite(write.number, &agree.compacted_records());
                     }
                 }
-                while let Some(write) = agree.write() {
-                    promises.write(write.no, &write.records);
+                while let Some(write) = agree.next_write_batch() {
+                    promises.write(write.number, &write.records);
                 }
-                while let Some(one) = agree.take() {
+                while let Some(one) = agree.take_packet() {
                     out.push(one);
                 }
             }
             Part::Follows(follow) => {
                 follow.tick(now);
-                while let Some(one) = follow.take() {
+                while let Some(one) = follow.take_packet() {
                     out.push(one);
                 }
             }
         }
         let parcel =
-            |(to, packet): (String, Packet)| (to, [&[AGREES], &packet.write()[..]].concat());
+            |(to, packet): (String, Packet)| (to, [&[AGREES], &packet.encode()[..]].concat());
         self.out.extend(out.into_iter().map(parcel));
     }
 
     fn read_on(&mut self) {
         loop {
             let next = match &mut self.part {
-                Part::Votes(agree, _) => agree.settled(),
-                Part::Follows(follow) => follow.settled(),
+                Part::Votes(agree, _) => agree.take_committed(),
+                Part::Follows(follow) => follow.take_committed(),
             };
             match next {
-                Some(Settled::Word { at, bytes }) => {
+                Some(Committed::Command {
+                    position: at,
+                    command: bytes,
+                }) => {
                     match Word::read(&bytes).map(|word| (self.turns.apply(at.index, &word), word)) {
                         Ok((Ok(()), Word::Seen { seen, .. })) => {
                             tracing::debug!(index = at.index, ?seen, "settled")
@@ -564,7 +582,7 @@
                         }
                     }
                 }
-                Some(Settled::Whole { state, .. }) => match Turns::read(&state) {
+                Some(Committed::Snapshot { state, .. }) => match Turns::read(&state) {
                     Some(turns) => self.turns = turns,
                     None => tracing::error!(
                         "the state of the work can't be read: it is of another version"
@@ -574,19 +592,19 @@
             }
         }
         self.read = match &self.part {
-            Part::Votes(agree, _) => agree.upto(),
-            Part::Follows(follow) => follow.upto(),
+            Part::Votes(agree, _) => agree.commit_index(),
+            Part::Follows(follow) => follow.applied_index(),
         };
     }
 
     fn lead(&mut self, now: Duration, site: &Site) {
-        let term = self.leads().map(Agree::term);
+        let term = self.leads().map(RaftNode::term);
         if self.leader.as_ref().map(|leader| leader.term) != term {
             let lessor = || Lessor::new(now, self.lasts, self.patience * 2, self.settles);
             self.leader = term.map(|term| Leader::new(now, term, lessor()));
         }
         let idle = self.turns.lists().values().all(|list| list.over());
-        if idle || !self.leads().is_some_and(Agree::leads_for_good) {
+        if idle || !self.leads().is_some_and(RaftNode::is_established_leader) {
             return;
         }
         let Some(leader) = &mut self.leader else {
@@ -629,7 +647,7 @@
         };
         let shows = |name: &String, has: bool| {
             let voter = agree.members().iter().any(|id| id.name == *name);
-            let awaited = agree.awaited() == Some(name);
+            let awaited = agree.pending_voter() == Some(name);
             if has {
                 voter || awaited
             } else {
@@ -641,11 +659,11 @@
         let Some((name, has, _)) = self.votes.first() else {
             return;
         };
-        if agree.standing() == Standing::Leads {
+        if agree.role() == Role::Leader {
             let done = if *has {
-                agree.give_vote_to(now, name)
+                agree.add_voter(now, name)
             } else {
-                agree.take_vote_of(now, name)
+                agree.remove_voter(now, name)
             }
             .map(drop);
             tracing::info!(name, has, ?done, "a vote is to change");
@@ -660,7 +678,7 @@
 
     fn want_vote(&mut self, now: Duration, name: String, has: bool) {
         self.votes.retain(|(of, ..)| *of != name);
-        if self.votes.len() < MOST_VOTERS {
+        if self.votes.len() < MAX_VOTERS {
             self.votes.push((name, has, now + PUT_UP_FOR));
         }
     }
@@ -677,10 +695,10 @@
             .retain(|(word, until)| now < *until && !turns.shows(word));
         for (word, _) in self.asked_for.clone() {
             match &mut self.part {
-                Part::Votes(agree, _) if agree.standing() == Standing::Leads => {
+                Part::Votes(agree, _) if agree.role() == Role::Leader => {
                     let _ = agree.propose(now, word.write());
                 }
-                Part::Votes(agree, _) => agree.pass_on(word.write()),
+                Part::Votes(agree, _) => agree.forward_proposal(word.write()),
                 Part::Follows(_) => {
                     let to = self
                         .answered_by
@@ -869,7 +887,7 @@
     pub(super) fn view(&self, now: Duration) -> WorkView {
         let (standing, leader, term, members) = match &self.part {
             Part::Votes(agree, _) => (
-                format!("{:?}", agree.standing()).to_lowercase(),
+                role_on_page(agree.role()).to_owned(),
                 agree.leader().map(|id| id.name.clone()),
                 agree.term(),
                 agree.members().iter().map(|id| id.name.clone()).collect(),
@@ -918,7 +936,7 @@
             settled: self.read,
             members,
             awaited: match &self.part {
-                Part::Votes(agree, _) => agree.awaited().map(str::to_owned),
+                Part::Votes(agree, _) => agree.pending_voter().map(str::to_owned),
                 Part::Follows(_) => None,
             },
             lease: self.lease.holds(now, self.read),
--- a/crates/http-proxy/tests/golden_vote_log.rs
+++ b/crates/http-proxy/tests/golden_vote_log.rs
@@ -3,7 +3,7 @@
 //! consensus package; `golden/vote_log.hex` and `golden/vote_log_compacted.hex` are copies of its
 //! `log.hex` and `log_compacted.hex` (one record a line: its kind, and its bytes in hex).
 
-use limewing_consensus::{read, Record};
+use limewing_consensus::{read_log, Record};
 use limewing_http_proxy::promises::Promises;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -25,7 +25,7 @@
 }
 
 fn records(bytes: &[u8]) -> Vec<Record> {
-    read(bytes).expect("the golden log is sound").records
+    read_log(bytes).expect("the golden log is sound").records
 }
 
 fn wait_until_durable(log: &mut Promises, number: u64) {
@@ -60,15 +60,15 @@
     assert_eq!(file(folder.path()), compacted);
     // What follows a rewrite goes behind it.
     let (last, term) = (
-        Record::Cut { from: 2 },
+        Record::Truncate { from_index: 2 },
         Record::Term {
             term: 99,
-            voted: None,
+            voted_for: None,
         },
     );
     let mut longer = compacted;
-    last.write(&mut longer);
-    term.write(&mut longer);
+    last.encode_into(&mut longer);
+    term.encode_into(&mut longer);
     log.write(4, &[last, term]);
     wait_until_durable(&mut log, 4);
     assert_eq!(file(folder.path()), longer);
@@ -81,9 +81,9 @@
     let mut record = Vec::new();
     Record::Term {
         term: 99,
-        voted: None,
+        voted_for: None,
     }
-    .write(&mut record);
+    .encode_into(&mut record);
     let torn = [&bytes[..], &record[..record.len() - 1]].concat();
     std::fs::write(folder.path().join("agree.log"), torn).expect("it is written");
     let (mut log, found) = Promises::open(folder.path()).expect("it opens");
@@ -96,7 +96,7 @@
         1,
         &[Record::Term {
             term: 99,
-            voted: None,
+            voted_for: None,
         }],
     );
     wait_until_durable(&mut log, 1);
