--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,37 +1,33 @@
-//! Agreement among three to seven named sidecars: words that any of them proposes are settled in one order, which all
-//! learn. Without I/O and without a clock. Raft (Ongaro, Ousterhout 2014), with trial votes and a leader that steps down
-//! without its majority (Ongaro 2014, 9.6 and 6.2), and one member changed at a time (4.1, with its correction of 2015).
+//! Raft among three to seven voters, without I/O and without a clock: the commands that any voter proposes are committed in
+//! one order, which all voters and learners apply.
 //!
-//! How data flows: the host gives packets (`Agree::hear`), the time (`Agree::tick`, at `Agree::next`) and words to settle
-//! (`Agree::propose`). It puts what is to be kept on disk (`Agree::write`), says when it is there (`Agree::wrote`), and takes
-//! packets to send (`Agree::take`): none leaves before what it promises is on disk. What is settled comes out in order
-//! (`Agree::settled`). `words` are the packets, `log` the entries held, `disk` makes bytes of what is kept and reads them back,
-//! `begin` makes a group of sidecars that have none, `follow` is for all other sidecars: they ask for what is settled.
+//! The algorithm is that of "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014; here "the
+//! paper") and of "Consensus: Bridging Theory and Practice" (Ongaro's dissertation, 2014), with pre-vote (9.6), a leader that
+//! steps down without contact to a quorum (6.2), and membership changes of one server at a time (4.1, with the correction
+//! of 2015: a leader changes members only once it has committed an entry of its own term).
 //!
-//! Who has lost its disk is somebody else: an `Id` is a name and the life of its disk. It has no vote until it has caught
-//! up and the others have taken it in, in the place of the life that is gone.
-
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+//! How a host drives a [`RaftNode`]: it passes in packets ([`RaftNode::receive`]), the time ([`RaftNode::tick`], at
+//! [`RaftNode::next_deadline`] at the latest) and commands ([`RaftNode::propose`]). It writes what is to be stored
+//! ([`RaftNode::next_write_batch`]), reports when that is durable ([`RaftNode::persisted`]), and sends packets
+//! ([`RaftNode::take_packet`]): none is released before the records that it depends on are durable. Committed commands come
+//! out in order ([`RaftNode::take_committed`]). All other sidecars run a [`Learner`], which polls a voter for what is committed.
+//!
+//! A node that has lost its disk is another node: a [`NodeId`] is a name and the incarnation of the disk. A new incarnation
+//! has no vote until it has caught up and has been added in the place of the one that is gone.
 
-mod agree;
-mod begin;
-mod disk;
-mod follow;
+mod bootstrap;
+mod learner;
 mod log;
-mod words;
+mod message;
+mod node;
+mod persistent_state;
+mod storage;
+mod types;
 
-pub use agree::{Committed, ProposeError, RaftConfig, RaftNode, Role, WriteBatch};
-pub use disk::{read_log, LogError, Record, RecoveredLog};
-pub use follow::Learner;
-pub use words::{
-    Configuration, Entry, EntryPayload, LogPosition, Members, Message, NodeId, Packet, PacketError,
-    MAX_COMMAND_BYTES, MAX_PACKET_BYTES, MAX_VOTERS,
+pub use learner::Learner;
+pub use message::{Message, Packet, PacketError, MAX_PACKET_BYTES};
+pub use node::{Committed, ProposeError, RaftConfig, RaftNode, Role, WriteBatch};
+pub use storage::{read_log, LogError, Record, RecoveredLog};
+pub use types::{
+    Configuration, Entry, EntryPayload, LogPosition, Members, NodeId, MAX_COMMAND_BYTES, MAX_VOTERS,
 };
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,118 +1,152 @@
-//! The entries held, from where the state was last made whole.
+//! The log in memory: the last snapshot, and the entries after it (the paper, 5.3 and 7).
 
-use crate::words::{Configuration, Entry, EntryPayload, LogPosition};
+use crate::types::{Configuration, Entry, EntryPayload, LogPosition};
 use std::collections::VecDeque;
 
+/// A snapshot and the entries that follow it without a gap.
 #[derive(Clone, Debug, Default)]
-pub struct Log {
-    /// All up to here is in the state.
-    base: LogPosition,
-    base_members: Configuration,
-    state: Vec<u8>,
+pub(crate) struct Log {
+    /// The last entry that the snapshot includes.
+    snapshot_position: LogPosition,
+    /// The configuration as of that entry.
+    snapshot_configuration: Configuration,
+    snapshot_data: Vec<u8>,
     entries: VecDeque<Entry>,
 }
 
 impl Log {
-    pub fn of(base: LogPosition, members: Configuration, state: Vec<u8>) -> Self {
+    /// A log that has a snapshot and no entries.
+    pub(crate) fn from_snapshot(
+        position: LogPosition,
+        configuration: Configuration,
+        data: Vec<u8>,
+    ) -> Self {
         Self {
-            base,
-            base_members: members,
-            state,
+            snapshot_position: position,
+            snapshot_configuration: configuration,
+            snapshot_data: data,
             entries: VecDeque::new(),
         }
     }
 
-    pub fn base(&self) -> LogPosition {
-        self.base
+    /// The log of a new group: no entries, and the first voters as its configuration.
+    pub(crate) fn new(configuration: Configuration) -> Self {
+        Self::from_snapshot(LogPosition::default(), configuration, Vec::new())
     }
 
-    pub fn base_members(&self) -> &Configuration {
-        &self.base_members
+    pub(crate) fn snapshot_position(&self) -> LogPosition {
+        self.snapshot_position
     }
 
-    pub fn state(&self) -> &[u8] {
-        &self.state
+    pub(crate) fn snapshot_configuration(&self) -> &Configuration {
+        &self.snapshot_configuration
     }
 
-    pub fn last(&self) -> LogPosition {
-        let index = self.base.index + self.entries.len() as u64;
+    pub(crate) fn snapshot_data(&self) -> &[u8] {
+        &self.snapshot_data
+    }
+
+    /// The snapshot's bytes from `offset` on, at most `max_bytes` of them; empty beyond its end.
+    pub(crate) fn snapshot_chunk(&self, offset: usize, max_bytes: usize) -> Vec<u8> {
+        let end = (offset + max_bytes).min(self.snapshot_data.len());
+        let chunk = self.snapshot_data.get(offset..end);
+        chunk.unwrap_or_default().to_vec()
+    }
+
+    /// The end of the log.
+    pub(crate) fn last_position(&self) -> LogPosition {
+        let last_entry = self.entries.back();
         LogPosition {
-            index,
-            term: self
-                .entries
-                .back()
-                .map_or(self.base.term, |entry| entry.term),
+            index: self.snapshot_position.index + self.entries.len() as u64,
+            term: last_entry.map_or(self.snapshot_position.term, |entry| entry.term),
         }
     }
 
-    pub fn get(&self, index: u64) -> Option<&Entry> {
-        self.entries
-            .get(index.checked_sub(self.base.index + 1)? as usize)
+    pub(crate) fn entry(&self, index: u64) -> Option<&Entry> {
+        let offset = index.checked_sub(self.snapshot_position.index + 1)?;
+        self.entries.get(offset as usize)
     }
 
-    pub fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.base.index {
-            return Some(self.base.term);
+    /// The term of the entry at `index`, also of the last one that the snapshot includes.
+    pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
+        if index == self.snapshot_position.index {
+            return Some(self.snapshot_position.term);
         }
-        self.get(index).map(|entry| entry.term)
+        self.entry(index).map(|entry| entry.term)
     }
 
-    pub fn push(&mut self, entry: Entry) -> u64 {
+    /// Adds an entry at the end; its index.
+    pub(crate) fn append(&mut self, entry: Entry) -> u64 {
         self.entries.push_back(entry);
-        self.last().index
+        self.last_position().index
     }
 
-    /// Takes away all from here on.
-    pub fn cut(&mut self, from: u64) {
-        self.entries
-            .truncate(from.saturating_sub(self.base.index + 1) as usize);
+    /// Removes the entry at `index` and all after it.
+    pub(crate) fn truncate_from(&mut self, index: u64) {
+        let kept = index.saturating_sub(self.snapshot_position.index + 1);
+        self.entries.truncate(kept as usize);
     }
 
-    /// Who has a vote, by the last entry that says so, and that entry's index.
-    pub fn members(&self) -> (u64, &Configuration) {
-        let said = self
-            .entries
-            .iter()
-            .enumerate()
-            .rev()
-            .find_map(|(place, entry)| match &entry.payload {
-                EntryPayload::Configuration(members) => {
-                    Some((self.base.index + 1 + place as u64, members))
-                }
-                _ => None,
-            });
-        said.unwrap_or((self.base.index, &self.base_members))
+    /// The configuration in force, which is the last one in the log, and the index of its entry.
+    pub(crate) fn configuration(&self) -> (u64, &Configuration) {
+        let first_index = self.snapshot_position.index + 1;
+        for (offset, entry) in self.entries.iter().enumerate().rev() {
+            if let EntryPayload::Configuration(configuration) = &entry.payload {
+                return (first_index + offset as u64, configuration);
+            }
+        }
+        (self.snapshot_position.index, &self.snapshot_configuration)
     }
 
-    /// The state is whole up to here: entries up to it are not needed any more.
-    pub fn compact(&mut self, index: u64, state: Vec<u8>) -> bool {
-        let Some(term) = self.term_at(index).filter(|_| index > self.base.index) else {
+    /// Replaces the entries up to `index` by a snapshot. False, without effect, where the log has no such entry after its
+    /// present snapshot.
+    pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> bool {
+        let old_index = self.snapshot_position.index;
+        let Some(term) = self.term_at(index).filter(|_| index > old_index) else {
             return false;
         };
-        let mut rest = self.entries.split_off((index - self.base.index) as usize);
-        std::mem::swap(&mut self.entries, &mut rest);
-        let said = rest.iter().rev().find_map(|entry| match &entry.payload {
-            EntryPayload::Configuration(members) => Some(members.clone()),
-            _ => None,
-        });
-        if let Some(members) = said {
-            self.base_members = members;
+        let remaining = self.entries.split_off((index - old_index) as usize);
+        let included = std::mem::replace(&mut self.entries, remaining);
+        for entry in included {
+            if let EntryPayload::Configuration(configuration) = entry.payload {
+                self.snapshot_configuration = configuration;
+            }
         }
-        (self.base, self.state) = (LogPosition { index, term }, state);
+        self.snapshot_position = LogPosition { index, term };
+        self.snapshot_data = data;
         true
     }
 
-    /// Entries from here on, of so many bytes together, at least one.
-    pub fn some_from(&self, index: u64, bytes: usize, upto: u64) -> Vec<Entry> {
-        let (mut some, mut size, mut at) = (Vec::new(), 0, index);
-        while let Some(entry) = self.get(at).filter(|_| at <= upto) {
-            size += entry.size();
-            if size > bytes && !some.is_empty() {
+    /// Takes over a snapshot up to `last`. If the log has that entry the entries after it stay, and this is true; else the
+    /// snapshot replaces the whole log (the paper, 7).
+    pub(crate) fn install_snapshot(
+        &mut self,
+        last: LogPosition,
+        configuration: &Configuration,
+        data: &[u8],
+    ) -> bool {
+        let has_entry = self.term_at(last.index) == Some(last.term);
+        if has_entry && self.compact(last.index, data.to_vec()) {
+            return true;
+        }
+        *self = Self::from_snapshot(last, configuration.clone(), data.to_vec());
+        false
+    }
+
+    /// Entries from `index` to `last_index`, as many as fit into `max_bytes`, but at least one if there is one.
+    pub(crate) fn entries_from(&self, index: u64, last_index: u64, max_bytes: usize) -> Vec<Entry> {
+        let mut entries = Vec::new();
+        let mut bytes = 0;
+        for index in index..=last_index {
+            let Some(entry) = self.entry(index) else {
+                break;
+            };
+            bytes += entry.max_encoded_bytes();
+            if bytes > max_bytes && !entries.is_empty() {
                 break;
             }
-            some.push(entry.clone());
-            at += 1;
+            entries.push(entry.clone());
         }
-        some
+        entries
     }
 }
--- /dev/null
+++ b/crates/consensus/src/node/leader.rs
@@ -0,0 +1,47 @@
+//! A leader's heartbeats, and the contact to a quorum without which it steps down.
+
+use super::{majority, RaftNode, Role};
+use crate::types::NodeId;
+use std::time::Duration;
+
+impl RaftNode {
+    /// Whether it leads and has committed an entry of its term: it then knows all that earlier leaders have committed
+    /// (dissertation, 6.4, step 1).
+    pub fn is_established_leader(&self) -> bool {
+        self.role == Role::Leader && self.has_committed_in_term()
+    }
+
+    pub(super) fn has_committed_in_term(&self) -> bool {
+        self.log.term_at(self.commit_index) == Some(self.current_term)
+    }
+
+    /// Sends a heartbeat with what each follower lacks, or steps down.
+    pub(super) fn heartbeat(&mut self, now: Duration) {
+        self.periodic_deadline = now + self.config.heartbeat_interval;
+        self.update_progress_set(now);
+        if !self.has_quorum_contact(now) {
+            self.step_down(now);
+            return;
+        }
+        // Entries that were not acknowledged since the last heartbeat are sent again.
+        for progress in self.progress.values_mut() {
+            progress.in_flight = false;
+        }
+        self.replicate(now);
+        self.advance_commit_index(now);
+        self.promote_newcomer(now);
+    }
+
+    /// Whether a majority has answered within the election timeout; without one, another may lead by now (dissertation,
+    /// 6.2). A new leader is given one election timeout.
+    fn has_quorum_contact(&self, now: Duration) -> bool {
+        let timeout = self.config.election_timeout;
+        let is_new = now < self.leader_since + timeout;
+        let in_contact = |id: &NodeId| {
+            let progress = self.progress.get(id);
+            *id == self.id || is_new || progress.is_some_and(|of| now < of.last_response + timeout)
+        };
+        let members = self.members();
+        members.iter().filter(|id| in_contact(id)).count() >= majority(members)
+    }
+}
