--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -231,7 +231,7 @@
 
 #[test]
 fn every_kind_of_datagram_keeps_its_bytes() {
-    let packet = |say| Packet {
+    let packet = |message| Packet {
         group: 1 << 40,
         from: id(2),
         to_incarnation: 3007,
@@ -363,7 +363,7 @@
 }
 
 /// Runs a group of one voter until its log has every kind of record; the log that it wrote, and
-/// the records that it puts that replace the log after compaction.
+/// the records that replace it after compaction.
 fn run_voter() -> (Vec<Record>, Vec<Record>) {
     let (mut voter, mut log) = (new_voter(&[]), Vec::new());
     let now = Duration::from_secs(1);
