--- a/crates/http-proxy/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/fleet.rs
@@ -135,7 +135,7 @@
             .unwrap_or_default();
         let terms = Config {
             name: MemberName::try_from(name.to_owned()).map_err(|expected| {
-                StartTrouble::Settings(settings::Misfit::new("/name", expected))
+                StartTrouble::Settings(settings::Misfit::new("/name", expected.to_string()))
             })?,
             started_at_ms: start.as_millis() as u64,
             started_at: now,
--- /dev/null
+++ b/crates/membership/src/broadcast_queue.rs
@@ -0,0 +1,118 @@
+//! Updates that are still gossiped (SWIM, section 4.1: infection-style dissemination): each is sent a limited number of times,
+//! the least sent first and of these the newest, so that a fresh suspicion does not wait behind all that a fleet spreads
+//! at its start. memberlist calls it the transmit-limited queue.
+
+use crate::packet::Broadcast;
+use crate::status::MemberName;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Updates that are queued; beyond, the one that was sent most often is dropped.
+const MAX_QUEUED: usize = 1024;
+
+struct Queued<T> {
+    transmits: u32,
+    sequence: u64,
+    payload: T,
+}
+
+/// At most one update of each member.
+pub(crate) struct BroadcastQueue<T> {
+    /// By number of transmits, then by age.
+    order: BTreeSet<(u32, Reverse<u64>, MemberName)>,
+    queued: BTreeMap<MemberName, Queued<T>>,
+    last_sequence: u64,
+}
+
+impl<T> Default for BroadcastQueue<T> {
+    fn default() -> Self {
+        Self {
+            order: BTreeSet::new(),
+            queued: BTreeMap::new(),
+            last_sequence: 0,
+        }
+    }
+}
+
+impl<T: Broadcast> BroadcastQueue<T> {
+    /// Queues an update; it replaces an older one of the same member.
+    pub(crate) fn enqueue(&mut self, payload: T) {
+        let name = payload.name().clone();
+        self.remove(&name);
+        if self.queued.len() >= MAX_QUEUED {
+            self.remove_most_sent();
+        }
+        self.last_sequence += 1;
+        self.insert(
+            name,
+            Queued {
+                transmits: 0,
+                sequence: self.last_sequence,
+                payload,
+            },
+        );
+    }
+
+    /// Updates that fit into `room` bytes. `first` goes before all others, if it has an update. One that has now been sent
+    /// `max_transmits` times leaves the queue.
+    pub(crate) fn take_batch(
+        &mut self,
+        mut room: usize,
+        max_transmits: u32,
+        first: Option<&MemberName>,
+    ) -> Vec<T> {
+        let first = first.filter(|name| self.queued.contains_key(*name));
+        let others = self
+            .order
+            .iter()
+            .map(|(_, _, name)| name)
+            .filter(|name| Some(*name) != first);
+        let mut chosen: Vec<MemberName> = Vec::new();
+        for name in first.into_iter().chain(others) {
+            let size = self.queued[name].payload.max_encoded_bytes();
+            if size > room {
+                break;
+            }
+            room -= size;
+            chosen.push(name.clone());
+        }
+        chosen
+            .into_iter()
+            .filter_map(|name| self.transmit(name, max_transmits))
+            .collect()
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.queued.is_empty()
+    }
+
+    fn transmit(&mut self, name: MemberName, max_transmits: u32) -> Option<T> {
+        let mut sent = self.remove(&name)?;
+        let payload = sent.payload.clone();
+        sent.transmits += 1;
+        if sent.transmits < max_transmits {
+            self.insert(name, sent);
+        }
+        Some(payload)
+    }
+
+    fn insert(&mut self, name: MemberName, queued: Queued<T>) {
+        self.order
+            .insert((queued.transmits, Reverse(queued.sequence), name.clone()));
+        self.queued.insert(name, queued);
+    }
+
+    fn remove(&mut self, name: &MemberName) -> Option<Queued<T>> {
+        let removed = self.queued.remove(name)?;
+        let position = (removed.transmits, Reverse(removed.sequence), name.clone());
+        self.order.remove(&position);
+        Some(removed)
+    }
+
+    fn remove_most_sent(&mut self) {
+        let most_sent = self.order.last().map(|(_, _, name)| name.clone());
+        if let Some(name) = most_sent {
+            self.remove(&name);
+        }
+    }
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,37 +1,45 @@
-//! Who else is there: the membership of a fleet of sidecars, without I/O and without a clock (SWIM, with Lifeguard's care
-//! for one's own slowness).
+//! Membership of a fleet of sidecars: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health awareness (Dadgar,
+//! Phillips, Currey 2018), sans I/O: no sockets, no clock.
 //!
-//! How data flows: the host gives a datagram (`Peers::hear`) or the time (`Peers::tick`, at `Peers::next`), takes the
-//! datagrams to send (`Peers::take`) and what is new (`Peers::news`). A datagram is opened by `seal` (keys, age, replays),
-//! its claims go to `roll` (who is held to be what, and which claim overrides which), what changed there goes into
-//! `gossip` (claims that still ride on datagrams), and `peers` probes, suspects and refutes.
+//! The host passes in received datagrams ([`Membership::receive`]) and the time ([`Membership::tick`], due at
+//! [`Membership::next_deadline`]), and takes out the datagrams to send ([`Membership::take_datagram`]) and what changed
+//! ([`Membership::take_event`]).
 //!
-//! Beside that each member may put something up for all to read (`Peers::put_up`): bytes that are not looked at here.
+//! | module | job |
+//! | --- | --- |
+//! | `sealer`, `replay_filter` | authenticates datagrams, rejects old and repeated ones |
+//! | `packet` | what a datagram carries |
+//! | `receiving`, `sending` | handles a packet; fills and sends one within the byte budget |
+//! | `failure_detector` | probes, indirect probes, local health |
+//! | `suspicion` | suspicion timeouts and refutation |
+//! | `member_table` | the status of each member and which update overrides which |
+//! | `broadcast_queue` | gossip: updates that still have retransmits left |
+//! | `anti_entropy` | periodic exchange of table parts, joining, reconnecting |
+//! | `published_state` | a few bytes that each member publishes to all others |
 //!
-//! And each may send another a parcel (`Peers::post_parcel`, `Peers::parcel`): sealed as all else, lost as a datagram may be.
-//!
-//! What a member is told may make it more careful, never less: nothing here widens a cap, a budget or a time.
-
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+//! Published state ([`Membership::publish`]) and direct messages ([`Membership::send_direct`]) are opaque here. Direct
+//! messages are sealed like everything else and, like any datagram, may be lost.
 
-mod gossip;
-mod peers;
-mod roll;
-mod seal;
-mod words;
+mod anti_entropy;
+mod broadcast_queue;
+mod config;
+mod event;
+mod failure_detector;
+mod member_table;
+mod membership;
+mod packet;
+mod published_state;
+mod receiving;
+mod replay_filter;
+mod sealer;
+mod sending;
+mod status;
+mod suspicion;
 
-pub use peers::{Config, ConfigError, Membership, MembershipEvent};
-pub use roll::Member;
-pub use seal::{DatagramError, Key};
-pub use words::{
-    MemberName, MemberStatus, StatusUpdate, MAX_DATAGRAM_BYTES, MAX_DIRECT_BYTES,
-    MAX_PUBLISHED_BYTES,
-};
+pub use config::{Config, ConfigError};
+pub use event::MembershipEvent;
+pub use member_table::Member;
+pub use membership::Membership;
+pub use packet::{MAX_DATAGRAM_BYTES, MAX_DIRECT_BYTES, MAX_PUBLISHED_BYTES};
+pub use sealer::{DatagramError, Key};
+pub use status::{MemberName, MemberNameError, MemberStatus, StatusUpdate};
--- /dev/null
+++ b/crates/membership/src/published_state.rs
@@ -0,0 +1,89 @@
+//! The state that each member publishes: gossiped beside the status updates, the newest version of each member.
+
+use crate::broadcast_queue::BroadcastQueue;
+use crate::packet::{Broadcast, PublishedState};
+use crate::status::{MemberName, StatusUpdate};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+struct Received {
+    state: PublishedState,
+    at: Duration,
+}
+
+/// The newest published state of this member and of each active one.
+#[derive(Default)]
+pub(crate) struct PublishedStates {
+    newest: BTreeMap<MemberName, Received>,
+    /// States that still have retransmits left.
+    pub(crate) queue: BroadcastQueue<PublishedState>,
+}
+
+impl PublishedStates {
+    /// Publishes this member's own state in the place of the one before.
+    pub(crate) fn publish(&mut self, now: Duration, local: &StatusUpdate, bytes: Vec<u8>) {
+        let version = self
+            .newest
+            .get(&local.name)
+            .map_or(0, |before| before.state.version.wrapping_add(1));
+        self.replace(
+            now,
+            PublishedState {
+                name: local.name.clone(),
+                started_at_ms: local.started_at_ms,
+                version,
+                bytes,
+            },
+        );
+    }
+
+    /// Takes in another member's state, if it is newer than the known one.
+    pub(crate) fn apply(&mut self, now: Duration, state: PublishedState) {
+        let is_newer = self.newest.get(&state.name).is_none_or(|known| {
+            (known.state.started_at_ms, known.state.version) < (state.started_at_ms, state.version)
+        });
+        if is_newer {
+            self.replace(now, state);
+        }
+    }
+
+    fn replace(&mut self, now: Duration, state: PublishedState) {
+        self.queue.enqueue(state.clone());
+        let name = state.name.clone();
+        self.newest.insert(name, Received { state, at: now });
+    }
+
+    /// The newest state of that member, and when it was received.
+    pub(crate) fn get(&self, name: &MemberName) -> Option<(&PublishedState, Duration)> {
+        let received = self.newest.get(name)?;
+        Some((&received.state, received.at))
+    }
+
+    /// Upper bound of the bytes that the member's state takes in a packet; 0 if there is none.
+    pub(crate) fn max_encoded_bytes(&self, name: &MemberName) -> usize {
+        self.newest
+            .get(name)
+            .map_or(0, |received| received.state.max_encoded_bytes())
+    }
+
+    /// The states of the members that these updates are about, as far as they fit into `room` bytes.
+    pub(crate) fn fitting(&self, updates: &[StatusUpdate], mut room: usize) -> Vec<PublishedState> {
+        let mut fitting = Vec::new();
+        for update in updates {
+            let Some(received) = self.newest.get(&update.name) else {
+                continue;
+            };
+            let size = received.state.max_encoded_bytes();
+            if size <= room {
+                room -= size;
+                fitting.push(received.state.clone());
+            }
+        }
+        fitting
+    }
+
+    /// Forgets the states of all other members.
+    pub(crate) fn retain(&mut self, is_retained: impl Fn(&MemberName) -> bool) {
+        self.newest.retain(|name, _| is_retained(name));
+    }
+}
