--- a/crates/http-proxy/src/service/copies.rs
+++ b/crates/http-proxy/src/service/copies.rs
@@ -9,8 +9,8 @@
 };
 use limewing_proxy_core::clock::today;
 use limewing_replication::{
-    Fact, Facts, Origin, Own, Packet, Phase, Refuses, Replica, Stage, Terms, HITS_FOR, KEYS_FOR,
-    STAGES_FOR,
+    LocalState, MergedState, Origin, Packet, Phase, Record, Refusal, Replica, ReplicaConfig, Stage,
+    EXECUTION_TIME_TO_LIVE, KEY_TIME_TO_LIVE, STAGE_TIME_TO_LIVE,
 };
 use limewing_settings::{Peers, SidecarSettings};
 use serde::{Deserialize, Serialize};
@@ -29,8 +29,8 @@
 
 pub struct Copies {
     replica: Replica,
-    facts: Facts,
-    own: Own,
+    facts: MergedState,
+    own: LocalState,
     builds: BTreeMap<PodId, BuildId>,
     next_look: Duration,
 }
@@ -69,9 +69,9 @@
         stage: message.stage,
         phase: match message.phase {
             PhaseName::OnTrial => Phase::OnTrial,
-            PhaseName::GoingBack => Phase::GoingBack,
+            PhaseName::GoingBack => Phase::RollingBack,
             PhaseName::Released => Phase::Released,
-            PhaseName::Withdrawn => Phase::Withdrawn,
+            PhaseName::Withdrawn => Phase::RolledBack,
         },
         cap: message.cap.clamp(0.0, 1.0),
     }
@@ -84,9 +84,9 @@
         stage: stage.stage,
         phase: match stage.phase {
             Phase::OnTrial => PhaseName::OnTrial,
-            Phase::GoingBack => PhaseName::GoingBack,
+            Phase::RollingBack => PhaseName::GoingBack,
             Phase::Released => PhaseName::Released,
-            Phase::Withdrawn => PhaseName::Withdrawn,
+            Phase::RolledBack => PhaseName::Withdrawn,
         },
         cap: stage.cap,
         // Since when it stands so nobody tells: its clocks begin anew.
@@ -107,7 +107,7 @@
             .as_millis() as u64;
         let me = Origin {
             name: settings.name.clone(),
-            start,
+            incarnation: start,
         };
         let first_cap = settings
             .releases
@@ -115,43 +115,43 @@
             .first()
             .map_or(0.0, |stage| stage.cap);
         // The rest is for knowing who is there.
-        let terms = Terms {
-            me,
-            beat: BEAT,
-            fan: FAN,
-            bytes_per_s: peers.bytes_per_s / 2,
+        let terms = ReplicaConfig {
+            origin: me,
+            gossip_interval: BEAT,
+            gossip_fanout: FAN,
+            bytes_per_second: peers.bytes_per_s / 2,
             seed,
         };
         Self {
             replica: Replica::new(now, terms),
-            facts: Facts::default(),
-            own: Own::new(now, settings.releases.keys_stay, first_cap),
+            facts: MergedState::default(),
+            own: LocalState::new(now, settings.releases.keys_stay, first_cap),
             builds: BTreeMap::new(),
             next_look: now,
         }
     }
 
     pub(super) fn next(&self) -> Duration {
-        self.replica.next().min(self.next_look)
+        self.replica.next_tick().min(self.next_look)
     }
 
     pub(super) fn hear(&mut self, now: Duration, from: &str, bytes: &[u8]) {
-        match Packet::read(bytes) {
-            Ok(packet) => self.replica.hear(now, from, packet),
+        match Packet::decode(bytes) {
+            Ok(packet) => self.replica.receive(now, from, packet),
             Err(why) => tracing::debug!(from, %why, "copies that can't be read"),
         }
     }
 
-    fn put(&mut self, now: Duration, fact: &Fact, life: Duration) {
-        let no = self.replica.put(now, fact, life);
-        let me = self.replica.me().clone();
-        self.facts.take(&me, no, now + life, fact);
+    fn put(&mut self, now: Duration, fact: &Record, life: Duration) {
+        let no = self.replica.publish(now, fact, life);
+        let me = self.replica.origin().clone();
+        self.facts.apply(&me, no, now + life, fact);
     }
 
     /// A forward of a hit that may not run twice is about to leave.
     pub(super) fn sent(&mut self, now: Duration, hit: RequestId, tag: u64) {
-        if let Some(fact) = self.own.sent(hit.0, tag) {
-            self.put(now, &fact, HITS_FOR);
+        if let Some(fact) = self.own.attempt_started(hit.0, tag) {
+            self.put(now, &fact, EXECUTION_TIME_TO_LIVE);
         }
     }
 
@@ -180,24 +180,24 @@
         key: Option<RoutingKey>,
     ) {
         let build = self.builds.get(&outcome.pod).copied();
-        if let Some(fact) = self.own.ended(
+        if let Some(fact) = self.own.attempt_ended(
             outcome.request.0,
             outcome.outcome.never_ran(),
             outcome.request_over,
         ) {
-            self.put(now, &fact, HITS_FOR);
+            self.put(now, &fact, EXECUTION_TIME_TO_LIVE);
         }
         let met = key
             .zip(build)
             .filter(|_| outcome.outcome == AttemptOutcome::Succeeded);
-        if let Some(fact) = met.and_then(|(key, build)| self.own.met(now, key.0, build.0)) {
-            self.put(now, &fact, KEYS_FOR);
+        if let Some(fact) = met.and_then(|(key, build)| self.own.key_served(now, key.0, build.0)) {
+            self.put(now, &fact, KEY_TIME_TO_LIVE);
         }
     }
 
     /// Nothing more is sent of a hit.
     pub(super) fn over(&mut self, hit: RequestId) {
-        self.own.over(hit.0);
+        self.own.request_finished(hit.0);
     }
 
     /// Whether a hit is not to be sent now.
@@ -206,15 +206,15 @@
         now: Duration,
         tag: Option<u64>,
         has_key: bool,
-    ) -> Option<Refuses> {
+    ) -> Option<Refusal> {
         self.own
-            .refuses(now, (&self.facts, self.replica.caught_up()), tag, has_key)
+            .refusal(now, (&self.facts, self.replica.caught_up()), tag, has_key)
     }
 
     /// The installer's word: the others are told.
     pub(super) fn stage_told(&mut self, now: Duration, message: &StageMessage) {
-        if let Some(fact) = self.own.stage_told(stage_of(message)) {
-            self.put(now, &fact, STAGES_FOR);
+        if let Some(fact) = self.own.stage_announced(stage_of(message)) {
+            self.put(now, &fact, STAGE_TIME_TO_LIVE);
         }
     }
 
@@ -226,65 +226,68 @@
     ) -> (Vec<Event>, Option<StageMessage>) {
         if now >= self.next_look {
             self.next_look = now + LOOKS_EVERY;
-            self.replica.others(fleet.here());
-            self.facts.forget(now);
+            self.replica.set_peers(fleet.here());
+            self.facts.expire(now);
         }
-        if now >= self.replica.next() {
+        if now >= self.replica.next_tick() {
             self.replica.tick(now);
         }
         let (mut events, mut stages) = (Vec::new(), false);
-        while let Some((origin, entry)) = self.replica.learned() {
-            let Some(fact) = Fact::read(entry.kind, &entry.body) else {
+        while let Some((origin, entry)) = self.replica.take_applied() {
+            let Some(fact) = Record::decode(entry.kind, &entry.body) else {
                 continue;
             };
-            let until = now + Duration::from_millis(entry.left.into());
-            let fresh = self.facts.take(&origin, entry.no, until, &fact);
+            let until = now + Duration::from_millis(entry.time_to_live_ms.into());
+            let fresh = self.facts.apply(&origin, entry.sequence, until, &fact);
             match fact {
-                Fact::Met { key, build } if fresh => {
+                Record::KeyServed { key, build } if fresh => {
                     events.push(Event::KeyServed(RoutingKey(key), BuildId(build)))
                 }
-                Fact::Stage(_) => stages = true,
+                Record::Stage(_) => stages = true,
                 _ => {}
             }
         }
-        while let Some((to, packet)) = self.replica.take() {
-            let parcel = [&[COPIES], &packet.write()[..]].concat();
+        while let Some((to, packet)) = self.replica.take_packet() {
+            let parcel = [&[COPIES], &packet.encode()[..]].concat();
             fleet.post_parcel(now, &to, parcel);
         }
         let stage = stages
-            .then(|| self.own.go_by(&self.replica.me().name, &self.facts))
+            .then(|| {
+                self.own
+                    .merge_stages(&self.replica.origin().name, &self.facts)
+            })
             .flatten();
         if let Some(stage) = &stage {
-            tracing::info!(?stage, "stage news by the others' copies");
+            tracing::info!(%stage, "stage news by the others' copies");
         }
         (events, stage.as_ref().map(message_of))
     }
 
     pub(super) fn view(&self) -> StateView {
-        let me = self.replica.me();
-        let (keys, hits) = self.facts.held();
+        let me = self.replica.origin();
+        let (keys, hits) = self.facts.key_and_request_counts();
         let log = |(origin, log): (&Origin, &limewing_replication::Log)| LogView {
             name: origin.name.clone(),
-            start: origin.start,
-            upto: log.upto(),
-            live: log.live(),
-            given_up: log.given_up(),
+            start: origin.incarnation,
+            upto: log.contiguous_through(),
+            live: log.live_entries(),
+            given_up: log.evicted_entries(),
         };
         StateView {
             name: me.name.clone(),
-            start: me.start,
+            start: me.incarnation,
             caught_up: self.replica.caught_up(),
             bytes_sent: self.replica.bytes_sent(),
             keys,
             hits,
-            left_out: self.facts.left_out(),
+            left_out: self.facts.dropped_records(),
             logs: self.replica.logs().map(log).collect(),
             stages: self
                 .facts
                 .stages()
-                .map(|(name, stage)| format!("{name}: {stage:?}"))
+                .map(|(name, stage)| format!("{name}: {stage}"))
                 .collect(),
-            stage: self.own.stage().map(|stage| format!("{stage:?}")),
+            stage: self.own.stage().map(ToString::to_string),
         }
     }
 }
--- a/crates/http-proxy/src/service/front.rs
+++ b/crates/http-proxy/src/service/front.rs
@@ -12,7 +12,7 @@
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
 use limewing_proxy_core::open::Open;
-use limewing_replication::Refuses;
+use limewing_replication::Refusal;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -228,9 +228,9 @@
         if let Some(refused) = refused {
             let (status, harmless) = match refused {
                 // That it never ran nobody here can say yet.
-                Refuses::NotCaughtUp if once.is_some() => (502, false),
-                Refuses::NotCaughtUp => (503, true),
-                Refuses::MayHaveRun => (409, false),
+                Refusal::NotCaughtUp if once.is_some() => (502, false),
+                Refusal::NotCaughtUp => (503, true),
+                Refusal::MayHaveRun => (409, false),
             };
             let text = self.proxy_status(if harmless { "bounced" } else { "errored" }, harmless);
             return self.reply(client, status, &[("proxy-status", &text)], b"");
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -29,11 +29,11 @@
 mod spread;
 mod words;
 
-pub use facts::{known_again, stage_to_go_by, Facts};
-pub use logs::{Log, MOST_ENTRIES, MOST_OF_ALL};
-pub use own::{Own, Refuses, HITS_FOR, KEYS_FOR, STAGES_FOR};
-pub use spread::{Replica, Terms};
+pub use facts::{most_restrictive_stage, stage_after_restart, MergedState};
+pub use logs::{Log, MAX_LOG_ENTRIES, MAX_TOTAL_ENTRIES};
+pub use own::{LocalState, Refusal, EXECUTION_TIME_TO_LIVE, KEY_TIME_TO_LIVE, STAGE_TIME_TO_LIVE};
+pub use spread::{Replica, ReplicaConfig};
 pub use words::{
-    Entry, Fact, Mark, Origin, Packet, Phase, Row, Say, Stage, Unreadable, MOST_BODY, MOST_NAME,
-    MOST_NO, MOST_PACKET,
+    Entry, ExecutionMark, LogPosition, Message, Origin, Packet, PacketError, Phase, Record, Stage,
+    MAX_BODY_BYTES, MAX_NAME_BYTES, MAX_PACKET_BYTES, MAX_SEQUENCE,
 };
--- a/crates/replication/src/logs.rs
+++ b/crates/replication/src/logs.rs
@@ -6,14 +6,14 @@
 
 /// Entries of one origin that live at one time, at most: beyond, the oldest are given up, and counted. Fewer where there are many
 /// origins: of all together a copy holds `MOST_OF_ALL`.
-pub const MOST_ENTRIES: usize = 50_000;
-pub const MOST_OF_ALL: usize = 400_000;
+pub const MAX_LOG_ENTRIES: usize = 50_000;
+pub const MAX_TOTAL_ENTRIES: usize = 400_000;
 /// Single entries beyond the whole part that are known, at most: others are taken again when the gap is closed.
-const MOST_BEYOND: usize = 4096;
+const MAX_OUT_OF_ORDER: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Held {
-    until: Duration,
+struct StoredEntry {
+    expires_at: Duration,
     kind: u8,
     body: Vec<u8>,
 }
@@ -21,139 +21,146 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Log {
     /// All up to here was had, or is over.
-    upto: u64,
-    beyond: BTreeSet<u64>,
-    live: BTreeMap<u64, Held>,
+    contiguous_through: u64,
+    out_of_order: BTreeSet<u64>,
+    entries: BTreeMap<u64, StoredEntry>,
     /// By when each is over.
-    ends: BTreeSet<(Duration, u64)>,
-    given_up: u64,
+    expiries: BTreeSet<(Duration, u64)>,
+    evicted: u64,
 }
 
 impl Log {
-    pub fn upto(&self) -> u64 {
-        self.upto
+    pub fn contiguous_through(&self) -> u64 {
+        self.contiguous_through
     }
 
-    pub fn live(&self) -> usize {
-        self.live.len()
+    pub fn live_entries(&self) -> usize {
+        self.entries.len()
     }
 
     /// Entries that were given up for want of room.
-    pub fn given_up(&self) -> u64 {
-        self.given_up
+    pub fn evicted_entries(&self) -> u64 {
+        self.evicted
     }
 
     /// Takes an entry in; false if it was had before, or can't be told from one that was.
-    pub fn take(&mut self, now: Duration, entry: &Entry) -> bool {
-        let room = entry.no <= self.upto + 1 || self.beyond.len() < MOST_BEYOND;
-        if self.knows(entry.no) || !room {
+    pub fn insert(&mut self, now: Duration, entry: &Entry) -> bool {
+        let room = entry.sequence <= self.contiguous_through + 1
+            || self.out_of_order.len() < MAX_OUT_OF_ORDER;
+        if self.contains(entry.sequence) || !room {
             return false;
         }
-        self.beyond.insert(entry.no);
-        self.close_up();
-        self.hold(now, entry)
+        self.out_of_order.insert(entry.sequence);
+        self.advance_contiguous();
+        self.store(now, entry)
     }
 
     /// Takes in all that another copy has after one number and up to another; those that are new are told.
-    pub fn take_all(
+    pub fn insert_range(
         &mut self,
         now: Duration,
         (after, upto): (u64, u64),
         entries: &[Entry],
     ) -> Vec<Entry> {
-        if after > self.upto {
+        if after > self.contiguous_through {
             // What is between was lost: these alone, so far.
             return entries
                 .iter()
-                .filter(|entry| self.take(now, entry))
+                .filter(|entry| self.insert(now, entry))
                 .cloned()
                 .collect();
         }
         let fresh: Vec<Entry> = entries
             .iter()
-            .filter(|entry| !self.knows(entry.no))
+            .filter(|entry| !self.contains(entry.sequence))
             .cloned()
             .collect();
-        self.upto = self.upto.max(upto);
-        self.close_up();
+        self.contiguous_through = self.contiguous_through.max(upto);
+        self.advance_contiguous();
         fresh
             .into_iter()
-            .filter(|entry| self.hold(now, entry))
+            .filter(|entry| self.store(now, entry))
             .collect()
     }
 
-    fn knows(&self, no: u64) -> bool {
-        no <= self.upto || self.beyond.contains(&no)
+    fn contains(&self, no: u64) -> bool {
+        no <= self.contiguous_through || self.out_of_order.contains(&no)
     }
 
-    fn hold(&mut self, now: Duration, entry: &Entry) -> bool {
-        if entry.left == 0 {
+    fn store(&mut self, now: Duration, entry: &Entry) -> bool {
+        if entry.time_to_live_ms == 0 {
             return false;
         }
-        let until = now + Duration::from_millis(entry.left.into());
-        let held = Held {
-            until,
+        let until = now + Duration::from_millis(entry.time_to_live_ms.into());
+        let held = StoredEntry {
+            expires_at: until,
             kind: entry.kind,
             body: entry.body.clone(),
         };
-        if self.live.insert(entry.no, held).is_some() {
+        if self.entries.insert(entry.sequence, held).is_some() {
             return false;
         }
-        self.ends.insert((until, entry.no));
-        self.keep_most(MOST_ENTRIES);
+        self.expiries.insert((until, entry.sequence));
+        self.evict_beyond(MAX_LOG_ENTRIES);
         true
     }
 
     /// Gives up the oldest beyond so many.
-    pub fn keep_most(&mut self, most: usize) {
-        while self.live.len() > most {
-            let Some((no, held)) = self.live.pop_first() else {
+    pub fn evict_beyond(&mut self, most: usize) {
+        while self.entries.len() > most {
+            let Some((no, held)) = self.entries.pop_first() else {
                 return;
             };
-            self.ends.remove(&(held.until, no));
-            self.given_up += 1;
+            self.expiries.remove(&(held.expires_at, no));
+            self.evicted += 1;
         }
     }
 
-    fn close_up(&mut self) {
-        while self.beyond.first().is_some_and(|no| *no <= self.upto + 1) {
-            self.upto = self.upto.max(self.beyond.pop_first().unwrap_or_default());
+    fn advance_contiguous(&mut self) {
+        while self
+            .out_of_order
+            .first()
+            .is_some_and(|no| *no <= self.contiguous_through + 1)
+        {
+            self.contiguous_through = self
+                .contiguous_through
+                .max(self.out_of_order.pop_first().unwrap_or_default());
         }
     }
 
     /// Gives up what is over.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         while let Some((until, no)) = self
-            .ends
+            .expiries
             .first()
             .copied()
             .filter(|(until, _)| *until <= now)
         {
-            self.ends.remove(&(until, no));
-            self.live.remove(&no);
+            self.expiries.remove(&(until, no));
+            self.entries.remove(&no);
         }
     }
 
     pub fn get(&self, now: Duration, no: u64) -> Option<Entry> {
-        let held = self.live.get(&no)?;
+        let held = self.entries.get(&no)?;
         // Never longer than it was: what is left is rounded down.
-        let left = held.until.checked_sub(now)?.as_millis() as u32;
+        let left = held.expires_at.checked_sub(now)?.as_millis() as u32;
         Some(Entry {
-            no,
-            left,
+            sequence: no,
+            time_to_live_ms: left,
             kind: held.kind,
             body: held.body.clone(),
         })
     }
 
     /// Living entries from one on, of so many bytes together, at least one if there is one.
-    pub fn some_from(&self, now: Duration, from: u64, bytes: usize) -> Vec<Entry> {
+    pub fn entries_from(&self, now: Duration, from: u64, bytes: usize) -> Vec<Entry> {
         let (mut some, mut size) = (Vec::new(), 0);
-        for no in self.live.range(from..).map(|(no, _)| *no) {
+        for no in self.entries.range(from..).map(|(no, _)| *no) {
             let Some(entry) = self.get(now, no) else {
                 continue;
             };
-            size += entry.size();
+            size += entry.max_encoded_bytes();
             if size > bytes && !some.is_empty() {
                 break;
             }
@@ -163,11 +170,11 @@
     }
 
     /// Whether an entry lives behind one and up to another.
-    pub fn goes_on_after(&self, no: u64, upto: u64) -> bool {
-        no < upto && self.live.range(no + 1..=upto).next().is_some()
+    pub fn has_entry_between(&self, no: u64, upto: u64) -> bool {
+        no < upto && self.entries.range(no + 1..=upto).next().is_some()
     }
 
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = Entry> + '_ {
-        self.live.keys().filter_map(move |no| self.get(now, *no))
+    pub fn iter(&self, now: Duration) -> impl Iterator<Item = Entry> + '_ {
+        self.entries.keys().filter_map(move |no| self.get(now, *no))
     }
 }
--- a/crates/replication/src/spread.rs
+++ b/crates/replication/src/spread.rs
@@ -7,104 +7,110 @@
 //! have not caught up themselves, as where all start at once, there is nobody to wait for. Those
 //! that come back all at once so ask many, each of whom gives no more than its own bound.
 
-use crate::logs::{Log, MOST_OF_ALL};
-use crate::words::{Entry, Fact, Origin, Packet, Row, Say, MOST_LIFE, MOST_PACKET, MOST_ROWS};
+use crate::logs::{Log, MAX_TOTAL_ENTRIES};
+use crate::words::{
+    Entry, LogPosition, Message, Origin, Packet, Record, MAX_PACKET_BYTES, MAX_POSITIONS,
+    MAX_TIME_TO_LIVE,
+};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 /// Logs that are known, at most: beyond, empty ones go first.
-pub(crate) const MOST_LOGS: usize = 2048;
+pub(crate) const MAX_LOGS: usize = 2048;
 /// A log with nothing in it any more is known for so long after: whatever copy is still on its way is told by it.
-const KNOWN_FOR: Duration = Duration::from_secs(120);
+const EMPTY_LOG_RETENTION: Duration = Duration::from_secs(120);
 /// New entries that wait to be told, at most: beyond, they come by the comparison.
-const MOST_FRESH: usize = 4096;
-const MOST_OUT: usize = 512;
+const MAX_GOSSIP_QUEUE: usize = 4096;
+const MAX_OUTBOX: usize = 512;
 /// Bytes of entries in one packet.
-const BATCH: usize = MOST_PACKET - 80;
+const MAX_BATCH_BYTES: usize = MAX_PACKET_BYTES - 80;
 /// Where so many others have not caught up themselves nobody has: drawn by chance, of a fleet of which three in ten stayed, one in
 /// 90,000 rounds would think so wrongly.
-const NOBODY_KNOWS: usize = 32;
+const COLD_START_QUORUM: usize = 32;
 /// Packets of entries for one answer to a comparison.
-const PACKETS_AN_ANSWER: usize = 4;
+const MAX_PACKETS_PER_REPLY: usize = 4;
 
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub me: Origin,
+pub struct ReplicaConfig {
+    pub origin: Origin,
     /// New entries are told so often, and logs compared four times as seldom.
-    pub beat: Duration,
+    pub gossip_interval: Duration,
     /// To so many others.
-    pub fan: usize,
-    pub bytes_per_s: u32,
+    pub gossip_fanout: usize,
+    pub bytes_per_second: u32,
     pub seed: u64,
 }
 
 /// A round of comparisons, some logs after the other.
 #[derive(Clone, Debug, Default)]
-struct Round {
+struct SyncRound {
     /// Compared up to here; none: at the beginning.
-    upto: Option<Origin>,
+    compared_through: Option<Origin>,
     /// The comparison that is not answered yet, where it ends, and until when it is waited for.
-    asked: Option<(u32, Option<Origin>, Duration)>,
+    pending: Option<(u32, Option<Origin>, Duration)>,
     /// Of one that has not caught up: what those that know had when they were first asked for these logs, and of which it came.
-    wanted: BTreeMap<Origin, u64>,
-    came: BTreeSet<Origin>,
+    required: BTreeMap<Origin, u64>,
+    satisfied: BTreeSet<Origin>,
     /// Others that said that they have not caught up, since one last said that it has.
-    unknowing: BTreeSet<String>,
+    peers_not_caught_up: BTreeSet<String>,
 }
 
 #[derive(Clone)]
 pub struct Replica {
-    terms: Terms,
+    config: ReplicaConfig,
     logs: BTreeMap<Origin, Log>,
     /// Since when a log has had nothing in it.
-    empty: BTreeMap<Origin, Duration>,
-    others: Vec<String>,
-    fresh: VecDeque<(Origin, u64)>,
-    learned: VecDeque<(Origin, Entry)>,
+    empty_since: BTreeMap<Origin, Duration>,
+    peers: Vec<String>,
+    gossip_queue: VecDeque<(Origin, u64)>,
+    applied: VecDeque<(Origin, Entry)>,
     /// Up to where others have this one's own log, as far as they said.
-    kept: BTreeMap<String, u64>,
-    round: Round,
+    acknowledged: BTreeMap<String, u64>,
+    round: SyncRound,
     caught_up: bool,
-    next_no: u32,
-    next_beat: Duration,
-    next_round: Duration,
+    last_request: u32,
+    next_gossip: Duration,
+    next_sync: Duration,
     budget: (f64, Duration),
-    out: VecDeque<(String, Packet)>,
-    chance: WyRand,
-    sent: u64,
+    outbox: VecDeque<(String, Packet)>,
+    rng: WyRand,
+    bytes_sent: u64,
 }
 
 impl Replica {
-    pub fn new(now: Duration, terms: Terms) -> Self {
+    pub fn new(now: Duration, config: ReplicaConfig) -> Self {
         Self {
-            logs: BTreeMap::from([(terms.me.clone(), Log::default())]),
-            empty: BTreeMap::new(),
-            others: Vec::new(),
-            fresh: VecDeque::new(),
-            learned: VecDeque::new(),
-            kept: BTreeMap::new(),
-            round: Round::default(),
+            logs: BTreeMap::from([(config.origin.clone(), Log::default())]),
+            empty_since: BTreeMap::new(),
+            peers: Vec::new(),
+            gossip_queue: VecDeque::new(),
+            applied: VecDeque::new(),
+            acknowledged: BTreeMap::new(),
+            round: SyncRound::default(),
             caught_up: false,
-            next_no: 0,
-            next_beat: now,
-            next_round: now,
-            budget: (f64::from(terms.bytes_per_s), now),
-            out: VecDeque::new(),
-            chance: WyRand::new_seed(terms.seed),
-            sent: 0,
-            terms,
+            last_request: 0,
+            next_gossip: now,
+            next_sync: now,
+            budget: (f64::from(config.bytes_per_second), now),
+            outbox: VecDeque::new(),
+            rng: WyRand::new_seed(config.seed),
+            bytes_sent: 0,
+            config,
         }
     }
 
     /// The others that are held to be there, by name, in any order.
-    pub fn others(&mut self, names: impl Iterator<Item = String>) {
-        self.others = names.filter(|name| *name != self.terms.me.name).collect();
-        self.kept.retain(|name, _| self.others.contains(name));
+    pub fn set_peers(&mut self, names: impl Iterator<Item = String>) {
+        self.peers = names
+            .filter(|name| *name != self.config.origin.name)
+            .collect();
+        self.acknowledged
+            .retain(|name, _| self.peers.contains(name));
     }
 
-    pub fn me(&self) -> &Origin {
-        &self.terms.me
+    pub fn origin(&self) -> &Origin {
+        &self.config.origin
     }
 
     /// All that others had when it started it has too, or none of them knows more.
@@ -117,176 +123,179 @@
     }
 
     pub fn bytes_sent(&self) -> u64 {
-        self.sent
+        self.bytes_sent
     }
 
     /// How many others have this own entry, as far as they said.
-    pub fn kept_by(&self, no: u64) -> usize {
-        self.kept.values().filter(|upto| **upto >= no).count()
+    pub fn acknowledgement_count(&self, no: u64) -> usize {
+        self.acknowledged
+            .values()
+            .filter(|upto| **upto >= no)
+            .count()
     }
 
     /// Puts up a fact that lives for so long; its number.
-    pub fn put(&mut self, now: Duration, fact: &Fact, life: Duration) -> u64 {
-        let me = self.terms.me.clone();
+    pub fn publish(&mut self, now: Duration, fact: &Record, life: Duration) -> u64 {
+        let me = self.config.origin.clone();
         let log = self.logs.entry(me.clone()).or_default();
-        let no = log.upto() + 1;
-        let left = life.min(MOST_LIFE).as_millis() as u32;
-        log.take(
+        let no = log.contiguous_through() + 1;
+        let left = life.min(MAX_TIME_TO_LIVE).as_millis() as u32;
+        log.insert(
             now,
             &Entry {
-                no,
-                left,
+                sequence: no,
+                time_to_live_ms: left,
                 kind: fact.kind(),
-                body: fact.write(),
+                body: fact.encode(),
             },
         );
-        self.tell(me, no);
+        self.enqueue_gossip(me, no);
         // A hit's mark is told with the next packet: it may be all that is left of this process.
-        if matches!(fact, Fact::Hit { .. }) {
-            self.next_beat = self.next_beat.min(now);
+        if matches!(fact, Record::Execution { .. }) {
+            self.next_gossip = self.next_gossip.min(now);
         }
         no
     }
 
-    fn tell(&mut self, origin: Origin, no: u64) {
-        if self.fresh.len() >= MOST_FRESH {
-            self.fresh.pop_front();
+    fn enqueue_gossip(&mut self, origin: Origin, no: u64) {
+        if self.gossip_queue.len() >= MAX_GOSSIP_QUEUE {
+            self.gossip_queue.pop_front();
         }
-        self.fresh.push_back((origin, no));
+        self.gossip_queue.push_back((origin, no));
     }
 
     /// What is new to this one, each entry once.
-    pub fn learned(&mut self) -> Option<(Origin, Entry)> {
-        self.learned.pop_front()
+    pub fn take_applied(&mut self) -> Option<(Origin, Entry)> {
+        self.applied.pop_front()
     }
 
     /// The next packet to send, and to whom by name.
-    pub fn take(&mut self) -> Option<(String, Packet)> {
-        self.out.pop_front()
+    pub fn take_packet(&mut self) -> Option<(String, Packet)> {
+        self.outbox.pop_front()
     }
 
     /// When `tick` is to be called at the latest.
-    pub fn next(&self) -> Duration {
-        let answer = self.round.asked.as_ref().map(|(.., until)| *until);
-        let round = answer.map_or(self.next_round, |until| until.max(self.next_round));
-        self.next_beat.min(round)
+    pub fn next_tick(&self) -> Duration {
+        let answer = self.round.pending.as_ref().map(|(.., until)| *until);
+        let round = answer.map_or(self.next_sync, |until| until.max(self.next_sync));
+        self.next_gossip.min(round)
     }
 
-    fn say(&mut self, to: &str, say: Say) {
-        if self.out.len() < MOST_OUT {
-            let packet = Packet { say };
-            let size = packet.write().len();
-            self.sent += size as u64;
+    fn send(&mut self, to: &str, say: Message) {
+        if self.outbox.len() < MAX_OUTBOX {
+            let packet = Packet { message: say };
+            let size = packet.encode().len();
+            self.bytes_sent += size as u64;
             self.budget.0 -= size as f64;
-            self.out.push_back((to.to_owned(), packet));
+            self.outbox.push_back((to.to_owned(), packet));
         }
     }
 
-    fn earn(&mut self, now: Duration) {
-        let most = f64::from(self.terms.bytes_per_s);
+    fn refill_budget(&mut self, now: Duration) {
+        let most = f64::from(self.config.bytes_per_second);
         let earned = most * now.saturating_sub(self.budget.1).as_secs_f64();
         self.budget = ((self.budget.0 + earned).min(most), now);
     }
 
-    fn some_others(&mut self, many: usize, but: &str) -> Vec<String> {
+    fn draw_peers(&mut self, many: usize, but: &str) -> Vec<String> {
         let mut drawn = Vec::new();
-        let mut left: Vec<usize> = (0..self.others.len())
-            .filter(|n| self.others[*n] != but)
+        let mut left: Vec<usize> = (0..self.peers.len())
+            .filter(|n| self.peers[*n] != but)
             .collect();
         while drawn.len() < many && !left.is_empty() {
-            let at = self.chance.generate_range(0..left.len());
-            drawn.push(self.others[left.swap_remove(at)].clone());
+            let at = self.rng.generate_range(0..left.len());
+            drawn.push(self.peers[left.swap_remove(at)].clone());
         }
         drawn
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Duration) {
-        self.earn(now);
-        if now >= self.next_beat {
-            self.next_beat = now + self.terms.beat;
-            self.forget(now);
-            self.tell_fresh(now);
+        self.refill_budget(now);
+        if now >= self.next_gossip {
+            self.next_gossip = now + self.config.gossip_interval;
+            self.expire(now);
+            self.gossip(now);
         }
-        self.go_round(now);
+        self.start_sync(now);
     }
 
-    fn forget(&mut self, now: Duration) {
-        let most = MOST_OF_ALL / self.logs.len().max(1);
+    fn expire(&mut self, now: Duration) {
+        let most = MAX_TOTAL_ENTRIES / self.logs.len().max(1);
         for (origin, log) in &mut self.logs {
-            log.forget(now);
-            log.keep_most(most);
-            if log.live() > 0 || *origin == self.terms.me {
-                self.empty.remove(origin);
+            log.expire(now);
+            log.evict_beyond(most);
+            if log.live_entries() > 0 || *origin == self.config.origin {
+                self.empty_since.remove(origin);
             } else {
-                self.empty.entry(origin.clone()).or_insert(now);
+                self.empty_since.entry(origin.clone()).or_insert(now);
             }
         }
-        let over = self.logs.len() > MOST_LOGS;
+        let over = self.logs.len() > MAX_LOGS;
         let gone: Vec<Origin> = self
-            .empty
+            .empty_since
             .iter()
-            .filter(|(_, since)| over || now >= **since + KNOWN_FOR)
+            .filter(|(_, since)| over || now >= **since + EMPTY_LOG_RETENTION)
             .map(|(origin, _)| origin.clone())
             .collect();
         for origin in gone {
-            self.empty.remove(&origin);
+            self.empty_since.remove(&origin);
             self.logs.remove(&origin);
         }
     }
 
     /// New entries, those of one origin together, to a few others.
-    fn tell_fresh(&mut self, now: Duration) {
-        if self.others.is_empty() {
+    fn gossip(&mut self, now: Duration) {
+        if self.peers.is_empty() {
             return;
         }
         let mut by_origin: BTreeMap<Origin, VecDeque<u64>> = BTreeMap::new();
-        for (origin, no) in self.fresh.drain(..) {
+        for (origin, no) in self.gossip_queue.drain(..) {
             by_origin.entry(origin).or_default().push_back(no);
         }
         for (origin, mut nos) in by_origin {
             while self.budget.0 > 0.0 && !nos.is_empty() {
-                self.tell_some(now, &origin, &mut nos);
+                self.gossip_batch(now, &origin, &mut nos);
             }
             // What may not be sent now waits.
-            self.fresh
+            self.gossip_queue
                 .extend(nos.into_iter().map(|no| (origin.clone(), no)));
         }
     }
 
     /// One packet of them.
-    fn tell_some(&mut self, now: Duration, origin: &Origin, nos: &mut VecDeque<u64>) {
+    fn gossip_batch(&mut self, now: Duration, origin: &Origin, nos: &mut VecDeque<u64>) {
         let (mut entries, mut size) = (Vec::new(), 0);
         while let Some(no) = nos.pop_front() {
             // What is over is not told any more.
             let Some(entry) = self.logs.get(origin).and_then(|log| log.get(now, no)) else {
                 continue;
             };
-            if size + entry.size() > BATCH {
+            if size + entry.max_encoded_bytes() > MAX_BATCH_BYTES {
                 nos.push_front(no);
                 break;
             }
-            size += entry.size();
+            size += entry.max_encoded_bytes();
             entries.push(entry);
         }
         if !entries.is_empty() {
             // Where there are few an origin tells all itself, and one more each is enough for what is lost.
             let (few, own) = (
-                self.others.len() <= self.terms.fan * 2,
-                *origin == self.terms.me,
+                self.peers.len() <= self.config.gossip_fanout * 2,
+                *origin == self.config.origin,
             );
             let fan = match (few, own) {
-                (true, true) => self.others.len(),
+                (true, true) => self.peers.len(),
                 (true, false) => 1,
-                (false, _) => self.terms.fan,
+                (false, _) => self.config.gossip_fanout,
             };
-            for to in self.some_others(fan, &origin.name) {
+            for to in self.draw_peers(fan, &origin.name) {
                 let (origin, entries) = (origin.clone(), entries.clone());
-                self.say(
+                self.send(
                     &to,
-                    Say::Entries {
+                    Message::Entries {
                         origin,
-                        all: None,
+                        range: None,
                         entries,
                     },
                 );
@@ -295,87 +304,87 @@
     }
 
     /// Compares the next few logs with another.
-    fn go_round(&mut self, now: Duration) {
+    fn start_sync(&mut self, now: Duration) {
         if self
             .round
-            .asked
+            .pending
             .as_ref()
             .is_some_and(|(.., until)| now >= *until)
         {
             // Not answered: the same again, of another.
-            self.round.asked = None;
+            self.round.pending = None;
         }
-        if now < self.next_round || self.round.asked.is_some() {
+        if now < self.next_sync || self.round.pending.is_some() {
             return;
         }
-        self.next_round = now + self.terms.beat * 4;
-        let Some(to) = self.some_others(1, "").pop() else {
+        self.next_sync = now + self.config.gossip_interval * 4;
+        let Some(to) = self.draw_peers(1, "").pop() else {
             // Nobody is there to ask.
             return;
         };
-        let from = self.round.upto.clone();
+        let from = self.round.compared_through.clone();
         let beyond = |origin: &Origin| from.as_ref().is_none_or(|from| origin > from);
-        let rows: Vec<Row> = self
+        let rows: Vec<LogPosition> = self
             .logs
             .iter()
             .filter(|(origin, _)| beyond(origin))
-            .take(MOST_ROWS)
-            .map(|(origin, log)| Row {
+            .take(MAX_POSITIONS)
+            .map(|(origin, log)| LogPosition {
                 origin: origin.clone(),
-                upto: log.upto(),
+                contiguous_through: log.contiguous_through(),
             })
             .collect();
-        let last = rows.len() < MOST_ROWS;
+        let last = rows.len() < MAX_POSITIONS;
         let end = rows.last().map(|row| row.origin.clone()).filter(|_| !last);
-        self.next_no = self.next_no.wrapping_add(1);
-        let no = self.next_no;
-        self.round.asked = Some((no, end.clone(), now + self.terms.beat * 8));
-        self.say(
+        self.last_request = self.last_request.wrapping_add(1);
+        let no = self.last_request;
+        self.round.pending = Some((no, end.clone(), now + self.config.gossip_interval * 8));
+        self.send(
             &to,
-            Say::Have {
-                no,
-                from,
-                to: end,
-                rows,
+            Message::Digest {
+                request: no,
+                after: from,
+                through: end,
+                positions: rows,
             },
         );
     }
 
     /// Takes a packet in, from the other of this name.
-    pub fn hear(&mut self, now: Duration, from: &str, packet: Packet) {
-        self.earn(now);
-        match packet.say {
-            Say::Entries {
+    pub fn receive(&mut self, now: Duration, from: &str, packet: Packet) {
+        self.refill_budget(now);
+        match packet.message {
+            Message::Entries {
                 origin,
-                all,
+                range: all,
                 entries,
-            } => self.take_in(now, &origin, all, &entries),
-            Say::Have {
-                no,
-                from: first,
-                to,
-                rows,
-            } => self.compare(now, from, no, (first, to), &rows),
-            Say::Lack {
-                no,
-                to,
-                rows,
+            } => self.apply_entries(now, &origin, all, &entries),
+            Message::Digest {
+                request: no,
+                after: first,
+                through: to,
+                positions: rows,
+            } => self.reply_to_digest(now, from, no, (first, to), &rows),
+            Message::DigestReply {
+                request: no,
+                through: to,
+                behind: rows,
                 ahead,
-                knows,
+                caught_up: knows,
             } => {
                 for row in &rows {
-                    self.said(from, row);
-                    self.give(now, from, row, PACKETS_AN_ANSWER);
+                    self.record_acknowledgement(from, row);
+                    self.send_missing(now, from, row, MAX_PACKETS_PER_REPLY);
                 }
-                if let Some((_, end, _)) = self.round.asked.take_if(|(asked, ..)| *asked == no) {
+                if let Some((_, end, _)) = self.round.pending.take_if(|(asked, ..)| *asked == no) {
                     let end = to.or(end);
                     if self.caught_up {
-                        self.round.upto = end;
+                        self.round.compared_through = end;
                         if !ahead.is_empty() {
-                            self.next_round = now + self.terms.beat;
+                            self.next_sync = now + self.config.gossip_interval;
                         }
                     } else {
-                        self.catch_up(now, from, end, ahead, knows);
+                        self.track_catch_up(now, from, end, ahead, knows);
                     }
                 }
             }
@@ -383,57 +392,65 @@
     }
 
     /// These logs are done with once one that knows is not ahead any more in what such a one had first.
-    fn catch_up(
+    fn track_catch_up(
         &mut self,
         now: Duration,
         from: &str,
         end: Option<Origin>,
-        ahead: Vec<Row>,
+        ahead: Vec<LogPosition>,
         knows: bool,
     ) {
         let round = &mut self.round;
         if knows {
-            round.unknowing.clear();
+            round.peers_not_caught_up.clear();
         } else {
-            round.unknowing.insert(from.to_owned());
+            round.peers_not_caught_up.insert(from.to_owned());
         }
-        self.next_round = now;
-        if !knows && round.unknowing.len() < self.others.len().min(NOBODY_KNOWS) {
+        self.next_sync = now;
+        if !knows && round.peers_not_caught_up.len() < self.peers.len().min(COLD_START_QUORUM) {
             return;
         }
-        for row in ahead.iter().filter(|row| !round.came.contains(&row.origin)) {
-            round.wanted.entry(row.origin.clone()).or_insert(row.upto);
+        for row in ahead
+            .iter()
+            .filter(|row| !round.satisfied.contains(&row.origin))
+        {
+            round
+                .required
+                .entry(row.origin.clone())
+                .or_insert(row.contiguous_through);
         }
         let covers = |origin: &Origin| end.as_ref().is_none_or(|end| origin <= end);
         let logs = &self.logs;
         let has = |origin: &Origin, upto: u64| {
-            let known = logs.get(origin).is_some_and(|log| log.upto() >= upto);
+            let known = logs
+                .get(origin)
+                .is_some_and(|log| log.contiguous_through() >= upto);
             known || (covers(origin) && ahead.iter().all(|row| row.origin != *origin))
         };
-        let (came, wanted): (BTreeMap<_, _>, _) = std::mem::take(&mut round.wanted)
+        let (came, wanted): (BTreeMap<_, _>, _) = std::mem::take(&mut round.required)
             .into_iter()
             .partition(|(origin, upto)| has(origin, *upto));
-        round.came.extend(came.into_keys());
-        round.wanted = wanted;
-        if round.wanted.keys().any(covers) {
+        round.satisfied.extend(came.into_keys());
+        round.required = wanted;
+        if round.required.keys().any(covers) {
             // It is on its way.
-            self.next_round = now + self.terms.beat;
+            self.next_sync = now + self.config.gossip_interval;
             return;
         }
         self.caught_up = end.is_none();
-        round.upto = end;
-        round.came.clear();
+        round.compared_through = end;
+        round.satisfied.clear();
     }
 
     /// What another said about how far it is.
-    fn said(&mut self, from: &str, row: &Row) {
-        if row.origin == self.terms.me && self.others.iter().any(|name| name == from) {
-            let upto = self.kept.entry(from.to_owned()).or_default();
-            *upto = row.upto.max(*upto);
+    fn record_acknowledgement(&mut self, from: &str, row: &LogPosition) {
+        if row.origin == self.config.origin && self.peers.iter().any(|name| name == from) {
+            let upto = self.acknowledged.entry(from.to_owned()).or_default();
+            *upto = row.contiguous_through.max(*upto);
         }
     }
 
-    fn take_in(
+    fn apply_entries(
         &mut self,
         now: Duration,
         origin: &Origin,
@@ -441,40 +458,40 @@
         entries: &[Entry],
     ) {
         // Nobody tells this one what it said itself in this life.
-        if *origin == self.terms.me
-            || (self.logs.len() >= MOST_LOGS && !self.logs.contains_key(origin))
+        if *origin == self.config.origin
+            || (self.logs.len() >= MAX_LOGS && !self.logs.contains_key(origin))
         {
             return;
         }
-        let most = (MOST_OF_ALL / (self.logs.len() + 1)).max(1);
+        let most = (MAX_TOTAL_ENTRIES / (self.logs.len() + 1)).max(1);
         let log = self.logs.entry(origin.clone()).or_default();
         let fresh = match all {
-            Some(range) => log.take_all(now, range, entries),
+            Some(range) => log.insert_range(now, range, entries),
             None => entries
                 .iter()
-                .filter(|entry| log.take(now, entry))
+                .filter(|entry| log.insert(now, entry))
                 .cloned()
                 .collect(),
         };
-        log.keep_most(most);
+        log.evict_beyond(most);
         for entry in fresh {
-            self.tell(origin.clone(), entry.no);
-            self.learned.push_back((origin.clone(), entry));
+            self.enqueue_gossip(origin.clone(), entry.sequence);
+            self.applied.push_back((origin.clone(), entry));
         }
     }
 
-    fn compare(
+    fn reply_to_digest(
         &mut self,
         now: Duration,
         from: &str,
         no: u32,
         (first, last): (Option<Origin>, Option<Origin>),
-        rows: &[Row],
+        rows: &[LogPosition],
     ) {
         let mut theirs: BTreeMap<&Origin, u64> = BTreeMap::new();
         for row in rows {
-            self.said(from, row);
-            theirs.insert(&row.origin, row.upto);
+            self.record_acknowledgement(from, row);
+            theirs.insert(&row.origin, row.contiguous_through);
         }
         let within = |origin: &Origin| {
             first.as_ref().is_none_or(|first| origin > first)
@@ -484,85 +501,89 @@
             .logs
             .iter()
             .filter(|(origin, _)| within(origin))
-            .map(|(origin, log)| (origin.clone(), log.upto()))
+            .map(|(origin, log)| (origin.clone(), log.contiguous_through()))
             .collect();
         let behind = |(origin, upto): (&Origin, &u64)| {
             let mine = mine.get(origin).copied().unwrap_or(0);
-            (mine < *upto).then(|| Row {
+            (mine < *upto).then(|| LogPosition {
                 origin: (*origin).clone(),
-                upto: mine,
+                contiguous_through: mine,
             })
         };
-        let lacks: Vec<Row> = theirs
+        let lacks: Vec<LogPosition> = theirs
             .iter()
             .map(|(origin, upto)| (*origin, upto))
             .filter_map(behind)
             .collect();
-        let mut ahead: Vec<Row> = Vec::new();
+        let mut ahead: Vec<LogPosition> = Vec::new();
         let mut to = None;
         for (origin, upto) in &mine {
             if theirs.get(origin).copied().unwrap_or(0) < *upto {
-                ahead.push(Row {
+                ahead.push(LogPosition {
                     origin: origin.clone(),
-                    upto: *upto,
+                    contiguous_through: *upto,
                 });
             }
-            if ahead.len() == MOST_ROWS {
+            if ahead.len() == MAX_POSITIONS {
                 to = Some(origin.clone());
                 break;
             }
         }
         // The answer first: entries beside it may use up what may be sent.
-        let behind_in: Vec<Row> = ahead
+        let behind_in: Vec<LogPosition> = ahead
             .iter()
-            .map(|row| Row {
-                upto: theirs.get(&row.origin).copied().unwrap_or(0),
+            .map(|row| LogPosition {
+                contiguous_through: theirs.get(&row.origin).copied().unwrap_or(0),
                 ..row.clone()
             })
             .collect();
-        self.say(
+        self.send(
             from,
-            Say::Lack {
-                no,
-                to,
-                rows: lacks,
+            Message::DigestReply {
+                request: no,
+                through: to,
+                behind: lacks,
                 ahead,
-                knows: self.caught_up,
+                caught_up: self.caught_up,
             },
         );
-        let mut room = PACKETS_AN_ANSWER;
+        let mut room = MAX_PACKETS_PER_REPLY;
         for row in &behind_in {
             if room == 0 {
                 break;
             }
-            room -= self.give(now, from, row, room);
+            room -= self.send_missing(now, from, row, room);
         }
     }
 
     /// What one lacks of a log, from where its copy is whole; how many packets that took.
-    fn give(&mut self, now: Duration, to: &str, row: &Row, room: usize) -> usize {
-        let (mut after, mut packets) = (row.upto, 0);
+    fn send_missing(&mut self, now: Duration, to: &str, row: &LogPosition, room: usize) -> usize {
+        let (mut after, mut packets) = (row.contiguous_through, 0);
         // Half of what may be sent is left for new entries, whoever comes back.
-        while packets < room && self.budget.0 > f64::from(self.terms.bytes_per_s) / 2.0 {
+        while packets < room && self.budget.0 > f64::from(self.config.bytes_per_second) / 2.0 {
             // Only as far as this copy is whole itself.
-            let Some(log) = self.logs.get(&row.origin).filter(|log| log.upto() > after) else {
+            let Some(log) = self
+                .logs
+                .get(&row.origin)
+                .filter(|log| log.contiguous_through() > after)
+            else {
                 break;
             };
-            let whole = log.upto();
-            let mut entries = log.some_from(now, after + 1, BATCH);
+            let whole = log.contiguous_through();
+            let mut entries = log.entries_from(now, after + 1, MAX_BATCH_BYTES);
             let more = entries
                 .last()
-                .is_some_and(|last| log.goes_on_after(last.no, whole));
-            entries.retain(|entry| entry.no <= whole);
+                .is_some_and(|last| log.has_entry_between(last.sequence, whole));
+            entries.retain(|entry| entry.sequence <= whole);
             let upto = entries
                 .last()
                 .filter(|_| more)
-                .map_or(whole, |last| last.no);
-            self.say(
+                .map_or(whole, |last| last.sequence);
+            self.send(
                 to,
-                Say::Entries {
+                Message::Entries {
                     origin: row.origin.clone(),
-                    all: Some((after, upto)),
+                    range: Some((after, upto)),
                     entries,
                 },
             );
--- a/crates/replication/tests/digest.rs
+++ b/crates/replication/tests/digest.rs
@@ -7,7 +7,8 @@
 use helpers::{drawn, s, terms, LIFE};
 use limewing_fault_injection::{Core, World};
 use limewing_replication::{
-    Fact, Facts, Mark, Origin, Own, Packet, Phase, Refuses, Replica, Stage, Unreadable,
+    ExecutionMark, LocalState, MergedState, Origin, Packet, PacketError, Phase, Record, Refusal,
+    Replica, Stage,
 };
 use nanorand::{Rng, WyRand};
 use std::cell::RefCell;
@@ -64,8 +65,8 @@
     match phase {
         Phase::OnTrial => 1,
         Phase::Released => 2,
-        Phase::GoingBack => 3,
-        Phase::Withdrawn => 4,
+        Phase::RollingBack => 3,
+        Phase::RolledBack => 4,
     }
 }
 
@@ -80,45 +81,48 @@
     digest.number(stage.cap.to_bits());
 }
 
-fn observe_fact(digest: &mut Digest, fact: Option<&Fact>) {
+fn observe_fact(digest: &mut Digest, fact: Option<&Record>) {
     match fact {
         None => digest.number(0),
-        Some(Fact::Met { key, build }) => {
+        Some(Record::KeyServed { key, build }) => {
             digest.number(1);
             digest.number(*key);
             digest.number(u64::from(*build));
         }
-        Some(Fact::Hit { tag, mark }) => {
+        Some(Record::Execution {
+            idempotency_key: tag,
+            mark,
+        }) => {
             digest.number(2);
             digest.number(*tag);
-            digest.number(u64::from(*mark == Mark::NeverRan));
+            digest.number(u64::from(*mark == ExecutionMark::NeverRan));
         }
-        Some(Fact::Stage(stage)) => {
+        Some(Record::Stage(stage)) => {
             digest.number(3);
             observe_stage(digest, Some(stage));
         }
     }
 }
 
-fn refuses_code(refuses: Option<Refuses>) -> u64 {
+fn refuses_code(refuses: Option<Refusal>) -> u64 {
     match refuses {
         None => 0,
-        Some(Refuses::NotCaughtUp) => 1,
-        Some(Refuses::MayHaveRun) => 2,
+        Some(Refusal::NotCaughtUp) => 1,
+        Some(Refusal::MayHaveRun) => 2,
     }
 }
 
-fn unreadable_code(unreadable: Unreadable) -> u64 {
+fn unreadable_code(unreadable: PacketError) -> u64 {
     match unreadable {
-        Unreadable::Version => 1,
-        Unreadable::Damaged => 2,
-        Unreadable::Bounds => 3,
+        PacketError::Version => 1,
+        PacketError::Malformed => 2,
+        PacketError::OutOfBounds => 3,
     }
 }
 
 fn observe_origin(digest: &mut Digest, origin: &Origin) {
     digest.bytes(origin.name.as_bytes());
-    digest.number(origin.start);
+    digest.number(origin.incarnation);
 }
 
 /// A request that may not run twice, and how many attempts of it are under way.
@@ -131,8 +135,8 @@
 struct Node {
     number: usize,
     replica: Replica,
-    facts: Facts,
-    own: Own,
+    facts: MergedState,
+    own: LocalState,
     requests: Vec<Request>,
     next_request: u64,
     next_action: Duration,
@@ -144,7 +148,7 @@
         self.rng.generate_range(0..below)
     }
 
-    fn publish(&mut self, now: Duration, fact: Option<Fact>) {
+    fn publish(&mut self, now: Duration, fact: Option<Record>) {
         observe(|digest| observe_fact(digest, fact.as_ref()));
         let Some(fact) = fact else { return };
         // Some expire on their way.
@@ -153,7 +157,7 @@
         } else {
             LIFE
         };
-        let number = self.replica.put(now, &fact, life);
+        let number = self.replica.publish(now, &fact, life);
         observe(|digest| digest.number(number));
     }
 
@@ -164,7 +168,7 @@
             5..=7 => self.end_attempt(now),
             _ => {
                 let (key, build) = (self.draw(KEYS), self.draw(4) as u16);
-                let fact = self.own.met(now, key, build);
+                let fact = self.own.key_served(now, key, build);
                 self.publish(now, fact);
             }
         }
@@ -174,8 +178,8 @@
         let phases = [
             Phase::OnTrial,
             Phase::Released,
-            Phase::GoingBack,
-            Phase::Withdrawn,
+            Phase::RollingBack,
+            Phase::RolledBack,
         ];
         let phase = phases[self.draw(4) as usize];
         // All see about the same rollout, some of them late; some sources don't count.
@@ -190,7 +194,7 @@
             phase,
             cap,
         };
-        let fact = self.own.stage_told(stage);
+        let fact = self.own.stage_announced(stage);
         self.publish(now, fact);
     }
 
@@ -198,7 +202,7 @@
         let tag = self.draw(TAGS);
         let (keyed, tagged) = (self.draw(2) == 0, self.draw(3) > 0);
         let known = (&self.facts, self.replica.caught_up());
-        let refuses = self.own.refuses(now, known, tagged.then_some(tag), keyed);
+        let refuses = self.own.refusal(now, known, tagged.then_some(tag), keyed);
         observe(|digest| digest.number(refuses_code(refuses)));
         if refuses.is_some() || !tagged {
             return;
@@ -209,7 +213,7 @@
             attempts: 1 + self.draw(2) as u32,
         };
         for _ in 0..request.attempts {
-            let fact = self.own.sent(request.number, tag);
+            let fact = self.own.attempt_started(request.number, tag);
             self.publish(now, fact);
         }
         self.requests.push(request);
@@ -222,11 +226,11 @@
         let place = self.draw(self.requests.len() as u64) as usize;
         let (never_ran, over) = (self.draw(3) == 0, self.draw(4) > 0);
         let number = self.requests[place].number;
-        let fact = self.own.ended(number, never_ran, over);
+        let fact = self.own.attempt_ended(number, never_ran, over);
         self.requests[place].attempts -= 1;
         if self.requests[place].attempts == 0 {
             self.requests.remove(place);
-            self.own.over(number);
+            self.own.request_finished(number);
         }
         self.publish(now, fact);
     }
@@ -234,30 +238,32 @@
     /// Takes in what is new and goes by it.
     fn apply(&mut self, now: Duration) {
         let mut news = false;
-        while let Some((origin, entry)) = self.replica.learned() {
+        while let Some((origin, entry)) = self.replica.take_applied() {
             news = true;
-            let fact = Fact::read(entry.kind, &entry.body);
-            let until = now + Duration::from_millis(entry.left.into());
+            let fact = Record::decode(entry.kind, &entry.body);
+            let until = now + Duration::from_millis(entry.time_to_live_ms.into());
             let fresh = fact
                 .as_ref()
-                .is_some_and(|fact| self.facts.take(&origin, entry.no, until, fact));
+                .is_some_and(|fact| self.facts.apply(&origin, entry.sequence, until, fact));
             observe(|digest| {
                 observe_origin(digest, &origin);
-                digest.number(entry.no);
-                digest.number(u64::from(entry.left));
+                digest.number(entry.sequence);
+                digest.number(u64::from(entry.time_to_live_ms));
                 digest.number(u64::from(entry.kind));
                 digest.bytes(&entry.body);
                 digest.number(u64::from(fresh));
             });
         }
         if news {
-            let stage = self.own.go_by(&format!("m{}", self.number), &self.facts);
+            let stage = self
+                .own
+                .merge_stages(&format!("m{}", self.number), &self.facts);
             observe(|digest| observe_stage(digest, stage.as_ref()));
         }
         observe(|digest| {
             digest.number(self.number as u64);
             digest.number(u64::from(self.replica.caught_up()));
-            digest.time(self.replica.next());
+            digest.time(self.replica.next_tick());
         });
     }
 
@@ -265,18 +271,22 @@
         digest.number(self.number as u64);
         for (origin, log) in self.replica.logs() {
             observe_origin(digest, origin);
-            digest.number(log.upto());
-            digest.number(log.live() as u64);
-            digest.number(log.given_up());
-            log.all(now).for_each(|entry| {
-                digest.number(entry.no);
-                digest.number(u64::from(entry.left));
+            digest.number(log.contiguous_through());
+            digest.number(log.live_entries() as u64);
+            digest.number(log.evicted_entries());
+            log.iter(now).for_each(|entry| {
+                digest.number(entry.sequence);
+                digest.number(u64::from(entry.time_to_live_ms));
             });
         }
         digest.number(self.replica.bytes_sent());
-        (1..8).for_each(|number| digest.number(self.replica.kept_by(number) as u64));
+        (1..8).for_each(|number| digest.number(self.replica.acknowledgement_count(number) as u64));
         for key in 0..KEYS {
-            digest.number(self.facts.met(now, key).map_or(u64::MAX, u64::from));
+            digest.number(
+                self.facts
+                    .newest_build_served(now, key)
+                    .map_or(u64::MAX, u64::from),
+            );
         }
         for tag in 0..TAGS {
             digest.number(u64::from(self.facts.may_have_run(now, tag)));
@@ -286,24 +296,24 @@
             observe_stage(digest, Some(stage));
         }
         observe_stage(digest, self.own.stage());
-        let (keys, tags) = self.facts.held();
+        let (keys, tags) = self.facts.key_and_request_counts();
         digest.number(keys as u64);
         digest.number(tags as u64);
-        digest.number(self.facts.left_out());
+        digest.number(self.facts.dropped_records());
     }
 }
 
 impl Core for Node {
     fn start(number: usize, start: u32, now: Duration, _ahead: f64) -> Self {
         let mut replica = Replica::new(now, terms(&format!("m{number}"), u64::from(start) + 1));
-        replica.others((0..MEMBERS).map(|n| format!("m{n}")));
+        replica.set_peers((0..MEMBERS).map(|n| format!("m{n}")));
         let seed = SEED.with(|seed| *seed.borrow());
         let own_seed = seed << 32 | (number as u64) << 16 | u64::from(start);
         Self {
             number,
             replica,
-            facts: Facts::default(),
-            own: Own::new(now, true, FIRST_CAP),
+            facts: MergedState::default(),
+            own: LocalState::new(now, true, FIRST_CAP),
             requests: Vec::new(),
             next_request: 0,
             next_action: now + ACTION_INTERVAL,
@@ -316,8 +326,8 @@
             return;
         };
         let from = u16::from_le_bytes([from[0], from[1]]);
-        match Packet::read(rest) {
-            Ok(packet) => self.replica.hear(now, &format!("m{from}"), packet),
+        match Packet::decode(rest) {
+            Ok(packet) => self.replica.receive(now, &format!("m{from}"), packet),
             Err(error) => observe(|digest| digest.number(unreadable_code(error))),
         }
         self.apply(now);
@@ -328,7 +338,7 @@
             self.next_action += ACTION_INTERVAL;
             self.act(now);
         }
-        self.facts.forget(now);
+        self.facts.expire(now);
         self.replica.tick(now);
         self.apply(now);
     }
@@ -340,12 +350,12 @@
         } else {
             Duration::MAX
         };
-        self.replica.next().min(action)
+        self.replica.next_tick().min(action)
     }
 
     fn take(&mut self) -> Option<(usize, Vec<u8>)> {
-        let (to, packet) = self.replica.take()?;
-        let bytes = packet.write();
+        let (to, packet) = self.replica.take_packet()?;
+        let bytes = packet.encode();
         observe(|digest| {
             digest.number(self.number as u64);
             digest.bytes(to.as_bytes());
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -22,9 +22,9 @@
     let logs = node.replica.logs().map(|(origin, log)| {
         (
             origin.clone(),
-            log.all(now)
-                .filter(|e| e.left > 0)
-                .map(|e| e.no)
+            log.iter(now)
+                .filter(|e| e.time_to_live_ms > 0)
+                .map(|e| e.sequence)
                 .collect::<Vec<_>>(),
         )
     });
@@ -40,7 +40,7 @@
     let all = |node: &Node| -> Vec<(Origin, u64)> {
         node.replica
             .logs()
-            .map(|(origin, log)| (origin.clone(), log.upto()))
+            .map(|(origin, log)| (origin.clone(), log.contiguous_through()))
             .filter(|(_, upto)| *upto > 0)
             .collect()
     };
@@ -126,14 +126,14 @@
             .iter()
             .filter_map(|n| world.core(*n))
             .flat_map(|node| {
-                let me = node.replica.me().clone();
+                let me = node.replica.origin().clone();
                 let upto = node
                     .replica
                     .logs()
                     .find(|(of, _)| **of == me)
-                    .map_or(0, |(_, log)| log.upto());
+                    .map_or(0, |(_, log)| log.contiguous_through());
                 (1..=upto)
-                    .filter(|no| node.replica.kept_by(*no) >= 2)
+                    .filter(|no| node.replica.acknowledgement_count(*no) >= 2)
                     .map(|no| (me.clone(), no))
                     .collect::<Vec<_>>()
             })
@@ -268,7 +268,7 @@
             .had
             .iter()
             .flat_map(|(of, nos)| nos.iter().map(|no| (of.clone(), *no)));
-        let (own, first) = (node.replica.me().clone(), all.is_empty());
+        let (own, first) = (node.replica.origin().clone(), all.is_empty());
         let had: std::collections::BTreeSet<(Origin, u64)> = had.collect();
         all = if first {
             had
@@ -312,7 +312,10 @@
         .map_or(0, |n| n.replica.bytes_sent() - at_8) as f64
         / (world.now() - s(7.9)).as_secs_f64();
     let most_held = world.core(last).map_or(0, |n| {
-        n.replica.logs().map(|(_, log)| log.live()).sum::<usize>()
+        n.replica
+            .logs()
+            .map(|(_, log)| log.live_entries())
+            .sum::<usize>()
     });
     println!("{members} members, a fact each {every} s: {before:.0} bytes/s each before; all caught up {took:?} after the return, {most_held} entries; one that stayed sent {rate:.0} bytes/s");
     assert!(rate <= 66_000.0 && took < s(20.0));
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -4,25 +4,27 @@
 //! each kind with its kind number: what it shows, its bytes. `GOLDEN_WRITE=1` writes the files
 //! anew; that is for new kinds only.
 
-use limewing_replication::{Entry, Fact, Mark, Origin, Packet, Phase, Row, Say, Stage};
+use limewing_replication::{
+    Entry, ExecutionMark, LogPosition, Message, Origin, Packet, Phase, Record, Stage,
+};
 use std::path::Path;
 
 fn origin(name: &str, start: u64) -> Origin {
     Origin {
         name: name.into(),
-        start,
+        incarnation: start,
     }
 }
 
-fn row(name: &str, start: u64, upto: u64) -> Row {
-    Row {
+fn row(name: &str, start: u64, upto: u64) -> LogPosition {
+    LogPosition {
         origin: origin(name, start),
-        upto,
+        contiguous_through: upto,
     }
 }
 
-fn stage(number: u64, phase: Phase, cap: f64) -> Fact {
-    Fact::Stage(Stage {
+fn stage(number: u64, phase: Phase, cap: f64) -> Record {
+    Record::Stage(Stage {
         number,
         build: 517,
         stage: 3,
@@ -31,43 +33,46 @@
     })
 }
 
-fn records() -> Vec<(&'static str, Fact)> {
+fn records() -> Vec<(&'static str, Record)> {
     vec![
         (
             "key-met-build",
-            Fact::Met {
+            Record::KeyServed {
                 key: 0xfedc_ba98_7654_3210,
                 build: 300,
             },
         ),
-        ("key-met-build-small", Fact::Met { key: 1, build: 2 }),
+        (
+            "key-met-build-small",
+            Record::KeyServed { key: 1, build: 2 },
+        ),
         (
             "may-have-run",
-            Fact::Hit {
-                tag: 0x0123_4567_89ab_cdef,
-                mark: Mark::MayHaveRun,
+            Record::Execution {
+                idempotency_key: 0x0123_4567_89ab_cdef,
+                mark: ExecutionMark::MayHaveRun,
             },
         ),
         (
             "never-ran",
-            Fact::Hit {
-                tag: 77,
-                mark: Mark::NeverRan,
+            Record::Execution {
+                idempotency_key: 77,
+                mark: ExecutionMark::NeverRan,
             },
         ),
         ("stage-on-trial", stage(9, Phase::OnTrial, 0.14)),
         ("stage-released", stage(10, Phase::Released, 1.0)),
-        ("stage-rolling-back", stage(0, Phase::GoingBack, 0.0)),
-        ("stage-rolled-back", stage(1 << 40, Phase::Withdrawn, 0.5)),
+        ("stage-rolling-back", stage(0, Phase::RollingBack, 0.0)),
+        ("stage-rolled-back", stage(1 << 40, Phase::RolledBack, 0.5)),
     ]
 }
 
-fn entry(no: u64, left: u32, fact: &Fact) -> Entry {
+fn entry(no: u64, left: u32, fact: &Record) -> Entry {
     Entry {
-        no,
-        left,
+        sequence: no,
+        time_to_live_ms: left,
         kind: fact.kind(),
-        body: fact.write(),
+        body: fact.encode(),
     }
 }
 
@@ -78,8 +83,8 @@
         .collect();
     // Of a kind that this version does not know: passed on as it came.
     let unknown = Entry {
-        no: 2,
-        left: 1,
+        sequence: 2,
+        time_to_live_ms: 1,
         kind: 200,
         body: vec![0, 255, 128],
     };
@@ -91,77 +96,77 @@
     let says = [
         (
             "entries",
-            Say::Entries {
+            Message::Entries {
                 origin: first.clone(),
-                all: None,
+                range: None,
                 entries: entries.clone(),
             },
         ),
         (
             "entries-of-a-range",
-            Say::Entries {
+            Message::Entries {
                 origin: last.clone(),
-                all: Some((99, 812)),
+                range: Some((99, 812)),
                 entries,
             },
         ),
         (
             "entries-of-an-unknown-kind",
-            Say::Entries {
+            Message::Entries {
                 origin: last.clone(),
-                all: None,
+                range: None,
                 entries: vec![unknown],
             },
         ),
         (
             "entries-none",
-            Say::Entries {
+            Message::Entries {
                 origin: last.clone(),
-                all: Some((0, 300)),
+                range: Some((0, 300)),
                 entries: Vec::new(),
             },
         ),
         (
             "digest",
-            Say::Have {
-                no: 1,
-                from: None,
-                to: None,
-                rows: rows.clone(),
+            Message::Digest {
+                request: 1,
+                after: None,
+                through: None,
+                positions: rows.clone(),
             },
         ),
         (
             "digest-of-a-range",
-            Say::Have {
-                no: 70_000,
-                from: Some(first.clone()),
-                to: Some(last.clone()),
-                rows: rows.clone(),
+            Message::Digest {
+                request: 70_000,
+                after: Some(first.clone()),
+                through: Some(last.clone()),
+                positions: rows.clone(),
             },
         ),
         (
             "digest-reply",
-            Say::Lack {
-                no: 1,
-                to: None,
-                rows: rows.clone(),
+            Message::DigestReply {
+                request: 1,
+                through: None,
+                behind: rows.clone(),
                 ahead: Vec::new(),
-                knows: false,
+                caught_up: false,
             },
         ),
         (
             "digest-reply-of-a-range",
-            Say::Lack {
-                no: u32::MAX,
-                to: Some(last),
-                rows: Vec::new(),
+            Message::DigestReply {
+                request: u32::MAX,
+                through: Some(last),
+                behind: Vec::new(),
                 ahead: rows,
-                knows: true,
+                caught_up: true,
             },
         ),
     ];
     says.into_iter()
-        .map(|(name, say)| (name, Packet { say }))
+        .map(|(name, say)| (name, Packet { message: say }))
         .collect()
 }
 
@@ -193,16 +198,16 @@
 fn packets_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = packets()
         .iter()
-        .map(|(name, packet)| format!("{name} {}\n", to_hex(&packet.write())))
+        .map(|(name, packet)| format!("{name} {}\n", to_hex(&packet.encode())))
         .collect();
     let text = read_golden("packets.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
     for (line, (_, built)) in text.lines().zip(packets()) {
         let (name, hex) = line.split_once(' ').unwrap();
         let bytes = from_hex(hex);
-        let packet = Packet::read(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
+        let packet = Packet::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(packet, built, "{name}");
-        assert_eq!(packet.write(), bytes, "{name}");
+        assert_eq!(packet.encode(), bytes, "{name}");
     }
 }
 
@@ -211,7 +216,7 @@
 fn records_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = records()
         .iter()
-        .map(|(name, fact)| format!("{name} {} {}\n", fact.kind(), to_hex(&fact.write())))
+        .map(|(name, fact)| format!("{name} {} {}\n", fact.kind(), to_hex(&fact.encode())))
         .collect();
     let text = read_golden("records.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
@@ -220,8 +225,8 @@
             panic!("{line}")
         };
         let bytes = from_hex(hex);
-        let fact = Fact::read(kind.parse().unwrap(), &bytes);
+        let fact = Record::decode(kind.parse().unwrap(), &bytes);
         assert_eq!(fact, Some(built), "{name}");
-        assert_eq!(fact.unwrap().write(), bytes, "{name}");
+        assert_eq!(fact.unwrap().encode(), bytes, "{name}");
     }
 }
--- a/crates/replication/tests/helpers/mod.rs
+++ b/crates/replication/tests/helpers/mod.rs
@@ -16,16 +16,16 @@
     Duration::from_secs_f64(seconds)
 }
 
-pub fn terms(name: &str, start: u64) -> Terms {
+pub fn terms(name: &str, start: u64) -> ReplicaConfig {
     let me = Origin {
         name: name.into(),
-        start,
+        incarnation: start,
     };
-    Terms {
-        me,
-        beat: BEAT,
-        fan: 4,
-        bytes_per_s: 32_768,
+    ReplicaConfig {
+        origin: me,
+        gossip_interval: BEAT,
+        gossip_fanout: 4,
+        bytes_per_second: 32_768,
         seed: start ^ 77,
     }
 }
@@ -33,7 +33,7 @@
 /// One that puts up a fact now and then, and holds what it learned.
 pub struct Node {
     pub replica: Replica,
-    pub facts: Facts,
+    pub facts: MergedState,
     /// All that it was handed, by origin: each once.
     pub had: BTreeMap<Origin, BTreeSet<u64>>,
     pub twice: bool,
@@ -52,11 +52,15 @@
 
 impl Node {
     fn look(&mut self, now: Duration) {
-        while let Some((origin, entry)) = self.replica.learned() {
-            self.twice |= !self.had.entry(origin.clone()).or_default().insert(entry.no);
-            if let Some(fact) = Fact::read(entry.kind, &entry.body) {
-                let until = now + Duration::from_millis(entry.left.into());
-                self.facts.take(&origin, entry.no, until, &fact);
+        while let Some((origin, entry)) = self.replica.take_applied() {
+            self.twice |= !self
+                .had
+                .entry(origin.clone())
+                .or_default()
+                .insert(entry.sequence);
+            if let Some(fact) = Record::decode(entry.kind, &entry.body) {
+                let until = now + Duration::from_millis(entry.time_to_live_ms.into());
+                self.facts.apply(&origin, entry.sequence, until, &fact);
             }
         }
         if self.replica.caught_up() && self.caught_up.is_none() {
@@ -69,10 +73,10 @@
     fn start(number: usize, start: u32, now: Duration, _ahead: f64) -> Self {
         let (members, _, every) = FLEET.with(|fleet| *fleet.borrow());
         let mut replica = Replica::new(now, terms(&format!("m{number}"), u64::from(start) + 1));
-        replica.others((0..members).map(|n| format!("m{n}")));
+        replica.set_peers((0..members).map(|n| format!("m{n}")));
         let mut chance = WyRand::new_seed(number as u64 * 1009 + u64::from(start));
         let next_put = now + every.mul_f64(chance.generate_range(0..1000u32) as f64 / 1e3);
-        let (facts, had) = (Facts::default(), BTreeMap::new());
+        let (facts, had) = (MergedState::default(), BTreeMap::new());
         Self {
             replica,
             facts,
@@ -91,8 +95,8 @@
             return;
         };
         let from = u16::from_le_bytes([from[0], from[1]]);
-        if let Ok(packet) = Packet::read(rest) {
-            self.replica.hear(now, &format!("m{from}"), packet);
+        if let Ok(packet) = Packet::decode(rest) {
+            self.replica.receive(now, &format!("m{from}"), packet);
         }
         self.look(now);
     }
@@ -101,14 +105,14 @@
         let (_, until, every) = FLEET.with(|fleet| *fleet.borrow());
         while now >= self.next_put && self.next_put < until {
             self.next_put += every;
-            let fact = Fact::Met {
+            let fact = Record::KeyServed {
                 key: self.chance.generate_range(0..5000u64),
                 build: 2,
             };
-            let no = self.replica.put(now, &fact, LIFE);
+            let no = self.replica.publish(now, &fact, LIFE);
             PUT.with(|put| {
                 put.borrow_mut()
-                    .insert((self.replica.me().clone(), no), now)
+                    .insert((self.replica.origin().clone(), no), now)
             });
         }
         self.replica.tick(now);
@@ -122,14 +126,14 @@
         } else {
             Duration::MAX
         };
-        self.replica.next().min(put)
+        self.replica.next_tick().min(put)
     }
 
     fn take(&mut self) -> Option<(usize, Vec<u8>)> {
-        let (to, packet) = self.replica.take()?;
+        let (to, packet) = self.replica.take_packet()?;
         let to = to.strip_prefix('m')?.parse().ok()?;
-        let bytes = packet.write();
-        assert!(bytes.len() <= MOST_PACKET, "{} bytes", bytes.len());
+        let bytes = packet.encode();
+        assert!(bytes.len() <= MAX_PACKET_BYTES, "{} bytes", bytes.len());
         Some((
             to,
             [&(self.number as u16).to_le_bytes()[..], &bytes].concat(),
--- a/crates/replication/tests/rules.rs
+++ b/crates/replication/tests/rules.rs
@@ -14,20 +14,20 @@
 fn origin(n: u64) -> Origin {
     Origin {
         name: format!("o{}", n % 3),
-        start: n / 3,
+        incarnation: n / 3,
     }
 }
 
-fn a_fact() -> impl Strategy<Value = Fact> {
+fn a_fact() -> impl Strategy<Value = Record> {
     let phases = [
         Phase::OnTrial,
         Phase::Released,
-        Phase::GoingBack,
-        Phase::Withdrawn,
+        Phase::RollingBack,
+        Phase::RolledBack,
     ];
     let stage = (0u64..6, 1u16..4, 0u8..3, 0usize..4, 0u8..=10).prop_map(
         move |(number, build, stage, phase, cap)| {
-            Fact::Stage(Stage {
+            Record::Stage(Stage {
                 number,
                 build,
                 stage,
@@ -37,13 +37,13 @@
         },
     );
     prop_oneof![
-        (0u64..4, 1u16..5).prop_map(|(key, build)| Fact::Met { key, build }),
-        (0u64..3, any::<bool>()).prop_map(|(tag, ran)| Fact::Hit {
-            tag,
+        (0u64..4, 1u16..5).prop_map(|(key, build)| Record::KeyServed { key, build }),
+        (0u64..3, any::<bool>()).prop_map(|(idempotency_key, ran)| Record::Execution {
+            idempotency_key,
             mark: if ran {
-                Mark::MayHaveRun
+                ExecutionMark::MayHaveRun
             } else {
-                Mark::NeverRan
+                ExecutionMark::NeverRan
             }
         }),
         stage,
@@ -51,7 +51,7 @@
 }
 
 /// Facts as origins may have put them up: an origin and number say one thing.
-fn some_facts() -> impl Strategy<Value = Vec<(Origin, u64, Duration, Fact)>> {
+fn some_facts() -> impl Strategy<Value = Vec<(Origin, u64, Duration, Record)>> {
     prop::collection::vec((0u64..6, a_fact(), 1u64..50), 0..20).prop_map(|all| {
         let mut next: BTreeMap<u64, u64> = BTreeMap::new();
         let one = |(of, fact, until)| {
@@ -63,18 +63,20 @@
     })
 }
 
-fn taken<'a>(facts: impl IntoIterator<Item = &'a (Origin, u64, Duration, Fact)>) -> Facts {
-    let mut held = Facts::default();
+fn taken<'a>(facts: impl IntoIterator<Item = &'a (Origin, u64, Duration, Record)>) -> MergedState {
+    let mut held = MergedState::default();
     for (origin, no, until, fact) in facts {
-        held.take(origin, *no, *until, fact);
+        held.apply(origin, *no, *until, fact);
     }
     held
 }
 
 /// What a sidecar goes by, of it: keys' builds, hits that may have run.
-fn answers(held: &Facts, now: Duration) -> (Vec<Option<u16>>, Vec<bool>) {
+fn answers(held: &MergedState, now: Duration) -> (Vec<Option<u16>>, Vec<bool>) {
     (
-        (0..4).map(|key| held.met(now, key)).collect(),
+        (0..4)
+            .map(|key| held.newest_build_served(now, key))
+            .collect(),
         (0..3).map(|tag| held.may_have_run(now, tag)).collect(),
     )
 }
@@ -101,8 +103,8 @@
     fn never_less_careful(facts in some_facts(), more in a_fact()) {
         let (mut held, now) = (taken(&facts), s(2.0));
         let before = answers(&held, now);
-        let other = Origin { name: "other".into(), start: 1 };
-        held.take(&other, 1, s(30.0), &more);
+        let other = Origin { name: "other".into(), incarnation: 1 };
+        held.apply(&other, 1, s(30.0), &more);
         let after = answers(&held, now);
         prop_assert!(before.0.iter().zip(&after.0).all(|(before, after)| before <= after));
         prop_assert!(before.1.iter().zip(&after.1).all(|(before, after)| before <= after));
@@ -111,10 +113,10 @@
     /// Whatever others say, what a sidecar goes by never opens more than what it was told.
     #[test]
     fn a_stage_of_others_only_closes(told in a_fact(), facts in prop::collection::vec(a_fact(), 0..12), seed: u64) {
-        let stage = |fact: &Fact| match fact { Fact::Stage(stage) => Some(*stage), _ => None };
+        let stage = |fact: &Record| match fact { Record::Stage(stage) => Some(*stage), _ => None };
         let (told, mut others) = (stage(&told), facts.iter().filter_map(stage).collect::<Vec<_>>());
-        let by = stage_to_go_by(told, others.iter());
-        let back = |s: &Stage| matches!(s.phase, Phase::GoingBack | Phase::Withdrawn);
+        let by = most_restrictive_stage(told, others.iter());
+        let back = |s: &Stage| matches!(s.phase, Phase::RollingBack | Phase::RolledBack);
         match (told, by) {
             (Some(told), Some(by)) => {
                 prop_assert!(by.build == told.build);
@@ -124,29 +126,29 @@
             (_, None) => {}
         }
         // A new life goes by no more than by a build that nobody announced.
-        let again = told.and_then(|told| known_again(told, 0.14));
+        let again = told.and_then(|told| stage_after_restart(told, 0.14));
         prop_assert!(again.is_none_or(|again| back(&again) || (again.stage == 0 && again.cap <= 0.14)));
         let mut shuffled = others.clone();
         WyRand::new_seed(seed).shuffle(&mut shuffled);
-        prop_assert_eq!(by, stage_to_go_by(told, shuffled.iter()), "in another order");
+        prop_assert_eq!(by, most_restrictive_stage(told, shuffled.iter()), "in another order");
         // Said again it changes nothing more.
         if let Some(by) = by {
             WyRand::new_seed(seed).shuffle(&mut others);
-            let again = stage_to_go_by(Some(by), others.iter());
+            let again = most_restrictive_stage(Some(by), others.iter());
             prop_assert!(again.is_none_or(|again| back(&again) || again.cap <= by.cap));
         }
     }
 
     #[test]
     fn noise_is_borne(noise in prop::collection::vec(any::<u8>(), 0..1200), flip in 0usize..1000) {
-        let _ = Packet::read(&noise);
-        let entries = vec![Entry { no: 3, left: 900, kind: 1, body: Fact::Met { key: 9, build: 2 }.write() }];
-        let mut bytes = Packet { say: Say::Entries { origin: origin(4), all: Some((2, 5)), entries } }.write();
+        let _ = Packet::decode(&noise);
+        let entries = vec![Entry { sequence: 3, time_to_live_ms: 900, kind: 1, body: Record::KeyServed { key: 9, build: 2 }.encode() }];
+        let mut bytes = Packet { message: Message::Entries { origin: origin(4), range: Some((2, 5)), entries } }.encode();
         let at = flip % bytes.len();
         bytes[at] ^= 1 << (flip % 8);
-        if let Ok(packet) = Packet::read(&bytes) {
+        if let Ok(packet) = Packet::decode(&bytes) {
             let mut replica = Replica::new(s(0.0), terms("a", 1));
-            replica.hear(s(0.1), "b", packet);
+            replica.receive(s(0.1), "b", packet);
             replica.tick(s(0.2));
         }
     }
@@ -157,48 +159,48 @@
         singles in prop::collection::vec(1u64..30, 0..40),
         ranges in prop::collection::vec((0u64..25, 1u64..12), 0..12),
     ) {
-        let entry = |no: u64| Entry { no, left: 60_000, kind: 1, body: vec![no as u8] };
+        let entry = |sequence: u64| Entry { sequence, time_to_live_ms: 60_000, kind: 1, body: vec![sequence as u8] };
         let (mut log, mut had) = (Log::default(), BTreeSet::new());
         for no in &singles {
-            if log.take(s(0.0), &entry(*no)) {
+            if log.insert(s(0.0), &entry(*no)) {
                 prop_assert!(had.insert(*no), "{} is new twice", no);
             }
         }
         for (after, many) in ranges {
             let all: Vec<Entry> = (after + 1..=after + many).map(entry).collect();
-            for one in log.take_all(s(0.0), (after, after + many), &all) {
-                prop_assert!(had.insert(one.no), "{} is new twice", one.no);
+            for one in log.insert_range(s(0.0), (after, after + many), &all) {
+                prop_assert!(had.insert(one.sequence), "{} is new twice", one.sequence);
             }
-            prop_assert!((1..=log.upto()).all(|no| had.contains(&no)), "{} of {:?}", log.upto(), had);
+            prop_assert!((1..=log.contiguous_through()).all(|no| had.contains(&no)), "{} of {:?}", log.contiguous_through(), had);
         }
-        prop_assert_eq!(log.live(), had.len());
+        prop_assert_eq!(log.live_entries(), had.len());
     }
 }
 
 #[rstest]
-#[case::a_number(Say::Entries { origin: origin(1), all: Some((0, MOST_NO + 1)), entries: vec![] })]
-#[case::a_range_that_ends_before_it_begins(Say::Entries { origin: origin(1), all: Some((5, 4)), entries: vec![] })]
-#[case::outside_its_range(Say::Entries {
+#[case::a_number(Message::Entries { origin: origin(1), range: Some((0, MAX_SEQUENCE + 1)), entries: vec![] })]
+#[case::a_range_that_ends_before_it_begins(Message::Entries { origin: origin(1), range: Some((5, 4)), entries: vec![] })]
+#[case::outside_its_range(Message::Entries {
     origin: origin(1),
-    all: Some((5, 6)),
-    entries: vec![Entry { no: 7, left: 1, kind: 1, body: vec![] }]
+    range: Some((5, 6)),
+    entries: vec![Entry { sequence: 7, time_to_live_ms: 1, kind: 1, body: vec![] }]
 })]
-#[case::a_long_body(Say::Entries {
+#[case::a_long_body(Message::Entries {
     origin: origin(1),
-    all: None,
-    entries: vec![Entry { no: 7, left: 1, kind: 1, body: vec![0; MOST_BODY + 1] }]
+    range: None,
+    entries: vec![Entry { sequence: 7, time_to_live_ms: 1, kind: 1, body: vec![0; MAX_BODY_BYTES + 1] }]
 })]
-#[case::a_life(Say::Entries {
+#[case::a_life(Message::Entries {
     origin: origin(1),
-    all: None,
-    entries: vec![Entry { no: 7, left: u32::MAX, kind: 1, body: vec![] }]
+    range: None,
+    entries: vec![Entry { sequence: 7, time_to_live_ms: u32::MAX, kind: 1, body: vec![] }]
 })]
-#[case::no_name(Say::Lack { no: 1, to: None, ahead: vec![], rows: vec![Row { origin: Origin { name: String::new(), start: 1 }, upto: 1 }], knows: true })]
-#[case::many_rows(Say::Lack { no: 1, to: None, ahead: vec![], rows: vec![Row { origin: origin(1), upto: 1 }; 9], knows: true })]
-fn packets_beyond_their_bounds_are_refused(#[case] say: Say) {
+#[case::no_name(Message::DigestReply { request: 1, through: None, ahead: vec![], behind: vec![LogPosition { origin: Origin { name: String::new(), incarnation: 1 }, contiguous_through: 1 }], caught_up: true })]
+#[case::many_rows(Message::DigestReply { request: 1, through: None, ahead: vec![], behind: vec![LogPosition { origin: origin(1), contiguous_through: 1 }; 9], caught_up: true })]
+fn packets_beyond_their_bounds_are_refused(#[case] message: Message) {
     assert_eq!(
-        Packet::read(&Packet { say }.write()),
-        Err(Unreadable::Bounds)
+        Packet::decode(&Packet { message }.encode()),
+        Err(PacketError::OutOfBounds)
     );
 }
 
@@ -206,53 +208,59 @@
 #[test]
 fn a_flood_is_bounded() {
     let mut replica = Replica::new(s(0.0), terms("a", 1));
-    replica.others(["b".to_owned()].into_iter());
+    replica.set_peers(["b".to_owned()].into_iter());
     let mut no = 0;
     for _ in 0..6_000 {
         let entries: Vec<Entry> = (no + 1..=no + 10)
             .map(|no| Entry {
-                no,
-                left: 80_000_000,
+                sequence: no,
+                time_to_live_ms: 80_000_000,
                 kind: 1,
-                body: vec![0; MOST_BODY / 3],
+                body: vec![0; MAX_BODY_BYTES / 3],
             })
             .collect();
-        let say = Say::Entries {
+        let say = Message::Entries {
             origin: origin(4),
-            all: Some((no, no + 10)),
+            range: Some((no, no + 10)),
             entries,
         };
-        replica.hear(s(0.1), "b", Packet { say });
+        replica.receive(s(0.1), "b", Packet { message: say });
         no += 10;
-        while replica.learned().is_some() {}
-        while replica.take().is_some() {}
+        while replica.take_applied().is_some() {}
+        while replica.take_packet().is_some() {}
     }
     let held: Vec<_> = replica
         .logs()
-        .map(|(_, log)| (log.live(), log.given_up(), log.upto()))
+        .map(|(_, log)| {
+            (
+                log.live_entries(),
+                log.evicted_entries(),
+                log.contiguous_through(),
+            )
+        })
         .collect();
-    assert_eq!(held, [(0, 0, 0), (MOST_ENTRIES, 10_000, 60_000)]);
+    assert_eq!(held, [(0, 0, 0), (MAX_LOG_ENTRIES, 10_000, 60_000)]);
     for n in 10..100u64 {
         let entries = vec![Entry {
-            no: 1,
-            left: 80_000_000,
+            sequence: 1,
+            time_to_live_ms: 80_000_000,
             kind: 1,
             body: vec![],
         }];
-        replica.hear(
+        replica.receive(
             s(0.2),
             "b",
             Packet {
-                say: Say::Entries {
+                message: Message::Entries {
                     origin: origin(n),
-                    all: None,
+                    range: None,
                     entries,
                 },
             },
         );
     }
-    let live: usize = replica.logs().map(|(_, log)| log.live()).sum();
-    assert!(live <= MOST_OF_ALL);
+    let live: usize = replica.logs().map(|(_, log)| log.live_entries()).sum();
+    assert!(live <= MAX_TOTAL_ENTRIES);
 }
 
 /// A word of a kind that this version does not know is kept, and passed on as it came.
@@ -262,34 +270,34 @@
         Replica::new(s(0.0), terms("a", 1)),
         Replica::new(s(0.0), terms("b", 1)),
     );
-    a.others(["c".to_owned()].into_iter());
-    b.others(["a".to_owned()].into_iter());
+    a.set_peers(["c".to_owned()].into_iter());
+    b.set_peers(["a".to_owned()].into_iter());
     let later = Entry {
-        no: 1,
-        left: 9000,
+        sequence: 1,
+        time_to_live_ms: 9000,
         kind: 77,
         body: vec![1, 2, 3],
     };
     let of = Origin {
         name: "d".into(),
-        start: 4,
+        incarnation: 4,
     };
-    let say = Say::Entries {
+    let say = Message::Entries {
         origin: of.clone(),
-        all: None,
+        range: None,
         entries: vec![later.clone()],
     };
-    a.hear(s(0.0), "d", Packet { say });
+    a.receive(s(0.0), "d", Packet { message: say });
     assert_eq!(
-        a.learned()
-            .map(|(_, entry)| Fact::read(entry.kind, &entry.body)),
+        a.take_applied()
+            .map(|(_, entry)| Record::decode(entry.kind, &entry.body)),
         Some(None)
     );
     a.tick(s(0.0));
-    while let Some((_, packet)) = a.take() {
-        b.hear(s(0.0), "a", Packet::read(&packet.write()).unwrap());
+    while let Some((_, packet)) = a.take_packet() {
+        b.receive(s(0.0), "a", Packet::decode(&packet.encode()).unwrap());
     }
-    assert_eq!(b.learned(), Some((of, later)));
+    assert_eq!(b.take_applied(), Some((of, later)));
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -333,7 +341,7 @@
 
     fn replica(name: &str, start: u64, now: Duration) -> Replica {
         let mut replica = Replica::new(now, terms(name, start));
-        replica.others(NAMES.iter().map(|name| (*name).to_owned()));
+        replica.set_peers(NAMES.iter().map(|name| (*name).to_owned()));
         replica
     }
 
@@ -346,17 +354,17 @@
                 self.nodes[node].0.tick(self.now);
             }
             30..40 if self.put.len() < 12 => {
-                let fact = Fact::Met {
+                let fact = Record::KeyServed {
                     key: self.put.len() as u64,
                     build: 2,
                 };
                 let replica = &mut self.nodes[node].0;
-                let no = replica.put(self.now, &fact, LIFE);
+                let no = replica.publish(self.now, &fact, LIFE);
                 let word = (self.now, self.put.len() as u64);
-                if let Some(old) = self.put.insert((replica.me().clone(), no), word) {
+                if let Some(old) = self.put.insert((replica.origin().clone(), no), word) {
                     return Some(format!(
                         "{no} of {:?} was put up twice: {old:?}",
-                        replica.me()
+                        replica.origin()
                     ));
                 }
             }
@@ -381,28 +389,28 @@
                 }
                 if let (
                     Plant::ClaimsAll,
-                    Say::Entries {
-                        all: Some((after, _)),
+                    Message::Entries {
+                        range: Some((after, _)),
                         ..
                     },
-                ) = (self.plant, &mut packet.say)
+                ) = (self.plant, &mut packet.message)
                 {
                     *after = 0;
                 }
-                self.nodes[to].0.hear(self.now, NAMES[from], packet);
+                self.nodes[to].0.receive(self.now, NAMES[from], packet);
             }
             _ => {}
         }
         for (from, (replica, had)) in self.nodes.iter_mut().enumerate() {
-            while let Some((to, packet)) = replica.take() {
+            while let Some((to, packet)) = replica.take_packet() {
                 let to = NAMES.iter().position(|name| **name == to)?;
                 self.way.push((from, to, packet));
             }
-            while let Some((origin, entry)) = replica.learned() {
-                if !had.insert((origin.clone(), entry.no))
-                    || (self.plant == Plant::TakesAgain && entry.no == 2)
+            while let Some((origin, entry)) = replica.take_applied() {
+                if !had.insert((origin.clone(), entry.sequence))
+                    || (self.plant == Plant::TakesAgain && entry.sequence == 2)
                 {
-                    return Some(format!("{} of {origin:?} came back", entry.no));
+                    return Some(format!("{} of {origin:?} came back", entry.sequence));
                 }
             }
         }
@@ -413,15 +421,18 @@
     /// A copy that says it is whole up to some number had all up to there, or they are over.
     fn broken(&self) -> Option<String> {
         for (number, (replica, had)) in self.nodes.iter().enumerate() {
-            for (origin, log) in replica.logs().filter(|(origin, _)| *origin != replica.me()) {
-                for no in 1..=log.upto() {
+            for (origin, log) in replica
+                .logs()
+                .filter(|(origin, _)| *origin != replica.origin())
+            {
+                for no in 1..=log.contiguous_through() {
                     let put = self.put.get(&(origin.clone(), no)).map(|(at, _)| *at);
                     let over = put.is_none_or(|put| self.now >= put + LIFE);
                     if !over && !had.contains(&(origin.clone(), no)) {
                         return Some(format!(
                             "{} says it is whole up to {} of {origin:?} and lacks {no}",
                             NAMES[number],
-                            log.upto()
+                            log.contiguous_through()
                         ));
                     }
                 }
