--- a/crates/decision/src/choice/tests.rs
+++ b/crates/decision/src/choice/tests.rs
@@ -1,8 +1,8 @@
 //! Each test builds the state that it needs and calls one function.
 
 use super::*;
-use crate::ledger::rank;
-use crate::sidecar::in_order;
+use crate::ledger::rendezvous_rank;
+use crate::sidecar::in_processing_order;
 use rstest::rstest;
 use std::collections::BTreeSet;
 
@@ -74,8 +74,8 @@
     }
 }
 
-fn round(now: f64) -> Round {
-    let mut round = Round::new(Duration::ZERO, &terms());
+fn round(now: f64) -> Context {
+    let mut round = Context::new(Duration::ZERO, &terms());
     round.now = at(now);
     round
 }
@@ -106,13 +106,13 @@
 }
 
 /// A gate with pods 0 to 2 on build 1 and pod 3 on build 2, and hit 0 of a path group, due at 9 s.
-fn gate(of: u16, phase: Phase, cap: f64) -> Gate {
-    let mut gate = Gate {
-        news: Some(news(phase, cap)),
-        ..Gate::default()
+fn gate(of: u16, phase: Phase, cap: f64) -> AdmissionControl {
+    let mut gate = AdmissionControl {
+        stage: Some(news(phase, cap)),
+        ..AdmissionControl::default()
     };
     for entry in [pod(0, 1), pod(1, 1), pod(2, 1), pod(3, 2)] {
-        gate.places.list(entry, Duration::ZERO, 0.0);
+        gate.endpoints.update(entry, Duration::ZERO, 0.0);
     }
     let hit = Request {
         id: RequestId(0),
@@ -121,36 +121,36 @@
         routing_key: Some(RoutingKey(5)),
         deadline: at(9.0),
     };
-    gate.accounts.insert(hit.id, Account::of(&hit));
+    gate.requests.insert(hit.id, RequestRecord::new(&hit));
     gate
 }
 
-fn remove_builds_below(gate: &mut Gate, lowest: u16) {
-    let older = |place: &&Place| place.entry.build < BuildId(lowest);
+fn remove_builds_below(gate: &mut AdmissionControl, lowest: u16) {
+    let older = |place: &&EndpointState| place.endpoint.build < BuildId(lowest);
     let older: Vec<PodId> = gate
-        .places
+        .endpoints
         .values()
         .filter(older)
-        .map(|place| place.entry.pod)
+        .map(|place| place.endpoint.pod)
         .collect();
-    older.into_iter().for_each(|pod| gate.places.remove(pod));
+    older.into_iter().for_each(|pod| gate.endpoints.remove(pod));
 }
 
-fn sent(to: Endpoint, when: f64, fate: Option<AttemptOutcome>) -> Sent {
-    Sent {
+fn sent(to: Endpoint, when: f64, fate: Option<AttemptOutcome>) -> AttemptRecord {
+    AttemptRecord {
         pod: to.pod,
         build: to.build,
         zone: to.zone,
         cell: to.cell,
-        started: to.started_at,
-        at: at(when),
-        fate,
+        pod_started_at: to.started_at,
+        sent_at: at(when),
+        outcome: fate,
     }
 }
 
 #[rstest]
-#[case::late(9.0, false, Err(Refusal::Over))]
-#[case::over(1.0, true, Err(Refusal::Over))]
+#[case::late(9.0, false, Err(Refusal::RequestClosed))]
+#[case::over(1.0, true, Err(Refusal::RequestClosed))]
 #[case::open(1.0, false, Ok(()))]
 fn nothing_is_sent_after_the_end(
     #[case] now: f64,
@@ -158,8 +158,11 @@
     #[case] want: Result<(), Refusal>,
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
-    gate.accounts.get_mut(&RequestId(0)).unwrap().over = over;
-    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round(now)), want);
+    gate.requests.get_mut(&RequestId(0)).unwrap().closed = over;
+    assert_eq!(
+        gate.check_rules(RequestId(0), (PodId(0), 1.0), &round(now)),
+        want
+    );
 }
 
 #[rstest]
@@ -178,13 +181,13 @@
     #[case] allowed: bool,
 ) {
     let mut gate = gate(of, Phase::Released, 1.0);
-    gate.accounts
+    gate.requests
         .get_mut(&RequestId(0))
         .unwrap()
-        .forwards
+        .attempts
         .push(sent(pod(0, 1), 0.5, fate));
     assert_eq!(
-        gate.allow(RequestId(0), (PodId(to), 1.0), &round(now))
+        gate.check_rules(RequestId(0), (PodId(to), 1.0), &round(now))
             .is_ok(),
         allowed
     );
@@ -193,14 +196,14 @@
 #[test]
 fn a_hit_that_may_have_run_is_errored_not_bounced() {
     let (mut gate, mut round) = (gate(2, Phase::Released, 1.0), round(1.0));
-    gate.accounts
+    gate.requests
         .get_mut(&RequestId(0))
         .unwrap()
-        .forwards
+        .attempts
         .push(sent(pod(0, 1), 0.5, Some(AttemptOutcome::TimedOut)));
-    gate.answer(RequestId(0), &mut round);
+    gate.give_up(RequestId(0), &mut round);
     assert_eq!(
-        round.out,
+        round.actions,
         [Action::Fail {
             request: RequestId(0)
         }]
@@ -209,20 +212,23 @@
 
 #[rstest]
 #[case::in_grace(1.9, Ok(()))]
-#[case::after(2.1, Err(Refusal::Drained))]
+#[case::after(2.1, Err(Refusal::EndpointDrained))]
 fn a_draining_pod_gets_nothing_after_the_grace(
     #[case] now: f64,
     #[case] want: Result<(), Refusal>,
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
-    gate.places.get_mut(PodId(0)).unwrap().ended = Some(at(1.0));
-    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round(now)), want);
+    gate.endpoints.get_mut(PodId(0)).unwrap().leaving_since = Some(at(1.0));
+    assert_eq!(
+        gate.check_rules(RequestId(0), (PodId(0), 1.0), &round(now)),
+        want
+    );
 }
 
 #[rstest]
-#[case::just_started(8.9, 9, 2.0, Err(Refusal::Cold))]
+#[case::just_started(8.9, 9, 2.0, Err(Refusal::SlowStart))]
 #[case::half_warm(7.0, 9, 2.0, Ok(()))]
-#[case::half_warm_and_easily_pushed_over(7.0, 9, 1.0, Err(Refusal::Cold))]
+#[case::half_warm_and_easily_pushed_over(7.0, 9, 1.0, Err(Refusal::SlowStart))]
 #[case::warm(1.0, 99, 1.0, Ok(()))]
 fn a_cold_pod_gets_its_part_only(
     #[case] started: f64,
@@ -231,21 +237,25 @@
     #[case] want: Result<(), Refusal>,
 ) {
     let (mut gate, mut round) = (gate(0, Phase::Released, 1.0), round(0.0));
-    round.figures.fall_multiple = fall_multiple;
+    round.config.overload_multiple = fall_multiple;
     for n in 0..200 {
-        gate.answered.add(at(0.05 * f64::from(n)), RATE_OVER);
+        gate.success_rate
+            .record(at(0.05 * f64::from(n)), RATE_SMOOTHING);
     }
     round.now = at(8.95);
-    let place = gate.places.get_mut(PodId(0)).unwrap();
-    place.entry.started_at = Some(at(started));
-    (0..sent).for_each(|_| place.sends.note(at(8.9)));
-    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round), want);
+    let place = gate.endpoints.get_mut(PodId(0)).unwrap();
+    place.endpoint.started_at = Some(at(started));
+    (0..sent).for_each(|_| place.attempts.record(at(8.9)));
+    assert_eq!(
+        gate.check_rules(RequestId(0), (PodId(0), 1.0), &round),
+        want
+    );
 }
 
 #[rstest]
 #[case::within(Phase::OnTrial, 0.5, 4, Ok(()))]
-#[case::spent(Phase::OnTrial, 0.5, 6, Err(Refusal::Exposed))]
-#[case::going_back(Phase::RollingBack, 0.0, 0, Err(Refusal::Exposed))]
+#[case::spent(Phase::OnTrial, 0.5, 6, Err(Refusal::ExposureCap))]
+#[case::going_back(Phase::RollingBack, 0.0, 0, Err(Refusal::ExposureCap))]
 #[case::released(Phase::Released, 0.0, 99, Ok(()))]
 fn exposure_stays_under_the_cap(
     #[case] phase: Phase,
@@ -254,24 +264,27 @@
     #[case] want: Result<(), Refusal>,
 ) {
     let mut gate = gate(0, phase, cap);
-    (0..10).for_each(|_| gate.taken.entry(0).or_default().note(at(1.0)));
+    (0..10).for_each(|_| gate.admitted.entry(0).or_default().record(at(1.0)));
     (0..before).for_each(|_| {
         gate.exposed
             .entry((BuildId(2), 0))
             .or_default()
-            .note(at(1.0))
+            .record(at(1.0))
     });
-    assert_eq!(gate.allow(RequestId(0), (PodId(3), 1.0), &round(1.5)), want);
+    assert_eq!(
+        gate.check_rules(RequestId(0), (PodId(3), 1.0), &round(1.5)),
+        want
+    );
 }
 
-fn bid(pod: u64, build: u16, turn: u8, cost: f64) -> Bid {
-    Bid {
+fn bid(pod: u64, build: u16, turn: u8, cost: f64) -> Candidate {
+    Candidate {
         pod: PodId(pod),
         build: BuildId(build),
-        turn,
-        chance: 0.5,
+        tier: turn,
+        random_draw: 0.5,
         cost,
-        part: 1.0,
+        used_fraction: 1.0,
     }
 }
 
@@ -283,26 +296,26 @@
 #[case::next_turn_waits(&[bid(3, 2, 1, 0.1), bid(0, 1, 2, 0.0)], None, 1)]
 #[case::a_refused_build_does_not(&[bid(3, 2, 1, 0.1), bid(4, 2, 2, 0.0), bid(0, 1, 3, 0.0)], None, 1)]
 fn the_best_bid_that_is_allowed_gets_the_hit(
-    #[case] bids: &[Bid],
+    #[case] bids: &[Candidate],
     #[case] to: Option<u64>,
     #[case] rest: usize,
 ) {
     let (mut gate, mut round) = (gate(0, Phase::OnTrial, 0.0), round(1.0));
     gate.take(
-        Note::Ask {
-            hit: RequestId(0),
-            bids: bids.to_vec(),
-            turn: 1,
+        Message::AttemptProposed {
+            request: RequestId(0),
+            candidates: bids.to_vec(),
+            tier: 1,
         },
         &mut round,
     );
-    let sent = round.out.first().map(|action| match action {
+    let sent = round.actions.first().map(|action| match action {
         Action::StartAttempt { pod, .. } => pod.0,
         _ => panic!("{action:?}"),
     });
     assert_eq!(sent, to);
     if sent.is_none() {
-        let Some((_, Note::Refused(_, left))) = round.mail.take() else {
+        let Some((_, Message::AttemptRefused(_, left))) = round.mailboxes.pop() else {
             panic!("no word to the desk")
         };
         assert_eq!(left.len(), rest);
@@ -311,28 +324,31 @@
 
 #[test]
 fn a_build_without_news_counts_as_in_the_first_stage() {
-    let gate = Gate {
-        news: None,
+    let gate = AdmissionControl {
+        stage: None,
         ..gate(0, Phase::OnTrial, 1.0)
     };
-    assert_eq!(gate.cap(BuildId(2), &round(1.0).figures), Some((0.2, 0)));
+    assert_eq!(
+        gate.exposure_cap(BuildId(2), &round(1.0).config),
+        Some((0.2, 0))
+    );
 }
 
 #[test]
 fn a_guarded_stage_takes_repeatable_hits_only() {
     assert_eq!(
-        gate(1, Phase::OnTrial, 1.0).allow(RequestId(0), (PodId(3), 1.0), &round(1.0)),
-        Err(Refusal::Exposed)
+        gate(1, Phase::OnTrial, 1.0).check_rules(RequestId(0), (PodId(3), 1.0), &round(1.0)),
+        Err(Refusal::ExposureCap)
     );
 }
 
 #[test]
 fn a_key_that_met_the_new_build_stays_there() {
     let mut gate = gate(0, Phase::OnTrial, 1.0);
-    gate.met.insert(RoutingKey(5), BuildId(2));
+    gate.key_builds.insert(RoutingKey(5), BuildId(2));
     assert_eq!(
-        gate.allow(RequestId(0), (PodId(0), 1.0), &round(1.0)),
-        Err(Refusal::KeyStays)
+        gate.check_rules(RequestId(0), (PodId(0), 1.0), &round(1.0)),
+        Err(Refusal::StickyKey)
     );
 }
 
@@ -349,9 +365,9 @@
 fn a_key_whose_answer_may_have_come_stays(#[case] fate: AttemptOutcome, #[case] stays: bool) {
     let mut gate = gate(0, Phase::OnTrial, 1.0);
     let mut round = round(1.0);
-    gate.send(RequestId(0), PodId(3), &mut round);
+    gate.start_attempt(RequestId(0), PodId(3), &mut round);
     let (hit, no, pod, took) = (RequestId(0), AttemptIndex(0), PodId(3), at(0.1));
-    gate.end_forward(
+    gate.end_attempt(
         AttemptResult {
             request: hit,
             attempt: no,
@@ -362,28 +378,31 @@
         },
         &mut round,
     );
-    while let Some((to, note)) = round.mail.take() {
-        if to == To::Gate {
+    while let Some((to, note)) = round.mailboxes.pop() {
+        if to == Component::AdmissionControl {
             gate.take(note, &mut round);
         }
     }
     let want = if stays {
-        Err(Refusal::KeyStays)
+        Err(Refusal::StickyKey)
     } else {
         Ok(())
     };
-    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round), want);
+    assert_eq!(
+        gate.check_rules(RequestId(0), (PodId(0), 1.0), &round),
+        want
+    );
 }
 
 /// A judge on build 2 with pods 3 and 5 on trial; each entry is (pod, errors, outcomes, time).
-fn judge(new: &[(u64, usize, usize, f64)], old: (usize, usize, f64)) -> Judge {
-    let mut judge = Judge {
-        news: Some(news(Phase::OnTrial, 0.2)),
-        ..Judge::default()
+fn judge(new: &[(u64, usize, usize, f64)], old: (usize, usize, f64)) -> CanaryAnalysis {
+    let mut judge = CanaryAnalysis {
+        stage: Some(news(Phase::OnTrial, 0.2)),
+        ..CanaryAnalysis::default()
     };
-    let fill = |sample: &mut Sample, (id, bad, seen, time): (u64, usize, usize, f64)| {
+    let fill = |sample: &mut CanarySample, (id, bad, seen, time): (u64, usize, usize, f64)| {
         (0..seen).for_each(|n| {
-            sample.count(
+            sample.record(
                 ClassId(0),
                 PodId(id),
                 if n < bad {
@@ -395,10 +414,10 @@
             )
         });
     };
-    new.iter().for_each(|part| fill(&mut judge.new, *part));
-    fill(&mut judge.old, (0, old.0, old.1, old.2));
+    new.iter().for_each(|part| fill(&mut judge.trial, *part));
+    fill(&mut judge.baseline, (0, old.0, old.1, old.2));
     judge
-        .pods
+        .endpoints
         .extend([pod(0, 1), pod(3, 2), pod(5, 2)].map(|entry| (entry.pod, entry)));
     judge
 }
@@ -418,8 +437,8 @@
     #[case] want: Verdict,
 ) {
     let mut judge = judge(new, old);
-    let figures = round(30.0).figures;
-    judge.bad = judge.is_bad(at(30.0), &figures);
+    let figures = round(30.0).config;
+    judge.regressed = judge.is_regression(at(30.0), &figures);
     assert_eq!(judge.verdict(at(30.0), &figures), want);
 }
 
@@ -432,18 +451,28 @@
     #[case] times: usize,
 ) {
     let mut judge = judge(&[], (0, 0, 0.1));
-    judge
-        .kinds
-        .insert(MachineTypeId(0), Mean { value: 0.1, of: 50 });
-    judge.pods.insert(
+    judge.machine_latency.insert(
+        MachineTypeId(0),
+        RunningMean {
+            value: 0.1,
+            count: 50,
+        },
+    );
+    judge.endpoints.insert(
         PodId(0),
         Endpoint {
             started_at: started,
             ..pod(0, 1)
         },
     );
-    judge.count(&ended(AttemptOutcome::Succeeded), &round(1.0).figures);
-    assert_eq!((judge.old.all().seen, judge.old.times().len()), (1, times));
+    judge.record_outcome(&ended(AttemptOutcome::Succeeded), &round(1.0).config);
+    assert_eq!(
+        (
+            judge.baseline.total().outcomes,
+            judge.baseline.latencies().len()
+        ),
+        (1, times)
+    );
 }
 
 #[rstest]
@@ -451,9 +480,9 @@
 #[case::held_long_enough(30.0, true, Verdict::Abstain)]
 #[case::no_clock(2.0, false, Verdict::Abstain)]
 fn a_short_sample_holds_the_clock(#[case] now: f64, #[case] clock: bool, #[case] want: Verdict) {
-    let figures = Figures {
-        clock,
-        ..round(now).figures
+    let figures = DerivedConfig {
+        clock_controlled: clock,
+        ..round(now).config
     };
     assert_eq!(
         judge(&[(3, 0, 5, 0.1)], (0, 200, 0.1)).verdict(at(now), &figures),
@@ -465,17 +494,17 @@
 fn a_standing_vote_is_not_repeated() {
     let (mut judge, mut round) = (judge(&[(3, 0, 5, 0.1)], (0, 200, 0.1)), round(1.0));
     let (build, stage) = (BuildId(2), StageIndex(0));
-    judge.standing = Some(Vote {
+    judge.counted_vote = Some(Vote {
         verdict: Verdict::Hold,
         build,
         stage,
-        at: at(0.5),
+        cast_at: at(0.5),
     });
     judge.vote(&mut round);
-    assert_eq!(round.out, []);
+    assert_eq!(round.actions, []);
 }
 
-fn ended(fate: AttemptOutcome) -> Ended {
+fn ended(fate: AttemptOutcome) -> AttemptEnded {
     let (hit, no, pod, took) = (RequestId(0), AttemptIndex(0), PodId(0), at(0.002));
     let outcome = AttemptResult {
         request: hit,
@@ -485,22 +514,22 @@
         duration: took,
         request_over: false,
     };
-    Ended {
-        outcome,
-        group: ClassId(0),
+    AttemptEnded {
+        result: outcome,
+        class: ClassId(0),
         build: BuildId(1),
-        sent: at(1.0),
-        open: true,
-        customer: None,
-        sour: false,
+        sent_at: at(1.0),
+        request_open: true,
+        tenant: None,
+        tenant_outlier: false,
     }
 }
 
 #[test]
 fn a_pod_that_fails_at_once_is_shut_and_not_taken_for_quick() {
-    let (mut pod, round) = (Pod::new(pod(0, 1)), round(1.0));
-    (0..3).for_each(|_| pod.learn(&ended(AttemptOutcome::Failed), &round));
-    assert!(pod.health.shut_until > round.now && pod.health.pace.of == 0);
+    let (mut pod, round) = (OutlierDetector::new(pod(0, 1)), round(1.0));
+    (0..3).for_each(|_| pod.record_outcome(&ended(AttemptOutcome::Failed), &round));
+    assert!(pod.health.ejected_until > round.now && pod.health.latency_ratio.count == 0);
 }
 
 /// A reset may be the fault of one connection; a pod that can't be reached is shut at once.
@@ -513,9 +542,9 @@
     #[case] times: usize,
     #[case] shut: bool,
 ) {
-    let (mut pod, round) = (Pod::new(pod(0, 1)), round(1.0));
-    (0..times).for_each(|_| pod.learn(&ended(fate), &round));
-    assert_eq!(!pod.health.shut_until.is_zero(), shut);
+    let (mut pod, round) = (OutlierDetector::new(pod(0, 1)), round(1.0));
+    (0..times).for_each(|_| pod.record_outcome(&ended(fate), &round));
+    assert_eq!(!pod.health.ejected_until.is_zero(), shut);
 }
 
 #[rstest]
@@ -526,33 +555,39 @@
     #[case] fate: Option<AttemptOutcome>,
     #[case] shut: bool,
 ) {
-    let (mut pod, mut round) = (Pod::new(pod(0, 1)), round(9.0));
-    pod.open.insert((RequestId(0), AttemptIndex(0)), at(1.0));
-    pod.take(Note::Beat, &mut round);
+    let (mut pod, mut round) = (OutlierDetector::new(pod(0, 1)), round(9.0));
+    pod.in_flight
+        .insert((RequestId(0), AttemptIndex(0)), at(1.0));
+    pod.take(Message::Tick, &mut round);
     fate.into_iter()
-        .for_each(|fate| pod.take(Note::Ended(ended(fate)), &mut round));
-    assert_eq!(!pod.health.shut_until.is_zero(), shut);
+        .for_each(|fate| pod.take(Message::AttemptEnded(ended(fate)), &mut round));
+    assert_eq!(!pod.health.ejected_until.is_zero(), shut);
 }
 
 #[test]
 fn a_new_pod_of_unknown_pace_is_not_the_cheapest() {
-    let (mut desk, round) = (Desk::default(), round(1.0));
-    desk.kinds
-        .insert(MachineTypeId(0), Mean { value: 0.3, of: 50 });
+    let (mut desk, round) = (LoadBalancer::default(), round(1.0));
+    desk.machine_latency.insert(
+        MachineTypeId(0),
+        RunningMean {
+            value: 0.3,
+            count: 50,
+        },
+    );
     let card = |of| {
-        let pace = Mean {
+        let pace = RunningMean {
             value: if of > 0 { 0.2 } else { 0.0 },
-            of,
+            count: of,
         };
-        Card {
-            entry: pod(0, 1),
+        EndpointSnapshot {
+            endpoint: pod(0, 1),
             rank: 0,
             ready: true,
-            open: 0,
-            pace,
+            in_flight: 0,
+            latency_ratio: pace,
             usable: true,
-            wants_proof: false,
-            served: Duration::ZERO,
+            wants_health_check: false,
+            last_served_at: Duration::ZERO,
         }
     };
     assert!(desk.cost(&card(0), 1.0, &round) > desk.cost(&card(10), 1.0, &round));
@@ -569,13 +604,13 @@
     #[case] least: usize,
     #[case] far: f64,
 ) {
-    let figures = Figures {
-        sidecars,
-        back_votes,
-        ..round(0.0).figures
+    let figures = DerivedConfig {
+        sidecar_count: sidecars,
+        rollback_quorum: back_votes,
+        ..round(0.0).config
     };
-    assert_eq!(least_sample(&figures), least);
-    assert!((sigmas(&figures) - far).abs() < 0.01);
+    assert_eq!(min_sample(&figures), least);
+    assert!((significance_threshold(&figures) - far).abs() < 0.01);
 }
 
 #[rstest]
@@ -588,7 +623,10 @@
         .zip(errors)
         .map(|(pod, errors)| (pod, *errors, 10, 0.1))
         .collect();
-    assert_eq!(judge(&parts, (0, 100, 0.1)).is_even(2, |p| p.bad), want);
+    assert_eq!(
+        judge(&parts, (0, 100, 0.1)).is_spread_evenly(2, |p| p.failures),
+        want
+    );
 }
 
 #[test]
@@ -596,28 +634,31 @@
     let mut judge = judge(&[], (0, 0, 0.1));
     for n in 0..40 {
         judge
-            .new
-            .count(ClassId(0), PodId(n % 5), AttemptOutcome::TimedOut, None);
+            .trial
+            .record(ClassId(0), PodId(n % 5), AttemptOutcome::TimedOut, None);
     }
     judge
-        .before
-        .count(ClassId(0), PodId(9), AttemptOutcome::Succeeded, None);
-    assert!(!judge.is_bad(at(9.0), &round(9.0).figures));
+        .previous_baseline
+        .record(ClassId(0), PodId(9), AttemptOutcome::Succeeded, None);
+    assert!(!judge.is_regression(at(9.0), &round(9.0).config));
 }
 
 /// Hundreds of sidecars with a tenth of a forward each for a cold pod: a tenth of them may send one.
 #[rstest]
-#[case::unlucky(0.5, Err(Refusal::Cold))]
+#[case::unlucky(0.5, Err(Refusal::SlowStart))]
 #[case::lucky(0.95, Ok(()))]
 fn less_than_a_forward_to_a_cold_pod_is_granted_by_chance(
     #[case] luck: f64,
     #[case] want: Result<(), Refusal>,
 ) {
     let (mut gate, round) = (gate(0, Phase::Released, 1.0), round(8.0));
-    gate.answered.add(at(8.0), RATE_OVER);
-    let place = gate.places.get_mut(PodId(0)).unwrap();
-    (place.entry.started_at, place.luck) = (Some(at(7.9)), luck);
-    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round), want);
+    gate.success_rate.record(at(8.0), RATE_SMOOTHING);
+    let place = gate.endpoints.get_mut(PodId(0)).unwrap();
+    (place.endpoint.started_at, place.fractional_allowance) = (Some(at(7.9)), luck);
+    assert_eq!(
+        gate.check_rules(RequestId(0), (PodId(0), 1.0), &round),
+        want
+    );
 }
 
 #[rstest]
@@ -631,46 +672,52 @@
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
     for (customer, value) in [(0, own), (1, other)] {
-        gate.wrong
-            .insert(TenantId(customer), Mean { value, of: 30 });
+        gate.tenant_failures
+            .insert(TenantId(customer), RunningMean { value, count: 30 });
     }
-    assert_eq!(gate.sours(TenantId(0), AttemptOutcome::Failed, false), want);
+    assert_eq!(
+        gate.is_tenant_outlier(TenantId(0), AttemptOutcome::Failed, false),
+        want
+    );
 }
 
 #[test]
 fn errors_of_a_customers_own_shut_no_pod() {
-    let (mut pod, round) = (Pod::new(pod(0, 1)), round(1.0));
+    let (mut pod, round) = (OutlierDetector::new(pod(0, 1)), round(1.0));
     (0..9).for_each(|_| {
-        pod.learn(
-            &Ended {
-                sour: true,
+        pod.record_outcome(
+            &AttemptEnded {
+                tenant_outlier: true,
                 ..ended(AttemptOutcome::Failed)
             },
             &round,
         )
     });
-    assert!(pod.health.shut_until.is_zero());
+    assert!(pod.health.ejected_until.is_zero());
 }
 
-fn card(entry: Endpoint) -> Card {
-    let pace = Mean { value: 0.2, of: 10 };
-    let rank = rank(1, entry.pod.0);
-    Card {
-        entry,
+fn card(entry: Endpoint) -> EndpointSnapshot {
+    let pace = RunningMean {
+        value: 0.2,
+        count: 10,
+    };
+    let rank = rendezvous_rank(1, entry.pod.0);
+    EndpointSnapshot {
+        endpoint: entry,
         rank,
         ready: true,
-        open: 0,
-        pace,
+        in_flight: 0,
+        latency_ratio: pace,
         usable: true,
-        wants_proof: false,
-        served: Duration::ZERO,
+        wants_health_check: false,
+        last_served_at: Duration::ZERO,
     }
 }
 
 /// A desk with so many pods alike, and hit 0 of customer 0.
-fn desk(pods: u64) -> Desk {
-    let mut desk = Desk::default();
-    (0..pods).for_each(|id| desk.cards.put(card(pod(id, 1))));
+fn desk(pods: u64) -> LoadBalancer {
+    let mut desk = LoadBalancer::default();
+    (0..pods).for_each(|id| desk.table.put(card(pod(id, 1))));
     let customer = Some(TenantId(0));
     let hit = Request {
         id: RequestId(0),
@@ -679,7 +726,8 @@
         routing_key: None,
         deadline: at(9.0),
     };
-    desk.hits.insert(hit.id, OpenHit::of(&hit, at(5.0)));
+    desk.requests
+        .insert(hit.id, OpenRequest::new(&hit, at(5.0)));
     desk
 }
 
@@ -689,7 +737,13 @@
     let mut firsts = BTreeMap::new();
     for _ in 0..500 {
         desk.place(RequestId(0), &mut round);
-        let Some((_, Note::Ask { bids, .. })) = round.mail.take() else {
+        let Some((
+            _,
+            Message::AttemptProposed {
+                candidates: bids, ..
+            },
+        )) = round.mailboxes.pop()
+        else {
             panic!("no pod asked for")
         };
         *firsts
@@ -705,26 +759,26 @@
 #[test]
 fn the_few_pods_in_use_stay_when_one_is_shut() {
     let mut desk = desk(40);
-    let in_use = |desk: &mut Desk| {
-        desk.overview.look_over(&mut desk.cards);
-        let [(last, part), _] = desk.used(&round(1.0));
-        let cards: Vec<Card> = desk
-            .cards
+    let in_use = |desk: &mut LoadBalancer| {
+        desk.summary.refresh(&mut desk.table);
+        let [(last, part), _] = desk.endpoints_in_use(&round(1.0));
+        let cards: Vec<EndpointSnapshot> = desk
+            .table
             .iter()
-            .filter(|c| c.usable && c.ranked() >= last)
+            .filter(|c| c.usable && c.rank_key() >= last)
             .cloned()
             .collect();
         (cards, part)
     };
     let (before, part) = in_use(&mut desk);
-    assert!(before.len() == FEW_PODS && (part - 0.125).abs() < 1e-9);
-    desk.cards.put(Card {
+    assert!(before.len() == MIN_ENDPOINTS_IN_USE && (part - 0.125).abs() < 1e-9);
+    desk.table.put(EndpointSnapshot {
         usable: false,
         ..before[0].clone()
     });
     let (after, _) = in_use(&mut desk);
-    let stays = |card: &Card| after.iter().any(|c| c.entry.pod == card.entry.pod);
-    assert!(after.len() == FEW_PODS && before[1..].iter().all(stays));
+    let stays = |card: &EndpointSnapshot| after.iter().any(|c| c.endpoint.pod == card.endpoint.pod);
+    assert!(after.len() == MIN_ENDPOINTS_IN_USE && before[1..].iter().all(stays));
 }
 
 /// Bids for pods of a side that has none usable stand for the whole of it, or rule 4's budget would have no bound.
@@ -732,41 +786,44 @@
 fn pods_that_are_all_shut_are_used_as_a_whole() {
     let mut desk = desk(3);
     for id in 0..3 {
-        let card = desk.cards.get(PodId(id)).cloned().unwrap();
-        desk.cards.put(Card {
+        let card = desk.table.get(PodId(id)).cloned().unwrap();
+        desk.table.put(EndpointSnapshot {
             usable: false,
             ..card
         });
     }
-    desk.overview.look_over(&mut desk.cards);
-    assert_eq!(desk.used(&round(1.0)).map(|(_, part)| part), [1.0, 1.0]);
+    desk.summary.refresh(&mut desk.table);
+    assert_eq!(
+        desk.endpoints_in_use(&round(1.0)).map(|(_, part)| part),
+        [1.0, 1.0]
+    );
 }
 
 #[test]
 fn a_pod_that_has_long_been_gone_is_forgotten_and_one_that_came_back_is_not() {
-    let (mut lister, mut round) = (Lister::default(), round(0.0));
+    let (mut lister, mut round) = (EndpointTracker::default(), round(0.0));
     let gone = |id| Endpoint {
         state: PodState::Gone,
         ..pod(id, 1)
     };
     lister.take(
-        Note::List(EndpointUpdate::Delta(vec![gone(0), gone(1)])),
+        Message::EndpointsUpdated(EndpointUpdate::Delta(vec![gone(0), gone(1)])),
         &mut round,
     );
     round.now = at(60.0);
     lister.take(
-        Note::List(EndpointUpdate::Delta(vec![pod(1, 1)])),
+        Message::EndpointsUpdated(EndpointUpdate::Delta(vec![pod(1, 1)])),
         &mut round,
     );
-    round.now = FORGET_AFTER;
-    while let Some((to, note)) = round.due.take(FORGET_AFTER) {
-        round.mail.put(to, note);
+    round.now = FORGET_GONE_AFTER;
+    while let Some((to, note)) = round.timers.pop_due(FORGET_GONE_AFTER) {
+        round.mailboxes.push(to, note);
     }
     let mut forgotten = Vec::new();
-    while let Some((to, note)) = round.mail.take() {
+    while let Some((to, note)) = round.mailboxes.pop() {
         match (to, note) {
-            (To::Lister, note) => lister.take(note, &mut round),
-            (To::Gate, Note::Forget(pod)) => forgotten.push(pod),
+            (Component::EndpointTracker, note) => lister.take(note, &mut round),
+            (Component::AdmissionControl, Message::EndpointForgotten(pod)) => forgotten.push(pod),
             _ => {}
         }
     }
@@ -774,8 +831,8 @@
 }
 
 #[rstest]
-#[case::an_older_pod_still_runs(1, Some(RoutingKey(5)), Err(Refusal::KeyStays))]
-#[case::nothing_older_runs(2, Some(RoutingKey(5)), Err(Refusal::KeyStays))]
+#[case::an_older_pod_still_runs(1, Some(RoutingKey(5)), Err(Refusal::StickyKey))]
+#[case::nothing_older_runs(2, Some(RoutingKey(5)), Err(Refusal::StickyKey))]
 #[case::a_hit_without_a_key(2, None, Ok(()))]
 fn keys_of_a_released_build_stay_also_once_they_are_not_told_apart(
     #[case] lowest: u16,
@@ -783,26 +840,29 @@
     #[case] want: Result<(), Refusal>,
 ) {
     let mut gate = gate(0, Phase::Released, 1.0);
-    gate.met.insert(RoutingKey(5), BuildId(2));
-    gate.accounts.get_mut(&RequestId(0)).unwrap().key = key;
+    gate.key_builds.insert(RoutingKey(5), BuildId(2));
+    gate.requests.get_mut(&RequestId(0)).unwrap().routing_key = key;
     remove_builds_below(&mut gate, lowest);
-    gate.forget_keys(&round(1.0));
-    assert_eq!(gate.met.is_empty(), lowest == 2);
+    gate.compact_keys(&round(1.0));
+    assert_eq!(gate.key_builds.is_empty(), lowest == 2);
     // An older machine comes back.
-    gate.places.list(pod(0, 1), at(1.0), 0.0);
-    assert_eq!(gate.allow(RequestId(0), (PodId(0), 1.0), &round(1.0)), want);
+    gate.endpoints.update(pod(0, 1), at(1.0), 0.0);
+    assert_eq!(
+        gate.check_rules(RequestId(0), (PodId(0), 1.0), &round(1.0)),
+        want
+    );
 }
 
 #[test]
 fn a_halved_sample_keeps_its_shares_and_its_later_times() {
-    let mut sample = Sample::default();
+    let mut sample = CanarySample::default();
     for n in 0..100 {
         let fate = if n % 4 == 0 {
             AttemptOutcome::Failed
         } else {
             AttemptOutcome::Succeeded
         };
-        sample.count(
+        sample.record(
             ClassId(0),
             PodId(n % 2),
             fate,
@@ -810,9 +870,9 @@
         );
     }
     sample.halve();
-    let all = sample.all();
-    assert!((all.seen, all.bad) == (50, 12) && sample.times().len() == 50);
-    assert!(sample.times().iter().all(|time| *time == 1.0));
+    let all = sample.total();
+    assert!((all.outcomes, all.failures) == (50, 12) && sample.latencies().len() == 50);
+    assert!(sample.latencies().iter().all(|time| *time == 1.0));
 }
 
 #[rstest]
@@ -835,20 +895,20 @@
             routing_key: None,
             deadline: at(9.0),
         };
-        desk.hits.insert(
+        desk.requests.insert(
             hit.id,
-            OpenHit {
-                out: 1,
-                at: Some(PodId(0)),
-                ..OpenHit::of(&hit, at(4.9))
+            OpenRequest {
+                attempts_in_flight: 1,
+                last_pod: Some(PodId(0)),
+                ..OpenRequest::new(&hit, at(4.9))
             },
         );
     }
     for _ in 0..5 {
-        desk.lanes
+        desk.tenant_latency
             .entry(Some(TenantId(of)))
             .or_default()
-            .add(took, at(5.0), FADES, 5.0);
+            .add(took, at(5.0), TENANT_LATENCY_DECAY, 5.0);
     }
     round.now = at(5.1);
     assert_eq!(desk.overload(Some(TenantId(0)), &round), want);
@@ -863,10 +923,10 @@
         routing_key: None,
         deadline: at(9.0),
     };
-    let events = in_order(vec![
+    let events = in_processing_order(vec![
         Event::RequestArrived(hit),
         Event::ClientDisconnected(RequestId(2)),
-        Event::AttemptFinished(ended(AttemptOutcome::Succeeded).outcome),
+        Event::AttemptFinished(ended(AttemptOutcome::Succeeded).result),
     ]);
     assert!(matches!(
         events[..],
@@ -881,8 +941,8 @@
 #[test]
 fn lists_and_stage_news_are_read_before_outcomes_that_send_hits_on() {
     let news = Some(news(Phase::OnTrial, 0.0));
-    let events = in_order(vec![
-        Event::AttemptFinished(ended(AttemptOutcome::ConnectFailed).outcome),
+    let events = in_processing_order(vec![
+        Event::AttemptFinished(ended(AttemptOutcome::ConnectFailed).result),
         Event::Stage {
             update: news,
             vote_answer: None,
@@ -903,17 +963,17 @@
 #[test]
 fn keys_of_a_build_not_announced_yet_are_kept() {
     let mut gate = gate(0, Phase::Released, 1.0);
-    gate.met.insert(RoutingKey(5), BuildId(3));
+    gate.key_builds.insert(RoutingKey(5), BuildId(3));
     remove_builds_below(&mut gate, 2);
-    gate.forget_keys(&round(1.0));
+    gate.compact_keys(&round(1.0));
     let news = StageUpdate {
         build: BuildId(3),
         ..news(Phase::OnTrial, 0.5)
     };
-    gate.take(Note::Stage(news), &mut round(1.1));
+    gate.take(Message::StageUpdated(news), &mut round(1.1));
     assert_eq!(
-        gate.allow(RequestId(0), (PodId(3), 1.0), &round(1.2)),
-        Err(Refusal::KeyStays)
+        gate.check_rules(RequestId(0), (PodId(3), 1.0), &round(1.2)),
+        Err(Refusal::StickyKey)
     );
 }
 
@@ -925,8 +985,8 @@
     #[case] want: bool,
 ) {
     let mut judge = judge(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 200, 0.1));
-    judge.pods.get_mut(&PodId(3)).unwrap().started_at = Some(at(9.5));
-    assert_eq!(judge.is_bad(at(now), &round(now).figures), want);
+    judge.endpoints.get_mut(&PodId(3)).unwrap().started_at = Some(at(9.5));
+    assert_eq!(judge.is_regression(at(now), &round(now).config), want);
 }
 
 /// Where dozens must agree, one error among a light sidecar's few outcomes speaks against a build; where one
@@ -945,12 +1005,12 @@
     #[case] old: (usize, usize),
     #[case] want: bool,
 ) {
-    let figures = Figures {
-        sidecars,
-        back_votes,
-        ..round(0.0).figures
+    let figures = DerivedConfig {
+        sidecar_count: sidecars,
+        rollback_quorum: back_votes,
+        ..round(0.0).config
     };
-    assert_eq!(stands_out(new, old, ERROR_MARGIN, &figures), want);
+    assert_eq!(is_rare_sign(new, old, ERROR_MARGIN, &figures), want);
 }
 
 /// Takes votes as the platform does: so many calls a second, and twice that many at one time.
@@ -962,8 +1022,8 @@
 
 impl Votes {
     fn call(&mut self, from: usize, vote: Vote, allowance: f64) -> VoteAnswer {
-        let filled = (vote.at - self.last).as_secs_f64() * allowance;
-        (self.left, self.last) = ((self.left + filled).min(2.0 * allowance), vote.at);
+        let filled = (vote.cast_at - self.last).as_secs_f64() * allowance;
+        (self.left, self.last) = ((self.left + filled).min(2.0 * allowance), vote.cast_at);
         if self.left < 1.0 {
             return VoteAnswer::Full;
         }
@@ -975,7 +1035,7 @@
     fn stand(&self, verdict: Verdict, now: Duration, life: Duration) -> usize {
         self.standing
             .values()
-            .filter(|v| v.verdict == verdict && now < v.at + life)
+            .filter(|v| v.verdict == verdict && now < v.cast_at + life)
             .count()
     }
 }
@@ -998,23 +1058,23 @@
     #[case] lives: f64,
 ) {
     let (sidecars, allowance, life) = (300, 16.0, at(4.0));
-    let figures = |own_number| Figures {
-        sidecars: sidecars as f64,
-        own_number,
-        back_votes: 76.0,
-        most_votes: 76.0,
-        hold_votes: 31.0,
-        vote_allowance: allowance,
-        ..round(0.0).figures
+    let figures = |own_number| DerivedConfig {
+        sidecar_count: sidecars as f64,
+        sidecar_index: own_number,
+        rollback_quorum: 76.0,
+        max_quorum: 76.0,
+        hold_quorum: 31.0,
+        vote_rate_limit: allowance,
+        ..round(0.0).config
     };
     let start = |own: usize| {
-        let mut judge = Judge::default();
+        let mut judge = CanaryAnalysis::default();
         let heard = if own.is_multiple_of(3) { late } else { 0.0 };
-        let mut round = Round {
-            figures: figures(own as u32),
+        let mut round = Context {
+            config: figures(own as u32),
             ..round(heard)
         };
-        judge.enter(
+        judge.enter_stage(
             StageUpdate {
                 age: at(heard),
                 ..news(Phase::OnTrial, 0.2)
@@ -1024,7 +1084,7 @@
         round.now = Duration::ZERO;
         (judge, round)
     };
-    let mut fleet: Vec<(Judge, Round)> = (0..sidecars).map(start).collect();
+    let mut fleet: Vec<(CanaryAnalysis, Context)> = (0..sidecars).map(start).collect();
     let mut votes = Votes {
         left: 2.0 * allowance,
         last: Duration::ZERO,
@@ -1032,14 +1092,14 @@
     };
     let mut under_way: Vec<(Duration, usize, VoteAnswer)> = Vec::new();
     for step in 0..800u32 {
-        let now = BEAT * step;
+        let now = TICK_INTERVAL * step;
         let due = under_way
             .extract_if(.., |(when, ..)| *when <= now)
             .collect::<Vec<_>>();
         for (_, from, answer) in due {
             let (judge, round) = &mut fleet[from];
             round.now = now;
-            judge.take(Note::VoteAnswered(answer), round);
+            judge.take(Message::VoteAnswered(answer), round);
         }
         for (own, (judge, round)) in fleet.iter_mut().enumerate() {
             // Whose number is dead or wants says nothing of its turn.
@@ -1048,9 +1108,9 @@
                 continue;
             }
             round.now = now;
-            judge.bad = place < wanting && now >= at(from);
+            judge.regressed = place < wanting && now >= at(from);
             judge.vote(round);
-            for action in std::mem::take(&mut round.out) {
+            for action in std::mem::take(&mut round.actions) {
                 let Action::Vote {
                     verdict,
                     build,
@@ -1065,16 +1125,16 @@
                         verdict,
                         build,
                         stage,
-                        at: now,
+                        cast_at: now,
                     },
                     allowance,
                 );
-                under_way.push((now + BEAT * 2, own, answer));
+                under_way.push((now + TICK_INTERVAL * 2, own, answer));
             }
         }
         if votes.stand(Verdict::RollBack, now, life) >= 76 {
             assert!(
-                now <= at(from) + life.mul_f64(lives) + BEAT * 2,
+                now <= at(from) + life.mul_f64(lives) + TICK_INTERVAL * 2,
                 "only after {:?}",
                 now - at(from)
             );
@@ -1088,14 +1148,14 @@
 #[test]
 fn with_an_ample_allowance_votes_are_called_at_once() {
     let (mut judge, mut round) = (judge(&[], (0, 200, 0.1)), round(0.0));
-    round.figures = Figures {
-        vote_allowance: 25.0,
-        sidecars: 50.0,
-        ..round.figures
+    round.config = DerivedConfig {
+        vote_rate_limit: 25.0,
+        sidecar_count: 50.0,
+        ..round.config
     };
-    judge.bad = true;
+    judge.regressed = true;
     judge.vote(&mut round);
-    assert!(round.out.iter().any(|a| matches!(
+    assert!(round.actions.iter().any(|a| matches!(
         a,
         Action::Vote {
             verdict: Verdict::RollBack,
@@ -1115,24 +1175,25 @@
 ) {
     let (mut desk, mut round) = (desk(40), round(1.0));
     let order: Vec<PodId> = order.into_iter().map(PodId).collect();
-    round.look_at(Some(FleetView {
+    round.set_fleet_view(Some(FleetView {
         preference: order.clone(),
         min_endpoints: uses,
         probed_by_peers: BTreeSet::new(),
     }));
-    let cards: Vec<Card> = desk.cards.iter().cloned().collect();
+    let cards: Vec<EndpointSnapshot> = desk.table.iter().cloned().collect();
     cards.into_iter().for_each(|card| {
-        desk.cards.put(Card {
-            rank: round.rank(card.entry.pod),
+        desk.table.put(EndpointSnapshot {
+            rank: round.rank(card.endpoint.pod),
             ..card
         })
     });
-    desk.overview.look_over(&mut desk.cards);
-    let [((last, _), part), _] = desk.used(&round);
-    let mut first: Vec<&Card> = desk.cards.iter().filter(|card| card.rank >= last).collect();
+    desk.summary.refresh(&mut desk.table);
+    let [((last, _), part), _] = desk.endpoints_in_use(&round);
+    let mut first: Vec<&EndpointSnapshot> =
+        desk.table.iter().filter(|card| card.rank >= last).collect();
     first.sort_by_key(|card| std::cmp::Reverse(card.rank));
     assert_eq!(first.len(), used);
-    assert!(first.iter().map(|card| card.entry.pod).take(3).eq(order));
+    assert!(first.iter().map(|card| card.endpoint.pod).take(3).eq(order));
     assert!((part - used as f64 / 40.0).abs() < 1e-9);
 }
 
@@ -1142,15 +1203,15 @@
 #[case::others_turn(vec![0], false)]
 fn a_proof_that_is_others_turn_waits(#[case] held: Vec<u64>, #[case] proves: bool) {
     let mut round = round(9.0);
-    round.look_at(Some(FleetView {
+    round.set_fleet_view(Some(FleetView {
         probed_by_peers: held.into_iter().map(PodId).collect(),
         ..FleetView::default()
     }));
-    let mut shut = Pod::new(pod(0, 1));
-    shut.health.shut_until = at(1.0);
-    shut.post_card(&mut round);
-    let Some((_, Note::Card(card))) = round.mail.take() else {
+    let mut shut = OutlierDetector::new(pod(0, 1));
+    shut.health.ejected_until = at(1.0);
+    shut.publish_snapshot(&mut round);
+    let Some((_, Message::SnapshotPublished(card))) = round.mailboxes.pop() else {
         panic!("no card")
     };
-    assert_eq!((card.usable, card.wants_proof), (false, proves));
+    assert_eq!((card.usable, card.wants_health_check), (false, proves));
 }
--- a/crates/decision/src/choice/tests/lists.rs
+++ b/crates/decision/src/choice/tests/lists.rs
@@ -1,7 +1,7 @@
 //! Lists that come late or not at all: when discovery is asked again, and which pods may still be sent to.
 
 use super::*;
-use crate::sidecar::Sidecar;
+use crate::sidecar::DecisionEngine;
 use std::collections::VecDeque;
 
 const REFUSED: WatchLoss = WatchLoss {
@@ -19,8 +19,8 @@
 const LEASE: f64 = 6.0;
 
 /// A round of a sidecar whose lists may be relied on for a while after they were last heard.
-fn leased(now: f64) -> Round {
-    let mut round = Round::new(
+fn leased(now: f64) -> Context {
+    let mut round = Context::new(
         Duration::ZERO,
         &SidecarConfig {
             endpoint_lease: Some(at(LEASE)),
@@ -33,18 +33,21 @@
 
 /// How long after the last of these losses the list is asked for again.
 fn wait_after(terms: &SidecarConfig, losses: &[WatchLoss]) -> Duration {
-    let (mut lister, mut round) = (Lister::default(), Round::new(Duration::ZERO, terms));
+    let (mut lister, mut round) = (
+        EndpointTracker::default(),
+        Context::new(Duration::ZERO, terms),
+    );
     for loss in losses {
-        while round.due.take(Duration::MAX).is_some() {}
-        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(*loss)));
-        let Some((_, note)) = round.mail.take() else {
+        while round.timers.pop_due(Duration::MAX).is_some() {}
+        round.dispatch_event(Event::Endpoints(EndpointUpdate::WatchLost(*loss)));
+        let Some((_, note)) = round.mailboxes.pop() else {
             panic!("no note")
         };
         lister.take(note, &mut round);
     }
     let mut waits = (0..60_000).map(Duration::from_millis);
     waits
-        .find(|wait| round.due.take(round.now + *wait).is_some())
+        .find(|wait| round.timers.pop_due(round.now + *wait).is_some())
         .unwrap()
 }
 
@@ -75,17 +78,20 @@
         ..terms()
     };
     let wait = wait_after(&pushed, losses);
-    assert!(BEAT / 4 < wait && wait <= at(0.25), "{wait:?}");
+    assert!(TICK_INTERVAL / 4 < wait && wait <= at(0.25), "{wait:?}");
 }
 
 #[test]
 fn a_list_that_came_begins_the_waits_anew() {
     let mut round = leased(1.0);
     for _ in 0..5 {
-        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(REFUSED)));
+        round.dispatch_event(Event::Endpoints(EndpointUpdate::WatchLost(REFUSED)));
     }
-    round.deliver(Event::Endpoints(EndpointUpdate::Delta(Vec::new())));
-    assert_eq!((round.list_failures, round.hears_list()), (0, true));
+    round.dispatch_event(Event::Endpoints(EndpointUpdate::Delta(Vec::new())));
+    assert_eq!(
+        (round.watch_failures, round.endpoints_are_current()),
+        (0, true)
+    );
 }
 
 /// A call for the list, as the service that answers it holds it.
@@ -156,7 +162,7 @@
 fn a_fleet_that_calls_at_once_is_answered(#[values(100, 280, 530)] sidecars: usize) {
     let start = |own: usize| {
         let (own_number, seed) = (own as u32, own as u64 + 1);
-        Sidecar::new(
+        DecisionEngine::new(
             Duration::ZERO,
             SidecarConfig {
                 sidecar_count: sidecars as u32,
@@ -166,7 +172,7 @@
             },
         )
     };
-    let mut fleet: Vec<Sidecar> = (0..sidecars).map(start).collect();
+    let mut fleet: Vec<DecisionEngine> = (0..sidecars).map(start).collect();
     let mut events: Vec<Vec<Event>> = (0..sidecars)
         .map(|_| vec![Event::Endpoints(EndpointUpdate::WatchLost(SILENT))])
         .collect();
@@ -178,7 +184,7 @@
     let mut now = Duration::ZERO;
     let bound = Duration::from_secs(10) + CALL_TAKES * 3 * sidecars as u32;
     while !unanswered.is_empty() && now < bound {
-        now += BEAT;
+        now += TICK_INTERVAL;
         let (answered, refused) = service.work(now);
         for from in answered {
             unanswered.remove(&from);
@@ -202,28 +208,31 @@
 }
 
 /// A gate with an attempt of hit 0 out to pod 0, allowed at 1 s.
-fn gate_with_an_attempt(round: &mut Round) -> Gate {
+fn gate_with_an_attempt(round: &mut Context) -> AdmissionControl {
     let mut gate = gate(0, Phase::Released, 1.0);
     round.now = at(1.0);
-    gate.send(RequestId(0), PodId(0), round);
+    gate.start_attempt(RequestId(0), PodId(0), round);
     gate
 }
 
-fn told(gate: &mut Gate, entry: Endpoint) {
-    gate.take(Note::Listed(entry), &mut leased(1.1));
+fn told(gate: &mut AdmissionControl, entry: Endpoint) {
+    gate.take(Message::EndpointChanged(entry), &mut leased(1.1));
 }
 
 /// Whether the first byte may leave once this has come between the decision and that byte, also within the grace.
 #[rstest]
-#[case::nothing(|_: &mut Gate| (), true)]
-#[case::the_request_is_over(|gate: &mut Gate| gate.accounts.get_mut(&RequestId(0)).unwrap().over = true, false)]
-#[case::its_pod_drains(|gate: &mut Gate| told(gate, Endpoint { state: PodState::Draining, ..pod(0, 1) }), false)]
-#[case::its_pod_is_gone(|gate: &mut Gate| told(gate, Endpoint { state: PodState::Gone, ..pod(0, 1) }), false)]
-#[case::another_pod_drains(|gate: &mut Gate| told(gate, Endpoint { state: PodState::Draining, ..pod(1, 1) }), true)]
-#[case::its_pod_runs_another_build(|gate: &mut Gate| told(gate, pod(0, 2)), false)]
-#[case::its_pod_started_anew(|gate: &mut Gate| told(gate, Endpoint { started_at: Some(at(1.0)), ..pod(0, 1) }), false)]
-#[case::its_pod_is_forgotten(|gate: &mut Gate| gate.places.remove(PodId(0)), false)]
-fn permission_is_given_at_the_first_byte(#[case] between: fn(&mut Gate), #[case] may: bool) {
+#[case::nothing(|_: &mut AdmissionControl| (), true)]
+#[case::the_request_is_over(|gate: &mut AdmissionControl| gate.requests.get_mut(&RequestId(0)).unwrap().closed = true, false)]
+#[case::its_pod_drains(|gate: &mut AdmissionControl| told(gate, Endpoint { state: PodState::Draining, ..pod(0, 1) }), false)]
+#[case::its_pod_is_gone(|gate: &mut AdmissionControl| told(gate, Endpoint { state: PodState::Gone, ..pod(0, 1) }), false)]
+#[case::another_pod_drains(|gate: &mut AdmissionControl| told(gate, Endpoint { state: PodState::Draining, ..pod(1, 1) }), true)]
+#[case::its_pod_runs_another_build(|gate: &mut AdmissionControl| told(gate, pod(0, 2)), false)]
+#[case::its_pod_started_anew(|gate: &mut AdmissionControl| told(gate, Endpoint { started_at: Some(at(1.0)), ..pod(0, 1) }), false)]
+#[case::its_pod_is_forgotten(|gate: &mut AdmissionControl| gate.endpoints.remove(PodId(0)), false)]
+fn permission_is_given_at_the_first_byte(
+    #[case] between: fn(&mut AdmissionControl),
+    #[case] may: bool,
+) {
     let mut round = leased(1.0);
     let mut gate = gate_with_an_attempt(&mut round);
     between(&mut gate);
@@ -247,7 +256,7 @@
     let mut round = leased(1.0);
     let gate = gate_with_an_attempt(&mut round);
     if lost {
-        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(SILENT)));
+        round.dispatch_event(Event::Endpoints(EndpointUpdate::WatchLost(SILENT)));
     }
     assert_eq!(
         gate.may_begin(RequestId(0), AttemptIndex(0), at(now), &round),
@@ -260,27 +269,33 @@
 fn without_a_lease_permission_does_not_expire() {
     let mut round = round(1.0);
     let gate = gate_with_an_attempt(&mut round);
-    round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(SILENT)));
+    round.dispatch_event(Event::Endpoints(EndpointUpdate::WatchLost(SILENT)));
     assert!(gate.may_begin(RequestId(0), AttemptIndex(0), at(5.0), &round));
 }
 
 /// Pods 0 to 2, all usable; pod 0 served what was sent at 11 s, pod 1 what was sent at 8 s, pod 2 never did.
-fn desk_of_served() -> Desk {
+fn desk_of_served() -> LoadBalancer {
     let mut desk = desk(0);
     for (id, served) in [(0, 11.0), (1, 8.0), (2, 0.0)] {
-        desk.cards.put(Card {
-            served: at(served),
+        desk.table.put(EndpointSnapshot {
+            last_served_at: at(served),
             ..card(pod(id, 1))
         });
     }
-    desk.news = Some(news(Phase::Released, 1.0));
+    desk.stage = Some(news(Phase::Released, 1.0));
     desk
 }
 
 /// The pods that a request may go to.
-fn asked_for(round: &mut Round) -> Vec<u64> {
+fn asked_for(round: &mut Context) -> Vec<u64> {
     desk_of_served().place(RequestId(0), round);
-    let Some((To::Gate, Note::Ask { bids, .. })) = round.mail.take() else {
+    let Some((
+        Component::AdmissionControl,
+        Message::AttemptProposed {
+            candidates: bids, ..
+        },
+    )) = round.mailboxes.pop()
+    else {
         panic!("no bids")
     };
     bids.into_iter().map(|bid| bid.pod.0).collect()
@@ -298,8 +313,8 @@
     let mut round = leased(lost_at.unwrap_or(now));
     lost_at
         .into_iter()
-        .for_each(|_| round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(SILENT))));
-    while round.mail.take().is_some() {}
+        .for_each(|_| round.dispatch_event(Event::Endpoints(EndpointUpdate::WatchLost(SILENT))));
+    while round.mailboxes.pop().is_some() {}
     round.now = at(now);
     assert_eq!(asked_for(&mut round), pods);
 }
@@ -308,29 +323,29 @@
 #[test]
 fn the_lease_runs_from_when_a_list_was_last_heard() {
     let mut round = leased(10.0);
-    round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
+    round.dispatch_event(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
         silent_for: at(2.3),
         ..SILENT
     })));
     round.now = at(13.6);
-    assert_eq!(round.relies_since(), Duration::ZERO);
+    assert_eq!(round.served_since(), Duration::ZERO);
     round.now = at(13.8);
-    assert_eq!(round.relies_since(), at(10.8));
+    assert_eq!(round.served_since(), at(10.8));
 }
 
 /// Where there is no service, or none that can be understood, its list is relied on for as long as that.
 #[test]
 fn a_service_that_is_not_there_renews_the_lease() {
     let mut round = leased(10.0);
-    round.deliver(Event::Endpoints(EndpointUpdate::Cached(Vec::new())));
+    round.dispatch_event(Event::Endpoints(EndpointUpdate::Cached(Vec::new())));
     for second in 11..60 {
         round.now = at(f64::from(second));
         let why = WatchLossCause::NoService;
-        round.deliver(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
+        round.dispatch_event(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
             cause: why,
             ..SILENT
         })));
-        assert_eq!(round.relies_since(), Duration::ZERO);
+        assert_eq!(round.served_since(), Duration::ZERO);
     }
 }
 
@@ -340,9 +355,9 @@
 #[case::over(12.1, true)]
 fn a_remembered_list_has_a_part_of_the_lease(#[case] now: f64, #[case] stale: bool) {
     let mut round = leased(10.0);
-    round.deliver(Event::Endpoints(EndpointUpdate::Cached(Vec::new())));
+    round.dispatch_event(Event::Endpoints(EndpointUpdate::Cached(Vec::new())));
     round.now = at(now);
-    assert_eq!(round.relies_since() > Duration::ZERO, stale);
+    assert_eq!(round.served_since() > Duration::ZERO, stale);
 }
 
 /// A pod that turned an attempt away may drain: it is not relied on before it has served again.
@@ -353,23 +368,23 @@
     #[case] last: AttemptOutcome,
     #[case] relied_on: bool,
 ) {
-    let (mut pod, round) = (Pod::new(pod(0, 1)), leased(3.0));
+    let (mut pod, round) = (OutlierDetector::new(pod(0, 1)), leased(3.0));
     for fate in [AttemptOutcome::Succeeded, last] {
-        pod.learn(
-            &Ended {
-                sent: at(2.0),
+        pod.record_outcome(
+            &AttemptEnded {
+                sent_at: at(2.0),
                 ..ended(fate)
             },
             &round,
         );
     }
-    assert_eq!(!pod.health.served.is_zero(), relied_on);
+    assert_eq!(!pod.health.last_served_at.is_zero(), relied_on);
 }
 
 /// What `learn` takes is known at once, and nothing that is due by time happens by it.
 #[test]
 fn a_list_is_known_before_anything_falls_due() {
-    let mut sidecar = Sidecar::new(
+    let mut sidecar = DecisionEngine::new(
         Duration::ZERO,
         SidecarConfig {
             endpoint_lease: Some(at(LEASE)),
@@ -399,7 +414,7 @@
         state: PodState::Draining,
         ..pod(0, 1)
     };
-    let actions = sidecar.learn(
+    let actions = sidecar.apply_events(
         at(8.0),
         vec![Event::Endpoints(EndpointUpdate::Delta(vec![drains]))],
     );
--- a/crates/decision/src/inbox.rs
+++ b/crates/decision/src/inbox.rs
@@ -5,11 +5,11 @@
 
 use std::collections::VecDeque;
 
-pub struct Inboxes<A, N> {
+pub struct Mailboxes<A, N> {
     waiting: VecDeque<(A, N)>,
 }
 
-impl<A, N> Default for Inboxes<A, N> {
+impl<A, N> Default for Mailboxes<A, N> {
     fn default() -> Self {
         Self {
             waiting: VecDeque::new(),
@@ -17,12 +17,12 @@
     }
 }
 
-impl<A, N> Inboxes<A, N> {
-    pub fn put(&mut self, to: A, note: N) {
+impl<A, N> Mailboxes<A, N> {
+    pub fn push(&mut self, to: A, note: N) {
         self.waiting.push_back((to, note));
     }
 
-    pub fn take(&mut self) -> Option<(A, N)> {
+    pub fn pop(&mut self) -> Option<(A, N)> {
         self.waiting.pop_front()
     }
 }
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -229,7 +229,7 @@
 
 impl StageUpdate {
     /// A number of its own for each time that something of this stage comes round.
-    pub fn turn(&self, nth: u32) -> u64 {
+    pub fn cycle_key(&self, nth: u32) -> u64 {
         u64::from(self.build.0) << 48 | u64::from(self.stage.0) << 40 | u64::from(nth)
     }
 }
--- a/crates/decision/src/ledger.rs
+++ b/crates/decision/src/ledger.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 /// What is due when; equal times keep the order of entry.
-pub struct DueTimes<T> {
+pub struct TimerQueue<T> {
     due: BTreeMap<(Duration, u64), T>,
     next: u64,
 }
 
-impl<T> Default for DueTimes<T> {
+impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
         Self {
             due: BTreeMap::new(),
@@ -18,13 +18,13 @@
     }
 }
 
-impl<T> DueTimes<T> {
-    pub fn put(&mut self, at: Duration, what: T) {
+impl<T> TimerQueue<T> {
+    pub fn schedule(&mut self, at: Duration, what: T) {
         self.due.insert((at, self.next), what);
         self.next += 1;
     }
 
-    pub fn take(&mut self, now: Duration) -> Option<T> {
+    pub fn pop_due(&mut self, now: Duration) -> Option<T> {
         let (&(at, n), _) = self.due.first_key_value()?;
         if at > now {
             return None;
@@ -35,24 +35,24 @@
 
 /// The times of what happened lately.
 #[derive(Default, Clone)]
-pub struct Window {
+pub struct SlidingWindow {
     times: VecDeque<Duration>,
 }
 
-impl Window {
-    pub fn note(&mut self, at: Duration) {
+impl SlidingWindow {
+    pub fn record(&mut self, at: Duration) {
         self.times.push_back(at);
     }
 
     /// Forgets all from before `from`.
-    pub fn forget(&mut self, from: Duration) {
+    pub fn expire_before(&mut self, from: Duration) {
         while self.times.front().is_some_and(|t| *t < from) {
             self.times.pop_front();
         }
     }
 
     /// How many happened at `from` or later.
-    pub fn since(&self, from: Duration) -> usize {
+    pub fn count_since(&self, from: Duration) -> usize {
         self.times.len() - self.times.partition_point(|t| *t < from)
     }
 
@@ -66,7 +66,7 @@
 }
 
 /// How likely so many or more of all are, if each is with that chance.
-pub fn tail(many: usize, all: usize, chance: f64) -> f64 {
+pub fn binomial_tail(many: usize, all: usize, chance: f64) -> f64 {
     let mut exactly = (1.0 - chance).powi(all as i32);
     let mut fewer = 0.0;
     for n in 0..many.min(all + 1) {
@@ -77,18 +77,18 @@
 }
 
 /// A share from 0 to 1 that looks like chance but is always the same for the same two numbers.
-pub fn drawn(own: u64, number: u64) -> f64 {
-    (rank(own, number) >> 11) as f64 / (1u64 << 53) as f64
+pub fn hash_fraction(own: u64, number: u64) -> f64 {
+    (rendezvous_rank(own, number) >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// How many whole spans have passed, and how much of the next.
-pub fn part(passed: Duration, span: Duration) -> (u32, Duration) {
+pub fn period_at(passed: Duration, span: Duration) -> (u32, Duration) {
     let whole = (passed.as_nanos() / span.as_nanos().max(1)) as u32;
     (whole, passed.saturating_sub(span * whole))
 }
 
 /// A number that looks like chance but is always the same for the same one (splitmix64).
-pub fn mixed(number: u64) -> u64 {
+pub fn splitmix64(number: u64) -> u64 {
     let mut z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -96,12 +96,12 @@
 }
 
 /// Where a number stands in an order that is `own`'s: it moves little when numbers come and go.
-pub fn rank(own: u64, number: u64) -> u64 {
-    mixed(number ^ mixed(own + 1))
+pub fn rendezvous_rank(own: u64, number: u64) -> u64 {
+    splitmix64(number ^ splitmix64(own + 1))
 }
 
 /// How much larger one share of (bad, seen) is than another, and the noise in that.
-pub fn excess(new: (usize, usize), old: (usize, usize)) -> (f64, f64) {
+pub fn proportion_excess(new: (usize, usize), old: (usize, usize)) -> (f64, f64) {
     let share = |(bad, seen): (usize, usize), more: f64| {
         (bad as f64 + more) / (seen as f64 + 2.0 * more).max(1.0)
     };
@@ -113,7 +113,7 @@
 }
 
 /// The sum of the squares of counts over what chance would make of it, were all alike: about 1 if they are.
-pub fn unevenness(counts: &[f64]) -> f64 {
+pub fn dispersion(counts: &[f64]) -> f64 {
     let (sum, squares) = (
         counts.iter().sum::<f64>(),
         counts.iter().map(|c| c * c).sum::<f64>(),
@@ -133,27 +133,27 @@
 
 /// A mean that forgets: of all values at first, then of about the last so many.
 #[derive(Clone, Copy, Default)]
-pub struct Mean {
+pub struct RunningMean {
     pub value: f64,
-    pub of: usize,
+    pub count: usize,
 }
 
-impl Mean {
+impl RunningMean {
     pub fn add(&mut self, value: f64, last: usize) {
-        self.of += 1;
-        self.value += (value - self.value) / self.of.min(last) as f64;
+        self.count += 1;
+        self.value += (value - self.value) / self.count.min(last) as f64;
     }
 }
 
 /// A mean of about the last so many values that also loses its weight with time.
 #[derive(Clone, Copy, Default)]
-pub struct Fading {
+pub struct DecayingMean {
     value: f64,
     weight: f64,
     at: Duration,
 }
 
-impl Fading {
+impl DecayingMean {
     fn weight(&self, now: Duration, over: Duration) -> f64 {
         self.weight * (-(now.saturating_sub(self.at)).as_secs_f64() / over.as_secs_f64()).exp()
     }
@@ -165,7 +165,7 @@
     }
 
     /// The mean, leaning to 0 by so many values.
-    pub fn read(&self, now: Duration, over: Duration, lean: f64) -> f64 {
+    pub fn shrunk_mean(&self, now: Duration, over: Duration, lean: f64) -> f64 {
         let weight = self.weight(now, over);
         self.value * weight / (weight + lean).max(1e-9)
     }
@@ -173,18 +173,18 @@
 
 /// A rate in events a second, smoothed over about `over`.
 #[derive(Clone, Copy, Default)]
-pub struct Rate {
+pub struct SmoothedRate {
     per_s: f64,
     at: Duration,
 }
 
-impl Rate {
-    pub fn add(&mut self, now: Duration, over: Duration) {
-        self.per_s = self.now(now, over) + 1.0 / over.as_secs_f64();
+impl SmoothedRate {
+    pub fn record(&mut self, now: Duration, over: Duration) {
+        self.per_s = self.per_second(now, over) + 1.0 / over.as_secs_f64();
         self.at = now;
     }
 
-    pub fn now(&self, now: Duration, over: Duration) -> f64 {
+    pub fn per_second(&self, now: Duration, over: Duration) -> f64 {
         self.per_s * (-(now.saturating_sub(self.at)).as_secs_f64() / over.as_secs_f64()).exp()
     }
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -20,3 +20,6 @@
 pub mod ledger;
 pub mod notes;
 pub mod sidecar;
+
+pub use choice::WATCH_RETRY_DELAY;
+pub use sidecar::DecisionEngine;
--- a/crates/decision/src/notes.rs
+++ b/crates/decision/src/notes.rs
@@ -1,11 +1,11 @@
 //! What the parts of the decision module tell each other, and what each keeps on record. What a lost list means
 //! (`Round::hear` and what follows from it) is decided here and belongs in `choice`: see docs/ROADMAP.md.
 
-use crate::choice::{OUTAGE, REMEMBERED, SERVED_LEASE};
-use crate::figures::Figures;
-use crate::inbox::Inboxes;
+use crate::choice::{CACHED_LEASE_FRACTION, OUTAGE_LEASES, SERVED_LEASE_FRACTION};
+use crate::figures::DerivedConfig;
+use crate::inbox::Mailboxes;
 use crate::interface::*;
-use crate::ledger::{median, rank, DueTimes, Mean, Window};
+use crate::ledger::{median, rendezvous_rank, RunningMean, SlidingWindow, TimerQueue};
 use nanorand::{Rng, WyRand};
 use std::cell::Cell;
 use std::cmp::Ordering;
@@ -15,115 +15,115 @@
 
 /// The parts that have an inbox.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum To {
-    Pod(PodId),
-    Desk,
-    Gate,
-    Judge,
-    Lister,
+pub enum Component {
+    OutlierDetector(PodId),
+    LoadBalancer,
+    AdmissionControl,
+    CanaryAnalysis,
+    EndpointTracker,
 }
 
 #[derive(Clone)]
-pub enum Note {
-    List(EndpointUpdate),
-    Listed(Endpoint),
+pub enum Message {
+    EndpointsUpdated(EndpointUpdate),
+    EndpointChanged(Endpoint),
     /// A pod that has been gone for long.
-    Forget(PodId),
-    Taken(Request),
+    EndpointForgotten(PodId),
+    RequestArrived(Request),
     /// Desk to gate: a forward to the best of the bids of this turn that the rules allow. The others wait.
-    Ask {
-        hit: RequestId,
-        bids: Vec<Bid>,
-        turn: u8,
+    AttemptProposed {
+        request: RequestId,
+        candidates: Vec<Candidate>,
+        tier: u8,
     },
     /// Gate to desk: none of that turn was allowed; here are the others.
-    Refused(RequestId, Vec<Bid>),
-    Sent {
-        hit: RequestId,
-        no: AttemptIndex,
+    AttemptRefused(RequestId, Vec<Candidate>),
+    AttemptStarted {
+        request: RequestId,
+        attempt: AttemptIndex,
         pod: PodId,
     },
-    Back(AttemptResult),
-    Ended(Ended),
-    Streams(RequestId),
+    AttemptFinished(AttemptResult),
+    AttemptEnded(AttemptEnded),
+    StreamStarted(RequestId),
     /// Desk to gate: the hit is given up.
-    End(RequestId),
-    Over(RequestId),
-    Met(RoutingKey, BuildId),
-    Stage(StageUpdate),
+    RequestGivenUp(RequestId),
+    RequestClosed(RequestId),
+    KeyServed(RoutingKey, BuildId),
+    StageUpdated(StageUpdate),
     VoteAnswered(VoteAnswer),
-    Flagged {
+    ResponseFlagged {
         pod: PodId,
-        group: ClassId,
+        class: ClassId,
     },
-    Card(Card),
-    Doubt(RequestId, AttemptIndex, PodId),
-    Retry(RequestId),
-    Beat,
-    Watch,
+    SnapshotPublished(EndpointSnapshot),
+    HedgeCheckDue(RequestId, AttemptIndex, PodId),
+    PlacementDue(RequestId),
+    Tick,
+    WatchDue,
 }
 
 /// A forward that ended, with what the gate knew of it.
 #[derive(Clone)]
-pub struct Ended {
-    pub outcome: AttemptResult,
-    pub group: ClassId,
+pub struct AttemptEnded {
+    pub result: AttemptResult,
+    pub class: ClassId,
     pub build: BuildId,
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// The hit still waits for its final answer.
-    pub open: bool,
-    pub customer: Option<TenantId>,
+    pub request_open: bool,
+    pub tenant: Option<TenantId>,
     /// Its customer's hits go wrong where others' go well.
-    pub sour: bool,
+    pub tenant_outlier: bool,
 }
 
 /// Why the gate turned a forward down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    Over,
+    RequestClosed,
     MayHaveRun,
-    Drained,
-    Cold,
-    Exposed,
-    KeyStays,
+    EndpointDrained,
+    SlowStart,
+    ExposureCap,
+    StickyKey,
 }
 
 /// What every part needs in a round: the time, the derived start terms, inboxes, due times, chance, and what
 /// goes out.
-pub struct Round {
+pub struct Context {
     pub now: Duration,
     /// How long past its beat this sidecar was called: it stood still.
-    pub late: Duration,
+    pub lateness: Duration,
     /// Since when no list is heard; none while a watch stands, and where a list may be relied on for good.
-    pub list_lost: Option<Duration>,
+    pub endpoints_lost_at: Option<Duration>,
     /// Watches and calls for the list that have failed in a row.
-    pub list_failures: u32,
-    pub figures: Figures,
-    pub mail: Inboxes<To, Note>,
-    pub due: DueTimes<(To, Note)>,
-    pub chance: WyRand,
-    pub out: Vec<Action>,
+    pub watch_failures: u32,
+    pub config: DerivedConfig,
+    pub mailboxes: Mailboxes<Component, Message>,
+    pub timers: TimerQueue<(Component, Message)>,
+    pub rng: WyRand,
+    pub actions: Vec<Action>,
     /// What the other sidecars make of its choices, and each pod's place in their order.
     pub fleet: Option<(FleetView, BTreeMap<PodId, usize>)>,
 }
 
-impl Round {
+impl Context {
     pub fn new(now: Duration, terms: &SidecarConfig) -> Self {
         Self {
             now,
-            late: Duration::ZERO,
-            list_lost: None,
-            list_failures: 0,
-            figures: Figures::of(now, terms),
-            mail: Inboxes::default(),
-            due: DueTimes::default(),
-            chance: WyRand::new_seed(terms.seed),
-            out: Vec::new(),
+            lateness: Duration::ZERO,
+            endpoints_lost_at: None,
+            watch_failures: 0,
+            config: DerivedConfig::new(now, terms),
+            mailboxes: Mailboxes::default(),
+            timers: TimerQueue::default(),
+            rng: WyRand::new_seed(terms.seed),
+            actions: Vec::new(),
             fleet: None,
         }
     }
 
-    pub fn look_at(&mut self, fleet: Option<FleetView>) {
+    pub fn set_fleet_view(&mut self, fleet: Option<FleetView>) {
         let places = |view: &FleetView| {
             view.preference
                 .iter()
@@ -141,115 +141,141 @@
     pub fn rank(&self, pod: PodId) -> u64 {
         let told = self.fleet.as_ref().and_then(|(_, places)| places.get(&pod));
         told.map_or_else(
-            || rank(u64::from(self.figures.own_number), pod.0) >> u32::from(self.fleet.is_some()),
+            || {
+                rendezvous_rank(u64::from(self.config.sidecar_index), pod.0)
+                    >> u32::from(self.fleet.is_some())
+            },
             |place| u64::MAX - *place as u64,
         )
     }
 
     /// How many pods it is told to use at the least.
-    pub fn uses(&self) -> usize {
+    pub fn min_endpoints(&self) -> usize {
         self.fleet
             .as_ref()
             .map_or(0, |(view, _)| view.min_endpoints)
     }
 
     /// Whether others are to prove a pod that is shut.
-    pub fn is_held(&self, pod: PodId) -> bool {
+    pub fn is_probed_by_peers(&self, pod: PodId) -> bool {
         self.fleet
             .as_ref()
             .is_some_and(|(view, _)| view.probed_by_peers.contains(&pod))
     }
 
-    pub fn tell<const N: usize>(&mut self, parts: [To; N], note: &Note) {
+    pub fn broadcast<const N: usize>(&mut self, parts: [Component; N], note: &Message) {
         parts
             .into_iter()
-            .for_each(|to| self.mail.put(to, note.clone()));
+            .for_each(|to| self.mailboxes.push(to, note.clone()));
     }
 
     /// Keeps on record since when no list is heard. One that was held before the start may be of any age.
     fn hear(&mut self, news: &EndpointUpdate) {
         let failed = matches!(news, EndpointUpdate::WatchLost(_));
-        self.list_failures = if failed {
-            self.list_failures.saturating_add(1)
+        self.watch_failures = if failed {
+            self.watch_failures.saturating_add(1)
         } else {
             0
         };
-        let Some(lease) = self.figures.list_lease else {
+        let Some(lease) = self.config.endpoint_lease else {
             return;
         };
-        self.list_lost = match news {
+        self.endpoints_lost_at = match news {
             EndpointUpdate::WatchLost(WatchLoss {
                 cause: WatchLossCause::NoService,
                 ..
             }) => Some(self.now),
-            EndpointUpdate::WatchLost(loss) => self.list_lost.or(Some(self.ago(loss.silent_for))),
-            EndpointUpdate::Cached(_) => Some(self.ago(lease.mul_f64(1.0 - REMEMBERED))),
+            EndpointUpdate::WatchLost(loss) => {
+                self.endpoints_lost_at.or(Some(self.ago(loss.silent_for)))
+            }
+            EndpointUpdate::Cached(_) => Some(self.ago(lease.mul_f64(1.0 - CACHED_LEASE_FRACTION))),
             EndpointUpdate::Delta(_) | EndpointUpdate::Snapshot(_) => None,
         };
     }
 
-    pub fn hears_list(&self) -> bool {
-        self.list_lost.is_none()
+    pub fn endpoints_are_current(&self) -> bool {
+        self.endpoints_lost_at.is_none()
     }
 
     /// Whether no list has been heard for so many leases.
     fn is_unheard_for(&self, leases: u32) -> bool {
         let until = |lost: Duration, lease: Duration| lost + lease * leases;
-        self.list_lost
-            .zip(self.figures.list_lease)
+        self.endpoints_lost_at
+            .zip(self.config.endpoint_lease)
             .is_some_and(|(lost, lease)| self.now >= until(lost, lease))
     }
 
     /// Since when a pod must have served to be relied on: any time, while lists are heard or were until lately.
-    pub fn relies_since(&self) -> Duration {
-        match self.figures.list_lease {
-            Some(lease) if self.is_unheard_for(1) => self.ago(lease.mul_f64(SERVED_LEASE)),
+    pub fn served_since(&self) -> Duration {
+        match self.config.endpoint_lease {
+            Some(lease) if self.is_unheard_for(1) => self.ago(lease.mul_f64(SERVED_LEASE_FRACTION)),
             _ => Duration::ZERO,
         }
     }
 
     /// Whether no list has been heard for so long that its service must be down.
     pub fn is_list_service_down(&self) -> bool {
-        self.is_unheard_for(OUTAGE)
+        self.is_unheard_for(OUTAGE_LEASES)
     }
 
     /// A number from 0 to 1, evenly.
-    pub fn chance(&mut self) -> f64 {
-        (self.chance.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn random_unit(&mut self) -> f64 {
+        (self.rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Puts a note into an inbox later.
-    pub fn later(&mut self, wait: Duration, to: To, note: Note) {
-        self.due.put(self.now + wait, (to, note));
+    pub fn schedule(&mut self, wait: Duration, to: Component, note: Message) {
+        self.timers.schedule(self.now + wait, (to, note));
     }
 
     /// Brings an event to the parts that it concerns.
-    pub fn deliver(&mut self, event: Event) {
+    pub fn dispatch_event(&mut self, event: Event) {
         match event {
             Event::Endpoints(news) => {
                 self.hear(&news);
-                self.mail.put(To::Lister, Note::List(news));
+                self.mailboxes
+                    .push(Component::EndpointTracker, Message::EndpointsUpdated(news));
             }
-            Event::RequestArrived(hit) => self.mail.put(To::Gate, Note::Taken(hit)),
-            Event::AttemptFinished(outcome) => self.mail.put(To::Gate, Note::Back(outcome)),
-            Event::StreamStarted { request: hit } => self.mail.put(To::Gate, Note::Streams(hit)),
-            Event::ClientDisconnected(hit) => self.mail.put(To::Gate, Note::Over(hit)),
+            Event::RequestArrived(hit) => self
+                .mailboxes
+                .push(Component::AdmissionControl, Message::RequestArrived(hit)),
+            Event::AttemptFinished(outcome) => self.mailboxes.push(
+                Component::AdmissionControl,
+                Message::AttemptFinished(outcome),
+            ),
+            Event::StreamStarted { request: hit } => self
+                .mailboxes
+                .push(Component::AdmissionControl, Message::StreamStarted(hit)),
+            Event::ClientDisconnected(hit) => self
+                .mailboxes
+                .push(Component::AdmissionControl, Message::RequestClosed(hit)),
             Event::Stage {
                 update: news,
                 vote_answer: answer,
             } => {
                 if let Some(news) = news {
-                    self.tell([To::Gate, To::Desk, To::Judge], &Note::Stage(news));
+                    self.broadcast(
+                        [
+                            Component::AdmissionControl,
+                            Component::LoadBalancer,
+                            Component::CanaryAnalysis,
+                        ],
+                        &Message::StageUpdated(news),
+                    );
                 }
                 if let Some(answer) = answer {
-                    self.mail.put(To::Judge, Note::VoteAnswered(answer));
+                    self.mailboxes
+                        .push(Component::CanaryAnalysis, Message::VoteAnswered(answer));
                 }
             }
-            Event::Fleet(view) => self.look_at(view),
-            Event::KeyServed(key, build) => self.mail.put(To::Gate, Note::Met(key, build)),
-            Event::Flagged { pod, class: group } => {
-                self.mail.put(To::Judge, Note::Flagged { pod, group })
-            }
+            Event::Fleet(view) => self.set_fleet_view(view),
+            Event::KeyServed(key, build) => self
+                .mailboxes
+                .push(Component::AdmissionControl, Message::KeyServed(key, build)),
+            Event::Flagged { pod, class: group } => self.mailboxes.push(
+                Component::CanaryAnalysis,
+                Message::ResponseFlagged { pod, class: group },
+            ),
         }
     }
 
@@ -260,68 +286,68 @@
 
 /// A pod's own account of itself for the desk.
 #[derive(Clone)]
-pub struct Card {
-    pub entry: Endpoint,
+pub struct EndpointSnapshot {
+    pub endpoint: Endpoint,
     /// Its place in this sidecar's own order of pods.
     pub rank: u64,
     pub ready: bool,
-    pub open: usize,
+    pub in_flight: usize,
     /// Recent time taken, as a share of the target latency, and over how many answers.
-    pub pace: Mean,
+    pub latency_ratio: RunningMean,
     pub usable: bool,
     /// Shut, but due for a hit that shows whether it is back.
-    pub wants_proof: bool,
+    pub wants_health_check: bool,
     /// When the latest attempt was sent that it served.
-    pub served: Duration,
+    pub last_served_at: Duration,
 }
 
-impl Card {
-    pub fn ranked(&self) -> (u64, PodId) {
-        (self.rank, self.entry.pod)
+impl EndpointSnapshot {
+    pub fn rank_key(&self) -> (u64, PodId) {
+        (self.rank, self.endpoint.pod)
     }
 }
 
 /// A pod that a hit may go to.
 #[derive(Clone, Copy)]
-pub struct Bid {
+pub struct Candidate {
     pub pod: PodId,
     pub build: BuildId,
     /// Those of the lowest turn are asked for first.
-    pub turn: u8,
+    pub tier: u8,
     /// The draw that stands for load not seen.
-    pub chance: f64,
+    pub random_draw: f64,
     /// What the hit would bear there; not told before its turn.
     pub cost: f64,
     /// The part of its build's pods that this sidecar uses.
-    pub part: f64,
+    pub used_fraction: f64,
 }
 
 /// The greatest is asked for first: of the lowest turn, then the cheapest, then of the lowest pod.
-impl Ord for Bid {
+impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
-        let (turn, pod) = (|| other.turn.cmp(&self.turn), || other.pod.cmp(&self.pod));
+        let (turn, pod) = (|| other.tier.cmp(&self.tier), || other.pod.cmp(&self.pod));
         turn()
             .then_with(|| other.cost.total_cmp(&self.cost))
             .then_with(pod)
     }
 }
 
-impl PartialOrd for Bid {
+impl PartialOrd for Candidate {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Bid {
+impl PartialEq for Candidate {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Bid {}
+impl Eq for Candidate {}
 
 /// Puts the best bid at the end, and leaves the others in no order.
-pub fn best_last(bids: &mut [Bid]) {
+pub fn best_last(bids: &mut [Candidate]) {
     if let Some(best) = (0..bids.len()).max_by(|a, b| bids[*a].cmp(&bids[*b])) {
         bids.swap(best, bids.len() - 1);
     }
@@ -329,56 +355,58 @@
 
 /// The last card of each pod, by pod.
 #[derive(Default)]
-pub struct Cards {
-    cards: Vec<Card>,
+pub struct EndpointTable {
+    snapshots: Vec<EndpointSnapshot>,
     /// Hits open at the usable ones.
-    open: usize,
+    in_flight: usize,
     /// Which are there, ready or usable, or their builds, changed since this was last asked.
     changed: bool,
 }
 
-impl Cards {
-    fn place(&self, pod: PodId) -> Result<usize, usize> {
-        self.cards.binary_search_by_key(&pod, |card| card.entry.pod)
+impl EndpointTable {
+    fn position(&self, pod: PodId) -> Result<usize, usize> {
+        self.snapshots
+            .binary_search_by_key(&pod, |card| card.endpoint.pod)
     }
 
-    pub fn get(&self, pod: PodId) -> Option<&Card> {
-        self.place(pod).ok().map(|place| &self.cards[place])
+    pub fn get(&self, pod: PodId) -> Option<&EndpointSnapshot> {
+        self.position(pod).ok().map(|place| &self.snapshots[place])
     }
 
-    pub fn put(&mut self, card: Card) {
-        let counts = |card: &Card| if card.usable { card.open } else { 0 };
-        self.open += counts(&card);
-        match self.place(card.entry.pod) {
+    pub fn put(&mut self, card: EndpointSnapshot) {
+        let counts = |card: &EndpointSnapshot| if card.usable { card.in_flight } else { 0 };
+        self.in_flight += counts(&card);
+        match self.position(card.endpoint.pod) {
             Ok(place) => {
-                let old = &mut self.cards[place];
+                let old = &mut self.snapshots[place];
                 let same = (old.ready, old.usable, old.rank)
                     == (card.ready, card.usable, card.rank)
-                    && old.entry.build == card.entry.build;
-                (self.open, self.changed) = (self.open - counts(old), self.changed || !same);
+                    && old.endpoint.build == card.endpoint.build;
+                (self.in_flight, self.changed) =
+                    (self.in_flight - counts(old), self.changed || !same);
                 *old = card;
             }
             Err(place) => {
                 self.changed = true;
-                self.cards.insert(place, card);
+                self.snapshots.insert(place, card);
             }
         }
     }
 
     pub fn remove(&mut self, pod: PodId) {
-        if let Ok(place) = self.place(pod) {
-            let card = self.cards.remove(place);
-            self.open -= if card.usable { card.open } else { 0 };
+        if let Ok(place) = self.position(pod) {
+            let card = self.snapshots.remove(place);
+            self.in_flight -= if card.usable { card.in_flight } else { 0 };
             self.changed = true;
         }
     }
 
-    pub fn iter(&self) -> std::slice::Iter<'_, Card> {
-        self.cards.iter()
+    pub fn iter(&self) -> std::slice::Iter<'_, EndpointSnapshot> {
+        self.snapshots.iter()
     }
 
-    pub fn open(&self) -> usize {
-        self.open
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
     pub fn take_changed(&mut self) -> bool {
@@ -388,109 +416,111 @@
 
 /// What is known of the cards together, until one of them changes.
 #[derive(Default)]
-pub struct Overview {
+pub struct FleetSummary {
     /// The lowest and the highest build that is ready.
-    pub builds: Option<(BuildId, BuildId)>,
+    pub build_range: Option<(BuildId, BuildId)>,
     /// On trial when the ranks were sorted.
-    pub trial: Option<BuildId>,
+    pub trial_build: Option<BuildId>,
     /// The usable pods of the base, and of the trial, lowest rank first.
     pub ranks: [Vec<(u64, PodId)>; 2],
 }
 
-impl Overview {
+impl FleetSummary {
     /// Looks all cards over, if one came, went, shut or opened.
-    pub fn look_over(&mut self, cards: &mut Cards) {
+    pub fn refresh(&mut self, cards: &mut EndpointTable) {
         if cards.take_changed() {
-            let builds = cards.iter().filter(|c| c.ready).map(|c| c.entry.build);
+            let builds = cards.iter().filter(|c| c.ready).map(|c| c.endpoint.build);
             let span = |span: Option<(BuildId, BuildId)>, b: BuildId| {
                 Some(span.map_or((b, b), |(l, h)| (b.min(l), b.max(h))))
             };
-            self.builds = builds.fold(None, span);
-            self.sort(cards, self.trial);
+            self.build_range = builds.fold(None, span);
+            self.sort_ranks(cards, self.trial_build);
         }
     }
 
-    pub fn sort(&mut self, cards: &Cards, trial: Option<BuildId>) {
-        self.trial = trial;
+    pub fn sort_ranks(&mut self, cards: &EndpointTable, trial: Option<BuildId>) {
+        self.trial_build = trial;
         for (side, ranks) in self.ranks.iter_mut().enumerate() {
-            let here = |c: &&Card| c.usable && usize::from(trial == Some(c.entry.build)) == side;
+            let here = |c: &&EndpointSnapshot| {
+                c.usable && usize::from(trial == Some(c.endpoint.build)) == side
+            };
             ranks.clear();
-            ranks.extend(cards.iter().filter(here).map(Card::ranked));
+            ranks.extend(cards.iter().filter(here).map(EndpointSnapshot::rank_key));
             ranks.sort_unstable();
         }
     }
 }
 
 /// The gate's account of one hit.
-pub struct Account {
-    pub group: ClassId,
-    pub customer: Option<TenantId>,
-    pub key: Option<RoutingKey>,
-    pub due: Duration,
-    pub forwards: Vec<Sent>,
-    pub over: bool,
-    pub streams: bool,
-}
-
-impl Account {
-    pub fn of(hit: &Request) -> Self {
+pub struct RequestRecord {
+    pub class: ClassId,
+    pub tenant: Option<TenantId>,
+    pub routing_key: Option<RoutingKey>,
+    pub deadline: Duration,
+    pub attempts: Vec<AttemptRecord>,
+    pub closed: bool,
+    pub streaming: bool,
+}
+
+impl RequestRecord {
+    pub fn new(hit: &Request) -> Self {
         let (group, customer, key, due) = (hit.class, hit.tenant, hit.routing_key, hit.deadline);
         Self {
-            group,
-            customer,
-            key,
-            due,
-            forwards: Vec::new(),
-            over: false,
-            streams: false,
+            class: group,
+            tenant: customer,
+            routing_key: key,
+            deadline: due,
+            attempts: Vec::new(),
+            closed: false,
+            streaming: false,
         }
     }
 
     /// Puts a forward on record and tells its number.
-    pub fn sent(&mut self, to: &Endpoint, at: Duration) -> AttemptIndex {
+    pub fn record_attempt(&mut self, to: &Endpoint, at: Duration) -> AttemptIndex {
         let (pod, build, zone, cell, started) = (to.pod, to.build, to.zone, to.cell, to.started_at);
-        self.forwards.push(Sent {
+        self.attempts.push(AttemptRecord {
             pod,
             build,
             zone,
             cell,
-            started,
-            at,
-            fate: None,
+            pod_started_at: started,
+            sent_at: at,
+            outcome: None,
         });
-        AttemptIndex(self.forwards.len() as u16 - 1)
+        AttemptIndex(self.attempts.len() as u16 - 1)
     }
 
     /// An attempt that has no outcome yet.
-    pub fn out(&self, no: AttemptIndex) -> Option<&Sent> {
-        self.forwards
+    pub fn open_attempt(&self, no: AttemptIndex) -> Option<&AttemptRecord> {
+        self.attempts
             .get(usize::from(no.0))
-            .filter(|sent| sent.fate.is_none())
+            .filter(|sent| sent.outcome.is_none())
     }
 
-    pub fn still_out(&self) -> Vec<AttemptIndex> {
-        let numbered = (0u16..).zip(&self.forwards);
+    pub fn open_attempts(&self) -> Vec<AttemptIndex> {
+        let numbered = (0u16..).zip(&self.attempts);
         numbered
-            .filter(|(_, f)| f.fate.is_none())
+            .filter(|(_, f)| f.outcome.is_none())
             .map(|(n, _)| AttemptIndex(n))
             .collect()
     }
 }
 
-pub struct Sent {
+pub struct AttemptRecord {
     pub build: BuildId,
     pub zone: ZoneId,
     pub cell: CellId,
     pub pod: PodId,
     /// The start of the pod that it was meant for.
-    pub started: Option<Duration>,
-    pub at: Duration,
-    pub fate: Option<AttemptOutcome>,
+    pub pod_started_at: Option<Duration>,
+    pub sent_at: Duration,
+    pub outcome: Option<AttemptOutcome>,
 }
 
-impl Sent {
+impl AttemptRecord {
     /// Whether `pod` knows of this forward if it ran, so that it drops a repeat.
-    pub fn remembered_by(&self, pod: &Endpoint, reach: DeduplicationScope) -> bool {
+    pub fn is_deduplicated_by(&self, pod: &Endpoint, reach: DeduplicationScope) -> bool {
         match reach {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => self.zone == pod.zone,
@@ -499,56 +529,57 @@
     }
 
     pub fn may_have_run(&self) -> bool {
-        self.fate.is_none_or(|fate| !fate.never_ran())
+        self.outcome.is_none_or(|fate| !fate.never_ran())
     }
 }
 
 /// What the gate knows of a pod.
-pub struct Place {
-    pub entry: Endpoint,
+pub struct EndpointState {
+    pub endpoint: Endpoint,
     /// When this sidecar was told that it drains or is gone.
-    pub ended: Option<Duration>,
-    pub sends: Window,
+    pub leaving_since: Option<Duration>,
+    pub attempts: SlidingWindow,
     /// This sidecar's luck with the parts of a forward that the pod may get, 0 to 1; drawn anew at each start.
-    pub luck: f64,
+    pub fractional_allowance: f64,
 }
 
-impl Place {
-    pub fn of(entry: &Endpoint) -> Self {
+impl EndpointState {
+    pub fn new(entry: &Endpoint) -> Self {
         Self {
-            entry: entry.clone(),
-            ended: None,
-            sends: Window::default(),
-            luck: 0.0,
+            endpoint: entry.clone(),
+            leaving_since: None,
+            attempts: SlidingWindow::default(),
+            fractional_allowance: 0.0,
         }
     }
 
-    pub fn list(&mut self, entry: Endpoint, now: Duration, luck: f64) {
-        if entry.started_at != self.entry.started_at {
-            self.sends.clear();
+    pub fn update(&mut self, entry: Endpoint, now: Duration, luck: f64) {
+        if entry.started_at != self.endpoint.started_at {
+            self.attempts.clear();
         }
-        self.luck = luck;
-        self.ended = match entry.state {
+        self.fractional_allowance = luck;
+        self.leaving_since = match entry.state {
             PodState::Ready => None,
-            _ => self.ended.or(Some(now)),
+            _ => self.leaving_since.or(Some(now)),
         };
-        self.entry = entry;
+        self.endpoint = entry;
     }
 
     /// Whether an attempt was meant for this life of the pod, and the pod neither drains nor is gone.
-    pub fn still_takes(&self, sent: &Sent) -> bool {
-        let same_life = (self.entry.build, self.entry.started_at) == (sent.build, sent.started);
-        self.ended.is_none() && same_life
+    pub fn still_accepts(&self, sent: &AttemptRecord) -> bool {
+        let same_life =
+            (self.endpoint.build, self.endpoint.started_at) == (sent.build, sent.pod_started_at);
+        self.leaving_since.is_none() && same_life
     }
 }
 
 /// The rows of the list as they were told last, each with the time since when its pod is gone.
 #[derive(Default)]
-pub struct Held(BTreeMap<PodId, (Endpoint, Option<Duration>)>);
+pub struct KnownEndpoints(BTreeMap<PodId, (Endpoint, Option<Duration>)>);
 
-impl Held {
+impl KnownEndpoints {
     /// Keeps a row; tells whether its pod has gone by it.
-    pub fn put(&mut self, row: &Endpoint, now: Duration) -> bool {
+    pub fn insert(&mut self, row: &Endpoint, now: Duration) -> bool {
         let before = self.0.get(&row.pod).and_then(|(_, gone)| *gone);
         let gone = (row.state == PodState::Gone).then(|| before.unwrap_or(now));
         self.0.insert(row.pod, (row.clone(), gone));
@@ -566,7 +597,7 @@
     }
 
     /// The rows that a whole list no longer has, as gone.
-    pub fn gone_from(&self, list: &[Endpoint]) -> Vec<Endpoint> {
+    pub fn missing_from(&self, list: &[Endpoint]) -> Vec<Endpoint> {
         let listed: BTreeSet<PodId> = list.iter().map(|row| row.pod).collect();
         let gone = self
             .0
@@ -582,211 +613,224 @@
 
 /// The gate's record of all pods, with what is derived from it.
 #[derive(Default)]
-pub struct Places {
-    places: BTreeMap<PodId, Place>,
+pub struct EndpointStates {
+    states: BTreeMap<PodId, EndpointState>,
     /// The lowest build that runs on a pod which neither drains nor is gone, once it was asked for.
-    lowest: Cell<Option<Option<BuildId>>>,
+    lowest_build: Cell<Option<Option<BuildId>>>,
     /// The strength of all ready pods together, and the time for which it was summed up.
-    strength: Cell<Option<(Duration, f64)>>,
+    ready_capacity: Cell<Option<(Duration, f64)>>,
 }
 
-impl Places {
-    pub fn get(&self, pod: PodId) -> Option<&Place> {
-        self.places.get(&pod)
+impl EndpointStates {
+    pub fn get(&self, pod: PodId) -> Option<&EndpointState> {
+        self.states.get(&pod)
     }
 
-    pub fn get_mut(&mut self, pod: PodId) -> Option<&mut Place> {
-        self.places.get_mut(&pod)
+    pub fn get_mut(&mut self, pod: PodId) -> Option<&mut EndpointState> {
+        self.states.get_mut(&pod)
     }
 
-    pub fn values(&self) -> impl Iterator<Item = &Place> {
-        self.places.values()
+    pub fn values(&self) -> impl Iterator<Item = &EndpointState> {
+        self.states.values()
     }
 
     pub fn remove(&mut self, pod: PodId) {
-        self.places.remove(&pod);
+        self.states.remove(&pod);
     }
 
-    pub fn list(&mut self, entry: Endpoint, now: Duration, luck: f64) {
+    pub fn update(&mut self, entry: Endpoint, now: Duration, luck: f64) {
         let place = self
-            .places
+            .states
             .entry(entry.pod)
-            .or_insert_with(|| Place::of(&entry));
-        place.list(entry, now, luck);
-        self.lowest.set(None);
-        self.strength.set(None);
+            .or_insert_with(|| EndpointState::new(&entry));
+        place.update(entry, now, luck);
+        self.lowest_build.set(None);
+        self.ready_capacity.set(None);
     }
 
     /// The lowest build that runs on a pod which neither drains nor is gone, found once for each change of the list.
-    pub fn lowest(&self) -> Option<BuildId> {
+    pub fn lowest_build(&self) -> Option<BuildId> {
         let find = || {
-            let present = self.places.values().filter(|place| place.ended.is_none());
-            present.map(|place| place.entry.build).min()
+            let present = self
+                .states
+                .values()
+                .filter(|place| place.leaving_since.is_none());
+            present.map(|place| place.endpoint.build).min()
         };
-        let lowest = self.lowest.get().unwrap_or_else(find);
-        self.lowest.set(Some(lowest));
+        let lowest = self.lowest_build.get().unwrap_or_else(find);
+        self.lowest_build.set(Some(lowest));
         lowest
     }
 
     /// The strength of all ready pods together, summed up once for each time that it is asked for.
-    pub fn strength(&self, now: Duration, figures: &Figures) -> f64 {
-        if let Some((_, known)) = self.strength.get().filter(|(at, _)| *at == now) {
+    pub fn ready_capacity(&self, now: Duration, figures: &DerivedConfig) -> f64 {
+        if let Some((_, known)) = self.ready_capacity.get().filter(|(at, _)| *at == now) {
             return known;
         }
         let ready = self
-            .places
+            .states
             .values()
-            .filter(|place| place.entry.state == PodState::Ready);
+            .filter(|place| place.endpoint.state == PodState::Ready);
         let sum = ready
-            .map(|p| p.entry.weight * figures.strength(p.entry.started_at, now))
+            .map(|p| p.endpoint.weight * figures.capacity_factor(p.endpoint.started_at, now))
             .sum();
-        self.strength.set(Some((now, sum)));
+        self.ready_capacity.set(Some((now, sum)));
         sum
     }
 }
 
 /// What a pod has seen of itself since its start.
 #[derive(Default)]
-pub struct Health {
-    pub last_answer: Duration,
+pub struct EndpointHealth {
+    pub last_success_at: Duration,
     /// When the latest attempt was sent that it served; zero once it has turned one away since.
-    pub served: Duration,
+    pub last_served_at: Duration,
     /// Recent time taken, as a share of the target latency.
-    pub pace: Mean,
-    pub strikes: u32,
-    pub shuts: u32,
+    pub latency_ratio: RunningMean,
+    pub consecutive_failures: u32,
+    pub ejections: u32,
     /// Shut, and not proven again before this; zero while it is open.
-    pub shut_until: Duration,
+    pub ejected_until: Duration,
 }
 
 /// The desk's record of an open hit.
-pub struct OpenHit {
-    pub group: ClassId,
-    pub customer: Option<TenantId>,
+pub struct OpenRequest {
+    pub class: ClassId,
+    pub tenant: Option<TenantId>,
     /// Where its last forward went.
-    pub at: Option<PodId>,
-    pub arrived: Duration,
-    pub due: Duration,
-    pub out: u32,
-    pub tried: Vec<PodId>,
-    pub no_trial: bool,
+    pub last_pod: Option<PodId>,
+    pub arrived_at: Duration,
+    pub deadline: Duration,
+    pub attempts_in_flight: u32,
+    pub tried_pods: Vec<PodId>,
+    pub avoids_trial: bool,
 }
 
-impl OpenHit {
-    pub fn of(hit: &Request, arrived: Duration) -> Self {
+impl OpenRequest {
+    pub fn new(hit: &Request, arrived: Duration) -> Self {
         let (group, customer) = (hit.class, hit.tenant);
         Self {
-            group,
-            customer,
-            at: None,
-            arrived,
-            due: hit.deadline,
-            out: 0,
-            tried: Vec::new(),
-            no_trial: false,
+            class: group,
+            tenant: customer,
+            last_pod: None,
+            arrived_at: arrived,
+            deadline: hit.deadline,
+            attempts_in_flight: 0,
+            tried_pods: Vec::new(),
+            avoids_trial: false,
         }
     }
 }
 
 /// What was seen of one build in one stage.
 #[derive(Default, Clone)]
-pub struct Sample {
-    pub groups: BTreeMap<ClassId, Count>,
-    pub pods: BTreeMap<PodId, ByPod>,
+pub struct CanarySample {
+    pub by_class: BTreeMap<ClassId, OutcomeCounts>,
+    pub by_pod: BTreeMap<PodId, PodSample>,
     /// The times of all pods, shortest first.
-    times: Vec<f64>,
+    latencies: Vec<f64>,
 }
 
 #[derive(Default, Clone)]
-pub struct ByPod {
-    pub seen: usize,
-    pub bad: usize,
+pub struct PodSample {
+    pub outcomes: usize,
+    pub failures: usize,
     pub flagged: usize,
     /// Times taken, scaled to a warm pod and to what the earlier build takes on its kind of machine.
-    pub times: Vec<f64>,
+    pub latencies: Vec<f64>,
 }
 
 #[derive(Default, Clone, Copy, Debug)]
-pub struct Count {
-    pub seen: usize,
+pub struct OutcomeCounts {
+    pub outcomes: usize,
     /// Errors, and time-outs among them.
-    pub bad: usize,
+    pub failures: usize,
     pub timed_out: usize,
     pub flagged: usize,
 }
 
-impl Sample {
-    pub fn all(&self) -> Count {
-        self.groups.values().fold(Count::default(), |a, c| Count {
-            seen: a.seen + c.seen,
-            bad: a.bad + c.bad,
-            timed_out: a.timed_out + c.timed_out,
-            flagged: a.flagged + c.flagged,
-        })
+impl CanarySample {
+    pub fn total(&self) -> OutcomeCounts {
+        self.by_class
+            .values()
+            .fold(OutcomeCounts::default(), |a, c| OutcomeCounts {
+                outcomes: a.outcomes + c.outcomes,
+                failures: a.failures + c.failures,
+                timed_out: a.timed_out + c.timed_out,
+                flagged: a.flagged + c.flagged,
+            })
     }
 
     /// What was seen of each path group, and of all, beside what another sample saw of it.
-    pub fn beside(&self, other: &Self) -> Vec<(Count, Count)> {
-        let of_other = |group: &ClassId| other.groups.get(group).copied().unwrap_or_default();
+    pub fn paired_with(&self, other: &Self) -> Vec<(OutcomeCounts, OutcomeCounts)> {
+        let of_other = |group: &ClassId| other.by_class.get(group).copied().unwrap_or_default();
         let by_group = self
-            .groups
+            .by_class
             .iter()
             .map(|(group, count)| (*count, of_other(group)));
-        by_group.chain([(self.all(), other.all())]).collect()
+        by_group.chain([(self.total(), other.total())]).collect()
     }
 
-    pub fn count(&mut self, group: ClassId, pod: PodId, fate: AttemptOutcome, time: Option<f64>) {
+    pub fn record(&mut self, group: ClassId, pod: PodId, fate: AttemptOutcome, time: Option<f64>) {
         let bad = matches!(fate, AttemptOutcome::Failed | AttemptOutcome::TimedOut);
         let (count, by_pod) = (
-            self.groups.entry(group).or_default(),
-            self.pods.entry(pod).or_default(),
+            self.by_class.entry(group).or_default(),
+            self.by_pod.entry(pod).or_default(),
+        );
+        (count.outcomes, by_pod.outcomes) = (count.outcomes + 1, by_pod.outcomes + 1);
+        (count.failures, by_pod.failures) = (
+            count.failures + usize::from(bad),
+            by_pod.failures + usize::from(bad),
         );
-        (count.seen, by_pod.seen) = (count.seen + 1, by_pod.seen + 1);
-        (count.bad, by_pod.bad) = (count.bad + usize::from(bad), by_pod.bad + usize::from(bad));
         count.timed_out += usize::from(fate == AttemptOutcome::TimedOut);
-        by_pod.times.extend(time);
+        by_pod.latencies.extend(time);
         if let Some(time) = time {
             let place = self
-                .times
+                .latencies
                 .partition_point(|known| known.total_cmp(&time).is_lt());
-            self.times.insert(place, time);
+            self.latencies.insert(place, time);
         }
     }
 
     /// Forgets half of what was seen: counts in proportion, of the times the older ones.
     pub fn halve(&mut self) {
-        for count in self.groups.values_mut() {
-            let Count {
-                seen,
-                bad,
+        for count in self.by_class.values_mut() {
+            let OutcomeCounts {
+                outcomes: seen,
+                failures: bad,
                 timed_out,
                 flagged,
             } = *count;
-            *count = Count {
-                seen: seen / 2,
-                bad: bad / 2,
+            *count = OutcomeCounts {
+                outcomes: seen / 2,
+                failures: bad / 2,
                 timed_out: timed_out / 2,
                 flagged: flagged / 2,
             };
         }
-        for by_pod in self.pods.values_mut() {
-            (by_pod.seen, by_pod.bad, by_pod.flagged) =
-                (by_pod.seen / 2, by_pod.bad / 2, by_pod.flagged / 2);
-            by_pod.times.drain(..by_pod.times.len().div_ceil(2));
+        for by_pod in self.by_pod.values_mut() {
+            (by_pod.outcomes, by_pod.failures, by_pod.flagged) =
+                (by_pod.outcomes / 2, by_pod.failures / 2, by_pod.flagged / 2);
+            by_pod.latencies.drain(..by_pod.latencies.len().div_ceil(2));
         }
-        self.pods.retain(|_, by_pod| by_pod.seen > 0);
-        self.times = self.pods.values().flat_map(|p| &p.times).copied().collect();
-        self.times.sort_by(f64::total_cmp);
+        self.by_pod.retain(|_, by_pod| by_pod.outcomes > 0);
+        self.latencies = self
+            .by_pod
+            .values()
+            .flat_map(|p| &p.latencies)
+            .copied()
+            .collect();
+        self.latencies.sort_by(f64::total_cmp);
     }
 
-    pub fn flag(&mut self, group: ClassId, pod: PodId) {
-        self.groups.entry(group).or_default().flagged += 1;
-        self.pods.entry(pod).or_default().flagged += 1;
+    pub fn record_flag(&mut self, group: ClassId, pod: PodId) {
+        self.by_class.entry(group).or_default().flagged += 1;
+        self.by_pod.entry(pod).or_default().flagged += 1;
     }
 
     /// All times but those of the pod whose middle one is the longest.
-    pub fn times_without_slowest(&self) -> Vec<f64> {
-        let mut pods: Vec<&Vec<f64>> = self.pods.values().map(|p| &p.times).collect();
+    pub fn latencies_without_slowest_pod(&self) -> Vec<f64> {
+        let mut pods: Vec<&Vec<f64>> = self.by_pod.values().map(|p| &p.latencies).collect();
         pods.sort_by(|a, b| {
             median(a.to_vec())
                 .unwrap_or(0.0)
@@ -796,23 +840,23 @@
         pods.into_iter().flatten().copied().collect()
     }
 
-    pub fn times(&self) -> &[f64] {
-        &self.times
+    pub fn latencies(&self) -> &[f64] {
+        &self.latencies
     }
 }
 
-impl fmt::Display for Sample {
+impl fmt::Display for CanarySample {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (all, times) = (self.all(), self.times());
+        let (all, times) = (self.total(), self.latencies());
         write!(
             f,
             "{} bad and {} flagged of {}",
-            all.bad, all.flagged, all.seen
+            all.failures, all.flagged, all.outcomes
         )?;
         write!(
             f,
             " on {} pods, median {:.2} of {}",
-            self.pods.len(),
+            self.by_pod.len(),
             times.get(times.len() / 2).unwrap_or(&0.0),
             times.len()
         )
@@ -825,5 +869,5 @@
     pub verdict: Verdict,
     pub build: BuildId,
     pub stage: StageIndex,
-    pub at: Duration,
+    pub cast_at: Duration,
 }
--- a/crates/decision/src/sidecar.rs
+++ b/crates/decision/src/sidecar.rs
@@ -1,15 +1,17 @@
 //! One sidecar: its parts, and the loop that empties their inboxes. The parts decide, in `choice`.
 
-use crate::choice::{Desk, Gate, Judge, Lister, Pod, BEAT};
+use crate::choice::{
+    AdmissionControl, CanaryAnalysis, EndpointTracker, LoadBalancer, OutlierDetector, TICK_INTERVAL,
+};
 use crate::interface::*;
-use crate::notes::{Note, Round, To};
+use crate::notes::{Component, Context, Message};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What is known comes before what is to be decided: a sidecar that stood still finds answers and hits at
 /// once. List and stage news come first of all: a forward that an outcome brings about must not go by a list or
 /// cap that has been replaced. Hurts by nothing: both speak of the same moment.
-pub fn in_order(mut events: Vec<Event>) -> Vec<Event> {
+pub fn in_processing_order(mut events: Vec<Event>) -> Vec<Event> {
     events.sort_by_key(|event| match event {
         Event::Endpoints(_) | Event::Stage { .. } | Event::Fleet(_) | Event::KeyServed(..) => 0,
         Event::AttemptFinished(_) => 1,
@@ -18,92 +20,110 @@
     events
 }
 
-pub struct Sidecar {
-    round: Round,
-    pods: BTreeMap<PodId, Pod>,
-    desk: Desk,
-    gate: Gate,
-    judge: Judge,
-    lister: Lister,
-    next_beat: Duration,
+pub struct DecisionEngine {
+    context: Context,
+    outlier_detectors: BTreeMap<PodId, OutlierDetector>,
+    load_balancer: LoadBalancer,
+    admission: AdmissionControl,
+    canary: CanaryAnalysis,
+    endpoint_tracker: EndpointTracker,
+    next_tick: Duration,
 }
 
-impl Sidecar {
+impl DecisionEngine {
     pub fn new(now: Duration, terms: SidecarConfig) -> Self {
         Self {
-            round: Round::new(now, &terms),
-            pods: BTreeMap::new(),
-            desk: Desk::default(),
-            gate: Gate::default(),
-            judge: Judge::default(),
-            lister: Lister::default(),
-            next_beat: now,
+            context: Context::new(now, &terms),
+            outlier_detectors: BTreeMap::new(),
+            load_balancer: LoadBalancer::default(),
+            admission: AdmissionControl::default(),
+            canary: CanaryAnalysis::default(),
+            endpoint_tracker: EndpointTracker::default(),
+            next_tick: now,
         }
     }
 
     /// Whether the first byte of an attempt may leave now. A host asks right before it writes that byte, on whichever
     /// connection and however long after the attempt was decided on; if not, the attempt ends as never sent.
     pub fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
-        self.gate.may_begin(hit, no, now, &self.round)
+        self.admission.may_begin(hit, no, now, &self.context)
     }
 
     /// Takes events of one moment, in order, and tells what to do at once. What is due by time is left to `handle`: a host
     /// that has stood still brings lists and stage news first, and the rest of what has come before anything falls due.
-    pub fn learn(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        self.round.now = now;
-        self.round.late = now.saturating_sub(self.next_beat);
-        for event in in_order(events) {
+    pub fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
+        self.context.now = now;
+        self.context.lateness = now.saturating_sub(self.next_tick);
+        for event in in_processing_order(events) {
             let fleet = matches!(event, Event::Fleet(_));
-            self.round.deliver(event);
+            self.context.dispatch_event(event);
             // Each pod's place in the order may be another.
-            self.pods
+            self.outlier_detectors
                 .values()
                 .filter(|_| fleet)
-                .for_each(|pod| pod.post_card(&mut self.round));
-            self.empty();
+                .for_each(|pod| pod.publish_snapshot(&mut self.context));
+            self.deliver_messages();
         }
-        std::mem::take(&mut self.round.out)
+        std::mem::take(&mut self.context.actions)
     }
 
     /// Takes the events of one moment, in order, and tells what to do, in order.
     pub fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        let mut actions = self.learn(now, events);
-        while let Some((to, note)) = self.round.due.take(now) {
-            self.round.mail.put(to, note);
-            self.empty();
+        let mut actions = self.apply_events(now, events);
+        while let Some((to, note)) = self.context.timers.pop_due(now) {
+            self.context.mailboxes.push(to, note);
+            self.deliver_messages();
         }
-        if now >= self.next_beat {
-            self.next_beat = now + BEAT;
-            self.round.out.push(Action::WakeAt { at: self.next_beat });
-            for (id, _) in self.pods.iter().filter(|(_, pod)| pod.watches()) {
-                self.round.mail.put(To::Pod(*id), Note::Beat);
+        if now >= self.next_tick {
+            self.next_tick = now + TICK_INTERVAL;
+            self.context
+                .actions
+                .push(Action::WakeAt { at: self.next_tick });
+            for (id, _) in self
+                .outlier_detectors
+                .iter()
+                .filter(|(_, pod)| pod.needs_tick())
+            {
+                self.context
+                    .mailboxes
+                    .push(Component::OutlierDetector(*id), Message::Tick);
             }
-            self.round
-                .tell([To::Gate, To::Desk, To::Judge], &Note::Beat);
-            self.empty();
+            self.context.broadcast(
+                [
+                    Component::AdmissionControl,
+                    Component::LoadBalancer,
+                    Component::CanaryAnalysis,
+                ],
+                &Message::Tick,
+            );
+            self.deliver_messages();
         }
-        actions.append(&mut self.round.out);
+        actions.append(&mut self.context.actions);
         actions
     }
 
     /// The one loop: hands each note to its addressee until all inboxes are empty.
-    fn empty(&mut self) {
-        while let Some((to, note)) = self.round.mail.take() {
-            let round = &mut self.round;
+    fn deliver_messages(&mut self) {
+        while let Some((to, note)) = self.context.mailboxes.pop() {
+            let round = &mut self.context;
             match to {
-                To::Pod(id) => match (self.pods.get_mut(&id), note) {
-                    (None, Note::Listed(entry)) => {
-                        let pod = self.pods.entry(id).or_insert(Pod::new(entry));
-                        pod.post_card(round);
+                Component::OutlierDetector(id) => match (self.outlier_detectors.get_mut(&id), note)
+                {
+                    (None, Message::EndpointChanged(entry)) => {
+                        let pod = self
+                            .outlier_detectors
+                            .entry(id)
+                            .or_insert(OutlierDetector::new(entry));
+                        pod.publish_snapshot(round);
                     }
-                    (_, Note::Forget(_)) => drop(self.pods.remove(&id)),
+                    (_, Message::EndpointForgotten(_)) => drop(self.outlier_detectors.remove(&id)),
                     (Some(pod), note) => pod.take(note, round),
                     (None, _) => {}
                 },
-                To::Desk => self.desk.take(note, round),
-                To::Gate => self.gate.take(note, round),
-                To::Judge => self.judge.take(note, round),
-                To::Lister => self.lister.take(note, round),
+                Component::LoadBalancer => self.load_balancer.take(note, round),
+                Component::AdmissionControl => self.admission.take(note, round),
+                Component::CanaryAnalysis => self.canary.take(note, round),
+                Component::EndpointTracker => self.endpoint_tracker.take(note, round),
             }
         }
     }
--- a/crates/emulators/src/fleet/crowd.rs
+++ b/crates/emulators/src/fleet/crowd.rs
@@ -3,7 +3,7 @@
 
 use limewing_coordination::{key, Choices, Pod, Says, Sign};
 use limewing_decision::interface::*;
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -133,7 +133,7 @@
 }
 
 struct One {
-    module: Sidecar,
+    module: DecisionEngine,
     choices: Choices,
     part: usize,
     says: Option<(Says, Duration)>,
@@ -165,7 +165,7 @@
 pub fn crowd(plan: &CrowdPlan) -> Crowd {
     let mut chance = StdRng::seed_from_u64(plan.seed);
     let one = |number: usize| One {
-        module: Sidecar::new(Duration::ZERO, terms(number, plan)),
+        module: DecisionEngine::new(Duration::ZERO, terms(number, plan)),
         choices: Choices::new(
             Duration::ZERO,
             key(&format!("s{number}")),
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -26,7 +26,7 @@
 use limewing_decision::interface::{
     Action, AttemptIndex, EndpointUpdate, Event, Phase, RequestId, SidecarConfig, VoteAnswer,
 };
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_net::call::Call;
 use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
 use limewing_net::wheel::Wheel;
@@ -85,13 +85,13 @@
     fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action>;
 }
 
-impl Decisions for Sidecar {
+impl Decisions for DecisionEngine {
     fn learn(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        Sidecar::learn(self, now, events)
+        DecisionEngine::apply_events(self, now, events)
     }
 
     fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        Sidecar::handle(self, now, events)
+        DecisionEngine::handle(self, now, events)
     }
 }
 
@@ -187,7 +187,9 @@
     /// # Errors
     /// The port is taken, the settings can't be used, or the system refuses.
     pub fn start(settings: &SidecarSettings) -> Result<Self, StartTrouble> {
-        Self::start_with(settings, |now, terms| Box::new(Sidecar::new(now, terms)))
+        Self::start_with(settings, |now, terms| {
+            Box::new(DecisionEngine::new(now, terms))
+        })
     }
 
     /// As `start`, with what decides made by the caller.
--- a/crates/http-proxy/tests/sockets/crossings.rs
+++ b/crates/http-proxy/tests/sockets/crossings.rs
@@ -3,7 +3,7 @@
 
 use crate::help::{run, settings, state_file, Client, Does, Pod, CHARGE, DONE, QUOTE};
 use limewing_decision::interface::{Action, AttemptIndex, Event, RequestId};
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
 use limewing_proxy_core::permit::Permits;
 use limewing_settings::{Seconds, SidecarSettings};
@@ -30,7 +30,7 @@
 /// The real decisions. They say when an attempt is decided on; and hold the loop, once it is asked for, before the actions
 /// of a call are carried out.
 struct Holding {
-    real: Sidecar,
+    real: DecisionEngine,
     tell: Sender<Told>,
     hold: Arc<AtomicBool>,
     hold_at_attempt: Arc<AtomicBool>,
@@ -64,7 +64,7 @@
 
 impl Decisions for Holding {
     fn learn(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        let actions = self.real.learn(now, events);
+        let actions = self.real.apply_events(now, events);
         self.passes(actions)
     }
 
@@ -93,7 +93,7 @@
         let (held, at_attempt, forbidden) =
             (hold.clone(), hold_at_attempt.clone(), forbids.clone());
         let service = Service::start_with(settings, move |now, terms| {
-            let real = Sidecar::new(now, terms);
+            let real = DecisionEngine::new(now, terms);
             Box::new(Holding {
                 real,
                 tell,
--- a/crates/http-proxy/tests/sockets/wants.rs
+++ b/crates/http-proxy/tests/sockets/wants.rs
@@ -2,7 +2,7 @@
 
 use crate::help::{listing, run, settings, state_file, Client, Does, Pod, DONE, QUOTE};
 use limewing_decision::interface::{Action, AttemptIndex, AttemptOutcome, Event, RequestId};
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
 use limewing_proxy_core::permit::Permits;
 use rstest::rstest;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// The real decisions, and a word of each outcome that they are told.
-struct Overheard(Sidecar, Sender<AttemptOutcome>);
+struct Overheard(DecisionEngine, Sender<AttemptOutcome>);
 
 impl Overheard {
     fn tell(&self, events: &[Event]) {
@@ -35,7 +35,7 @@
 impl Decisions for Overheard {
     fn learn(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.tell(&events);
-        self.0.learn(now, events)
+        self.0.apply_events(now, events)
     }
 
     fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
@@ -78,7 +78,8 @@
             settings.state_file = Some(state_file(&[pods[0].at, pods[1].at]));
             let (tell, told) = channel();
             let service = Service::start_with(&settings, |now, terms| {
-                Box::new(Overheard(Sidecar::new(now, terms), tell)) as Box<dyn Decisions + Send>
+                Box::new(Overheard(DecisionEngine::new(now, terms), tell))
+                    as Box<dyn Decisions + Send>
             });
             let at = run(service.unwrap());
             let mut client = Client::new(at);
--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -14,7 +14,7 @@
 mod twice;
 
 use limewing_decision::interface::*;
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
 use limewing_proxy_core::permit::Permits;
 use limewing_settings::SidecarSettings;
@@ -55,7 +55,7 @@
 }
 
 struct Crooked {
-    honest: Sidecar,
+    honest: DecisionEngine,
     way: Way,
     grace: Duration,
     mutating: Vec<bool>,
@@ -142,7 +142,7 @@
 impl Decisions for Crooked {
     fn learn(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         events.iter().for_each(|event| self.look(now, event));
-        let actions = self.honest.learn(now, events);
+        let actions = self.honest.apply_events(now, events);
         self.bend(now, actions)
     }
 
@@ -236,7 +236,7 @@
             .collect();
         let grace = terms.safety.drain_grace;
         Box::new(Crooked {
-            honest: Sidecar::new(now, terms),
+            honest: DecisionEngine::new(now, terms),
             way,
             grace,
             mutating,
--- a/crates/postgres-proxy/src/bounds/tests.rs
+++ b/crates/postgres-proxy/src/bounds/tests.rs
@@ -1,7 +1,7 @@
 //! What this host decides beside the module, and that its times fit those of the protocol.
 
 use super::*;
-use limewing_decision::choice::ASK_AGAIN;
+use limewing_decision::WATCH_RETRY_DELAY;
 use rstest::rstest;
 
 #[rstest]
@@ -82,7 +82,7 @@
 /// What a silent watch misses binds after 6 s: a first try that is silent too leaves time for a second one.
 #[test]
 fn a_silent_watch_is_asked_for_twice_in_time() {
-    let second = LIST_QUIET_AT_MOST + ASK_AGAIN + LIST_BEGINS_WITHIN + ASK_AGAIN;
+    let second = LIST_QUIET_AT_MOST + WATCH_RETRY_DELAY + LIST_BEGINS_WITHIN + WATCH_RETRY_DELAY;
     assert!(second < LIST_LEASE, "{second:?}");
 }
 
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -19,7 +19,7 @@
 use limewing_decision::interface::{
     Action, AttemptIndex, Event, Idempotency, RequestId, VoteAnswer,
 };
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_net::call::Call;
 use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
 use limewing_net::wheel::{TimerKey, Wheel};
@@ -97,7 +97,7 @@
     sockets: Sockets,
     clock: Clock,
     now: Duration,
-    module: Sidecar,
+    module: DecisionEngine,
     wake: Duration,
     events: Vec<Event>,
     terms: Terms,
@@ -193,7 +193,7 @@
             sockets,
             clock,
             now,
-            module: Sidecar::new(now, told.terms),
+            module: DecisionEngine::new(now, told.terms),
             wake: now,
             events: Vec::new(),
             terms,
@@ -330,7 +330,7 @@
             return;
         }
         let events = std::mem::take(&mut self.events);
-        let actions = self.module.learn(self.now, events);
+        let actions = self.module.apply_events(self.now, events);
         actions
             .into_iter()
             .for_each(|action| self.carry_out(action));
--- a/crates/postgres-proxy/tests/caps.rs
+++ b/crates/postgres-proxy/tests/caps.rs
@@ -4,7 +4,7 @@
 use limewing_decision::interface::{
     Action, ClassId, Endpoint, EndpointUpdate, Event, PodId, Request, RequestId,
 };
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_emulators::platform::{listing, Config, Listed};
 use limewing_postgres_proxy::config::{self, Told};
 use limewing_postgres_proxy::lines::Objects;
@@ -174,7 +174,7 @@
 /// A sidecar's list, and its module, as they are after a start.
 struct Started {
     list: List,
-    module: Sidecar,
+    module: DecisionEngine,
     hits: u64,
 }
 
@@ -182,7 +182,7 @@
     fn new(own_number: u32) -> Self {
         let told = told(own_number);
         let mut list = List::new(&told.sockets.zones, &told.sockets.kinds);
-        let mut module = Sidecar::new(NOW, told.terms);
+        let mut module = DecisionEngine::new(NOW, told.terms);
         let known = list.recall(told.known.unwrap(), NOW, SystemTime::now());
         module.handle(NOW, vec![Event::Endpoints(known)]);
         Self {
--- a/crates/proxy-core/src/permit.rs
+++ b/crates/proxy-core/src/permit.rs
@@ -2,7 +2,7 @@
 //! or to show that it lives; meanwhile the pod may be told to leave.
 
 use limewing_decision::interface::{AttemptIndex, RequestId};
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use std::time::Duration;
 
 /// What a permission is asked of.
@@ -11,9 +11,9 @@
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool;
 }
 
-impl Permits for Sidecar {
+impl Permits for DecisionEngine {
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
-        Sidecar::may_begin(self, now, hit, no)
+        DecisionEngine::may_begin(self, now, hit, no)
     }
 }
 
--- a/crates/reference-model/src/world.rs
+++ b/crates/reference-model/src/world.rs
@@ -4,7 +4,7 @@
 use crate::crooked::{asks_to_begin, crook, Crook};
 use crate::rules::{Breach, Referee, Tested};
 use limewing_decision::interface::*;
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
@@ -116,7 +116,7 @@
 }
 
 struct Host {
-    module: Option<Sidecar>,
+    module: Option<DecisionEngine>,
     life: u32,
     stalled: bool,
     waiting: Vec<Event>,
@@ -527,10 +527,10 @@
             } else if self.links.random_bool(0.5) {
                 let (ahead, rest) = events.into_iter().partition(is_control);
                 events = rest;
-                self.bring(sidecar, ahead, Sidecar::learn)?;
+                self.bring(sidecar, ahead, DecisionEngine::apply_events)?;
                 self.write(sidecar)?;
             }
-            self.bring(sidecar, events, Sidecar::handle)?;
+            self.bring(sidecar, events, DecisionEngine::handle)?;
         }
         self.write(sidecar)
     }
@@ -540,7 +540,7 @@
         &mut self,
         sidecar: usize,
         events: Vec<Event>,
-        to: fn(&mut Sidecar, Duration, Vec<Event>) -> Vec<Action>,
+        to: fn(&mut DecisionEngine, Duration, Vec<Event>) -> Vec<Action>,
     ) -> Result<(), Breach> {
         let host = &mut self.hosts[sidecar];
         let Some(module) = host.module.as_mut() else {
@@ -1223,7 +1223,7 @@
             .endpoint_lease
             .filter(|_| self.crook != Crook::ForgetsLease);
         let host = &mut self.hosts[sidecar];
-        host.module = Some(Sidecar::new(
+        host.module = Some(DecisionEngine::new(
             self.now,
             SidecarConfig {
                 endpoint_lease: list_lease,
--- a/crates/reference-model/tests/digest.rs
+++ b/crates/reference-model/tests/digest.rs
@@ -6,7 +6,7 @@
 //! what the drawn runs of the reference model counted, and at which step it caught each planted break.
 
 use limewing_decision::interface::*;
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_reference_model::crooked::Crook;
 use limewing_reference_model::rules::Tested;
 use limewing_reference_model::world::play;
@@ -193,7 +193,7 @@
     rng: StdRng,
     now: Duration,
     settings: SidecarConfig,
-    sidecar: Sidecar,
+    sidecar: DecisionEngine,
     incarnation: u32,
     events: Vec<Event>,
     wake_at: Duration,
@@ -298,7 +298,7 @@
         let mut simulation = Self {
             rng,
             now: START,
-            sidecar: Sidecar::new(START, settings.clone()),
+            sidecar: DecisionEngine::new(START, settings.clone()),
             settings,
             incarnation: 0,
             events: Vec::new(),
@@ -370,7 +370,7 @@
             let is_control =
                 |event: &Event| matches!(event, Event::Endpoints(_) | Event::Stage { .. });
             let (first, then): (Vec<Event>, Vec<Event>) = rest.into_iter().partition(is_control);
-            actions.extend(self.sidecar.learn(self.now, first));
+            actions.extend(self.sidecar.apply_events(self.now, first));
             rest = then;
         }
         actions.extend(self.sidecar.handle(self.now, rest));
@@ -906,7 +906,7 @@
     /// The first start, or a restart: what was in flight is lost, and the list is the one held before.
     fn start_sidecar(&mut self) {
         self.incarnation += 1;
-        self.sidecar = Sidecar::new(self.now, self.settings.clone());
+        self.sidecar = DecisionEngine::new(self.now, self.settings.clone());
         self.requests.clear();
         self.events.clear();
         self.watching = false;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 )]
 
 use limewing_decision::interface::{Endpoint, EndpointUpdate, Event, WatchLoss};
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use limewing_simulator_protocol::{
     read_batch, start_terms, Batch, ListHow, Record, Reply, Trouble,
 };
@@ -21,7 +21,7 @@
 use std::process::ExitCode;
 
 struct Instance {
-    sidecar: Sidecar,
+    sidecar: DecisionEngine,
     waiting: Vec<Event>,
 }
 
@@ -83,7 +83,7 @@
                         at,
                     })?;
                     let terms = start_terms(seed, &options).map_err(|what| Trouble { what, at })?;
-                    let sidecar = Sidecar::new(batch.now, terms);
+                    let sidecar = DecisionEngine::new(batch.now, terms);
                     self.instances.insert(
                         id,
                         Instance {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The made world: pods that answer after a drawn time, a list, and an installer that goes by the clock.
 
 use limewing_decision::interface::*;
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -53,7 +53,7 @@
 
 pub struct Soak {
     terms: Terms,
-    sidecar: Sidecar,
+    sidecar: DecisionEngine,
     now: Duration,
     wake: Duration,
     due: BTreeMap<(Duration, u64), Due>,
@@ -139,7 +139,7 @@
         let now = Duration::from_secs(3600);
         let mut soak = Self {
             terms,
-            sidecar: Sidecar::new(now, start_terms(&terms)),
+            sidecar: DecisionEngine::new(now, start_terms(&terms)),
             now,
             wake: now,
             due: BTreeMap::new(),
