--- a/crates/consensus/src/node/membership.rs
+++ b/crates/consensus/src/node/membership.rs
@@ -1,9 +1,9 @@
 //! Membership changes, one server at a time (dissertation, 4.1 to 4.3, with the correction of 2015), and nodes without a
 //! vote that catch up before they get one (4.2.1).
 
+use super::replication::Progress;
 use super::{ProposeError, RaftNode, Role};
 use crate::message::Message;
-use crate::node::replication::Progress;
 use crate::types::{Configuration, EntryPayload, LogPosition, Members, NodeId, MAX_VOTERS};
 use std::time::Duration;
 
--- a/crates/consensus/tests/consensus.rs
+++ b/crates/consensus/tests/consensus.rs
@@ -23,7 +23,7 @@
     cluster
 }
 
-/// A cluster without faults other than those of `steps`.
+/// A cluster without a planted fault.
 fn cluster_with(voters: usize, learners: usize, seed: u64, script: &Script) -> Cluster {
     Cluster::new(script, voters, learners, seed, PlantedFault::None)
 }
@@ -241,8 +241,8 @@
     let leader = cluster.leader().expect("one leads by now");
     let voter = cluster.voter(leader).expect("it runs");
     let leader_id = voter.id().clone();
-    let others: Vec<NodeId> = voter.members().iter().cloned().collect();
-    let others: Vec<NodeId> = others.into_iter().filter(|id| *id != leader_id).collect();
+    let mut others: Vec<NodeId> = voter.members().iter().cloned().collect();
+    others.retain(|id| *id != leader_id);
     let without = |removed: usize| -> Members {
         let remaining = others[removed..].iter().cloned();
         remaining.chain([leader_id.clone()]).collect()
