--- a/crates/cli/tests/command/days.rs
+++ b/crates/cli/tests/command/days.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-pub fn limewing(args: &[&str]) -> Output {
+pub(crate) fn limewing(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_limewing"))
         .args(args)
         .output()
@@ -15,13 +15,13 @@
 }
 
 /// Days of many processes are played one after the other: each goes by the machine's time.
-pub fn one_day_at_a_time() -> MutexGuard<'static, ()> {
+pub(crate) fn one_day_at_a_time() -> MutexGuard<'static, ()> {
     static DAY: Mutex<()> = Mutex::new(());
     DAY.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A day that was played: whether it ended well, and what it printed.
-pub struct Played {
+pub(crate) struct Played {
     pub well: bool,
     pub text: String,
     pub folder: tempfile::TempDir,
@@ -29,7 +29,7 @@
 
 impl Played {
     /// Fails with what the record has on it if it did not end well.
-    pub fn must_be_well(&self) {
+    pub(crate) fn must_be_well(&self) {
         assert!(
             self.well,
             "{}\n{}",
@@ -38,14 +38,14 @@
         );
     }
 
-    pub fn log(&self, number: usize) -> String {
+    pub(crate) fn log(&self, number: usize) -> String {
         let file = self.folder.path().join(format!("sidecar-{number}.log"));
         std::fs::read_to_string(file).unwrap_or_default()
     }
 }
 
 /// Plays a day of the repository with this done to its script.
-pub fn play(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> Played {
+pub(crate) fn play(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> Played {
     let folder = tempfile::tempdir().unwrap();
     let text = std::fs::read_to_string(in_repo(&format!("days/{name}.json"))).unwrap();
     let mut day: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -69,7 +69,7 @@
 }
 
 /// What the record has on the tries that the text names, and where the loop stood still.
-pub fn told_of(text: &str, folder: &std::path::Path) -> String {
+pub(crate) fn told_of(text: &str, folder: &std::path::Path) -> String {
     let record = std::fs::read_to_string(folder.join("record.jsonl")).unwrap_or_default();
     let tries: Vec<String> = text
         .split("Try(OrderId(")
--- a/crates/cli/tests/command/help.rs
+++ b/crates/cli/tests/command/help.rs
@@ -8,14 +8,14 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-pub fn in_repo(file: &str) -> PathBuf {
+pub(crate) fn in_repo(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .join(file)
 }
 
 /// A file of settings with the address to listen on put in.
-pub fn settings(folder: &Path, listen: &str) -> PathBuf {
+pub(crate) fn settings(folder: &Path, listen: &str) -> PathBuf {
     let file = folder.join("sidecar.json");
     let example = std::fs::read_to_string(in_repo("deploy/sidecar.example.json")).unwrap();
     let example = example
@@ -26,7 +26,7 @@
 }
 
 /// Settings of a sidecar that knows these pods, each with a build.
-pub fn settings_with(folder: &Path, pods: &[(SocketAddr, u16)]) -> PathBuf {
+pub(crate) fn settings_with(folder: &Path, pods: &[(SocketAddr, u16)]) -> PathBuf {
     let state = folder.join("state.json");
     let row = |(at, build): &(SocketAddr, u16)| {
         format!(
@@ -45,21 +45,21 @@
 }
 
 /// Puts something else into a file of settings.
-pub fn change(file: &Path, what: &str, by: &str) {
+pub(crate) fn change(file: &Path, what: &str, by: &str) {
     let text = std::fs::read_to_string(file).unwrap();
     assert!(text.contains(what), "{what} in {text}");
     std::fs::write(file, text.replace(what, by)).unwrap();
 }
 
 /// A sidecar that ends with its test.
-pub struct Running {
+pub(crate) struct Running {
     pub child: Child,
     pub at: String,
 }
 
 impl Running {
     /// Starts one within the limits that a shell sets first (`ulimit -n 40;`), and waits until it listens.
-    pub fn start(limits: &str, file: &Path, log: Stdio) -> Self {
+    pub(crate) fn start(limits: &str, file: &Path, log: Stdio) -> Self {
         let run = format!(
             "{limits} exec {} sidecar {}",
             env!("CARGO_BIN_EXE_limewing"),
@@ -83,7 +83,7 @@
         Self { child, at }
     }
 
-    pub fn connect(&self) -> TcpStream {
+    pub(crate) fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.at).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
@@ -91,7 +91,7 @@
         stream
     }
 
-    pub fn runs(&mut self) -> bool {
+    pub(crate) fn runs(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 }
@@ -104,7 +104,7 @@
 }
 
 /// A process of `limewing platform`, ended with its test.
-pub struct Platform {
+pub(crate) struct Platform {
     child: Child,
     pub at: SocketAddr,
     folder: tempfile::TempDir,
@@ -112,7 +112,7 @@
 
 impl Platform {
     /// Starts one and waits until it listens; its log is read on, so that it is never held up by it.
-    pub fn start(config: &Config) -> Self {
+    pub(crate) fn start(config: &Config) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
         std::fs::write(&file, config.json()).unwrap();
@@ -135,25 +135,25 @@
         Self { child, at, folder }
     }
 
-    pub fn id(&self) -> u32 {
+    pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
 
     /// Replaces its configuration.
-    pub fn write(&self, config: &Config) {
+    pub(crate) fn write(&self, config: &Config) {
         self.write_text(&config.json());
     }
 
-    pub fn write_text(&self, text: &str) {
+    pub(crate) fn write_text(&self, text: &str) {
         std::fs::write(self.folder.path().join("config.json"), text).unwrap();
     }
 
-    pub fn signal(&self, signal: Signal) {
+    pub(crate) fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
     /// Waits until it has ended; whether it did so by itself and well.
-    pub fn ends(&mut self) -> bool {
+    pub(crate) fn ends(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
 }
@@ -165,7 +165,7 @@
     }
 }
 
-pub fn status(of: &str) -> String {
+pub(crate) fn status(of: &str) -> String {
     let mut client = TcpStream::connect(of).unwrap();
     client
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -179,7 +179,7 @@
 }
 
 /// One request on a connection that stays; the head of its answer, whose body has a length.
-pub fn ask(stream: &mut TcpStream, request: &str) -> std::io::Result<String> {
+pub(crate) fn ask(stream: &mut TcpStream, request: &str) -> std::io::Result<String> {
     stream.write_all(request.as_bytes())?;
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/http-proxy/tests/sockets/help.rs
+++ b/crates/http-proxy/tests/sockets/help.rs
@@ -35,22 +35,22 @@
     "step_after": 4, "vote_life": 4, "vote_answer_within": 1, "back_votes": 1}
 }"#;
 
-pub const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
-pub const QUOTE: &str = "GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n";
-pub const CHARGE: &str = "POST /charges HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
+pub(crate) const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+pub(crate) const QUOTE: &str = "GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n";
+pub(crate) const CHARGE: &str = "POST /charges HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
 
 /// Starts a sidecar that knows these pods; it runs until the test's process ends.
-pub fn sidecar(pods: &[SocketAddr]) -> SocketAddr {
+pub(crate) fn sidecar(pods: &[SocketAddr]) -> SocketAddr {
     sidecar_with(Some(state_file(pods)))
 }
 
 /// A state file that holds these pods.
-pub fn state_file(pods: &[SocketAddr]) -> std::path::PathBuf {
+pub(crate) fn state_file(pods: &[SocketAddr]) -> std::path::PathBuf {
     state_file_of(&pods.iter().map(|at| (*at, 1)).collect::<Vec<_>>())
 }
 
 /// A state file that holds these pods, each with its build.
-pub fn state_file_of(pods: &[(SocketAddr, u16)]) -> std::path::PathBuf {
+pub(crate) fn state_file_of(pods: &[(SocketAddr, u16)]) -> std::path::PathBuf {
     let folder = tempfile::tempdir().unwrap().keep();
     let file = folder.join("state.json");
     let row = |(address, build): &(SocketAddr, u16)| Row {
@@ -69,7 +69,7 @@
 }
 
 /// An answer of the list service that names these pods.
-pub fn listing(index: u64, pods: &[SocketAddr]) -> String {
+pub(crate) fn listing(index: u64, pods: &[SocketAddr]) -> String {
     let entry = |at: &SocketAddr| {
         format!(
             r#"{{"Service":{{"ID":"{at}","Address":"{}","Port":{},"Meta":{{"build":"1"}}}}}}"#,
@@ -84,13 +84,13 @@
     )
 }
 
-pub fn sidecar_with(state_file: Option<std::path::PathBuf>) -> SocketAddr {
+pub(crate) fn sidecar_with(state_file: Option<std::path::PathBuf>) -> SocketAddr {
     let mut settings = settings();
     settings.state_file = state_file;
     run(Service::start(&settings).unwrap())
 }
 
-pub fn settings() -> SidecarSettings {
+pub(crate) fn settings() -> SidecarSettings {
     read_text("settings", SETTINGS).unwrap()
 }
 
@@ -130,12 +130,12 @@
 }
 
 /// A sidecar that sends each hit to all pods at once.
-pub fn sidecar_to_all(pods: &[SocketAddr]) -> SocketAddr {
+pub(crate) fn sidecar_to_all(pods: &[SocketAddr]) -> SocketAddr {
     let pods = pods.to_vec();
     run(Service::start_with(&settings(), |_, _| Box::new(ToAll(pods))).unwrap())
 }
 
-pub fn run(service: Service) -> SocketAddr {
+pub(crate) fn run(service: Service) -> SocketAddr {
     let address = service.address();
     std::thread::spawn(move || service.run());
     address
@@ -143,7 +143,7 @@
 
 /// What a pod does on each connection after it has read a request's head.
 #[derive(Clone, Debug)]
-pub enum Does {
+pub(crate) enum Does {
     Says(&'static str),
     SaysAndCloses(&'static str),
     /// Says nothing until the peer closes.
@@ -156,7 +156,7 @@
     Counts,
 }
 
-pub struct Pod {
+pub(crate) struct Pod {
     pub at: SocketAddr,
     /// The head of each request that came, and `gone` when a connection ended.
     pub seen: Receiver<String>,
@@ -166,7 +166,7 @@
 
 impl Pod {
     /// A pod that does these in turn, one for each request, and the last of them ever after.
-    pub fn new(script: Vec<Does>) -> Self {
+    pub(crate) fn new(script: Vec<Does>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
         let ((tell, seen), (go_on, word)) = (channel(), channel());
@@ -201,18 +201,18 @@
         }
     }
 
-    pub fn hears(&self) -> String {
+    pub(crate) fn hears(&self) -> String {
         self.seen
             .recv_timeout(Duration::from_secs(10))
             .expect("the pod hears something")
     }
 
     /// Requests heard since the start.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.heads.load(Ordering::Relaxed)
     }
 
-    pub fn heard_nothing(&self) -> bool {
+    pub(crate) fn heard_nothing(&self) -> bool {
         self.seen.try_recv().is_err()
     }
 }
@@ -297,10 +297,10 @@
     Some(text)
 }
 
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
 impl Client {
-    pub fn new(to: SocketAddr) -> Self {
+    pub(crate) fn new(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
@@ -308,12 +308,12 @@
         Self(stream)
     }
 
-    pub fn says(&mut self, text: &str) {
+    pub(crate) fn says(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).unwrap();
     }
 
     /// The next answer: its head and its body, which must have a length.
-    pub fn hears(&mut self) -> (String, String) {
+    pub(crate) fn hears(&mut self) -> (String, String) {
         let mut head = self.reads_until("\r\n\r\n");
         let length = head.split("content-length: ").nth(1).map_or(0, |rest| {
             rest.split("\r\n").next().unwrap().parse().unwrap()
@@ -324,7 +324,7 @@
         (head, String::from_utf8(body).unwrap())
     }
 
-    pub fn reads_until(&mut self, end: &str) -> String {
+    pub(crate) fn reads_until(&mut self, end: &str) -> String {
         let (mut text, mut byte) = (Vec::new(), [0]);
         while !text.ends_with(end.as_bytes()) {
             match self.0.read(&mut byte) {
@@ -336,14 +336,14 @@
     }
 
     /// Whether nothing more comes and the other side has closed.
-    pub fn hears_the_end(&mut self) -> bool {
+    pub(crate) fn hears_the_end(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
 /// What an installer does with a vote.
 #[derive(Clone, Debug)]
-pub enum Vote {
+pub(crate) enum Vote {
     Counted,
     Moot,
     Closes,
@@ -354,7 +354,7 @@
     WhenTold,
 }
 
-pub struct Installer {
+pub(crate) struct Installer {
     at: SocketAddr,
     votes: Receiver<(Instant, String)>,
     pub go_on: Sender<()>,
@@ -363,7 +363,7 @@
 
 impl Installer {
     /// Says this state on each stream; does these with votes in turn, and the last of them ever after.
-    pub fn new(state: &'static str, script: Vec<Vote>) -> Self {
+    pub(crate) fn new(state: &'static str, script: Vec<Vote>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
         let ((tell_vote, votes), (go_on, word)) = (channel(), channel());
@@ -400,7 +400,7 @@
         }
     }
 
-    pub fn settings(&self) -> limewing_settings::Installer {
+    pub(crate) fn settings(&self) -> limewing_settings::Installer {
         let quiet_at_most = limewing_settings::Seconds::try_from(30.0).unwrap();
         limewing_settings::Installer {
             address: self.at,
@@ -409,17 +409,17 @@
     }
 
     /// Waits until stage news have been read: the first vote on them comes.
-    pub fn is_heard(&self) {
+    pub(crate) fn is_heard(&self) {
         self.vote(Duration::from_secs(10)).expect("a vote");
     }
 
-    pub fn says(&self, state: &str) {
+    pub(crate) fn says(&self, state: &str) {
         for link in self.streams.lock().unwrap().iter_mut() {
             let _ = write!(link, "data: {state}\n\n");
         }
     }
 
-    pub fn vote(&self, within: Duration) -> Option<(Instant, String)> {
+    pub(crate) fn vote(&self, within: Duration) -> Option<(Instant, String)> {
         self.votes.recv_timeout(within).ok()
     }
 }
--- a/crates/postgres-proxy/tests/sockets/help.rs
+++ b/crates/postgres-proxy/tests/sockets/help.rs
@@ -10,28 +10,28 @@
 static NEXT: AtomicU64 = AtomicU64::new(1);
 
 /// A statement of a path group, under an id of its own, about a row of its own.
-pub fn ask(group: &str, waits_ms: u64) -> String {
+pub(crate) fn ask(group: &str, waits_ms: u64) -> String {
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     ask_of(&format!("{n:x}"), group, waits_ms)
 }
 
 /// The same about this row.
-pub fn ask_of(row: &str, group: &str, waits_ms: u64) -> String {
+pub(crate) fn ask_of(row: &str, group: &str, waits_ms: u64) -> String {
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
     statement(&format!("id={id:016x},c={group},t=acme,d={waits_ms},k=abc")).replace("7f3a", row)
 }
 
 /// A statement with this comment.
-pub fn statement(comment: &str) -> String {
+pub(crate) fn statement(comment: &str) -> String {
     format!("SELECT blob FROM rows WHERE handle = '7f3a' /* {comment} */")
 }
 
 /// Starts a sidecar; it runs until the test's process ends.
-pub fn sidecar(config: &Config) -> SocketAddr {
+pub(crate) fn sidecar(config: &Config) -> SocketAddr {
     sidecar_of(PathBuf::from("none"), config)
 }
 
-pub fn sidecar_of(file: PathBuf, config: &Config) -> SocketAddr {
+pub(crate) fn sidecar_of(file: PathBuf, config: &Config) -> SocketAddr {
     let told = config::understand(config.json().as_bytes()).unwrap();
     let service = Service::start_told(file, told).unwrap();
     let address = service.address();
@@ -40,7 +40,7 @@
 }
 
 /// A sidecar that knows one pod, which does these in turn.
-pub fn with_pod(script: Vec<Does>) -> (Pod, SocketAddr) {
+pub(crate) fn with_pod(script: Vec<Does>) -> (Pod, SocketAddr) {
     let pod = Pod::new(script);
     let at = sidecar(&Config::new(vec![Listed::new("p1", pod.at)]));
     (pod, at)
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -1,3 +1,5 @@
+//! What settings files are read as, and what is refused.
+
 use limewing_settings::{read_text, SidecarSettings};
 use rstest::rstest;
 
