--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -1,9 +1,9 @@
 //! Admission control: every attempt and every final answer passes here, so that the five rules hold whatever
 //! the load balancer proposes.
 //!
-//! 1. Nothing is sent to a pod that drains or is gone, once the grace is over.
+//! 1. Every request gets one final answer, in time.
 //! 2. No request takes effect twice, and what may have run is not reported as rejected.
-//! 3. Nothing is sent for a request after its final answer or its deadline.
+//! 3. Nothing is sent to a pod that drains or is gone, once the grace is over.
 //! 4. A pod that is warming up is not overloaded (`slow_start`).
 //! 5. A build on trial gets its share of requests at most (`exposure`).
 
@@ -232,8 +232,8 @@
         self.settle(request, context);
     }
 
-    /// Whether this outcome is to be put down to the tenant's own requests; counts it first, if it says
-    /// something of them.
+    /// Whether this outcome is to be put down to the tenant's own requests; counts it first, if the
+    /// tenant may be its cause.
     fn is_tenant_outlier(
         &mut self,
         tenant: Option<TenantId>,
@@ -319,7 +319,7 @@
     !outcome.never_ran() && outcome != AttemptOutcome::Failed
 }
 
-/// Rule 3.
+/// Rule 1: nothing is sent for a request that has its final answer, or would come too late for one.
 fn check_open(request: &RequestRecord, context: &Context) -> Result<(), Refusal> {
     let attempts_left = request.attempts.len() < context.config.max_attempts;
     let in_time = context.now < request.deadline;
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -1,7 +1,7 @@
 //! Load balancing: holds the open requests and picks pods for them.
 //!
 //! A request goes to the split first (the build on trial or the base), then to a tier of pods, then to the
-//! cheapest pod of that tier. Admission control has the last word.
+//! cheapest pod of that tier. Admission control has the final decision.
 
 use crate::candidate::Candidate;
 use crate::context::Context;
@@ -15,10 +15,10 @@
 use crate::message::{Component, Message};
 use crate::outlier::LATENCY_RATIO_SAMPLES;
 use crate::overload::OverloadEstimator;
+use crate::placement::{EndpointsInUse, Placement};
 use crate::request_state::OpenRequest;
-use crate::statistics::RunningMean;
+use crate::statistics::{RunningMean, MIN_DIVISOR};
 use std::collections::BTreeMap;
-use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
@@ -46,16 +46,6 @@
 /// and until so many ticks before its deadline, at most.
 const TICKS_BEFORE_DEADLINE: u32 = 3;
 
-/// The tiers of candidates: the lowest one that has any is proposed first.
-const TIER_HEALTH_CHECK: u8 = 0;
-const TIER_IN_USE: u8 = 1;
-const TIER_SAME_SIDE: u8 = 2;
-const TIER_EITHER_SIDE: u8 = 3;
-/// Nothing is healthy: a pod that is only silent or ejected is better than none.
-const TIER_LAST_RESORT: u8 = 4;
-/// With the discovery service down, pods that did not serve lately come so many tiers after those that did.
-const UNCONFIRMED_TIER_OFFSET: u8 = 8;
-
 /// Picks pods for requests.
 #[derive(Default)]
 pub(crate) struct LoadBalancer {
@@ -71,71 +61,6 @@
     pub(crate) machine_latency: BTreeMap<MachineTypeId, RunningMean>,
 }
 
-/// The pods that this sidecar uses, on one side of the split.
-#[derive(Clone, Copy)]
-struct EndpointsInUse {
-    lowest_rank: (u64, PodId),
-    /// The fraction of all usable pods of that side.
-    fraction: f64,
-}
-
-/// What decides the tier of each pod for one request.
-struct Placement<'a> {
-    request: &'a OpenRequest,
-    trial: Option<BuildId>,
-    wants_trial: bool,
-    /// The request may go to an ejected pod to check its health.
-    checks_health: bool,
-    in_use: [EndpointsInUse; 2],
-    served_since: Duration,
-    service_down: bool,
-}
-
-impl Placement<'_> {
-    fn is_on_trial(&self, snapshot: &EndpointSnapshot) -> bool {
-        self.trial == Some(snapshot.endpoint.build)
-    }
-
-    fn in_use(&self, snapshot: &EndpointSnapshot) -> EndpointsInUse {
-        self.in_use[usize::from(self.is_on_trial(snapshot))]
-    }
-
-    /// The tier of a pod; none if the request must not go there.
-    fn tier(&self, snapshot: &EndpointSnapshot) -> Option<u8> {
-        let tried = self.request.tried_pods.contains(&snapshot.endpoint.pod);
-        if !snapshot.ready || tried {
-            return None;
-        }
-        // Without a list it may have been announced as leaving, unless it served something lately.
-        let unconfirmed = snapshot.last_served_at < self.served_since;
-        if unconfirmed && !self.service_down {
-            return None;
-        }
-        let offset = if unconfirmed {
-            UNCONFIRMED_TIER_OFFSET
-        } else {
-            0
-        };
-        self.confirmed_tier(snapshot).map(|tier| tier + offset)
-    }
-
-    fn confirmed_tier(&self, snapshot: &EndpointSnapshot) -> Option<u8> {
-        let on_trial = self.is_on_trial(snapshot);
-        if self.checks_health && snapshot.wants_health_check {
-            return Some(TIER_HEALTH_CHECK);
-        }
-        if snapshot.usable && on_trial == self.wants_trial {
-            let in_use = snapshot.rank_key() >= self.in_use(snapshot).lowest_rank;
-            return Some(if in_use { TIER_IN_USE } else { TIER_SAME_SIDE });
-        }
-        if snapshot.usable && !self.request.avoids_trial {
-            return Some(TIER_EITHER_SIDE);
-        }
-        let last_resort = !on_trial && self.request.attempts_in_flight == 0;
-        last_resort.then_some(TIER_LAST_RESORT)
-    }
-}
-
 impl LoadBalancer {
     pub(crate) fn receive(&mut self, message: Message, context: &mut Context) {
         match message {
@@ -226,7 +151,9 @@
             .get(usize::from(cap.stage))
             .copied()
             .unwrap_or(1.0);
-        let share = (on_trial / total.max(1e-9)).min(stage_share).min(cap.share);
+        let share = (on_trial / total.max(MIN_DIVISOR))
+            .min(stage_share)
+            .min(cap.share);
         (Some(newest), share)
     }
 
@@ -371,7 +298,7 @@
     /// leans on that of its machine type: a new pod would be flooded while it is cold.
     fn cost(&self, snapshot: &EndpointSnapshot, random_draw: f64, context: &Context) -> f64 {
         let (endpoint, config) = (&snapshot.endpoint, &context.config);
-        let unseen_load = -random_draw.max(1e-9).ln();
+        let unseen_load = -random_draw.max(MIN_DIVISOR).ln();
         let known = snapshot.latency_ratio.count.min(LATENCY_RATIO_SAMPLES) as f64;
         let own_sum = snapshot.latency_ratio.value * known;
         let prior_sum = self.machine_latency_ratio(snapshot) * MACHINE_TYPE_PRIOR;
--- a/crates/decision/src/evidence.rs
+++ b/crates/decision/src/evidence.rs
@@ -44,7 +44,7 @@
     if config.rollback_quorum < LARGE_QUORUM {
         return false;
     }
-    let usual = (old.count as f64 + 0.5) / (old.total as f64 + 1.0);
+    let usual = old.jeffreys_estimate();
     let quorum_fraction = config.rollback_quorum / config.sidecar_count;
     let is_rare = binomial_tail(new.count, new.total, usual) < quorum_fraction * RARE_QUORUM_SHARE;
     is_rare && proportion_excess(new, old).0 > margin
@@ -60,7 +60,7 @@
 /// How many standard errors an excess has to have: of many sidecars that observe one sound build, the noise of
 /// as many as can roll it back reaches about this.
 pub(crate) fn significance_threshold(config: &DerivedConfig) -> f64 {
-    (2.0 * (config.sidecar_count / config.rollback_quorum).ln())
-        .sqrt()
-        .max(MIN_SIGNIFICANCE)
+    // The tail of the normal distribution beyond x is at most exp(-x^2 / 2).
+    let tail_bound = (2.0 * (config.sidecar_count / config.rollback_quorum).ln()).sqrt();
+    tail_bound.max(MIN_SIGNIFICANCE)
 }
--- a/crates/decision/src/exposure.rs
+++ b/crates/decision/src/exposure.rs
@@ -150,7 +150,7 @@
         context: &Context,
     ) -> Result<(), Refusal> {
         let config = &context.config;
-        if self.is_kept_from(request, build, config) {
+        if self.belongs_to_newer_build(request, build, config) {
             return Err(Refusal::StickyKey);
         }
         let Some(cap) = self.cap(build, endpoints, config) else {
@@ -166,7 +166,7 @@
     }
 
     /// Whether a newer build that is on trial or released has served the key of this request.
-    fn is_kept_from(
+    fn belongs_to_newer_build(
         &self,
         request: &RequestRecord,
         build: BuildId,
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `engine`, `context`, `message`, `mailbox`, `timer_queue` | the loop and what it delivers |
 //! | `endpoints`, `endpoint_lease` | the list of endpoints, and for how long it may be relied on |
 //! | `admission`, `slow_start`, `exposure` | the five rules |
-//! | `balancer`, `candidate`, `overload`, `hedging` | picking pods, shedding load, retries and hedged requests |
+//! | `balancer`, `placement`, `candidate`, `overload`, `hedging` | picking pods, shedding load, retries and hedged requests |
 //! | `outlier` | ejecting pods, and telling a tenant's own faults apart |
 //! | `canary`, `evidence`, `voting` | the verdict on the build on trial |
 //! | `request_state`, `endpoint_state`, `endpoint_table`, `canary_sample` | records |
@@ -38,6 +38,7 @@
 mod message;
 mod outlier;
 mod overload;
+mod placement;
 mod request_state;
 mod slow_start;
 mod statistics;
--- a/crates/decision/src/overload.rs
+++ b/crates/decision/src/overload.rs
@@ -84,7 +84,7 @@
                 && usable()
         };
         let queued = open.filter(is_queued).count() as f64;
-        // A few open requests of a sidecar with little traffic are chance: its latest latencies tell it more.
+        // A few open requests of a sidecar with little traffic are chance: its latest latencies are better evidence.
         let success_rate = self.success_rate.per_second(now, RATE_SMOOTHING);
         let queue_seconds = (queued - queued.sqrt()) / success_rate.max(MIN_SUCCESS_RATE);
         let wait = (queue_seconds / context.config.min_latency_objective)
@@ -93,7 +93,7 @@
     }
 
     /// What a tenant's attempts took lately, in latency objectives. It decays, as nothing is learned while all
-    /// is shed. It is kept by tenant so that requests which wait for something of their own at every pod, and
+    /// is shed. It is counted by tenant so that requests which wait for something of their own at every pod, and
     /// hold everybody's capacity, are shed first.
     fn tenant_latency(&self, tenant: Option<TenantId>, now: Duration) -> f64 {
         self.tenant_latency.get(&tenant).map_or(0.0, |latency| {
--- /dev/null
+++ b/crates/decision/src/placement.rs
@@ -0,0 +1,82 @@
+//! Which tier of pods a request goes to: by the split between base and trial, by the pods that this sidecar uses,
+//! by health, and by what is known of pods while no list is heard.
+
+use crate::endpoint_table::EndpointSnapshot;
+use crate::interface::{BuildId, PodId};
+use crate::request_state::OpenRequest;
+use std::time::Duration;
+
+/// The tiers of candidates: the lowest one that has any is proposed first.
+const TIER_HEALTH_CHECK: u8 = 0;
+const TIER_IN_USE: u8 = 1;
+const TIER_SAME_SIDE: u8 = 2;
+const TIER_EITHER_SIDE: u8 = 3;
+/// Nothing is healthy: a pod that is only silent or ejected is better than none.
+const TIER_LAST_RESORT: u8 = 4;
+/// With the discovery service down, pods that did not serve lately come so many tiers after those that did.
+const UNCONFIRMED_TIER_OFFSET: u8 = 8;
+
+/// The pods that this sidecar uses, on one side of the split.
+#[derive(Clone, Copy)]
+pub(crate) struct EndpointsInUse {
+    pub(crate) lowest_rank: (u64, PodId),
+    /// The fraction of all usable pods of that side.
+    pub(crate) fraction: f64,
+}
+
+/// What decides the tier of each pod for one request.
+pub(crate) struct Placement<'a> {
+    pub(crate) request: &'a OpenRequest,
+    pub(crate) trial: Option<BuildId>,
+    pub(crate) wants_trial: bool,
+    /// The request may go to an ejected pod to check its health.
+    pub(crate) checks_health: bool,
+    pub(crate) in_use: [EndpointsInUse; 2],
+    pub(crate) served_since: Duration,
+    pub(crate) service_down: bool,
+}
+
+impl Placement<'_> {
+    fn is_on_trial(&self, snapshot: &EndpointSnapshot) -> bool {
+        self.trial == Some(snapshot.endpoint.build)
+    }
+
+    pub(crate) fn in_use(&self, snapshot: &EndpointSnapshot) -> EndpointsInUse {
+        self.in_use[usize::from(self.is_on_trial(snapshot))]
+    }
+
+    /// The tier of a pod; none if the request must not go there.
+    pub(crate) fn tier(&self, snapshot: &EndpointSnapshot) -> Option<u8> {
+        let tried = self.request.tried_pods.contains(&snapshot.endpoint.pod);
+        if !snapshot.ready || tried {
+            return None;
+        }
+        // Without a list it may have been announced as leaving, unless it served something lately.
+        let unconfirmed = snapshot.last_served_at < self.served_since;
+        if unconfirmed && !self.service_down {
+            return None;
+        }
+        let offset = if unconfirmed {
+            UNCONFIRMED_TIER_OFFSET
+        } else {
+            0
+        };
+        self.confirmed_tier(snapshot).map(|tier| tier + offset)
+    }
+
+    fn confirmed_tier(&self, snapshot: &EndpointSnapshot) -> Option<u8> {
+        let on_trial = self.is_on_trial(snapshot);
+        if self.checks_health && snapshot.wants_health_check {
+            return Some(TIER_HEALTH_CHECK);
+        }
+        if snapshot.usable && on_trial == self.wants_trial {
+            let in_use = snapshot.rank_key() >= self.in_use(snapshot).lowest_rank;
+            return Some(if in_use { TIER_IN_USE } else { TIER_SAME_SIDE });
+        }
+        if snapshot.usable && !self.request.avoids_trial {
+            return Some(TIER_EITHER_SIDE);
+        }
+        let last_resort = !on_trial && self.request.attempts_in_flight == 0;
+        last_resort.then_some(TIER_LAST_RESORT)
+    }
+}
--- a/crates/decision/src/statistics.rs
+++ b/crates/decision/src/statistics.rs
@@ -3,6 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+/// The least number that is divided by, or whose logarithm is taken.
+pub(crate) const MIN_DIVISOR: f64 = 1e-9;
+
 /// The times of recent events, oldest first.
 #[derive(Default, Clone)]
 pub(crate) struct SlidingWindow {
@@ -44,11 +47,14 @@
     for count in 0..successes.min(trials + 1) {
         fewer += probability;
         probability *=
-            (trials - count) as f64 / (count + 1) as f64 * chance / (1.0 - chance).max(1e-9);
+            (trials - count) as f64 / (count + 1) as f64 * chance / (1.0 - chance).max(MIN_DIVISOR);
     }
     (1.0 - fewer).max(0.0)
 }
 
+/// The pseudo-count of Jeffreys' prior for a proportion.
+const JEFFREYS_PSEUDO_COUNT: f64 = 0.5;
+
 /// A proportion: how many of all outcomes had some property.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Proportion {
@@ -66,9 +72,16 @@
         (self.count as f64 + pseudo_count) / (self.total as f64 + 2.0 * pseudo_count).max(1.0)
     }
 
-    /// The variance of the share, smoothed by half a count (Jeffreys' prior) so that it is never zero.
+    /// The share under Jeffreys' prior: never 0 or 1.
+    pub(crate) fn jeffreys_estimate(self) -> f64 {
+        (self.count as f64 + JEFFREYS_PSEUDO_COUNT)
+            / (self.total as f64 + 2.0 * JEFFREYS_PSEUDO_COUNT)
+    }
+
+    /// The variance of the share, smoothed so that it is never zero.
     fn variance(self) -> f64 {
-        self.smoothed(0.5) * (1.0 - self.smoothed(0.5)) / (self.total as f64).max(1.0)
+        self.smoothed(JEFFREYS_PSEUDO_COUNT) * (1.0 - self.smoothed(JEFFREYS_PSEUDO_COUNT))
+            / (self.total as f64).max(1.0)
     }
 }
 
@@ -83,7 +96,7 @@
 pub(crate) fn dispersion(counts: &[f64]) -> f64 {
     let sum = counts.iter().sum::<f64>();
     let squares = counts.iter().map(|count| count * count).sum::<f64>();
-    squares / (sum + sum * sum / counts.len().max(1) as f64).max(1e-9)
+    squares / (sum + sum * sum / counts.len().max(1) as f64).max(MIN_DIVISOR)
 }
 
 /// The median (the upper one of an even number of values), or none of no values.
@@ -133,7 +146,7 @@
     /// The mean, shrunk towards 0 as if `prior_weight` values of 0 had been seen too.
     pub(crate) fn shrunk_mean(&self, now: Duration, decay: Duration, prior_weight: f64) -> f64 {
         let weight = self.weight(now, decay);
-        self.value * weight / (weight + prior_weight).max(1e-9)
+        self.value * weight / (weight + prior_weight).max(MIN_DIVISOR)
     }
 }
 
