--- a/crates/http-proxy/src/service/work.rs
+++ b/crates/http-proxy/src/service/work.rs
@@ -8,8 +8,9 @@
     Agree, Follow, Id, Packet, Settled, Standing, Terms, MOST_VOTERS, MOST_WORD,
 };
 use limewing_maintenance::{
-    Clearing, Leader, Lease, Lessor, Limits, Machine, Number, Pod, Sight, Step, Talk, TurnedAway,
-    Turns, Window, Word, Zones,
+    Command, DisruptionLimits, DrainTracker, FleetObservation, Identifier, Lease, LeaseGrantor,
+    Machine, MachinePhase, MaintenanceSchedule, Message, Pod, RejectionRate, Scheduler, Window,
+    ZoneTracker,
 };
 use limewing_proxy_core::clock::today;
 use limewing_settings::{self as settings, WorkList};
@@ -43,34 +44,34 @@
     start: u64,
     voters: Vec<String>,
     part: Part,
-    turns: Turns,
+    turns: MaintenanceSchedule,
     /// Up to where the log was read.
     read: u64,
     lease: Lease,
     lasts: Duration,
     patience: Duration,
     /// While this one leads.
-    leader: Option<Leader>,
+    leader: Option<Scheduler>,
     next_ask: Duration,
     /// Who answered the last ask, and how many have not been answered since.
     answered_by: Option<String>,
     unanswered: u32,
     /// Words that were asked for here, until when.
-    asked_for: Vec<(Word, Duration)>,
+    asked_for: Vec<(Command, Duration)>,
     /// Votes that are to be given or taken, until when.
     votes: Vec<(String, bool, Duration)>,
     next_put_up: Duration,
     /// Machines that the module was told are closed, since when; none: all.
     closed: Option<BTreeSet<String>>,
-    clearing: Clearing,
+    clearing: DrainTracker,
     state: Option<(u64, bool, bool)>,
-    clear: Vec<Number>,
+    clear: Vec<Identifier>,
     /// How long what was sent before a machine was closed may be out.
     settles: Duration,
     warm_after: Duration,
     trial: bool,
-    served: Zones,
-    turned_away: TurnedAway,
+    served: ZoneTracker,
+    turned_away: RejectionRate,
     out: Vec<(String, Vec<u8>)>,
 }
 
@@ -164,7 +165,7 @@
 ///
 /// # Errors
 /// What does not fit, as a line.
-fn words(list: Number, told: &WorkList, rows: &[Row]) -> Result<Vec<Word>, String> {
+fn words(list: Identifier, told: &WorkList, rows: &[Row]) -> Result<Vec<Command>, String> {
     let fits = |row: &&Row| {
         told.machines.contains(&row.machine)
             || told.select.as_ref().is_some_and(|select| {
@@ -179,12 +180,12 @@
             name: row.machine.clone(),
             zone: row.zone.clone(),
             kind: row.kind.clone(),
-            strength: 0.0,
+            capacity: 0.0,
         };
         machines
             .entry(row.machine.clone())
             .or_insert_with(new)
-            .strength += row.size;
+            .capacity += row.size;
     }
     let unknown: Vec<&String> = told
         .machines
@@ -201,40 +202,40 @@
     }
     let span = |seconds: settings::Seconds| Duration::from(seconds).as_millis() as u64;
     let window = |window: &settings::WorkWindow| Window {
-        from: (window.from * 1e3) as u64,
-        to: (window.to * 1e3) as u64,
+        start_ms: (window.from * 1e3) as u64,
+        end_ms: (window.to * 1e3) as u64,
     };
-    let limits = Limits {
-        out: told.limits.out,
-        out_in_zone: told.limits.out_in_zone.unwrap_or(0),
-        out_of_kind: told.limits.out_of_kind.unwrap_or(0),
-        ready_part: told.limits.ready_part,
-        apart: told.limits.apart.clone(),
-        turned_away: told.limits.turned_away,
+    let limits = DisruptionLimits {
+        max_unavailable: told.limits.out,
+        max_unavailable_per_zone: told.limits.out_in_zone.unwrap_or(0),
+        max_unavailable_per_kind: told.limits.out_of_kind.unwrap_or(0),
+        min_ready_fraction: told.limits.ready_part,
+        exclusive_pairs: told.limits.apart.clone(),
+        max_rejection_rate: told.limits.turned_away,
     };
-    let terms = limewing_maintenance::Terms {
+    let terms = limewing_maintenance::ListConfig {
         name: told.name.clone(),
         limits,
-        takes: span(told.takes),
-        stalls_after: span(told.stalls_after),
+        work_duration_ms: span(told.takes),
+        stall_timeout_ms: span(told.stalls_after),
         windows: told.windows.iter().map(window).collect(),
         priority: told.priority,
-        beside_trials: told.beside_trials,
+        allowed_during_trials: told.beside_trials,
     };
     let all: Vec<Machine> = machines.into_values().collect();
-    let mut words = vec![Word::Ask {
+    let mut words = vec![Command::CreateList {
         list,
-        terms,
-        machines: all.len() as u16,
+        config: terms,
+        machine_count: all.len() as u16,
     }];
     let mut first = 0;
     while first < all.len() {
-        let part = |many: usize| Word::Machines {
+        let part = |many: usize| Command::AddMachines {
             list,
             first: first as u16,
             machines: all[first..(first + many).min(all.len())].to_vec(),
         };
-        let fits = |many: &usize| part(*many).write().len() <= MOST_WORD;
+        let fits = |many: &usize| part(*many).encode().len() <= MOST_WORD;
         let many = (1..=8)
             .take_while(fits)
             .last()
@@ -242,7 +243,7 @@
         words.push(part(many));
         first += many;
     }
-    if words[0].write().len() > MOST_WORD {
+    if words[0].encode().len() > MOST_WORD {
         return Err("limits, pairs and windows are too long together".into());
     }
     Ok(words)
@@ -252,9 +253,9 @@
     Pod {
         machine: row.machine.clone(),
         zone: row.zone.clone(),
-        strength: row.size,
-        drains: row.drains,
-        runs_for: row.started.map(|started| ms(today) as f64 / 1e3 - started),
+        capacity: row.size,
+        draining: row.drains,
+        uptime_seconds: row.started.map(|started| ms(today) as f64 / 1e3 - started),
     }
 }
 
@@ -301,7 +302,7 @@
             start: ms(today()),
             voters,
             part,
-            turns: Turns::default(),
+            turns: MaintenanceSchedule::default(),
             read: 0,
             lease: Lease::new(now, lasts),
             lasts,
@@ -314,15 +315,15 @@
             votes: Vec::new(),
             next_put_up: now,
             closed: None,
-            clearing: Clearing::new(grace),
+            clearing: DrainTracker::new(grace),
             state: None,
             clear: Vec::new(),
             // Closed at the next ask, the latest.
             settles: grace + longest_hit + lasts / 4,
             warm_after,
             trial: false,
-            served: Zones::default(),
-            turned_away: TurnedAway::default(),
+            served: ZoneTracker::default(),
+            turned_away: RejectionRate::default(),
             out: Vec::new(),
         })
     }
@@ -344,7 +345,7 @@
 
     /// So many hits were taken, and so many turned away.
     pub(super) fn count(&mut self, now: Duration, hits: u32, turned_away: u32) {
-        self.turned_away.count(now, hits, turned_away);
+        self.turned_away.record(now, hits, turned_away);
     }
 
     /// The stage news that the module is told.
@@ -374,7 +375,7 @@
                 }
             }
             Some((&TALKS, rest)) => {
-                if let Ok(talk) = Talk::read(rest) {
+                if let Ok(talk) = Message::decode(rest) {
                     self.talk(now, from, talk);
                 }
             }
@@ -391,61 +392,73 @@
         }
     }
 
-    fn propose(&mut self, now: Duration, word: &Word) {
+    fn propose(&mut self, now: Duration, word: &Command) {
         if let Part::Votes(agree, _) = &mut self.part {
-            if let Ok(place) = agree.propose(now, word.write()) {
+            if let Ok(place) = agree.propose(now, word.encode()) {
                 self.leader
                     .iter_mut()
-                    .for_each(|leader| leader.was_put_up(place.index));
+                    .for_each(|leader| leader.command_proposed(place.index));
             }
         }
     }
 
-    fn say(&mut self, to: &str, talk: &Talk) {
+    fn say(&mut self, to: &str, talk: &Message) {
         self.out
-            .push((to.to_owned(), [&[TALKS], &talk.write()[..]].concat()));
+            .push((to.to_owned(), [&[TALKS], &talk.encode()[..]].concat()));
     }
 
-    fn talk(&mut self, now: Duration, from: &str, talk: Talk) {
+    fn talk(&mut self, now: Duration, from: &str, talk: Message) {
         if let Part::Votes(agree, _) = &mut self.part {
             if now >= agree.next() {
                 agree.tick(now);
             }
         }
         match talk {
-            Talk::Ask {
-                start,
-                no,
-                read,
-                clear,
-                turned_away,
+            Message::LeaseRequest {
+                incarnation: start,
+                request: no,
+                applied_index: read,
+                drained: clear,
+                rejected_per_mille: turned_away,
             } => {
                 if let Some(settled) =
                     self.give_lease(now, (from, start), (read, &clear, turned_away))
                 {
-                    self.say(from, &Talk::Lease { no, settled });
+                    self.say(
+                        from,
+                        &Message::LeaseResponse {
+                            request: no,
+                            commit_index: settled,
+                        },
+                    );
                 }
             }
-            Talk::Lease { no, settled } => {
-                self.lease.answered(no, settled);
+            Message::LeaseResponse {
+                request: no,
+                commit_index: settled,
+            } => {
+                self.lease.granted(no, settled);
                 (self.answered_by, self.unanswered) = (Some(from.to_owned()), 0);
             }
-            Talk::Leaves { start } => {
+            Message::Leave { incarnation: start } => {
                 // Each voter sees to it: whoever leads may be the one that leaves.
                 if self.turns.sidecars().get(from) == Some(&start)
                     && self.asked_for.len() < MOST_PUT_UP
                 {
-                    let word = Word::Gone {
+                    let word = Command::SidecarGone {
                         name: from.to_owned(),
-                        start,
+                        incarnation: start,
                     };
                     self.asked_for.push((word, now + PUT_UP_FOR));
                 }
             }
-            Talk::Vote { name, has } => self.want_vote(now, name, has),
-            Talk::Settle { word } => {
+            Message::ChangeVote {
+                name,
+                is_voter: has,
+            } => self.want_vote(now, name, has),
+            Message::Propose { command: word } => {
                 // Only what can be read is settled.
-                if let (Part::Votes(agree, _), Ok(_)) = (&mut self.part, Word::read(&word)) {
+                if let (Part::Votes(agree, _), Ok(_)) = (&mut self.part, Command::decode(&word)) {
                     if agree.standing() == Standing::Leads {
                         let _ = agree.propose(now, word);
                     } else {
@@ -461,15 +474,18 @@
         &mut self,
         now: Duration,
         (name, start): (&str, u64),
-        says: (u64, &[Number], u16),
+        says: (u64, &[Identifier], u16),
     ) -> Option<u64> {
         // What its predecessors settled it has to know, or a lease would hold for one that has not read it.
         let settled = self.leads().filter(|agree| agree.leads_for_good())?.upto();
         let leader = self.leader.as_mut()?;
-        if leader.lessor.asked(now, &self.turns, (name, start), says) {
+        if leader
+            .grantor
+            .lease_requested(now, &self.turns, (name, start), says)
+        {
             return Some(settled);
         }
-        if leader.has_read(self.read)
+        if leader.has_applied_own(self.read)
             && self
                 .turns
                 .sidecars()
@@ -478,9 +494,9 @@
         {
             self.propose(
                 now,
-                &Word::Here {
+                &Command::SidecarStarted {
                     name: name.to_owned(),
-                    start,
+                    incarnation: start,
                 },
             );
         }
@@ -496,7 +512,8 @@
         self.look_whether_clear(now, site);
         if now >= self.next_ask {
             let serve = site.rows.iter().filter(|row| !row.drains);
-            self.served.saw(serve.map(|row| row.zone.as_str()));
+            self.served
+                .observe_serving(serve.map(|row| row.zone.as_str()));
             self.ask(now);
         }
         self.drive(now);
@@ -519,7 +536,7 @@
                     agree.tick(now);
                 }
                 if agree.held() > MOST_HELD && promises.idle() && agree.upto() == self.read {
-                    agree.compact(self.read, self.turns.write());
+                    agree.compact(self.read, self.turns.encode());
                     if let Some(write) = agree.write() {
                         promises.rewrite(write.no, &agree.records());
                     }
@@ -551,8 +568,10 @@
             };
             match next {
                 Some(Settled::Word { at, bytes }) => {
-                    match Word::read(&bytes).map(|word| (self.turns.apply(at.index, &word), word)) {
-                        Ok((Ok(()), Word::Seen { seen, .. })) => {
+                    match Command::decode(&bytes)
+                        .map(|word| (self.turns.apply(at.index, &word), word))
+                    {
+                        Ok((Ok(()), Command::Observe { summary: seen, .. })) => {
                             tracing::debug!(index = at.index, ?seen, "settled")
                         }
                         Ok((Ok(()), word)) => tracing::info!(index = at.index, ?word, "settled"),
@@ -564,7 +583,7 @@
                         }
                     }
                 }
-                Some(Settled::Whole { state, .. }) => match Turns::read(&state) {
+                Some(Settled::Whole { state, .. }) => match MaintenanceSchedule::decode(&state) {
                     Some(turns) => self.turns = turns,
                     None => tracing::error!(
                         "the state of the work can't be read: it is of another version"
@@ -582,10 +601,10 @@
     fn lead(&mut self, now: Duration, site: &Site) {
         let term = self.leads().map(Agree::term);
         if self.leader.as_ref().map(|leader| leader.term) != term {
-            let lessor = || Lessor::new(now, self.lasts, self.patience * 2, self.settles);
-            self.leader = term.map(|term| Leader::new(now, term, lessor()));
+            let lessor = || LeaseGrantor::new(now, self.lasts, self.patience * 2, self.settles);
+            self.leader = term.map(|term| Scheduler::new(now, term, lessor()));
         }
-        let idle = self.turns.lists().values().all(|list| list.over());
+        let idle = self.turns.lists().values().all(|list| list.is_finished());
         if idle || !self.leads().is_some_and(Agree::leads_for_good) {
             return;
         }
@@ -594,12 +613,12 @@
         };
         let today = today();
         let pods: Vec<Pod> = site.rows.iter().map(|row| pod(row, today)).collect();
-        let sight = Sight {
+        let sight = FleetObservation {
             pods: &pods,
-            warm_after: self.warm_after.as_secs_f64(),
-            trial: self.trial,
+            warm_up_seconds: self.warm_after.as_secs_f64(),
+            release_on_trial: self.trial,
         };
-        let word = leader.next(
+        let word = leader.next_command(
             now,
             ms(today),
             (&self.turns, self.read),
@@ -623,7 +642,13 @@
                 .into_iter()
                 .filter_map(|wanted| Some((wanted, to.clone()?)))
             {
-                self.say(&to, &Talk::Vote { name, has });
+                self.say(
+                    &to,
+                    &Message::ChangeVote {
+                        name,
+                        is_voter: has,
+                    },
+                );
             }
             return;
         };
@@ -650,9 +675,9 @@
             .map(drop);
             tracing::info!(name, has, ?done, "a vote is to change");
         } else if let Some(leader) = agree.leader().map(|id| id.name.clone()) {
-            let talk = Talk::Vote {
+            let talk = Message::ChangeVote {
                 name: name.clone(),
-                has: *has,
+                is_voter: *has,
             };
             self.say(&leader, &talk);
         }
@@ -674,19 +699,21 @@
         self.change_votes(now);
         let turns = &self.turns;
         self.asked_for
-            .retain(|(word, until)| now < *until && !turns.shows(word));
+            .retain(|(word, until)| now < *until && !turns.is_reflected(word));
         for (word, _) in self.asked_for.clone() {
             match &mut self.part {
                 Part::Votes(agree, _) if agree.standing() == Standing::Leads => {
-                    let _ = agree.propose(now, word.write());
+                    let _ = agree.propose(now, word.encode());
                 }
-                Part::Votes(agree, _) => agree.pass_on(word.write()),
+                Part::Votes(agree, _) => agree.pass_on(word.encode()),
                 Part::Follows(_) => {
                     let to = self
                         .answered_by
                         .clone()
                         .or_else(|| self.voters.first().cloned());
-                    let talk = Talk::Settle { word: word.write() };
+                    let talk = Message::Propose {
+                        command: word.encode(),
+                    };
                     to.into_iter().for_each(|to| self.say(&to, &talk));
                 }
             }
@@ -695,9 +722,9 @@
 
     /// Of which grants' machines this sidecar is clear: the module knows that they drain, its grace is over, nothing is out.
     fn look_whether_clear(&mut self, now: Duration, site: &Site) {
-        let quiet: Vec<(String, Number)> = self
+        let quiet: Vec<(String, Identifier)> = self
             .clearing
-            .quiet(now, &self.turns)
+            .past_grace(now, &self.turns)
             .map(|(machine, grant)| (machine.to_owned(), grant))
             .collect();
         if quiet.iter().all(|(_, grant)| self.clear.contains(grant)) {
@@ -712,7 +739,7 @@
                 .iter()
                 .any(|row| row.machine == *machine && busy.contains(&row.address))
         };
-        let clear: Vec<Number> = quiet
+        let clear: Vec<Identifier> = quiet
             .iter()
             .filter(|(machine, _)| free(machine))
             .map(|(_, grant)| *grant)
@@ -723,24 +750,24 @@
     }
 
     fn ask(&mut self, now: Duration) {
-        self.next_ask = now + self.lease.every();
-        let no = self.lease.ask(now);
+        self.next_ask = now + self.lease.request_interval();
+        let no = self.lease.request(now);
         let (start, read, clear) = (self.start, self.read, self.clear.clone());
-        let turned_away = self.turned_away.part(now);
+        let turned_away = self.turned_away.per_mille(now);
         if self.leads().is_some() {
             let name = self.name.clone();
             if let Some(settled) = self.give_lease(now, (&name, start), (read, &clear, turned_away))
             {
-                self.lease.answered(no, settled);
+                self.lease.granted(no, settled);
             }
             return;
         }
-        let ask = Talk::Ask {
-            start,
-            no,
-            read,
-            clear,
-            turned_away,
+        let ask = Message::LeaseRequest {
+            incarnation: start,
+            request: no,
+            applied_index: read,
+            drained: clear,
+            rejected_per_mille: turned_away,
         };
         let to = match self.answered_by.clone().filter(|_| self.unanswered < 2) {
             Some(leader) => vec![leader],
@@ -764,15 +791,15 @@
     }
 
     fn close_off(&mut self, now: Duration) -> bool {
-        let waits = self.lease.waits(now);
-        let state = (self.read, self.lease.holds(now, self.read), waits);
+        let waits = self.lease.awaits_first_grant(now);
+        let state = (self.read, self.lease.is_held(now, self.read), waits);
         if self.state == Some(state) {
             return false;
         }
         self.state = Some(state);
-        let closed = self.lease.closed(now, self.read, &self.turns);
+        let closed = self.lease.closed_machines(now, self.read, &self.turns);
         let names = closed.clone().unwrap_or_default();
-        self.clearing.closed(now, &names);
+        self.clearing.set_closed(now, &names);
         let changed = closed != self.closed;
         self.closed = closed;
         changed
@@ -786,7 +813,9 @@
     }
 
     pub(super) fn leave(&mut self, now: Duration, fleet: &mut Fleet) {
-        let talk = Talk::Leaves { start: self.start };
+        let talk = Message::Leave {
+            incarnation: self.start,
+        };
         self.may_lead()
             .iter()
             .for_each(|voter| self.say(voter, &talk));
@@ -806,9 +835,9 @@
         rows: &[Row],
     ) -> Result<Option<u64>, String> {
         let known = |list: &u64| {
-            let known = self.turns.lists().contains_key(&Number(*list));
+            let known = self.turns.lists().contains_key(&Identifier(*list));
             known
-                .then_some(Number(*list))
+                .then_some(Identifier(*list))
                 .ok_or(format!("no list {list}"))
         };
         let (words, list) = match asked {
@@ -816,12 +845,12 @@
                 if let Some(misfit) = settings::Checked::misfits(&**told).first() {
                     return Err(format!("at {}: {}", misfit.path, misfit.expected));
                 }
-                let list = Number(u64::from(rand::random::<u32>()));
+                let list = Identifier(u64::from(rand::random::<u32>()));
                 (words(list, told, rows)?, Some(list.0))
             }
-            Asked::Hold(list) => (vec![Word::Hold { list: known(list)? }], None),
-            Asked::GoOn(list) => (vec![Word::GoOn { list: known(list)? }], None),
-            Asked::Withdraw(list) => (vec![Word::Withdraw { list: known(list)? }], None),
+            Asked::Hold(list) => (vec![Command::PauseList { list: known(list)? }], None),
+            Asked::GoOn(list) => (vec![Command::ResumeList { list: known(list)? }], None),
+            Asked::Withdraw(list) => (vec![Command::WithdrawList { list: known(list)? }], None),
             Asked::Gone(name) => {
                 let start = self
                     .turns
@@ -829,9 +858,9 @@
                     .get(name)
                     .ok_or(format!("no sidecar {name}"))?;
                 (
-                    vec![Word::Gone {
+                    vec![Command::SidecarGone {
                         name: name.clone(),
-                        start: *start,
+                        incarnation: *start,
                     }],
                     None,
                 )
@@ -844,14 +873,20 @@
                 (Vec::new(), None)
             }
             Asked::Report { grant, said } => {
-                let grant = Number(*grant);
+                let grant = Identifier(*grant);
                 self.turns
-                    .of(grant)
+                    .machine_with_grant(grant)
                     .ok_or(format!("no grant {}", grant.0))?;
                 let word = match said {
-                    Said::Began => Word::Began { grant },
-                    Said::Worked => Word::Worked { grant, well: true },
-                    Said::Failed => Word::Worked { grant, well: false },
+                    Said::Began => Command::WorkBegan { grant },
+                    Said::Worked => Command::WorkEnded {
+                        grant,
+                        succeeded: true,
+                    },
+                    Said::Failed => Command::WorkEnded {
+                        grant,
+                        succeeded: false,
+                    },
                 };
                 (vec![word], None)
             }
@@ -876,39 +911,39 @@
             ),
             Part::Follows(_) => ("asks".to_owned(), self.answered_by.clone(), 0, Vec::new()),
         };
-        let lessor = self.leader.as_ref().map(|leader| &leader.lessor);
+        let lessor = self.leader.as_ref().map(|leader| &leader.grantor);
         let owned = |names: Vec<&str>| names.into_iter().map(str::to_owned).collect();
-        let way = |list: &Number, way: &limewing_maintenance::Way| WayView {
+        let way = |list: &Identifier, way: &limewing_maintenance::MachineState| WayView {
             machine: way.machine.name.clone(),
-            step: format!("{:?}", way.step).to_lowercase(),
+            step: way.phase.to_string(),
             grant: way.grant.map(|grant| grant.0),
             stalled: way.stalled,
             not_clear: way
                 .grant
-                .filter(|_| way.step == Step::Granted)
+                .filter(|_| way.phase == MachinePhase::Granted)
                 .zip(lessor)
                 .map_or(Vec::new(), |(grant, lessor)| {
-                    owned(lessor.not_clear(now, &self.turns, grant))
+                    owned(lessor.sidecars_not_drained(now, &self.turns, grant))
                 }),
-            why: (way.step == Step::Waits)
+            why: (way.phase == MachinePhase::Waiting)
                 .then(|| {
                     self.turns
-                        .may_go(*list, &way.machine.name)
+                        .check_grant(*list, &way.machine.name)
                         .err()
                         .map(|why| why.to_string())
                 })
                 .flatten(),
         };
-        let list = |(no, list): (&Number, &limewing_maintenance::List)| ListView {
+        let list = |(no, list): (&Identifier, &limewing_maintenance::MaintenanceList)| ListView {
             list: no.0,
-            name: list.terms.name.clone(),
-            held: list.held,
+            name: list.config.name.clone(),
+            held: list.paused,
             withdrawn: list.withdrawn,
-            over: list.over(),
+            over: list.is_finished(),
             unknown_to: lessor.filter(|_| !list.known).map_or(Vec::new(), |lessor| {
-                owned(lessor.unaware(&self.turns, list.whole_at))
+                owned(lessor.sidecars_behind(&self.turns, list.completed_index))
             }),
-            machines: list.ways.iter().map(|one| way(no, one)).collect(),
+            machines: list.machines.iter().map(|one| way(no, one)).collect(),
         };
         WorkView {
             name: self.name.clone(),
@@ -921,7 +956,7 @@
                 Part::Votes(agree, _) => agree.awaited().map(str::to_owned),
                 Part::Follows(_) => None,
             },
-            lease: self.lease.holds(now, self.read),
+            lease: self.lease.is_held(now, self.read),
             sidecars: self.turns.sidecars().keys().cloned().collect(),
             closed: self
                 .closed
--- a/crates/maintenance/src/leads.rs
+++ b/crates/maintenance/src/leads.rs
@@ -1,45 +1,45 @@
 //! What whoever leads puts up next: from what is settled, who holds leases, and what it sees of the fleet; times given in.
 
-use crate::leases::Lessor;
-use crate::limits::Seen;
-use crate::turns::{List, Step, Turns, Way};
-use crate::words::{Number, Word};
+use crate::leases::LeaseGrantor;
+use crate::limits::FleetSummary;
+use crate::turns::{MachinePhase, MachineState, MaintenanceList, MaintenanceSchedule};
+use crate::words::{Command, Identifier};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// It tells what it sees so often, while there is a list.
-const SEEN_EVERY: Duration = Duration::from_millis(500);
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
 /// A machine's work is over for so long, in milliseconds, before it is held to be warm: the node list may be late.
-const LIST_LATE: u64 = 1_000;
+const ENDPOINT_LIST_DELAY_MS: u64 = 1_000;
 
 /// A pod as the node list has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pod {
     pub machine: String,
     pub zone: String,
-    pub strength: f64,
-    pub drains: bool,
+    pub capacity: f64,
+    pub draining: bool,
     /// For how long it has run, in seconds; none: longer than anyone knows.
-    pub runs_for: Option<f64>,
+    pub uptime_seconds: Option<f64>,
 }
 
 /// What one sidecar sees of the fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight<'a> {
+pub struct FleetObservation<'a> {
     pub pods: &'a [Pod],
     /// A pod that runs for so long, in seconds, is warm.
-    pub warm_after: f64,
-    pub trial: bool,
+    pub warm_up_seconds: f64,
+    pub release_on_trial: bool,
 }
 
 /// Zones that were seen to serve since the process started: one of them that does not is trouble. Hurts where a zone is given
 /// up for good: work goes on once whoever leads was started since.
 #[derive(Clone, Debug, Default)]
-pub struct Zones(BTreeSet<String>);
+pub struct ZoneTracker(BTreeSet<String>);
 
-impl Zones {
+impl ZoneTracker {
     /// The zones of pods that serve now.
-    pub fn saw<'a>(&mut self, serving: impl Iterator<Item = &'a str>) {
+    pub fn observe_serving<'a>(&mut self, serving: impl Iterator<Item = &'a str>) {
         for zone in serving {
             if !self.0.contains(zone) {
                 self.0.insert(zone.to_owned());
@@ -47,136 +47,161 @@
         }
     }
 
-    fn one_is_gone(&self, pods: &[Pod]) -> bool {
-        let serves = |zone: &String| pods.iter().any(|pod| pod.zone == *zone && !pod.drains);
+    fn has_outage(&self, pods: &[Pod]) -> bool {
+        let serves = |zone: &String| pods.iter().any(|pod| pod.zone == *zone && !pod.draining);
         !self.0.iter().all(serves)
     }
 }
 
-impl Sight<'_> {
-    fn warm(&self, pod: &Pod) -> bool {
-        !pod.drains && pod.runs_for.is_none_or(|runs| runs >= self.warm_after)
+impl FleetObservation<'_> {
+    fn is_warm(&self, pod: &Pod) -> bool {
+        !pod.draining
+            && pod
+                .uptime_seconds
+                .is_none_or(|runs| runs >= self.warm_up_seconds)
     }
 
     /// All pods of a machine serve, and are warm; false if it has none.
-    fn is_warm(&self, machine: &str) -> bool {
+    fn is_machine_warm(&self, machine: &str) -> bool {
         let mut pods = self
             .pods
             .iter()
             .filter(|pod| pod.machine == machine)
             .peekable();
-        pods.peek().is_some() && pods.all(|pod| self.warm(pod))
+        pods.peek().is_some() && pods.all(|pod| self.is_warm(pod))
     }
 
     /// What is to be settled of it, by one that has read the log up to a place.
-    fn seen(&self, turns: &Turns, upto: u64, zones: &Zones, turned_away: f64) -> Seen {
+    fn summarize(
+        &self,
+        turns: &MaintenanceSchedule,
+        upto: u64,
+        zones: &ZoneTracker,
+        turned_away: f64,
+    ) -> FleetSummary {
         let closed: BTreeSet<&str> = turns
-            .closed()
+            .closed_machines()
             .map(|(machine, _)| machine.name.as_str())
             .collect();
         let listed: BTreeSet<&str> = self.pods.iter().map(|pod| pod.machine.as_str()).collect();
-        let ways = turns.lists().values().flat_map(|list| &list.ways);
+        let ways = turns.lists().values().flat_map(|list| &list.machines);
         let away = ways
             .map(|way| &way.machine)
             .filter(|machine| !listed.contains(machine.name.as_str()));
         let away: BTreeMap<&str, f64> = away
-            .map(|machine| (machine.name.as_str(), machine.strength))
+            .map(|machine| (machine.name.as_str(), machine.capacity))
             .collect();
         let ready = self
             .pods
             .iter()
-            .filter(|pod| self.warm(pod) && !closed.contains(pod.machine.as_str()));
-        Seen {
-            upto,
-            all: self.pods.iter().map(|pod| pod.strength).sum::<f64>() + away.values().sum::<f64>(),
-            ready: ready.map(|pod| pod.strength).sum(),
-            trouble: zones.one_is_gone(self.pods),
-            trial: self.trial,
-            turned_away,
+            .filter(|pod| self.is_warm(pod) && !closed.contains(pod.machine.as_str()));
+        FleetSummary {
+            applied_index: upto,
+            total_capacity: self.pods.iter().map(|pod| pod.capacity).sum::<f64>()
+                + away.values().sum::<f64>(),
+            ready_capacity: ready.map(|pod| pod.capacity).sum(),
+            zone_outage: zones.has_outage(self.pods),
+            release_on_trial: self.release_on_trial,
+            rejection_rate: turned_away,
         }
     }
 }
 
 /// One sidecar's time as leader of one term.
 #[derive(Clone, Debug)]
-pub struct Leader {
+pub struct Scheduler {
     pub term: u64,
-    pub lessor: Lessor,
-    next_seen: Duration,
+    pub grantor: LeaseGrantor,
+    next_observation: Duration,
     /// Whether what it sees is settled in its term: a predecessor's picture is no ground for a grant.
-    seen: bool,
+    observed_in_term: bool,
     /// Up to where its own words go in the log.
-    put_up: u64,
+    proposed_index: u64,
 }
 
-impl Leader {
-    pub fn new(now: Duration, term: u64, lessor: Lessor) -> Self {
+impl Scheduler {
+    pub fn new(now: Duration, term: u64, lessor: LeaseGrantor) -> Self {
         Self {
             term,
-            lessor,
-            next_seen: now,
-            seen: false,
-            put_up: 0,
+            grantor: lessor,
+            next_observation: now,
+            observed_in_term: false,
+            proposed_index: 0,
         }
     }
 
     /// A word of its own stands in the log at this place, settled or not.
-    pub fn was_put_up(&mut self, index: u64) {
-        self.put_up = self.put_up.max(index);
+    pub fn command_proposed(&mut self, index: u64) {
+        self.proposed_index = self.proposed_index.max(index);
     }
 
     /// All its own words are read. What was put up is looked at first: else it is put up twice.
-    pub fn has_read(&self, read: u64) -> bool {
-        read >= self.put_up
+    pub fn has_applied_own(&self, read: u64) -> bool {
+        read >= self.proposed_index
     }
 
     /// The word to put up now, at this time of the log in milliseconds; for one that has settled a word of its own term and
     /// has read the log up to a place.
-    pub fn next(
+    pub fn next_command(
         &mut self,
         now: Duration,
         log_now: u64,
-        (turns, read): (&Turns, u64),
-        zones: &Zones,
-        sight: &Sight,
-    ) -> Option<Word> {
-        if !self.has_read(read) || turns.lists().values().all(List::over) {
+        (turns, read): (&MaintenanceSchedule, u64),
+        zones: &ZoneTracker,
+        sight: &FleetObservation,
+    ) -> Option<Command> {
+        if !self.has_applied_own(read) || turns.lists().values().all(MaintenanceList::is_finished) {
             return None;
         }
-        if now >= self.next_seen {
-            (self.next_seen, self.seen) = (now + SEEN_EVERY, true);
-            let seen = sight.seen(turns, read, zones, self.lessor.turned_away(now, turns));
-            return Some(Word::Seen {
-                at: log_now.max(turns.now()),
-                seen,
+        if now >= self.next_observation {
+            (self.next_observation, self.observed_in_term) = (now + OBSERVATION_INTERVAL, true);
+            let seen = sight.summarize(
+                turns,
+                read,
+                zones,
+                self.grantor.mean_rejection_rate(now, turns),
+            );
+            return Some(Command::Observe {
+                at_ms: log_now.max(turns.now_ms()),
+                summary: seen,
             });
         }
-        let unknown = |(no, list): (&Number, &List)| {
-            let waits = !list.known && list.whole();
-            (waits && self.lessor.unaware(turns, list.whole_at).is_empty()).then_some(*no)
+        let unknown = |(no, list): (&Identifier, &MaintenanceList)| {
+            let waits = !list.known && list.is_complete();
+            (waits
+                && self
+                    .grantor
+                    .sidecars_behind(turns, list.completed_index)
+                    .is_empty())
+            .then_some(*no)
         };
         let known = turns
             .lists()
             .iter()
             .find_map(unknown)
-            .map(|list| Word::Known { list });
-        let ways = || turns.lists().values().flat_map(|list| &list.ways);
-        let clear = |way: &Way| {
-            let grant = way.grant.filter(|_| way.step == Step::Granted)?;
-            self.lessor
-                .not_clear(now, turns, grant)
+            .map(|list| Command::ListKnown { list });
+        let ways = || turns.lists().values().flat_map(|list| &list.machines);
+        let clear = |way: &MachineState| {
+            let grant = way.grant.filter(|_| way.phase == MachinePhase::Granted)?;
+            self.grantor
+                .sidecars_not_drained(now, turns, grant)
                 .is_empty()
-                .then_some(Word::Out { grant })
+                .then_some(Command::Drained { grant })
         };
-        let warm = |way: &Way| {
-            let grant = way.grant.filter(|_| way.step == Step::Back)?;
-            let late = turns.now() < way.since + LIST_LATE;
-            (!late && sight.is_warm(&way.machine.name)).then_some(Word::Warm { grant })
+        let warm = |way: &MachineState| {
+            let grant = way.grant.filter(|_| way.phase == MachinePhase::WarmingUp)?;
+            let late = turns.now_ms() < way.since_ms + ENDPOINT_LIST_DELAY_MS;
+            (!late && sight.is_machine_warm(&way.machine.name))
+                .then_some(Command::WarmedUp { grant })
+        };
+        let next = if self.observed_in_term {
+            turns.next_command()
+        } else {
+            None
         };
-        let next = if self.seen { turns.next() } else { None };
         let recall = next
             .clone()
-            .filter(|word| matches!(word, Word::Recall { .. }));
+            .filter(|word| matches!(word, Command::RevokeGrant { .. }));
         recall
             .or(known)
             .or_else(|| ways().find_map(clear))
@@ -186,39 +211,42 @@
 }
 
 /// Hits are counted over spans of this length, the last whole one and the one that runs.
-const COUNTS_OVER: Duration = Duration::from_secs(2);
+const REJECTION_WINDOW: Duration = Duration::from_secs(2);
 /// One that had fewer hits counts as one that had so many: a few bad ones are no overload.
-const LEAST_HITS: u32 = 20;
+const MIN_REQUESTS: u32 = 20;
 
 /// Which part of its last hits a sidecar turned away.
 #[derive(Clone, Debug, Default)]
-pub struct TurnedAway {
-    since: Duration,
-    runs: (u32, u32),
-    before: (u32, u32),
+pub struct RejectionRate {
+    window_start: Duration,
+    current: (u32, u32),
+    previous: (u32, u32),
 }
 
-impl TurnedAway {
-    pub fn count(&mut self, now: Duration, hits: u32, turned_away: u32) {
-        self.turn(now);
-        self.runs = (
-            self.runs.0.saturating_add(hits),
-            self.runs.1.saturating_add(turned_away),
+impl RejectionRate {
+    pub fn record(&mut self, now: Duration, hits: u32, turned_away: u32) {
+        self.rotate(now);
+        self.current = (
+            self.current.0.saturating_add(hits),
+            self.current.1.saturating_add(turned_away),
         );
     }
 
-    fn turn(&mut self, now: Duration) {
-        if now >= self.since + COUNTS_OVER {
-            let late = now >= self.since + COUNTS_OVER * 2;
-            self.before = if late { (0, 0) } else { self.runs };
-            (self.since, self.runs) = (now, (0, 0));
+    fn rotate(&mut self, now: Duration) {
+        if now >= self.window_start + REJECTION_WINDOW {
+            let late = now >= self.window_start + REJECTION_WINDOW * 2;
+            self.previous = if late { (0, 0) } else { self.current };
+            (self.window_start, self.current) = (now, (0, 0));
         }
     }
 
     /// In thousandths.
-    pub fn part(&mut self, now: Duration) -> u16 {
-        self.turn(now);
-        let (hits, away) = (self.runs.0 + self.before.0, self.runs.1 + self.before.1);
-        (u64::from(away) * 1000 / u64::from(hits.max(LEAST_HITS))).min(1000) as u16
+    pub fn per_mille(&mut self, now: Duration) -> u16 {
+        self.rotate(now);
+        let (hits, away) = (
+            self.current.0 + self.previous.0,
+            self.current.1 + self.previous.1,
+        );
+        (u64::from(away) * 1000 / u64::from(hits.max(MIN_REQUESTS))).min(1000) as u16
     }
 }
--- a/crates/maintenance/src/leases.rs
+++ b/crates/maintenance/src/leases.rs
@@ -11,49 +11,49 @@
 //! knows nothing of the leases its predecessors gave: it holds nobody that it has not heard clear for as long as they may last. To that
 //! comes the time in which a holder whose lease is over settles what it had sent: the grace of a drain and the longest hit.
 
-use crate::turns::Turns;
-use crate::words::Number;
+use crate::turns::MaintenanceSchedule;
+use crate::words::Identifier;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const OVER: f64 = 1.25;
+const LEASE_SAFETY_FACTOR: f64 = 1.25;
 
 #[derive(Clone, Debug)]
 struct Holder {
-    heard: Duration,
-    read: u64,
-    clear: BTreeSet<Number>,
-    turned_away: f64,
+    requested_at: Duration,
+    applied_index: u64,
+    drained: BTreeSet<Identifier>,
+    rejection_rate: f64,
 }
 
 /// The leases that whoever leads has given. Which sidecars there are the log says.
 #[derive(Clone, Debug)]
-pub struct Lessor {
-    since: Duration,
-    lasts: Duration,
+pub struct LeaseGrantor {
+    leading_since: Duration,
+    hold_time: Duration,
     /// By name and start.
     holders: BTreeMap<(String, u64), Holder>,
 }
 
-impl Lessor {
+impl LeaseGrantor {
     /// It leads since now; leases last so long, and `slack` is how long a predecessor may have led beside it. One whose lease
     /// is over still settles what it had sent, for `settles` at most.
     pub fn new(now: Duration, lasts: Duration, slack: Duration, settles: Duration) -> Self {
         Self {
-            since: now + slack,
-            lasts: lasts.mul_f64(OVER) + settles,
+            leading_since: now + slack,
+            hold_time: lasts.mul_f64(LEASE_SAFETY_FACTOR) + settles,
             holders: BTreeMap::new(),
         }
     }
 
     /// One asks, and says up to where it has read, of which grants' machines it is clear, and which part of its hits it turned
     /// away, in thousandths. Whether it gets its lease: not before all know that it is there.
-    pub fn asked(
+    pub fn lease_requested(
         &mut self,
         now: Duration,
-        turns: &Turns,
+        turns: &MaintenanceSchedule,
         (name, start): (&str, u64),
-        (read, clear, turned_away): (u64, &[Number], u16),
+        (read, clear, turned_away): (u64, &[Identifier], u16),
     ) -> bool {
         let known = turns.sidecars().get(name) == Some(&start);
         if known {
@@ -62,15 +62,15 @@
                 f64::from(turned_away.min(1000)) / 1e3,
             );
             let holder = Holder {
-                heard: now,
-                read,
-                clear,
-                turned_away,
+                requested_at: now,
+                applied_index: read,
+                drained: clear,
+                rejection_rate: turned_away,
             };
             self.holders.insert((name.to_owned(), start), holder);
-            let lasts = self.lasts;
+            let lasts = self.hold_time;
             self.holders.retain(|(name, start), holder| {
-                turns.sidecars().get(name) == Some(start) || now < holder.heard + lasts
+                turns.sidecars().get(name) == Some(start) || now < holder.requested_at + lasts
             });
         }
         known
@@ -82,14 +82,14 @@
 
     /// The part of their hits that sidecars turn away, in the mean over all that ask, for as long as their leases last. What one
     /// says too high or too low by a fault moves it by its own part of the fleet alone.
-    pub fn turned_away(&self, now: Duration, turns: &Turns) -> f64 {
+    pub fn mean_rejection_rate(&self, now: Duration, turns: &MaintenanceSchedule) -> f64 {
         let holders = turns
             .sidecars()
             .iter()
             .filter_map(|(name, start)| self.holder(name, *start));
         let parts: Vec<f64> = holders
-            .filter(|h| now < h.heard + self.lasts)
-            .map(|h| h.turned_away)
+            .filter(|h| now < h.requested_at + self.hold_time)
+            .map(|h| h.rejection_rate)
             .collect();
         if parts.is_empty() {
             return 0.0;
@@ -98,9 +98,11 @@
     }
 
     /// Those that have not read up to here, as far as it was told.
-    pub fn unaware<'a>(&self, turns: &'a Turns, upto: u64) -> Vec<&'a str> {
-        let aware =
-            |name: &str, start: u64| self.holder(name, start).is_some_and(|h| h.read >= upto);
+    pub fn sidecars_behind<'a>(&self, turns: &'a MaintenanceSchedule, upto: u64) -> Vec<&'a str> {
+        let aware = |name: &str, start: u64| {
+            self.holder(name, start)
+                .is_some_and(|h| h.applied_index >= upto)
+        };
         let sidecars = turns
             .sidecars()
             .iter()
@@ -110,12 +112,18 @@
 
     /// Those that may still send to a grant's machine, or have something out there. All know the grant's list: so one without a
     /// lease sends there no more. Of one that this leader has not heard a predecessor's lease may last.
-    pub fn not_clear<'a>(&self, now: Duration, turns: &'a Turns, grant: Number) -> Vec<&'a str> {
-        let may =
-            |holder: &Holder| !holder.clear.contains(&grant) && now < holder.heard + self.lasts;
+    pub fn sidecars_not_drained<'a>(
+        &self,
+        now: Duration,
+        turns: &'a MaintenanceSchedule,
+        grant: Identifier,
+    ) -> Vec<&'a str> {
+        let may = |holder: &Holder| {
+            !holder.drained.contains(&grant) && now < holder.requested_at + self.hold_time
+        };
         let sends = |name: &str, start: u64| match self.holder(name, start) {
             Some(holder) => may(holder),
-            None => now < self.since + self.lasts,
+            None => now < self.leading_since + self.hold_time,
         };
         let now_there = turns
             .sidecars()
@@ -144,79 +152,86 @@
 /// A sidecar's own lease.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    lasts: Duration,
-    asked: BTreeMap<u64, Duration>,
-    next: u64,
-    until: Option<Duration>,
+    duration: Duration,
+    pending_requests: BTreeMap<u64, Duration>,
+    last_request: u64,
+    expires_at: Option<Duration>,
     /// It holds for one that has read the log up to here.
-    needs: u64,
-    begun: Duration,
+    required_index: u64,
+    started_at: Duration,
 }
 
 /// Asks that wait for an answer, at most.
-const MOST_ASKED: usize = 64;
+const MAX_PENDING_REQUESTS: usize = 64;
 /// One that has just started and gets no lease for so long goes by the node list alone: without that, sidecars that start
 /// while no majority of voters runs would serve nothing. Hurts where a machine that is out is on the list as ready.
-pub const START_WAIT: Duration = Duration::from_secs(5);
+pub const MAX_START_WAIT: Duration = Duration::from_secs(5);
 
 impl Lease {
     pub fn new(now: Duration, lasts: Duration) -> Self {
         Self {
-            lasts,
-            asked: BTreeMap::new(),
-            next: 0,
-            until: None,
-            needs: 0,
-            begun: now,
+            duration: lasts,
+            pending_requests: BTreeMap::new(),
+            last_request: 0,
+            expires_at: None,
+            required_index: 0,
+            started_at: now,
         }
     }
 
     /// How often to ask.
-    pub fn every(&self) -> Duration {
-        self.lasts / 4
+    pub fn request_interval(&self) -> Duration {
+        self.duration / 4
     }
 
     /// It asks now; the ask's number.
-    pub fn ask(&mut self, now: Duration) -> u64 {
-        self.next += 1;
-        self.asked.insert(self.next, now);
-        if self.asked.len() > MOST_ASKED {
-            self.asked.pop_first();
+    pub fn request(&mut self, now: Duration) -> u64 {
+        self.last_request += 1;
+        self.pending_requests.insert(self.last_request, now);
+        if self.pending_requests.len() > MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_first();
         }
-        self.next
+        self.last_request
     }
 
     /// An ask was answered by one that has settled all up to here.
-    pub fn answered(&mut self, no: u64, settled: u64) {
-        let Some(at) = self.asked.remove(&no) else {
+    pub fn granted(&mut self, no: u64, settled: u64) {
+        let Some(at) = self.pending_requests.remove(&no) else {
             return;
         };
-        self.until = self.until.max(Some(at + self.lasts));
-        self.needs = self.needs.max(settled);
+        self.expires_at = self.expires_at.max(Some(at + self.duration));
+        self.required_index = self.required_index.max(settled);
     }
 
-    pub fn holds(&self, now: Duration, read: u64) -> bool {
-        self.until.is_some_and(|until| now < until) && read >= self.needs
+    pub fn is_held(&self, now: Duration, read: u64) -> bool {
+        self.expires_at.is_some_and(|until| now < until) && read >= self.required_index
     }
 
     /// Nothing was told yet, and it has not waited for long.
-    pub fn waits(&self, now: Duration) -> bool {
-        self.until.is_none() && now < self.begun + START_WAIT
+    pub fn awaits_first_grant(&self, now: Duration) -> bool {
+        self.expires_at.is_none() && now < self.started_at + MAX_START_WAIT
     }
 
     /// The machines that are closed to this sidecar; none: all. Those that are granted or out; without a lease also those that
     /// may be, for all that it knows; and all while nothing was told yet.
-    pub fn closed(&self, now: Duration, read: u64, turns: &Turns) -> Option<BTreeSet<String>> {
-        if self.waits(now) {
+    pub fn closed_machines(
+        &self,
+        now: Duration,
+        read: u64,
+        turns: &MaintenanceSchedule,
+    ) -> Option<BTreeSet<String>> {
+        if self.awaits_first_grant(now) {
             return None;
         }
-        let granted = turns.closed().map(|(machine, _)| machine.name.clone());
+        let granted = turns
+            .closed_machines()
+            .map(|(machine, _)| machine.name.clone());
         let lists = turns
             .lists()
             .values()
-            .filter(|list| !self.holds(now, read) && !list.over());
+            .filter(|list| !self.is_held(now, read) && !list.is_finished());
         let listed = lists
-            .flat_map(|list| &list.ways)
+            .flat_map(|list| &list.machines)
             .map(|way| way.machine.name.clone());
         Some(granted.chain(listed).collect())
     }
@@ -224,41 +239,42 @@
 
 /// Of which grants' machines this sidecar is clear: it has stopped sending there, the drain's grace is over, and nothing is open.
 #[derive(Clone, Debug)]
-pub struct Clearing {
+pub struct DrainTracker {
     grace: Duration,
     /// Machines that are closed, since when.
-    since: BTreeMap<String, Duration>,
+    closed_since: BTreeMap<String, Duration>,
 }
 
-impl Clearing {
+impl DrainTracker {
     pub fn new(grace: Duration) -> Self {
         Self {
             grace,
-            since: BTreeMap::new(),
+            closed_since: BTreeMap::new(),
         }
     }
 
     /// These are closed now, and no others.
-    pub fn closed(&mut self, now: Duration, names: &BTreeSet<String>) {
-        self.since.retain(|machine, _| names.contains(machine));
+    pub fn set_closed(&mut self, now: Duration, names: &BTreeSet<String>) {
+        self.closed_since
+            .retain(|machine, _| names.contains(machine));
         for machine in names {
-            self.since.entry(machine.clone()).or_insert(now);
+            self.closed_since.entry(machine.clone()).or_insert(now);
         }
     }
 
     /// The grants whose machines nothing goes to any more, by time: of these it is to be asked whether something is open.
-    pub fn quiet<'a>(
+    pub fn past_grace<'a>(
         &'a self,
         now: Duration,
-        turns: &'a Turns,
-    ) -> impl Iterator<Item = (&'a str, Number)> {
+        turns: &'a MaintenanceSchedule,
+    ) -> impl Iterator<Item = (&'a str, Identifier)> {
         let over = move |machine: &str| {
-            self.since
+            self.closed_since
                 .get(machine)
                 .is_some_and(|since| now >= *since + self.grace)
         };
         turns
-            .closed()
+            .closed_machines()
             .map(|(machine, grant)| (machine.name.as_str(), grant))
             .filter(move |(name, _)| over(name))
     }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -27,10 +27,11 @@
 mod turns;
 mod words;
 
-pub use leads::{Leader, Pod, Sight, TurnedAway, Zones};
-pub use leases::{Clearing, Lease, Lessor, START_WAIT};
-pub use limits::{Seen, Why};
-pub use turns::{List, Refused, Step, Turns, Way};
+pub use leads::{FleetObservation, Pod, RejectionRate, Scheduler, ZoneTracker};
+pub use leases::{DrainTracker, Lease, LeaseGrantor, MAX_START_WAIT};
+pub use limits::{BlockedReason, FleetSummary};
+pub use turns::{ApplyError, MachinePhase, MachineState, MaintenanceList, MaintenanceSchedule};
 pub use words::{
-    Limits, Machine, Number, Talk, Terms, Unreadable, Window, Word, MOST_LISTS, MOST_MACHINES,
+    Command, DisruptionLimits, FormatError, Identifier, ListConfig, Machine, Message, Window,
+    MAX_LISTS, MAX_MACHINES,
 };
--- a/crates/maintenance/src/turns.rs
+++ b/crates/maintenance/src/turns.rs
@@ -1,116 +1,134 @@
 //! Lists, machines and how far each is on its way.
 
-use crate::limits::{bears, Seen, Why};
-use crate::words::{Machine, Number, Terms, Word, MOST_LISTS, MOST_MACHINES};
+use crate::limits::{check_limits, BlockedReason, FleetSummary};
+use crate::words::{Command, Identifier, ListConfig, Machine, MAX_LISTS, MAX_MACHINES};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// Sidecars that are known, at most.
-const MOST_SIDECARS: usize = 2048;
+const MAX_SIDECARS: usize = 2048;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Step {
-    Waits,
+pub enum MachinePhase {
+    Waiting,
     Granted,
-    Out,
-    Back,
+    InMaintenance,
+    WarmingUp,
     Done,
     /// The machine said that the work failed, or said nothing for too long while it was out.
     Failed,
 }
 
-impl Step {
+/// The form of the proxies' work page, which other programs read: its names stay as they are.
+impl fmt::Display for MachinePhase {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            MachinePhase::Waiting => "waits",
+            MachinePhase::Granted => "granted",
+            MachinePhase::InMaintenance => "out",
+            MachinePhase::WarmingUp => "back",
+            MachinePhase::Done => "done",
+            MachinePhase::Failed => "failed",
+        })
+    }
+}
+
+impl MachinePhase {
     /// Whether it counts as out: it may serve nothing, or is cold.
-    pub fn is_out(self) -> bool {
-        matches!(self, Step::Granted | Step::Out | Step::Back)
+    pub fn is_unavailable(self) -> bool {
+        matches!(
+            self,
+            MachinePhase::Granted | MachinePhase::InMaintenance | MachinePhase::WarmingUp
+        )
     }
 }
 
 /// How far one machine is, for one list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Way {
+pub struct MachineState {
     pub machine: Machine,
-    pub step: Step,
+    pub phase: MachinePhase,
     /// The grant it goes by, and since when, in the log's time, it stands at this step.
-    pub grant: Option<Number>,
-    pub since: u64,
+    pub grant: Option<Identifier>,
+    pub since_ms: u64,
     /// The work began, and is taking longer than it may.
-    pub began: bool,
+    pub work_began: bool,
     pub stalled: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct List {
+pub struct MaintenanceList {
     /// The place in the log where it was asked for.
-    pub asked: u64,
-    pub terms: Terms,
-    pub machines: u16,
+    pub created_index: u64,
+    pub config: ListConfig,
+    pub machine_count: u16,
     /// The place in the log where its last machine came, and whether all sidecars know them.
-    pub whole_at: u64,
+    pub completed_index: u64,
     pub known: bool,
-    pub held: bool,
+    pub paused: bool,
     pub withdrawn: bool,
-    pub ways: Vec<Way>,
+    pub machines: Vec<MachineState>,
 }
 
-impl List {
-    pub fn whole(&self) -> bool {
-        self.ways.len() == usize::from(self.machines)
+impl MaintenanceList {
+    pub fn is_complete(&self) -> bool {
+        self.machines.len() == usize::from(self.machine_count)
     }
 
-    fn overloaded(&self, seen: &Seen) -> bool {
-        seen.turned_away > self.terms.limits.turned_away
+    fn is_overloaded(&self, seen: &FleetSummary) -> bool {
+        seen.rejection_rate > self.config.limits.max_rejection_rate
     }
 
     /// Nothing is to be done for it any more.
-    pub fn over(&self) -> bool {
-        let settled = |way: &Way| match way.step {
-            Step::Done | Step::Failed => true,
-            Step::Waits => self.withdrawn,
+    pub fn is_finished(&self) -> bool {
+        let settled = |way: &MachineState| match way.phase {
+            MachinePhase::Done | MachinePhase::Failed => true,
+            MachinePhase::Waiting => self.withdrawn,
             _ => false,
         };
-        (self.whole() || self.withdrawn) && self.ways.iter().all(settled)
+        (self.is_complete() || self.withdrawn) && self.machines.iter().all(settled)
     }
 }
 
 /// Why a settled word changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum ApplyError {
     #[error("there is such a list")]
-    Known,
+    ListExists,
     #[error("no such list")]
-    NoList,
+    UnknownList,
     #[error("no such machine on the list, or not one that waits")]
-    NoMachine,
+    MachineNotWaiting,
     #[error("no such grant, or not at the step before")]
-    NoGrant,
+    GrantNotInPhase,
     #[error("the machine is out for another list")]
-    Taken,
-    #[error("more than {MOST_LISTS} lists, {MOST_MACHINES} machines or {MOST_SIDECARS} sidecars, or a later start is known")]
-    Many,
+    UnavailableForOtherList,
+    #[error("more than {MAX_LISTS} lists, {MAX_MACHINES} machines or {MAX_SIDECARS} sidecars, or a later start is known")]
+    LimitExceeded,
     #[error("a part that does not follow the one before")]
-    Part,
+    OutOfSequence,
     #[error("time that goes back")]
-    Time,
+    ClockBackwards,
     #[error("not now: {0}")]
-    NotNow(Why),
+    Blocked(BlockedReason),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Turns {
-    now: u64,
-    lists: BTreeMap<Number, List>,
+pub struct MaintenanceSchedule {
+    now_ms: u64,
+    lists: BTreeMap<Identifier, MaintenanceList>,
     /// Sidecars that may send, by name, each with its start.
     sidecars: BTreeMap<String, u64>,
-    seen: Option<Seen>,
+    summary: Option<FleetSummary>,
 }
 
-impl Turns {
-    pub fn now(&self) -> u64 {
-        self.now
+impl MaintenanceSchedule {
+    pub fn now_ms(&self) -> u64 {
+        self.now_ms
     }
 
-    pub fn lists(&self) -> &BTreeMap<Number, List> {
+    pub fn lists(&self) -> &BTreeMap<Identifier, MaintenanceList> {
         &self.lists
     }
 
@@ -118,27 +136,32 @@
         &self.sidecars
     }
 
-    fn ways(&self) -> impl Iterator<Item = (Number, &Way)> {
+    fn machines(&self) -> impl Iterator<Item = (Identifier, &MachineState)> {
         self.lists
             .iter()
-            .flat_map(|(list, of)| of.ways.iter().map(|way| (*list, way)))
+            .flat_map(|(list, of)| of.machines.iter().map(|way| (*list, way)))
     }
 
     /// The way that goes by a grant.
-    pub fn of(&self, grant: Number) -> Option<(Number, &Way)> {
-        self.ways().find(|(_, way)| way.grant == Some(grant))
+    pub fn machine_with_grant(&self, grant: Identifier) -> Option<(Identifier, &MachineState)> {
+        self.machines().find(|(_, way)| way.grant == Some(grant))
     }
 
     /// Machines that nobody is to send to: from the grant until the work is over.
-    pub fn closed(&self) -> impl Iterator<Item = (&Machine, Number)> {
-        let closed = |way: &&Way| matches!(way.step, Step::Granted | Step::Out);
-        let ways = self.ways().map(|(_, way)| way).filter(closed);
+    pub fn closed_machines(&self) -> impl Iterator<Item = (&Machine, Identifier)> {
+        let closed = |way: &&MachineState| {
+            matches!(
+                way.phase,
+                MachinePhase::Granted | MachinePhase::InMaintenance
+            )
+        };
+        let ways = self.machines().map(|(_, way)| way).filter(closed);
         ways.filter_map(|way| Some((&way.machine, way.grant?)))
     }
 
-    fn out(&self) -> Vec<&Machine> {
-        self.ways()
-            .filter(|(_, way)| way.step.is_out())
+    fn unavailable_machines(&self) -> Vec<&Machine> {
+        self.machines()
+            .filter(|(_, way)| way.phase.is_unavailable())
             .map(|(_, way)| &way.machine)
             .collect()
     }
@@ -147,51 +170,60 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn may_go(&self, list: Number, machine: &str) -> Result<(), Refused> {
-        let of = self.lists.get(&list).ok_or(Refused::NoList)?;
-        let waits = |way: &&Way| way.machine.name == machine && way.step == Step::Waits;
-        let way = of.ways.iter().find(waits).ok_or(Refused::NoMachine)?;
-        if of.held || of.withdrawn || !of.whole() {
-            return Err(Refused::NotNow(Why::Held));
+    pub fn check_grant(&self, list: Identifier, machine: &str) -> Result<(), ApplyError> {
+        let of = self.lists.get(&list).ok_or(ApplyError::UnknownList)?;
+        let waits =
+            |way: &&MachineState| way.machine.name == machine && way.phase == MachinePhase::Waiting;
+        let way = of
+            .machines
+            .iter()
+            .find(waits)
+            .ok_or(ApplyError::MachineNotWaiting)?;
+        if of.paused || of.withdrawn || !of.is_complete() {
+            return Err(ApplyError::Blocked(BlockedReason::ListNotActive));
         }
         if !of.known {
-            return Err(Refused::NotNow(Why::NotKnown));
+            return Err(ApplyError::Blocked(BlockedReason::ListNotKnown));
         }
-        let out = self.out();
+        let out = self.unavailable_machines();
         if out.iter().any(|other| other.name == machine) {
-            return Err(Refused::Taken);
+            return Err(ApplyError::UnavailableForOtherList);
         }
         let within = |window: &crate::words::Window| {
-            window.from <= self.now && self.now + of.terms.takes <= window.to
+            window.start_ms <= self.now_ms
+                && self.now_ms + of.config.work_duration_ms <= window.end_ms
         };
-        if !of.terms.windows.is_empty() && !of.terms.windows.iter().any(within) {
-            return Err(Refused::NotNow(Why::Window));
+        if !of.config.windows.is_empty() && !of.config.windows.iter().any(within) {
+            return Err(ApplyError::Blocked(BlockedReason::OutsideWindows));
         }
-        let seen = self.seen.as_ref().ok_or(Refused::NotNow(Why::Unseen))?;
-        let later = |(_, way): &(Number, &Way)| {
-            way.step.is_out() && way.grant.is_some_and(|no| no.0 > seen.upto)
+        let seen = self
+            .summary
+            .as_ref()
+            .ok_or(ApplyError::Blocked(BlockedReason::NoObservation))?;
+        let later = |(_, way): &(Identifier, &MachineState)| {
+            way.phase.is_unavailable() && way.grant.is_some_and(|no| no.0 > seen.applied_index)
         };
         let since: f64 = self
-            .ways()
+            .machines()
             .filter(later)
-            .map(|(_, way)| way.machine.strength)
+            .map(|(_, way)| way.machine.capacity)
             .sum();
-        if seen.trouble {
-            return Err(Refused::NotNow(Why::Trouble));
+        if seen.zone_outage {
+            return Err(ApplyError::Blocked(BlockedReason::ZoneOutage));
         }
-        if of.overloaded(seen) {
-            return Err(Refused::NotNow(Why::Overload));
+        if of.is_overloaded(seen) {
+            return Err(ApplyError::Blocked(BlockedReason::Overload));
         }
-        if seen.trial && !of.terms.beside_trials {
-            return Err(Refused::NotNow(Why::Trial));
+        if seen.release_on_trial && !of.config.allowed_during_trials {
+            return Err(ApplyError::Blocked(BlockedReason::ReleaseOnTrial));
         }
         // Whatever list has a machine out, its limits hold for one more.
-        let owners = self
-            .lists
-            .iter()
-            .filter(|(no, other)| **no == list || other.ways.iter().any(|way| way.step.is_out()));
+        let owners = self.lists.iter().filter(|(no, other)| {
+            **no == list || other.machines.iter().any(|way| way.phase.is_unavailable())
+        });
         for (_, other) in owners {
-            bears(&other.terms.limits, &way.machine, &out, seen, since).map_err(Refused::NotNow)?;
+            check_limits(&other.config.limits, &way.machine, &out, seen, since)
+                .map_err(ApplyError::Blocked)?;
         }
         Ok(())
     }
@@ -200,223 +232,284 @@
     ///
     /// # Errors
     /// Why it changes nothing: the same for all who read the log.
-    pub fn apply(&mut self, index: u64, word: &Word) -> Result<(), Refused> {
-        let no = Number(index);
+    pub fn apply(&mut self, index: u64, word: &Command) -> Result<(), ApplyError> {
+        let no = Identifier(index);
         match word {
-            Word::Ask {
+            Command::CreateList {
                 list,
-                terms,
-                machines,
+                config: terms,
+                machine_count: machines,
             } => {
                 if self.lists.contains_key(list) {
-                    return Err(Refused::Known);
+                    return Err(ApplyError::ListExists);
                 }
                 // The oldest of those that are over make room.
-                let over = self.lists.iter().filter(|(_, list)| list.over());
-                let oldest = over.min_by_key(|(_, list)| list.asked).map(|(no, _)| *no);
-                if let Some(oldest) = oldest.filter(|_| self.lists.len() >= MOST_LISTS) {
+                let over = self.lists.iter().filter(|(_, list)| list.is_finished());
+                let oldest = over
+                    .min_by_key(|(_, list)| list.created_index)
+                    .map(|(no, _)| *no);
+                if let Some(oldest) = oldest.filter(|_| self.lists.len() >= MAX_LISTS) {
                     self.lists.remove(&oldest);
                 }
                 let asked = index;
-                if self.lists.len() >= MOST_LISTS || usize::from(*machines) > MOST_MACHINES {
-                    return Err(Refused::Many);
+                if self.lists.len() >= MAX_LISTS || usize::from(*machines) > MAX_MACHINES {
+                    return Err(ApplyError::LimitExceeded);
                 }
-                let of = List {
-                    asked,
-                    terms: terms.clone(),
-                    machines: *machines,
-                    whole_at: index,
+                let of = MaintenanceList {
+                    created_index: asked,
+                    config: terms.clone(),
+                    machine_count: *machines,
+                    completed_index: index,
                     known: false,
-                    held: false,
+                    paused: false,
                     withdrawn: false,
-                    ways: Vec::new(),
+                    machines: Vec::new(),
                 };
                 self.lists.insert(*list, of);
             }
-            Word::Machines {
+            Command::AddMachines {
                 list,
                 first,
                 machines,
             } => {
-                let now = self.now;
-                let of = self.lists.get_mut(list).ok_or(Refused::NoList)?;
-                let follows = usize::from(*first) == of.ways.len()
-                    && of.ways.len() + machines.len() <= usize::from(of.machines);
-                let twice =
-                    |machine: &Machine| of.ways.iter().any(|way| way.machine.name == machine.name);
+                let now = self.now_ms;
+                let of = self.lists.get_mut(list).ok_or(ApplyError::UnknownList)?;
+                let follows = usize::from(*first) == of.machines.len()
+                    && of.machines.len() + machines.len() <= usize::from(of.machine_count);
+                let twice = |machine: &Machine| {
+                    of.machines
+                        .iter()
+                        .any(|way| way.machine.name == machine.name)
+                };
                 if !follows || machines.iter().any(twice) {
-                    return Err(Refused::Part);
+                    return Err(ApplyError::OutOfSequence);
                 }
-                let way = |machine: &Machine| Way {
+                let way = |machine: &Machine| MachineState {
                     machine: machine.clone(),
-                    step: Step::Waits,
+                    phase: MachinePhase::Waiting,
                     grant: None,
-                    since: now,
-                    began: false,
+                    since_ms: now,
+                    work_began: false,
                     stalled: false,
                 };
-                of.ways.extend(machines.iter().map(way));
-                of.whole_at = index;
+                of.machines.extend(machines.iter().map(way));
+                of.completed_index = index;
             }
-            Word::Known { list } => {
-                let of = self.list(*list)?;
-                if !of.whole() {
-                    return Err(Refused::NotNow(Why::Held));
+            Command::ListKnown { list } => {
+                let of = self.list_mut(*list)?;
+                if !of.is_complete() {
+                    return Err(ApplyError::Blocked(BlockedReason::ListNotActive));
                 }
                 of.known = true;
             }
-            Word::Here { name, start } => {
-                let full =
-                    self.sidecars.len() >= MOST_SIDECARS && !self.sidecars.contains_key(name);
+            Command::SidecarStarted {
+                name,
+                incarnation: start,
+            } => {
+                let full = self.sidecars.len() >= MAX_SIDECARS && !self.sidecars.contains_key(name);
                 if full || self.sidecars.get(name).is_some_and(|known| known >= start) {
-                    return Err(Refused::Many);
+                    return Err(ApplyError::LimitExceeded);
                 }
                 self.sidecars.insert(name.clone(), *start);
             }
-            Word::Gone { name, start } => self
+            Command::SidecarGone {
+                name,
+                incarnation: start,
+            } => self
                 .sidecars
                 .retain(|known, of| known != name || of != start),
-            Word::Hold { list } => self.list(*list)?.held = true,
-            Word::GoOn { list } => self.list(*list)?.held = false,
-            Word::Withdraw { list } => self.list(*list)?.withdrawn = true,
-            Word::Seen { at, seen } => {
-                if *at < self.now {
-                    return Err(Refused::Time);
+            Command::PauseList { list } => self.list_mut(*list)?.paused = true,
+            Command::ResumeList { list } => self.list_mut(*list)?.paused = false,
+            Command::WithdrawList { list } => self.list_mut(*list)?.withdrawn = true,
+            Command::Observe {
+                at_ms: at,
+                summary: seen,
+            } => {
+                if *at < self.now_ms {
+                    return Err(ApplyError::ClockBackwards);
                 }
-                self.now = *at;
-                self.seen = Some(seen.clone());
-                self.look_for_stalls();
+                self.now_ms = *at;
+                self.summary = Some(seen.clone());
+                self.mark_stalled();
             }
-            Word::Grant { list, machine } => {
-                self.may_go(*list, machine)?;
-                let now = self.now;
-                let of = self.list(*list)?;
+            Command::Grant { list, machine } => {
+                self.check_grant(*list, machine)?;
+                let now = self.now_ms;
+                let of = self.list_mut(*list)?;
                 let way = of
-                    .ways
+                    .machines
                     .iter_mut()
                     .find(|way| way.machine.name == *machine)
-                    .ok_or(Refused::NoMachine)?;
-                (way.step, way.grant, way.since) = (Step::Granted, Some(no), now);
+                    .ok_or(ApplyError::MachineNotWaiting)?;
+                (way.phase, way.grant, way.since_ms) = (MachinePhase::Granted, Some(no), now);
             }
-            Word::Out { grant } => self.step(*grant, &[Step::Granted], Step::Out)?,
-            Word::Began { grant } => {
-                let now = self.now;
-                let way = self.way(*grant, &[Step::Out])?;
+            Command::Drained { grant } => self.advance(
+                *grant,
+                &[MachinePhase::Granted],
+                MachinePhase::InMaintenance,
+            )?,
+            Command::WorkBegan { grant } => {
+                let now = self.now_ms;
+                let way = self.machine_mut(*grant, &[MachinePhase::InMaintenance])?;
                 // Told twice, it began once.
-                if !way.began {
-                    (way.began, way.since) = (true, now);
+                if !way.work_began {
+                    (way.work_began, way.since_ms) = (true, now);
                 }
             }
-            Word::Worked { grant, well: true } => self.step(*grant, &[Step::Out], Step::Back)?,
-            Word::Worked { grant, well: false } => self.step(*grant, &[Step::Out], Step::Failed)?,
-            Word::Warm { grant } => self.step(*grant, &[Step::Back], Step::Done)?,
-            Word::Recall { grant } => {
+            Command::WorkEnded {
+                grant,
+                succeeded: true,
+            } => self.advance(
+                *grant,
+                &[MachinePhase::InMaintenance],
+                MachinePhase::WarmingUp,
+            )?,
+            Command::WorkEnded {
+                grant,
+                succeeded: false,
+            } => self.advance(*grant, &[MachinePhase::InMaintenance], MachinePhase::Failed)?,
+            Command::WarmedUp { grant } => {
+                self.advance(*grant, &[MachinePhase::WarmingUp], MachinePhase::Done)?
+            }
+            Command::RevokeGrant { grant } => {
                 // What may be worked on already is not taken back by a word: it comes back by the machine's.
-                let way = self.way(*grant, &[Step::Granted])?;
-                (way.step, way.grant) = (Step::Waits, None);
+                let way = self.machine_mut(*grant, &[MachinePhase::Granted])?;
+                (way.phase, way.grant) = (MachinePhase::Waiting, None);
             }
         }
         Ok(())
     }
 
-    fn list(&mut self, list: Number) -> Result<&mut List, Refused> {
-        self.lists.get_mut(&list).ok_or(Refused::NoList)
+    fn list_mut(&mut self, list: Identifier) -> Result<&mut MaintenanceList, ApplyError> {
+        self.lists.get_mut(&list).ok_or(ApplyError::UnknownList)
     }
 
-    fn way(&mut self, grant: Number, at: &[Step]) -> Result<&mut Way, Refused> {
+    fn machine_mut(
+        &mut self,
+        grant: Identifier,
+        at: &[MachinePhase],
+    ) -> Result<&mut MachineState, ApplyError> {
         let mut ways = self
             .lists
             .values_mut()
-            .flat_map(|list| list.ways.iter_mut());
-        ways.find(|way| way.grant == Some(grant) && at.contains(&way.step))
-            .ok_or(Refused::NoGrant)
+            .flat_map(|list| list.machines.iter_mut());
+        ways.find(|way| way.grant == Some(grant) && at.contains(&way.phase))
+            .ok_or(ApplyError::GrantNotInPhase)
     }
 
-    fn step(&mut self, grant: Number, from: &[Step], to: Step) -> Result<(), Refused> {
-        let now = self.now;
-        let way = self.way(grant, from)?;
-        (way.step, way.since, way.stalled) = (to, now, false);
+    fn advance(
+        &mut self,
+        grant: Identifier,
+        from: &[MachinePhase],
+        to: MachinePhase,
+    ) -> Result<(), ApplyError> {
+        let now = self.now_ms;
+        let way = self.machine_mut(grant, from)?;
+        (way.phase, way.since_ms, way.stalled) = (to, now, false);
         Ok(())
     }
 
     /// A machine that is out for too long is told as stalled; it stays out, as nobody knows what is done to it, and counts.
-    fn look_for_stalls(&mut self) {
-        let now = self.now;
+    fn mark_stalled(&mut self) {
+        let now = self.now_ms;
         for list in self.lists.values_mut() {
-            let most = list.terms.stalls_after;
-            for way in list.ways.iter_mut().filter(|way| way.step == Step::Out) {
-                way.stalled = now > way.since + most;
+            let most = list.config.stall_timeout_ms;
+            for way in list
+                .machines
+                .iter_mut()
+                .filter(|way| way.phase == MachinePhase::InMaintenance)
+            {
+                way.stalled = now > way.since_ms + most;
             }
         }
     }
 
     /// The word that whoever leads is to put up now, besides what it is told: a grant, or what takes one back.
-    pub fn next(&self) -> Option<Word> {
-        let trouble = self.seen.as_ref().is_some_and(|seen| seen.trouble);
-        let granted = |(_, way): &(Number, &Way)| way.step == Step::Granted;
-        let stops = |list: &List| {
+    pub fn next_command(&self) -> Option<Command> {
+        let trouble = self.summary.as_ref().is_some_and(|seen| seen.zone_outage);
+        let granted = |(_, way): &(Identifier, &MachineState)| way.phase == MachinePhase::Granted;
+        let stops = |list: &MaintenanceList| {
             list.withdrawn
-                || list.held
-                || self.seen.as_ref().is_some_and(|seen| list.overloaded(seen))
+                || list.paused
+                || self
+                    .summary
+                    .as_ref()
+                    .is_some_and(|seen| list.is_overloaded(seen))
         };
         let back = self
-            .ways()
+            .machines()
             .filter(granted)
             .find(|(list, _)| trouble || self.lists.get(list).is_some_and(stops));
         if let Some(grant) = back.and_then(|(_, way)| way.grant) {
-            return Some(Word::Recall { grant });
+            return Some(Command::RevokeGrant { grant });
         }
-        let mut lists: Vec<(&Number, &List)> = self.lists.iter().collect();
+        let mut lists: Vec<(&Identifier, &MaintenanceList)> = self.lists.iter().collect();
         // The older of two of one priority first.
-        lists.sort_by_key(|(no, list)| (std::cmp::Reverse(list.terms.priority), list.asked, **no));
+        lists.sort_by_key(|(no, list)| {
+            (
+                std::cmp::Reverse(list.config.priority),
+                list.created_index,
+                **no,
+            )
+        });
         let mut waits = lists
             .into_iter()
-            .flat_map(|(no, list)| list.ways.iter().map(|way| (*no, way)));
-        let goes = |(no, way): &(Number, &Way)| {
-            way.step == Step::Waits && self.may_go(*no, &way.machine.name).is_ok()
+            .flat_map(|(no, list)| list.machines.iter().map(|way| (*no, way)));
+        let goes = |(no, way): &(Identifier, &MachineState)| {
+            way.phase == MachinePhase::Waiting && self.check_grant(*no, &way.machine.name).is_ok()
         };
         let (list, way) = waits.find(goes)?;
-        Some(Word::Grant {
+        Some(Command::Grant {
             list,
             machine: way.machine.name.clone(),
         })
     }
 
     /// Whether all that a word is to bring about is so: it need not be put up again.
-    pub fn shows(&self, word: &Word) -> bool {
-        let of = |list: &Number| self.lists.get(list);
+    pub fn is_reflected(&self, word: &Command) -> bool {
+        let of = |list: &Identifier| self.lists.get(list);
         match word {
-            Word::Ask { list, .. } => of(list).is_some(),
-            Word::Machines {
+            Command::CreateList { list, .. } => of(list).is_some(),
+            Command::AddMachines {
                 list,
                 first,
                 machines,
-            } => of(list).is_some_and(|of| of.ways.len() >= usize::from(*first) + machines.len()),
-            Word::Hold { list } => of(list).is_none_or(|of| of.held),
-            Word::GoOn { list } => of(list).is_none_or(|of| !of.held),
-            Word::Withdraw { list } => of(list).is_none_or(|of| of.withdrawn),
-            Word::Began { grant } => self
-                .of(*grant)
-                .is_none_or(|(_, way)| way.began || way.step != Step::Out),
-            Word::Worked { grant, .. } => self
-                .of(*grant)
-                .is_none_or(|(_, way)| !matches!(way.step, Step::Granted | Step::Out)),
-            Word::Gone { name, start } => self.sidecars.get(name) != Some(start),
-            Word::Known { .. } | Word::Here { .. } => true,
-            Word::Seen { .. }
-            | Word::Grant { .. }
-            | Word::Out { .. }
-            | Word::Warm { .. }
-            | Word::Recall { .. } => true,
+            } => {
+                of(list).is_some_and(|of| of.machines.len() >= usize::from(*first) + machines.len())
+            }
+            Command::PauseList { list } => of(list).is_none_or(|of| of.paused),
+            Command::ResumeList { list } => of(list).is_none_or(|of| !of.paused),
+            Command::WithdrawList { list } => of(list).is_none_or(|of| of.withdrawn),
+            Command::WorkBegan { grant } => self
+                .machine_with_grant(*grant)
+                .is_none_or(|(_, way)| way.work_began || way.phase != MachinePhase::InMaintenance),
+            Command::WorkEnded { grant, .. } => {
+                self.machine_with_grant(*grant).is_none_or(|(_, way)| {
+                    !matches!(
+                        way.phase,
+                        MachinePhase::Granted | MachinePhase::InMaintenance
+                    )
+                })
+            }
+            Command::SidecarGone {
+                name,
+                incarnation: start,
+            } => self.sidecars.get(name) != Some(start),
+            Command::ListKnown { .. } | Command::SidecarStarted { .. } => true,
+            Command::Observe { .. }
+            | Command::Grant { .. }
+            | Command::Drained { .. }
+            | Command::WarmedUp { .. }
+            | Command::RevokeGrant { .. } => true,
         }
     }
 
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// The state as it was written; none if it can't be read.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
--- a/crates/maintenance/tests/digest.rs
+++ b/crates/maintenance/tests/digest.rs
@@ -5,8 +5,10 @@
 //! so names may change and the hash stays.
 
 use limewing_maintenance::{
-    Clearing, Leader, Lease, Lessor, Limits, List, Machine, Number, Pod, Refused, Sight, Step,
-    Talk, Terms, TurnedAway, Turns, Way, Why, Window, Word, Zones,
+    ApplyError, BlockedReason, Command, DisruptionLimits, DrainTracker, FleetObservation,
+    Identifier, Lease, LeaseGrantor, ListConfig, Machine, MachinePhase, MachineState,
+    MaintenanceList, MaintenanceSchedule, Message, Pod, RejectionRate, Scheduler, Window,
+    ZoneTracker,
 };
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,61 +58,61 @@
     }
 }
 
-fn step_number(step: Step) -> u64 {
+fn step_number(step: MachinePhase) -> u64 {
     match step {
-        Step::Waits => 0,
-        Step::Granted => 1,
-        Step::Out => 2,
-        Step::Back => 3,
-        Step::Done => 4,
-        Step::Failed => 5,
+        MachinePhase::Waiting => 0,
+        MachinePhase::Granted => 1,
+        MachinePhase::InMaintenance => 2,
+        MachinePhase::WarmingUp => 3,
+        MachinePhase::Done => 4,
+        MachinePhase::Failed => 5,
     }
 }
 
-fn why_number(why: Why) -> u64 {
+fn why_number(why: BlockedReason) -> u64 {
     match why {
-        Why::Held => 0,
-        Why::NotKnown => 1,
-        Why::Window => 2,
-        Why::Trouble => 3,
-        Why::Trial => 4,
-        Why::Overload => 5,
-        Why::Out => 6,
-        Why::Zone => 7,
-        Why::Kind => 8,
-        Why::Apart => 9,
-        Why::Strength => 10,
-        Why::Unseen => 11,
+        BlockedReason::ListNotActive => 0,
+        BlockedReason::ListNotKnown => 1,
+        BlockedReason::OutsideWindows => 2,
+        BlockedReason::ZoneOutage => 3,
+        BlockedReason::ReleaseOnTrial => 4,
+        BlockedReason::Overload => 5,
+        BlockedReason::MaxUnavailable => 6,
+        BlockedReason::MaxUnavailablePerZone => 7,
+        BlockedReason::MaxUnavailablePerKind => 8,
+        BlockedReason::ExclusivePair => 9,
+        BlockedReason::InsufficientCapacity => 10,
+        BlockedReason::NoObservation => 11,
     }
 }
 
 const ACCEPTED: u64 = 0;
 const NOT_NOW: u64 = 100;
 
-fn result_number(result: Result<(), Refused>) -> u64 {
+fn result_number(result: Result<(), ApplyError>) -> u64 {
     match result {
         Ok(()) => ACCEPTED,
-        Err(Refused::Known) => 1,
-        Err(Refused::NoList) => 2,
-        Err(Refused::NoMachine) => 3,
-        Err(Refused::NoGrant) => 4,
-        Err(Refused::Taken) => 5,
-        Err(Refused::Many) => 6,
-        Err(Refused::Part) => 7,
-        Err(Refused::Time) => 8,
-        Err(Refused::NotNow(why)) => NOT_NOW + why_number(why),
+        Err(ApplyError::ListExists) => 1,
+        Err(ApplyError::UnknownList) => 2,
+        Err(ApplyError::MachineNotWaiting) => 3,
+        Err(ApplyError::GrantNotInPhase) => 4,
+        Err(ApplyError::UnavailableForOtherList) => 5,
+        Err(ApplyError::LimitExceeded) => 6,
+        Err(ApplyError::OutOfSequence) => 7,
+        Err(ApplyError::ClockBackwards) => 8,
+        Err(ApplyError::Blocked(why)) => NOT_NOW + why_number(why),
     }
 }
 
 struct Sidecar {
     name: String,
     start: u64,
-    schedule: Turns,
+    schedule: MaintenanceSchedule,
     read: usize,
     lease: Lease,
     next_request: Duration,
-    clearing: Clearing,
-    rejections: TurnedAway,
+    clearing: DrainTracker,
+    rejections: RejectionRate,
     /// Machines with a request in flight, until when.
     in_flight: BTreeMap<String, Duration>,
 }
@@ -120,26 +122,26 @@
     arrives: Duration,
     sidecar: usize,
     start: u64,
-    message: Talk,
+    message: Message,
 }
 
 struct Simulation {
     now: Duration,
     random: WyRand,
     digest: Digest,
-    log: Vec<Word>,
-    schedule: Turns,
+    log: Vec<Command>,
+    schedule: MaintenanceSchedule,
     sidecars: Vec<Sidecar>,
     term: u64,
-    leader: Leader,
+    leader: Scheduler,
     /// One that was deposed, and until when it believes that it leads.
-    deposed: Option<(Leader, Duration)>,
+    deposed: Option<(Scheduler, Duration)>,
     late: Vec<LateLease>,
-    zones: Zones,
+    zones: ZoneTracker,
     /// A zone whose pods all drain, until when.
     outage: Option<(usize, Duration)>,
     /// Grants that are worked on, with their machine and when the work ends.
-    working: BTreeMap<Number, (String, Duration)>,
+    working: BTreeMap<Identifier, (String, Duration)>,
     restarted: BTreeMap<String, Duration>,
     results_seen: BTreeSet<u64>,
     steps_seen: BTreeSet<u64>,
@@ -149,18 +151,18 @@
     Sidecar {
         name: format!("s{number}"),
         start,
-        schedule: Turns::default(),
+        schedule: MaintenanceSchedule::default(),
         read: 0,
         lease: Lease::new(now, LEASE),
         next_request: now,
-        clearing: Clearing::new(DRAIN_GRACE),
-        rejections: TurnedAway::default(),
+        clearing: DrainTracker::new(DRAIN_GRACE),
+        rejections: RejectionRate::default(),
         in_flight: BTreeMap::new(),
     }
 }
 
-fn leader(now: Duration, term: u64) -> Leader {
-    Leader::new(now, term, Lessor::new(now, LEASE, OVERLAP, SETTLES))
+fn leader(now: Duration, term: u64) -> Scheduler {
+    Scheduler::new(now, term, LeaseGrantor::new(now, LEASE, OVERLAP, SETTLES))
 }
 
 fn machine(number: usize) -> Machine {
@@ -168,7 +170,7 @@
         name: format!("m{number}"),
         zone: format!("z{}", number % ZONES),
         kind: format!("k{}", number % 2),
-        strength: 0.1 * (number % 7 + 1) as f64,
+        capacity: 0.1 * (number % 7 + 1) as f64,
     }
 }
 
@@ -180,7 +182,7 @@
             random: WyRand::new_seed(seed),
             digest,
             log: Vec::new(),
-            schedule: Turns::default(),
+            schedule: MaintenanceSchedule::default(),
             sidecars: (0..SIDECARS)
                 .map(|number| sidecar(now, number, 1))
                 .collect(),
@@ -188,7 +190,7 @@
             leader: leader(now, 1),
             deposed: None,
             late: Vec::new(),
-            zones: Zones::default(),
+            zones: ZoneTracker::default(),
             outage: None,
             working: BTreeMap::new(),
             restarted: BTreeMap::new(),
@@ -211,9 +213,9 @@
     }
 
     /// Commits a command; its index in the log.
-    fn commit(&mut self, command: Word) -> u64 {
-        let bytes = command.write();
-        assert_eq!(Word::read(&bytes).as_ref(), Ok(&command));
+    fn commit(&mut self, command: Command) -> u64 {
+        let bytes = command.encode();
+        assert_eq!(Command::decode(&bytes).as_ref(), Ok(&command));
         self.log.push(command.clone());
         let index = self.log.len() as u64;
         let result = result_number(self.schedule.apply(index, &command));
@@ -267,8 +269,12 @@
             ..sidecar(self.now, which, start + 1)
         };
         if self.chance(500) {
-            self.digest.bytes(&Talk::Leaves { start }.write());
-            self.commit(Word::Gone { name, start });
+            self.digest
+                .bytes(&Message::Leave { incarnation: start }.encode());
+            self.commit(Command::SidecarGone {
+                name,
+                incarnation: start,
+            });
         }
     }
 
@@ -277,17 +283,17 @@
         if number % STEPS_PER_LIST == 4 {
             self.create_list();
         }
-        let lists: Vec<Number> = self.schedule.lists().keys().copied().collect();
+        let lists: Vec<Identifier> = self.schedule.lists().keys().copied().collect();
         if lists.is_empty() || !self.chance(40) {
             return;
         }
         let list = lists[self.below(lists.len() as u64) as usize];
         let command = match self.below(12) {
-            0..=4 => Word::Hold { list },
-            5..=10 => Word::GoOn { list },
-            _ => Word::Withdraw { list },
+            0..=4 => Command::PauseList { list },
+            5..=10 => Command::ResumeList { list },
+            _ => Command::WithdrawList { list },
         };
-        let shows = self.schedule.shows(&command);
+        let shows = self.schedule.is_reflected(&command);
         self.digest.number(u64::from(shows));
         if !shows {
             self.commit(command);
@@ -295,7 +301,7 @@
     }
 
     fn create_list(&mut self) {
-        let list = Number(self.random.generate());
+        let list = Identifier(self.random.generate());
         let first = self.below(MACHINES as u64) as usize;
         let count = 3 + self.below(6) as usize;
         let machines: Vec<Machine> = (first..first + count)
@@ -304,40 +310,40 @@
         let now = self.milliseconds();
         let windows = match self.below(3) {
             0 => vec![Window {
-                from: now + 2_000,
-                to: now + 30_000,
+                start_ms: now + 2_000,
+                end_ms: now + 30_000,
             }],
             _ => Vec::new(),
         };
-        let limits = Limits {
-            out: 2 + self.below(3) as u16,
-            out_in_zone: self.below(3) as u16,
-            out_of_kind: self.below(4) as u16,
-            ready_part: 0.1 * self.below(8) as f64,
-            apart: vec![("m0".into(), "m4".into()), ("m7".into(), "m2".into())],
-            turned_away: 0.05,
+        let limits = DisruptionLimits {
+            max_unavailable: 2 + self.below(3) as u16,
+            max_unavailable_per_zone: self.below(3) as u16,
+            max_unavailable_per_kind: self.below(4) as u16,
+            min_ready_fraction: 0.1 * self.below(8) as f64,
+            exclusive_pairs: vec![("m0".into(), "m4".into()), ("m7".into(), "m2".into())],
+            max_rejection_rate: 0.05,
         };
-        let terms = Terms {
+        let terms = ListConfig {
             name: format!("list at {now}"),
             limits,
-            takes: 1_000,
-            stalls_after: STALLS_AFTER,
+            work_duration_ms: 1_000,
+            stall_timeout_ms: STALLS_AFTER,
             windows,
             priority: self.below(3) as u8,
-            beside_trials: self.chance(500),
+            allowed_during_trials: self.chance(500),
         };
-        self.commit(Word::Ask {
+        self.commit(Command::CreateList {
             list,
-            terms,
-            machines: count as u16,
+            config: terms,
+            machine_count: count as u16,
         });
         let (head, tail) = machines.split_at(2);
-        self.commit(Word::Machines {
+        self.commit(Command::AddMachines {
             list,
             first: 0,
             machines: head.to_vec(),
         });
-        self.commit(Word::Machines {
+        self.commit(Command::AddMachines {
             list,
             first: 2,
             machines: tail.to_vec(),
@@ -350,7 +356,8 @@
         }
         self.send_requests(index, number);
         if self.now >= self.sidecars[index].next_request {
-            self.sidecars[index].next_request = self.now + self.sidecars[index].lease.every();
+            self.sidecars[index].next_request =
+                self.now + self.sidecars[index].lease.request_interval();
             self.request_lease(index);
         }
     }
@@ -376,13 +383,13 @@
             self.below(2) as u32
         };
         let sidecar = &mut self.sidecars[index];
-        sidecar.rejections.count(now, 40, rejected);
+        sidecar.rejections.record(now, 40, rejected);
         let closed = sidecar
             .lease
-            .closed(now, sidecar.read as u64, &sidecar.schedule);
+            .closed_machines(now, sidecar.read as u64, &sidecar.schedule);
         sidecar
             .clearing
-            .closed(now, &closed.clone().unwrap_or_default());
+            .set_closed(now, &closed.clone().unwrap_or_default());
         sidecar.in_flight.retain(|_, until| now < *until);
         if closed
             .as_ref()
@@ -399,43 +406,46 @@
         let now = self.now;
         let sidecar = &mut self.sidecars[index];
         let (name, start) = (sidecar.name.clone(), sidecar.start);
-        let quiet = sidecar.clearing.quiet(now, &sidecar.schedule);
+        let quiet = sidecar.clearing.past_grace(now, &sidecar.schedule);
         let idle = quiet.filter(|(machine, _)| !sidecar.in_flight.contains_key(*machine));
-        let clear: Vec<Number> = idle.map(|(_, grant)| grant).collect();
-        let no = sidecar.lease.ask(now);
-        let (read, turned_away) = (sidecar.read as u64, sidecar.rejections.part(now));
-        let request = Talk::Ask {
-            start,
-            no,
-            read,
-            clear: clear.clone(),
-            turned_away,
+        let clear: Vec<Identifier> = idle.map(|(_, grant)| grant).collect();
+        let no = sidecar.lease.request(now);
+        let (read, turned_away) = (sidecar.read as u64, sidecar.rejections.per_mille(now));
+        let request = Message::LeaseRequest {
+            incarnation: start,
+            request: no,
+            applied_index: read,
+            drained: clear.clone(),
+            rejected_per_mille: turned_away,
         };
-        self.digest.bytes(&request.write());
+        self.digest.bytes(&request.encode());
         if self.chance(150) {
             return;
         }
         let by_deposed = self.chance(300);
         let lessor = match &mut self.deposed {
-            Some((old, until)) if by_deposed && now < *until => &mut old.lessor,
-            _ => &mut self.leader.lessor,
+            Some((old, until)) if by_deposed && now < *until => &mut old.grantor,
+            _ => &mut self.leader.grantor,
         };
         let heard = (read, clear.as_slice(), turned_away);
-        let granted = lessor.asked(now, &self.schedule, (&name, start), heard);
+        let granted = lessor.lease_requested(now, &self.schedule, (&name, start), heard);
         self.digest.number(u64::from(granted));
         if granted {
             self.send_lease(index, no);
         } else {
-            self.commit(Word::Here { name, start });
+            self.commit(Command::SidecarStarted {
+                name,
+                incarnation: start,
+            });
         }
     }
 
     fn send_lease(&mut self, index: usize, no: u64) {
-        let message = Talk::Lease {
-            no,
-            settled: self.log.len() as u64,
+        let message = Message::LeaseResponse {
+            request: no,
+            commit_index: self.log.len() as u64,
         };
-        self.digest.bytes(&message.write());
+        self.digest.bytes(&message.encode());
         let start = self.sidecars[index].start;
         let delay = match self.below(10) {
             0 => return,
@@ -464,8 +474,15 @@
         } in due
         {
             let sidecar = &mut self.sidecars[sidecar];
-            if let (true, Talk::Lease { no, settled }) = (sidecar.start == start, message) {
-                sidecar.lease.answered(no, settled);
+            if let (
+                true,
+                Message::LeaseResponse {
+                    request: no,
+                    commit_index: settled,
+                },
+            ) = (sidecar.start == start, message)
+            {
+                sidecar.lease.granted(no, settled);
             }
         }
     }
@@ -474,7 +491,7 @@
     fn pods(&self) -> Vec<Pod> {
         let closed: BTreeSet<&str> = self
             .schedule
-            .closed()
+            .closed_machines()
             .map(|(machine, _)| machine.name.as_str())
             .collect();
         let worked_on: BTreeSet<&str> = self
@@ -491,7 +508,7 @@
             let Machine {
                 name,
                 zone,
-                strength,
+                capacity: strength,
                 ..
             } = machine(number);
             if worked_on.contains(name.as_str()) {
@@ -503,9 +520,9 @@
             let pod = Pod {
                 machine: name,
                 zone,
-                strength: strength / 2.0,
-                drains,
-                runs_for,
+                capacity: strength / 2.0,
+                draining: drains,
+                uptime_seconds: runs_for,
             };
             pods.extend([pod.clone(), pod]);
         }
@@ -522,32 +539,37 @@
             let pods = self.pods();
             let serving = pods
                 .iter()
-                .filter(|pod| !pod.drains)
+                .filter(|pod| !pod.draining)
                 .map(|pod| pod.zone.as_str());
-            self.zones.saw(serving);
-            let sight = Sight {
+            self.zones.observe_serving(serving);
+            let sight = FleetObservation {
                 pods: &pods,
-                warm_after: WARM_AFTER,
-                trial,
+                warm_up_seconds: WARM_AFTER,
+                release_on_trial: trial,
             };
             let read = (self.log.len() as u64).saturating_sub(lag);
             let state = (&self.schedule, read);
             let command = self
                 .leader
-                .next(self.now, log_now, state, &self.zones, &sight);
+                .next_command(self.now, log_now, state, &self.zones, &sight);
             let Some(command) = command else {
                 return;
             };
             let index = self.commit(command);
-            self.leader.was_put_up(index);
+            self.leader.command_proposed(index);
         }
     }
 
     /// The agents on the machines: they begin at once, and some fail, or take too long.
     fn work_on_machines(&mut self) {
-        let is_new = |way: &&Way| way.step == Step::Out && !way.began;
-        let ways = self.schedule.lists().values().flat_map(|list| &list.ways);
-        let begins: Vec<(Number, String)> = ways
+        let is_new =
+            |way: &&MachineState| way.phase == MachinePhase::InMaintenance && !way.work_began;
+        let ways = self
+            .schedule
+            .lists()
+            .values()
+            .flat_map(|list| &list.machines);
+        let begins: Vec<(Identifier, String)> = ways
             .filter(is_new)
             .filter_map(|way| Some((way.grant?, way.machine.name.clone())))
             .collect();
@@ -559,10 +581,10 @@
             };
             self.working
                 .insert(grant, (machine, self.now + STEP * steps));
-            self.commit(Word::Began { grant });
+            self.commit(Command::WorkBegan { grant });
         }
-        let ended = |(_, (_, ends)): &(&Number, &(String, Duration))| *ends <= self.now;
-        let over: Vec<Number> = self
+        let ended = |(_, (_, ends)): &(&Identifier, &(String, Duration))| *ends <= self.now;
+        let over: Vec<Identifier> = self
             .working
             .iter()
             .filter(ended)
@@ -573,39 +595,45 @@
                 self.restarted.insert(machine, self.now);
             }
             let well = self.chance(900);
-            self.commit(Word::Worked { grant, well });
+            self.commit(Command::WorkEnded {
+                grant,
+                succeeded: well,
+            });
         }
     }
 
     /// Hashes what the schedule and the leader say of each machine.
     fn observe(&mut self, number: u64) {
         let (now, digest) = (self.now, &mut self.digest);
-        let lessor = &self.leader.lessor;
+        let lessor = &self.leader.grantor;
         digest.number(now.as_millis() as u64);
-        digest.number(self.schedule.now());
-        digest.float(lessor.turned_away(now, &self.schedule));
+        digest.number(self.schedule.now_ms());
+        digest.float(lessor.mean_rejection_rate(now, &self.schedule));
         for (list_number, list) in self.schedule.lists() {
             observe_list(digest, *list_number, list);
-            digest.names(lessor.unaware(&self.schedule, list.whole_at));
-            for way in &list.ways {
-                self.steps_seen.insert(step_number(way.step));
-                if way.step == Step::Waits {
-                    let may_go = self.schedule.may_go(*list_number, &way.machine.name);
+            digest.names(lessor.sidecars_behind(&self.schedule, list.completed_index));
+            for way in &list.machines {
+                self.steps_seen.insert(step_number(way.phase));
+                if way.phase == MachinePhase::Waiting {
+                    let may_go = self.schedule.check_grant(*list_number, &way.machine.name);
                     digest.number(result_number(may_go));
                 }
             }
         }
-        for (machine, grant) in self.schedule.closed() {
+        for (machine, grant) in self.schedule.closed_machines() {
             digest.names([machine.name.as_str()]);
-            digest.names(lessor.not_clear(now, &self.schedule, grant));
+            digest.names(lessor.sidecars_not_drained(now, &self.schedule, grant));
         }
-        if let Some(command) = self.schedule.next() {
-            digest.bytes(&command.write());
+        if let Some(command) = self.schedule.next_command() {
+            digest.bytes(&command.encode());
         }
         if number.is_multiple_of(16) {
-            let snapshot = self.schedule.write();
+            let snapshot = self.schedule.encode();
             digest.bytes(&snapshot);
-            assert_eq!(Turns::read(&snapshot).as_ref(), Some(&self.schedule));
+            assert_eq!(
+                MaintenanceSchedule::decode(&snapshot).as_ref(),
+                Some(&self.schedule)
+            );
         }
     }
 
@@ -618,22 +646,22 @@
     }
 }
 
-fn observe_list(digest: &mut Digest, number: Number, list: &List) {
+fn observe_list(digest: &mut Digest, number: Identifier, list: &MaintenanceList) {
     let flags = [
-        list.whole(),
+        list.is_complete(),
         list.known,
-        list.held,
+        list.paused,
         list.withdrawn,
-        list.over(),
+        list.is_finished(),
     ];
     digest.number(number.0);
-    digest.number(list.whole_at);
+    digest.number(list.completed_index);
     digest.bytes(&flags.map(u8::from));
-    for way in &list.ways {
-        digest.number(step_number(way.step));
+    for way in &list.machines {
+        digest.number(step_number(way.phase));
         digest.number(way.grant.map_or(0, |grant| grant.0));
-        digest.number(way.since);
-        digest.bytes(&[way.began, way.stalled].map(u8::from));
+        digest.number(way.since_ms);
+        digest.bytes(&[way.work_began, way.stalled].map(u8::from));
     }
 }
 
--- a/crates/maintenance/tests/explore.rs
+++ b/crates/maintenance/tests/explore.rs
@@ -47,7 +47,7 @@
     told: bool,
     /// An answer that is late: its number, and what was settled.
     late: Option<(u64, u64)>,
-    clearing: Clearing,
+    clearing: DrainTracker,
     since: BTreeMap<String, u64>,
     /// Machines that a hit is open on, until when.
     open: BTreeMap<String, u64>,
@@ -56,13 +56,13 @@
 #[derive(Clone, Debug)]
 struct Fleet {
     now: u64,
-    log: Vec<Word>,
+    log: Vec<Command>,
     cars: Vec<Car>,
-    leader: Leader,
+    leader: Scheduler,
     /// One that was deposed, and until when it believes that it leads.
-    old: Option<(Leader, u64)>,
+    old: Option<(Scheduler, u64)>,
     deposed: u8,
-    working: Option<(Number, String, u64)>,
+    working: Option<(Identifier, String, u64)>,
     plant: Plant,
 }
 
@@ -86,8 +86,8 @@
     ByTheOld,
 }
 
-fn turns(log: &[Word], read: usize) -> Turns {
-    let mut turns = Turns::default();
+fn turns(log: &[Command], read: usize) -> MaintenanceSchedule {
+    let mut turns = MaintenanceSchedule::default();
     for (place, word) in log.iter().take(read).enumerate() {
         // What is refused changes nothing, at all readers alike.
         let _ = turns.apply(place as u64 + 1, word);
@@ -99,9 +99,9 @@
     let pod = |n: u32| Pod {
         machine: format!("m{n}"),
         zone: "z".into(),
-        strength: 1.0,
-        drains: false,
-        runs_for: None,
+        capacity: 1.0,
+        draining: false,
+        uptime_seconds: None,
     };
     (0..2).map(pod).collect()
 }
@@ -118,7 +118,7 @@
         lease,
         told: false,
         late: None,
-        clearing: Clearing::new(s(1)),
+        clearing: DrainTracker::new(s(1)),
         since,
         open,
     }
@@ -126,42 +126,42 @@
 
 impl Fleet {
     fn new(plant: Plant) -> Self {
-        let limits = Limits {
-            out: 1,
-            turned_away: 1.0,
-            ..Limits::default()
+        let limits = DisruptionLimits {
+            max_unavailable: 1,
+            max_rejection_rate: 1.0,
+            ..DisruptionLimits::default()
         };
-        let terms = Terms {
+        let terms = ListConfig {
             name: "a".into(),
             limits,
-            takes: 0,
-            stalls_after: 9_999_999,
+            work_duration_ms: 0,
+            stall_timeout_ms: 9_999_999,
             windows: Vec::new(),
             priority: 0,
-            beside_trials: true,
+            allowed_during_trials: true,
         };
         let machine = |n: u32| Machine {
             name: format!("m{n}"),
             zone: "z".into(),
             kind: "k".into(),
-            strength: 1.0,
+            capacity: 1.0,
         };
         let log = vec![
-            Word::Here {
+            Command::SidecarStarted {
                 name: "c0".into(),
-                start: 1,
+                incarnation: 1,
             },
-            Word::Here {
+            Command::SidecarStarted {
                 name: "c1".into(),
-                start: 1,
+                incarnation: 1,
             },
-            Word::Ask {
-                list: Number(1),
-                terms,
-                machines: 2,
+            Command::CreateList {
+                list: Identifier(1),
+                config: terms,
+                machine_count: 2,
             },
-            Word::Machines {
-                list: Number(1),
+            Command::AddMachines {
+                list: Identifier(1),
                 first: 0,
                 machines: (0..2).map(machine).collect(),
             },
@@ -180,7 +180,7 @@
         }
     }
 
-    fn lessor(now: u64, term: u64, plant: Plant) -> Leader {
+    fn lessor(now: u64, term: u64, plant: Plant) -> Scheduler {
         let settles = if plant == Plant::NothingSettles {
             s(0)
         } else {
@@ -192,10 +192,10 @@
         } else {
             s(now)
         };
-        Leader::new(
+        Scheduler::new(
             s(now),
             term,
-            Lessor::new(since, s(LASTS), s(SLACK), settles),
+            LeaseGrantor::new(since, s(LASTS), s(SLACK), settles),
         )
     }
 
@@ -208,20 +208,21 @@
         if !of.told {
             return Some(BTreeSet::new());
         }
-        of.lease.closed(s(self.now), of.read as u64, &turns)
+        of.lease
+            .closed_machines(s(self.now), of.read as u64, &turns)
     }
 
-    fn clear(&self, of: &Car) -> Vec<Number> {
+    fn clear(&self, of: &Car) -> Vec<Identifier> {
         let turns = turns(&self.log, of.read);
         if self.plant == Plant::ClearTooEarly {
             let shut = |machine: &Machine| of.since.contains_key(&machine.name);
             return turns
-                .closed()
+                .closed_machines()
                 .filter(|(machine, _)| shut(machine))
                 .map(|(_, grant)| grant)
                 .collect();
         }
-        let quiet = of.clearing.quiet(s(self.now), &turns);
+        let quiet = of.clearing.past_grace(s(self.now), &turns);
         quiet
             .filter(|(machine, _)| !of.open.contains_key(*machine))
             .map(|(_, grant)| grant)
@@ -232,7 +233,7 @@
         let now = self.now;
         let mut of = self.cars[number].clone();
         let (name, clear, settled) = (format!("c{number}"), self.clear(&of), self.log.len() as u64);
-        let (no, turns) = (of.lease.ask(s(now)), turns(&self.log, self.log.len()));
+        let (no, turns) = (of.lease.request(s(now)), turns(&self.log, self.log.len()));
         let heard = (of.read as u64, &clear[..], 0);
         let known = turns.sidecars().get(&name) == Some(&of.start);
         let by_the_old = how == Asks::ByTheOld;
@@ -243,20 +244,20 @@
         };
         if how != Asks::Lost {
             if self.plant == Plant::Forgets && !known {
-                leader.lessor = Lessor::new(s(0), s(LASTS), s(0), s(0));
+                leader.grantor = LeaseGrantor::new(s(0), s(LASTS), s(0), s(0));
             }
             let given = leader
-                .lessor
-                .asked(s(now), &turns, (&name, of.start), heard);
+                .grantor
+                .lease_requested(s(now), &turns, (&name, of.start), heard);
             if !known && !by_the_old {
-                self.log.push(Word::Here {
+                self.log.push(Command::SidecarStarted {
                     name,
-                    start: of.start,
+                    incarnation: of.start,
                 });
             }
             match how {
                 Asks::Answered | Asks::ByTheOld if given => {
-                    of.lease.answered(no, settled);
+                    of.lease.granted(no, settled);
                     of.told = true;
                 }
                 Asks::AnswerLate if given => of.late = Some((no, settled)),
@@ -288,10 +289,10 @@
         let comes = chance.asks == Asks::Lost && !chance.reads && chance.leads_on;
         if let Some((no, settled)) = self.cars[1].late.take_if(|_| comes) {
             if self.plant == Plant::FromTheAnswer {
-                let again = self.cars[1].lease.ask(s(now));
-                self.cars[1].lease.answered(again, settled);
+                let again = self.cars[1].lease.request(s(now));
+                self.cars[1].lease.granted(again, settled);
             } else {
-                self.cars[1].lease.answered(no, settled);
+                self.cars[1].lease.granted(no, settled);
             }
             self.cars[1].told = true;
         }
@@ -316,7 +317,7 @@
             let of = &mut self.cars[number];
             of.open.retain(|_, until| now <= *until);
             of.clearing
-                .closed(s(now), &closed.clone().unwrap_or_default());
+                .set_closed(s(now), &closed.clone().unwrap_or_default());
             for machine in ["m0", "m1"] {
                 let shut = closed
                     .as_ref()
@@ -339,21 +340,30 @@
         for _ in 0..4 {
             let turns = turns(&self.log, self.log.len());
             let (pods, read) = (pods(), self.log.len() as u64);
-            let sight = Sight {
+            let sight = FleetObservation {
                 pods: &pods,
-                warm_after: 1.0,
-                trial: false,
+                warm_up_seconds: 1.0,
+                release_on_trial: false,
             };
             // Time in the log goes with the steps, so that machines get warm.
             let at = self.now * 1000;
-            let word = self
-                .leader
-                .next(s(self.now), at, (&turns, read), &Zones::default(), &sight);
-            let known = turns.lists().get(&Number(1)).is_some_and(|list| list.known);
+            let word = self.leader.next_command(
+                s(self.now),
+                at,
+                (&turns, read),
+                &ZoneTracker::default(),
+                &sight,
+            );
+            let known = turns
+                .lists()
+                .get(&Identifier(1))
+                .is_some_and(|list| list.known);
             match word {
                 Some(word) => self.log.push(word),
                 None if self.plant == Plant::Unknown && !known => {
-                    self.log.push(Word::Known { list: Number(1) });
+                    self.log.push(Command::ListKnown {
+                        list: Identifier(1),
+                    });
                 }
                 None => return,
             }
@@ -363,18 +373,18 @@
     /// The machine's agent begins and ends work at once, by what is settled; what must never be is looked for all the while.
     fn agent(&mut self) -> Option<String> {
         let turns = turns(&self.log, self.log.len());
-        let out = |step: Step| {
+        let out = |step: MachinePhase| {
             turns
                 .lists()
                 .values()
-                .flat_map(|l| &l.ways)
-                .filter(move |w| w.step == step)
+                .flat_map(|l| &l.machines)
+                .filter(move |w| w.phase == step)
         };
         let many = turns
             .lists()
             .values()
-            .flat_map(|l| &l.ways)
-            .filter(|way| way.step.is_out())
+            .flat_map(|l| &l.machines)
+            .filter(|way| way.phase.is_unavailable())
             .count();
         if many > 1 {
             return Some(format!("{many} machines are out"));
@@ -382,11 +392,14 @@
         if let Some((grant, machine, ends)) = self.working.clone() {
             if self.now >= ends {
                 self.working = None;
-                self.log.push(Word::Worked { grant, well: true });
+                self.log.push(Command::WorkEnded {
+                    grant,
+                    succeeded: true,
+                });
             } else {
                 return self.touched(&machine);
             }
-        } else if let Some(way) = out(Step::Out).next() {
+        } else if let Some(way) = out(MachinePhase::InMaintenance).next() {
             let grant = way.grant?;
             self.working = Some((grant, way.machine.name.clone(), self.now + 1));
             return self.touched(&way.machine.name);
@@ -480,8 +493,8 @@
             done |= turns
                 .lists()
                 .values()
-                .flat_map(|list| &list.ways)
-                .any(|way| way.step == Step::Done);
+                .flat_map(|list| &list.machines)
+                .any(|way| way.phase == MachinePhase::Done);
             if next.now < STEPS && known.insert(next.key()) {
                 open.push((next, way, restarted || chance.restarts));
             }
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -4,7 +4,8 @@
 //! set the tests write the files anew before they read them.
 
 use limewing_maintenance::{
-    Limits, Machine, Number, Seen, Step, Talk, Terms, Turns, Unreadable, Window, Word,
+    Command, DisruptionLimits, FleetSummary, FormatError, Identifier, ListConfig, Machine,
+    MachinePhase, MaintenanceSchedule, Message, Window,
 };
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -43,138 +44,147 @@
     golden.into_iter().map(|(_, bytes)| bytes).collect()
 }
 
-const LIST: Number = Number(0xfeed_f00d_0102_0304);
+const LIST: Identifier = Identifier(0xfeed_f00d_0102_0304);
 
 fn machine(number: u64) -> Machine {
     Machine {
         name: format!("m{number}"),
         zone: format!("z{}", number % 3),
         kind: format!("k{}", number % 2),
-        strength: 0.1 * (number + 1) as f64,
+        capacity: 0.1 * (number + 1) as f64,
     }
 }
 
-fn config(name: &str, windows: Vec<Window>) -> Terms {
-    Terms {
+fn config(name: &str, windows: Vec<Window>) -> ListConfig {
+    ListConfig {
         name: name.into(),
-        limits: Limits {
-            out: 5,
-            out_in_zone: 300,
-            out_of_kind: 4,
-            ready_part: 0.125,
-            apart: vec![("m0".into(), "m4".into()), ("m1".into(), "m9".into())],
-            turned_away: 0.05,
+        limits: DisruptionLimits {
+            max_unavailable: 5,
+            max_unavailable_per_zone: 300,
+            max_unavailable_per_kind: 4,
+            min_ready_fraction: 0.125,
+            exclusive_pairs: vec![("m0".into(), "m4".into()), ("m1".into(), "m9".into())],
+            max_rejection_rate: 0.05,
         },
-        takes: 1000,
-        stalls_after: 70_000,
+        work_duration_ms: 1000,
+        stall_timeout_ms: 70_000,
         windows,
         priority: 200,
-        beside_trials: true,
+        allowed_during_trials: true,
     }
 }
 
-fn observation() -> Seen {
-    Seen {
-        upto: 300,
-        all: 12.3,
-        ready: 11.1,
-        trouble: false,
-        trial: true,
-        turned_away: 0.01,
+fn observation() -> FleetSummary {
+    FleetSummary {
+        applied_index: 300,
+        total_capacity: 12.3,
+        ready_capacity: 11.1,
+        zone_outage: false,
+        release_on_trial: true,
+        rejection_rate: 0.01,
     }
 }
 
 /// The name of a command's kind in the golden file; a new kind does not compile without one.
-fn command_kind(command: &Word) -> &'static str {
+fn command_kind(command: &Command) -> &'static str {
     match command {
-        Word::Ask { .. } => "create-list",
-        Word::Machines { .. } => "add-machines",
-        Word::Known { .. } => "list-known",
-        Word::Hold { .. } => "pause-list",
-        Word::GoOn { .. } => "resume-list",
-        Word::Withdraw { .. } => "withdraw-list",
-        Word::Seen { .. } => "observation",
-        Word::Grant { .. } => "grant",
-        Word::Here { .. } => "sidecar-started",
-        Word::Gone { .. } => "sidecar-gone",
-        Word::Out { .. } => "drained",
-        Word::Began { .. } => "work-began",
-        Word::Worked { .. } => "work-ended",
-        Word::Warm { .. } => "warmed-up",
-        Word::Recall { .. } => "revoke-grant",
+        Command::CreateList { .. } => "create-list",
+        Command::AddMachines { .. } => "add-machines",
+        Command::ListKnown { .. } => "list-known",
+        Command::PauseList { .. } => "pause-list",
+        Command::ResumeList { .. } => "resume-list",
+        Command::WithdrawList { .. } => "withdraw-list",
+        Command::Observe { .. } => "observation",
+        Command::Grant { .. } => "grant",
+        Command::SidecarStarted { .. } => "sidecar-started",
+        Command::SidecarGone { .. } => "sidecar-gone",
+        Command::Drained { .. } => "drained",
+        Command::WorkBegan { .. } => "work-began",
+        Command::WorkEnded { .. } => "work-ended",
+        Command::WarmedUp { .. } => "warmed-up",
+        Command::RevokeGrant { .. } => "revoke-grant",
     }
 }
 
 const COMMAND_KINDS: usize = 15;
 
-fn commands() -> Vec<Word> {
-    let grant = Number(300);
+fn commands() -> Vec<Command> {
+    let grant = Identifier(300);
     let windows = vec![
         Window {
-            from: 5,
-            to: 1_700_000_000_000,
+            start_ms: 5,
+            end_ms: 1_700_000_000_000,
+        },
+        Window {
+            start_ms: 7,
+            end_ms: 9,
         },
-        Window { from: 7, to: 9 },
     ];
-    let without_limits = Limits {
-        out: 1,
-        ..Limits::default()
+    let without_limits = DisruptionLimits {
+        max_unavailable: 1,
+        ..DisruptionLimits::default()
     };
-    let plain = Terms {
+    let plain = ListConfig {
         limits: without_limits,
-        beside_trials: false,
+        allowed_during_trials: false,
         ..config("", Vec::new())
     };
     vec![
-        Word::Ask {
+        Command::CreateList {
             list: LIST,
-            terms: config("kernel", windows),
-            machines: 1000,
+            config: config("kernel", windows),
+            machine_count: 1000,
         },
-        Word::Ask {
-            list: Number(1),
-            terms: plain,
-            machines: 0,
+        Command::CreateList {
+            list: Identifier(1),
+            config: plain,
+            machine_count: 0,
         },
-        Word::Machines {
+        Command::AddMachines {
             list: LIST,
             first: 200,
             machines: (0..3).map(machine).collect(),
         },
-        Word::Known { list: LIST },
-        Word::Hold { list: LIST },
-        Word::GoOn { list: LIST },
-        Word::Withdraw { list: LIST },
-        Word::Seen {
-            at: 1_700_000_000_123,
-            seen: observation(),
+        Command::ListKnown { list: LIST },
+        Command::PauseList { list: LIST },
+        Command::ResumeList { list: LIST },
+        Command::WithdrawList { list: LIST },
+        Command::Observe {
+            at_ms: 1_700_000_000_123,
+            summary: observation(),
         },
-        Word::Seen {
-            at: 0,
-            seen: Seen {
-                trouble: true,
-                trial: false,
+        Command::Observe {
+            at_ms: 0,
+            summary: FleetSummary {
+                zone_outage: true,
+                release_on_trial: false,
                 ..observation()
             },
         },
-        Word::Grant {
+        Command::Grant {
             list: LIST,
             machine: "m1".into(),
         },
-        Word::Here {
+        Command::SidecarStarted {
             name: "s1".into(),
-            start: u64::MAX,
+            incarnation: u64::MAX,
         },
-        Word::Gone {
+        Command::SidecarGone {
             name: "s1".into(),
-            start: 1,
+            incarnation: 1,
+        },
+        Command::Drained { grant },
+        Command::WorkBegan { grant },
+        Command::WorkEnded {
+            grant,
+            succeeded: true,
         },
-        Word::Out { grant },
-        Word::Began { grant },
-        Word::Worked { grant, well: true },
-        Word::Worked { grant, well: false },
-        Word::Warm { grant },
-        Word::Recall { grant },
+        Command::WorkEnded {
+            grant,
+            succeeded: false,
+        },
+        Command::WarmedUp { grant },
+        Command::RevokeGrant { grant },
     ]
 }
 
@@ -183,71 +193,73 @@
     let commands = commands();
     let written: Vec<Item> = commands
         .iter()
-        .map(|command| (command_kind(command), command.write()))
+        .map(|command| (command_kind(command), command.encode()))
         .collect();
     let kinds: BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), COMMAND_KINDS);
     let golden = assert_golden("commands.hex", &written);
     for (bytes, command) in golden.iter().zip(&commands) {
-        assert_eq!(Word::read(bytes).as_ref(), Ok(command));
+        assert_eq!(Command::decode(bytes).as_ref(), Ok(command));
         assert_eq!(
-            Word::read(bytes).map(|command| command.write()).as_ref(),
+            Command::decode(bytes)
+                .map(|command| command.encode())
+                .as_ref(),
             Ok(bytes)
         );
         assert_eq!(
-            Word::read(&of_another_version(bytes)),
-            Err(Unreadable::Version)
+            Command::decode(&of_another_version(bytes)),
+            Err(FormatError::Version)
         );
     }
 }
 
 /// The name of a message's kind in the golden file; a new kind does not compile without one.
-fn message_kind(message: &Talk) -> &'static str {
+fn message_kind(message: &Message) -> &'static str {
     match message {
-        Talk::Ask { .. } => "lease-request",
-        Talk::Lease { .. } => "lease-response",
-        Talk::Leaves { .. } => "leave",
-        Talk::Settle { .. } => "propose",
-        Talk::Vote { .. } => "change-vote",
+        Message::LeaseRequest { .. } => "lease-request",
+        Message::LeaseResponse { .. } => "lease-response",
+        Message::Leave { .. } => "leave",
+        Message::Propose { .. } => "propose",
+        Message::ChangeVote { .. } => "change-vote",
     }
 }
 
 const MESSAGE_KINDS: usize = 5;
 
-fn messages() -> Vec<Talk> {
-    let clear = vec![Number(7), Number(300)];
+fn messages() -> Vec<Message> {
+    let clear = vec![Identifier(7), Identifier(300)];
     vec![
-        Talk::Ask {
-            start: u64::MAX,
-            no: 300,
-            read: 299,
-            clear,
-            turned_away: 1000,
+        Message::LeaseRequest {
+            incarnation: u64::MAX,
+            request: 300,
+            applied_index: 299,
+            drained: clear,
+            rejected_per_mille: 1000,
         },
-        Talk::Ask {
-            start: 1,
-            no: 1,
-            read: 0,
-            clear: Vec::new(),
-            turned_away: 0,
+        Message::LeaseRequest {
+            incarnation: 1,
+            request: 1,
+            applied_index: 0,
+            drained: Vec::new(),
+            rejected_per_mille: 0,
         },
-        Talk::Lease {
-            no: 300,
-            settled: 70_000,
+        Message::LeaseResponse {
+            request: 300,
+            commit_index: 70_000,
         },
-        Talk::Leaves {
-            start: 1_700_000_000_123,
+        Message::Leave {
+            incarnation: 1_700_000_000_123,
         },
-        Talk::Settle {
-            word: Word::Known { list: LIST }.write(),
+        Message::Propose {
+            command: Command::ListKnown { list: LIST }.encode(),
         },
-        Talk::Vote {
+        Message::ChangeVote {
             name: "s4".into(),
-            has: true,
+            is_voter: true,
         },
-        Talk::Vote {
+        Message::ChangeVote {
             name: "s4".into(),
-            has: false,
+            is_voter: false,
         },
     ]
 }
@@ -257,20 +269,22 @@
     let messages = messages();
     let written: Vec<Item> = messages
         .iter()
-        .map(|message| (message_kind(message), message.write()))
+        .map(|message| (message_kind(message), message.encode()))
         .collect();
     let kinds: BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), MESSAGE_KINDS);
     let golden = assert_golden("messages.hex", &written);
     for (bytes, message) in golden.iter().zip(&messages) {
-        assert_eq!(Talk::read(bytes).as_ref(), Ok(message));
+        assert_eq!(Message::decode(bytes).as_ref(), Ok(message));
         assert_eq!(
-            Talk::read(bytes).map(|message| message.write()).as_ref(),
+            Message::decode(bytes)
+                .map(|message| message.encode())
+                .as_ref(),
             Ok(bytes)
         );
         assert_eq!(
-            Talk::read(&of_another_version(bytes)),
-            Err(Unreadable::Version)
+            Message::decode(&of_another_version(bytes)),
+            Err(FormatError::Version)
         );
     }
 }
@@ -282,129 +296,133 @@
 }
 
 /// Two lists whose machines stand at every step that there is; the second list waits for its parts.
-fn schedule() -> Turns {
-    let mut turns = Turns::default();
+fn schedule() -> MaintenanceSchedule {
+    let mut turns = MaintenanceSchedule::default();
     let mut index = 0;
-    let mut apply = |command: Word| {
+    let mut apply = |command: Command| {
         index += 1;
         turns
             .apply(index, &command)
             .unwrap_or_else(|why| panic!("{command:?}: {why}"));
-        Number(index)
+        Identifier(index)
     };
-    apply(Word::Here {
+    apply(Command::SidecarStarted {
         name: "s1".into(),
-        start: 5,
+        incarnation: 5,
     });
-    apply(Word::Here {
+    apply(Command::SidecarStarted {
         name: "s2".into(),
-        start: 1_700_000_000_123,
+        incarnation: 1_700_000_000_123,
     });
     let windows = vec![Window {
-        from: 5,
-        to: 1_700_000_000_000,
+        start_ms: 5,
+        end_ms: 1_700_000_000_000,
     }];
-    apply(Word::Ask {
+    apply(Command::CreateList {
         list: LIST,
-        terms: config("kernel", windows),
-        machines: 10,
+        config: config("kernel", windows),
+        machine_count: 10,
     });
-    apply(Word::Machines {
+    apply(Command::AddMachines {
         list: LIST,
         first: 0,
         machines: (0..4).map(machine).collect(),
     });
-    apply(Word::Machines {
+    apply(Command::AddMachines {
         list: LIST,
         first: 4,
         machines: (4..10).map(machine).collect(),
     });
-    apply(Word::Known { list: LIST });
-    apply(Word::Seen {
-        at: 1000,
-        seen: Seen {
-            all: 9.0,
-            ready: 9.0,
+    apply(Command::ListKnown { list: LIST });
+    apply(Command::Observe {
+        at_ms: 1000,
+        summary: FleetSummary {
+            total_capacity: 9.0,
+            ready_capacity: 9.0,
             ..observation()
         },
     });
     let mut grant = |machine: &str| {
-        apply(Word::Grant {
+        apply(Command::Grant {
             list: LIST,
             machine: machine.into(),
         })
     };
     let [granted, drained, working, done] = ["m1", "m2", "m3", "m5"].map(&mut grant);
     for number in [drained, working, done] {
-        apply(Word::Out { grant: number });
+        apply(Command::Drained { grant: number });
     }
     for number in [working, done] {
-        apply(Word::Began { grant: number });
+        apply(Command::WorkBegan { grant: number });
     }
-    apply(Word::Worked {
+    apply(Command::WorkEnded {
         grant: done,
-        well: true,
+        succeeded: true,
     });
-    apply(Word::Seen {
-        at: 71_001,
-        seen: Seen {
-            all: 9.0,
-            ready: 8.0,
+    apply(Command::Observe {
+        at_ms: 71_001,
+        summary: FleetSummary {
+            total_capacity: 9.0,
+            ready_capacity: 8.0,
             ..observation()
         },
     });
-    apply(Word::Seen {
-        at: 71_003,
-        seen: Seen {
-            all: 9.0,
-            ready: 8.0,
+    apply(Command::Observe {
+        at_ms: 71_003,
+        summary: FleetSummary {
+            total_capacity: 9.0,
+            ready_capacity: 8.0,
             ..observation()
         },
     });
-    apply(Word::Warm { grant: done });
+    apply(Command::WarmedUp { grant: done });
     let mut grant = |machine: &str| {
-        apply(Word::Grant {
+        apply(Command::Grant {
             list: LIST,
             machine: machine.into(),
         })
     };
     let [failed, back] = ["m6", "m7"].map(&mut grant);
-    apply(Word::Out { grant: failed });
-    apply(Word::Worked {
+    apply(Command::Drained { grant: failed });
+    apply(Command::WorkEnded {
         grant: failed,
-        well: false,
+        succeeded: false,
     });
-    apply(Word::Out { grant: back });
-    apply(Word::Worked {
+    apply(Command::Drained { grant: back });
+    apply(Command::WorkEnded {
         grant: back,
-        well: true,
+        succeeded: true,
     });
-    apply(Word::Ask {
-        list: Number(4),
-        terms: config("", Vec::new()),
-        machines: 2,
+    apply(Command::CreateList {
+        list: Identifier(4),
+        config: config("", Vec::new()),
+        machine_count: 2,
     });
-    apply(Word::Machines {
-        list: Number(4),
+    apply(Command::AddMachines {
+        list: Identifier(4),
         first: 0,
         machines: vec![machine(0)],
     });
-    apply(Word::Hold { list: Number(4) });
-    apply(Word::Withdraw { list: Number(4) });
+    apply(Command::PauseList {
+        list: Identifier(4),
+    });
+    apply(Command::WithdrawList {
+        list: Identifier(4),
+    });
     assert!(turns
-        .of(granted)
-        .is_some_and(|(_, way)| way.step == Step::Granted));
+        .machine_with_grant(granted)
+        .is_some_and(|(_, way)| way.phase == MachinePhase::Granted));
     turns
 }
 
-fn step_number(step: Step) -> u8 {
+fn step_number(step: MachinePhase) -> u8 {
     match step {
-        Step::Waits => 0,
-        Step::Granted => 1,
-        Step::Out => 2,
-        Step::Back => 3,
-        Step::Done => 4,
-        Step::Failed => 5,
+        MachinePhase::Waiting => 0,
+        MachinePhase::Granted => 1,
+        MachinePhase::InMaintenance => 2,
+        MachinePhase::WarmingUp => 3,
+        MachinePhase::Done => 4,
+        MachinePhase::Failed => 5,
     }
 }
 
@@ -413,17 +431,19 @@
 #[test]
 fn the_snapshot_keeps_its_bytes() {
     let turns = schedule();
-    let ways = || turns.lists().values().flat_map(|list| &list.ways);
-    let steps: BTreeSet<u8> = ways().map(|way| step_number(way.step)).collect();
+    let ways = || turns.lists().values().flat_map(|list| &list.machines);
+    let steps: BTreeSet<u8> = ways().map(|way| step_number(way.phase)).collect();
     assert_eq!(steps.len(), STEPS);
-    assert!(ways().any(|way| way.stalled) && ways().any(|way| way.began));
-    let empty = Turns::default();
-    let written = [("empty", empty.write()), ("schedule", turns.write())];
+    assert!(ways().any(|way| way.stalled) && ways().any(|way| way.work_began));
+    let empty = MaintenanceSchedule::default();
+    let written = [("empty", empty.encode()), ("schedule", turns.encode())];
     let golden = assert_golden("snapshots.hex", &written);
     for (bytes, state) in golden.iter().zip([&empty, &turns]) {
-        assert_eq!(Turns::read(bytes).as_ref(), Some(state));
+        assert_eq!(MaintenanceSchedule::decode(bytes).as_ref(), Some(state));
         assert_eq!(
-            Turns::read(bytes).map(|state| state.write()).as_ref(),
+            MaintenanceSchedule::decode(bytes)
+                .map(|state| state.encode())
+                .as_ref(),
             Some(bytes)
         );
     }
