--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,37 +1,44 @@
-//! The order in which machines go out for work: a pure function of a settled log, so that all who read the log know the same.
-//! Without I/O and without a clock: time is what the log says it is.
+//! Maintenance of machines: which machines are taken out of service, in which order, and when it is safe. Without I/O and without a
+//! clock.
 //!
-//! How data flows: settled words (`Word`) go into `Turns::apply`, one after the other, each with its place in the log; those that
-//! can't hold there are refused, at every reader alike. So two that both believe they lead harm nothing: what decides is the
-//! place in the log, not who asked. `Turns::next` tells whoever leads which words to put up now; `limits` tells whether one
-//! more machine may be out. A grant's number is its word's place in the log: numbers only grow, and each is given once. A
-//! list's number is drawn by whoever takes it in: put up twice it is one list. `leases` tells which sidecars may still send;
-//! `leads` what whoever leads puts up next, from all of that and from what it sees of the fleet.
+//! The schedule is a pure function of a replicated log, so all sidecars that have applied the same log agree; time is what the log
+//! says it is. Committed commands ([`Command`]) go into [`MaintenanceSchedule::apply`] one after the other, each with its index in the
+//! log; those that don't apply are rejected by all readers alike. So two leaders that overlap do no harm: the position in the log
+//! decides, not the proposer. The index of a grant's command is the grant's identifier, so these only grow and each is given once. A
+//! list's identifier is drawn by the sidecar that accepts the list: proposed twice, it is one list.
 //!
-//! A machine's way: `Waits` -> `Granted` (all sidecars are to send nothing more there) -> `Out` (all have said so, or may not
-//! send any more: it may be worked on) -> `Back` (it was worked on; cold) -> `Done`. Or `Failed`: not worked on again for this list.
-
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+//! The leader's [`Scheduler`] proposes the next command, from the schedule, the leases it has granted ([`LeaseGrantor`]) and what it
+//! observes of the fleet ([`FleetObservation`]). Each sidecar holds a [`Lease`] and reports by a [`DrainTracker`] from which machines
+//! it is drained.
+//!
+//! Phases of a machine: `Waiting` -> `Granted` (all sidecars stop sending to it) -> `InMaintenance` (all have drained, or hold no
+//! lease any more: it may be worked on) -> `WarmingUp` (the work ended) -> `Done`. Or `Failed`: not worked on again for this list.
 
-mod leads;
-mod leases;
+mod command;
+mod drain_tracker;
+mod fleet_observation;
+mod fleet_summary;
+mod lease;
+mod lease_grantor;
 mod limits;
-mod turns;
-mod words;
+mod list;
+mod message;
+mod rejection_rate;
+mod schedule;
+mod scheduler;
 
-pub use leads::{FleetObservation, Pod, RejectionRate, Scheduler, ZoneTracker};
-pub use leases::{DrainTracker, Lease, LeaseGrantor, MAX_START_WAIT};
-pub use limits::{BlockedReason, FleetSummary};
-pub use turns::{ApplyError, MachinePhase, MachineState, MaintenanceList, MaintenanceSchedule};
-pub use words::{
-    Command, DisruptionLimits, FormatError, Identifier, ListConfig, Machine, Message, Window,
-    MAX_LISTS, MAX_MACHINES,
+pub use command::{
+    Command, DisruptionLimits, FormatError, Identifier, ListConfig, Machine, Window, MAX_LISTS,
+    MAX_MACHINES,
 };
+pub use drain_tracker::DrainTracker;
+pub use fleet_observation::{FleetObservation, Pod, ZoneTracker};
+pub use fleet_summary::FleetSummary;
+pub use lease::{Lease, MAX_START_WAIT};
+pub use lease_grantor::LeaseGrantor;
+pub use limits::BlockedReason;
+pub use list::{MachinePhase, MachineState, MaintenanceList};
+pub use message::Message;
+pub use rejection_rate::RejectionRate;
+pub use schedule::{ApplyError, MaintenanceSchedule};
+pub use scheduler::Scheduler;
--- a/crates/maintenance/src/limits.rs
+++ b/crates/maintenance/src/limits.rs
@@ -1,96 +1,91 @@
-//! Whether one more machine may be out now.
+//! Whether one more machine may be unavailable now.
 
-use crate::words::{DisruptionLimits, Machine};
-use serde::{Deserialize, Serialize};
+use crate::command::{DisruptionLimits, Machine};
+use crate::fleet_summary::FleetSummary;
 
-/// What whoever leads sees of the fleet: strength by machine that is ready and warm, and what speaks against work.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct FleetSummary {
-    /// The place in the log up to which whoever saw this had read: machines granted later count as gone beside it.
-    pub applied_index: u64,
-    /// Strength of all machines that there are, and of those that are ready, warm and not granted.
-    pub total_capacity: f64,
-    pub ready_capacity: f64,
-    /// A zone is gone.
-    pub zone_outage: bool,
-    /// A build is on trial, or going back.
-    pub release_on_trial: bool,
-    /// The part of their hits that sidecars turn away, in the mean over those that hold leases.
-    pub rejection_rate: f64,
-}
-
-impl FleetSummary {
-    pub(crate) fn is_valid(&self) -> bool {
-        let strengths = [self.total_capacity, self.ready_capacity]
-            .iter()
-            .all(|strength| (0.0..=1e12).contains(strength));
-        strengths && (0.0..=1.0).contains(&self.rejection_rate)
-    }
-}
-
-/// Why a machine may not go out now.
+/// Why a machine may not be taken out now. The texts are shown on the proxies' work page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlockedReason {
+    /// The list is paused, withdrawn or not complete.
     #[error("the list is held, withdrawn or not whole")]
     ListNotActive,
+    /// Not all sidecars know the list yet.
     #[error("not all sidecars know the list yet")]
     ListNotKnown,
+    /// The work would not fit into a window of the list.
     #[error("it is not in one of the list's windows")]
     OutsideWindows,
+    /// A zone is out of service.
     #[error("trouble in the fleet")]
     ZoneOutage,
+    /// A release is on trial, and the list does not go on beside one.
     #[error("a release is on trial")]
     ReleaseOnTrial,
+    /// Sidecars reject too large a part of their requests.
     #[error("sidecars turn away more hits than the list bears")]
     Overload,
+    /// As many machines are unavailable as may be.
     #[error("so many are out as may be")]
     MaxUnavailable,
+    /// As many machines of its zone are unavailable as may be.
     #[error("so many of its zone are out as may be")]
     MaxUnavailablePerZone,
+    /// As many machines of its kind are unavailable as may be.
     #[error("so many of its kind are out as may be")]
     MaxUnavailablePerKind,
+    /// A machine is unavailable that it forms an exclusive pair with.
     #[error("one that it may not be out with is out")]
     ExclusivePair,
+    /// Too little capacity would stay ready.
     #[error("too little strength would stay ready")]
     InsufficientCapacity,
+    /// No view of the fleet has been committed.
     #[error("what the fleet looks like was not told yet")]
     NoObservation,
 }
 
-/// By the limits of one list: `out` are all machines that are granted, out or not warm again, whatever their list.
-/// `since` is strength that was granted after what was seen was seen.
+/// Checks a machine against the limits of one list.
+///
+/// `unavailable` are all machines that are granted, in maintenance or not warm again, whatever their list. `granted_since` is
+/// the capacity of the machines that were granted after `summary` was observed.
 pub(crate) fn check_limits(
     limits: &DisruptionLimits,
     machine: &Machine,
-    out: &[&Machine],
-    seen: &FleetSummary,
-    since: f64,
+    unavailable: &[&Machine],
+    summary: &FleetSummary,
+    granted_since: f64,
 ) -> Result<(), BlockedReason> {
-    let many = |of: &dyn Fn(&Machine) -> bool| out.iter().filter(|other| of(other)).count();
-    let apart = |(one, other): &(String, String)| {
-        let pair =
-            |a: &String, b: &String| *a == machine.name && out.iter().any(|out| out.name == *b);
-        pair(one, other) || pair(other, one)
-    };
-    if many(&|_| true) >= usize::from(limits.max_unavailable) {
+    if unavailable.len() >= usize::from(limits.max_unavailable) {
         return Err(BlockedReason::MaxUnavailable);
     }
-    if limits.max_unavailable_per_zone > 0
-        && many(&|other| other.zone == machine.zone) >= usize::from(limits.max_unavailable_per_zone)
-    {
+    let in_zone = unavailable
+        .iter()
+        .filter(|other| other.zone == machine.zone);
+    if reaches(in_zone.count(), limits.max_unavailable_per_zone) {
         return Err(BlockedReason::MaxUnavailablePerZone);
     }
-    if limits.max_unavailable_per_kind > 0
-        && many(&|other| other.kind == machine.kind) >= usize::from(limits.max_unavailable_per_kind)
-    {
+    let of_kind = unavailable
+        .iter()
+        .filter(|other| other.kind == machine.kind);
+    if reaches(of_kind.count(), limits.max_unavailable_per_kind) {
         return Err(BlockedReason::MaxUnavailablePerKind);
     }
-    if limits.exclusive_pairs.iter().any(apart) {
+    let is_unavailable = |name: &String| unavailable.iter().any(|other| other.name == *name);
+    let is_excluded = |(one, other): &(String, String)| {
+        (*one == machine.name && is_unavailable(other))
+            || (*other == machine.name && is_unavailable(one))
+    };
+    if limits.exclusive_pairs.iter().any(is_excluded) {
         return Err(BlockedReason::ExclusivePair);
     }
-    let left = seen.ready_capacity - since - machine.capacity;
-    if left < limits.min_ready_fraction * seen.total_capacity {
+    let remaining = summary.ready_capacity - granted_since - machine.capacity;
+    if remaining < limits.min_ready_fraction * summary.total_capacity {
         return Err(BlockedReason::InsufficientCapacity);
     }
     Ok(())
 }
+
+/// Whether a count reaches a limit; 0 is no limit.
+fn reaches(count: usize, limit: u16) -> bool {
+    limit > 0 && count >= usize::from(limit)
+}
--- a/crates/maintenance/tests/digest.rs
+++ b/crates/maintenance/tests/digest.rs
@@ -58,7 +58,7 @@
     }
 }
 
-fn step_number(step: MachinePhase) -> u64 {
+fn phase_number(step: MachinePhase) -> u64 {
     match step {
         MachinePhase::Waiting => 0,
         MachinePhase::Granted => 1,
@@ -69,8 +69,8 @@
     }
 }
 
-fn why_number(why: BlockedReason) -> u64 {
-    match why {
+fn reason_number(reason: BlockedReason) -> u64 {
+    match reason {
         BlockedReason::ListNotActive => 0,
         BlockedReason::ListNotKnown => 1,
         BlockedReason::OutsideWindows => 2,
@@ -100,7 +100,7 @@
         Err(ApplyError::LimitExceeded) => 6,
         Err(ApplyError::OutOfSequence) => 7,
         Err(ApplyError::ClockBackwards) => 8,
-        Err(ApplyError::Blocked(why)) => NOT_NOW + why_number(why),
+        Err(ApplyError::Blocked(reason)) => NOT_NOW + reason_number(reason),
     }
 }
 
@@ -111,7 +111,7 @@
     read: usize,
     lease: Lease,
     next_request: Duration,
-    clearing: DrainTracker,
+    drain_tracker: DrainTracker,
     rejections: RejectionRate,
     /// Machines with a request in flight, until when.
     in_flight: BTreeMap<String, Duration>,
@@ -144,7 +144,7 @@
     working: BTreeMap<Identifier, (String, Duration)>,
     restarted: BTreeMap<String, Duration>,
     results_seen: BTreeSet<u64>,
-    steps_seen: BTreeSet<u64>,
+    phases_seen: BTreeSet<u64>,
 }
 
 fn sidecar(now: Duration, number: usize, start: u64) -> Sidecar {
@@ -155,7 +155,7 @@
         read: 0,
         lease: Lease::new(now, LEASE),
         next_request: now,
-        clearing: DrainTracker::new(DRAIN_GRACE),
+        drain_tracker: DrainTracker::new(DRAIN_GRACE),
         rejections: RejectionRate::default(),
         in_flight: BTreeMap::new(),
     }
@@ -195,7 +195,7 @@
             working: BTreeMap::new(),
             restarted: BTreeMap::new(),
             results_seen: BTreeSet::new(),
-            steps_seen: BTreeSet::new(),
+            phases_seen: BTreeSet::new(),
         }
     }
 
@@ -388,7 +388,7 @@
             .lease
             .closed_machines(now, sidecar.read as u64, &sidecar.schedule);
         sidecar
-            .clearing
+            .drain_tracker
             .set_closed(now, &closed.clone().unwrap_or_default());
         sidecar.in_flight.retain(|_, until| now < *until);
         if closed
@@ -406,7 +406,7 @@
         let now = self.now;
         let sidecar = &mut self.sidecars[index];
         let (name, start) = (sidecar.name.clone(), sidecar.start);
-        let quiet = sidecar.clearing.past_grace(now, &sidecar.schedule);
+        let quiet = sidecar.drain_tracker.past_grace(now, &sidecar.schedule);
         let idle = quiet.filter(|(machine, _)| !sidecar.in_flight.contains_key(*machine));
         let clear: Vec<Identifier> = idle.map(|(_, grant)| grant).collect();
         let no = sidecar.lease.request(now);
@@ -423,12 +423,12 @@
             return;
         }
         let by_deposed = self.chance(300);
-        let lessor = match &mut self.deposed {
+        let grantor = match &mut self.deposed {
             Some((old, until)) if by_deposed && now < *until => &mut old.grantor,
             _ => &mut self.leader.grantor,
         };
         let heard = (read, clear.as_slice(), turned_away);
-        let granted = lessor.lease_requested(now, &self.schedule, (&name, start), heard);
+        let granted = grantor.lease_requested(now, &self.schedule, (&name, start), heard);
         self.digest.number(u64::from(granted));
         if granted {
             self.send_lease(index, no);
@@ -542,16 +542,16 @@
                 .filter(|pod| !pod.draining)
                 .map(|pod| pod.zone.as_str());
             self.zones.observe_serving(serving);
-            let sight = FleetObservation {
+            let observation = FleetObservation {
                 pods: &pods,
                 warm_up_seconds: WARM_AFTER,
                 release_on_trial: trial,
             };
             let read = (self.log.len() as u64).saturating_sub(lag);
             let state = (&self.schedule, read);
-            let command = self
-                .leader
-                .next_command(self.now, log_now, state, &self.zones, &sight);
+            let command =
+                self.leader
+                    .next_command(self.now, log_now, state, &self.zones, &observation);
             let Some(command) = command else {
                 return;
             };
@@ -564,14 +564,14 @@
     fn work_on_machines(&mut self) {
         let is_new =
             |way: &&MachineState| way.phase == MachinePhase::InMaintenance && !way.work_began;
-        let ways = self
+        let states = self
             .schedule
             .lists()
             .values()
             .flat_map(|list| &list.machines);
-        let begins: Vec<(Identifier, String)> = ways
+        let begins: Vec<(Identifier, String)> = states
             .filter(is_new)
-            .filter_map(|way| Some((way.grant?, way.machine.name.clone())))
+            .filter_map(|state| Some((state.grant?, state.machine.name.clone())))
             .collect();
         for (grant, machine) in begins {
             let steps = if self.chance(80) {
@@ -605,24 +605,24 @@
     /// Hashes what the schedule and the leader say of each machine.
     fn observe(&mut self, number: u64) {
         let (now, digest) = (self.now, &mut self.digest);
-        let lessor = &self.leader.grantor;
+        let grantor = &self.leader.grantor;
         digest.number(now.as_millis() as u64);
         digest.number(self.schedule.now_ms());
-        digest.float(lessor.mean_rejection_rate(now, &self.schedule));
+        digest.float(grantor.mean_rejection_rate(now, &self.schedule));
         for (list_number, list) in self.schedule.lists() {
             observe_list(digest, *list_number, list);
-            digest.names(lessor.sidecars_behind(&self.schedule, list.completed_index));
-            for way in &list.machines {
-                self.steps_seen.insert(step_number(way.phase));
-                if way.phase == MachinePhase::Waiting {
-                    let may_go = self.schedule.check_grant(*list_number, &way.machine.name);
+            digest.names(grantor.sidecars_behind(&self.schedule, list.completed_index));
+            for state in &list.machines {
+                self.phases_seen.insert(phase_number(state.phase));
+                if state.phase == MachinePhase::Waiting {
+                    let may_go = self.schedule.check_grant(*list_number, &state.machine.name);
                     digest.number(result_number(may_go));
                 }
             }
         }
         for (machine, grant) in self.schedule.closed_machines() {
             digest.names([machine.name.as_str()]);
-            digest.names(lessor.sidecars_not_drained(now, &self.schedule, grant));
+            digest.names(grantor.sidecars_not_drained(now, &self.schedule, grant));
         }
         if let Some(command) = self.schedule.next_command() {
             digest.bytes(&command.encode());
@@ -657,11 +657,11 @@
     digest.number(number.0);
     digest.number(list.completed_index);
     digest.bytes(&flags.map(u8::from));
-    for way in &list.machines {
-        digest.number(step_number(way.phase));
-        digest.number(way.grant.map_or(0, |grant| grant.0));
-        digest.number(way.since_ms);
-        digest.bytes(&[way.work_began, way.stalled].map(u8::from));
+    for state in &list.machines {
+        digest.number(phase_number(state.phase));
+        digest.number(state.grant.map_or(0, |grant| grant.0));
+        digest.number(state.since_ms);
+        digest.bytes(&[state.work_began, state.stalled].map(u8::from));
     }
 }
 
@@ -677,7 +677,7 @@
         }
         simulation.assert_replicas_agree();
         results.append(&mut simulation.results_seen);
-        steps.append(&mut simulation.steps_seen);
+        steps.append(&mut simulation.phases_seen);
         digest = simulation.digest;
     }
     // Faults and limits were met: every step of a machine, and most reasons to refuse a command.
--- a/crates/maintenance/tests/explore.rs
+++ b/crates/maintenance/tests/explore.rs
@@ -1,75 +1,78 @@
-//! A grant's life in every order: two machines of which one may be out, a sidecar that hears all and one whose words are lost or late,
-//! that reads or does not and starts anew; leaders that are deposed and go on giving leases for a while. Whoever may send sends at once,
-//! each hit lasts as long as it may, and the agent begins as soon as it may: the worst of all for what must never be.
+//! The phases of a grant under random interleavings: two machines of which one may be unavailable; a sidecar that receives everything, and
+//! one whose messages are lost or late, that lags behind the log and restarts; and leaders that are deposed and go on granting leases
+//! for a while. Each sidecar sends whenever it may, each request lasts as long as it may, and work begins as soon as it may.
 //!
-//! Time goes in steps of a second: a lease lasts two, a drain's grace and the longest hit one each.
+//! Time goes in steps of a second: a lease lasts two, a drain's grace and the longest request one each.
 
-use limewing_maintenance::*;
+use limewing_maintenance::{
+    Command, DisruptionLimits, DrainTracker, FleetObservation, Identifier, Lease, LeaseGrantor,
+    ListConfig, Machine, MachinePhase, MaintenanceSchedule, Pod, Scheduler, ZoneTracker,
+};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-const LASTS: u64 = 2;
+const LEASE_SECONDS: u64 = 2;
 const STEPS: u64 = 13;
-/// A leader that was deposed believes so long that it leads.
-const SLACK: u64 = 1;
+/// How long a deposed leader believes that it leads.
+const OVERLAP_SECONDS: u64 = 1;
 
 fn s(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Plant {
+enum PlantedFault {
     None,
-    /// What a silent sidecar had sent before its lease ended is not waited for.
-    NothingSettles,
-    /// A lease counts from when its answer came.
-    FromTheAnswer,
+    /// Requests in flight of a sidecar whose lease has expired are not waited for.
+    RequestsInFlightIgnored,
+    /// A lease counts from when its response came.
+    LeaseFromResponse,
     /// A new leader knows nothing of its predecessor's leases, and does not wait for them.
-    NoPredecessor,
-    /// A sidecar says that it is clear as soon as it has stopped sending.
-    ClearTooEarly,
-    /// Machines go though a sidecar does not know the list.
-    Unknown,
-    /// Whoever leads forgets a sidecar's earlier start once it knows of a later one.
-    Forgets,
-    /// A restarted sidecar sends at once, by the node list alone.
-    SendsUnread,
+    PredecessorIgnored,
+    /// A sidecar reports to be drained as soon as it has stopped sending.
+    DrainedTooEarly,
+    /// Machines are taken out though a sidecar does not know the list.
+    ListNotKnown,
+    /// The leader forgets a sidecar's earlier process once it knows a later one.
+    EarlierProcessForgotten,
+    /// A restarted sidecar sends at once, by the endpoint list alone.
+    SendsBeforeFirstLease,
 }
 
 #[derive(Clone, Debug)]
-struct Car {
-    start: u64,
-    read: usize,
+struct Sidecar {
+    incarnation: u64,
+    applied: usize,
     lease: Lease,
-    /// Whether it ever had one.
-    told: bool,
-    /// An answer that is late: its number, and what was settled.
+    /// Whether it ever had a lease.
+    had_lease: bool,
+    /// A response that is late: number of the request, and commit index.
     late: Option<(u64, u64)>,
-    clearing: DrainTracker,
+    drain_tracker: DrainTracker,
     since: BTreeMap<String, u64>,
-    /// Machines that a hit is open on, until when.
-    open: BTreeMap<String, u64>,
+    /// Machines with a request in flight, until when.
+    in_flight: BTreeMap<String, u64>,
 }
 
 #[derive(Clone, Debug)]
 struct Fleet {
     now: u64,
     log: Vec<Command>,
-    cars: Vec<Car>,
+    sidecars: Vec<Sidecar>,
     leader: Scheduler,
-    /// One that was deposed, and until when it believes that it leads.
+    /// A deposed leader, and until when it believes that it leads.
     old: Option<(Scheduler, u64)>,
     deposed: u8,
     working: Option<(Identifier, String, u64)>,
-    plant: Plant,
+    planted: PlantedFault,
 }
 
-/// What may happen to the second sidecar and to whoever leads within one step.
+/// What may happen to the second sidecar and to the leader within one step.
 #[derive(Clone, Copy, Debug)]
-struct Chance {
-    asks: Asks,
+struct Choice {
+    exchange: LeaseExchange,
     reads: bool,
     restarts: bool,
     deposed: bool,
@@ -77,22 +80,22 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asks {
-    Lost,
-    AnswerLost,
-    AnswerLate,
-    Answered,
-    /// Answered by one that was deposed.
-    ByTheOld,
+enum LeaseExchange {
+    RequestLost,
+    ResponseLost,
+    ResponseLate,
+    Granted,
+    /// Granted by a deposed leader.
+    GrantedByDeposed,
 }
 
-fn turns(log: &[Command], read: usize) -> MaintenanceSchedule {
-    let mut turns = MaintenanceSchedule::default();
-    for (place, word) in log.iter().take(read).enumerate() {
-        // What is refused changes nothing, at all readers alike.
-        let _ = turns.apply(place as u64 + 1, word);
+fn schedule(log: &[Command], applied: usize) -> MaintenanceSchedule {
+    let mut schedule = MaintenanceSchedule::default();
+    for (position, command) in log.iter().take(applied).enumerate() {
+        // A rejected command changes nothing, at all readers alike.
+        let _ = schedule.apply(position as u64 + 1, command);
     }
-    turns
+    schedule
 }
 
 fn pods() -> Vec<Pod> {
@@ -106,26 +109,26 @@
     (0..2).map(pod).collect()
 }
 
-fn car(now: u64, start: u64) -> Car {
-    let (lease, since, open) = (
-        Lease::new(s(now), s(LASTS)),
+fn new_sidecar(now: u64, incarnation: u64) -> Sidecar {
+    let (lease, since, in_flight) = (
+        Lease::new(s(now), s(LEASE_SECONDS)),
         BTreeMap::new(),
         BTreeMap::new(),
     );
-    Car {
-        start,
-        read: 0,
+    Sidecar {
+        incarnation,
+        applied: 0,
         lease,
-        told: false,
+        had_lease: false,
         late: None,
-        clearing: DrainTracker::new(s(1)),
+        drain_tracker: DrainTracker::new(s(1)),
         since,
-        open,
+        in_flight,
     }
 }
 
 impl Fleet {
-    fn new(plant: Plant) -> Self {
+    fn new(planted: PlantedFault) -> Self {
         let limits = DisruptionLimits {
             max_unavailable: 1,
             max_rejection_rate: 1.0,
@@ -166,28 +169,28 @@
                 machines: (0..2).map(machine).collect(),
             },
         ];
-        let leader = Self::lessor(0, 0, plant);
-        let cars = vec![car(0, 1), car(0, 1)];
+        let leader = Self::lessor(0, 0, planted);
+        let sidecars = vec![new_sidecar(0, 1), new_sidecar(0, 1)];
         Self {
             now: 0,
             log,
-            cars,
+            sidecars,
             leader,
             old: None,
             deposed: 0,
             working: None,
-            plant,
+            planted,
         }
     }
 
-    fn lessor(now: u64, term: u64, plant: Plant) -> Scheduler {
-        let settles = if plant == Plant::NothingSettles {
+    fn lessor(now: u64, term: u64, planted: PlantedFault) -> Scheduler {
+        let settles = if planted == PlantedFault::RequestsInFlightIgnored {
             s(0)
         } else {
-            s(2) + s(LASTS) / 4
+            s(2) + s(LEASE_SECONDS) / 4
         };
-        // One that does not wait began to lead long ago, for all that it knows.
-        let since = if plant == Plant::NoPredecessor {
+        // A leader that does not wait for its predecessor's leases takes itself to have led for long.
+        let since = if planted == PlantedFault::PredecessorIgnored {
             s(0)
         } else {
             s(now)
@@ -195,142 +198,154 @@
         Scheduler::new(
             s(now),
             term,
-            LeaseGrantor::new(since, s(LASTS), s(SLACK), settles),
+            LeaseGrantor::new(since, s(LEASE_SECONDS), s(OVERLAP_SECONDS), settles),
         )
     }
 
-    fn closed(&self, of: &Car) -> Option<BTreeSet<String>> {
-        let turns = turns(&self.log, of.read);
-        // One that was told nothing yet is not let off: the one exception is left out.
-        if !of.told && self.plant != Plant::SendsUnread {
+    fn closed(&self, of: &Sidecar) -> Option<BTreeSet<String>> {
+        let schedule = schedule(&self.log, of.applied);
+        // A sidecar without a first lease sends nothing; `MAX_START_WAIT` is left out of the model.
+        if !of.had_lease && self.planted != PlantedFault::SendsBeforeFirstLease {
             return None;
         }
-        if !of.told {
+        if !of.had_lease {
             return Some(BTreeSet::new());
         }
         of.lease
-            .closed_machines(s(self.now), of.read as u64, &turns)
+            .closed_machines(s(self.now), of.applied as u64, &schedule)
     }
 
-    fn clear(&self, of: &Car) -> Vec<Identifier> {
-        let turns = turns(&self.log, of.read);
-        if self.plant == Plant::ClearTooEarly {
-            let shut = |machine: &Machine| of.since.contains_key(&machine.name);
-            return turns
+    fn drained_grants(&self, of: &Sidecar) -> Vec<Identifier> {
+        let schedule = schedule(&self.log, of.applied);
+        if self.planted == PlantedFault::DrainedTooEarly {
+            let is_closed = |machine: &Machine| of.since.contains_key(&machine.name);
+            return schedule
                 .closed_machines()
-                .filter(|(machine, _)| shut(machine))
+                .filter(|(machine, _)| is_closed(machine))
                 .map(|(_, grant)| grant)
                 .collect();
         }
-        let quiet = of.clearing.past_grace(s(self.now), &turns);
+        let quiet = of.drain_tracker.past_grace(s(self.now), &schedule);
         quiet
-            .filter(|(machine, _)| !of.open.contains_key(*machine))
+            .filter(|(machine, _)| !of.in_flight.contains_key(*machine))
             .map(|(_, grant)| grant)
             .collect()
     }
 
-    fn asks(&mut self, number: usize, how: Asks) {
+    fn exchange(&mut self, number: usize, how: LeaseExchange) {
         let now = self.now;
-        let mut of = self.cars[number].clone();
-        let (name, clear, settled) = (format!("c{number}"), self.clear(&of), self.log.len() as u64);
-        let (no, turns) = (of.lease.request(s(now)), turns(&self.log, self.log.len()));
-        let heard = (of.read as u64, &clear[..], 0);
-        let known = turns.sidecars().get(&name) == Some(&of.start);
-        let by_the_old = how == Asks::ByTheOld;
+        let mut of = self.sidecars[number].clone();
+        let (name, clear, settled) = (
+            format!("c{number}"),
+            self.drained_grants(&of),
+            self.log.len() as u64,
+        );
+        let (no, schedule) = (
+            of.lease.request(s(now)),
+            schedule(&self.log, self.log.len()),
+        );
+        let report = (of.applied as u64, &clear[..], 0);
+        let known = schedule.sidecars().get(&name) == Some(&of.incarnation);
+        let by_deposed = how == LeaseExchange::GrantedByDeposed;
         let leader = match &mut self.old {
-            Some((old, until)) if by_the_old && now <= *until => old,
-            _ if by_the_old => return,
+            Some((old, until)) if by_deposed && now <= *until => old,
+            _ if by_deposed => return,
             _ => &mut self.leader,
         };
-        if how != Asks::Lost {
-            if self.plant == Plant::Forgets && !known {
-                leader.grantor = LeaseGrantor::new(s(0), s(LASTS), s(0), s(0));
+        if how != LeaseExchange::RequestLost {
+            if self.planted == PlantedFault::EarlierProcessForgotten && !known {
+                leader.grantor = LeaseGrantor::new(s(0), s(LEASE_SECONDS), s(0), s(0));
             }
-            let given = leader
-                .grantor
-                .lease_requested(s(now), &turns, (&name, of.start), heard);
-            if !known && !by_the_old {
+            let given =
+                leader
+                    .grantor
+                    .lease_requested(s(now), &schedule, (&name, of.incarnation), report);
+            if !known && !by_deposed {
                 self.log.push(Command::SidecarStarted {
                     name,
-                    incarnation: of.start,
+                    incarnation: of.incarnation,
                 });
             }
             match how {
-                Asks::Answered | Asks::ByTheOld if given => {
+                LeaseExchange::Granted | LeaseExchange::GrantedByDeposed if given => {
                     of.lease.granted(no, settled);
-                    of.told = true;
+                    of.had_lease = true;
                 }
-                Asks::AnswerLate if given => of.late = Some((no, settled)),
+                LeaseExchange::ResponseLate if given => of.late = Some((no, settled)),
                 _ => {}
             }
         }
-        self.cars[number] = of;
+        self.sidecars[number] = of;
     }
 
-    /// One step; what is broken in it, if something is.
-    fn step(&mut self, chance: Chance) -> Option<String> {
+    /// Does one step, and returns what it violates.
+    fn step(&mut self, choice: Choice) -> Option<String> {
         self.now += 1;
         let now = self.now;
-        if chance.restarts {
-            let start = self.cars[1].start + 1;
-            // What the process had out is gone with it, and is over at the pod when its time is.
-            let open = self.cars[1].open.clone();
-            self.cars[1] = Car {
-                open,
-                ..car(now, start)
+        if choice.restarts {
+            let incarnation = self.sidecars[1].incarnation + 1;
+            // Requests in flight of the process go on at the pod until their time is over.
+            let in_flight = self.sidecars[1].in_flight.clone();
+            self.sidecars[1] = Sidecar {
+                in_flight,
+                ..new_sidecar(now, incarnation)
             };
         }
-        if chance.deposed {
+        if choice.deposed {
             self.deposed += 1;
-            let next = Self::lessor(now, u64::from(self.deposed), self.plant);
-            self.old = Some((std::mem::replace(&mut self.leader, next), now + SLACK));
+            let next = Self::lessor(now, u64::from(self.deposed), self.planted);
+            self.old = Some((
+                std::mem::replace(&mut self.leader, next),
+                now + OVERLAP_SECONDS,
+            ));
         }
-        // What is late comes in some step in which nothing else does.
-        let comes = chance.asks == Asks::Lost && !chance.reads && chance.leads_on;
-        if let Some((no, settled)) = self.cars[1].late.take_if(|_| comes) {
-            if self.plant == Plant::FromTheAnswer {
-                let again = self.cars[1].lease.request(s(now));
-                self.cars[1].lease.granted(again, settled);
+        // A late response arrives in some step in which nothing else does.
+        let comes =
+            choice.exchange == LeaseExchange::RequestLost && !choice.reads && choice.leads_on;
+        if let Some((no, settled)) = self.sidecars[1].late.take_if(|_| comes) {
+            if self.planted == PlantedFault::LeaseFromResponse {
+                let again = self.sidecars[1].lease.request(s(now));
+                self.sidecars[1].lease.granted(again, settled);
             } else {
-                self.cars[1].lease.granted(no, settled);
+                self.sidecars[1].lease.granted(no, settled);
             }
-            self.cars[1].told = true;
+            self.sidecars[1].had_lease = true;
         }
-        self.cars[0].read = self.log.len();
-        if chance.reads {
-            self.cars[1].read = self.log.len();
+        self.sidecars[0].applied = self.log.len();
+        if choice.reads {
+            self.sidecars[1].applied = self.log.len();
         }
         self.send();
-        self.asks(0, Asks::Answered);
-        self.asks(1, chance.asks);
-        if chance.leads_on {
+        self.exchange(0, LeaseExchange::Granted);
+        self.exchange(1, choice.exchange);
+        if choice.leads_on {
             self.lead();
         }
         self.agent()
     }
 
-    /// All that may be sent is, and lasts for as long as it may.
+    /// Sends all that may be sent, for as long as it may last.
     fn send(&mut self) {
         let now = self.now;
         for number in 0..2 {
-            let closed = self.closed(&self.cars[number]);
-            let of = &mut self.cars[number];
-            of.open.retain(|_, until| now <= *until);
-            of.clearing
+            let closed = self.closed(&self.sidecars[number]);
+            let of = &mut self.sidecars[number];
+            of.in_flight.retain(|_, until| now <= *until);
+            of.drain_tracker
                 .set_closed(s(now), &closed.clone().unwrap_or_default());
             for machine in ["m0", "m1"] {
-                let shut = closed
+                let is_closed = closed
                     .as_ref()
                     .is_none_or(|closed| closed.contains(machine));
-                if !shut {
+                if !is_closed {
                     of.since.remove(machine);
                 } else if closed.is_some() {
                     of.since.entry(machine.into()).or_insert(now);
                 }
-                // Within the grace something may still go there; not from one that has never served.
+                // Within the grace period a sidecar may still send there, unless it has never served.
                 let grace = of.since.get(machine).is_some_and(|since| now <= *since);
-                if closed.is_some() && (!shut || grace) {
-                    of.open.insert(machine.into(), now + 1);
+                if closed.is_some() && (!is_closed || grace) {
+                    of.in_flight.insert(machine.into(), now + 1);
                 }
             }
         }
@@ -338,29 +353,29 @@
 
     fn lead(&mut self) {
         for _ in 0..4 {
-            let turns = turns(&self.log, self.log.len());
-            let (pods, read) = (pods(), self.log.len() as u64);
+            let schedule = schedule(&self.log, self.log.len());
+            let (pods, applied) = (pods(), self.log.len() as u64);
             let sight = FleetObservation {
                 pods: &pods,
                 warm_up_seconds: 1.0,
                 release_on_trial: false,
             };
-            // Time in the log goes with the steps, so that machines get warm.
+            // The log's time goes with the steps, so that machines warm up.
             let at = self.now * 1000;
-            let word = self.leader.next_command(
+            let command = self.leader.next_command(
                 s(self.now),
                 at,
-                (&turns, read),
+                (&schedule, applied),
                 &ZoneTracker::default(),
                 &sight,
             );
-            let known = turns
+            let known = schedule
                 .lists()
                 .get(&Identifier(1))
                 .is_some_and(|list| list.known);
-            match word {
-                Some(word) => self.log.push(word),
-                None if self.plant == Plant::Unknown && !known => {
+            match command {
+                Some(command) => self.log.push(command),
+                None if self.planted == PlantedFault::ListNotKnown && !known => {
                     self.log.push(Command::ListKnown {
                         list: Identifier(1),
                     });
@@ -370,21 +385,21 @@
         }
     }
 
-    /// The machine's agent begins and ends work at once, by what is settled; what must never be is looked for all the while.
+    /// Begins and ends work as soon as the log allows, and returns a violation if a machine is sent to meanwhile.
     fn agent(&mut self) -> Option<String> {
-        let turns = turns(&self.log, self.log.len());
+        let schedule = schedule(&self.log, self.log.len());
         let out = |step: MachinePhase| {
-            turns
+            schedule
                 .lists()
                 .values()
                 .flat_map(|l| &l.machines)
                 .filter(move |w| w.phase == step)
         };
-        let many = turns
+        let many = schedule
             .lists()
             .values()
             .flat_map(|l| &l.machines)
-            .filter(|way| way.phase.is_unavailable())
+            .filter(|state| state.phase.is_unavailable())
             .count();
         if many > 1 {
             return Some(format!("{many} machines are out"));
@@ -397,23 +412,23 @@
                     succeeded: true,
                 });
             } else {
-                return self.touched(&machine);
+                return self.find_request_in_flight(&machine);
             }
         } else if let Some(way) = out(MachinePhase::InMaintenance).next() {
             let grant = way.grant?;
             self.working = Some((grant, way.machine.name.clone(), self.now + 1));
-            return self.touched(&way.machine.name);
+            return self.find_request_in_flight(&way.machine.name);
         }
         None
     }
 
-    fn touched(&self, machine: &str) -> Option<String> {
+    fn find_request_in_flight(&self, machine: &str) -> Option<String> {
         let one = self
-            .cars
+            .sidecars
             .iter()
-            .position(|car| car.open.contains_key(machine))?;
+            .position(|sidecar| sidecar.in_flight.contains_key(machine))?;
         Some(format!(
-            "{machine} is worked on, and c{one} has a hit open there"
+            "{machine} is worked on, and c{one} has a request in flight there"
         ))
     }
 
@@ -424,58 +439,59 @@
     }
 }
 
-fn chances(fleet: &Fleet, restarted: bool) -> Vec<Chance> {
+fn choices(fleet: &Fleet, restarted: bool) -> Vec<Choice> {
     let mut all = Vec::new();
     let old = fleet
         .old
         .as_ref()
         .is_some_and(|(_, until)| fleet.now < *until);
-    for asks in [
-        Asks::Answered,
-        Asks::Lost,
-        Asks::AnswerLost,
-        Asks::AnswerLate,
-        Asks::ByTheOld,
+    for exchange in [
+        LeaseExchange::Granted,
+        LeaseExchange::RequestLost,
+        LeaseExchange::ResponseLost,
+        LeaseExchange::ResponseLate,
+        LeaseExchange::GrantedByDeposed,
     ] {
-        if asks == Asks::ByTheOld && !old {
+        if exchange == LeaseExchange::GrantedByDeposed && !old {
             continue;
         }
         for reads in [true, false] {
-            let chance = Chance {
-                asks,
+            let choice = Choice {
+                exchange,
                 reads,
                 restarts: false,
                 deposed: false,
                 leads_on: true,
             };
-            all.push(chance);
-            all.push(Chance {
+            all.push(choice);
+            all.push(Choice {
                 deposed: true,
-                ..chance
+                ..choice
             });
-            all.push(Chance {
+            all.push(Choice {
                 restarts: true,
-                ..chance
+                ..choice
             });
         }
     }
-    all.push(Chance {
-        asks: Asks::Lost,
+    all.push(Choice {
+        exchange: LeaseExchange::RequestLost,
         reads: false,
         restarts: false,
         deposed: false,
         leads_on: false,
     });
     let again =
-        |chance: &Chance| (chance.deposed && fleet.deposed >= 1) || (chance.restarts && restarted);
-    all.retain(|chance| !again(chance));
+        |choice: &Choice| (choice.deposed && fleet.deposed >= 1) || (choice.restarts && restarted);
+    all.retain(|choice| !again(choice));
     all
 }
 
-/// All that can happen, in a drawn order, up to `most` states; the first thing broken, and what led there; and how many states were seen.
-fn explore(plant: Plant, most: usize) -> (Option<(String, Vec<Chance>)>, usize, bool) {
+/// Random interleavings up to `most` states: the first violation with the choices that led there, the number of states, and whether a
+/// machine was done in one of them.
+fn explore(planted: PlantedFault, most: usize) -> (Option<(String, Vec<Choice>)>, usize, bool) {
     let (mut known, mut done) = (HashSet::new(), false);
-    let mut open = vec![(Fleet::new(plant), Vec::new(), false)];
+    let mut open = vec![(Fleet::new(planted), Vec::new(), false)];
     let mut drawn = nanorand::WyRand::new_seed(9);
     while !open.is_empty() {
         let at = nanorand::Rng::generate_range(&mut drawn, 0..open.len());
@@ -483,20 +499,20 @@
         if known.len() >= most {
             break;
         }
-        for chance in chances(&fleet, restarted) {
-            let (mut next, mut way): (Fleet, Vec<Chance>) = (fleet.clone(), way.clone());
-            way.push(chance);
-            if let Some(broken) = next.step(chance) {
-                return (Some((broken, way)), known.len(), done);
+        for choice in choices(&fleet, restarted) {
+            let (mut next, mut way): (Fleet, Vec<Choice>) = (fleet.clone(), way.clone());
+            way.push(choice);
+            if let Some(violation) = next.step(choice) {
+                return (Some((violation, way)), known.len(), done);
             }
-            let turns = turns(&next.log, next.log.len());
-            done |= turns
+            let schedule = schedule(&next.log, next.log.len());
+            done |= schedule
                 .lists()
                 .values()
                 .flat_map(|list| &list.machines)
-                .any(|way| way.phase == MachinePhase::Done);
+                .any(|state| state.phase == MachinePhase::Done);
             if next.now < STEPS && known.insert(next.key()) {
-                open.push((next, way, restarted || chance.restarts));
+                open.push((next, way, restarted || choice.restarts));
             }
         }
     }
@@ -506,27 +522,27 @@
 const STATES: usize = 40_000;
 
 #[test]
-fn in_no_order_is_a_machine_touched_while_it_is_worked_on() {
-    let (broken, states, done) = explore(Plant::None, STATES);
+fn no_sidecar_sends_to_a_machine_in_maintenance_under_any_interleaving() {
+    let (violation, states, done) = explore(PlantedFault::None, STATES);
     println!("{states} states");
-    assert!(broken.is_none(), "{broken:#?}");
+    assert!(violation.is_none(), "{violation:#?}");
     assert!(done, "in some order a machine is done");
 }
 
 #[rstest]
-#[case::nothing_settles(Plant::NothingSettles)]
-#[case::from_the_answer(Plant::FromTheAnswer)]
-#[case::no_predecessor(Plant::NoPredecessor)]
-#[case::clear_too_early(Plant::ClearTooEarly)]
-#[case::unknown(Plant::Unknown)]
-#[case::forgets(Plant::Forgets)]
-#[case::sends_unread(Plant::SendsUnread)]
-fn planted_faults_are_found(#[case] plant: Plant) {
-    let (broken, states, _) = explore(plant, STATES * 3);
-    let (broken, way) =
-        broken.unwrap_or_else(|| panic!("{plant:?} was not found in {states} states"));
+#[case::requests_in_flight_ignored(PlantedFault::RequestsInFlightIgnored)]
+#[case::lease_from_response(PlantedFault::LeaseFromResponse)]
+#[case::predecessor_ignored(PlantedFault::PredecessorIgnored)]
+#[case::drained_too_early(PlantedFault::DrainedTooEarly)]
+#[case::list_not_known(PlantedFault::ListNotKnown)]
+#[case::earlier_process_forgotten(PlantedFault::EarlierProcessForgotten)]
+#[case::sends_before_first_lease(PlantedFault::SendsBeforeFirstLease)]
+fn exploration_finds_planted_faults(#[case] planted: PlantedFault) {
+    let (violation, states, _) = explore(planted, STATES * 3);
+    let (violation, way) =
+        violation.unwrap_or_else(|| panic!("{planted:?} was not found in {states} states"));
     println!(
-        "{plant:?}: {broken}, after {} steps, {states} states",
+        "{planted:?}: {violation}, after {} steps, {states} states",
         way.len()
     );
 }
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -108,8 +108,7 @@
 
 const COMMAND_KINDS: usize = 15;
 
-fn commands() -> Vec<Command> {
-    let grant = Identifier(300);
+fn list_commands() -> Vec<Command> {
     let windows = vec![
         Window {
             start_ms: 5,
@@ -161,6 +160,12 @@
                 ..observation()
             },
         },
+    ]
+}
+
+fn machine_commands() -> Vec<Command> {
+    let grant = Identifier(300);
+    vec![
         Command::Grant {
             list: LIST,
             machine: "m1".into(),
@@ -188,6 +193,10 @@
     ]
 }
 
+fn commands() -> Vec<Command> {
+    [list_commands(), machine_commands()].concat()
+}
+
 #[test]
 fn every_kind_of_command_keeps_its_bytes() {
     let commands = commands();
@@ -295,128 +304,110 @@
     other
 }
 
-/// Two lists whose machines stand at every step that there is; the second list waits for its parts.
-fn schedule() -> MaintenanceSchedule {
-    let mut turns = MaintenanceSchedule::default();
-    let mut index = 0;
-    let mut apply = |command: Command| {
-        index += 1;
-        turns
-            .apply(index, &command)
-            .unwrap_or_else(|why| panic!("{command:?}: {why}"));
-        Identifier(index)
-    };
-    apply(Command::SidecarStarted {
-        name: "s1".into(),
-        incarnation: 5,
-    });
-    apply(Command::SidecarStarted {
-        name: "s2".into(),
-        incarnation: 1_700_000_000_123,
-    });
-    let windows = vec![Window {
-        start_ms: 5,
-        end_ms: 1_700_000_000_000,
-    }];
-    apply(Command::CreateList {
-        list: LIST,
-        config: config("kernel", windows),
-        machine_count: 10,
-    });
-    apply(Command::AddMachines {
-        list: LIST,
-        first: 0,
-        machines: (0..4).map(machine).collect(),
-    });
-    apply(Command::AddMachines {
-        list: LIST,
-        first: 4,
-        machines: (4..10).map(machine).collect(),
-    });
-    apply(Command::ListKnown { list: LIST });
-    apply(Command::Observe {
-        at_ms: 1000,
-        summary: FleetSummary {
-            total_capacity: 9.0,
-            ready_capacity: 9.0,
-            ..observation()
-        },
-    });
-    let mut grant = |machine: &str| {
-        apply(Command::Grant {
-            list: LIST,
-            machine: machine.into(),
-        })
-    };
-    let [granted, drained, working, done] = ["m1", "m2", "m3", "m5"].map(&mut grant);
-    for number in [drained, working, done] {
-        apply(Command::Drained { grant: number });
+/// A schedule, and the index of the last command that was applied to it.
+#[derive(Default)]
+struct Log {
+    schedule: MaintenanceSchedule,
+    index: u64,
+}
+
+impl Log {
+    fn apply(&mut self, command: Command) -> Identifier {
+        self.index += 1;
+        self.schedule
+            .apply(self.index, &command)
+            .unwrap_or_else(|error| panic!("{command:?}: {error}"));
+        Identifier(self.index)
     }
-    for number in [working, done] {
-        apply(Command::WorkBegan { grant: number });
+
+    fn start_sidecar(&mut self, name: &str, incarnation: u64) {
+        self.apply(Command::SidecarStarted {
+            name: name.into(),
+            incarnation,
+        });
     }
-    apply(Command::WorkEnded {
-        grant: done,
-        succeeded: true,
-    });
-    apply(Command::Observe {
-        at_ms: 71_001,
-        summary: FleetSummary {
-            total_capacity: 9.0,
-            ready_capacity: 8.0,
-            ..observation()
-        },
-    });
-    apply(Command::Observe {
-        at_ms: 71_003,
-        summary: FleetSummary {
+
+    fn create_list(&mut self, list: Identifier, config: ListConfig, machine_count: u16) {
+        self.apply(Command::CreateList {
+            list,
+            config,
+            machine_count,
+        });
+    }
+
+    fn add_machines(&mut self, list: Identifier, numbers: std::ops::Range<u64>) {
+        self.apply(Command::AddMachines {
+            list,
+            first: numbers.start as u16,
+            machines: numbers.map(machine).collect(),
+        });
+    }
+
+    fn observe(&mut self, at_ms: u64, ready_capacity: f64) {
+        let summary = FleetSummary {
             total_capacity: 9.0,
-            ready_capacity: 8.0,
+            ready_capacity,
             ..observation()
-        },
-    });
-    apply(Command::WarmedUp { grant: done });
-    let mut grant = |machine: &str| {
-        apply(Command::Grant {
+        };
+        self.apply(Command::Observe { at_ms, summary });
+    }
+
+    fn grant(&mut self, machine: &str) -> Identifier {
+        self.apply(Command::Grant {
             list: LIST,
             machine: machine.into(),
         })
-    };
-    let [failed, back] = ["m6", "m7"].map(&mut grant);
-    apply(Command::Drained { grant: failed });
-    apply(Command::WorkEnded {
-        grant: failed,
-        succeeded: false,
-    });
-    apply(Command::Drained { grant: back });
-    apply(Command::WorkEnded {
-        grant: back,
-        succeeded: true,
-    });
-    apply(Command::CreateList {
-        list: Identifier(4),
-        config: config("", Vec::new()),
-        machine_count: 2,
-    });
-    apply(Command::AddMachines {
-        list: Identifier(4),
-        first: 0,
-        machines: vec![machine(0)],
-    });
-    apply(Command::PauseList {
-        list: Identifier(4),
-    });
-    apply(Command::WithdrawList {
-        list: Identifier(4),
-    });
-    assert!(turns
+    }
+
+    fn end_work(&mut self, grant: Identifier, succeeded: bool) {
+        self.apply(Command::WorkEnded { grant, succeeded });
+    }
+}
+
+/// Two lists with machines in every phase; the second list is not complete.
+fn schedule() -> MaintenanceSchedule {
+    let mut log = Log::default();
+    log.start_sidecar("s1", 5);
+    log.start_sidecar("s2", 1_700_000_000_123);
+    let windows = vec![Window {
+        start_ms: 5,
+        end_ms: 1_700_000_000_000,
+    }];
+    log.create_list(LIST, config("kernel", windows), 10);
+    log.add_machines(LIST, 0..4);
+    log.add_machines(LIST, 4..10);
+    log.apply(Command::ListKnown { list: LIST });
+    log.observe(1000, 9.0);
+    let [granted, drained, working, done] = ["m1", "m2", "m3", "m5"].map(|name| log.grant(name));
+    for grant in [drained, working, done] {
+        log.apply(Command::Drained { grant });
+    }
+    for grant in [working, done] {
+        log.apply(Command::WorkBegan { grant });
+    }
+    log.end_work(done, true);
+    log.observe(71_001, 8.0);
+    log.observe(71_003, 8.0);
+    log.apply(Command::WarmedUp { grant: done });
+    let [failed, warming_up] = ["m6", "m7"].map(|name| log.grant(name));
+    log.apply(Command::Drained { grant: failed });
+    log.end_work(failed, false);
+    log.apply(Command::Drained { grant: warming_up });
+    log.end_work(warming_up, true);
+    let list = Identifier(4);
+    log.create_list(list, config("", Vec::new()), 2);
+    log.add_machines(list, 0..1);
+    log.apply(Command::PauseList { list });
+    log.apply(Command::WithdrawList { list });
+    assert!(log
+        .schedule
         .machine_with_grant(granted)
-        .is_some_and(|(_, way)| way.phase == MachinePhase::Granted));
-    turns
+        .is_some_and(|(_, state)| state.phase == MachinePhase::Granted));
+    log.schedule
 }
 
-fn step_number(step: MachinePhase) -> u8 {
-    match step {
+fn phase_number(phase: MachinePhase) -> u8 {
+    match phase {
         MachinePhase::Waiting => 0,
         MachinePhase::Granted => 1,
         MachinePhase::InMaintenance => 2,
@@ -426,19 +417,19 @@
     }
 }
 
-const STEPS: usize = 6;
+const PHASES: usize = 6;
 
 #[test]
 fn the_snapshot_keeps_its_bytes() {
-    let turns = schedule();
-    let ways = || turns.lists().values().flat_map(|list| &list.machines);
-    let steps: BTreeSet<u8> = ways().map(|way| step_number(way.phase)).collect();
-    assert_eq!(steps.len(), STEPS);
-    assert!(ways().any(|way| way.stalled) && ways().any(|way| way.work_began));
+    let schedule = schedule();
+    let machines = || schedule.lists().values().flat_map(|list| &list.machines);
+    let phases: BTreeSet<u8> = machines().map(|state| phase_number(state.phase)).collect();
+    assert_eq!(phases.len(), PHASES);
+    assert!(machines().any(|state| state.stalled) && machines().any(|state| state.work_began));
     let empty = MaintenanceSchedule::default();
-    let written = [("empty", empty.encode()), ("schedule", turns.encode())];
+    let written = [("empty", empty.encode()), ("schedule", schedule.encode())];
     let golden = assert_golden("snapshots.hex", &written);
-    for (bytes, state) in golden.iter().zip([&empty, &turns]) {
+    for (bytes, state) in golden.iter().zip([&empty, &schedule]) {
         assert_eq!(MaintenanceSchedule::decode(bytes).as_ref(), Some(state));
         assert_eq!(
             MaintenanceSchedule::decode(bytes)
