--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -58,8 +58,8 @@
     DIGEST.with(|digest| write(&mut digest.borrow_mut()));
 }
 
-fn refused_code(refused: DatagramError) -> u64 {
-    match refused {
+fn error_code(error: DatagramError) -> u64 {
+    match error {
         DatagramError::Length => 1,
         DatagramError::Version => 2,
         DatagramError::UnknownKey => 3,
@@ -72,8 +72,8 @@
     }
 }
 
-fn standing_code(standing: MemberStatus) -> u64 {
-    match standing {
+fn status_code(status: MemberStatus) -> u64 {
+    match status {
         MemberStatus::Alive => 1,
         MemberStatus::Suspect => 2,
         MemberStatus::Dead => 3,
@@ -111,7 +111,7 @@
 /// A member that now and then publishes state and sends a direct message.
 struct Node {
     number: usize,
-    peers: Membership,
+    membership: Membership,
     rng: WyRand,
     next_action: Duration,
 }
@@ -120,16 +120,16 @@
     fn act(&mut self, now: Duration) {
         let size = self.rng.generate_range(0..300usize);
         let bytes = vec![size as u8; size];
-        let published = self.peers.publish(now, bytes.clone());
+        let published = self.membership.publish(now, bytes.clone());
         let all: Vec<MemberName> = self
-            .peers
+            .membership
             .known_members()
             .map(|member| member.update.name.clone())
             .collect();
         let mut sent = false;
         if !all.is_empty() {
             let to = self.rng.generate_range(0..all.len());
-            sent = self.peers.send_direct(now, &all[to], bytes);
+            sent = self.membership.send_direct(now, &all[to], bytes);
         }
         observe(|digest| {
             digest.number(u64::from(published));
@@ -137,40 +137,40 @@
         });
     }
 
-    fn observe_news(&mut self) {
+    fn observe_events(&mut self) {
         observe(|digest| {
             digest.number(self.number as u64);
-            while let Some(event) = self.peers.take_event() {
+            while let Some(event) = self.membership.take_event() {
                 observe_event(digest, &event);
             }
-            while let Some((from, bytes)) = self.peers.take_direct_message() {
+            while let Some((from, bytes)) = self.membership.take_direct_message() {
                 digest.bytes(from.to_string().as_bytes());
                 digest.bytes(&bytes);
             }
-            digest.time(self.peers.next_deadline());
+            digest.time(self.membership.next_deadline());
         });
     }
 
     fn observe_table(&self, digest: &mut Digest) {
         digest.number(self.number as u64);
-        for member in self.peers.known_members() {
-            let claim = &member.update;
-            digest.bytes(claim.name.to_string().as_bytes());
-            digest.number(claim.started_at_ms);
-            digest.number(u64::from(claim.incarnation));
-            digest.number(standing_code(claim.status));
-            digest.bytes(claim.address.to_string().as_bytes());
+        for member in self.membership.known_members() {
+            let update = &member.update;
+            digest.bytes(update.name.to_string().as_bytes());
+            digest.number(update.started_at_ms);
+            digest.number(u64::from(update.incarnation));
+            digest.number(status_code(update.status));
+            digest.bytes(update.address.to_string().as_bytes());
             digest.time(member.status_since);
-            if let Some((bytes, at)) = self.peers.published_by(&claim.name) {
+            if let Some((bytes, at)) = self.membership.published_by(&update.name) {
                 digest.bytes(bytes);
                 digest.time(at);
             }
         }
-        digest.number(self.peers.active_members().count() as u64);
-        digest.number(u64::from(self.peers.local_health()));
-        digest.number(self.peers.bytes_sent());
-        for (refused, count) in self.peers.rejected_datagrams() {
-            digest.number(refused_code(*refused));
+        digest.number(self.membership.active_members().count() as u64);
+        digest.number(u64::from(self.membership.local_health()));
+        digest.number(self.membership.bytes_sent());
+        for (error, count) in self.membership.rejected_datagrams() {
+            digest.number(error_code(*error));
             digest.number(*count);
         }
     }
@@ -181,23 +181,23 @@
         let seed =
             SEED.with(|seed| *seed.borrow()) << 32 | (number as u64) << 16 | u64::from(start);
         let ahead_ms = (ahead * 1e3) as i64;
-        let terms = Config {
-            name: MemberName::try_from(format!("s{number}")).unwrap(),
+        let config = Config {
+            name: MemberName::try_from(format!("s{number}")).expect("a short name"),
             started_at_ms: (START_MS + now.as_millis() as u64).saturating_add_signed(ahead_ms),
             started_at: now,
             address: address(number),
             seed_addresses: vec![address(0), address(1)],
             keys: vec![key(1), key(2)],
             probe_interval: Duration::from_millis(500),
-            // Some have hardly enough for what they have to say.
+            // Some have hardly enough for their gossip.
             bytes_per_second: if number % 4 == 3 { 2_500 } else { 16_384 },
             seed,
         };
-        let peers = Membership::new(now, terms).unwrap();
+        let membership = Membership::new(now, config).expect("a valid configuration");
         let rng = WyRand::new_seed(seed ^ 0x5eed);
         Self {
             number,
-            peers,
+            membership,
             rng,
             next_action: now + ACTION_INTERVAL,
         }
@@ -205,28 +205,28 @@
 
     fn hear(&mut self, now: Duration, datagram: &[u8]) {
         let code = self
-            .peers
+            .membership
             .receive(now, datagram)
-            .map_or_else(refused_code, |()| 0);
+            .map_or_else(error_code, |()| 0);
         observe(|digest| digest.number(code));
-        self.observe_news();
+        self.observe_events();
     }
 
     fn tick(&mut self, now: Duration) {
-        self.peers.tick(now);
+        self.membership.tick(now);
         if now >= self.next_action {
             self.next_action = now + ACTION_INTERVAL;
             self.act(now);
         }
-        self.observe_news();
+        self.observe_events();
     }
 
     fn next(&self) -> Duration {
-        self.peers.next_deadline().min(self.next_action)
+        self.membership.next_deadline().min(self.next_action)
     }
 
     fn take(&mut self) -> Option<(usize, Vec<u8>)> {
-        let (to, bytes) = self.peers.take_datagram()?;
+        let (to, bytes) = self.membership.take_datagram()?;
         observe(|digest| {
             digest.number(self.number as u64);
             digest.number(u64::from(to.port()));
@@ -236,14 +236,14 @@
     }
 
     fn leave(&mut self, now: Duration) {
-        self.peers.leave(now);
-        self.observe_news();
+        self.membership.leave(now);
+        self.observe_events();
     }
 
     fn keys(&mut self, ids: &[u8]) {
-        self.peers
+        self.membership
             .replace_keys(ids.iter().copied().map(key).collect())
-            .unwrap();
+            .expect("valid keys");
     }
 }
 
@@ -256,11 +256,14 @@
     Who::Part(from, (from + 0.1 + 0.3 * share(rng)).min(1.0))
 }
 
+fn step(at: f64, does: Fault) -> Step {
+    Step { at, does }
+}
+
 /// A fault and, for those that do not last, the step that ends it.
 fn draw_fault(rng: &mut WyRand, at: f64) -> Vec<Step> {
     let who = some_members(rng);
     let end = at + 0.2 + share(rng) * 8.0;
-    let step = |at: f64, does: Fault| Step { at, does };
     match rng.generate_range(0..9u32) {
         0 => vec![
             step(at, Fault::Kill(who.clone())),
@@ -276,59 +279,17 @@
         ],
         3 => {
             let one_way = share(rng) < 0.4;
-            vec![
-                step(
-                    at,
-                    Fault::Cut {
-                        from: who,
-                        to: Who::All,
-                        one_way,
-                    },
-                ),
-                step(end, Fault::Mend),
-            ]
+            partition(at, end, who, Who::All, one_way)
         }
         4 => {
-            let halves = (Who::Part(0.0, 0.5), Who::Part(0.5, 1.0));
-            let cut = Fault::Cut {
-                from: halves.0,
-                to: halves.1,
-                one_way: false,
-            };
-            vec![step(at, cut), step(at + 9.0, Fault::Mend)]
+            let (first, second) = (Who::Part(0.0, 0.5), Who::Part(0.5, 1.0));
+            partition(at, at + 9.0, first, second, false)
         }
         5 => {
             let jitter_ms = 900.0 * share(rng);
-            let line = Line {
-                loss: 0.4,
-                delay_ms: 5.0,
-                jitter_ms,
-                ..Line::default()
-            };
-            vec![step(
-                at,
-                Fault::Change {
-                    from: who,
-                    to: Who::All,
-                    line,
-                },
-            )]
-        }
-        6 => {
-            let line = Line {
-                bytes_per_s: 2_000.0,
-                corrupt: 0.1,
-                ..Line::default()
-            };
-            vec![step(
-                at,
-                Fault::Change {
-                    from: Who::All,
-                    to: who,
-                    line,
-                },
-            )]
+            vec![step(at, lossy_and_late(who, jitter_ms))]
         }
+        6 => vec![step(at, slow_and_corrupting(who))],
         7 => {
             let ids = [vec![2, 1], vec![1, 2], vec![2]][rng.generate_range(0..3usize)].clone();
             vec![step(at, Fault::Keys { who, ids })]
@@ -343,6 +304,38 @@
     }
 }
 
+fn partition(at: f64, end: f64, from: Who, to: Who, one_way: bool) -> Vec<Step> {
+    vec![
+        step(at, Fault::Cut { from, to, one_way }),
+        step(end, Fault::Mend),
+    ]
+}
+
+fn lossy_and_late(from: Who, jitter_ms: f64) -> Fault {
+    Fault::Change {
+        from,
+        to: Who::All,
+        line: Line {
+            loss: 0.4,
+            delay_ms: 5.0,
+            jitter_ms,
+            ..Line::default()
+        },
+    }
+}
+
+fn slow_and_corrupting(to: Who) -> Fault {
+    Fault::Change {
+        from: Who::All,
+        to,
+        line: Line {
+            bytes_per_s: 2_000.0,
+            corrupt: 0.1,
+            ..Line::default()
+        },
+    }
+}
+
 fn drawn_script(seed: u64) -> Script {
     let mut rng = WyRand::new_seed(seed);
     let mut steps = Vec::new();
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -102,11 +102,11 @@
 }
 
 fn member_name(number: usize) -> MemberName {
-    MemberName::try_from(format!("s{number}")).unwrap()
+    MemberName::try_from(format!("s{number}")).expect("a short name")
 }
 
 fn new_member(number: usize) -> Membership {
-    let terms = Config {
+    let config = Config {
         name: member_name(number),
         started_at_ms: START_MS,
         started_at: Duration::ZERO,
@@ -120,7 +120,7 @@
         bytes_per_second: 65_536,
         seed: number as u64 + 1,
     };
-    Membership::new(Duration::ZERO, terms).unwrap()
+    Membership::new(Duration::ZERO, config).expect("a valid configuration")
 }
 
 impl Exchange {
@@ -145,7 +145,9 @@
             any = true;
             let to = usize::from(to.port() - 10_000);
             if let Some(receiver) = &mut self.members[to] {
-                receiver.receive(self.now, &bytes).unwrap();
+                receiver
+                    .receive(self.now, &bytes)
+                    .expect("a datagram of a member");
             }
             self.sent.push(Sent { to, bytes });
         }
@@ -169,17 +171,19 @@
     exchange.run_to(10);
     exchange.members[3] = None;
     let now = exchange.now;
-    let sender = exchange.members[0].as_mut().unwrap();
+    let sender = exchange.members[0].as_mut().expect("member 0 runs");
     assert!(sender.send_direct(now, &member_name(1), DIRECT_PAYLOAD.to_vec()));
     exchange.run_to(60);
     let now = exchange.now;
-    exchange.members[1].as_mut().unwrap().leave(now);
+    let leaving = exchange.members[1].as_mut().expect("member 1 runs");
+    leaving.leave(now);
     exchange.run_to(65);
     exchange.sent
 }
 
 fn read_frame(datagram: &[u8]) -> WireFrame {
-    let (frame, rest) = postcard::take_from_bytes(&datagram[HEADER..]).unwrap();
+    let (frame, rest) =
+        postcard::take_from_bytes(&datagram[HEADER..]).expect("a frame of the described layout");
     assert!(rest.is_empty());
     frame
 }
@@ -233,16 +237,16 @@
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
 fn read_golden() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/datagrams.hex");
     if std::env::var_os("GOLDEN_WRITE").is_some() {
-        std::fs::write(&path, written_today()).unwrap();
+        std::fs::write(&path, written_today()).expect("the golden file can be written");
     }
-    std::fs::read_to_string(path).unwrap()
+    std::fs::read_to_string(path).expect("the golden file can be read")
 }
 
 fn written_today() -> String {
@@ -263,7 +267,11 @@
         let [name, to, hex] = line.split(' ').collect::<Vec<_>>()[..] else {
             panic!("{line}")
         };
-        (name.to_owned(), to.parse().unwrap(), from_hex(hex))
+        (
+            name.to_owned(),
+            to.parse().expect("the number of a member"),
+            from_hex(hex),
+        )
     };
     let datagrams: Vec<_> = text.lines().map(line).collect();
     let names = datagrams.iter().map(|(name, ..)| name.as_str());
@@ -295,8 +303,8 @@
     }
 }
 
-fn status_of(standing: MemberStatus) -> WireStatus {
-    match standing {
+fn status_of(status: MemberStatus) -> WireStatus {
+    match status {
         MemberStatus::Alive => WireStatus::Alive,
         MemberStatus::Suspect => WireStatus::Suspect,
         MemberStatus::Dead => WireStatus::Dead,
@@ -304,21 +312,21 @@
     }
 }
 
-fn assert_holds(receiver: &Membership, update: &WireUpdate, context: &str) {
+fn assert_known(receiver: &Membership, update: &WireUpdate, context: &str) {
     let member = receiver
         .known_members()
         .find(|member| member.update.name.to_string() == update.name);
-    let claim = &member
-        .unwrap_or_else(|| panic!("{context}: {update:?} is not held"))
+    let known = &member
+        .unwrap_or_else(|| panic!("{context}: {update:?} is not known"))
         .update;
-    let held = WireUpdate {
-        name: claim.name.to_string(),
-        start_ms: claim.started_at_ms,
-        incarnation: claim.incarnation,
-        status: status_of(claim.status),
-        address: claim.address,
+    let known = WireUpdate {
+        name: known.name.to_string(),
+        start_ms: known.started_at_ms,
+        incarnation: known.incarnation,
+        status: status_of(known.status),
+        address: known.address,
     };
-    assert_eq!(held, *update, "{context}");
+    assert_eq!(known, *update, "{context}");
 }
 
 /// What a receiver that knows nobody replies to a frame.
@@ -339,7 +347,7 @@
     }
 }
 
-/// A member that has just started takes each datagram of the file in, holds what it says, and
+/// A member that has just started accepts each datagram of the file, applies its updates and
 /// replies to it.
 #[test]
 fn members_read_the_golden_datagrams() {
@@ -350,7 +358,7 @@
         let mut receiver = new_member(to);
         assert_eq!(receiver.receive(now, &datagram), Ok(()), "{name}");
 
-        assert_holds(&receiver, &frame.sender, &name);
+        assert_known(&receiver, &frame.sender, &name);
         let own_name = member_name(to).to_string();
         let mentioned = [own_name.as_str(), frame.sender.name.as_str()];
         for update in frame
@@ -358,7 +366,7 @@
             .iter()
             .filter(|u| !mentioned.contains(&u.name.as_str()))
         {
-            assert_holds(&receiver, update, &name);
+            assert_known(&receiver, update, &name);
         }
         let is_here = |published: &&WirePublished| {
             receiver
