--- a/crates/coordination/src/asks.rs
+++ b/crates/coordination/src/asks.rs
@@ -8,26 +8,26 @@
 //! second at most. Views in c disjoint parts: n / 8 + 2c. Never more than all: what they ask without peers.
 
 use crate::rank;
-use crate::turns::{holds_one_of, TURN};
+use crate::turns::{is_selected, ROTATION_INTERVAL};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// What a sidecar asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Service {
-    List,
+    EndpointList,
     Installer,
 }
 
-const ALL: [Service; 2] = [Service::List, Service::Installer];
+const ALL: [Service; 2] = [Service::EndpointList, Service::Installer];
 /// Members that ask at one time, of those that hold the service lost.
-pub const ASKERS: usize = 2;
+pub const CONCURRENT_POLLERS: usize = 2;
 /// Whoever's turn it is, each asks so long after its last try: a cap that was lowered must not wait for gossip.
 /// All at a time of their own from `SOONEST` of it on: they may have lost it at one moment.
-pub const LATEST: Duration = Duration::from_secs(10);
+pub const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 const SOONEST: f64 = 0.6;
 /// Once one has found it, the others ask within this.
-pub const SPREAD: Duration = Duration::from_secs(1);
+pub const RECOVERY_SPREAD: Duration = Duration::from_secs(1);
 
 impl Service {
     pub fn bit(self) -> u8 {
@@ -49,9 +49,9 @@
 }
 
 #[derive(Default)]
-pub struct Asks(BTreeMap<Service, Lost>);
+pub struct PollSchedule(BTreeMap<Service, Lost>);
 
-impl Asks {
+impl PollSchedule {
     pub fn failed(&mut self, now: Duration, service: Service) {
         let since = self.0.get(&service).map_or(now, |lost| lost.since);
         self.0.insert(
@@ -97,9 +97,9 @@
         };
         let part = |of: u64| rank(own, of) as f64 / u64::MAX as f64;
         let own_part = SOONEST + (1.0 - SOONEST) * part(lost.tried.as_nanos() as u64);
-        let latest = lost.tried + LATEST.mul_f64(own_part);
+        let latest = lost.tried + MAX_POLL_INTERVAL.mul_f64(own_part);
         if let Some(found) = lost.found {
-            return (found + SPREAD.mul_f64(part(service.topic())))
+            return (found + RECOVERY_SPREAD.mul_f64(part(service.topic())))
                 .min(latest)
                 .max(now);
         }
@@ -107,14 +107,15 @@
             return now;
         }
         let ago = now.saturating_sub(lost.since);
-        let turn =
-            |at: Duration| (at.saturating_sub(lost.since).as_nanos() / TURN.as_nanos()) as u32;
+        let turn = |at: Duration| {
+            (at.saturating_sub(lost.since).as_nanos() / ROTATION_INTERVAL.as_nanos()) as u32
+        };
         let members = lost.losers.iter().copied().chain([own]);
         // Once a turn.
         let tried = turn(lost.tried) == turn(now);
-        if !tried && holds_one_of(ASKERS, service.topic(), own, members, ago) {
+        if !tried && is_selected(CONCURRENT_POLLERS, service.topic(), own, members, ago) {
             return now;
         }
-        (lost.since + TURN * (turn(now) + 1)).min(latest)
+        (lost.since + ROTATION_INTERVAL * (turn(now) + 1)).min(latest)
     }
 }
--- a/crates/coordination/src/health.rs
+++ b/crates/coordination/src/health.rs
@@ -1,20 +1,20 @@
 //! What a member holds its pods to be, by its own outcomes: what it hints to others.
 
-use crate::says::Hint;
+use crate::says::OutlierHint;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// How a forward ended, as far as it tells of the pod. Errors tell of builds, and are not told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sign {
+pub enum OutlierObservation {
     /// In so many seconds, of whatever path group: times are compared with the mean of all pods.
     Answered(f64),
     /// Reset, or silent until its time was out.
-    Unanswered,
-    Unreached,
-    TurnedAway,
+    NoResponse,
+    ConnectFailed,
+    Rejected,
     /// Called off after so many seconds, as a copy of it was answered first or its client went.
-    CalledOff(f64),
+    Cancelled(f64),
 }
 
 /// Unanswered hits in a row that make a pod shut, and hits turned away that make it full.
@@ -49,11 +49,11 @@
 }
 
 impl Health {
-    pub fn note(&mut self, now: Duration, pod: u64, sign: Sign) {
+    pub fn note(&mut self, now: Duration, pod: u64, sign: OutlierObservation) {
         let seen = self.pods.entry(pod).or_default();
         seen.last = now;
         match sign {
-            Sign::Answered(took) => {
+            OutlierObservation::Answered(took) => {
                 (seen.row, seen.away, seen.answered) = (0, 0, Some(now));
                 seen.opened = if seen.shut { Some(now) } else { seen.opened };
                 seen.shut = false;
@@ -61,14 +61,14 @@
                 seen.pace += (took - seen.pace) / f64::from(seen.of);
                 self.pace += (took - self.pace) / 50.0;
             }
-            Sign::Unreached => seen.shut = true,
+            OutlierObservation::ConnectFailed => seen.shut = true,
             // Where copies are sent to others a silent pod's forwards end so, not by their time.
-            Sign::CalledOff(took) if took <= LONG * self.pace => {}
-            Sign::Unanswered | Sign::CalledOff(_) => {
+            OutlierObservation::Cancelled(took) if took <= LONG * self.pace => {}
+            OutlierObservation::NoResponse | OutlierObservation::Cancelled(_) => {
                 seen.row += 1;
                 seen.shut |= seen.row >= ROW;
             }
-            Sign::TurnedAway => seen.away += 1,
+            OutlierObservation::Rejected => seen.away += 1,
         }
     }
 
@@ -82,13 +82,13 @@
         self.pods.get(&pod).is_some_and(lately)
     }
 
-    pub fn hints(&self, now: Duration) -> Vec<(u64, Hint)> {
+    pub fn hints(&self, now: Duration) -> Vec<(u64, OutlierHint)> {
         let slow = |seen: &Seen| seen.of >= SLOW_OVER && seen.pace > SLOW * self.pace.max(0.01);
         let hint = |seen: &Seen| match () {
-            _ if seen.shut => Some(Hint::Shut),
-            _ if seen.away >= ROW => Some(Hint::Full),
-            _ if seen.opened.is_some_and(|at| now < at + FRESH) => Some(Hint::Open),
-            _ if slow(seen) => Some(Hint::Slow),
+            _ if seen.shut => Some(OutlierHint::Ejected),
+            _ if seen.away >= ROW => Some(OutlierHint::Overloaded),
+            _ if seen.opened.is_some_and(|at| now < at + FRESH) => Some(OutlierHint::Recovered),
+            _ if slow(seen) => Some(OutlierHint::Slow),
             _ => None,
         };
         self.pods
--- a/crates/coordination/src/hints.rs
+++ b/crates/coordination/src/hints.rs
@@ -1,6 +1,6 @@
 //! What of others' hints counts: only what several members of several zones say, of few pods, and not for long.
 
-use crate::says::Hint;
+use crate::says::OutlierHint;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 
 /// What one of the others says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct PeerReport {
     pub member: u64,
     pub zone: u16,
     /// When it was heard.
-    pub at: Duration,
-    pub hints: Vec<(u64, Hint)>,
+    pub received_at: Duration,
+    pub hints: Vec<(u64, OutlierHint)>,
     /// Services it holds lost.
-    pub lost: u8,
+    pub lost_services: u8,
 }
 
 /// Pods that are doubted, and as what.
@@ -29,26 +29,31 @@
 /// Guards against each of hundreds learning by hits of its own that a pod is gone. Hurts when a zone's members are cut off
 /// from a pod that is sound for others, hence several zones; a member that hints at many pods is not believed at all,
 /// and if many pods would be doubted none is: that is the fleet's trouble, not theirs.
-pub fn doubted(said: &[Said], pods: &[u64], now: Duration) -> BTreeMap<u64, Hint> {
+pub fn find_outliers(
+    said: &[PeerReport],
+    pods: &[u64],
+    now: Duration,
+) -> BTreeMap<u64, OutlierHint> {
     let most = ((pods.len() as f64 * PART) as usize).max(FEW);
     let (sayers, zones) = (
         SAYERS.min(said.len()).max(2),
         said.iter().map(|s| s.zone).collect::<BTreeSet<_>>(),
     );
     let zones = zones.len().min(2);
-    let bad = |hint: &Hint| *hint != Hint::Open;
-    let credible =
-        |s: &&Said| now < s.at + LIFE && s.hints.iter().filter(|(_, h)| bad(h)).count() <= most;
+    let bad = |hint: &OutlierHint| *hint != OutlierHint::Recovered;
+    let credible = |s: &&PeerReport| {
+        now < s.received_at + LIFE && s.hints.iter().filter(|(_, h)| bad(h)).count() <= most
+    };
     let mut by: BTreeMap<u64, (usize, BTreeSet<u16>, bool, usize)> = BTreeMap::new();
     for one in said.iter().filter(credible) {
         // Once a pod, whatever it says.
-        let once: BTreeMap<u64, Hint> = one.hints.iter().copied().collect();
+        let once: BTreeMap<u64, OutlierHint> = one.hints.iter().copied().collect();
         for (pod, hint) in once {
             let (count, from, open, shut) = by.entry(pod).or_default();
-            *open |= hint == Hint::Open;
+            *open |= hint == OutlierHint::Recovered;
             if bad(&hint) {
                 *count += 1;
-                *shut += usize::from(hint == Hint::Shut);
+                *shut += usize::from(hint == OutlierHint::Ejected);
                 from.insert(one.zone);
             }
         }
@@ -59,13 +64,13 @@
         holds.then_some((
             pod,
             if shut * 2 >= count {
-                Hint::Shut
+                OutlierHint::Ejected
             } else {
-                Hint::Slow
+                OutlierHint::Slow
             },
         ))
     };
-    let doubted: BTreeMap<u64, Hint> = by.into_iter().filter_map(enough).collect();
+    let doubted: BTreeMap<u64, OutlierHint> = by.into_iter().filter_map(enough).collect();
     if doubted.len() > most {
         BTreeMap::new()
     } else {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -27,16 +27,16 @@
 mod subsets;
 mod turns;
 
-pub use asks::{Service, ASKERS, LATEST, SPREAD};
-pub use choices::{Choices, View};
-pub use health::Sign;
-pub use hints::{doubted, Said};
-pub use says::{Hint, Says, Unreadable, MOST_HINTS};
-pub use subsets::{order, share_out, Member, Pod};
-pub use turns::{holds, holds_one_of, PROVERS, TURN};
+pub use asks::{Service, CONCURRENT_POLLERS, MAX_POLL_INTERVAL, RECOVERY_SPREAD};
+pub use choices::{Coordinator, FleetView};
+pub use health::OutlierObservation;
+pub use hints::{find_outliers, PeerReport};
+pub use says::{LoadReport, LoadReportError, OutlierHint, MAX_HINTS};
+pub use subsets::{assign_subsets, preference_order, Member, Pod};
+pub use turns::{is_prober, is_selected, CONCURRENT_PROBERS, ROTATION_INTERVAL};
 
 /// A key that is the same at every sidecar and in every version, of a member's name or a pod's address (FNV-1a, mixed).
-pub fn key(name: &str) -> u64 {
+pub fn stable_key(name: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     mixed(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
--- a/crates/coordination/src/subsets.rs
+++ b/crates/coordination/src/subsets.rs
@@ -23,14 +23,14 @@
 pub struct Member {
     pub key: u64,
     pub zone: u16,
-    pub traffic: f64,
+    pub request_rate: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pod {
     pub key: u64,
     pub zone: u16,
-    pub strength: f64,
+    pub capacity: f64,
 }
 
 fn score(member: &Member, pod: &Pod) -> f64 {
@@ -40,7 +40,7 @@
 }
 
 /// The places of all pods in a member's own order, the one it would use first at the front.
-pub fn order(member: &Member, pods: &[Pod]) -> Vec<usize> {
+pub fn preference_order(member: &Member, pods: &[Pod]) -> Vec<usize> {
     let mut scored: Vec<(f64, u64, usize)> = pods
         .iter()
         .enumerate()
@@ -57,11 +57,11 @@
 /// The places of the pods that each member uses, in its own order. A member uses the more pods the more traffic it has,
 /// so that each brings a pod about as much; it takes the first of its order that have room for that. Among its pods a
 /// member spreads its hits by strength: so loads are counted by strength, and the strong are not drawn more often.
-pub fn share_out(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
-    let traffic = |member: &Member| member.traffic.max(1e-6);
+pub fn assign_subsets(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
+    let traffic = |member: &Member| member.request_rate.max(1e-6);
     let (whole, strength) = (
         members.iter().map(traffic).sum::<f64>(),
-        pods.iter().map(|p| p.strength.max(1e-6)).sum::<f64>(),
+        pods.iter().map(|p| p.capacity.max(1e-6)).sum::<f64>(),
     );
     if members.is_empty() || pods.is_empty() {
         return vec![Vec::new(); members.len()];
@@ -87,7 +87,7 @@
     let mut shares = vec![Vec::new(); members.len()];
     for place in turns {
         let (member, brings) = (&members[place], brings(place));
-        let order = order(member, pods);
+        let order = preference_order(member, pods);
         let fits = |pod: &usize| loads[*pod] + brings <= room;
         let (room_for_it, mut rest): (Vec<usize>, Vec<usize>) = order.into_iter().partition(fits);
         rest.sort_by(|a, b| loads[*a].total_cmp(&loads[*b]));
@@ -98,7 +98,7 @@
                 break;
             }
             share.push(pod);
-            has += pods[pod].strength.max(1e-6);
+            has += pods[pod].capacity.max(1e-6);
         }
         share.iter().for_each(|pod| loads[*pod] += brings);
         shares[place] = share;
--- a/crates/coordination/src/turns.rs
+++ b/crates/coordination/src/turns.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 /// Members that have a turn at one time, and for how long.
-pub const PROVERS: usize = 2;
-pub const TURN: Duration = Duration::from_secs(1);
+pub const CONCURRENT_PROBERS: usize = 2;
+pub const ROTATION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Whether `own`, one of the members, has the turn of a topic that began so long ago.
-pub fn holds(topic: u64, own: u64, members: impl Iterator<Item = u64>, ago: Duration) -> bool {
-    holds_one_of(PROVERS, topic, own, members, ago)
+pub fn is_prober(topic: u64, own: u64, members: impl Iterator<Item = u64>, ago: Duration) -> bool {
+    is_selected(CONCURRENT_PROBERS, topic, own, members, ago)
 }
 
 /// The same with another number of members that have a turn at one time.
-pub fn holds_one_of(
+pub fn is_selected(
     many: usize,
     topic: u64,
     own: u64,
@@ -32,7 +32,7 @@
         before += usize::from(place(member) < place(own));
     }
     let all = all.max(1);
-    let nth = (ago.as_nanos() / TURN.as_nanos()) as usize;
+    let nth = (ago.as_nanos() / ROTATION_INTERVAL.as_nanos()) as usize;
     let first = (nth % all) * many % all;
     (before + all - first) % all < many
 }
--- a/crates/coordination/tests/asks.rs
+++ b/crates/coordination/tests/asks.rs
@@ -1,6 +1,8 @@
 //! A service that is lost to many: how often they ask it, and how soon all have it again.
 
-use limewing_coordination::{key, Choices, Pod, Says, Service, LATEST, SPREAD};
+use limewing_coordination::{
+    stable_key, Coordinator, LoadReport, Pod, Service, MAX_POLL_INTERVAL, RECOVERY_SPREAD,
+};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -10,9 +12,9 @@
 
 /// Members that each try a service, wait a second or two, and ask whether they may try it again.
 struct Members {
-    all: Vec<(u64, Choices)>,
+    all: Vec<(u64, Coordinator)>,
     due: Vec<Option<Duration>>,
-    said: Vec<Option<(Says, Duration)>>,
+    said: Vec<Option<(LoadReport, Duration)>>,
     asks: Vec<Duration>,
     has: Vec<Option<Duration>>,
 }
@@ -28,15 +30,15 @@
     back: Duration,
     until: Duration,
 ) -> Members {
-    let own = |n: usize| key(&format!("s{n}"));
+    let own = |n: usize| stable_key(&format!("s{n}"));
     let pods = vec![Pod {
         key: 1,
         zone: 0,
-        strength: 1.0,
+        capacity: 1.0,
     }];
     let choices = |n| {
-        let mut choices = Choices::new(Duration::ZERO, own(n), (n % 3) as u16);
-        choices.pods(pods.clone());
+        let mut choices = Coordinator::new(Duration::ZERO, own(n), (n % 3) as u16);
+        choices.set_pods(pods.clone());
         (own(n), choices)
     };
     let mut world = Members {
@@ -49,7 +51,7 @@
         has: vec![None; members],
     };
     let mut now = Duration::ZERO;
-    let mut on_the_way: Vec<(Duration, usize, Says)> = Vec::new();
+    let mut on_the_way: Vec<(Duration, usize, LoadReport)> = Vec::new();
     while now < until {
         let (arrived, later) = on_the_way.into_iter().partition(|(at, ..)| *at <= now);
         on_the_way = later;
@@ -57,34 +59,36 @@
             world.said[who] = Some((says, now));
         }
         for n in 0..members {
-            if now < world.all[n].1.next() {
+            if now < world.all[n].1.next_deadline() {
                 continue;
             }
-            if let Some(says) = world.all[n].1.says(now).filter(|_| heard) {
+            if let Some(says) = world.all[n].1.take_report(now).filter(|_| heard) {
                 on_the_way.push((now + gossip, n, says));
             }
             let others: Vec<_> = (0..members)
                 .filter(|other| *other != n && other % parts == n % parts)
                 .map(|other| (own(other), world.said[other].clone()))
                 .collect();
-            world.all[n].1.others(others.into_iter());
-            let _ = world.all[n].1.view(now);
+            world.all[n].1.set_peers(others.into_iter());
+            let _ = world.all[n].1.take_view(now);
         }
         for n in 0..members {
             let Some(_) = world.due[n].filter(|due| *due <= now) else {
                 continue;
             };
-            let at = world.all[n].1.may_ask(now, Service::List);
+            let at = world.all[n].1.next_poll(now, Service::EndpointList);
             if at > now {
                 world.due[n] = Some(at);
                 continue;
             }
             world.asks.push(now);
             if now < back {
-                world.all[n].1.ask_failed(now, Service::List);
+                world.all[n]
+                    .1
+                    .record_poll_failure(now, Service::EndpointList);
                 world.due[n] = Some(now + s(0.3) + s(0.7) * (n as u32 * 7 % 10) / 10);
             } else {
-                world.all[n].1.ask_answered(Service::List);
+                world.all[n].1.record_poll_success(Service::EndpointList);
                 (world.due[n], world.has[n]) = (None, Some(now));
             }
         }
@@ -127,7 +131,10 @@
         a_second <= most && a_second <= alone,
         "{a_second} a second, alone {alone}"
     );
-    assert!(took <= TURNS + s(2.0) * 2 + SPREAD + s(1.0), "{took:?}");
+    assert!(
+        took <= TURNS + s(2.0) * 2 + RECOVERY_SPREAD + s(1.0),
+        "{took:?}"
+    );
     // No crowd, while it is gone nor when it comes up.
     let crowd = (100..400)
         .map(|n| world.asks(n as f64 / 10.0, (n + 1) as f64 / 10.0))
@@ -141,32 +148,32 @@
 /// Nobody waits for longer than that for the others, whatever they say: they say that it is lost and never that it is back.
 #[test]
 fn others_that_go_on_saying_it_is_lost_hold_nobody_up_for_long() {
-    let mut choices = Choices::new(Duration::ZERO, key("own"), 0);
-    choices.pods(vec![Pod {
+    let mut choices = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
+    choices.set_pods(vec![Pod {
         key: 1,
         zone: 0,
-        strength: 1.0,
+        capacity: 1.0,
     }]);
-    let lost = Says {
+    let lost = LoadReport {
         zone: 1,
-        traffic: 4,
+        rate_exponent: 4,
         hints: Vec::new(),
-        lost: Service::List.bit(),
+        lost_services: Service::EndpointList.bit(),
     };
-    choices.ask_failed(s(1.0), Service::List);
+    choices.record_poll_failure(s(1.0), Service::EndpointList);
     let (mut now, mut asked) = (s(1.0), Vec::new());
     while now < s(60.0) {
-        choices.others((0..200).map(|n| (n, Some((lost.clone(), now)))));
-        let _ = choices.view(now);
-        if choices.may_ask(now, Service::List) <= now {
+        choices.set_peers((0..200).map(|n| (n, Some((lost.clone(), now)))));
+        let _ = choices.take_view(now);
+        if choices.next_poll(now, Service::EndpointList) <= now {
             asked.push(now);
-            choices.ask_failed(now, Service::List);
+            choices.record_poll_failure(now, Service::EndpointList);
         }
         now += s(0.5);
     }
     let gaps: Vec<Duration> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(
-        asked.len() >= 6 && gaps.iter().all(|gap| *gap <= LATEST + s(0.5)),
+        asked.len() >= 6 && gaps.iter().all(|gap| *gap <= MAX_POLL_INTERVAL + s(0.5)),
         "{asked:?}"
     );
 }
@@ -176,22 +183,22 @@
 #[case::nobody_else(0, 0.0)]
 #[case::said_long_ago(200, 30.0)]
 fn alone_it_asks_at_once(#[case] others: u64, #[case] ago: f64) {
-    let mut choices = Choices::new(Duration::ZERO, key("own"), 0);
-    choices.pods(vec![Pod {
+    let mut choices = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
+    choices.set_pods(vec![Pod {
         key: 1,
         zone: 0,
-        strength: 1.0,
+        capacity: 1.0,
     }]);
-    assert_eq!(choices.may_ask(s(50.0), Service::Installer), s(50.0));
-    choices.ask_failed(s(50.0), Service::Installer);
-    let lost = Says {
+    assert_eq!(choices.next_poll(s(50.0), Service::Installer), s(50.0));
+    choices.record_poll_failure(s(50.0), Service::Installer);
+    let lost = LoadReport {
         zone: 1,
-        traffic: 4,
+        rate_exponent: 4,
         hints: Vec::new(),
-        lost: Service::Installer.bit(),
+        lost_services: Service::Installer.bit(),
     };
-    choices.others((0..others).map(|n| (n, Some((lost.clone(), s(50.0) - s(ago))))));
-    let _ = choices.view(s(50.5));
-    assert_eq!(choices.may_ask(s(50.5), Service::Installer), s(50.5));
-    assert_eq!(choices.may_ask(s(50.5), Service::List), s(50.5));
+    choices.set_peers((0..others).map(|n| (n, Some((lost.clone(), s(50.0) - s(ago))))));
+    let _ = choices.take_view(s(50.5));
+    assert_eq!(choices.next_poll(s(50.5), Service::Installer), s(50.5));
+    assert_eq!(choices.next_poll(s(50.5), Service::EndpointList), s(50.5));
 }
--- a/crates/coordination/tests/digest.rs
+++ b/crates/coordination/tests/digest.rs
@@ -5,8 +5,9 @@
 mod helpers;
 
 use limewing_coordination::{
-    doubted, holds, holds_one_of, key, order, share_out, Choices, Hint, Member, Pod, Said, Says,
-    Service, Sign, View, TURN,
+    assign_subsets, find_outliers, is_prober, is_selected, preference_order, stable_key,
+    Coordinator, FleetView, LoadReport, Member, OutlierHint, OutlierObservation, PeerReport, Pod,
+    Service, ROTATION_INTERVAL,
 };
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +20,7 @@
 const END: Duration = Duration::from_secs(60);
 const FAULT_INTERVAL: Duration = Duration::from_millis(1500);
 const LOSS: f64 = 0.1;
-const SERVICES: [Service; 2] = [Service::List, Service::Installer];
+const SERVICES: [Service; 2] = [Service::EndpointList, Service::Installer];
 
 /// 64-bit FNV-1a.
 struct Digest(u64);
@@ -47,14 +48,14 @@
         self.number(time.as_nanos() as u64);
     }
 
-    fn view(&mut self, view: Option<&View>) {
+    fn view(&mut self, view: Option<&FleetView>) {
         let Some(view) = view else {
             return self.number(0);
         };
         self.number(1);
-        self.numbers(view.order.iter().copied());
-        self.number(view.uses as u64);
-        self.numbers(view.held.iter().copied());
+        self.numbers(view.preference.iter().copied());
+        self.number(view.min_endpoints as u64);
+        self.numbers(view.probed_by_peers.iter().copied());
     }
 
     fn raw(&mut self, bytes: &[u8]) {
@@ -99,10 +100,10 @@
 
 struct Sidecar {
     key: u64,
-    choices: Choices,
-    view: Option<View>,
+    choices: Coordinator,
+    view: Option<FleetView>,
     /// What it heard of each other one, by number.
-    heard: BTreeMap<usize, (Says, Duration)>,
+    heard: BTreeMap<usize, (LoadReport, Duration)>,
     /// When it polls each service next, if that is lost to it.
     polls: [Option<Duration>; 2],
     requests_a_step: usize,
@@ -112,7 +113,7 @@
     arrives: Duration,
     from: usize,
     to: usize,
-    report: Says,
+    report: LoadReport,
 }
 
 struct Simulation<'a> {
@@ -131,9 +132,9 @@
 }
 
 fn new_sidecar(number: usize, now: Duration, pods: &[Pod]) -> Sidecar {
-    let key = key(&format!("s{number}"));
-    let mut choices = Choices::new(now, key, number as u16 % ZONES);
-    choices.pods(pods.to_vec());
+    let key = stable_key(&format!("s{number}"));
+    let mut choices = Coordinator::new(now, key, number as u16 % ZONES);
+    choices.set_pods(pods.to_vec());
     Sidecar {
         key,
         choices,
@@ -231,18 +232,18 @@
         match self.random.below(3) {
             0 if self.pods.len() > 4 => drop(self.pods.remove(place)),
             1 => {
-                let key = key(&format!("new{}", self.random.below(1000)));
+                let key = stable_key(&format!("new{}", self.random.below(1000)));
                 let zone = self.random.below(usize::from(ZONES)) as u16;
                 self.pods.push(Pod {
                     key,
                     zone,
-                    strength: 0.5,
+                    capacity: 0.5,
                 });
             }
-            _ => self.pods[place].strength = 0.25 + self.random.share() * 2.0,
+            _ => self.pods[place].capacity = 0.25 + self.random.share() * 2.0,
         }
         for sidecar in &mut self.sidecars {
-            sidecar.choices.pods(self.pods.clone());
+            sidecar.choices.set_pods(self.pods.clone());
         }
     }
 
@@ -278,7 +279,7 @@
         for service in 0..SERVICES.len() {
             self.poll(number, service);
         }
-        if self.now >= self.sidecars[number].choices.next() {
+        if self.now >= self.sidecars[number].choices.next_deadline() {
             self.report(number);
             self.look(number);
         }
@@ -287,25 +288,25 @@
     fn request(&mut self, number: usize) {
         let pods = self.sidecars[number].view.as_ref().map_or_else(
             || self.pods.iter().map(|pod| pod.key).collect(),
-            |view| view.order[..view.uses].to_vec(),
+            |view| view.preference[..view.min_endpoints].to_vec(),
         );
         let pod = pods[self.random.below(pods.len())];
         let sign = self.draw_sign(pod);
         let choices = &mut self.sidecars[number].choices;
-        choices.took();
-        choices.ended(self.now, pod, sign);
+        choices.record_request();
+        choices.record_outcome(self.now, pod, sign);
     }
 
-    fn draw_sign(&mut self, pod: u64) -> Sign {
+    fn draw_sign(&mut self, pod: u64) -> OutlierObservation {
         let share = self.random.share();
         match self.pod_faults.get(&pod) {
-            Some(PodFault::Unreachable) => Sign::Unreached,
-            Some(PodFault::Silent) if share < 0.5 => Sign::Unanswered,
-            Some(PodFault::Silent) => Sign::CalledOff(2.0 * share),
-            Some(PodFault::Slow) => Sign::Answered(1.0 + share),
-            Some(PodFault::Full) if share < 0.7 => Sign::TurnedAway,
-            _ if share < 0.03 => Sign::CalledOff(0.02),
-            _ => Sign::Answered(0.02 + 0.05 * share),
+            Some(PodFault::Unreachable) => OutlierObservation::ConnectFailed,
+            Some(PodFault::Silent) if share < 0.5 => OutlierObservation::NoResponse,
+            Some(PodFault::Silent) => OutlierObservation::Cancelled(2.0 * share),
+            Some(PodFault::Slow) => OutlierObservation::Answered(1.0 + share),
+            Some(PodFault::Full) if share < 0.7 => OutlierObservation::Rejected,
+            _ if share < 0.03 => OutlierObservation::Cancelled(0.02),
+            _ => OutlierObservation::Answered(0.02 + 0.05 * share),
         }
     }
 
@@ -314,7 +315,7 @@
         if sidecar.polls[service].is_none_or(|due| due > self.now) {
             return;
         }
-        let allowed = sidecar.choices.may_ask(self.now, SERVICES[service]);
+        let allowed = sidecar.choices.next_poll(self.now, SERVICES[service]);
         self.digest.time(allowed);
         if allowed > self.now {
             sidecar.polls[service] = Some(allowed);
@@ -322,22 +323,24 @@
         }
         self.digest.number(number as u64);
         if self.service_up[service] {
-            sidecar.choices.ask_answered(SERVICES[service]);
+            sidecar.choices.record_poll_success(SERVICES[service]);
             sidecar.polls[service] = None;
         } else {
-            sidecar.choices.ask_failed(self.now, SERVICES[service]);
+            sidecar
+                .choices
+                .record_poll_failure(self.now, SERVICES[service]);
             let wait = Duration::from_secs_f64(0.3 + self.random.share());
             sidecar.polls[service] = Some(self.now + wait);
         }
     }
 
     fn report(&mut self, number: usize) {
-        let Some(report) = self.sidecars[number].choices.says(self.now) else {
+        let Some(report) = self.sidecars[number].choices.take_report(self.now) else {
             return;
         };
         self.digest.number(number as u64);
         self.digest.time(self.now);
-        self.digest.bytes(&report.write());
+        self.digest.bytes(&report.encode());
         for to in 0..MEMBERS {
             let cut = self.parts[to] != self.parts[number];
             if to == number || cut || self.random.chance(LOSS) {
@@ -360,27 +363,31 @@
             *other != number && !absent && self.parts[*other] == self.parts[number]
         });
         let heard = &self.sidecars[number].heard;
-        let others: Vec<(u64, Option<(Says, Duration)>)> = present
+        let others: Vec<(u64, Option<(LoadReport, Duration)>)> = present
             .map(|other| (self.sidecars[other].key, heard.get(&other).cloned()))
             .collect();
         let sidecar = &mut self.sidecars[number];
-        sidecar.choices.others(others.into_iter());
-        if let Some(view) = sidecar.choices.view(self.now) {
+        sidecar.choices.set_peers(others.into_iter());
+        if let Some(view) = sidecar.choices.take_view(self.now) {
             self.digest.number(number as u64);
             self.digest.time(self.now);
             self.digest.view(view.as_ref());
             sidecar.view = view;
         }
-        self.digest.time(sidecar.choices.next());
+        self.digest.time(sidecar.choices.next_deadline());
     }
 }
 
 fn observe_shares(digest: &mut Digest, members: &[Member], pods: &[Pod]) {
-    for share in share_out(members, pods) {
+    for share in assign_subsets(members, pods) {
         digest.numbers(share.into_iter().map(|place| place as u64));
     }
     for member in members {
-        digest.numbers(order(member, pods).into_iter().map(|place| place as u64));
+        digest.numbers(
+            preference_order(member, pods)
+                .into_iter()
+                .map(|place| place as u64),
+        );
     }
 }
 
@@ -389,21 +396,26 @@
     for topic in 0..5 {
         for member in members {
             for ago in 0..6 {
-                let ago = TURN * ago + Duration::from_millis(topic * 210);
-                digest.number(u64::from(holds(topic, member.key, keys(), ago)));
-                digest.number(u64::from(holds_one_of(3, topic, member.key, keys(), ago)));
+                let ago = ROTATION_INTERVAL * ago + Duration::from_millis(topic * 210);
+                digest.number(u64::from(is_prober(topic, member.key, keys(), ago)));
+                digest.number(u64::from(is_selected(3, topic, member.key, keys(), ago)));
             }
         }
     }
 }
 
 fn observe_doubts(digest: &mut Digest, random: &mut Random, members: &[Member], pods: &[Pod]) {
-    let hints = [Hint::Shut, Hint::Slow, Hint::Full, Hint::Open];
+    let hints = [
+        OutlierHint::Ejected,
+        OutlierHint::Slow,
+        OutlierHint::Overloaded,
+        OutlierHint::Recovered,
+    ];
     let keys: Vec<u64> = pods.iter().map(|pod| pod.key).collect();
     for _ in 0..20 {
         // A few suspects, so that several accuse the same.
         let suspects = keys.len().min(3);
-        let said: Vec<Said> = members
+        let said: Vec<PeerReport> = members
             .iter()
             .map(|member| {
                 let many = random.below(4);
@@ -411,16 +423,16 @@
                     .map(|_| (keys[random.below(suspects)], hints[random.below(8).min(3)]))
                     .collect();
                 let at = Duration::from_secs(random.below(15) as u64);
-                Said {
+                PeerReport {
                     member: member.key,
                     zone: member.zone,
-                    at,
+                    received_at: at,
                     hints,
-                    lost: 0,
+                    lost_services: 0,
                 }
             })
             .collect();
-        let found = doubted(&said, &keys, Duration::from_secs(15));
+        let found = find_outliers(&said, &keys, Duration::from_secs(15));
         digest.number(found.len() as u64);
         for (pod, hint) in found {
             digest.number(pod);
--- a/crates/coordination/tests/explore.rs
+++ b/crates/coordination/tests/explore.rs
@@ -1,7 +1,7 @@
 //! A bounded model check of turns: three members, one topic; every order of crashes, of views that are late or wrong, and of
 //! hearing late of the topic. A planted fault of each kind is found.
 
-use limewing_coordination::{holds_one_of, share_out, Member, Pod, TURN};
+use limewing_coordination::{assign_subsets, is_selected, Member, Pod, ROTATION_INTERVAL};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
@@ -22,12 +22,12 @@
 type Rule = fn(u64, u64, &[u64], u8) -> bool;
 
 fn sound(topic: u64, own: u64, members: &[u64], ago: u8) -> bool {
-    holds_one_of(
+    is_selected(
         1,
         topic,
         own,
         members.iter().copied(),
-        TURN * u32::from(ago),
+        ROTATION_INTERVAL * u32::from(ago),
     )
 }
 
@@ -175,8 +175,8 @@
                 let view = (0..n)
                     .filter(|other| part(*other) == part(*m))
                     .map(|other| keys[other]);
-                let ago = TURN * (tick + 1 - late(*m) as u32);
-                alive(*m) && holds_one_of(PROVERS, 7, keys[*m], view, ago)
+                let ago = ROTATION_INTERVAL * (tick + 1 - late(*m) as u32);
+                alive(*m) && is_selected(PROVERS, 7, keys[*m], view, ago)
             };
             (0..n).filter(holds).count()
         };
@@ -203,7 +203,7 @@
         .map(|key| Pod {
             key,
             zone: 0,
-            strength: 1.0,
+            capacity: 1.0,
         })
         .collect();
     // The first has five times the others' traffic; it is told, or not yet.
@@ -219,12 +219,12 @@
                 let member = |m: usize| Member {
                     key: 11 * (m as u64 + 1),
                     zone: 0,
-                    traffic: traffic(m, told || m == own),
+                    request_rate: traffic(m, told || m == own),
                 };
                 let members: Vec<Member> =
                     (0..n).filter(|m| seen >> m & 1 == 1).map(member).collect();
                 let place = (0..own).filter(|m| seen >> m & 1 == 1).count();
-                let share = share_out(&members, &pods).swap_remove(place);
+                let share = assign_subsets(&members, &pods).swap_remove(place);
                 let of = part(share.len() as f64 / PODS as f64);
                 let budget = 1.4 * traffic(own, true) / (PODS as f64 * of);
                 share
@@ -268,7 +268,7 @@
         .map(|key| Pod {
             key,
             zone: 0,
-            strength: 1.0,
+            capacity: 1.0,
         })
         .collect();
     let own = |m: usize| if m == 0 { 25.0 } else { 5.0 };
@@ -285,9 +285,9 @@
                 let member = |m: &usize| Member {
                     key: 11 * (*m as u64 + 1),
                     zone: 0,
-                    traffic: traffic(*m),
+                    request_rate: traffic(*m),
                 };
-                share_out(&there.iter().map(member).collect::<Vec<_>>(), &pods)
+                assign_subsets(&there.iter().map(member).collect::<Vec<_>>(), &pods)
             };
             let (first, others) = (as_seen(true), as_seen(false));
             let mut load = [0.0; PODS];
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -4,52 +4,78 @@
 //! `golden/reports.hex` holds one report a line, `golden/keys.txt` one name a line with its key.
 //! `GOLDEN_WRITE=1` writes the files anew; that is for new kinds only.
 
-use limewing_coordination::{key, Hint, Says, Service, MOST_HINTS};
+use limewing_coordination::{stable_key, LoadReport, OutlierHint, Service, MAX_HINTS};
 use std::path::Path;
 
-fn reports() -> Vec<(&'static str, Says)> {
-    let report = |zone, traffic, hints, lost| Says {
+fn reports() -> Vec<(&'static str, LoadReport)> {
+    let report = |zone, traffic, hints, lost| LoadReport {
         zone,
-        traffic,
+        rate_exponent: traffic,
         hints,
-        lost,
+        lost_services: lost,
     };
     let all_hints = vec![
-        (1, Hint::Shut),
-        (300, Hint::Slow),
-        (1 << 40, Hint::Full),
-        (u64::MAX, Hint::Open),
+        (1, OutlierHint::Ejected),
+        (300, OutlierHint::Slow),
+        (1 << 40, OutlierHint::Overloaded),
+        (u64::MAX, OutlierHint::Recovered),
     ];
-    let most: Vec<_> = (0..MOST_HINTS as u64)
-        .map(|n| (key(&format!("pod{n}")), Hint::Shut))
+    let most: Vec<_> = (0..MAX_HINTS as u64)
+        .map(|n| (stable_key(&format!("pod{n}")), OutlierHint::Ejected))
         .collect();
-    let both = Service::List.bit() | Service::Installer.bit();
+    let both = Service::EndpointList.bit() | Service::Installer.bit();
     vec![
         ("idle", report(0, 0, Vec::new(), 0)),
         (
             "shut",
-            report(1, 4, vec![(key("10.0.0.1:80"), Hint::Shut)], 0),
+            report(
+                1,
+                4,
+                vec![(stable_key("10.0.0.1:80"), OutlierHint::Ejected)],
+                0,
+            ),
         ),
         (
             "slow",
-            report(2, 9, vec![(key("10.0.0.1:80"), Hint::Slow)], 0),
+            report(
+                2,
+                9,
+                vec![(stable_key("10.0.0.1:80"), OutlierHint::Slow)],
+                0,
+            ),
         ),
         (
             "full",
-            report(3, 17, vec![(key("10.0.0.1:80"), Hint::Full)], 0),
+            report(
+                3,
+                17,
+                vec![(stable_key("10.0.0.1:80"), OutlierHint::Overloaded)],
+                0,
+            ),
         ),
         (
             "open",
-            report(4, 60, vec![(key("10.0.0.1:80"), Hint::Open)], 0),
+            report(
+                4,
+                60,
+                vec![(stable_key("10.0.0.1:80"), OutlierHint::Recovered)],
+                0,
+            ),
         ),
         ("each-hint", report(300, 255, all_hints, 0)),
         ("most-hints", report(u16::MAX, 12, most, 0)),
-        ("lost-list", report(5, 6, Vec::new(), Service::List.bit())),
+        (
+            "lost-list",
+            report(5, 6, Vec::new(), Service::EndpointList.bit()),
+        ),
         (
             "lost-installer",
             report(5, 6, Vec::new(), Service::Installer.bit()),
         ),
-        ("lost-both", report(5, 6, vec![(7, Hint::Full)], both)),
+        (
+            "lost-both",
+            report(5, 6, vec![(7, OutlierHint::Overloaded)], both),
+        ),
     ]
 }
 
@@ -89,28 +115,28 @@
 fn reports_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = reports()
         .iter()
-        .map(|(name, report)| format!("{name} {}\n", to_hex(&report.write())))
+        .map(|(name, report)| format!("{name} {}\n", to_hex(&report.encode())))
         .collect();
     let text = read_golden("reports.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
     for (line, (_, built)) in text.lines().zip(reports()) {
         let (name, hex) = line.split_once(' ').unwrap();
         let bytes = from_hex(hex);
-        let report = Says::read(&bytes).unwrap_or_else(|error| panic!("{name}: {error:?}"));
+        let report = LoadReport::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error:?}"));
         assert_eq!(report, built, "{name}");
-        assert_eq!(report.write(), bytes, "{name}");
+        assert_eq!(report.encode(), bytes, "{name}");
 
-        let earlier = Says::read(&bytes[..bytes.len() - 1]);
+        let earlier = LoadReport::decode(&bytes[..bytes.len() - 1]);
         assert_eq!(
             earlier,
-            Ok(Says {
-                lost: 0,
+            Ok(LoadReport {
+                lost_services: 0,
                 ..built.clone()
             }),
             "{name}"
         );
         let later = [&bytes[..], &[1, 2, 3]].concat();
-        assert_eq!(Says::read(&later), Ok(built), "{name}");
+        assert_eq!(LoadReport::decode(&later), Ok(built), "{name}");
     }
 }
 
@@ -119,7 +145,7 @@
 fn names_have_the_keys_of_the_file() {
     let lines: String = NAMES
         .iter()
-        .map(|name| format!("{name} {:016x}\n", key(name)))
+        .map(|name| format!("{name} {:016x}\n", stable_key(name)))
         .collect();
     assert_eq!(lines, read_golden("keys.txt", &lines));
 }
--- a/crates/coordination/tests/subsets.rs
+++ b/crates/coordination/tests/subsets.rs
@@ -3,24 +3,24 @@
 mod helpers;
 
 use helpers::{balance, held, members, moved, pods};
-use limewing_coordination::{share_out, Member, Pod};
+use limewing_coordination::{assign_subsets, Member, Pod};
 use proptest::prelude::*;
 use rstest::rstest;
 
 /// What hashing alone gives today: five and three for each open hit at 0.1 s each.
 fn drawn(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
-    let many = |m: &Member| (5.0 + 3.0 * m.traffic * 0.1).round() as usize;
+    let many = |m: &Member| (5.0 + 3.0 * m.request_rate * 0.1).round() as usize;
     let alike: Vec<Pod> = pods
         .iter()
         .map(|pod| Pod {
-            strength: 1.0,
+            capacity: 1.0,
             zone: 0,
             ..*pod
         })
         .collect();
     let one = |m: &Member| {
         let plain = Member { zone: 0, ..*m };
-        limewing_coordination::order(&plain, &alike)
+        limewing_coordination::preference_order(&plain, &alike)
             .into_iter()
             .take(many(m))
             .collect()
@@ -37,7 +37,7 @@
 fn each_pod_gets_about_as_much(#[case] many: usize, #[case] of: usize, #[case] most: f64) {
     let (members, pods) = (members(many, 3), pods(of, 3));
     let began = std::time::Instant::now();
-    let shares = share_out(&members, &pods);
+    let shares = assign_subsets(&members, &pods);
     let took = began.elapsed();
     let (load, users, unused, mean) = balance(&members, &pods, &shares);
     let (plain, plain_users, plain_unused, plain_mean) =
@@ -96,10 +96,10 @@
         strengths in prop::collection::vec(0.1f64..8.0, 1..60),
     ) {
         let members: Vec<Member> = (0u64..).zip(&traffics)
-            .map(|(n, t)| Member { key: n * 77 + 5, zone: n as u16 % 3, traffic: *t }).collect();
+            .map(|(n, t)| Member { key: n * 77 + 5, zone: n as u16 % 3, request_rate: *t }).collect();
         let pods: Vec<Pod> = (0u64..).zip(&strengths)
-            .map(|(n, s)| Pod { key: n * 31 + 9, zone: n as u16 % 3, strength: *s }).collect();
-        let shares = share_out(&members, &pods);
+            .map(|(n, s)| Pod { key: n * 31 + 9, zone: n as u16 % 3, capacity: *s }).collect();
+        let shares = assign_subsets(&members, &pods);
         for share in &shares {
             let mut once = share.clone();
             once.sort_unstable();
--- a/crates/emulators/src/fleet/crowd.rs
+++ b/crates/emulators/src/fleet/crowd.rs
@@ -1,7 +1,7 @@
 //! Hundreds of decision modules in simulated time, with or without a fleet's choices: what their sum does to pods. Pods
 //! answer after a fixed time; what members say reaches those they are not cut off from at once.
 
-use limewing_coordination::{key, Choices, Pod, Says, Sign};
+use limewing_coordination::{stable_key, Coordinator, LoadReport, OutlierObservation, Pod};
 use limewing_decision::interface::*;
 use limewing_decision::sidecar::Sidecar;
 use rand::rngs::StdRng;
@@ -129,14 +129,14 @@
 }
 
 fn pod_key(pod: usize) -> u64 {
-    key(&format!("pod {pod}"))
+    stable_key(&format!("pod {pod}"))
 }
 
 struct One {
     module: Sidecar,
-    choices: Choices,
+    choices: Coordinator,
     part: usize,
-    says: Option<(Says, Duration)>,
+    says: Option<(LoadReport, Duration)>,
     forwards: BTreeMap<RequestId, u16>,
 }
 
@@ -166,9 +166,9 @@
     let mut chance = StdRng::seed_from_u64(plan.seed);
     let one = |number: usize| One {
         module: Sidecar::new(Duration::ZERO, terms(number, plan)),
-        choices: Choices::new(
+        choices: Coordinator::new(
             Duration::ZERO,
-            key(&format!("s{number}")),
+            stable_key(&format!("s{number}")),
             number as u16 % 3,
         ),
         part: chance.random_range(0..plan.parts.1.max(1)),
@@ -198,11 +198,11 @@
         let pod = |pod| Pod {
             key: pod_key(pod),
             zone: pod as u16 % 3,
-            strength: strength(pod),
+            capacity: strength(pod),
         };
         play.all[number]
             .choices
-            .pods((0..plan.pods).map(pod).collect());
+            .set_pods((0..plan.pods).map(pod).collect());
         play.mark(Duration::from_micros(number as u64 * 50), number, Due::Turn);
         play.next_hit(number);
     }
@@ -259,7 +259,7 @@
                         routing_key: None,
                         deadline: at + Duration::from_secs(3),
                     };
-                    self.all[number].choices.took();
+                    self.all[number].choices.record_request();
                     self.tell(number, vec![Event::RequestArrived(hit)]);
                     self.next_hit(number);
                 }
@@ -282,11 +282,13 @@
                 if let (Some((.., to)), None) = (back, self.out.back_after) {
                     self.out.back_after = Some(self.now - to);
                 }
-                Sign::Answered(outcome.duration.as_secs_f64())
+                OutlierObservation::Answered(outcome.duration.as_secs_f64())
             }
-            _ => Sign::Unreached,
+            _ => OutlierObservation::ConnectFailed,
         };
-        self.all[number].choices.ended(self.now, pod_key(pod), sign);
+        self.all[number]
+            .choices
+            .record_outcome(self.now, pod_key(pod), sign);
         self.tell(number, vec![Event::AttemptFinished(outcome)]);
     }
 
@@ -295,14 +297,14 @@
         self.mark(Duration::from_millis(20), number, Due::Turn);
         let now = self.now;
         let mut events = Vec::new();
-        if self.plan.choices && now >= self.all[number].choices.next() {
-            if let Some(says) = self.all[number].choices.says(now) {
+        if self.plan.choices && now >= self.all[number].choices.next_deadline() {
+            if let Some(says) = self.all[number].choices.take_report(now) {
                 self.all[number].says = Some((says, now));
             }
             let (since, part) = (self.plan.parts.0, self.all[number].part);
             let reach = |one: &One| now < since || one.part == part;
-            let named = |(n, one): (usize, &One)| (key(&format!("s{n}")), one.says.clone());
-            let others: Vec<(u64, Option<(Says, Duration)>)> = self
+            let named = |(n, one): (usize, &One)| (stable_key(&format!("s{n}")), one.says.clone());
+            let others: Vec<(u64, Option<(LoadReport, Duration)>)> = self
                 .all
                 .iter()
                 .enumerate()
@@ -310,20 +312,20 @@
                 .map(named)
                 .collect();
             let choices = &mut self.all[number].choices;
-            choices.others(others.into_iter());
-            if let Some(view) = choices.view(now) {
+            choices.set_peers(others.into_iter());
+            if let Some(view) = choices.take_view(now) {
                 let ids: BTreeMap<u64, PodId> = (0..self.plan.pods)
                     .map(|pod| (pod_key(pod), PodId(pod as u64)))
                     .collect();
                 let view = view.map(|view| FleetView {
                     preference: view
-                        .order
+                        .preference
                         .iter()
                         .filter_map(|key| ids.get(key).copied())
                         .collect(),
-                    min_endpoints: view.uses,
+                    min_endpoints: view.min_endpoints,
                     probed_by_peers: view
-                        .held
+                        .probed_by_peers
                         .iter()
                         .filter_map(|key| ids.get(key).copied())
                         .collect(),
--- a/crates/http-proxy/src/service/asks.rs
+++ b/crates/http-proxy/src/service/asks.rs
@@ -75,7 +75,7 @@
         if self.list_link.is_some() || self.shutdown.is_told() {
             return;
         }
-        if let Some(at) = self.others_turn(Asked::List) {
+        if let Some(at) = self.others_turn(Asked::EndpointList) {
             self.wheel.arm(at, Due::AskList);
             return;
         }
@@ -131,7 +131,7 @@
         let Some(index) = index.filter(|_| head.status == 200) else {
             return self.list_failed("a status other than 200, or no X-Consul-Index");
         };
-        self.service_answers(Asked::List, true);
+        self.service_answers(Asked::EndpointList, true);
         // An index that goes back means that the service began anew.
         let changed = index != self.list_index;
         self.list_index = if index < self.list_index { 0 } else { index };
@@ -198,7 +198,7 @@
 
     pub(super) fn list_failed(&mut self, why: &str) {
         tracing::warn!(why, "the node list was not had; the old one stays");
-        self.service_answers(Asked::List, false);
+        self.service_answers(Asked::EndpointList, false);
         self.drop_list();
         self.events.push(Event::Endpoints(EndpointUpdate::WatchLost(
             WatchLoss::default(),
--- a/crates/http-proxy/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/fleet.rs
@@ -2,7 +2,9 @@
 //! decision module are shown to `limewing_coordination`, and its view goes to the module.
 
 use super::StartTrouble;
-use limewing_coordination::{key, Choices, Pod, Says, Service, Sign};
+use limewing_coordination::{
+    stable_key, Coordinator, LoadReport, OutlierObservation, Pod, Service,
+};
 use limewing_decision::interface::{
     AttemptOutcome, Endpoint, EndpointUpdate, Event, FleetView, PodId, PodState,
 };
@@ -28,7 +30,7 @@
 
 /// The choices, and the pods by their keys.
 struct Chooser {
-    choices: Choices,
+    choices: Coordinator,
     pods: BTreeMap<PodId, (Endpoint, u64)>,
     changed: bool,
     view: Option<FleetView>,
@@ -150,7 +152,7 @@
         tracing::info!(%address, "takes datagrams of other sidecars");
         let key_file = told.key_file.clone();
         let chooser = || Chooser {
-            choices: Choices::new(now, key(name), zone),
+            choices: Coordinator::new(now, stable_key(name), zone),
             pods: BTreeMap::new(),
             changed: false,
             view: None,
@@ -168,7 +170,10 @@
     }
 
     pub(super) fn next(&self) -> Duration {
-        let choices = self.choices.as_ref().map(|chooser| chooser.choices.next());
+        let choices = self
+            .choices
+            .as_ref()
+            .map(|chooser| chooser.choices.next_deadline());
         choices.map_or(self.peers.next_deadline(), |next| {
             next.min(self.peers.next_deadline())
         })
@@ -193,8 +198,8 @@
     /// Whether a service answers, as far as its last ask or watch tells.
     pub(super) fn answers(&mut self, now: Duration, service: Service, answers: bool) {
         match &mut self.choices {
-            Some(chooser) if answers => chooser.choices.ask_answered(service),
-            Some(chooser) => chooser.choices.ask_failed(now, service),
+            Some(chooser) if answers => chooser.choices.record_poll_success(service),
+            Some(chooser) => chooser.choices.record_poll_failure(now, service),
             None => {}
         }
     }
@@ -203,7 +208,7 @@
     pub(super) fn may_ask(&self, now: Duration, service: Service) -> Duration {
         self.choices
             .as_ref()
-            .map_or(now, |chooser| chooser.choices.may_ask(now, service))
+            .map_or(now, |chooser| chooser.choices.next_poll(now, service))
     }
 
     pub(super) fn hear(&mut self, now: Duration, bytes: &[u8]) {
@@ -320,26 +325,26 @@
         address: &impl Fn(PodId) -> Option<SocketAddr>,
     ) {
         match event {
-            Event::RequestArrived(_) => self.choices.took(),
+            Event::RequestArrived(_) => self.choices.record_request(),
             Event::AttemptFinished(outcome) => {
                 let sign = match outcome.outcome {
                     AttemptOutcome::Succeeded | AttemptOutcome::Failed => {
-                        Some(Sign::Answered(outcome.duration.as_secs_f64()))
+                        Some(OutlierObservation::Answered(outcome.duration.as_secs_f64()))
                     }
                     AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset => {
-                        Some(Sign::Unanswered)
-                    }
-                    AttemptOutcome::ConnectFailed => Some(Sign::Unreached),
-                    AttemptOutcome::Rejected => Some(Sign::TurnedAway),
-                    AttemptOutcome::Cancelled => {
-                        Some(Sign::CalledOff(outcome.duration.as_secs_f64()))
+                        Some(OutlierObservation::NoResponse)
                     }
+                    AttemptOutcome::ConnectFailed => Some(OutlierObservation::ConnectFailed),
+                    AttemptOutcome::Rejected => Some(OutlierObservation::Rejected),
+                    AttemptOutcome::Cancelled => Some(OutlierObservation::Cancelled(
+                        outcome.duration.as_secs_f64(),
+                    )),
                     AttemptOutcome::NeverSent => None,
                 };
                 let known = self.pods.get(&outcome.pod).zip(sign);
                 known
                     .into_iter()
-                    .for_each(|((_, key), sign)| self.choices.ended(now, *key, sign));
+                    .for_each(|((_, key), sign)| self.choices.record_outcome(now, *key, sign));
             }
             Event::Endpoints(news) => {
                 let (whole, rows) = match news {
@@ -353,7 +358,7 @@
                     self.pods.clear();
                 }
                 for row in rows {
-                    let key = address(row.pod).map(|at| key(&at.to_string()));
+                    let key = address(row.pod).map(|at| stable_key(&at.to_string()));
                     match key.filter(|_| row.state == PodState::Ready) {
                         Some(key) => drop(self.pods.insert(row.pod, (row.clone(), key))),
                         None => drop(self.pods.remove(&row.pod)),
@@ -367,33 +372,33 @@
 
     /// The view for the module, if it changed; what is to be said is put up.
     fn look(&mut self, now: Duration, peers: &mut Membership) -> Option<Option<FleetView>> {
-        if now < self.choices.next() {
+        if now < self.choices.next_deadline() {
             return None;
         }
         if std::mem::take(&mut self.changed) {
             let pod = |(row, key): &(Endpoint, u64)| Pod {
                 key: *key,
                 zone: row.zone.0,
-                strength: row.weight,
+                capacity: row.weight,
             };
-            self.choices.pods(self.pods.values().map(pod).collect());
+            self.choices.set_pods(self.pods.values().map(pod).collect());
         }
-        if let Some(says) = self.choices.says(now) {
-            peers.publish(now, says.write());
+        if let Some(says) = self.choices.take_report(now) {
+            peers.publish(now, says.encode());
         }
         let says = |name| {
             peers
                 .published_by(name)
-                .and_then(|(bytes, at)| Some((Says::read(bytes).ok()?, at)))
+                .and_then(|(bytes, at)| Some((LoadReport::decode(bytes).ok()?, at)))
         };
         let others = peers.active_members().map(|member| {
             (
-                key(&member.update.name.to_string()),
+                stable_key(&member.update.name.to_string()),
                 says(&member.update.name),
             )
         });
-        self.choices.others(others);
-        let view = self.choices.view(now)?;
+        self.choices.set_peers(others);
+        let view = self.choices.take_view(now)?;
         let by_key: BTreeMap<u64, PodId> = self
             .pods
             .iter()
@@ -401,9 +406,9 @@
             .collect();
         let pod = |key: &u64| by_key.get(key).copied();
         self.view = view.map(|view| FleetView {
-            preference: view.order.iter().filter_map(pod).collect(),
-            min_endpoints: view.uses,
-            probed_by_peers: view.held.iter().filter_map(pod).collect(),
+            preference: view.preference.iter().filter_map(pod).collect(),
+            min_endpoints: view.min_endpoints,
+            probed_by_peers: view.probed_by_peers.iter().filter_map(pod).collect(),
         });
         let (uses, held) = self.view.as_ref().map_or((0, 0), |view| {
             (view.min_endpoints, view.probed_by_peers.len())
