--- a/crates/emulators/src/fleet/crowd.rs
+++ b/crates/emulators/src/fleet/crowd.rs
@@ -3,7 +3,7 @@
 
 use limewing_coordination::{stable_key, Coordinator, LoadReport, OutlierObservation, Pod};
 use limewing_decision::interface::*;
-use limewing_decision::sidecar::Sidecar;
+use limewing_decision::DecisionEngine;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -133,7 +133,7 @@
 }
 
 struct One {
-    module: Sidecar,
+    module: DecisionEngine,
     choices: Coordinator,
     part: usize,
     says: Option<(LoadReport, Duration)>,
@@ -165,7 +165,7 @@
 pub fn crowd(plan: &CrowdPlan) -> Crowd {
     let mut chance = StdRng::seed_from_u64(plan.seed);
     let one = |number: usize| One {
-        module: Sidecar::new(Duration::ZERO, terms(number, plan)),
+        module: DecisionEngine::new(Duration::ZERO, terms(number, plan)),
         choices: Coordinator::new(
             Duration::ZERO,
             stable_key(&format!("s{number}")),
