--- a/crates/coordination/tests/digest.rs
+++ b/crates/coordination/tests/digest.rs
@@ -100,10 +100,10 @@
 
 struct Sidecar {
     key: u64,
-    choices: Coordinator,
+    coordinator: Coordinator,
     view: Option<FleetView>,
-    /// What it heard of each other one, by number.
-    heard: BTreeMap<usize, (LoadReport, Duration)>,
+    /// The last report received from each other one, by number.
+    received: BTreeMap<usize, (LoadReport, Duration)>,
     /// When it polls each service next, if that is lost to it.
     polls: [Option<Duration>; 2],
     requests_a_step: usize,
@@ -133,15 +133,15 @@
 
 fn new_sidecar(number: usize, now: Duration, pods: &[Pod]) -> Sidecar {
     let key = stable_key(&format!("s{number}"));
-    let mut choices = Coordinator::new(now, key, number as u16 % ZONES);
-    choices.set_pods(pods.to_vec());
+    let mut coordinator = Coordinator::new(now, key, number as u16 % ZONES);
+    coordinator.set_pods(pods.to_vec());
     Sidecar {
         key,
-        choices,
+        coordinator,
         view: None,
-        heard: BTreeMap::new(),
+        received: BTreeMap::new(),
         polls: [None; 2],
-        requests_a_step: if number % 4 == 0 { 12 } else { 2 },
+        requests_a_step: if number.is_multiple_of(4) { 12 } else { 2 },
     }
 }
 
@@ -206,8 +206,8 @@
             }
             5 => drop(self.pod_faults.pop_first()),
             6 => {
-                let many = 1 + self.random.below(8);
-                for pod in self.pods.iter().take(many) {
+                let count = 1 + self.random.below(8);
+                for pod in self.pods.iter().take(count) {
                     self.pod_faults.insert(pod.key, PodFault::Unreachable);
                 }
             }
@@ -224,7 +224,7 @@
         self.absent_until[number] = back;
         self.sidecars[number] = new_sidecar(number, back, &self.pods);
         for sidecar in &mut self.sidecars {
-            sidecar.heard.remove(&number);
+            sidecar.received.remove(&number);
         }
     }
 
@@ -243,7 +243,7 @@
             _ => self.pods[place].capacity = 0.25 + self.random.share() * 2.0,
         }
         for sidecar in &mut self.sidecars {
-            sidecar.choices.set_pods(self.pods.clone());
+            sidecar.coordinator.set_pods(self.pods.clone());
         }
     }
 
@@ -268,7 +268,7 @@
             from, to, report, ..
         } in arrived
         {
-            self.sidecars[to].heard.insert(from, (report, now));
+            self.sidecars[to].received.insert(from, (report, now));
         }
     }
 
@@ -279,7 +279,7 @@
         for service in 0..SERVICES.len() {
             self.poll(number, service);
         }
-        if self.now >= self.sidecars[number].choices.next_deadline() {
+        if self.now >= self.sidecars[number].coordinator.next_deadline() {
             self.report(number);
             self.look(number);
         }
@@ -292,9 +292,9 @@
         );
         let pod = pods[self.random.below(pods.len())];
         let sign = self.draw_sign(pod);
-        let choices = &mut self.sidecars[number].choices;
-        choices.record_request();
-        choices.record_outcome(self.now, pod, sign);
+        let coordinator = &mut self.sidecars[number].coordinator;
+        coordinator.record_request();
+        coordinator.record_outcome(self.now, pod, sign);
     }
 
     fn draw_sign(&mut self, pod: u64) -> OutlierObservation {
@@ -315,7 +315,7 @@
         if sidecar.polls[service].is_none_or(|due| due > self.now) {
             return;
         }
-        let allowed = sidecar.choices.next_poll(self.now, SERVICES[service]);
+        let allowed = sidecar.coordinator.next_poll(self.now, SERVICES[service]);
         self.digest.time(allowed);
         if allowed > self.now {
             sidecar.polls[service] = Some(allowed);
@@ -323,11 +323,11 @@
         }
         self.digest.number(number as u64);
         if self.service_up[service] {
-            sidecar.choices.record_poll_success(SERVICES[service]);
+            sidecar.coordinator.record_poll_success(SERVICES[service]);
             sidecar.polls[service] = None;
         } else {
             sidecar
-                .choices
+                .coordinator
                 .record_poll_failure(self.now, SERVICES[service]);
             let wait = Duration::from_secs_f64(0.3 + self.random.share());
             sidecar.polls[service] = Some(self.now + wait);
@@ -335,7 +335,7 @@
     }
 
     fn report(&mut self, number: usize) {
-        let Some(report) = self.sidecars[number].choices.take_report(self.now) else {
+        let Some(report) = self.sidecars[number].coordinator.take_report(self.now) else {
             return;
         };
         self.digest.number(number as u64);
@@ -362,23 +362,23 @@
             let absent = self.now < self.absent_until[*other];
             *other != number && !absent && self.parts[*other] == self.parts[number]
         });
-        let heard = &self.sidecars[number].heard;
+        let received = &self.sidecars[number].received;
         let others: Vec<(u64, Option<(LoadReport, Duration)>)> = present
-            .map(|other| (self.sidecars[other].key, heard.get(&other).cloned()))
+            .map(|other| (self.sidecars[other].key, received.get(&other).cloned()))
             .collect();
         let sidecar = &mut self.sidecars[number];
-        sidecar.choices.set_peers(others.into_iter());
-        if let Some(view) = sidecar.choices.take_view(self.now) {
+        sidecar.coordinator.set_peers(others.into_iter());
+        if let Some(view) = sidecar.coordinator.take_view(self.now) {
             self.digest.number(number as u64);
             self.digest.time(self.now);
             self.digest.view(view.as_ref());
             sidecar.view = view;
         }
-        self.digest.time(sidecar.choices.next_deadline());
+        self.digest.time(sidecar.coordinator.next_deadline());
     }
 }
 
-fn observe_shares(digest: &mut Digest, members: &[Member], pods: &[Pod]) {
+fn observe_subsets(digest: &mut Digest, members: &[Member], pods: &[Pod]) {
     for share in assign_subsets(members, pods) {
         digest.numbers(share.into_iter().map(|place| place as u64));
     }
@@ -391,7 +391,7 @@
     }
 }
 
-fn observe_turns(digest: &mut Digest, members: &[Member]) {
+fn observe_rotation(digest: &mut Digest, members: &[Member]) {
     let keys = || members.iter().map(|member| member.key);
     for topic in 0..5 {
         for member in members {
@@ -404,7 +404,7 @@
     }
 }
 
-fn observe_doubts(digest: &mut Digest, random: &mut Random, members: &[Member], pods: &[Pod]) {
+fn observe_outliers(digest: &mut Digest, random: &mut Random, members: &[Member], pods: &[Pod]) {
     let hints = [
         OutlierHint::Ejected,
         OutlierHint::Slow,
@@ -413,13 +413,13 @@
     ];
     let keys: Vec<u64> = pods.iter().map(|pod| pod.key).collect();
     for _ in 0..20 {
-        // A few suspects, so that several accuse the same.
+        // A few suspects, so that several members hint at the same.
         let suspects = keys.len().min(3);
-        let said: Vec<PeerReport> = members
+        let reports: Vec<PeerReport> = members
             .iter()
             .map(|member| {
-                let many = random.below(4);
-                let hints = (0..many)
+                let count = random.below(4);
+                let hints = (0..count)
                     .map(|_| (keys[random.below(suspects)], hints[random.below(8).min(3)]))
                     .collect();
                 let at = Duration::from_secs(random.below(15) as u64);
@@ -432,11 +432,16 @@
                 }
             })
             .collect();
-        let found = find_outliers(&said, &keys, Duration::from_secs(15));
+        let found = find_outliers(&reports, &keys, Duration::from_secs(15));
         digest.number(found.len() as u64);
         for (pod, hint) in found {
             digest.number(pod);
-            digest.number(hints.iter().position(|known| *known == hint).unwrap() as u64);
+            digest.number(
+                hints
+                    .iter()
+                    .position(|known| *known == hint)
+                    .expect("a known hint") as u64,
+            );
         }
     }
 }
@@ -452,9 +457,9 @@
     for (members, pods) in [(1, 1), (3, 24), (7, 5), (20, 40), (60, 90)] {
         let members = helpers::members(members, ZONES);
         let pods = helpers::pods(pods, ZONES);
-        observe_shares(&mut digest, &members, &pods);
-        observe_turns(&mut digest, &members);
-        observe_doubts(&mut digest, &mut random, &members, &pods);
+        observe_subsets(&mut digest, &members, &pods);
+        observe_rotation(&mut digest, &members);
+        observe_outliers(&mut digest, &mut random, &members, &pods);
     }
     println!("digest coordination {:016x}", digest.0);
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -7,75 +7,46 @@
 use limewing_coordination::{stable_key, LoadReport, OutlierHint, Service, MAX_HINTS};
 use std::path::Path;
 
-fn reports() -> Vec<(&'static str, LoadReport)> {
-    let report = |zone, traffic, hints, lost| LoadReport {
+fn report(
+    zone: u16,
+    rate_exponent: u8,
+    hints: Vec<(u64, OutlierHint)>,
+    lost_services: u8,
+) -> LoadReport {
+    LoadReport {
         zone,
-        rate_exponent: traffic,
+        rate_exponent,
         hints,
-        lost_services: lost,
-    };
+        lost_services,
+    }
+}
+
+/// The names are those of the lines of the file.
+fn reports() -> Vec<(&'static str, LoadReport)> {
+    let one_hint = |hint| vec![(stable_key("10.0.0.1:80"), hint)];
     let all_hints = vec![
         (1, OutlierHint::Ejected),
         (300, OutlierHint::Slow),
         (1 << 40, OutlierHint::Overloaded),
         (u64::MAX, OutlierHint::Recovered),
     ];
-    let most: Vec<_> = (0..MAX_HINTS as u64)
+    let max_hints: Vec<_> = (0..MAX_HINTS as u64)
         .map(|n| (stable_key(&format!("pod{n}")), OutlierHint::Ejected))
         .collect();
-    let both = Service::EndpointList.bit() | Service::Installer.bit();
+    let list = Service::EndpointList.bit();
+    let installer = Service::Installer.bit();
+    let overloaded = vec![(7, OutlierHint::Overloaded)];
     vec![
         ("idle", report(0, 0, Vec::new(), 0)),
-        (
-            "shut",
-            report(
-                1,
-                4,
-                vec![(stable_key("10.0.0.1:80"), OutlierHint::Ejected)],
-                0,
-            ),
-        ),
-        (
-            "slow",
-            report(
-                2,
-                9,
-                vec![(stable_key("10.0.0.1:80"), OutlierHint::Slow)],
-                0,
-            ),
-        ),
-        (
-            "full",
-            report(
-                3,
-                17,
-                vec![(stable_key("10.0.0.1:80"), OutlierHint::Overloaded)],
-                0,
-            ),
-        ),
-        (
-            "open",
-            report(
-                4,
-                60,
-                vec![(stable_key("10.0.0.1:80"), OutlierHint::Recovered)],
-                0,
-            ),
-        ),
+        ("shut", report(1, 4, one_hint(OutlierHint::Ejected), 0)),
+        ("slow", report(2, 9, one_hint(OutlierHint::Slow), 0)),
+        ("full", report(3, 17, one_hint(OutlierHint::Overloaded), 0)),
+        ("open", report(4, 60, one_hint(OutlierHint::Recovered), 0)),
         ("each-hint", report(300, 255, all_hints, 0)),
-        ("most-hints", report(u16::MAX, 12, most, 0)),
-        (
-            "lost-list",
-            report(5, 6, Vec::new(), Service::EndpointList.bit()),
-        ),
-        (
-            "lost-installer",
-            report(5, 6, Vec::new(), Service::Installer.bit()),
-        ),
-        (
-            "lost-both",
-            report(5, 6, vec![(7, OutlierHint::Overloaded)], both),
-        ),
+        ("most-hints", report(u16::MAX, 12, max_hints, 0)),
+        ("lost-list", report(5, 6, Vec::new(), list)),
+        ("lost-installer", report(5, 6, Vec::new(), installer)),
+        ("lost-both", report(5, 6, overloaded, list | installer)),
     ]
 }
 
@@ -94,7 +65,7 @@
 }
 
 fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
+    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
@@ -103,9 +74,9 @@
         .join("tests/golden")
         .join(file);
     if std::env::var_os("GOLDEN_WRITE").is_some() {
-        std::fs::write(&path, today).unwrap();
+        std::fs::write(&path, today).expect("the golden file can be written");
     }
-    std::fs::read_to_string(path).unwrap()
+    std::fs::read_to_string(path).expect("the golden file can be read")
 }
 
 /// Reports built from code are written as in the file; those of the file are read as those values,
--- a/crates/coordination/tests/helpers/mod.rs
+++ b/crates/coordination/tests/helpers/mod.rs
@@ -1,38 +1,43 @@
-//! Fleets and figures for the tests.
+//! Fleets, and figures of their assignments, for the tests. Each test file uses a part.
 #![allow(dead_code)]
 
 use limewing_coordination::{assign_subsets, stable_key, Member, Pod};
 use std::collections::BTreeMap;
 
-/// One in five has five times the traffic.
-pub fn members(many: usize, zones: u16) -> Vec<Member> {
-    let traffic = |n: usize| if n.is_multiple_of(5) { 25.0 } else { 5.0 };
+/// Members of that many zones; one in five has five times the request rate.
+pub(crate) fn members(count: usize, zones: u16) -> Vec<Member> {
+    let request_rate = |n: usize| if n.is_multiple_of(5) { 25.0 } else { 5.0 };
     let zone = |n: usize| (n % usize::from(zones)) as u16;
-    (0..many)
+    (0..count)
         .map(|n| Member {
             key: stable_key(&format!("s{n}")),
             zone: zone(n),
-            request_rate: traffic(n),
+            request_rate: request_rate(n),
         })
         .collect()
 }
 
-/// One in three is twice as strong.
-pub fn pods(many: usize, zones: u16) -> Vec<Pod> {
-    let strength = |n: usize| if n.is_multiple_of(3) { 2.0 } else { 1.0 };
+/// Pods of that many zones; one in three has twice the capacity.
+pub(crate) fn pods(count: usize, zones: u16) -> Vec<Pod> {
+    let capacity = |n: usize| if n.is_multiple_of(3) { 2.0 } else { 1.0 };
     let zone = |n: usize| (n % usize::from(zones)) as u16;
     let named = |n: usize| stable_key(&format!("10.0.{}.{}:80", n / 250, n % 250));
-    (0..many)
+    (0..count)
         .map(|n| Pod {
             key: named(n),
             zone: zone(n),
-            capacity: strength(n),
+            capacity: capacity(n),
         })
         .collect()
 }
 
-/// Most over mean of load per strength and of members per pod, pods unused, and members per pod in the mean.
-pub fn balance(members: &[Member], pods: &[Pod], shares: &[Vec<usize>]) -> (f64, f64, usize, f64) {
+/// The greatest load per capacity and number of members per pod, each over the mean; pods unused; members per pod in the
+/// mean.
+pub(crate) fn balance(
+    members: &[Member],
+    pods: &[Pod],
+    shares: &[Vec<usize>],
+) -> (f64, f64, usize, f64) {
     let (mut loads, mut users) = (vec![0.0; pods.len()], vec![0usize; pods.len()]);
     for (member, share) in members.iter().zip(shares) {
         let whole: f64 = share.iter().map(|pod| pods[*pod].capacity).sum();
@@ -58,9 +63,9 @@
     )
 }
 
-pub type Held = BTreeMap<u64, Vec<u64>>;
+pub(crate) type Assignment = BTreeMap<u64, Vec<u64>>;
 
-pub fn held(members: &[Member], pods: &[Pod]) -> Held {
+pub(crate) fn assignment(members: &[Member], pods: &[Pod]) -> Assignment {
     let shares = assign_subsets(members, pods);
     let keys = |share: Vec<usize>| share.into_iter().map(|place| pods[place].key).collect();
     members
@@ -71,7 +76,7 @@
 }
 
 /// The part of all assignments that those who stay did not have before.
-pub fn moved(before: &Held, after: &Held) -> f64 {
+pub(crate) fn moved(before: &Assignment, after: &Assignment) -> f64 {
     let all: usize = before.values().map(Vec::len).sum();
     let new = |(member, pods): (&u64, &Vec<u64>)| {
         before.get(member).map_or(0, |had| {
--- a/crates/coordination/tests/outlier_hints.rs
+++ b/crates/coordination/tests/outlier_hints.rs
@@ -1,4 +1,4 @@
-//! Which hints count, and what one that lies or is cut off can do.
+//! Which outlier hints count, and how little a member that lies or is cut off can do.
 
 use limewing_coordination::{
     find_outliers, is_prober, Coordinator, LoadReport, Member, OutlierHint, OutlierObservation,
@@ -8,55 +8,64 @@
 use rstest::rstest;
 use std::time::Duration;
 
-fn s(seconds: f64) -> Duration {
+fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-fn said(member: u64, zone: u16, pods: &[u64], hint: OutlierHint) -> PeerReport {
+fn report(member: u64, zone: u16, pods: &[u64], hint: OutlierHint) -> PeerReport {
     let hints = pods.iter().map(|pod| (*pod, hint)).collect();
     PeerReport {
         member,
         zone,
-        received_at: s(0.0),
+        received_at: seconds(0.0),
         hints,
         lost_services: 0,
     }
 }
 
-fn quiet(many: u64) -> Vec<PeerReport> {
-    (0..many)
-        .map(|n| said(100 + n, n as u16 % 3, &[], OutlierHint::Recovered))
+fn healthy(count: u64) -> Vec<PeerReport> {
+    (0..count)
+        .map(|n| report(100 + n, n as u16 % 3, &[], OutlierHint::Recovered))
         .collect()
 }
 
 #[rstest]
-#[case::three_of_two_zones(vec![said(1, 0, &[5], OutlierHint::Ejected), said(2, 0, &[5], OutlierHint::Ejected), said(3, 1, &[5], OutlierHint::Ejected)], &[5])]
-#[case::two_are_too_few(vec![said(1, 0, &[5], OutlierHint::Ejected), said(2, 1, &[5], OutlierHint::Ejected)], &[])]
-#[case::one_zone_may_be_cut_off(vec![said(1, 0, &[5], OutlierHint::Ejected), said(2, 0, &[5], OutlierHint::Ejected), said(3, 0, &[5], OutlierHint::Ejected)], &[])]
-#[case::one_that_it_answered(vec![
-    said(1, 0, &[5], OutlierHint::Ejected), said(2, 0, &[5], OutlierHint::Ejected), said(3, 1, &[5], OutlierHint::Ejected), said(4, 1, &[5], OutlierHint::Recovered),
+#[case::three_members_of_two_zones(vec![report(1, 0, &[5], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 1, &[5], OutlierHint::Ejected)], &[5])]
+#[case::two_members(vec![report(1, 0, &[5], OutlierHint::Ejected), report(2, 1, &[5], OutlierHint::Ejected)], &[])]
+#[case::three_members_of_one_zone(vec![report(1, 0, &[5], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 0, &[5], OutlierHint::Ejected)], &[])]
+#[case::one_member_had_an_answer(vec![
+    report(1, 0, &[5], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 1, &[5], OutlierHint::Ejected), report(4, 1, &[5], OutlierHint::Recovered),
 ], &[])]
-#[case::one_says_it_often(vec![said(1, 0, &[5, 5, 5], OutlierHint::Ejected), said(2, 1, &[5], OutlierHint::Ejected)], &[])]
-#[case::whoever_accuses_many_is_cut_off(vec![
-    said(1, 0, &[5, 6, 7, 8, 9], OutlierHint::Ejected), said(2, 0, &[5], OutlierHint::Ejected), said(3, 1, &[5], OutlierHint::Ejected),
+#[case::one_member_repeats_itself(vec![report(1, 0, &[5, 5, 5], OutlierHint::Ejected), report(2, 1, &[5], OutlierHint::Ejected)], &[])]
+#[case::one_member_suspects_many(vec![
+    report(1, 0, &[5, 6, 7, 8, 9], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 1, &[5], OutlierHint::Ejected),
 ], &[])]
-#[case::a_pod_that_is_not_listed(vec![said(1, 0, &[99], OutlierHint::Ejected), said(2, 0, &[99], OutlierHint::Ejected), said(3, 1, &[99], OutlierHint::Ejected)], &[])]
-#[case::many_at_once_are_the_fleets_trouble((0..3u16).flat_map(|zone| (0..3u64).map(move |n| {
+#[case::unknown_pod(vec![report(1, 0, &[99], OutlierHint::Ejected), report(2, 0, &[99], OutlierHint::Ejected), report(3, 1, &[99], OutlierHint::Ejected)], &[])]
+#[case::too_many_outliers_in_all((0..3u16).flat_map(|zone| (0..3u64).map(move |n| {
     let first = 5 + 4 * u64::from(zone);
-    said(u64::from(zone) * 10 + n, (zone + n as u16) % 3, &[first, first + 1, first + 2, first + 3], OutlierHint::Ejected)
+    report(u64::from(zone) * 10 + n, (zone + n as u16) % 3, &[first, first + 1, first + 2, first + 3], OutlierHint::Ejected)
 })).collect(), &[])]
-fn what_counts(#[case] says: Vec<PeerReport>, #[case] expected: &[u64]) {
+fn hints_count_only_if_several_members_of_several_zones_agree(
+    #[case] reports: Vec<PeerReport>,
+    #[case] expected: &[u64],
+) {
     let pods: Vec<u64> = (5..21).collect();
-    let all = [says, quiet(9)].concat();
-    let found: Vec<u64> = find_outliers(&all, &pods, s(3.0)).into_keys().collect();
+    let all = [reports, healthy(9)].concat();
+    let found: Vec<u64> = find_outliers(&all, &pods, seconds(3.0))
+        .into_keys()
+        .collect();
     assert_eq!(found, expected);
-    assert_eq!(find_outliers(&all, &pods, s(10.0)).len(), 0, "hints fade");
+    assert_eq!(
+        find_outliers(&all, &pods, seconds(10.0)).len(),
+        0,
+        "hints expire"
+    );
 }
 
-/// A member in a fleet of many, which all but it say to be of this opinion.
-fn choices(says: &[(u64, LoadReport)], now: Duration) -> Coordinator {
-    let mut choices = Coordinator::new(s(0.0), 1, 0);
-    choices.set_pods(
+/// A member among others with these reports.
+fn coordinator(reports: &[(u64, LoadReport)], now: Duration) -> Coordinator {
+    let mut coordinator = Coordinator::new(seconds(0.0), 1, 0);
+    coordinator.set_pods(
         (5..21)
             .map(|key| Pod {
                 key,
@@ -65,53 +74,57 @@
             })
             .collect(),
     );
-    choices.set_peers(
-        says.iter()
-            .map(|(member, says)| (*member, Some((says.clone(), now)))),
+    coordinator.set_peers(
+        reports
+            .iter()
+            .map(|(member, report)| (*member, Some((report.clone(), now)))),
     );
-    choices
+    coordinator
 }
 
-fn three_say(hint: OutlierHint) -> Vec<(u64, LoadReport)> {
-    let says = |zone, hints| LoadReport {
+fn three_hint(hint: OutlierHint) -> Vec<(u64, LoadReport)> {
+    let report = |zone, hints| LoadReport {
         zone,
         rate_exponent: 4,
         hints,
         lost_services: 0,
     };
-    let accusers = (2..5u64).map(|n| (n, says(n as u16 % 2, vec![(5, hint)])));
+    let accusers = (2..5u64).map(|n| (n, report(n as u16 % 2, vec![(5, hint)])));
     accusers
-        .chain((5..12u64).map(|n| (n, says(n as u16 % 2, Vec::new()))))
+        .chain((5..12u64).map(|n| (n, report(n as u16 % 2, Vec::new()))))
         .collect()
 }
 
 #[test]
-fn a_doubted_pod_comes_last_and_own_answers_prevail() {
-    let last = |choices: &mut Coordinator, now| {
-        choices
+fn an_outlier_comes_last_unless_it_answered_this_member() {
+    let last = |coordinator: &mut Coordinator, now| {
+        coordinator
             .take_view(now)
             .flatten()
             .and_then(|v| v.preference.last().copied())
     };
-    let mut doubts = choices(&three_say(OutlierHint::Ejected), s(1.0));
-    assert_eq!(last(&mut doubts, s(1.0)), Some(5));
-    let mut knows = choices(&three_say(OutlierHint::Ejected), s(1.0));
-    knows.record_outcome(s(1.0), 5, OutlierObservation::Answered(0.1));
-    let view = knows.take_view(s(1.0)).flatten().unwrap_or_default();
+    let mut unaware = coordinator(&three_hint(OutlierHint::Ejected), seconds(1.0));
+    assert_eq!(last(&mut unaware, seconds(1.0)), Some(5));
+    let mut answered = coordinator(&three_hint(OutlierHint::Ejected), seconds(1.0));
+    answered.record_outcome(seconds(1.0), 5, OutlierObservation::Answered(0.1));
+    let view = answered
+        .take_view(seconds(1.0))
+        .flatten()
+        .unwrap_or_default();
     assert!(view.preference.len() == 16 && !view.probed_by_peers.contains(&5));
-    let mut alone = choices(&[], s(1.0));
+    let mut alone = coordinator(&[], seconds(1.0));
     assert_eq!(
-        alone.take_view(s(1.0)),
+        alone.take_view(seconds(1.0)),
         None,
-        "with nobody else there is no view"
+        "without other members there is no view"
     );
 }
 
-/// One that says nothing (another version, choices off) is no further zone that would have to agree.
+/// A member without a report (another version, or coordination off) is no further zone that would have to agree.
 #[test]
-fn whoever_says_nothing_keeps_no_hint_from_counting() {
-    let mut choices = Coordinator::new(s(0.0), 1, 0);
-    choices.set_pods(
+fn members_without_a_report_do_not_keep_hints_from_counting() {
+    let mut coordinator = Coordinator::new(seconds(0.0), 1, 0);
+    coordinator.set_pods(
         (5..21)
             .map(|key| Pod {
                 key,
@@ -120,7 +133,7 @@
             })
             .collect(),
     );
-    let says = |n: u64| {
+    let report = |n: u64| {
         (n < 5).then(|| {
             (
                 LoadReport {
@@ -129,25 +142,25 @@
                     hints: vec![(5, OutlierHint::Ejected)],
                     lost_services: 0,
                 },
-                s(1.0),
+                seconds(1.0),
             )
         })
     };
-    choices.set_peers((2..7).map(|n| (n, says(n))));
+    coordinator.set_peers((2..7).map(|n| (n, report(n))));
     assert_eq!(
-        choices
-            .take_view(s(1.0))
+        coordinator
+            .take_view(seconds(1.0))
             .flatten()
             .and_then(|view| view.preference.last().copied()),
         Some(5)
     );
 }
 
-/// Each turn so many of twelve may prove it, and in time each may.
+/// In each interval so many of twelve may health check the pod, and in time each may.
 #[test]
-fn proofs_go_round() {
+fn every_member_is_a_prober_in_turn() {
     let members: Vec<u64> = (1..13).collect();
-    let mut proved = std::collections::BTreeSet::new();
+    let mut probers = std::collections::BTreeSet::new();
     for nth in 0..6 {
         let holders: Vec<u64> = members
             .iter()
@@ -155,20 +168,22 @@
             .filter(|m| is_prober(5, *m, members.iter().copied(), ROTATION_INTERVAL * nth))
             .collect();
         assert_eq!(holders.len(), CONCURRENT_PROBERS);
-        proved.extend(holders);
+        probers.extend(holders);
     }
-    assert_eq!(proved.len(), 12);
+    assert_eq!(probers.len(), 12);
 }
 
-/// What one learns of a pod it says, until the pod answers: then that, for a while.
+/// Failures make a hint until the pod answers; then it is reported as recovered for a while.
 #[test]
-fn outcomes_make_hints() {
-    let mut choices = choices(&[], s(0.0));
-    let mut hints = |now: f64, signs: &[OutlierObservation]| {
-        signs
+fn outcomes_become_hints() {
+    let mut coordinator = coordinator(&[], seconds(0.0));
+    let mut hints = |now: f64, observations: &[OutlierObservation]| {
+        observations
             .iter()
-            .for_each(|sign| choices.record_outcome(s(now), 5, *sign));
-        choices.take_report(s(now)).map(|says| says.hints)
+            .for_each(|observation| coordinator.record_outcome(seconds(now), 5, *observation));
+        coordinator
+            .take_report(seconds(now))
+            .map(|report| report.hints)
     };
     assert_eq!(
         hints(
@@ -188,7 +203,7 @@
     assert_eq!(
         hints(6.1, &[]),
         Some(vec![(5, OutlierHint::Ejected)]),
-        "said again before it fades"
+        "repeated before it expires"
     );
     assert_eq!(
         hints(7.0, &[OutlierObservation::Answered(0.1)]),
@@ -203,7 +218,7 @@
         hints(14.0, &[OutlierObservation::Answered(0.1)]),
         Some(vec![(5, OutlierHint::Recovered)])
     );
-    // Called off early it tells nothing; late, as often as unanswered.
+    // Cancelled early it tells nothing; cancelled late it counts as unanswered.
     assert_eq!(
         hints(20.0, &[OutlierObservation::Cancelled(0.0); 3]),
         Some(vec![])
@@ -216,31 +231,31 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
-    /// What is read is what was written; anything else is refused, or read as something within the bounds.
+    /// Reports decode to what was encoded; other bytes are rejected, or decode within the bounds.
     #[test]
-    fn words_are_read_as_written(zone: u16, rate_exponent: u8, lost_services: u8, pods in prop::collection::vec(any::<u64>(), 0..MAX_HINTS), noise: Vec<u8>) {
+    fn reports_decode_as_encoded(zone: u16, rate_exponent: u8, lost_services: u8, pods in prop::collection::vec(any::<u64>(), 0..MAX_HINTS), noise: Vec<u8>) {
         let hints = pods.into_iter().map(|pod| (pod, OutlierHint::Slow)).collect();
-        let says = LoadReport { zone, rate_exponent, hints, lost_services };
-        prop_assert!(says.encode().len() <= 256);
-        // An earlier version's words end before the services.
-        let earlier = &says.encode()[..says.encode().len() - 1];
-        prop_assert_eq!(LoadReport::decode(earlier), Ok(LoadReport { lost_services: 0, ..says.clone() }));
-        prop_assert_eq!(LoadReport::decode(&says.encode()), Ok(says));
+        let report = LoadReport { zone, rate_exponent, hints, lost_services };
+        prop_assert!(report.encode().len() <= 256);
+        // Reports of earlier versions end before the lost services.
+        let earlier = &report.encode()[..report.encode().len() - 1];
+        prop_assert_eq!(LoadReport::decode(earlier), Ok(LoadReport { lost_services: 0, ..report.clone() }));
+        prop_assert_eq!(LoadReport::decode(&report.encode()), Ok(report));
         prop_assert!(LoadReport::decode(&noise).is_ok_and(|s| s.hints.len() <= MAX_HINTS) || LoadReport::decode(&noise).is_err());
     }
 
-    /// One member, whatever it says, takes no pod from the others.
+    /// One member alone, whatever its hints, makes no pod an outlier.
     #[test]
-    fn one_alone_moves_nothing(pods in prop::collection::vec(0u64..30, 0..40), many in 1u64..12) {
-        let lies = said(1, 7, &pods, OutlierHint::Ejected);
-        let all: Vec<PeerReport> = quiet(many).into_iter().chain([lies]).collect();
-        prop_assert_eq!(find_outliers(&all, &(0..30).collect::<Vec<u64>>(), s(1.0)).len(), 0);
+    fn one_member_alone_makes_no_outlier(pods in prop::collection::vec(0u64..30, 0..40), count in 1u64..12) {
+        let lying = report(1, 7, &pods, OutlierHint::Ejected);
+        let all: Vec<PeerReport> = healthy(count).into_iter().chain([lying]).collect();
+        prop_assert_eq!(find_outliers(&all, &(0..30).collect::<Vec<u64>>(), seconds(1.0)).len(), 0);
     }
 }
 
-/// With the least traffic and none a member still has its pods.
+/// Without any requests or capacity a member still has its pods.
 #[test]
-fn a_member_without_traffic_has_pods() {
+fn a_member_without_requests_has_pods() {
     let members = [
         Member {
             key: 1,
--- a/crates/coordination/tests/poll_schedule.rs
+++ b/crates/coordination/tests/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! A service that is lost to many: how often they ask it, and how soon all have it again.
+//! A service that many members have lost: how often they poll it, and how soon all have it again.
 
 use limewing_coordination::{
     stable_key, Coordinator, LoadReport, Pod, Service, MAX_POLL_INTERVAL, RECOVERY_SPREAD,
@@ -6,199 +6,286 @@
 use rstest::rstest;
 use std::time::Duration;
 
-fn s(seconds: f64) -> Duration {
+fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// Members that each try a service, wait a second or two, and ask whether they may try it again.
-struct Members {
-    all: Vec<(u64, Coordinator)>,
-    due: Vec<Option<Duration>>,
-    said: Vec<Option<(LoadReport, Duration)>>,
-    asks: Vec<Duration>,
-    has: Vec<Option<Duration>>,
-}
-
 const STEP: Duration = Duration::from_millis(50);
+/// When all members lose the service.
+const LOST_AT: Duration = Duration::from_secs(5);
 
-/// The service is gone from 5 s on, up to `back`; what a member says reaches those of its part after `gossip`.
-fn run(
-    members: usize,
-    parts: usize,
-    gossip: Duration,
-    heard: bool,
-    back: Duration,
-    until: Duration,
-) -> Members {
-    let own = |n: usize| stable_key(&format!("s{n}"));
-    let pods = vec![Pod {
+fn member_key(number: usize) -> u64 {
+    stable_key(&format!("s{number}"))
+}
+
+fn one_pod() -> Vec<Pod> {
+    vec![Pod {
         key: 1,
         zone: 0,
         capacity: 1.0,
-    }];
-    let choices = |n| {
-        let mut choices = Coordinator::new(Duration::ZERO, own(n), (n % 3) as u16);
-        choices.set_pods(pods.clone());
-        (own(n), choices)
-    };
-    let mut world = Members {
-        all: (0..members).map(choices).collect(),
-        due: (0..members)
-            .map(|n| Some(s(5.0) + s(0.3) * (n as u32 % 7) / 7))
-            .collect(),
-        said: vec![None; members],
-        asks: Vec::new(),
-        has: vec![None; members],
-    };
-    let mut now = Duration::ZERO;
-    let mut on_the_way: Vec<(Duration, usize, LoadReport)> = Vec::new();
-    while now < until {
-        let (arrived, later) = on_the_way.into_iter().partition(|(at, ..)| *at <= now);
-        on_the_way = later;
-        for (_, who, says) in arrived {
-            world.said[who] = Some((says, now));
+    }]
+}
+
+struct SimulatedMember {
+    coordinator: Coordinator,
+    /// When it wants to poll next; none if it has the service.
+    next_poll: Option<Duration>,
+    report: Option<(LoadReport, Duration)>,
+    recovered_at: Option<Duration>,
+}
+
+impl SimulatedMember {
+    fn new(number: usize) -> Self {
+        let zone = (number % 3) as u16;
+        let mut coordinator = Coordinator::new(Duration::ZERO, member_key(number), zone);
+        coordinator.set_pods(one_pod());
+        Self {
+            coordinator,
+            next_poll: Some(LOST_AT + seconds(0.3) * (number as u32 % 7) / 7),
+            report: None,
+            recovered_at: None,
         }
-        for n in 0..members {
-            if now < world.all[n].1.next_deadline() {
-                continue;
+    }
+}
+
+struct ReportInFlight {
+    arrives: Duration,
+    from: usize,
+    report: LoadReport,
+}
+
+#[derive(Clone, Copy)]
+struct Setup {
+    members: usize,
+    /// Disjoint parts that don't hear each other.
+    parts: usize,
+    /// Whether members hear each other at all.
+    reports_arrive: bool,
+}
+
+/// How long a report is on its way.
+const GOSSIP_DELAY: Duration = Duration::from_millis(1500);
+const BACK_AT: Duration = Duration::from_secs(25);
+const END: Duration = Duration::from_secs(40);
+
+/// Members that poll a service which is gone from `LOST_AT` to `BACK_AT`; after a failure each wants to poll again within a
+/// second.
+struct Simulation {
+    setup: Setup,
+    members: Vec<SimulatedMember>,
+    in_flight: Vec<ReportInFlight>,
+    polls: Vec<Duration>,
+}
+
+impl Simulation {
+    fn run(setup: Setup) -> Self {
+        let mut simulation = Self {
+            setup,
+            members: (0..setup.members).map(SimulatedMember::new).collect(),
+            in_flight: Vec::new(),
+            polls: Vec::new(),
+        };
+        let mut now = Duration::ZERO;
+        while now < END {
+            simulation.deliver_reports(now);
+            for number in 0..setup.members {
+                simulation.coordinate(now, number);
             }
-            if let Some(says) = world.all[n].1.take_report(now).filter(|_| heard) {
-                on_the_way.push((now + gossip, n, says));
+            for number in 0..setup.members {
+                simulation.poll(now, number);
             }
-            let others: Vec<_> = (0..members)
-                .filter(|other| *other != n && other % parts == n % parts)
-                .map(|other| (own(other), world.said[other].clone()))
-                .collect();
-            world.all[n].1.set_peers(others.into_iter());
-            let _ = world.all[n].1.take_view(now);
+            now += STEP;
         }
-        for n in 0..members {
-            let Some(_) = world.due[n].filter(|due| *due <= now) else {
-                continue;
-            };
-            let at = world.all[n].1.next_poll(now, Service::EndpointList);
-            if at > now {
-                world.due[n] = Some(at);
-                continue;
-            }
-            world.asks.push(now);
-            if now < back {
-                world.all[n]
-                    .1
-                    .record_poll_failure(now, Service::EndpointList);
-                world.due[n] = Some(now + s(0.3) + s(0.7) * (n as u32 * 7 % 10) / 10);
-            } else {
-                world.all[n].1.record_poll_success(Service::EndpointList);
-                (world.due[n], world.has[n]) = (None, Some(now));
-            }
+        simulation
+    }
+
+    fn deliver_reports(&mut self, now: Duration) {
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (arrived, later) = in_flight
+            .into_iter()
+            .partition(|report| report.arrives <= now);
+        self.in_flight = later;
+        for ReportInFlight { from, report, .. } in arrived {
+            self.members[from].report = Some((report, now));
         }
-        now += STEP;
     }
-    world
-}
 
-impl Members {
-    fn asks(&self, from: f64, to: f64) -> usize {
-        self.asks
+    fn coordinate(&mut self, now: Duration, number: usize) {
+        if now < self.members[number].coordinator.next_deadline() {
+            return;
+        }
+        let report = self.members[number].coordinator.take_report(now);
+        if let Some(report) = report.filter(|_| self.setup.reports_arrive) {
+            self.in_flight.push(ReportInFlight {
+                arrives: now + GOSSIP_DELAY,
+                from: number,
+                report,
+            });
+        }
+        let parts = self.setup.parts;
+        let others: Vec<_> = (0..self.setup.members)
+            .filter(|other| *other != number && other % parts == number % parts)
+            .map(|other| (member_key(other), self.members[other].report.clone()))
+            .collect();
+        let coordinator = &mut self.members[number].coordinator;
+        coordinator.set_peers(others.into_iter());
+        let _ = coordinator.take_view(now);
+    }
+
+    fn poll(&mut self, now: Duration, number: usize) {
+        let member = &mut self.members[number];
+        if member.next_poll.is_none_or(|next_poll| now < next_poll) {
+            return;
+        }
+        let allowed_at = member.coordinator.next_poll(now, Service::EndpointList);
+        if allowed_at > now {
+            member.next_poll = Some(allowed_at);
+            return;
+        }
+        self.polls.push(now);
+        if now < BACK_AT {
+            member
+                .coordinator
+                .record_poll_failure(now, Service::EndpointList);
+            let pause = seconds(0.3) + seconds(0.7) * (number as u32 * 7 % 10) / 10;
+            member.next_poll = Some(now + pause);
+        } else {
+            member
+                .coordinator
+                .record_poll_success(Service::EndpointList);
+            member.next_poll = None;
+            member.recovered_at = Some(now);
+        }
+    }
+
+    /// Polls in that time, in seconds.
+    fn polls_between(&self, from: f64, to: f64) -> usize {
+        self.polls
             .iter()
-            .filter(|at| (s(from)..s(to)).contains(*at))
+            .filter(|at| (seconds(from)..seconds(to)).contains(*at))
             .count()
     }
 
-    fn last(&self, members: usize) -> Duration {
-        self.has
+    /// Polls a second while the service is gone, after the first moments.
+    fn poll_rate(&self) -> f64 {
+        self.polls_between(10.0, 25.0) as f64 / 15.0
+    }
+
+    fn last_recovery(&self) -> Duration {
+        self.members
             .iter()
-            .take(members)
-            .map(|at| at.expect("it was found again"))
+            .map(|member| member.recovered_at.expect("it has the service again"))
             .max()
             .unwrap_or_default()
     }
 }
 
-/// Asks of a second while it is gone, at most, in the mean; and all have it soon after it is back.
+/// The mean rate of polls while the service is gone is bounded, and all members have it soon after it is back.
 #[rstest]
 #[case::twelve(12, 1, 4.0)]
 #[case::three_hundred(300, 1, 42.0)]
 #[case::in_two_halves(300, 2, 44.0)]
 #[case::one_alone(1, 1, 4.0)]
-fn few_ask_while_it_is_gone(#[case] members: usize, #[case] parts: usize, #[case] most: f64) {
-    let world = run(members, parts, s(1.5), true, s(25.0), s(40.0));
-    let a_second = world.asks(10.0, 25.0) as f64 / 15.0;
-    let alone = run(members, parts, s(1.5), false, s(25.0), s(40.0)).asks(10.0, 25.0) as f64 / 15.0;
-    let took = world.last(members) - s(25.0);
-    println!("{members}: {a_second:.1} a second for {alone:.1}, all had it after {took:?}");
+fn few_members_poll_a_service_that_is_gone(
+    #[case] members: usize,
+    #[case] parts: usize,
+    #[case] max_rate: f64,
+) {
+    let setup = Setup {
+        members,
+        parts,
+        reports_arrive: true,
+    };
+    let simulation = Simulation::run(setup);
+    let rate = simulation.poll_rate();
+    let uncoordinated = Simulation::run(Setup {
+        reports_arrive: false,
+        ..setup
+    });
+    let uncoordinated_rate = uncoordinated.poll_rate();
+    let took = simulation.last_recovery() - BACK_AT;
+    println!(
+        "{members}: {rate:.1} a second for {uncoordinated_rate:.1}, all had it after {took:?}"
+    );
     assert!(
-        a_second <= most && a_second <= alone,
-        "{a_second} a second, alone {alone}"
+        rate <= max_rate && rate <= uncoordinated_rate,
+        "{rate} a second, uncoordinated {uncoordinated_rate}"
     );
     assert!(
-        took <= TURNS + s(2.0) * 2 + RECOVERY_SPREAD + s(1.0),
+        took <= ROTATIONS + seconds(2.0) * 2 + RECOVERY_SPREAD + seconds(1.0),
         "{took:?}"
     );
-    // No crowd, while it is gone nor when it comes up.
+    // No crowd, while it is gone nor when it is back.
     let crowd = (100..400)
-        .map(|n| world.asks(n as f64 / 10.0, (n + 1) as f64 / 10.0))
+        .map(|n| simulation.polls_between(n as f64 / 10.0, (n + 1) as f64 / 10.0))
         .max()
         .unwrap_or(0);
     assert!(crowd <= (members / 4).max(4), "{crowd} at once");
 }
 
-const TURNS: Duration = Duration::from_secs(2);
+/// Two rotation intervals.
+const ROTATIONS: Duration = Duration::from_secs(2);
 
-/// Nobody waits for longer than that for the others, whatever they say: they say that it is lost and never that it is back.
+/// A member polls within `MAX_POLL_INTERVAL`, even if the others report the service as lost for ever.
 #[test]
-fn others_that_go_on_saying_it_is_lost_hold_nobody_up_for_long() {
-    let mut choices = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
-    choices.set_pods(vec![Pod {
-        key: 1,
-        zone: 0,
-        capacity: 1.0,
-    }]);
+fn peers_that_always_report_a_service_as_lost_delay_polls_within_the_bound() {
+    let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
+    coordinator.set_pods(one_pod());
     let lost = LoadReport {
         zone: 1,
         rate_exponent: 4,
         hints: Vec::new(),
         lost_services: Service::EndpointList.bit(),
     };
-    choices.record_poll_failure(s(1.0), Service::EndpointList);
-    let (mut now, mut asked) = (s(1.0), Vec::new());
-    while now < s(60.0) {
-        choices.set_peers((0..200).map(|n| (n, Some((lost.clone(), now)))));
-        let _ = choices.take_view(now);
-        if choices.next_poll(now, Service::EndpointList) <= now {
-            asked.push(now);
-            choices.record_poll_failure(now, Service::EndpointList);
+    coordinator.record_poll_failure(seconds(1.0), Service::EndpointList);
+    let mut now = seconds(1.0);
+    let mut polls = Vec::new();
+    while now < seconds(60.0) {
+        coordinator.set_peers((0..200).map(|n| (n, Some((lost.clone(), now)))));
+        let _ = coordinator.take_view(now);
+        if coordinator.next_poll(now, Service::EndpointList) <= now {
+            polls.push(now);
+            coordinator.record_poll_failure(now, Service::EndpointList);
         }
-        now += s(0.5);
+        now += seconds(0.5);
     }
-    let gaps: Vec<Duration> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    let gaps: Vec<Duration> = polls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(
-        asked.len() >= 6 && gaps.iter().all(|gap| *gap <= MAX_POLL_INTERVAL + s(0.5)),
-        "{asked:?}"
+        polls.len() >= 6
+            && gaps
+                .iter()
+                .all(|gap| *gap <= MAX_POLL_INTERVAL + seconds(0.5)),
+        "{polls:?}"
     );
 }
 
-/// What is lost to one alone, or to others but not to it, holds nothing up; nor does a word that is old.
+/// Nothing delays the poll of a service that this member alone has lost, or that only others have lost, or if reports are old.
 #[rstest]
 #[case::nobody_else(0, 0.0)]
-#[case::said_long_ago(200, 30.0)]
-fn alone_it_asks_at_once(#[case] others: u64, #[case] ago: f64) {
-    let mut choices = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
-    choices.set_pods(vec![Pod {
-        key: 1,
-        zone: 0,
-        capacity: 1.0,
-    }]);
-    assert_eq!(choices.next_poll(s(50.0), Service::Installer), s(50.0));
-    choices.record_poll_failure(s(50.0), Service::Installer);
+#[case::reported_long_ago(200, 30.0)]
+fn a_member_without_fresh_reports_polls_at_once(#[case] others: u64, #[case] ago: f64) {
+    let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
+    coordinator.set_pods(one_pod());
+    assert_eq!(
+        coordinator.next_poll(seconds(50.0), Service::Installer),
+        seconds(50.0)
+    );
+    coordinator.record_poll_failure(seconds(50.0), Service::Installer);
     let lost = LoadReport {
         zone: 1,
         rate_exponent: 4,
         hints: Vec::new(),
         lost_services: Service::Installer.bit(),
     };
-    choices.set_peers((0..others).map(|n| (n, Some((lost.clone(), s(50.0) - s(ago))))));
-    let _ = choices.take_view(s(50.5));
-    assert_eq!(choices.next_poll(s(50.5), Service::Installer), s(50.5));
-    assert_eq!(choices.next_poll(s(50.5), Service::EndpointList), s(50.5));
+    coordinator
+        .set_peers((0..others).map(|n| (n, Some((lost.clone(), seconds(50.0) - seconds(ago))))));
+    let _ = coordinator.take_view(seconds(50.5));
+    assert_eq!(
+        coordinator.next_poll(seconds(50.5), Service::Installer),
+        seconds(50.5)
+    );
+    assert_eq!(
+        coordinator.next_poll(seconds(50.5), Service::EndpointList),
+        seconds(50.5)
+    );
 }
--- a/crates/coordination/tests/subsets.rs
+++ b/crates/coordination/tests/subsets.rs
@@ -1,14 +1,14 @@
-//! Whose pods are whose: coverage, balance, least movement.
+//! Assignment of subsets: coverage, balance, least movement.
 
 mod helpers;
 
-use helpers::{balance, held, members, moved, pods};
+use helpers::{assignment, balance, members, moved, pods};
 use limewing_coordination::{assign_subsets, Member, Pod};
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// What hashing alone gives today: five and three for each open hit at 0.1 s each.
-fn drawn(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
+/// Plain rendezvous hashing for comparison: five pods, and three for each request in flight at 0.1 s each.
+fn plain_hashing(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
     let many = |m: &Member| (5.0 + 3.0 * m.request_rate * 0.1).round() as usize;
     let alike: Vec<Pod> = pods
         .iter()
@@ -34,16 +34,16 @@
 #[case::sixty(60, 150, 1.15)]
 #[case::three_hundred(300, 150, 1.15)]
 #[case::thousand(1000, 500, 1.15)]
-fn each_pod_gets_about_as_much(#[case] many: usize, #[case] of: usize, #[case] most: f64) {
+fn pods_have_balanced_loads(#[case] many: usize, #[case] of: usize, #[case] most: f64) {
     let (members, pods) = (members(many, 3), pods(of, 3));
     let began = std::time::Instant::now();
     let shares = assign_subsets(&members, &pods);
     let took = began.elapsed();
     let (load, users, unused, mean) = balance(&members, &pods, &shares);
     let (plain, plain_users, plain_unused, plain_mean) =
-        balance(&members, &pods, &drawn(&members, &pods));
+        balance(&members, &pods, &plain_hashing(&members, &pods));
     println!(
-        "{many} x {of}: load {load:.2} (drawn {plain:.2}), users {users:.2} ({plain_users:.2}) of {mean:.1} \
+        "{many} x {of}: load {load:.2} (plain {plain:.2}), users {users:.2} ({plain_users:.2}) of {mean:.1} \
          ({plain_mean:.1}), unused {unused} ({plain_unused}), {took:?}"
     );
     assert!(load <= most, "{load}");
@@ -54,11 +54,11 @@
 #[case::few(12, 24)]
 #[case::sixty(60, 150)]
 #[case::three_hundred(300, 150)]
-fn little_moves_when_one_comes_or_goes(#[case] many: usize, #[case] of: usize) {
+fn few_pods_move_when_a_member_or_pod_comes_or_goes(#[case] many: usize, #[case] of: usize) {
     let (members, pods) = (members(many, 3), pods(of, 3));
-    let whole = held(&members, &pods);
-    let without = |n: usize| held(&[&members[..n], &members[n + 1..]].concat(), &pods);
-    let fewer = |n: usize| held(&members, &[&pods[..n], &pods[n + 1..]].concat());
+    let whole = assignment(&members, &pods);
+    let without = |n: usize| assignment(&[&members[..n], &members[n + 1..]].concat(), &pods);
+    let fewer = |n: usize| assignment(&members, &[&pods[..n], &pods[n + 1..]].concat());
     let figures = |moves: Vec<f64>| {
         let mean = moves.iter().sum::<f64>() / moves.len() as f64;
         (mean, moves.iter().copied().fold(0.0, f64::max))
@@ -88,10 +88,10 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever the fleet: no pod unused, none twice with one member, each member served, and the order in which
-    /// members and pods are told changes nothing.
+    /// No pod is unused or twice with one member, each member has pods, and the order of members and pods in the input
+    /// changes nothing.
     #[test]
-    fn all_are_covered(
+    fn every_pod_is_used_whatever_the_order(
         traffics in prop::collection::vec(0.01f64..500.0, 1..40),
         strengths in prop::collection::vec(0.1f64..8.0, 1..60),
     ) {
@@ -111,9 +111,9 @@
         let (mut back, mut pods_back) = (members.clone(), pods.clone());
         back.reverse();
         pods_back.reverse();
-        let sorted = |held: helpers::Held| -> helpers::Held {
-            held.into_iter().map(|(m, mut p)| { p.sort_unstable(); (m, p) }).collect()
+        let sorted = |assignment: helpers::Assignment| -> helpers::Assignment {
+            assignment.into_iter().map(|(m, mut p)| { p.sort_unstable(); (m, p) }).collect()
         };
-        prop_assert_eq!(sorted(held(&members, &pods)), sorted(held(&back, &pods_back)));
+        prop_assert_eq!(sorted(assignment(&members, &pods)), sorted(assignment(&back, &pods_back)));
     }
 }
