--- a/crates/http-proxy/src/pods.rs
+++ b/crates/http-proxy/src/pods.rs
@@ -242,7 +242,7 @@
             (Some((_, started)), _) => *started,
             (None, None) => None,
             (None, Some(told)) => {
-                let started = clock::of_day(told, now, today);
+                let started = clock::from_wall_clock(told, now, today);
                 self.starts.insert(row.address, (told, started));
                 started
             }
--- a/crates/http-proxy/src/service/asks.rs
+++ b/crates/http-proxy/src/service/asks.rs
@@ -15,7 +15,7 @@
 use limewing_net::message::Responses;
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
-use limewing_proxy_core::clock::today;
+use limewing_proxy_core::clock::wall_clock_now;
 use std::time::Duration;
 
 /// The longest list that is read, in bytes.
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn ask_list(&mut self) {
-        if self.list_link.is_some() || self.shutdown.is_told() {
+        if self.list_link.is_some() || self.shutdown.has_begun() {
             return;
         }
         if let Some(at) = self.others_turn(Asked::List) {
@@ -166,7 +166,7 @@
     fn new_list(&mut self, rows: Vec<pods::Row>) {
         self.listed = rows;
         let rows = self.told(self.listed.clone());
-        let today = today();
+        let today = wall_clock_now();
         // The first one tells what of the remembered list is gone; later ones only what changed.
         let news = match std::mem::replace(&mut self.list_known, true) {
             false => EndpointUpdate::Snapshot(self.book.entries(&rows, self.now, today)),
@@ -210,7 +210,7 @@
             .terms
             .installer
             .as_ref()
-            .filter(|_| !self.shutdown.is_told())
+            .filter(|_| !self.shutdown.has_begun())
         else {
             return;
         };
@@ -276,7 +276,7 @@
             match news {
                 Ok(news) => {
                     if !news.is_empty() {
-                        self.lost_news.answered();
+                        self.lost_news.reset();
                         let now = self.now;
                         let fleet = self.fleet.as_mut();
                         fleet
@@ -321,7 +321,7 @@
     fn news_again(&mut self, why: &str) {
         self.service_answers(Asked::Installer, false);
         tracing::warn!(why, "no stage news; asked for again");
-        let wait = self.lost_news.wait();
+        let wait = self.lost_news.next_delay();
         self.wheel.arm(self.now + wait, Due::AskNews);
     }
 
--- a/crates/http-proxy/src/service/back.rs
+++ b/crates/http-proxy/src/service/back.rs
@@ -12,7 +12,7 @@
 use limewing_net::http::{self, HeadLimits, ResponseHead};
 use limewing_net::sockets::{is_own_want, SocketId};
 use limewing_net::wheel::TimerKey;
-use limewing_proxy_core::kept::Link;
+use limewing_proxy_core::kept::IdleConnection;
 use limewing_proxy_core::open::Attempt;
 use limewing_proxy_core::permit::SendPermit;
 use std::time::Duration;
@@ -53,26 +53,31 @@
         };
         let no = AttemptIndex(open.attempts.len() as u16);
         let due = if within.is_zero() {
-            open.due
+            open.deadline
         } else {
-            open.due.min(self.now + within)
+            open.deadline.min(self.now + within)
         };
         let timer = self.wheel.arm(due, Due::Forward(hit, no));
         let forward = Attempt {
             pod,
-            sent: self.now,
-            link: None,
+            sent_at: self.now,
+            connection: None,
             timer: Some(timer),
             ended: false,
         };
         open.attempts.push(forward);
         let spent = open.attempts.len() > self.terms.max_forwards;
         // A body that was passed on is gone: nothing is left for another forward.
-        let gone = !open.of.whole && open.of.carrier.is_some();
-        if let (Some(tag), Some(copies)) = (open.of.once, &mut self.copies) {
+        let gone = !open.protocol_state.whole && open.protocol_state.carrier.is_some();
+        if let (Some(tag), Some(copies)) = (open.protocol_state.once, &mut self.copies) {
             copies.sent(self.now, hit, tag);
         }
-        if open.over || open.of.passing.is_some() || spent || gone || self.now >= due {
+        if open.completed
+            || open.protocol_state.passing.is_some()
+            || spent
+            || gone
+            || self.now >= due
+        {
             return self.end_forward(hit, no, AttemptOutcome::NeverSent);
         }
         let link = match self.kept_link(pod) {
@@ -109,8 +114,8 @@
             },
         };
         let from = self.sockets.written(link);
-        if let Some(forward) = self.hits.out(hit, no) {
-            forward.link = Some(link);
+        if let Some(forward) = self.hits.active_attempt_mut(hit, no) {
+            forward.connection = Some(link);
         }
         let (answer, gathered) = (None, BytesMut::new());
         let Some(Peer::Pod(of)) = self.peers.get_mut(&link) else {
@@ -134,7 +139,7 @@
     /// taken for the answer, and a request that is written to a closed connection may have run for all that is known.
     fn kept_link(&mut self, pod: PodId) -> Option<SocketId> {
         loop {
-            let Link { id, timer, .. } = self.idle.take(pod)?;
+            let IdleConnection { id, timer, .. } = self.idle.take(pod)?;
             self.wheel.cancel(timer);
             if self.sockets.is_quiet(id) {
                 return Some(id);
@@ -157,7 +162,7 @@
         };
         let (hit, no) = (*hit, *no);
         if let Some(open) = self.hits.get_mut(hit) {
-            open.of.carrier = open.of.carrier.or(Some(no));
+            open.protocol_state.carrier = open.protocol_state.carrier.or(Some(no));
         }
         let Some(open) = self.hits.get(hit) else {
             return;
@@ -170,19 +175,19 @@
         // A pod that begins a hit only while it is waited for can't run it after its mark is forgotten.
         let field = self.routes.deadline_field();
         let mut digits = itoa::Buffer::new();
-        let left = digits.format(open.due.saturating_sub(self.now).as_millis() as u64);
+        let left = digits.format(open.deadline.saturating_sub(self.now).as_millis() as u64);
         let left = field.map(|field| (field.as_bytes(), left.as_bytes()));
         let is_left =
             |name: &[u8]| field.is_some_and(|field| name.eq_ignore_ascii_case(field.as_bytes()));
-        let framing = if open.of.whole {
-            Framing::Length(open.of.body.len() as u64)
+        let framing = if open.protocol_state.whole {
+            Framing::Length(open.protocol_state.body.len() as u64)
         } else {
-            open.of.head.framing
+            open.protocol_state.head.framing
         };
-        let (whole, client) = (open.of.whole, open.client);
-        let mut out = BytesMut::with_capacity(512 + open.of.body.len());
+        let (whole, client) = (open.protocol_state.whole, open.client);
+        let mut out = BytesMut::with_capacity(512 + open.protocol_state.body.len());
         let fields = open
-            .of
+            .protocol_state
             .head
             .fields
             .passed_on()
@@ -191,15 +196,15 @@
             .chain(left);
         http::write_request(
             &mut out,
-            &open.of.head.method,
-            &open.of.head.target,
+            &open.protocol_state.head.method,
+            &open.protocol_state.head.target,
             fields,
             framing,
         );
         if framing == Framing::Chunked {
-            write_chunk(&mut out, &open.of.body);
+            write_chunk(&mut out, &open.protocol_state.body);
         } else {
-            out.extend_from_slice(&open.of.body);
+            out.extend_from_slice(&open.protocol_state.body);
         }
         self.sockets.send(link, &out);
         if !whole {
@@ -284,8 +289,8 @@
             return Step::Broken;
         };
         let (to_head, streamed) = (
-            open.of.head.method == "HEAD",
-            self.terms.streamed[usize::from(open.of.group.0)],
+            open.protocol_state.head.method == "HEAD",
+            self.terms.streamed[usize::from(open.protocol_state.group.0)],
         );
         let Some(input) = self.sockets.input(link) else {
             return Step::Broken;
@@ -306,7 +311,7 @@
         let (hit, no, good) = (job.hit, job.no, head.status < 500);
         let most = self.terms.answer_gathered;
         // A streamed answer is the client's from its first byte.
-        let free = !open.over && open.of.passing.is_none();
+        let free = !open.completed && open.protocol_state.passing.is_none();
         let mut begins = streamed && good && free;
         let mut over = false;
         let mut passed = Vec::new();
@@ -343,7 +348,11 @@
                 self.begin_passing(hit, no, &head);
                 self.events.push(Event::StreamStarted { request: hit });
                 // It is the client's now: its time-out stops.
-                if let Some(timer) = self.hits.out(hit, no).and_then(|f| f.timer.take()) {
+                if let Some(timer) = self
+                    .hits
+                    .active_attempt_mut(hit, no)
+                    .and_then(|f| f.timer.take())
+                {
                     self.wheel.cancel(timer);
                 }
             }
@@ -382,7 +391,7 @@
         let pod = of.pod;
         let Some(job) = of.job.take() else { return };
         let Some((head, _)) = &job.answer else { return };
-        if clean && head.keep_alive && !self.shutdown.is_told() {
+        if clean && head.keep_alive && !self.shutdown.has_begun() {
             self.keep(link, pod);
         } else {
             self.peers.remove(&link);
@@ -411,7 +420,7 @@
             .job
             .as_ref()
             .and_then(|job| self.hits.get(job.hit))
-            .filter(|open| !open.of.whole);
+            .filter(|open| !open.protocol_state.whole);
         let client = open
             .and_then(|open| open.client)
             .and_then(|client| self.peers.get(&client));
@@ -427,7 +436,7 @@
             .job
             .as_ref()
             .and_then(|job| self.hits.get(job.hit))
-            .filter(|open| !open.of.whole);
+            .filter(|open| !open.protocol_state.whole);
         open.and_then(|open| open.client)
             .into_iter()
             .for_each(|client| self.pass_body(client));
@@ -455,27 +464,27 @@
 
     /// Tells the module how a forward ended; each ends once.
     fn end_forward(&mut self, hit: RequestId, no: AttemptIndex, fate: AttemptOutcome) {
-        let Some(ended) = self.hits.end(hit, no, fate, self.now) else {
+        let Some(ended) = self.hits.end_attempt(hit, no, fate, self.now) else {
             return;
         };
         ended.timer.map(|timer| self.wheel.cancel(timer));
         if let Some(copies) = &mut self.copies {
             let key = ended
-                .last
+                .completed_request
                 .as_ref()
-                .or(self.hits.get(hit).map(|open| &open.of))
+                .or(self.hits.get(hit).map(|open| &open.protocol_state))
                 .and_then(|of| of.key);
-            copies.ended(self.now, &ended.outcome, key);
+            copies.ended(self.now, &ended.result, key);
         }
-        self.events.push(Event::AttemptFinished(ended.outcome));
+        self.events.push(Event::AttemptFinished(ended.result));
     }
 
     pub(super) fn forward_late(&mut self, hit: RequestId, no: AttemptIndex) {
-        let Some(forward) = self.hits.out(hit, no) else {
+        let Some(forward) = self.hits.active_attempt_mut(hit, no) else {
             return;
         };
         forward.timer = None;
-        let link = forward.link.take();
+        let link = forward.connection.take();
         let fate = self.drop_job(link).unwrap_or(AttemptOutcome::TimedOut);
         self.end_forward(hit, no, fate);
     }
@@ -487,17 +496,20 @@
         let Some(forward) = open.attempts.get(usize::from(no.0)).filter(|f| !f.ended) else {
             return;
         };
-        if open.of.passing == Some(no) {
+        if open.protocol_state.passing == Some(no) {
             return;
         }
-        let link = forward.link;
+        let link = forward.connection;
         let fate = self.drop_job(link).unwrap_or(AttemptOutcome::Cancelled);
         self.end_forward(hit, no, fate);
     }
 
     /// Ends a forward whose answer was passed on to a client that went.
     pub(super) fn cut(&mut self, hit: RequestId, no: AttemptIndex) {
-        let link = self.hits.out(hit, no).and_then(|forward| forward.link);
+        let link = self
+            .hits
+            .active_attempt_mut(hit, no)
+            .and_then(|forward| forward.connection);
         self.drop_job(link);
         self.end_forward(hit, no, AttemptOutcome::Cancelled);
     }
@@ -526,7 +538,7 @@
             return None;
         };
         let job = of.job.as_ref()?;
-        SendPermit::ask(&*self.module, self.now, job.hit, job.no)
+        SendPermit::request(&*self.module, self.now, job.hit, job.no)
     }
 
     /// The attempt on a connection that stands is not allowed and not written: it never runs, and the connection is kept.
@@ -550,11 +562,11 @@
 
     /// Ends the attempts that are not written yet and are no longer allowed: they never run.
     pub(super) fn withdraw(&mut self) {
-        for (hit, no, pod, link) in self.hits.all_out() {
+        for (hit, no, pod, link) in self.hits.active_attempts() {
             let Some(link) = link.filter(|link| self.is_unwritten(*link)) else {
                 continue;
             };
-            if SendPermit::ask(&*self.module, self.now, hit, no).is_none() {
+            if SendPermit::request(&*self.module, self.now, hit, no).is_none() {
                 tracing::debug!(
                     hit = hit.0,
                     no = no.0,
@@ -580,12 +592,12 @@
         let timer = self
             .wheel
             .arm(self.now + self.terms.idle_close, Due::Idle(link));
-        self.idle.put(
+        self.idle.insert(
             pod,
-            Link {
+            IdleConnection {
                 id: link,
                 timer,
-                since: self.now,
+                idle_since: self.now,
             },
         );
     }
@@ -610,30 +622,30 @@
     /// Whether a connection to a pod may be made: if all are taken, the pod with the most kept ones loses its oldest.
     /// Guards against connections kept to some pods that keep hits from the others.
     fn makes_room(&mut self) -> bool {
-        self.sockets.open() < self.room.shared || {
+        self.sockets.open() < self.room.max_connections || {
             self.drop_kept();
-            self.sockets.open() < self.room.shared
+            self.sockets.open() < self.room.max_connections
         }
     }
 
     /// Clients wait to be let in: an eighth of the kept connections goes, where these take the room.
     pub(super) fn make_room_for_clients(&mut self) {
         let kept = self.idle.len();
-        if self.sockets.open() >= self.room.shared {
+        if self.sockets.open() >= self.room.max_connections {
             (0..kept.div_ceil(8)).for_each(|_| self.drop_kept());
         }
     }
 
     fn drop_kept(&mut self) {
         self.idle
-            .spare()
+            .eviction_candidate()
             .into_iter()
             .for_each(|link| self.close_link(link));
     }
 
     fn forget_idle(&mut self, link: SocketId, pod: PodId) {
         self.idle
-            .forget(pod, link)
+            .remove(pod, link)
             .map(|timer| self.wheel.cancel(timer));
     }
 }
--- a/crates/http-proxy/src/service/copies.rs
+++ b/crates/http-proxy/src/service/copies.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, AttemptResult, BuildId, EndpointUpdate, Event, PodId, PodState, RequestId,
     RoutingKey,
 };
-use limewing_proxy_core::clock::today;
+use limewing_proxy_core::clock::wall_clock_now;
 use limewing_replication::{
     LocalState, MergedState, Origin, Packet, Phase, Record, Refusal, Replica, ReplicaConfig, Stage,
     EXECUTION_TIME_TO_LIVE, KEY_TIME_TO_LIVE, STAGE_TIME_TO_LIVE,
@@ -101,7 +101,7 @@
         peers: &Peers,
         seed: u64,
     ) -> Self {
-        let start = today()
+        let start = wall_clock_now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
--- a/crates/http-proxy/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/fleet.rs
@@ -8,7 +8,7 @@
 };
 use limewing_membership::{Config, DatagramError, Key, MemberName, MemberStatus, Membership};
 use limewing_net::sockets::{SocketId, Sockets};
-use limewing_proxy_core::clock::today;
+use limewing_proxy_core::clock::wall_clock_now;
 use limewing_settings::{self as settings, KeyFile, Unusable};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -130,7 +130,7 @@
         let (socket, address) = sockets
             .bind_datagrams(at)
             .map_err(|why| StartTrouble::Datagrams { at, why })?;
-        let start = today()
+        let start = wall_clock_now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let terms = Config {
--- a/crates/http-proxy/src/service/front.rs
+++ b/crates/http-proxy/src/service/front.rs
@@ -11,7 +11,7 @@
 use limewing_net::message::Requests;
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
-use limewing_proxy_core::open::Open;
+use limewing_proxy_core::open::InFlightRequest;
 use limewing_replication::Refusal;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -67,8 +67,8 @@
 }
 
 /// Whether no answer has been given, or begun.
-fn is_free(open: &Open<ClientRequest>) -> bool {
-    !open.over && open.of.passing.is_none()
+fn is_free(open: &InFlightRequest<ClientRequest>) -> bool {
+    !open.completed && open.protocol_state.passing.is_none()
 }
 
 /// Which pod each answer given lately came from, so that reports can be understood.
@@ -94,7 +94,7 @@
 
 impl Service {
     pub(super) fn client_came(&mut self, id: SocketId) {
-        if self.clients >= self.terms.clients || self.shutdown.is_told() {
+        if self.clients >= self.terms.clients || self.shutdown.has_begun() {
             let status = self.proxy_status("bounced", true);
             self.say(
                 id,
@@ -185,7 +185,7 @@
     }
 
     fn request(&mut self, id: SocketId, head: RequestHead, body: Bytes) {
-        let keep_alive = head.keep_alive && !self.shutdown.is_told();
+        let keep_alive = head.keep_alive && !self.shutdown.has_begun();
         let Some(client) = self.client(id) else {
             return;
         };
@@ -200,7 +200,7 @@
             ("POST", WORK) => return self.asked_for_work(id, &body),
             _ => {}
         }
-        if self.shutdown.is_told() {
+        if self.shutdown.has_begun() {
             let fields = [
                 ("retry-after", "1"),
                 ("proxy-status", &self.proxy_status("bounced", true)[..]),
@@ -239,7 +239,7 @@
             .client(client)
             .is_none_or(|client| client.rest.is_none());
         let (passing, carrier) = (None, None);
-        let id = self.hits.open(
+        let id = self.hits.insert(
             client,
             due,
             ClientRequest {
@@ -274,10 +274,12 @@
         let (Some(hit), Some(reader)) = (client.hit, client.rest.as_mut()) else {
             return;
         };
-        let open = self.hits.get(hit).filter(|open| !open.over);
+        let open = self.hits.get(hit).filter(|open| !open.completed);
         let link = open.and_then(|open| {
-            let carrier = open.attempts.get(usize::from(open.of.carrier?.0))?;
-            Some((carrier.link?, open.of.head.framing))
+            let carrier = open
+                .attempts
+                .get(usize::from(open.protocol_state.carrier?.0))?;
+            Some((carrier.connection?, open.protocol_state.head.framing))
         });
         // Before a pod has it, or while that one is full, the client is read no further.
         let Some((link, framing)) = link else {
@@ -381,7 +383,10 @@
     }
 
     pub(super) fn fail(&mut self, hit: RequestId) {
-        let late = self.hits.get(hit).is_some_and(|open| self.now >= open.due);
+        let late = self
+            .hits
+            .get(hit)
+            .is_some_and(|open| self.now >= open.deadline);
         let status = self.proxy_status("errored", false);
         self.settle(
             hit,
@@ -393,15 +398,15 @@
     /// The final answer of a hit that no pod answered.
     fn settle(&mut self, hit: RequestId, status: u16, fields: &[(&str, &str)]) {
         self.copies.iter_mut().for_each(|copies| copies.over(hit));
-        let Some(open) = self.hits.unsettled(hit) else {
+        let Some(open) = self.hits.pending_mut(hit) else {
             return;
         };
-        open.over = true;
+        open.completed = true;
         if let Some(client) = open.client.take() {
             self.reply(client, status, fields, b"");
             self.next_request(client);
         }
-        self.hits.tidy(hit);
+        self.hits.remove_if_complete(hit);
     }
 
     /// Passes a gathered answer on: the hit is delivered.
@@ -416,8 +421,11 @@
         let Some(open) = self.hits.get_mut(hit).filter(|open| is_free(open)) else {
             return;
         };
-        open.over = true;
-        let (client, to_head) = (open.client.take(), open.of.head.method == "HEAD");
+        open.completed = true;
+        let (client, to_head) = (
+            open.client.take(),
+            open.protocol_state.head.method == "HEAD",
+        );
         self.answered(hit, no);
         let Some(client) = client else { return };
         // The answer to HEAD tells the length that the body would have.
@@ -441,7 +449,7 @@
         let Some(open) = self.hits.get_mut(hit) else {
             return;
         };
-        open.of.passing = Some(no);
+        open.protocol_state.passing = Some(no);
         let Some(client) = open.client else { return };
         self.answered(hit, no);
         let out = self.answer_head(client, hit, no, head, passed_framing(head));
@@ -469,7 +477,7 @@
         let Some(open) = self.hits.get_mut(hit) else {
             return;
         };
-        open.over = true;
+        open.completed = true;
         let Some(client) = open.client.take() else {
             return;
         };
@@ -498,7 +506,8 @@
         let Some(forward) = open.attempts.get(usize::from(no.0)) else {
             return;
         };
-        self.reports.note(hit, no, (forward.pod, open.of.group));
+        self.reports
+            .note(hit, no, (forward.pod, open.protocol_state.group));
     }
 
     /// The head of an answer that a pod gave, as its client gets it.
@@ -672,7 +681,7 @@
             "pods": self.rows.len(),
             "list_index": self.list_index,
             "list_watched": self.list_link.is_some(),
-            "hits": self.hits.taken(),
+            "hits": self.hits.total_accepted(),
             "unsent": self.sockets.all_unsent(),
         });
         self.reply(
@@ -692,10 +701,10 @@
         match hit.and_then(|hit| self.hits.get(hit)) {
             Some(open) => {
                 let link = open
-                    .of
+                    .protocol_state
                     .passing
                     .and_then(|no| open.attempts.get(usize::from(no.0)))
-                    .and_then(|f| f.link);
+                    .and_then(|f| f.connection);
                 link.into_iter().for_each(|link| self.pod_wrote(link));
             }
             None => self.client_wrote(id),
@@ -734,15 +743,15 @@
             return;
         };
         open.client = None;
-        if !open.over {
-            open.over = true;
+        if !open.completed {
+            open.completed = true;
             self.copies.iter_mut().for_each(|copies| copies.over(hit));
             self.events.push(Event::ClientDisconnected(hit));
             // An answer in mid-way has nobody to go to.
-            if let Some(no) = open.of.passing {
+            if let Some(no) = open.protocol_state.passing {
                 self.cut(hit, no);
             }
-            self.hits.tidy(hit);
+            self.hits.remove_if_complete(hit);
         }
     }
 
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -30,13 +30,13 @@
 use limewing_net::call::Call;
 use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
 use limewing_net::wheel::Wheel;
-use limewing_proxy_core::again::Again;
-use limewing_proxy_core::clock::{today, Clock};
-use limewing_proxy_core::kept::Kept;
-use limewing_proxy_core::open::OpenHits;
-use limewing_proxy_core::permit::Permits;
-use limewing_proxy_core::room::Room;
-use limewing_proxy_core::shutdown::{Holds, Shutdown, Spans, Step};
+use limewing_proxy_core::again::Backoff;
+use limewing_proxy_core::clock::{wall_clock_now, Clock};
+use limewing_proxy_core::kept::ConnectionPool;
+use limewing_proxy_core::open::InFlightRequests;
+use limewing_proxy_core::permit::SendAuthority;
+use limewing_proxy_core::room::DescriptorBudget;
+use limewing_proxy_core::shutdown::{PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts};
 use limewing_settings::{Misfit, SidecarSettings};
 use rustc_hash::FxHashMap;
 use std::io;
@@ -78,7 +78,7 @@
 const LONG_TURN: Duration = Duration::from_millis(20);
 
 /// What decides: the module, or in tests something that stands round it.
-pub trait Decisions: Permits {
+pub trait Decisions: SendAuthority {
     /// Takes lists and stage news before what else came in the same round is handled; nothing falls due by it.
     fn learn(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action>;
 
@@ -144,7 +144,7 @@
     wake: Duration,
     events: Vec<Event>,
     latest: Latest,
-    lost_news: Again,
+    lost_news: Backoff,
     terms: Terms,
     routes: Routes,
     peers: FxHashMap<SocketId, Peer>,
@@ -152,10 +152,10 @@
     listener: SocketId,
     address: SocketAddr,
     clients: usize,
-    hits: OpenHits<ClientRequest>,
+    hits: InFlightRequests<ClientRequest>,
     /// Told apart from the same sidecar's earlier lives.
     life: u32,
-    idle: Kept,
+    idle: ConnectionPool,
     book: PodBook,
     rows: Vec<Row>,
     list_index: u64,
@@ -165,7 +165,7 @@
     list_asked: Duration,
     /// The list is not on disk as it is: when that is tried again.
     keeper: Option<Keeper<Vec<Row>>>,
-    room: Room,
+    room: DescriptorBudget,
     reports: Reports,
     /// The other sidecars, where the settings tell of them.
     fleet: Option<Fleet>,
@@ -214,8 +214,8 @@
         let threads =
             1 + usize::from(settings.state_file.is_some()) + usize::from(settings.work.is_some());
         let memory = memory - (threads * THREAD_RESERVE).min(memory / 4 * 3);
-        let room = Room::of(descriptors, memory, client);
-        sockets.accept_up_to(room.accepted, room.shared);
+        let room = DescriptorBudget::new(descriptors, memory, client);
+        sockets.accept_up_to(room.max_accepted, room.max_connections);
         let clock = Clock::default();
         let now = clock.now();
         let seed = settings.seed.unwrap_or_else(rand::random);
@@ -269,7 +269,7 @@
             wake: now,
             events: Vec::new(),
             latest: Latest::default(),
-            lost_news: Again::new(seed),
+            lost_news: Backoff::new(seed),
             terms,
             routes,
             peers: FxHashMap::default(),
@@ -277,9 +277,9 @@
             listener,
             address,
             clients: 0,
-            hits: OpenHits::default(),
+            hits: InFlightRequests::default(),
             life: rand::random(),
-            idle: Kept::default(),
+            idle: ConnectionPool::default(),
             book: PodBook::new(&settings.fleet.zones),
             rows: Vec::new(),
             list_index: 0,
@@ -330,7 +330,7 @@
     }
 
     fn turn(&mut self) -> io::Result<()> {
-        let next = [self.wheel.next(), self.shutdown.next()]
+        let next = [self.wheel.next(), self.shutdown.next_deadline()]
             .into_iter()
             .flatten()
             .min();
@@ -505,7 +505,7 @@
         }
         let (hits, book) = (&self.hits, &self.book);
         let busy = || {
-            hits.pods_out()
+            hits.pods_with_attempts()
                 .filter_map(|pod| book.address(pod))
                 .collect()
         };
@@ -515,7 +515,9 @@
         };
         if work.turn(self.now, fleet, &site) {
             let rows = self.told(self.listed.clone());
-            let news = self.book.changes(&self.rows, &rows, self.now, today());
+            let news = self
+                .book
+                .changes(&self.rows, &rows, self.now, wall_clock_now());
             self.rows = rows;
             if !news.is_empty() {
                 self.events
@@ -544,7 +546,7 @@
         };
         self.listed = kept;
         self.rows = self.told(self.listed.clone());
-        let entries = self.book.entries(&self.rows, self.now, today());
+        let entries = self.book.entries(&self.rows, self.now, wall_clock_now());
         self.events
             .push(Event::Endpoints(EndpointUpdate::Cached(entries)));
     }
@@ -658,7 +660,7 @@
 
     /// Takes no new connection, settles what is held, and goes in bounded time.
     fn leave(&mut self, signal: i32) {
-        if !self.shutdown.tell(self.now) {
+        if !self.shutdown.begin(self.now) {
             return;
         }
         tracing::info!(
@@ -673,26 +675,26 @@
     }
 
     fn shut_down(&mut self) {
-        if !self.shutdown.is_told() {
+        if !self.shutdown.has_begun() {
             return;
         }
-        if self.shutdown.closes() && self.door {
+        if self.shutdown.has_stopped_accepting() && self.door {
             self.door = !self.sockets.stop_listening(self.listener);
         }
         loop {
-            let holds = Holds {
-                door: self.door,
-                requests: self.hits.has_unsettled(),
+            let holds = PendingWork {
+                backlog: self.door,
+                requests: self.hits.has_pending(),
                 clients: self.clients > 0,
                 // What became of forwards that are still out is to be known, too.
                 unsent: !self.hits.is_empty()
                     || self.sockets.all_unsent() > 0
                     || self.sockets.lingers(),
             };
-            match self.shutdown.step(self.now, holds) {
-                Some(Step::CloseDoor) => self.close_door(),
-                Some(Step::AnswerAll) => self.answer_all(),
-                Some(Step::End) | None => return,
+            match self.shutdown.advance(self.now, holds) {
+                Some(ShutdownStep::StopAccepting) => self.close_door(),
+                Some(ShutdownStep::RespondToAll) => self.answer_all(),
+                Some(ShutdownStep::Exit) | None => return,
             }
         }
     }
@@ -713,12 +715,15 @@
 
     /// The time to leave is up: every request that is held is answered now.
     fn answer_all(&mut self) {
-        for hit in self.hits.all_unsettled() {
+        for hit in self.hits.pending_ids() {
             tracing::warn!(hit = hit.0, "not answered before the end");
             let Some(open) = self.hits.get(hit) else {
                 continue;
             };
-            match open.client.filter(|_| open.of.passing.is_some()) {
+            match open
+                .client
+                .filter(|_| open.protocol_state.passing.is_some())
+            {
                 // Its client sees that what was passed on is not whole.
                 Some(client) => self.client_gone(client),
                 None => {
@@ -732,11 +737,11 @@
 
 /// The times of a shutdown: the longest client timeout is waited out, and its answers' way. No connection is let in from
 /// the word to leave on.
-fn shutdown_spans(longest: Duration) -> Spans {
+fn shutdown_spans(longest: Duration) -> ShutdownTimeouts {
     let second = Duration::from_secs(1);
-    Spans {
-        found: Duration::ZERO,
-        answered: longest + second / 2,
-        ended: longest + second,
+    ShutdownTimeouts {
+        stop_accepting: Duration::ZERO,
+        respond_to_all: longest + second / 2,
+        exit: longest + second,
     }
 }
--- a/crates/http-proxy/src/service/work.rs
+++ b/crates/http-proxy/src/service/work.rs
@@ -11,7 +11,7 @@
     Clearing, Leader, Lease, Lessor, Limits, Machine, Number, Pod, Sight, Step, Talk, TurnedAway,
     Turns, Window, Word, Zones,
 };
-use limewing_proxy_core::clock::today;
+use limewing_proxy_core::clock::wall_clock_now;
 use limewing_settings::{self as settings, WorkList};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -309,7 +309,7 @@
         let lasts = Duration::from(told.lease);
         Ok(Self {
             name: name.to_owned(),
-            start: ms(today()),
+            start: ms(wall_clock_now()),
             voters,
             part,
             turns: Turns::default(),
@@ -610,7 +610,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let today = today();
+        let today = wall_clock_now();
         let pods: Vec<Pod> = site.rows.iter().map(|row| pod(row, today)).collect();
         let sight = Sight {
             pods: &pods,
--- a/crates/http-proxy/tests/sockets/help.rs
+++ b/crates/http-proxy/tests/sockets/help.rs
@@ -4,7 +4,7 @@
 use limewing_http_proxy::memory;
 use limewing_http_proxy::pods::{PodBook, Row};
 use limewing_http_proxy::service::{Decisions, Service};
-use limewing_proxy_core::permit::Permits;
+use limewing_proxy_core::permit::SendAuthority;
 use limewing_settings::{read_text, SidecarSettings};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -97,7 +97,7 @@
 /// Sends each hit to all of these pods at once, and decides nothing else.
 struct ToAll(Vec<SocketAddr>);
 
-impl Permits for ToAll {
+impl SendAuthority for ToAll {
     fn may_begin(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
         true
     }
--- a/crates/http-proxy/tests/sockets/wants.rs
+++ b/crates/http-proxy/tests/sockets/wants.rs
@@ -4,7 +4,7 @@
 use limewing_decision::interface::{Action, AttemptIndex, AttemptOutcome, Event, RequestId};
 use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
-use limewing_proxy_core::permit::Permits;
+use limewing_proxy_core::permit::SendAuthority;
 use rstest::rstest;
 use std::fs::File;
 use std::io::{Read, Write};
@@ -26,7 +26,7 @@
     }
 }
 
-impl Permits for Overheard {
+impl SendAuthority for Overheard {
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         self.0.may_begin(now, hit, no)
     }
--- a/crates/http-proxy/tests/words.rs
+++ b/crates/http-proxy/tests/words.rs
@@ -5,8 +5,8 @@
 use limewing_http_proxy::pods::{rows, PodBook};
 use limewing_http_proxy::routes::path_of;
 use limewing_http_proxy::stages::{vote_answer, EventReader, Latest, PhaseName, StageMessage};
-use limewing_proxy_core::again::Again;
-use limewing_proxy_core::room::Room;
+use limewing_proxy_core::again::Backoff;
+use limewing_proxy_core::room::DescriptorBudget;
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::time::{Duration, SystemTime};
@@ -163,8 +163,11 @@
     #[case] shared: usize,
 ) {
     assert_eq!(
-        Room::of(descriptors, memory, 100_000),
-        Room { accepted, shared }
+        DescriptorBudget::new(descriptors, memory, 100_000),
+        DescriptorBudget {
+            max_accepted: accepted,
+            max_connections: shared
+        }
     );
 }
 
@@ -197,8 +200,8 @@
 #[rstest]
 fn waits_for_a_lost_service_grow_to_a_bound_and_differ() {
     let waits = |seed| {
-        let mut again = Again::new(seed);
-        (0..8).map(|_| again.wait()).collect::<Vec<_>>()
+        let mut again = Backoff::new(seed);
+        (0..8).map(|_| again.next_delay()).collect::<Vec<_>>()
     };
     let (one, other) = (waits(1), waits(2));
     let (least, most) = (Duration::from_millis(250), Duration::from_secs(4));
@@ -214,8 +217,8 @@
 
 #[rstest]
 fn a_service_that_answered_is_soon_asked_again() {
-    let mut again = Again::new(7);
-    (0..8).for_each(|_| assert!(again.wait() > Duration::ZERO));
-    again.answered();
-    assert!(again.wait() <= Duration::from_millis(500));
+    let mut again = Backoff::new(7);
+    (0..8).for_each(|_| assert!(again.next_delay() > Duration::ZERO));
+    again.reset();
+    assert!(again.next_delay() <= Duration::from_millis(500));
 }
--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -16,7 +16,7 @@
 use limewing_decision::interface::*;
 use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
-use limewing_proxy_core::permit::Permits;
+use limewing_proxy_core::permit::SendAuthority;
 use limewing_settings::SidecarSettings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -131,7 +131,7 @@
     }
 }
 
-impl Permits for Crooked {
+impl SendAuthority for Crooked {
     /// The honest module does not know attempts that were planted, or that went to another pod than its own.
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         let plants = matches!(self.way, Way::Drained | Way::Resend | Way::Cap | Way::Cold);
--- a/crates/postgres-proxy/src/bounds.rs
+++ b/crates/postgres-proxy/src/bounds.rs
@@ -1,7 +1,7 @@
 //! What this host decides beside the module, with no I/O and no clock: how long a party is waited for and how much of
 //! it is borne, whose connection goes first, and what a connection that ends proves.
 
-use limewing_proxy_core::shutdown::Spans;
+use limewing_proxy_core::shutdown::ShutdownTimeouts;
 use std::io::ErrorKind;
 use std::time::Duration;
 
@@ -81,12 +81,12 @@
 
 /// The times of a shutdown, from the longest deadline that the settings name: what a request itself brings may be longer,
 /// and is cut short by them.
-pub fn shutdown(longest: Duration) -> Spans {
+pub fn shutdown(longest: Duration) -> ShutdownTimeouts {
     let killed = longest.min(LONGEST_COUNTED) + KILLED_AFTER;
-    Spans {
-        found: STILL_FOUND,
-        answered: killed - ANSWERED_BEFORE,
-        ended: killed - ENDED_BEFORE,
+    ShutdownTimeouts {
+        stop_accepting: STILL_FOUND,
+        respond_to_all: killed - ANSWERED_BEFORE,
+        exit: killed - ENDED_BEFORE,
     }
 }
 
--- a/crates/postgres-proxy/src/bounds/tests.rs
+++ b/crates/postgres-proxy/src/bounds/tests.rs
@@ -104,11 +104,11 @@
 fn all_is_answered_before_the_kill(#[case] longest: u64, #[case] killed: u64) {
     let spans = shutdown(ms(longest));
     assert!(
-        ms(400) < spans.found && spans.found <= spans.answered,
+        ms(400) < spans.stop_accepting && spans.stop_accepting <= spans.respond_to_all,
         "{spans:?}"
     );
     assert!(
-        spans.answered < spans.ended && spans.ended < ms(killed),
+        spans.respond_to_all < spans.exit && spans.exit < ms(killed),
         "{spans:?}"
     );
 }
--- a/crates/postgres-proxy/src/listing.rs
+++ b/crates/postgres-proxy/src/listing.rs
@@ -300,7 +300,7 @@
             // Kept, so that a step of the time of day does not look like a restart.
             Some(row) => row.started,
             None if entry.born_ms == 0 => None,
-            None => clock::of_day(entry.born_ms as f64 / 1e3, now, today),
+            None => clock::from_wall_clock(entry.born_ms as f64 / 1e3, now, today),
         };
         let row = Row {
             pod,
--- a/crates/postgres-proxy/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -15,7 +15,7 @@
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, Event, PodId, RequestId};
 use limewing_net::sockets::{is_own_want, SocketId};
 use limewing_postgres_protocol::write;
-use limewing_proxy_core::kept::Link;
+use limewing_proxy_core::kept::IdleConnection;
 use limewing_proxy_core::open::Attempt;
 use limewing_proxy_core::permit::SendPermit;
 use std::io::ErrorKind;
@@ -48,23 +48,23 @@
         };
         let no = AttemptIndex(open.attempts.len() as u16);
         let due = if within.is_zero() {
-            open.due
+            open.deadline
         } else {
-            open.due.min(now + within)
+            open.deadline.min(now + within)
         };
         let timer = Some(self.wheel.arm(due, Due::Attempt(hit, no)));
         open.attempts.push(Attempt {
             pod,
-            sent: now,
-            link: None,
+            sent_at: now,
+            connection: None,
             timer,
             ended: false,
         });
         let spent = open.attempts.len() > self.terms.max_forwards;
-        if open.over || spent || now >= due {
+        if open.completed || spent || now >= due {
             return self.end_attempt(hit, no, AttemptOutcome::NeverSent);
         }
-        let (id, list) = (open.of.id.as_str(), self.list.seq);
+        let (id, list) = (open.protocol_state.id.as_str(), self.list.seq);
         tracing::debug!(
             id,
             hit = hit.0,
@@ -82,7 +82,11 @@
         if self.permit(hit, no).is_none() {
             return self.end_attempt(hit, no, AttemptOutcome::NeverSent);
         }
-        let Some(pod) = self.hits.out(hit, no).map(|forward| forward.pod) else {
+        let Some(pod) = self
+            .hits
+            .active_attempt_mut(hit, no)
+            .map(|forward| forward.pod)
+        else {
             return;
         };
         let link = match self
@@ -92,8 +96,8 @@
             Ok(link) => link,
             Err(fate) => return self.end_attempt(hit, no, fate),
         };
-        if let Some(forward) = self.hits.out(hit, no) {
-            forward.link = Some(link);
+        if let Some(forward) = self.hits.active_attempt_mut(hit, no) {
+            forward.connection = Some(link);
         }
         let attempt = CarriedAttempt::new(hit, no, redials);
         let Some(Peer::Pod(connection)) = self.peers.get_mut(&link) else {
@@ -107,7 +111,7 @@
 
     /// Permission to write an attempt now.
     fn permit(&self, hit: RequestId, no: AttemptIndex) -> Option<SendPermit> {
-        SendPermit::ask(&self.module, self.now, hit, no)
+        SendPermit::request(&self.module, self.now, hit, no)
     }
 
     /// Writes an attempt to a connection that carries nothing, or ends the attempt if it is no longer allowed.
@@ -134,17 +138,19 @@
         let Some(open) = self.hits.get(attempt.hit) else {
             return;
         };
-        let mut out = BytesMut::with_capacity(open.of.text.len() + MESSAGE_HEADS);
+        let mut out = BytesMut::with_capacity(open.protocol_state.text.len() + MESSAGE_HEADS);
         write::query(&mut out, "");
         write::query(
             &mut out,
-            &open.of.waiting(open.due.saturating_sub(self.now)),
+            &open
+                .protocol_state
+                .waiting(open.deadline.saturating_sub(self.now)),
         );
         attempt.until = self.sockets.written(link) + out.len() as u64;
         let sent = open
             .attempts
             .get(usize::from(attempt.no.0))
-            .map_or(self.now, |forward| forward.sent);
+            .map_or(self.now, |forward| forward.sent_at);
         let waited_ms = (self.now - sent).as_millis() as u64;
         tracing::debug!(
             hit = attempt.hit.0,
@@ -237,20 +243,20 @@
 
     /// Tells the decisions how an attempt ended; each ends once.
     fn end_attempt(&mut self, hit: RequestId, no: AttemptIndex, fate: AttemptOutcome) {
-        let Some(ended) = self.hits.end(hit, no, fate, self.now) else {
+        let Some(ended) = self.hits.end_attempt(hit, no, fate, self.now) else {
             return;
         };
         ended.timer.map(|timer| self.wheel.cancel(timer));
-        self.events.push(Event::AttemptFinished(ended.outcome));
-        self.forget(ended.last);
+        self.events.push(Event::AttemptFinished(ended.result));
+        self.forget(ended.completed_request);
     }
 
     pub(super) fn attempt_late(&mut self, hit: RequestId, no: AttemptIndex) {
-        let Some(forward) = self.hits.out(hit, no) else {
+        let Some(forward) = self.hits.active_attempt_mut(hit, no) else {
             return;
         };
         forward.timer = None;
-        let link = forward.link.take();
+        let link = forward.connection.take();
         // Not written for want of time: no sign of the pod, whose connection has a time-out of its own.
         let fate = if self.drop_attempt(link) {
             AttemptOutcome::TimedOut
@@ -261,17 +267,17 @@
     }
 
     pub(super) fn cancel(&mut self, hit: RequestId, no: AttemptIndex) {
-        let Some(forward) = self.hits.out(hit, no) else {
+        let Some(forward) = self.hits.active_attempt_mut(hit, no) else {
             return;
         };
-        let link = forward.link.take();
+        let link = forward.connection.take();
         self.drop_attempt(link);
         self.end_attempt(hit, no, AttemptOutcome::Cancelled);
     }
 
     /// Ends the attempts that have not been written and are no longer allowed.
     pub(super) fn withdraw(&mut self) {
-        for (hit, no, _, link) in self.hits.all_out() {
+        for (hit, no, _, link) in self.hits.active_attempts() {
             if self.permit(hit, no).is_none() {
                 self.call_off_one(hit, no, link);
             }
@@ -280,7 +286,7 @@
 
     /// Ends the attempts to these pods that have not been written: they never ran.
     pub(super) fn call_off(&mut self, from: impl Fn(&List, PodId) -> bool) {
-        for (hit, no, pod, link) in self.hits.all_out() {
+        for (hit, no, pod, link) in self.hits.active_attempts() {
             if from(&self.list, pod) {
                 self.call_off_one(hit, no, link);
             }
@@ -290,7 +296,7 @@
     /// Nothing more is sent for a request that has its answer, or whose client is gone, whether or not an attempt that has
     /// been written may be cancelled.
     pub(super) fn call_off_rest(&mut self, hit: RequestId) {
-        for (no, link) in self.hits.out_of(hit) {
+        for (no, link) in self.hits.active_attempts_of(hit) {
             self.call_off_one(hit, no, link);
         }
     }
@@ -357,7 +363,7 @@
             return self.forget_kept(link, connection.pod);
         };
         if let Some(idle) = connection.idle.filter(|_| !phase.has_answer()) {
-            self.lapses.note(idle, false, self.now);
+            self.lapses.record(idle, false, self.now);
         }
         let unwritten = phase.is_connecting() || written < attempt.until;
         self.go_on(attempt, bounds::after_end(unwritten, why, attempt.redials));
@@ -433,7 +439,9 @@
                 self.go_on(attempt, bounds::after_noise(false, true, attempt.redials));
             }
             Some(attempt) => self.begin_writing(link, attempt),
-            None if more || stale || self.shutdown.closes() => self.close_connection(link),
+            None if more || stale || self.shutdown.has_stopped_accepting() => {
+                self.close_connection(link)
+            }
             None => self.keep(link),
         }
     }
@@ -455,7 +463,7 @@
             return;
         };
         if let Some(idle) = connection.idle.take() {
-            self.lapses.note(idle, true, self.now);
+            self.lapses.record(idle, true, self.now);
         }
         self.settle_connection(link);
         let mut out = BytesMut::with_capacity(answer.iter().map(Bytes::len).sum::<usize>() + 32);
@@ -508,11 +516,16 @@
     fn idle_connection(&mut self, pod: PodId) -> Option<SocketId> {
         loop {
             let now = self.now;
-            let Link { id, timer, since } =
-                self.kept.take_if(pod, |link| now >= link.since + RESTS)?;
+            let IdleConnection {
+                id,
+                timer,
+                idle_since: since,
+            } = self
+                .kept
+                .take_if(pod, |link| now >= link.idle_since + RESTS)?;
             self.wheel.cancel(timer);
             let idle = now.saturating_sub(since);
-            let good = self.lapses.bears(idle) && self.sockets.is_quiet(id);
+            let good = self.lapses.is_reusable(idle) && self.sockets.is_quiet(id);
             let Some(Peer::Pod(connection)) = self.peers.get_mut(&id) else {
                 continue;
             };
@@ -554,14 +567,16 @@
         let Some(Peer::Pod(connection)) = self.peers.get(&link) else {
             return;
         };
-        let most = self.lapses.keeps(bounds::kept(self.terms.idle_close));
+        let most = self
+            .lapses
+            .idle_timeout(bounds::kept(self.terms.idle_close));
         let timer = self.wheel.arm(self.now + most, Due::Idle(link));
-        self.kept.put(
+        self.kept.insert(
             connection.pod,
-            Link {
+            IdleConnection {
                 id: link,
                 timer,
-                since: self.now,
+                idle_since: self.now,
             },
         );
     }
@@ -579,22 +594,22 @@
     /// Whether a connection to a pod may be made: if all are taken, the pod with the most kept ones loses its
     /// oldest. Guards against connections kept to some pods that keep attempts from the others.
     fn makes_room(&mut self) -> bool {
-        if self.sockets.open() >= self.room.shared {
+        if self.sockets.open() >= self.room.max_connections {
             self.drop_kept();
         }
-        self.sockets.open() < self.room.shared
+        self.sockets.open() < self.room.max_connections
     }
 
     pub(super) fn drop_kept(&mut self) {
         self.kept
-            .spare()
+            .eviction_candidate()
             .into_iter()
             .for_each(|link| self.close_connection(link));
     }
 
     fn forget_kept(&mut self, link: SocketId, pod: PodId) {
         self.kept
-            .forget(pod, link)
+            .remove(pod, link)
             .map(|timer| self.wheel.cancel(timer));
     }
 }
--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -190,7 +190,7 @@
         // An attempt to a pod that drains or left is withdrawn by the decisions; they do not know of addresses.
         for pod in &change.moved {
             self.kept
-                .of(*pod)
+                .connections_to(*pod)
                 .into_iter()
                 .for_each(|link| self.close_connection(link));
         }
--- a/crates/postgres-proxy/src/service/front.rs
+++ b/crates/postgres-proxy/src/service/front.rs
@@ -196,7 +196,7 @@
         let due = self.now + statement.waits - bounds::margin(statement.waits);
         let (group, customer, key) = (statement.group, statement.customer, statement.key);
         self.ids.insert(statement.id.clone());
-        let hit = self.hits.open(id, due, statement);
+        let hit = self.hits.insert(id, due, statement);
         self.events.push(Event::RequestArrived(Request {
             id: hit,
             class: group,
@@ -225,7 +225,10 @@
     }
 
     pub(super) fn fail(&mut self, hit: RequestId) {
-        let late = self.hits.get(hit).is_some_and(|open| self.now >= open.due);
+        let late = self
+            .hits
+            .get(hit)
+            .is_some_and(|open| self.now >= open.deadline);
         let mut out = BytesMut::new();
         write::error(
             &mut out,
@@ -239,17 +242,17 @@
 
     /// The final answer of a hit; `out` lacks the word that the next statement may come.
     pub(super) fn settle(&mut self, hit: RequestId, mut out: BytesMut) {
-        let Some(open) = self.hits.unsettled(hit) else {
+        let Some(open) = self.hits.pending_mut(hit) else {
             return;
         };
-        open.over = true;
+        open.completed = true;
         let client = open.client.take();
         self.call_off_rest(hit);
         self.tidy(hit);
         let Some(id) = client else { return };
         write::ready(&mut out);
         self.sockets.send(id, &out);
-        let (now, leaves) = (self.now, self.shutdown.is_told());
+        let (now, leaves) = (self.now, self.shutdown.has_begun());
         let Some(client) = self.client(id) else {
             return;
         };
@@ -261,7 +264,7 @@
     }
 
     pub(super) fn tidy(&mut self, hit: RequestId) {
-        let last = self.hits.tidy(hit);
+        let last = self.hits.remove_if_complete(hit);
         self.forget(last);
     }
 
@@ -325,10 +328,11 @@
     /// Where many connections stand, those that have long been idle are closed: some clients keep theirs for good.
     pub(super) fn sweep(&mut self) {
         self.wheel.arm(self.now + SWEEP_EVERY, Due::Sweep);
-        let (now, clients, room) = (self.now, self.clients, self.room.accepted);
+        let (now, clients, room) = (self.now, self.clients, self.room.max_accepted);
         let idle = self.idle_clients().into_iter();
-        let over =
-            |idle: &Idle| bounds::overstays(idle, clients, room, now) || self.shutdown.closes();
+        let over = |idle: &Idle| {
+            bounds::overstays(idle, clients, room, now) || self.shutdown.has_stopped_accepting()
+        };
         let over: Vec<_> = idle
             .filter(|(idle, _)| over(idle))
             .map(|(_, id)| id)
@@ -375,7 +379,7 @@
                 _ if self.sockets.has_unread(id) => {}
                 _ => self.drop_client(id),
             });
-        if self.sockets.open() >= self.room.shared {
+        if self.sockets.open() >= self.room.max_connections {
             (0..self.kept.len().div_ceil(8)).for_each(|_| self.drop_kept());
         }
     }
@@ -411,8 +415,8 @@
             return;
         };
         open.client = None;
-        if !open.over {
-            open.over = true;
+        if !open.completed {
+            open.completed = true;
             self.events.push(Event::ClientDisconnected(hit));
             self.call_off_rest(hit);
             self.tidy(hit);
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -23,12 +23,12 @@
 use limewing_net::call::Call;
 use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
 use limewing_net::wheel::{TimerKey, Wheel};
-use limewing_proxy_core::again::Again;
+use limewing_proxy_core::again::Backoff;
 use limewing_proxy_core::clock::Clock;
-use limewing_proxy_core::kept::{Kept, Lapses};
-use limewing_proxy_core::open::OpenHits;
-use limewing_proxy_core::room::Room;
-use limewing_proxy_core::shutdown::{Holds, Shutdown, Step};
+use limewing_proxy_core::kept::{ConnectionPool, IdleTimeoutEstimator};
+use limewing_proxy_core::open::InFlightRequests;
+use limewing_proxy_core::room::DescriptorBudget;
+use limewing_proxy_core::shutdown::{PendingWork, Shutdown, ShutdownStep};
 use pod_connection::PodConnection;
 use rollouts::NewsLink;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -109,11 +109,11 @@
     listener: SocketId,
     address: SocketAddr,
     clients: usize,
-    hits: OpenHits<Statement>,
+    hits: InFlightRequests<Statement>,
     /// The ids of the hits that are held.
     ids: FxHashSet<String>,
-    kept: Kept,
-    lapses: Lapses,
+    kept: ConnectionPool,
+    lapses: IdleTimeoutEstimator,
     list: List,
     /// The watch, and the one to where discovery was before, until it ends.
     watch: Option<SocketId>,
@@ -128,8 +128,8 @@
     reread: Option<TimerKey>,
     reread_tried: u32,
     latest: Latest,
-    lost_news: Again,
-    room: Room,
+    lost_news: Backoff,
+    room: DescriptorBudget,
     shutdown: Shutdown,
     /// Connections could not be let in, for want of room.
     pressed: bool,
@@ -161,8 +161,8 @@
         let (descriptors, memory) = granted();
         let descriptors = told.descriptors.unwrap_or(usize::MAX).min(descriptors);
         let memory = told.memory.unwrap_or(usize::MAX).min(memory);
-        let room = Room::of(descriptors, memory, MOST_INPUT + MOST_UNSENT);
-        sockets.accept_up_to(room.accepted, room.shared);
+        let room = DescriptorBudget::new(descriptors, memory, MOST_INPUT + MOST_UNSENT);
+        sockets.accept_up_to(room.max_accepted, room.max_connections);
         let clock = Clock::default();
         let now = clock.now();
         let tagged = |repeat: Idempotency| matches!(repeat, Idempotency::Keyed { .. });
@@ -205,10 +205,10 @@
             listener,
             address,
             clients: 0,
-            hits: OpenHits::default(),
+            hits: InFlightRequests::default(),
             ids: FxHashSet::default(),
-            kept: Kept::default(),
-            lapses: Lapses::default(),
+            kept: ConnectionPool::default(),
+            lapses: IdleTimeoutEstimator::default(),
             list: List::new(&told.sockets.zones, &told.sockets.kinds),
             watch: None,
             old_watch: None,
@@ -219,7 +219,7 @@
             reread: None,
             reread_tried: 0,
             latest: Latest::default(),
-            lost_news: Again::new(told.seed),
+            lost_news: Backoff::new(told.seed),
             room,
             shutdown: Shutdown::new(bounds::shutdown(longest)),
             pressed: false,
@@ -260,7 +260,7 @@
     }
 
     fn turn(&mut self) -> io::Result<()> {
-        let next = [self.wheel.next(), self.shutdown.next()]
+        let next = [self.wheel.next(), self.shutdown.next_deadline()]
             .into_iter()
             .flatten()
             .min();
@@ -483,43 +483,43 @@
         if old.rollouts != places.rollouts {
             let old = std::mem::replace(&mut self.old_news, self.news.take());
             old.into_iter().for_each(|link| self.close_news(link));
-            self.lost_news.answered();
+            self.lost_news.reset();
             self.ask_news();
         }
     }
 
     /// Serves those that still come, then settles what is held and goes, in bounded time.
     fn leave(&mut self, signal: i32) {
-        if self.shutdown.tell(self.now) {
+        if self.shutdown.begin(self.now) {
             tracing::info!(signal, open_hits = self.hits.len(), "leaving");
         }
     }
 
     fn shut_down(&mut self) {
-        if !self.shutdown.is_told() {
+        if !self.shutdown.has_begun() {
             return;
         }
-        if self.shutdown.closes() && self.door {
+        if self.shutdown.has_stopped_accepting() && self.door {
             self.door = !self.sockets.stop_listening(self.listener);
         }
         loop {
-            let holds = Holds {
-                door: self.door,
-                requests: self.hits.has_unsettled(),
+            let holds = PendingWork {
+                backlog: self.door,
+                requests: self.hits.has_pending(),
                 clients: self.clients > 0,
                 unsent: self.sockets.all_unsent() > 0 || self.sockets.lingers(),
             };
-            match self.shutdown.step(self.now, holds) {
-                Some(Step::CloseDoor) => self.close_door(),
-                Some(Step::AnswerAll) => self.answer_all(),
-                Some(Step::End) | None => return,
+            match self.shutdown.advance(self.now, holds) {
+                Some(ShutdownStep::StopAccepting) => self.close_door(),
+                Some(ShutdownStep::RespondToAll) => self.answer_all(),
+                Some(ShutdownStep::Exit) | None => return,
             }
         }
     }
 
     /// The time to leave is up: every request that is held is answered now.
     fn answer_all(&mut self) {
-        for hit in self.hits.all_unsettled() {
+        for hit in self.hits.pending_ids() {
             tracing::warn!(hit = hit.0, "not answered before the end");
             self.events.push(Event::ClientDisconnected(hit));
             self.fail(hit);
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -98,7 +98,7 @@
     fn news_line(&mut self, link: SocketId, line: &Bytes) -> Result<(), String> {
         match news::read_line(line)? {
             Told::News(state) => {
-                self.lost_news.answered();
+                self.lost_news.reset();
                 self.stands(state, None);
             }
             Told::Report(report) => {
@@ -141,7 +141,7 @@
 
     fn news_again(&mut self, why: &str) {
         tracing::warn!(why, "no news; asked for again");
-        let wait = self.lost_news.wait();
+        let wait = self.lost_news.next_delay();
         self.wheel.arm(self.now + wait, Due::AskNews);
     }
 
--- a/crates/proxy-core/src/clock.rs
+++ b/crates/proxy-core/src/clock.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// How far before the start the clock begins; what is older counts as long ago.
-pub const BEFORE: Duration = Duration::from_secs(3600);
+pub const EPOCH_LEAD: Duration = Duration::from_secs(3600);
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -22,13 +22,13 @@
 
 impl Clock {
     pub fn now(&self) -> Duration {
-        BEFORE + self.start.elapsed()
+        EPOCH_LEAD + self.start.elapsed()
     }
 }
 
 /// The time of day. For trials of clocks that differ, a process may be told by `LIMEWING_CLOCK_AHEAD_S` in its environment
 /// by how many seconds its clock is ahead (below 0: behind), up to a day; anything else there is as nothing.
-pub fn today() -> SystemTime {
+pub fn wall_clock_now() -> SystemTime {
     static AHEAD: OnceLock<f64> = OnceLock::new();
     let ahead = *AHEAD.get_or_init(|| {
         let told = std::env::var("LIMEWING_CLOCK_AHEAD_S")
@@ -48,7 +48,7 @@
 
 /// A time of day, in seconds since 1970, on the clock that shows `now` at `today`; none if it is long ago.
 /// One in the future is now.
-pub fn of_day(seconds: f64, now: Duration, today: SystemTime) -> Option<Duration> {
+pub fn from_wall_clock(seconds: f64, now: Duration, today: SystemTime) -> Option<Duration> {
     let today = today
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/proxy-core/src/kept.rs
+++ b/crates/proxy-core/src/kept.rs
@@ -10,28 +10,32 @@
 
 /// One kept connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Link {
+pub struct IdleConnection {
     pub id: SocketId,
     /// Closes it when it has been idle for long.
     pub timer: TimerKey,
-    pub since: Duration,
+    pub idle_since: Duration,
 }
 
 #[derive(Default)]
-pub struct Kept(BTreeMap<PodId, Vec<Link>>);
+pub struct ConnectionPool(BTreeMap<PodId, Vec<IdleConnection>>);
 
-impl Kept {
-    pub fn put(&mut self, pod: PodId, link: Link) {
+impl ConnectionPool {
+    pub fn insert(&mut self, pod: PodId, link: IdleConnection) {
         self.0.entry(pod).or_default().push(link);
     }
 
     /// The one that was used last: the others may grow old and close.
-    pub fn take(&mut self, pod: PodId) -> Option<Link> {
+    pub fn take(&mut self, pod: PodId) -> Option<IdleConnection> {
         self.take_if(pod, |_| true)
     }
 
     /// Of those that fit the one that was used last.
-    pub fn take_if(&mut self, pod: PodId, fits: impl Fn(&Link) -> bool) -> Option<Link> {
+    pub fn take_if(
+        &mut self,
+        pod: PodId,
+        fits: impl Fn(&IdleConnection) -> bool,
+    ) -> Option<IdleConnection> {
         let links = self.0.get_mut(&pod)?;
         let last = links
             .iter()
@@ -44,7 +48,7 @@
     }
 
     /// Takes one out; its timer is to be cancelled.
-    pub fn forget(&mut self, pod: PodId, link: SocketId) -> Option<TimerKey> {
+    pub fn remove(&mut self, pod: PodId, link: SocketId) -> Option<TimerKey> {
         let links = self.0.get_mut(&pod)?;
         let place = links.iter().position(|kept| kept.id == link)?;
         let gone = links.remove(place);
@@ -54,7 +58,7 @@
         Some(gone.timer)
     }
 
-    pub fn of(&self, pod: PodId) -> Vec<SocketId> {
+    pub fn connections_to(&self, pod: PodId) -> Vec<SocketId> {
         self.0
             .get(&pod)
             .into_iter()
@@ -64,7 +68,7 @@
     }
 
     /// The oldest one of the pod that most are kept to.
-    pub fn spare(&self) -> Option<SocketId> {
+    pub fn eviction_candidate(&self) -> Option<SocketId> {
         let most = self.0.values().max_by_key(|links| links.len())?;
         most.first().map(|link| link.id)
     }
@@ -86,13 +90,13 @@
 /// pod that dies, breaks fewer.
 const LEAST_BROKEN: u32 = 6;
 /// What was learned is forgotten after this time: what stands between may have been set right.
-const BELIEVED_FOR: Duration = Duration::from_secs(60);
+const ESTIMATE_TTL: Duration = Duration::from_secs(60);
 
 /// Learns after what time connections are forgotten by what stands between. Guards against forwards on dead
 /// connections, which fail hits that must not run twice and speak against sound pods. Hurts by new connections
 /// where chance alone broke many that had been idle for long.
 #[derive(Default)]
-pub struct Lapses {
+pub struct IdleTimeoutEstimator {
     /// By span: those that lived, and those that broke before a word was heard.
     seen: [(u32, u32); SPANS],
     since: Duration,
@@ -104,10 +108,10 @@
     ((times.ln() / STEP.ln()) as usize).min(SPANS - 1)
 }
 
-impl Lapses {
+impl IdleTimeoutEstimator {
     /// A connection that had been idle for so long lived, or broke, under the next forward.
-    pub fn note(&mut self, idle: Duration, lived: bool, now: Duration) {
-        if now > self.since + BELIEVED_FOR {
+    pub fn record(&mut self, idle: Duration, lived: bool, now: Duration) {
+        if now > self.since + ESTIMATE_TTL {
             *self = Self {
                 since: now,
                 ..Self::default()
@@ -134,12 +138,12 @@
     }
 
     /// Whether one that has been idle for so long may still be used.
-    pub fn bears(&self, idle: Duration) -> bool {
+    pub fn is_reusable(&self, idle: Duration) -> bool {
         self.most.is_none_or(|most| idle < most)
     }
 
     /// How long one may be kept, of the time that is told.
-    pub fn keeps(&self, told: Duration) -> Duration {
+    pub fn idle_timeout(&self, told: Duration) -> Duration {
         self.most.map_or(told, |most| most.min(told))
     }
 }
--- a/crates/proxy-core/src/open.rs
+++ b/crates/proxy-core/src/open.rs
@@ -7,28 +7,28 @@
 use std::time::Duration;
 
 /// A hit that is not settled, or still has a forward out; `of` is what its protocol knows of it.
-pub struct Open<T> {
+pub struct InFlightRequest<T> {
     pub client: Option<SocketId>,
-    pub due: Duration,
-    pub over: bool,
+    pub deadline: Duration,
+    pub completed: bool,
     pub attempts: Vec<Attempt>,
-    pub of: T,
+    pub protocol_state: T,
 }
 
 pub struct Attempt {
     pub pod: PodId,
-    pub sent: Duration,
-    pub link: Option<SocketId>,
+    pub sent_at: Duration,
+    pub connection: Option<SocketId>,
     pub timer: Option<TimerKey>,
     pub ended: bool,
 }
 
-pub struct OpenHits<T> {
-    hits: FxHashMap<RequestId, Open<T>>,
+pub struct InFlightRequests<T> {
+    hits: FxHashMap<RequestId, InFlightRequest<T>>,
     next: u64,
 }
 
-impl<T> Default for OpenHits<T> {
+impl<T> Default for InFlightRequests<T> {
     fn default() -> Self {
         Self {
             hits: FxHashMap::default(),
@@ -38,48 +38,48 @@
 }
 
 /// What came of ending a forward.
-pub struct Ended<T> {
-    pub outcome: AttemptResult,
+pub struct EndedAttempt<T> {
+    pub result: AttemptResult,
     /// To be cancelled.
     pub timer: Option<TimerKey>,
     /// The hit, if that was the last of it.
-    pub last: Option<T>,
+    pub completed_request: Option<T>,
 }
 
-impl<T> OpenHits<T> {
-    pub fn open(&mut self, client: SocketId, due: Duration, of: T) -> RequestId {
+impl<T> InFlightRequests<T> {
+    pub fn insert(&mut self, client: SocketId, due: Duration, of: T) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
-        let open = Open {
+        let open = InFlightRequest {
             client: Some(client),
-            due,
-            over: false,
+            deadline: due,
+            completed: false,
             attempts: Vec::new(),
-            of,
+            protocol_state: of,
         };
         self.hits.insert(id, open);
         id
     }
 
-    pub fn get(&self, hit: RequestId) -> Option<&Open<T>> {
+    pub fn get(&self, hit: RequestId) -> Option<&InFlightRequest<T>> {
         self.hits.get(&hit)
     }
 
-    pub fn get_mut(&mut self, hit: RequestId) -> Option<&mut Open<T>> {
+    pub fn get_mut(&mut self, hit: RequestId) -> Option<&mut InFlightRequest<T>> {
         self.hits.get_mut(&hit)
     }
 
     /// One that is not over.
-    pub fn unsettled(&mut self, hit: RequestId) -> Option<&mut Open<T>> {
-        self.hits.get_mut(&hit).filter(|open| !open.over)
+    pub fn pending_mut(&mut self, hit: RequestId) -> Option<&mut InFlightRequest<T>> {
+        self.hits.get_mut(&hit).filter(|open| !open.completed)
     }
 
     /// Those that are not over, in their order.
-    pub fn all_unsettled(&self) -> Vec<RequestId> {
+    pub fn pending_ids(&self) -> Vec<RequestId> {
         let open = self
             .hits
             .iter()
-            .filter(|(_, open)| !open.over)
+            .filter(|(_, open)| !open.completed)
             .map(|(hit, _)| *hit);
         let mut open: Vec<RequestId> = open.collect();
         open.sort_unstable();
@@ -87,20 +87,20 @@
     }
 
     /// Whether any is not over.
-    pub fn has_unsettled(&self) -> bool {
-        self.hits.values().any(|open| !open.over)
+    pub fn has_pending(&self) -> bool {
+        self.hits.values().any(|open| !open.completed)
     }
 
     /// The forwards that are out, in their order, each with its pod and connection.
-    pub fn all_out(&self) -> Vec<(RequestId, AttemptIndex, PodId, Option<SocketId>)> {
-        let of = |(hit, open): (&RequestId, &Open<T>)| {
+    pub fn active_attempts(&self) -> Vec<(RequestId, AttemptIndex, PodId, Option<SocketId>)> {
+        let of = |(hit, open): (&RequestId, &InFlightRequest<T>)| {
             let (hit, out) = (
                 *hit,
                 (0..)
                     .zip(&open.attempts)
                     .filter(|(_, forward)| !forward.ended),
             );
-            out.map(|(no, forward)| (hit, AttemptIndex(no), forward.pod, forward.link))
+            out.map(|(no, forward)| (hit, AttemptIndex(no), forward.pod, forward.connection))
                 .collect::<Vec<_>>()
         };
         let mut all: Vec<_> = self.hits.iter().flat_map(of).collect();
@@ -109,19 +109,19 @@
     }
 
     /// The forwards of a hit that are out, each with its connection.
-    pub fn out_of(&self, hit: RequestId) -> Vec<(AttemptIndex, Option<SocketId>)> {
+    pub fn active_attempts_of(&self, hit: RequestId) -> Vec<(AttemptIndex, Option<SocketId>)> {
         let forwards = self
             .hits
             .get(&hit)
             .into_iter()
             .flat_map(|open| &open.attempts);
         let out = (0..).zip(forwards).filter(|(_, forward)| !forward.ended);
-        out.map(|(no, forward)| (AttemptIndex(no), forward.link))
+        out.map(|(no, forward)| (AttemptIndex(no), forward.connection))
             .collect()
     }
 
     /// The pods that forwards are out to, each as often as there are.
-    pub fn pods_out(&self) -> impl Iterator<Item = PodId> + '_ {
+    pub fn pods_with_attempts(&self) -> impl Iterator<Item = PodId> + '_ {
         let forwards = self.hits.values().flat_map(|open| &open.attempts);
         forwards
             .filter(|forward| !forward.ended)
@@ -129,7 +129,7 @@
     }
 
     /// How many were ever taken.
-    pub fn taken(&self) -> u64 {
+    pub fn total_accepted(&self) -> u64 {
         self.next
     }
 
@@ -141,12 +141,12 @@
         self.hits.is_empty()
     }
 
-    pub fn forward(&self, hit: RequestId, no: AttemptIndex) -> Option<&Attempt> {
+    pub fn attempt(&self, hit: RequestId, no: AttemptIndex) -> Option<&Attempt> {
         self.hits.get(&hit)?.attempts.get(usize::from(no.0))
     }
 
     /// A forward that has not ended.
-    pub fn out(&mut self, hit: RequestId, no: AttemptIndex) -> Option<&mut Attempt> {
+    pub fn active_attempt_mut(&mut self, hit: RequestId, no: AttemptIndex) -> Option<&mut Attempt> {
         self.hits
             .get_mut(&hit)?
             .attempts
@@ -155,19 +155,19 @@
     }
 
     /// Ends a forward; nothing if it had ended.
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         hit: RequestId,
         no: AttemptIndex,
         fate: AttemptOutcome,
         now: Duration,
-    ) -> Option<Ended<T>> {
-        let over = self.hits.get(&hit)?.over;
-        let forward = self.out(hit, no)?;
-        (forward.ended, forward.link) = (true, None);
+    ) -> Option<EndedAttempt<T>> {
+        let over = self.hits.get(&hit)?.completed;
+        let forward = self.active_attempt_mut(hit, no)?;
+        (forward.ended, forward.connection) = (true, None);
         let (pod, took, timer) = (
             forward.pod,
-            now.saturating_sub(forward.sent),
+            now.saturating_sub(forward.sent_at),
             forward.timer.take(),
         );
         let outcome = AttemptResult {
@@ -178,17 +178,18 @@
             duration: took,
             request_over: over,
         };
-        Some(Ended {
-            outcome,
+        Some(EndedAttempt {
+            result: outcome,
             timer,
-            last: self.tidy(hit),
+            completed_request: self.remove_if_complete(hit),
         })
     }
 
     /// Forgets a hit that is over once nothing of it is out.
-    pub fn tidy(&mut self, hit: RequestId) -> Option<T> {
-        let settled = |open: &Open<T>| open.over && open.attempts.iter().all(|f| f.ended);
+    pub fn remove_if_complete(&mut self, hit: RequestId) -> Option<T> {
+        let settled =
+            |open: &InFlightRequest<T>| open.completed && open.attempts.iter().all(|f| f.ended);
         self.hits.get(&hit).filter(|open| settled(open))?;
-        self.hits.remove(&hit).map(|open| open.of)
+        self.hits.remove(&hit).map(|open| open.protocol_state)
     }
 }
--- a/crates/proxy-core/src/permit.rs
+++ b/crates/proxy-core/src/permit.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 /// What a permission is asked of.
-pub trait Permits {
+pub trait SendAuthority {
     /// Whether the first byte of an attempt may leave now.
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool;
 }
 
-impl Permits for DecisionEngine {
+impl SendAuthority for DecisionEngine {
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         DecisionEngine::may_begin(self, now, hit, no)
     }
@@ -24,8 +24,8 @@
 
 impl SendPermit {
     /// Asks whether an attempt may be written to its pod now; none if it may not.
-    pub fn ask(
-        decisions: &(impl Permits + ?Sized),
+    pub fn request(
+        decisions: &(impl SendAuthority + ?Sized),
         now: Duration,
         hit: RequestId,
         no: AttemptIndex,
--- a/crates/proxy-core/src/room.rs
+++ b/crates/proxy-core/src/room.rs
@@ -15,22 +15,22 @@
 /// do not fit, as an allocation that fails ends the process. Hurts where the limit is low: fewer clients are let
 /// in than the system would allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct DescriptorBudget {
     /// Connections that were accepted, at most.
-    pub accepted: usize,
+    pub max_accepted: usize,
     /// Connections of any kind beyond which none is made to a pod, and none accepted.
-    pub shared: usize,
+    pub max_connections: usize,
 }
 
-impl Room {
+impl DescriptorBudget {
     /// Of a process that may hold so many descriptors and bytes, of which each client may take so many.
-    pub fn of(descriptors: usize, memory: usize, client: usize) -> Self {
+    pub fn new(descriptors: usize, memory: usize, client: usize) -> Self {
         let shared = descriptors.saturating_sub(OWN + SERVICES).max(2);
         let for_pods = (shared / PODS_PART).clamp(1, MOST_FOR_PODS);
         let borne = (memory / MEMORY_PART / client.max(1)).max(1);
         Self {
-            accepted: (shared - for_pods).min(borne),
-            shared,
+            max_accepted: (shared - for_pods).min(borne),
+            max_connections: shared,
         }
     }
 }
--- a/crates/proxy-core/src/shutdown.rs
+++ b/crates/proxy-core/src/shutdown.rs
@@ -7,20 +7,20 @@
 
 /// The times of a shutdown, from the word to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spans {
+pub struct ShutdownTimeouts {
     /// Connections still come for so long: all goes on until then.
-    pub found: Duration,
+    pub stop_accepting: Duration,
     /// By then every request has its answer, whatever it waits for.
-    pub answered: Duration,
+    pub respond_to_all: Duration,
     /// Then the process ends, whatever still hangs.
-    pub ended: Duration,
+    pub exit: Duration,
 }
 
 /// What the host still holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holds {
+pub struct PendingWork {
     /// Connections wait to be let in.
-    pub door: bool,
+    pub backlog: bool,
     /// Requests without their answer.
     pub requests: bool,
     /// Clients whose next request may be on its way.
@@ -31,13 +31,13 @@
 
 /// What the host does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ShutdownStep {
     /// Lets in what has come and takes no connection after that; closes what carries nothing.
-    CloseDoor,
+    StopAccepting,
     /// Answers every request that is held, now.
-    AnswerAll,
+    RespondToAll,
     /// Ends the process.
-    End,
+    Exit,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -62,16 +62,16 @@
 }
 
 pub struct Shutdown {
-    spans: Spans,
+    spans: ShutdownTimeouts,
     state: State,
 }
 
 impl Shutdown {
-    pub fn new(spans: Spans) -> Self {
-        let answered = spans.answered.max(spans.found);
-        let spans = Spans {
-            answered,
-            ended: spans.ended.max(answered),
+    pub fn new(spans: ShutdownTimeouts) -> Self {
+        let answered = spans.respond_to_all.max(spans.stop_accepting);
+        let spans = ShutdownTimeouts {
+            respond_to_all: answered,
+            exit: spans.exit.max(answered),
             ..spans
         };
         Self {
@@ -81,7 +81,7 @@
     }
 
     /// The process is told to leave; whether that is news. A second word changes nothing.
-    pub fn tell(&mut self, now: Duration) -> bool {
+    pub fn begin(&mut self, now: Duration) -> bool {
         let news = self.state == State::Serving;
         if news {
             self.state = State::Draining { told: now };
@@ -90,14 +90,14 @@
     }
 
     /// Whether no connection is let in any more.
-    pub fn closes(&self) -> bool {
+    pub fn has_stopped_accepting(&self) -> bool {
         matches!(
             self.state,
             State::Closing { .. } | State::Answering { .. } | State::Ending | State::Done
         )
     }
 
-    pub fn is_told(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.state != State::Serving
     }
 
@@ -106,47 +106,47 @@
     }
 
     /// When `step` is to be called at the latest.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         match self.state {
             State::Serving | State::Done => None,
             State::Ending => Some(Duration::ZERO),
-            State::Draining { told } => Some(told + self.spans.found),
-            State::Closing { told } => Some(told + self.spans.answered),
-            State::Answering { told } => Some(told + self.spans.ended),
+            State::Draining { told } => Some(told + self.spans.stop_accepting),
+            State::Closing { told } => Some(told + self.spans.respond_to_all),
+            State::Answering { told } => Some(told + self.spans.exit),
         }
     }
 
     /// What is to be done now; to be called until it says nothing, with what is held each time.
-    pub fn step(&mut self, now: Duration, holds: Holds) -> Option<Step> {
+    pub fn advance(&mut self, now: Duration, holds: PendingWork) -> Option<ShutdownStep> {
         match self.state {
             State::Serving | State::Done => None,
-            State::Draining { told } if now < told + self.spans.found => None,
+            State::Draining { told } if now < told + self.spans.stop_accepting => None,
             State::Draining { told } => {
                 self.state = State::Closing { told };
-                Some(Step::CloseDoor)
+                Some(ShutdownStep::StopAccepting)
             }
-            State::Closing { .. } if holds == Holds::default() => self.end(),
-            State::Closing { told } if now < told + self.spans.answered => None,
+            State::Closing { .. } if holds == PendingWork::default() => self.end(),
+            State::Closing { told } if now < told + self.spans.respond_to_all => None,
             State::Closing { told } => {
                 self.state = State::Answering { told };
-                Some(Step::AnswerAll)
+                Some(ShutdownStep::RespondToAll)
             }
             // One that comes later than that is answered as it comes: none may be open at the end.
-            State::Answering { told } if now >= told + self.spans.ended && holds.requests => {
+            State::Answering { told } if now >= told + self.spans.exit && holds.requests => {
                 self.state = State::Ending;
-                Some(Step::AnswerAll)
+                Some(ShutdownStep::RespondToAll)
             }
-            State::Answering { told } if now >= told + self.spans.ended => self.end(),
+            State::Answering { told } if now >= told + self.spans.exit => self.end(),
             State::Ending => self.end(),
-            State::Answering { .. } if holds.requests => Some(Step::AnswerAll),
+            State::Answering { .. } if holds.requests => Some(ShutdownStep::RespondToAll),
             State::Answering { .. } if !holds.unsent => self.end(),
             State::Answering { .. } => None,
         }
     }
 
-    fn end(&mut self) -> Option<Step> {
+    fn end(&mut self) -> Option<ShutdownStep> {
         self.state = State::Done;
-        Some(Step::End)
+        Some(ShutdownStep::Exit)
     }
 }
 
--- a/crates/proxy-core/src/shutdown/tests.rs
+++ b/crates/proxy-core/src/shutdown/tests.rs
@@ -4,20 +4,20 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const SPANS: Spans = Spans {
-    found: Duration::from_millis(550),
-    answered: Duration::from_millis(3500),
-    ended: Duration::from_millis(3650),
+const SPANS: ShutdownTimeouts = ShutdownTimeouts {
+    stop_accepting: Duration::from_millis(550),
+    respond_to_all: Duration::from_millis(3500),
+    exit: Duration::from_millis(3650),
 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn open() -> Holds {
-    Holds {
+fn open() -> PendingWork {
+    PendingWork {
         requests: true,
-        ..Holds::default()
+        ..PendingWork::default()
     }
 }
 
@@ -25,64 +25,85 @@
 fn one_that_is_not_told_does_nothing() {
     let mut shutdown = Shutdown::new(SPANS);
     assert_eq!(
-        (shutdown.step(ms(90_000), Holds::default()), shutdown.next()),
+        (
+            shutdown.advance(ms(90_000), PendingWork::default()),
+            shutdown.next_deadline()
+        ),
         (None, None)
     );
-    assert!(!shutdown.is_told() && !shutdown.closes() && !shutdown.is_done());
+    assert!(!shutdown.has_begun() && !shutdown.has_stopped_accepting() && !shutdown.is_done());
 }
 
 /// Idle or not, it serves while clients still come.
 #[test]
 fn it_serves_on_while_clients_still_come() {
     let mut shutdown = Shutdown::new(SPANS);
-    assert!(shutdown.tell(ms(1000)));
-    assert!(!shutdown.tell(ms(1400)));
-    assert_eq!(shutdown.next(), Some(ms(1550)));
-    assert_eq!(shutdown.step(ms(1549), Holds::default()), None);
+    assert!(shutdown.begin(ms(1000)));
+    assert!(!shutdown.begin(ms(1400)));
+    assert_eq!(shutdown.next_deadline(), Some(ms(1550)));
+    assert_eq!(shutdown.advance(ms(1549), PendingWork::default()), None);
     assert_eq!(
-        shutdown.step(ms(1550), Holds::default()),
-        Some(Step::CloseDoor)
+        shutdown.advance(ms(1550), PendingWork::default()),
+        Some(ShutdownStep::StopAccepting)
     );
-    assert_eq!(shutdown.step(ms(1550), Holds::default()), Some(Step::End));
-    assert!(shutdown.is_done() && shutdown.closes());
+    assert_eq!(
+        shutdown.advance(ms(1550), PendingWork::default()),
+        Some(ShutdownStep::Exit)
+    );
+    assert!(shutdown.is_done() && shutdown.has_stopped_accepting());
 }
 
 #[rstest]
-#[case::door(Holds { door: true, ..Holds::default() })]
+#[case::backlog(PendingWork { backlog: true, ..PendingWork::default() })]
 #[case::requests(open())]
-#[case::clients(Holds { clients: true, ..Holds::default() })]
-#[case::unsent(Holds { unsent: true, ..Holds::default() })]
-fn it_waits_for_whatever_it_holds_and_no_longer_than_it_may(#[case] holds: Holds) {
+#[case::clients(PendingWork { clients: true, ..PendingWork::default() })]
+#[case::unsent(PendingWork { unsent: true, ..PendingWork::default() })]
+fn it_waits_for_whatever_it_holds_and_no_longer_than_it_may(#[case] holds: PendingWork) {
     let mut shutdown = Shutdown::new(SPANS);
-    shutdown.tell(ms(0));
-    assert_eq!(shutdown.step(ms(550), holds), Some(Step::CloseDoor));
-    assert_eq!(shutdown.step(ms(3499), holds), None);
-    assert_eq!(shutdown.step(ms(3500), holds), Some(Step::AnswerAll));
-    assert_eq!(shutdown.next(), Some(ms(3650)));
+    shutdown.begin(ms(0));
+    assert_eq!(
+        shutdown.advance(ms(550), holds),
+        Some(ShutdownStep::StopAccepting)
+    );
+    assert_eq!(shutdown.advance(ms(3499), holds), None);
+    assert_eq!(
+        shutdown.advance(ms(3500), holds),
+        Some(ShutdownStep::RespondToAll)
+    );
+    assert_eq!(shutdown.next_deadline(), Some(ms(3650)));
     // What was answered is still to be read by its client, up to the end.
-    let unsent = Holds {
+    let unsent = PendingWork {
         unsent: true,
-        ..Holds::default()
+        ..PendingWork::default()
     };
-    assert_eq!(shutdown.step(ms(3500), unsent), None);
-    assert_eq!(shutdown.step(ms(3650), unsent), Some(Step::End));
+    assert_eq!(shutdown.advance(ms(3500), unsent), None);
+    assert_eq!(shutdown.advance(ms(3650), unsent), Some(ShutdownStep::Exit));
 }
 
 /// Spans out of order, as settings with short deadlines may give, close the door before all is answered.
 #[test]
 fn nothing_is_answered_before_the_door_closes() {
-    let mut shutdown = Shutdown::new(Spans {
-        found: ms(500),
-        answered: ms(100),
-        ended: ms(50),
+    let mut shutdown = Shutdown::new(ShutdownTimeouts {
+        stop_accepting: ms(500),
+        respond_to_all: ms(100),
+        exit: ms(50),
     });
-    shutdown.tell(ms(0));
-    assert_eq!(shutdown.next(), Some(ms(500)));
-    assert_eq!(shutdown.step(ms(500), open()), Some(Step::CloseDoor));
-    assert_eq!(shutdown.step(ms(500), open()), Some(Step::AnswerAll));
+    shutdown.begin(ms(0));
+    assert_eq!(shutdown.next_deadline(), Some(ms(500)));
+    assert_eq!(
+        shutdown.advance(ms(500), open()),
+        Some(ShutdownStep::StopAccepting)
+    );
+    assert_eq!(
+        shutdown.advance(ms(500), open()),
+        Some(ShutdownStep::RespondToAll)
+    );
     // One that came at the last moment is answered too, and then it ends whatever its host says.
-    assert_eq!(shutdown.step(ms(500), open()), Some(Step::AnswerAll));
-    assert_eq!(shutdown.step(ms(500), open()), Some(Step::End));
+    assert_eq!(
+        shutdown.advance(ms(500), open()),
+        Some(ShutdownStep::RespondToAll)
+    );
+    assert_eq!(shutdown.advance(ms(500), open()), Some(ShutdownStep::Exit));
 }
 
 /// A host that does as it is told, with requests that come and are answered by others at drawn times.
@@ -129,7 +150,7 @@
         for event in all {
             match event {
                 Event::Tell => {
-                    let news = shutdown.tell(now);
+                    let news = shutdown.begin(now);
                     prop_assert_eq!(news, told.is_none());
                     told = told.or(Some(now));
                 }
@@ -145,24 +166,24 @@
                 Event::Answer => {}
                 Event::Reads => host.unsent = 0,
                 // The loop wakes at the latest when it is asked to.
-                Event::Passes(span) => now = shutdown.next().unwrap_or(Duration::MAX).min(now + ms(span)).max(now),
+                Event::Passes(span) => now = shutdown.next_deadline().unwrap_or(Duration::MAX).min(now + ms(span)).max(now),
             }
             loop {
-                let holds = Holds { requests: !host.open.is_empty(), unsent: host.unsent > 0, ..Holds::default() };
-                match shutdown.step(now, holds) {
-                    Some(Step::CloseDoor) => {
-                        prop_assert!(now >= told.unwrap() + SPANS.found);
+                let holds = PendingWork { requests: !host.open.is_empty(), unsent: host.unsent > 0, ..PendingWork::default() };
+                match shutdown.advance(now, holds) {
+                    Some(ShutdownStep::StopAccepting) => {
+                        prop_assert!(now >= told.unwrap() + SPANS.stop_accepting);
                         host.door = false;
                     }
-                    Some(Step::AnswerAll) => {
-                        prop_assert!(now >= told.unwrap() + SPANS.answered);
+                    Some(ShutdownStep::RespondToAll) => {
+                        prop_assert!(now >= told.unwrap() + SPANS.respond_to_all);
                         host.unsent += host.open.len() as u32;
                         let open = std::mem::take(&mut host.open);
                         host.answered.extend(open);
                     }
-                    Some(Step::End) => {
+                    Some(ShutdownStep::Exit) => {
                         prop_assert!(host.open.is_empty(), "requests are open at the end");
-                        prop_assert!(host.unsent == 0 || now >= told.unwrap() + SPANS.ended);
+                        prop_assert!(host.unsent == 0 || now >= told.unwrap() + SPANS.exit);
                         break;
                     }
                     None => break,
@@ -173,7 +194,7 @@
             }
         }
         prop_assert!(shutdown.is_done(), "it does not end");
-        prop_assert!(now <= told.unwrap() + SPANS.ended);
+        prop_assert!(now <= told.unwrap() + SPANS.exit);
         prop_assert_eq!(host.answered.len() as u32, host.taken);
         host.answered.sort_unstable();
         host.answered.dedup();
