--- a/crates/http-proxy/src/service/back.rs
+++ b/crates/http-proxy/src/service/back.rs
@@ -12,9 +12,9 @@
 use limewing_net::http::{self, HeadLimits, ResponseHead};
 use limewing_net::sockets::{is_own_want, SocketId};
 use limewing_net::wheel::TimerKey;
-use limewing_proxy_core::kept::IdleConnection;
-use limewing_proxy_core::open::Attempt;
-use limewing_proxy_core::permit::SendPermit;
+use limewing_proxy_core::connection_pool::IdleConnection;
+use limewing_proxy_core::in_flight::Attempt;
+use limewing_proxy_core::send_permit::SendPermit;
 use std::time::Duration;
 
 /// A pod says with this field that it has not begun a hit.
--- a/crates/http-proxy/src/service/front.rs
+++ b/crates/http-proxy/src/service/front.rs
@@ -11,7 +11,7 @@
 use limewing_net::message::Requests;
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
-use limewing_proxy_core::open::InFlightRequest;
+use limewing_proxy_core::in_flight::InFlightRequest;
 use limewing_replication::Refusal;
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/http-proxy/tests/sockets/crossings.rs
+++ b/crates/http-proxy/tests/sockets/crossings.rs
@@ -5,7 +5,7 @@
 use limewing_decision::interface::{Action, AttemptIndex, Event, RequestId};
 use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
-use limewing_proxy_core::permit::SendAuthority;
+use limewing_proxy_core::send_permit::SendAuthority;
 use limewing_settings::{Seconds, SidecarSettings};
 use rstest::rstest;
 use rustix::net::listen;
--- a/crates/http-proxy/tests/sockets/help.rs
+++ b/crates/http-proxy/tests/sockets/help.rs
@@ -4,7 +4,7 @@
 use limewing_http_proxy::memory;
 use limewing_http_proxy::pods::{PodBook, Row};
 use limewing_http_proxy::service::{Decisions, Service};
-use limewing_proxy_core::permit::SendAuthority;
+use limewing_proxy_core::send_permit::SendAuthority;
 use limewing_settings::{read_text, SidecarSettings};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/http-proxy/tests/sockets/wants.rs
+++ b/crates/http-proxy/tests/sockets/wants.rs
@@ -4,7 +4,7 @@
 use limewing_decision::interface::{Action, AttemptIndex, AttemptOutcome, Event, RequestId};
 use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
-use limewing_proxy_core::permit::SendAuthority;
+use limewing_proxy_core::send_permit::SendAuthority;
 use rstest::rstest;
 use std::fs::File;
 use std::io::{Read, Write};
--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -16,7 +16,7 @@
 use limewing_decision::interface::*;
 use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
-use limewing_proxy_core::permit::SendAuthority;
+use limewing_proxy_core::send_permit::SendAuthority;
 use limewing_settings::SidecarSettings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
--- a/crates/postgres-proxy/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -15,9 +15,9 @@
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, Event, PodId, RequestId};
 use limewing_net::sockets::{is_own_want, SocketId};
 use limewing_postgres_protocol::write;
-use limewing_proxy_core::kept::IdleConnection;
-use limewing_proxy_core::open::Attempt;
-use limewing_proxy_core::permit::SendPermit;
+use limewing_proxy_core::connection_pool::IdleConnection;
+use limewing_proxy_core::in_flight::Attempt;
+use limewing_proxy_core::send_permit::SendPermit;
 use std::io::ErrorKind;
 use std::time::Duration;
 
--- /dev/null
+++ b/crates/proxy-core/src/in_flight.rs
@@ -0,0 +1,238 @@
+//! The requests that a proxy holds: each gets one final answer, and each of its attempts ends once.
+
+use limewing_decision::interface::{AttemptIndex, AttemptOutcome, AttemptResult, PodId, RequestId};
+use limewing_net::sockets::SocketId;
+use limewing_net::wheel::TimerKey;
+use rustc_hash::FxHashMap;
+use std::time::Duration;
+
+/// A request that has no final answer yet, or still has an active attempt. `T` is what its protocol keeps of it.
+#[derive(Debug)]
+pub struct InFlightRequest<T> {
+    /// The client's socket; `None` once the client is gone.
+    pub client: Option<SocketId>,
+    /// When it has to be answered at the latest, on the sidecar's monotonic clock.
+    pub deadline: Duration,
+    /// Whether it has its final answer.
+    pub completed: bool,
+    /// All its attempts, by [`AttemptIndex`].
+    pub attempts: Vec<Attempt>,
+    /// What its protocol keeps of it.
+    pub protocol_state: T,
+}
+
+impl<T> InFlightRequest<T> {
+    fn active_attempts(&self) -> impl Iterator<Item = (AttemptIndex, &Attempt)> {
+        (0..)
+            .map(AttemptIndex)
+            .zip(&self.attempts)
+            .filter(|(_, attempt)| !attempt.ended)
+    }
+}
+
+/// One attempt to have a request answered by a pod.
+#[derive(Debug)]
+pub struct Attempt {
+    /// The pod.
+    pub pod: PodId,
+    /// When it was started, on the sidecar's monotonic clock.
+    pub sent_at: Duration,
+    /// Its connection, while it has one.
+    pub connection: Option<SocketId>,
+    /// The timer that bounds its next step.
+    pub timer: Option<TimerKey>,
+    /// Whether its outcome is known.
+    pub ended: bool,
+}
+
+/// An active attempt with its request, pod and connection.
+pub type ActiveAttempt = (RequestId, AttemptIndex, PodId, Option<SocketId>);
+
+/// All requests in flight; identifiers count up from 0.
+#[derive(Debug)]
+pub struct InFlightRequests<T> {
+    requests: FxHashMap<RequestId, InFlightRequest<T>>,
+    next_id: u64,
+}
+
+impl<T> Default for InFlightRequests<T> {
+    fn default() -> Self {
+        Self {
+            requests: FxHashMap::default(),
+            next_id: 0,
+        }
+    }
+}
+
+/// What came of ending an attempt.
+#[derive(Debug)]
+pub struct EndedAttempt<T> {
+    /// The result, for the decision engine.
+    pub result: AttemptResult,
+    /// The attempt's timer, which the caller has to cancel.
+    pub timer: Option<TimerKey>,
+    /// The protocol's part of the request, if this removed it.
+    pub completed_request: Option<T>,
+}
+
+impl<T> InFlightRequests<T> {
+    /// Adds a request and returns its identifier.
+    pub fn insert(&mut self, client: SocketId, deadline: Duration, protocol_state: T) -> RequestId {
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        let request = InFlightRequest {
+            client: Some(client),
+            deadline,
+            completed: false,
+            attempts: Vec::new(),
+            protocol_state,
+        };
+        self.requests.insert(id, request);
+        id
+    }
+
+    /// A request, completed or not.
+    #[must_use]
+    pub fn get(&self, id: RequestId) -> Option<&InFlightRequest<T>> {
+        self.requests.get(&id)
+    }
+
+    /// A request, completed or not, to be changed.
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest<T>> {
+        self.requests.get_mut(&id)
+    }
+
+    /// A request without its final answer, to be changed.
+    pub fn pending_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest<T>> {
+        self.requests
+            .get_mut(&id)
+            .filter(|request| !request.completed)
+    }
+
+    /// The requests without their final answer, in ascending order.
+    #[must_use]
+    pub fn pending_ids(&self) -> Vec<RequestId> {
+        let mut pending: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| !request.completed)
+            .map(|(id, _)| *id)
+            .collect();
+        pending.sort_unstable();
+        pending
+    }
+
+    /// Whether any request has no final answer.
+    #[must_use]
+    pub fn has_pending(&self) -> bool {
+        self.requests.values().any(|request| !request.completed)
+    }
+
+    /// The active attempts of all requests, in ascending order.
+    #[must_use]
+    pub fn active_attempts(&self) -> Vec<ActiveAttempt> {
+        let mut active = Vec::new();
+        for (id, request) in &self.requests {
+            for (index, attempt) in request.active_attempts() {
+                active.push((*id, index, attempt.pod, attempt.connection));
+            }
+        }
+        active.sort_unstable();
+        active
+    }
+
+    /// The active attempts of one request, each with its connection.
+    #[must_use]
+    pub fn active_attempts_of(&self, id: RequestId) -> Vec<(AttemptIndex, Option<SocketId>)> {
+        self.requests
+            .get(&id)
+            .into_iter()
+            .flat_map(InFlightRequest::active_attempts)
+            .map(|(index, attempt)| (index, attempt.connection))
+            .collect()
+    }
+
+    /// The pods with active attempts, each as often as it has one, in no order.
+    pub fn pods_with_attempts(&self) -> impl Iterator<Item = PodId> + '_ {
+        self.requests
+            .values()
+            .flat_map(InFlightRequest::active_attempts)
+            .map(|(_, attempt)| attempt.pod)
+    }
+
+    /// How many requests were ever added.
+    #[must_use]
+    pub fn total_accepted(&self) -> u64 {
+        self.next_id
+    }
+
+    /// How many requests are in flight.
+    #[must_use]
+    pub fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Whether no request is in flight.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    /// An attempt, ended or not.
+    #[must_use]
+    pub fn attempt(&self, id: RequestId, index: AttemptIndex) -> Option<&Attempt> {
+        self.requests.get(&id)?.attempts.get(usize::from(index.0))
+    }
+
+    /// An attempt that has not ended, to be changed.
+    pub fn active_attempt_mut(
+        &mut self,
+        id: RequestId,
+        index: AttemptIndex,
+    ) -> Option<&mut Attempt> {
+        self.requests
+            .get_mut(&id)?
+            .attempts
+            .get_mut(usize::from(index.0))
+            .filter(|attempt| !attempt.ended)
+    }
+
+    /// Ends an attempt; `None` if it had ended or its request is unknown.
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        index: AttemptIndex,
+        outcome: AttemptOutcome,
+        now: Duration,
+    ) -> Option<EndedAttempt<T>> {
+        let request_over = self.requests.get(&id)?.completed;
+        let attempt = self.active_attempt_mut(id, index)?;
+        attempt.ended = true;
+        attempt.connection = None;
+        let timer = attempt.timer.take();
+        let result = AttemptResult {
+            request: id,
+            attempt: index,
+            pod: attempt.pod,
+            outcome,
+            duration: now.saturating_sub(attempt.sent_at),
+            request_over,
+        };
+        Some(EndedAttempt {
+            result,
+            timer,
+            completed_request: self.remove_if_complete(id),
+        })
+    }
+
+    /// Removes a request that has its final answer and no active attempt, and returns its protocol's part.
+    pub fn remove_if_complete(&mut self, id: RequestId) -> Option<T> {
+        let request = self.requests.get(&id)?;
+        if !request.completed || request.active_attempts().next().is_some() {
+            return None;
+        }
+        self.requests
+            .remove(&id)
+            .map(|request| request.protocol_state)
+    }
+}
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,22 +1,19 @@
-//! What every host of the decision module on sockets needs, whatever protocol it speaks: hits that are open and
-//! forwards that end once (`open`), connections kept to pods (`kept`), who may have how many descriptors
-//! (`room`), when a lost service is asked again (`again`), the clock (`clock`), how a process
-//! that is told to leave goes (`shutdown`), permission to write an attempt to its pod (`permit`). Nothing is decided here.
+//! What both proxies share, whatever protocol they speak. Nothing is decided here.
+//!
+//! - [`in_flight`]: requests in flight and their attempts
+//! - [`connection_pool`]: idle connections to pods
+//! - [`idle_timeout`]: how long a connection may stay idle
+//! - [`send_permit`]: permission to write an attempt to its pod
+//! - [`descriptor_budget`]: how file descriptors are shared out
+//! - [`backoff`]: delays between attempts to reach a control service
+//! - [`clock`]: the monotonic clock and the time of day
+//! - [`shutdown`]: the steps of a graceful shutdown
 
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
-
-pub mod again;
+pub mod backoff;
 pub mod clock;
-pub mod kept;
-pub mod open;
-pub mod permit;
-pub mod room;
+pub mod connection_pool;
+pub mod descriptor_budget;
+pub mod idle_timeout;
+pub mod in_flight;
+pub mod send_permit;
 pub mod shutdown;
--- /dev/null
+++ b/crates/proxy-core/src/send_permit.rs
@@ -0,0 +1,41 @@
+//! Permission to write an attempt to its pod.
+//!
+//! Between the decision to start an attempt and its first byte, a connection has to be opened or shown to be alive;
+//! meanwhile the pod may start draining, so the decision is confirmed right before the write.
+
+use limewing_decision::interface::{AttemptIndex, RequestId};
+use limewing_decision::DecisionEngine;
+use std::time::Duration;
+
+/// Confirms that an attempt may still be written.
+pub trait SendAuthority {
+    /// Whether the first byte of an attempt may be written at `now`.
+    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool;
+}
+
+impl SendAuthority for DecisionEngine {
+    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
+        DecisionEngine::may_begin(self, now, request, attempt)
+    }
+}
+
+/// Proof that an attempt may be written now. Whoever writes later has to request a new one.
+#[derive(Debug)]
+#[must_use]
+pub struct SendPermit(());
+
+impl SendPermit {
+    /// Requests the permit for one attempt; `None` if it may not be written to its pod now.
+    pub fn request(
+        authority: &(impl SendAuthority + ?Sized),
+        now: Duration,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> Option<Self> {
+        if authority.may_begin(now, request, attempt) {
+            Some(Self(()))
+        } else {
+            None
+        }
+    }
+}
--- a/crates/proxy-core/src/shutdown.rs
+++ b/crates/proxy-core/src/shutdown.rs
@@ -1,151 +1,185 @@
-//! How a process that was told to leave goes: one state machine, with no I/O and no clock.
+//! Graceful shutdown of a proxy: a state machine without I/O or a clock of its own.
 //!
-//! It owns the order (serve on, close the door, answer what is left, end) and the times by which each step is taken. It
-//! never touches a socket or a request: its host tells what it still holds and carries out the steps.
+//! It owns the order of the steps (serve on, stop accepting, respond to what is left, exit) and the times by which each is
+//! taken. It never touches a socket or a request: the proxy says what work is pending and carries out the steps.
 
 use std::time::Duration;
 
-/// The times of a shutdown, from the word to leave.
+/// The times of a shutdown, counted from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimeouts {
-    /// Connections still come for so long: all goes on until then.
+    /// Until then new connections are accepted and all goes on, as clients may not know of the shutdown yet.
     pub stop_accepting: Duration,
-    /// By then every request has its answer, whatever it waits for.
+    /// By then every request has its response, whatever it waits for.
     pub respond_to_all: Duration,
-    /// Then the process ends, whatever still hangs.
+    /// By then the process exits, whatever is still pending.
     pub exit: Duration,
 }
 
-/// What the host still holds.
+/// What the proxy still has to do; the default is nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PendingWork {
-    /// Connections wait to be let in.
+    /// Connections wait to be accepted.
     pub backlog: bool,
-    /// Requests without their answer.
+    /// Requests have no response yet.
     pub requests: bool,
-    /// Clients whose next request may be on its way.
+    /// Clients are connected whose next request may be on its way.
     pub clients: bool,
-    /// Bytes of answers that are not with the system, or connections whose peers have not read them yet.
+    /// Bytes of responses are not with the operating system, or not read by their clients yet.
     pub unsent: bool,
 }
 
-/// What the host does next.
+/// What the proxy has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Lets in what has come and takes no connection after that; closes what carries nothing.
+    /// Accept the backlog and no connection after that, and close connections that carry nothing.
     StopAccepting,
-    /// Answers every request that is held, now.
+    /// Respond to every pending request at once.
     RespondToAll,
-    /// Ends the process.
+    /// Exit the process.
     Exit,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum State {
+enum Phase {
     #[default]
     Serving,
-    /// Told to leave; clients still come.
+    /// The shutdown has begun; clients still connect.
     Draining {
-        told: Duration,
+        since: Duration,
     },
-    /// No connection is let in; each goes once nothing is open on it.
+    /// No connection is accepted; each is closed once nothing is pending on it.
     Closing {
-        told: Duration,
+        since: Duration,
     },
-    /// The time is up: what still comes has its answer at once.
-    Answering {
-        told: Duration,
+    /// The time for responses is up: what still arrives is answered at once.
+    Responding {
+        since: Duration,
     },
-    /// The last ones were answered: the end is next.
-    Ending,
+    /// The last requests were answered; the exit is next.
+    Exiting,
     Done,
 }
 
+/// The state machine of a graceful shutdown.
+#[derive(Debug)]
 pub struct Shutdown {
-    spans: ShutdownTimeouts,
-    state: State,
+    timeouts: ShutdownTimeouts,
+    phase: Phase,
 }
 
 impl Shutdown {
-    pub fn new(spans: ShutdownTimeouts) -> Self {
-        let answered = spans.respond_to_all.max(spans.stop_accepting);
-        let spans = ShutdownTimeouts {
-            respond_to_all: answered,
-            exit: spans.exit.max(answered),
-            ..spans
+    /// A shutdown that has not begun. Timeouts out of order are raised to the one before.
+    #[must_use]
+    pub fn new(timeouts: ShutdownTimeouts) -> Self {
+        let respond_to_all = timeouts.respond_to_all.max(timeouts.stop_accepting);
+        let timeouts = ShutdownTimeouts {
+            respond_to_all,
+            exit: timeouts.exit.max(respond_to_all),
+            ..timeouts
         };
         Self {
-            spans,
-            state: State::Serving,
+            timeouts,
+            phase: Phase::Serving,
         }
     }
 
-    /// The process is told to leave; whether that is news. A second word changes nothing.
+    /// Begins the shutdown. Returns false, and changes nothing, if it had begun.
     pub fn begin(&mut self, now: Duration) -> bool {
-        let news = self.state == State::Serving;
-        if news {
-            self.state = State::Draining { told: now };
+        if self.has_begun() {
+            return false;
         }
-        news
+        self.phase = Phase::Draining { since: now };
+        true
     }
 
-    /// Whether no connection is let in any more.
+    /// Whether no connection is accepted any more.
+    #[must_use]
     pub fn has_stopped_accepting(&self) -> bool {
-        matches!(
-            self.state,
-            State::Closing { .. } | State::Answering { .. } | State::Ending | State::Done
-        )
+        !matches!(self.phase, Phase::Serving | Phase::Draining { .. })
     }
 
+    /// Whether the shutdown has begun.
+    #[must_use]
     pub fn has_begun(&self) -> bool {
-        self.state != State::Serving
+        self.phase != Phase::Serving
     }
 
+    /// Whether the process has been told to exit.
+    #[must_use]
     pub fn is_done(&self) -> bool {
-        self.state == State::Done
+        self.phase == Phase::Done
     }
 
-    /// When `step` is to be called at the latest.
+    /// When [`Shutdown::advance`] has to be called at the latest; `None` if it need not be.
+    #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
-        match self.state {
-            State::Serving | State::Done => None,
-            State::Ending => Some(Duration::ZERO),
-            State::Draining { told } => Some(told + self.spans.stop_accepting),
-            State::Closing { told } => Some(told + self.spans.respond_to_all),
-            State::Answering { told } => Some(told + self.spans.exit),
+        match self.phase {
+            Phase::Serving | Phase::Done => None,
+            Phase::Exiting => Some(Duration::ZERO),
+            Phase::Draining { since } => Some(since + self.timeouts.stop_accepting),
+            Phase::Closing { since } => Some(since + self.timeouts.respond_to_all),
+            Phase::Responding { since } => Some(since + self.timeouts.exit),
         }
     }
 
-    /// What is to be done now; to be called until it says nothing, with what is held each time.
-    pub fn advance(&mut self, now: Duration, holds: PendingWork) -> Option<ShutdownStep> {
-        match self.state {
-            State::Serving | State::Done => None,
-            State::Draining { told } if now < told + self.spans.stop_accepting => None,
-            State::Draining { told } => {
-                self.state = State::Closing { told };
-                Some(ShutdownStep::StopAccepting)
-            }
-            State::Closing { .. } if holds == PendingWork::default() => self.end(),
-            State::Closing { told } if now < told + self.spans.respond_to_all => None,
-            State::Closing { told } => {
-                self.state = State::Answering { told };
-                Some(ShutdownStep::RespondToAll)
-            }
-            // One that comes later than that is answered as it comes: none may be open at the end.
-            State::Answering { told } if now >= told + self.spans.exit && holds.requests => {
-                self.state = State::Ending;
-                Some(ShutdownStep::RespondToAll)
+    /// The next step, if one is due. To be called until it returns `None`, with what is pending each time.
+    pub fn advance(&mut self, now: Duration, pending: PendingWork) -> Option<ShutdownStep> {
+        match self.phase {
+            Phase::Serving | Phase::Done => None,
+            Phase::Draining { since } => self.advance_draining(now, since),
+            Phase::Closing { since } => self.advance_closing(now, since, pending),
+            Phase::Responding { since } => self.advance_responding(now, since, pending),
+            Phase::Exiting => self.exit(),
+        }
+    }
+
+    fn advance_draining(&mut self, now: Duration, since: Duration) -> Option<ShutdownStep> {
+        if now < since + self.timeouts.stop_accepting {
+            return None;
+        }
+        self.phase = Phase::Closing { since };
+        Some(ShutdownStep::StopAccepting)
+    }
+
+    fn advance_closing(
+        &mut self,
+        now: Duration,
+        since: Duration,
+        pending: PendingWork,
+    ) -> Option<ShutdownStep> {
+        if pending == PendingWork::default() {
+            return self.exit();
+        }
+        if now < since + self.timeouts.respond_to_all {
+            return None;
+        }
+        self.phase = Phase::Responding { since };
+        Some(ShutdownStep::RespondToAll)
+    }
+
+    fn advance_responding(
+        &mut self,
+        now: Duration,
+        since: Duration,
+        pending: PendingWork,
+    ) -> Option<ShutdownStep> {
+        let time_is_up = now >= since + self.timeouts.exit;
+        if pending.requests {
+            if time_is_up {
+                // Requests that arrive after this are answered as they arrive: none may be open at the exit.
+                self.phase = Phase::Exiting;
             }
-            State::Answering { told } if now >= told + self.spans.exit => self.end(),
-            State::Ending => self.end(),
-            State::Answering { .. } if holds.requests => Some(ShutdownStep::RespondToAll),
-            State::Answering { .. } if !holds.unsent => self.end(),
-            State::Answering { .. } => None,
+            return Some(ShutdownStep::RespondToAll);
+        }
+        if time_is_up || !pending.unsent {
+            return self.exit();
         }
+        None
     }
 
-    fn end(&mut self) -> Option<ShutdownStep> {
-        self.state = State::Done;
+    fn exit(&mut self) -> Option<ShutdownStep> {
+        self.phase = Phase::Done;
         Some(ShutdownStep::Exit)
     }
 }
--- a/crates/proxy-core/src/shutdown/tests.rs
+++ b/crates/proxy-core/src/shutdown/tests.rs
@@ -1,10 +1,12 @@
-//! Shutdown over drawn orders of events: every accepted request is answered once, and it ends in bounded time.
+//! Graceful shutdown, also over random orders of events: each accepted request gets one response, and the exit is bounded in time.
 
-use super::*;
-use proptest::prelude::*;
+use super::{PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts};
+use proptest::prelude::{any, prop, Just, Strategy};
+use proptest::{prop_assert, prop_assert_eq, prop_oneof, proptest};
 use rstest::rstest;
+use std::time::Duration;
 
-const SPANS: ShutdownTimeouts = ShutdownTimeouts {
+const TIMEOUTS: ShutdownTimeouts = ShutdownTimeouts {
     stop_accepting: Duration::from_millis(550),
     respond_to_all: Duration::from_millis(3500),
     exit: Duration::from_millis(3650),
@@ -14,7 +16,7 @@
     Duration::from_millis(ms)
 }
 
-fn open() -> PendingWork {
+fn open_requests() -> PendingWork {
     PendingWork {
         requests: true,
         ..PendingWork::default()
@@ -22,8 +24,8 @@
 }
 
 #[test]
-fn one_that_is_not_told_does_nothing() {
-    let mut shutdown = Shutdown::new(SPANS);
+fn does_nothing_before_it_begins() {
+    let mut shutdown = Shutdown::new(TIMEOUTS);
     assert_eq!(
         (
             shutdown.advance(ms(90_000), PendingWork::default()),
@@ -34,10 +36,9 @@
     assert!(!shutdown.has_begun() && !shutdown.has_stopped_accepting() && !shutdown.is_done());
 }
 
-/// Idle or not, it serves while clients still come.
 #[test]
-fn it_serves_on_while_clients_still_come() {
-    let mut shutdown = Shutdown::new(SPANS);
+fn keeps_serving_until_stop_accepting_timeout_even_when_idle() {
+    let mut shutdown = Shutdown::new(TIMEOUTS);
     assert!(shutdown.begin(ms(1000)));
     assert!(!shutdown.begin(ms(1400)));
     assert_eq!(shutdown.next_deadline(), Some(ms(1550)));
@@ -55,23 +56,23 @@
 
 #[rstest]
 #[case::backlog(PendingWork { backlog: true, ..PendingWork::default() })]
-#[case::requests(open())]
+#[case::requests(open_requests())]
 #[case::clients(PendingWork { clients: true, ..PendingWork::default() })]
 #[case::unsent(PendingWork { unsent: true, ..PendingWork::default() })]
-fn it_waits_for_whatever_it_holds_and_no_longer_than_it_may(#[case] holds: PendingWork) {
-    let mut shutdown = Shutdown::new(SPANS);
+fn waits_for_pending_work_up_to_the_timeouts(#[case] pending: PendingWork) {
+    let mut shutdown = Shutdown::new(TIMEOUTS);
     shutdown.begin(ms(0));
     assert_eq!(
-        shutdown.advance(ms(550), holds),
+        shutdown.advance(ms(550), pending),
         Some(ShutdownStep::StopAccepting)
     );
-    assert_eq!(shutdown.advance(ms(3499), holds), None);
+    assert_eq!(shutdown.advance(ms(3499), pending), None);
     assert_eq!(
-        shutdown.advance(ms(3500), holds),
+        shutdown.advance(ms(3500), pending),
         Some(ShutdownStep::RespondToAll)
     );
     assert_eq!(shutdown.next_deadline(), Some(ms(3650)));
-    // What was answered is still to be read by its client, up to the end.
+    // Clients may read their responses up to the exit.
     let unsent = PendingWork {
         unsent: true,
         ..PendingWork::default()
@@ -80,9 +81,9 @@
     assert_eq!(shutdown.advance(ms(3650), unsent), Some(ShutdownStep::Exit));
 }
 
-/// Spans out of order, as settings with short deadlines may give, close the door before all is answered.
+/// Settings with short deadlines may give timeouts out of order.
 #[test]
-fn nothing_is_answered_before_the_door_closes() {
+fn timeouts_out_of_order_stop_accepting_before_responding() {
     let mut shutdown = Shutdown::new(ShutdownTimeouts {
         stop_accepting: ms(500),
         respond_to_all: ms(100),
@@ -91,99 +92,106 @@
     shutdown.begin(ms(0));
     assert_eq!(shutdown.next_deadline(), Some(ms(500)));
     assert_eq!(
-        shutdown.advance(ms(500), open()),
+        shutdown.advance(ms(500), open_requests()),
         Some(ShutdownStep::StopAccepting)
     );
     assert_eq!(
-        shutdown.advance(ms(500), open()),
+        shutdown.advance(ms(500), open_requests()),
         Some(ShutdownStep::RespondToAll)
     );
-    // One that came at the last moment is answered too, and then it ends whatever its host says.
+    // A request that arrived at the last moment is answered too; then it exits whatever is pending.
     assert_eq!(
-        shutdown.advance(ms(500), open()),
+        shutdown.advance(ms(500), open_requests()),
         Some(ShutdownStep::RespondToAll)
     );
-    assert_eq!(shutdown.advance(ms(500), open()), Some(ShutdownStep::Exit));
+    assert_eq!(
+        shutdown.advance(ms(500), open_requests()),
+        Some(ShutdownStep::Exit)
+    );
 }
 
-/// A host that does as it is told, with requests that come and are answered by others at drawn times.
+/// A proxy that carries out the steps, with requests that arrive and are answered at random times.
 #[derive(Default)]
-struct Host {
+struct FakeProxy {
     open: Vec<u32>,
     answered: Vec<u32>,
     unsent: u32,
-    taken: u32,
-    door: bool,
+    accepted: u32,
+    accepting: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Tell,
-    /// A request comes on an open connection, or through the door.
+    Begin,
+    /// A request arrives on a new connection or an open one.
     Request {
-        new: bool,
+        new_connection: bool,
     },
-    /// An answer comes for the oldest one open.
+    /// The oldest open request is answered.
     Answer,
-    /// A client reads.
-    Reads,
-    Passes(u64),
+    /// Clients read all that was sent.
+    ClientsRead,
+    /// Milliseconds pass.
+    Pass(u64),
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
-    let one = prop_oneof![
-        Just(Event::Tell),
-        any::<bool>().prop_map(|new| Event::Request { new }),
+    let event = prop_oneof![
+        Just(Event::Begin),
+        any::<bool>().prop_map(|new_connection| Event::Request { new_connection }),
         Just(Event::Answer),
-        Just(Event::Reads),
-        (0u64..900).prop_map(Event::Passes),
+        Just(Event::ClientsRead),
+        (0u64..900).prop_map(Event::Pass),
     ];
-    prop::collection::vec(one, 1..80)
+    prop::collection::vec(event, 1..80)
 }
 
 proptest! {
     #[test]
-    fn every_request_is_answered_once_and_it_ends_in_time(events in events()) {
-        let (mut shutdown, mut host, mut now, mut told) = (Shutdown::new(SPANS), Host { door: true, ..Host::default() }, ms(0), None);
-        // What is drawn, and then silence up to the end.
-        let all = events.into_iter().chain([Event::Tell]).chain((0..80).map(|_| Event::Passes(50)));
+    fn answers_each_request_once_and_exits_in_time(events in events()) {
+        let mut shutdown = Shutdown::new(TIMEOUTS);
+        let mut proxy = FakeProxy { accepting: true, ..FakeProxy::default() };
+        let mut now = ms(0);
+        let mut begun_at = None;
+        // The random events, and then silence up to the exit.
+        let all = events.into_iter().chain([Event::Begin]).chain((0..80).map(|_| Event::Pass(50)));
         for event in all {
             match event {
-                Event::Tell => {
-                    let news = shutdown.begin(now);
-                    prop_assert_eq!(news, told.is_none());
-                    told = told.or(Some(now));
+                Event::Begin => {
+                    let is_first = shutdown.begin(now);
+                    prop_assert_eq!(is_first, begun_at.is_none());
+                    begun_at = begun_at.or(Some(now));
                 }
-                Event::Request { new } if host.door || !new => {
-                    host.taken += 1;
-                    host.open.push(host.taken);
+                Event::Request { new_connection } if proxy.accepting || !new_connection => {
+                    proxy.accepted += 1;
+                    proxy.open.push(proxy.accepted);
                 }
                 Event::Request { .. } => {}
-                Event::Answer if !host.open.is_empty() => {
-                    host.answered.push(host.open.remove(0));
-                    host.unsent += 1;
+                Event::Answer if !proxy.open.is_empty() => {
+                    proxy.answered.push(proxy.open.remove(0));
+                    proxy.unsent += 1;
                 }
                 Event::Answer => {}
-                Event::Reads => host.unsent = 0,
-                // The loop wakes at the latest when it is asked to.
-                Event::Passes(span) => now = shutdown.next_deadline().unwrap_or(Duration::MAX).min(now + ms(span)).max(now),
+                Event::ClientsRead => proxy.unsent = 0,
+                // The event loop wakes at the next deadline at the latest.
+                Event::Pass(elapsed_ms) => now = shutdown.next_deadline().unwrap_or(Duration::MAX).min(now + ms(elapsed_ms)).max(now),
             }
             loop {
-                let holds = PendingWork { requests: !host.open.is_empty(), unsent: host.unsent > 0, ..PendingWork::default() };
-                match shutdown.advance(now, holds) {
+                let pending = PendingWork { requests: !proxy.open.is_empty(), unsent: proxy.unsent > 0, ..PendingWork::default() };
+                match shutdown.advance(now, pending) {
                     Some(ShutdownStep::StopAccepting) => {
-                        prop_assert!(now >= told.unwrap() + SPANS.stop_accepting);
-                        host.door = false;
+                        prop_assert!(now >= begun_at.expect("a shutdown that has begun") + TIMEOUTS.stop_accepting);
+                        proxy.accepting = false;
                     }
                     Some(ShutdownStep::RespondToAll) => {
-                        prop_assert!(now >= told.unwrap() + SPANS.respond_to_all);
-                        host.unsent += host.open.len() as u32;
-                        let open = std::mem::take(&mut host.open);
-                        host.answered.extend(open);
+                        prop_assert!(now >= begun_at.expect("a shutdown that has begun") + TIMEOUTS.respond_to_all);
+                        proxy.unsent += proxy.open.len() as u32;
+                        let open = std::mem::take(&mut proxy.open);
+                        proxy.answered.extend(open);
                     }
                     Some(ShutdownStep::Exit) => {
-                        prop_assert!(host.open.is_empty(), "requests are open at the end");
-                        prop_assert!(host.unsent == 0 || now >= told.unwrap() + SPANS.exit);
+                        prop_assert!(proxy.open.is_empty(), "requests are open at the exit");
+                        prop_assert!(proxy.unsent == 0 || now >= begun_at.expect("a shutdown that has begun") + TIMEOUTS.exit);
                         break;
                     }
                     None => break,
@@ -193,11 +201,11 @@
                 break;
             }
         }
-        prop_assert!(shutdown.is_done(), "it does not end");
-        prop_assert!(now <= told.unwrap() + SPANS.exit);
-        prop_assert_eq!(host.answered.len() as u32, host.taken);
-        host.answered.sort_unstable();
-        host.answered.dedup();
-        prop_assert_eq!(host.answered.len() as u32, host.taken);
+        prop_assert!(shutdown.is_done(), "it does not exit");
+        prop_assert!(now <= begun_at.expect("a shutdown that has begun") + TIMEOUTS.exit);
+        prop_assert_eq!(proxy.answered.len() as u32, proxy.accepted);
+        proxy.answered.sort_unstable();
+        proxy.answered.dedup();
+        prop_assert_eq!(proxy.answered.len() as u32, proxy.accepted);
     }
 }
