--- a/crates/http-proxy/src/service/work.rs
+++ b/crates/http-proxy/src/service/work.rs
@@ -12,7 +12,7 @@
     Machine, MachinePhase, MaintenanceSchedule, Message, Pod, RejectionRate, Scheduler, Window,
     ZoneTracker,
 };
-use limewing_proxy_core::clock::today;
+use limewing_proxy_core::clock::wall_clock_now;
 use limewing_settings::{self as settings, WorkList};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -310,7 +310,7 @@
         let lasts = Duration::from(told.lease);
         Ok(Self {
             name: name.to_owned(),
-            start: ms(today()),
+            start: ms(wall_clock_now()),
             voters,
             part,
             turns: MaintenanceSchedule::default(),
@@ -631,7 +631,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let today = today();
+        let today = wall_clock_now();
         let pods: Vec<Pod> = site.rows.iter().map(|row| pod(row, today)).collect();
         let sight = FleetObservation {
             pods: &pods,
