--- a/crates/proxy-core/src/backoff.rs
+++ b/crates/proxy-core/src/backoff.rs
@@ -12,7 +12,7 @@
 
 /// Exponential backoff with a bound and jitter, so that the sidecars of a fleet don't all reconnect at once.
 ///
-/// Jitter adds up to the delay itself, so one wait is at most twice [`MAX_DELAY`].
+/// Jitter adds up to the delay itself, so one wait is at most twice `MAX_DELAY`.
 #[derive(Debug)]
 pub struct Backoff {
     policy: ExponentialBuilder,
--- a/crates/proxy-core/src/idle_timeout.rs
+++ b/crates/proxy-core/src/idle_timeout.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-/// Number of buckets of idle time; each is longer by [`BUCKET_GROWTH`] than the one before.
+/// Number of buckets of idle time; each is longer by `BUCKET_GROWTH` than the one before.
 const BUCKETS: usize = 24;
 /// Lower end of the first bucket but one; the first one also holds all that is shorter.
 const FIRST_BUCKET_MS: f64 = 4.0;
