--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,276 +1,88 @@
-//! What the decision module and its host say to each other, free of any wire. Times are spans since the start
-//! of the host's clock.
+//! What the engine and its host exchange, free of any wire format. Times are spans since the start of the
+//! host's clock.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+mod config;
+mod endpoint;
+mod request;
+mod rollout;
+
+pub use config::{
+    Control, DeduplicationScope, Idempotency, RequestClass, RolloutConfig, SafetyLimits,
+    SidecarConfig,
+};
+pub use endpoint::{Endpoint, EndpointUpdate, PodState, WatchLoss, WatchLossCause};
+pub use request::{AttemptOutcome, AttemptResult, Request};
+pub use rollout::{Phase, StageUpdate, Verdict, VoteAnswer};
+
 macro_rules! ids {
-    ($($name:ident($of:ty)),* $(,)?) => {$(
+    ($($(#[$doc:meta])* $name:ident($of:ty)),* $(,)?) => {$(
+        $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub $of);
     )*};
 }
 
 ids!(
+    /// A request, as its host numbers it.
     RequestId(u64),
+    /// A pod; a later incarnation of it may have the same id.
     PodId(u64),
+    /// A class of requests: the index of its configuration.
     ClassId(u16),
+    /// The tenant that a request belongs to.
     TenantId(u32),
+    /// A key whose requests stay with the newest build that served one of them.
     RoutingKey(u64),
+    /// A zone of the platform.
     ZoneId(u16),
+    /// A cell of a zone.
     CellId(u16),
-    BuildId(u16)
+    /// A build; later builds have higher numbers.
+    BuildId(u16),
+    /// The index of an attempt among those of its request, from 0.
+    AttemptIndex(u16),
+    /// The index of a stage of a rollout, from 0.
+    StageIndex(u8),
+    /// A type of machine.
+    MachineTypeId(u16),
 );
-ids!(AttemptIndex(u16), StageIndex(u8), MachineTypeId(u16));
-
-/// Whether a hit of a path group may run again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Idempotency {
-    Idempotent,
-    Keyed {
-        deduplicated_by: DeduplicationScope,
-        window: Duration,
-    },
-    NonIdempotent,
-}
-
-/// The pods that share a memory of tagged hits.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeduplicationScope {
-    All,
-    Zone,
-    Cell,
-}
-
-#[derive(Clone, Debug)]
-pub struct RequestClass {
-    pub idempotency: Idempotency,
-    pub latency_objective: Duration,
-    pub client_timeout: Duration,
-    pub priority_weight: f64,
-    pub late_weight: f64,
-    pub streaming: bool,
-}
-
-/// How votes act on a stage.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Control {
-    /// Votes move the build on.
-    Votes,
-    /// A clock does, unless votes hold it.
-    Clock,
-}
-
-#[derive(Clone, Debug)]
-pub struct RolloutConfig {
-    pub control: Control,
-    pub stage_shares: Vec<f64>,
-    pub exposure_caps: Vec<f64>,
-    pub exposure_window: Duration,
-    pub exposure_free: f64,
-    pub exposure_per_class: bool,
-    pub guarded_stages: u8,
-    pub sticky_keys: bool,
-    pub vote_ttl: Duration,
-    pub vote_timeout: Duration,
-    /// How many sidecars it takes to send a build back, to hold a stage, and to move it on.
-    pub rollback_quorum: u32,
-    pub hold_quorum: u32,
-    pub promote_quorum: u32,
-    /// Calls a second that are taken from all sidecars together; of twice that many at one time. None: all are.
-    pub vote_rate_limit: Option<f64>,
-}
-
-#[derive(Clone, Debug)]
-pub struct SafetyLimits {
-    pub drain_grace: Duration,
-    pub slow_start_from: f64,
-    pub slow_start_duration: Duration,
-    pub overload_multiple: f64,
-    pub overload_window: Duration,
-}
-
-/// What a sidecar is told when it starts.
-#[derive(Clone, Debug)]
-pub struct SidecarConfig {
-    pub seed: u64,
-    pub sidecar_count: u32,
-    /// This one's number among them.
-    pub sidecar_index: u32,
-    pub zone: ZoneId,
-    pub classes: Vec<RequestClass>,
-    pub watch_on_request: bool,
-    /// Lists come from an agent of this sidecar's own: what the agent has counts as told, heard or not.
-    pub endpoints_pushed: bool,
-    /// For how long a list that is no longer heard of may be relied on; none: for good.
-    pub endpoint_lease: Option<Duration>,
-    pub cancellation: bool,
-    pub hedging: bool,
-    pub retry_after: Option<Duration>,
-    pub max_attempts: u16,
-    pub safety: SafetyLimits,
-    pub rollout: RolloutConfig,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PodState {
-    Ready,
-    Draining,
-    Gone,
-}
-
-#[derive(Clone, Debug)]
-pub struct Endpoint {
-    pub pod: PodId,
-    pub state: PodState,
-    pub build: BuildId,
-    pub weight: f64,
-    pub started_at: Option<Duration>,
-    pub zone: ZoneId,
-    pub cell: CellId,
-    /// The kind of machine.
-    pub machine_type: MachineTypeId,
-}
-
-#[derive(Clone, Debug)]
-pub enum EndpointUpdate {
-    Delta(Vec<Endpoint>),
-    Snapshot(Vec<Endpoint>),
-    /// The list as last held before a restart; it may be old.
-    Cached(Vec<Endpoint>),
-    /// A call for the list failed, or the watch on it ended: what changes from now on is not heard.
-    WatchLost(WatchLoss),
-}
-
-/// How the list was lost.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct WatchLoss {
-    /// For how long nothing had been heard by then.
-    pub silent_for: Duration,
-    pub cause: WatchLossCause,
-}
-
-/// What a list was lost by.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum WatchLossCause {
-    /// A watch ended or fell silent, or a call failed otherwise.
-    #[default]
-    Ended,
-    /// There is no service, or what it says can't be read.
-    NoService,
-    /// A call was not answered in time.
-    TimedOut,
-    /// The service answered that it can't take the call now.
-    Refused,
-}
-
-#[derive(Clone, Debug)]
-pub struct Request {
-    pub id: RequestId,
-    pub class: ClassId,
-    pub tenant: Option<TenantId>,
-    pub routing_key: Option<RoutingKey>,
-    pub deadline: Duration,
-}
-
-/// How a forward ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptOutcome {
-    Succeeded,
-    Failed,
-    TimedOut,
-    ConnectionReset,
-    Cancelled,
-    /// Turned away unseen.
-    Rejected,
-    /// No connection.
-    ConnectFailed,
-    /// Never sent.
-    NeverSent,
-}
-
-impl AttemptOutcome {
-    pub fn never_ran(self) -> bool {
-        matches!(
-            self,
-            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
-        )
-    }
-}
-
-#[derive(Clone, Debug)]
-pub struct AttemptResult {
-    pub request: RequestId,
-    pub attempt: AttemptIndex,
-    pub pod: PodId,
-    pub outcome: AttemptOutcome,
-    pub duration: Duration,
-    /// The hit is over, by this outcome or before it.
-    pub request_over: bool,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    OnTrial,
-    RollingBack,
-    Released,
-    RolledBack,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StageUpdate {
-    pub build: BuildId,
-    pub stage: StageIndex,
-    pub phase: Phase,
-    pub cap: f64,
-    /// How long ago, by whoever tells it, it came to stand so.
-    pub age: Duration,
-}
-
-impl StageUpdate {
-    /// A number of its own for each time that something of this stage comes round.
-    pub fn cycle_key(&self, nth: u32) -> u64 {
-        u64::from(self.build.0) << 48 | u64::from(self.stage.0) << 40 | u64::from(nth)
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VoteAnswer {
-    Counted,
-    Moot,
-    Full,
-    Failed,
-    Unanswered,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Abstain,
-    Promote,
-    Hold,
-    RollBack,
-}
 
+/// What the host passes in.
 #[derive(Clone, Debug)]
 pub enum Event {
+    /// News of the list of endpoints.
     Endpoints(EndpointUpdate),
+    /// A request arrived.
     RequestArrived(Request),
+    /// An attempt ended.
     AttemptFinished(AttemptResult),
+    /// The first byte of an answer was passed on: the request can have no other answer.
     StreamStarted {
+        /// The request.
         request: RequestId,
     },
+    /// The client of a request is gone.
     ClientDisconnected(RequestId),
+    /// News of the rollout.
     Stage {
+        /// Its state, if that is news.
         update: Option<StageUpdate>,
+        /// The answer to this sidecar's vote, if there is one.
         vote_answer: Option<VoteAnswer>,
     },
+    /// An answer of a pod was found to be wrong.
     Flagged {
+        /// The pod.
         pod: PodId,
+        /// The class of the request.
         class: ClassId,
     },
-    /// What is known of the other sidecars changed; none: nobody else is known.
+    /// What is known of the other sidecars changed; none: no other is known.
     Fleet(Option<FleetView>),
-    /// A routing key was answered by a build, at another sidecar or in an earlier life of this one.
+    /// A routing key was served by a build, at another sidecar or in an earlier incarnation of this one.
     KeyServed(RoutingKey, BuildId),
 }
 
@@ -281,37 +93,57 @@
     pub preference: Vec<PodId>,
     /// How many of them to use at the least.
     pub min_endpoints: usize,
-    /// Shut pods that others are to prove.
+    /// Ejected pods whose health others are to check.
     pub probed_by_peers: BTreeSet<PodId>,
 }
 
+/// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a request to a pod.
     StartAttempt {
+        /// The request.
         request: RequestId,
+        /// The pod.
         pod: PodId,
+        /// The time that it may take; zero: as long as the request.
         timeout: Duration,
     },
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
+        /// Its request.
         request: RequestId,
+        /// Its index among the attempts of that request.
         attempt: AttemptIndex,
     },
+    /// Answer a request as rejected: a retry does no harm.
     Reject {
+        /// The request.
         request: RequestId,
+        /// After what time the client should retry.
         retry_after: Duration,
     },
+    /// Answer a request as failed: it may have taken effect.
     Fail {
+        /// The request.
         request: RequestId,
     },
+    /// Send a vote to the rollout service.
     Vote {
+        /// The verdict.
         verdict: Verdict,
+        /// The build that it is on.
         build: BuildId,
+        /// The stage that it is on.
         stage: StageIndex,
     },
+    /// Watch the list of endpoints.
     WatchEndpoints,
-    /// `handle` is to be called then, with or without events.
+    /// Call `handle` then, with or without events.
     WakeAt {
+        /// The time.
         at: Duration,
     },
+    /// Write a line to the decision log.
     Log(String),
 }
