--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -22,7 +22,7 @@
 /// A member without a report is in no zone.
 const NO_ZONE: u16 = u16::MAX;
 
-/// What the decision module is told. Pods by key.
+/// What the decision module is to use. Pods by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
     /// All pods, the one to prefer first at the front, the outliers last.
--- a/crates/coordination/src/outlier_hints.rs
+++ b/crates/coordination/src/outlier_hints.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Ejected, if half of the members say so.
+    /// Ejected, if half of the members report that.
     fn verdict(&self) -> OutlierHint {
         if self.ejected * 2 >= self.members {
             OutlierHint::Ejected
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -234,7 +234,7 @@
         let address = suspicion.address;
         let local_name = self.local.name.clone();
         self.apply_update(now, suspicion, &local_name);
-        // The suspect is told at once, so that it can refute.
+        // The suspect is notified at once, so that it can refute.
         self.send_probe(now, address, &probe.target);
     }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members that are told of a leave; they gossip it.
+/// Members that are notified of a leave; they gossip it.
 const LEAVE_FANOUT: usize = 5;
 /// Datagrams, events and direct messages that wait for the host, of each at most.
 pub(crate) const MAX_QUEUED: usize = 1024;
@@ -223,7 +223,7 @@
             .retain(|name| name == local_name || table.get(name).is_some_and(Member::is_active));
     }
 
-    /// Leaves: some members are told, who gossip it. Nothing is sent afterwards.
+    /// Leaves: notifies some members, which gossip it. Nothing is sent afterwards.
     pub fn leave(&mut self, now: Duration) {
         self.local.status = MemberStatus::Left;
         for address in self.random_active_addresses(LEAVE_FANOUT, None) {
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -100,7 +100,7 @@
         self.apply_update(now, update, from);
     }
 
-    /// Only states of active members are kept, which bounds their number.
+    /// Only states of active members are stored, which bounds their number.
     fn handle_published(&mut self, now: Duration, state: PublishedState) {
         let is_active = self
             .table
