--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -654,7 +654,7 @@
             } => self.vote(verdict, build, stage),
             Action::WatchEndpoints => self.ask_list(),
             Action::WakeAt { at } => self.wake = at,
-            Action::Log(line) => tracing::info!(target: "limewing_decision::decisions", "{line}"),
+            Action::Log(line) => tracing::info!(target: "limewing::decisions", "{line}"),
         }
     }
 
