--- a/crates/proxy-core/src/shutdown.rs
+++ b/crates/proxy-core/src/shutdown.rs
@@ -1,8 +1,12 @@
-//! Graceful shutdown of a proxy: a state machine without I/O or a clock of its own.
+//! Graceful shutdown of a proxy.
 //!
-//! It owns the order of the steps (serve on, stop accepting, respond to what is left, exit) and the times by which each is
-//! taken. It never touches a socket or a request: the proxy says what work is pending and carries out the steps.
+//! [`Shutdown`] is a state machine without I/O or a clock of its own. It owns the order of the steps (serve on, stop
+//! accepting, respond to what is left, exit) and the times by which each is taken. [`GracefulShutdown`] is the proxy's side:
+//! it says what work is pending and carries out the steps. [`ClientListener`] is closed by the first of them.
 
+use limewing_net::sockets::{SocketId, Sockets};
+use std::io;
+use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The times of a shutdown, counted from its beginning.
@@ -184,5 +188,92 @@
     }
 }
 
+/// A proxy that can be shut down gracefully.
+pub trait GracefulShutdown {
+    /// The state of its shutdown.
+    fn shutdown(&mut self) -> &mut Shutdown;
+
+    /// The time of this turn of its event loop.
+    fn now(&self) -> Duration;
+
+    /// What it still has to do.
+    fn pending_work(&self) -> PendingWork;
+
+    /// Accepts more of the connections that wait at a listener that is being closed. Called in each turn once no
+    /// further ones are accepted; does nothing if none wait.
+    fn accept_backlog(&mut self);
+
+    /// Carries out [`ShutdownStep::StopAccepting`].
+    fn stop_accepting(&mut self);
+
+    /// Carries out [`ShutdownStep::RespondToAll`].
+    fn respond_to_all(&mut self);
+
+    /// Carries out all steps that are due. To be called at the end of each turn.
+    fn advance_shutdown(&mut self) {
+        if !self.shutdown().has_begun() {
+            return;
+        }
+        if self.shutdown().has_stopped_accepting() {
+            self.accept_backlog();
+        }
+        loop {
+            let (now, pending) = (self.now(), self.pending_work());
+            match self.shutdown().advance(now, pending) {
+                Some(ShutdownStep::StopAccepting) => self.stop_accepting(),
+                Some(ShutdownStep::RespondToAll) => self.respond_to_all(),
+                Some(ShutdownStep::Exit) | None => return,
+            }
+        }
+    }
+}
+
+/// The socket on which clients are accepted.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientListener {
+    socket: SocketId,
+    address: SocketAddr,
+    has_backlog: bool,
+}
+
+impl ClientListener {
+    /// Listens on `address`.
+    ///
+    /// # Errors
+    /// The system refuses, for instance because the address is in use.
+    pub fn bind(sockets: &mut Sockets, address: SocketAddr) -> io::Result<Self> {
+        let (socket, address) = sockets.listen(address)?;
+        Ok(Self {
+            socket,
+            address,
+            has_backlog: false,
+        })
+    }
+
+    /// The address that it listens on, with the port that the system chose if none was given.
+    #[must_use]
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Whether connections wait that could not be accepted when it was closed.
+    #[must_use]
+    pub fn has_backlog(&self) -> bool {
+        self.has_backlog
+    }
+
+    /// Accepts the connections that wait and closes the listener, or keeps it while there is no room for all of them.
+    pub fn close(&mut self, sockets: &mut Sockets) {
+        self.has_backlog = !sockets.stop_listening(self.socket);
+    }
+
+    /// Tries [`ClientListener::close`] again, if connections were left waiting.
+    pub fn accept_backlog(&mut self, sockets: &mut Sockets) {
+        if self.has_backlog {
+            self.close(sockets);
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/proxy-core/src/shutdown/tests.rs
+++ b/crates/proxy-core/src/shutdown/tests.rs
@@ -1,6 +1,9 @@
 //! Graceful shutdown, also over random orders of events: each accepted request gets one response, and the exit is bounded in time.
 
-use super::{PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts};
+use super::{
+    ClientListener, GracefulShutdown, PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts,
+};
+use limewing_net::sockets::Sockets;
 use proptest::prelude::{any, prop, Just, Strategy};
 use proptest::{prop_assert, prop_assert_eq, prop_oneof, proptest};
 use rstest::rstest;
@@ -209,3 +212,90 @@
         prop_assert_eq!(proxy.answered.len() as u32, proxy.accepted);
     }
 }
+
+/// A proxy that records what it is asked to do.
+struct RecordingProxy {
+    shutdown: Shutdown,
+    now: Duration,
+    pending: PendingWork,
+    calls: Vec<&'static str>,
+}
+
+impl GracefulShutdown for RecordingProxy {
+    fn shutdown(&mut self) -> &mut Shutdown {
+        &mut self.shutdown
+    }
+
+    fn now(&self) -> Duration {
+        self.now
+    }
+
+    fn pending_work(&self) -> PendingWork {
+        self.pending
+    }
+
+    fn accept_backlog(&mut self) {
+        self.calls.push("accept_backlog");
+    }
+
+    fn stop_accepting(&mut self) {
+        self.calls.push("stop_accepting");
+    }
+
+    fn respond_to_all(&mut self) {
+        self.calls.push("respond_to_all");
+        self.pending.requests = false;
+    }
+}
+
+#[test]
+fn proxy_carries_out_the_steps_in_order() {
+    let mut proxy = RecordingProxy {
+        shutdown: Shutdown::new(TIMEOUTS),
+        now: ms(0),
+        pending: open_requests(),
+        calls: Vec::new(),
+    };
+    proxy.advance_shutdown();
+    assert!(proxy.calls.is_empty(), "{:?}", proxy.calls);
+    proxy.shutdown.begin(ms(0));
+    proxy.advance_shutdown();
+    assert!(proxy.calls.is_empty(), "{:?}", proxy.calls);
+    proxy.now = ms(550);
+    proxy.advance_shutdown();
+    assert_eq!(proxy.calls, ["stop_accepting"]);
+    proxy.now = ms(3500);
+    proxy.advance_shutdown();
+    let expected = ["stop_accepting", "accept_backlog", "respond_to_all"];
+    assert_eq!(proxy.calls, expected);
+    assert!(proxy.shutdown.is_done());
+}
+
+#[test]
+fn listener_without_waiting_connections_is_closed_at_once() {
+    let mut sockets = Sockets::new().unwrap();
+    let mut listener = ClientListener::bind(&mut sockets, "127.0.0.1:0".parse().unwrap()).unwrap();
+    let address = listener.address();
+    assert!(std::net::TcpStream::connect(address).is_ok());
+    assert!(!listener.has_backlog());
+    listener.close(&mut sockets);
+    assert!(!listener.has_backlog());
+    assert!(std::net::TcpStream::connect(address).is_err());
+}
+
+#[test]
+fn connections_that_wait_at_a_closed_listener_are_accepted_once_there_is_room() {
+    let mut sockets = Sockets::new().unwrap();
+    sockets.limit_connections(0, 0);
+    let mut listener = ClientListener::bind(&mut sockets, "127.0.0.1:0".parse().unwrap()).unwrap();
+    let _waiting = std::net::TcpStream::connect(listener.address()).unwrap();
+    listener.close(&mut sockets);
+    assert!(listener.has_backlog());
+    listener.accept_backlog(&mut sockets);
+    assert!(listener.has_backlog());
+    // Room for one more is needed to see that none waits.
+    sockets.limit_connections(2, 3);
+    listener.accept_backlog(&mut sockets);
+    assert!(!listener.has_backlog());
+    assert_eq!(sockets.open_count(), 1);
+}
