--- a/crates/emulators/src/platform/client.rs
+++ b/crates/emulators/src/platform/client.rs
@@ -1,6 +1,6 @@
 use super::{Link, PATIENCE};
 use bytes::BytesMut;
-use limewing_postgres_protocol::{read, write};
+use limewing_postgres_protocol::{decode, encode};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -29,7 +29,7 @@
     pub fn new(to: SocketAddr) -> Self {
         let mut client = Self::silent(to);
         let mut out = BytesMut::new();
-        write::startup(&mut out, &[("user", "api"), ("database", "ledger")]);
+        encode::startup_message(&mut out, &[("user", "api"), ("database", "ledger")]);
         client.sends(&out);
         while client.link.hear().expect("a welcome").kind != b'Z' {}
         client
@@ -45,7 +45,7 @@
             patience,
         };
         let mut out = BytesMut::new();
-        write::startup(&mut out, &[("user", "api"), ("database", "ledger")]);
+        encode::startup_message(&mut out, &[("user", "api"), ("database", "ledger")]);
         client.sends(&out).then_some(())?;
         while client.link.hear()?.kind != b'Z' {}
         Some(client)
@@ -69,7 +69,7 @@
     /// Asks for its session, and does not wait for the welcome.
     pub fn begins(&mut self) {
         let mut out = BytesMut::new();
-        write::startup(&mut out, &[("user", "api"), ("database", "ledger")]);
+        encode::startup_message(&mut out, &[("user", "api"), ("database", "ledger")]);
         self.sends(&out);
     }
 
@@ -81,7 +81,7 @@
     /// Whether it could be written.
     pub fn asks(&mut self, statement: &str) -> bool {
         let mut out = BytesMut::new();
-        write::query(&mut out, statement);
+        encode::query(&mut out, statement);
         self.last = Instant::now();
         self.sends(&out)
     }
@@ -93,14 +93,14 @@
             let Some(frame) = self.link.hear() else {
                 return answer.unwrap_or(Answer::End);
             };
-            let text = || read::text(&frame.body).unwrap().to_owned();
+            let text = || decode::string(&frame.body).unwrap().to_owned();
             match frame.kind {
                 b'D' => {
-                    let value = read::only_value(&frame.body).unwrap();
+                    let value = decode::single_value(&frame.body).unwrap();
                     answer = Some(Answer::Row(String::from_utf8(value.to_vec()).unwrap()));
                 }
                 b'E' => {
-                    let fields = read::fields(&frame.body).unwrap();
+                    let fields = decode::error_fields(&frame.body).unwrap();
                     let field = |of| {
                         fields
                             .iter()
--- a/crates/emulators/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -12,7 +12,7 @@
 pub use world::{Faults, World};
 
 use bytes::BytesMut;
-use limewing_postgres_protocol::{Frame, Frames, Refused};
+use limewing_postgres_protocol::{Message, MessageDecoder, ProtocolError};
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 pub struct Link {
     pub stream: TcpStream,
     pub input: BytesMut,
-    frames: Frames,
+    frames: MessageDecoder,
 }
 
 impl Link {
@@ -34,7 +34,7 @@
         Ok(Self {
             stream,
             input: BytesMut::new(),
-            frames: Frames::default(),
+            frames: MessageDecoder::default(),
         })
     }
 
@@ -51,9 +51,10 @@
     }
 
     /// The next message; none at the end, or where none can be read.
-    pub fn hear(&mut self) -> Option<Frame> {
+    pub fn hear(&mut self) -> Option<Message> {
         loop {
-            let read: Result<_, Refused> = self.frames.take(&mut self.input, |_| Some(1 << 20));
+            let read: Result<_, ProtocolError> =
+                self.frames.next_message(&mut self.input, |_| Some(1 << 20));
             match read.ok()? {
                 Some(frame) => return Some(frame),
                 None => self.fill()?,
--- a/crates/emulators/src/platform/pod.rs
+++ b/crates/emulators/src/platform/pod.rs
@@ -1,6 +1,7 @@
 use super::Link;
 use bytes::{BufMut, BytesMut};
-use limewing_postgres_protocol::{read, write};
+use limewing_postgres_protocol::encode::{ErrorResponse, Severity};
+use limewing_postgres_protocol::{decode, encode};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -126,7 +127,7 @@
     let mut last = BytesMut::new();
     loop {
         let frame = link.hear()?;
-        let text = read::text(&frame.body)?.to_owned();
+        let text = decode::string(&frame.body)?.to_owned();
         link.stream.write_all(std::mem::take(&mut rest)).ok()?;
         if text.is_empty() {
             // What is done early is done to the empty query before the statement.
@@ -153,8 +154,8 @@
                 None => {}
             }
             let mut out = BytesMut::new();
-            write::empty_query(&mut out);
-            write::ready(&mut out);
+            encode::empty_query_response(&mut out);
+            encode::ready_for_query(&mut out);
             link.stream.write_all(&out).ok()?;
             continue;
         }
@@ -194,7 +195,7 @@
                 link.stream.write_all(&out).ok()?;
                 out.clear();
                 let _ = word.lock().unwrap().recv_timeout(Duration::from_secs(20));
-                write::ready(&mut out);
+                encode::ready_for_query(&mut out);
             }
             Does::ServesLater(value) => {
                 let _ = word.lock().unwrap().recv_timeout(Duration::from_secs(20));
@@ -209,8 +210,16 @@
                 out = rest;
             }
             Does::Errs(code) => {
-                write::error(&mut out, "ERROR", code, "as told", None);
-                write::ready(&mut out);
+                encode::error_response(
+                    &mut out,
+                    &ErrorResponse {
+                        severity: Severity::Error,
+                        sqlstate: code,
+                        message: "as told",
+                        detail: None,
+                    },
+                );
+                encode::ready_for_query(&mut out);
             }
             Does::Says(bytes) => out.put_slice(&bytes),
             Does::SaysAndCloses(bytes) => {
@@ -237,11 +246,11 @@
 /// Welcomes a connection, with these bytes right behind.
 fn welcome_with(stream: TcpStream, more: &[u8]) -> Option<Link> {
     let mut link = Link::new(stream).ok()?;
-    while read::startup(&mut link.input).ok()?.is_none() {
+    while decode::startup_packet(&mut link.input).ok()?.is_none() {
         link.fill()?;
     }
     let mut out = BytesMut::new();
-    write::welcome(&mut out, &[("server_version", "16.0")]);
+    encode::session_start(&mut out, &[("server_version", "16.0")]);
     out.extend_from_slice(more);
     link.stream.write_all(&out).ok()?;
     Some(link)
@@ -251,13 +260,13 @@
 pub(super) fn read_statement(link: &mut Link) -> Option<String> {
     loop {
         let frame = link.hear()?;
-        let text = read::text(&frame.body)?;
+        let text = decode::string(&frame.body)?;
         if !text.is_empty() {
             return Some(text.to_owned());
         }
         let mut out = BytesMut::new();
-        write::empty_query(&mut out);
-        write::ready(&mut out);
+        encode::empty_query_response(&mut out);
+        encode::ready_for_query(&mut out);
         link.stream.write_all(&out).ok()?;
     }
 }
@@ -265,18 +274,26 @@
 /// The bytes of an error.
 pub(super) fn error(code: &str) -> Vec<u8> {
     let mut out = BytesMut::new();
-    write::error(&mut out, "ERROR", code, "as told", None);
-    write::ready(&mut out);
+    encode::error_response(
+        &mut out,
+        &ErrorResponse {
+            severity: Severity::Error,
+            sqlstate: code,
+            message: "as told",
+            detail: None,
+        },
+    );
+    encode::ready_for_query(&mut out);
     out.to_vec()
 }
 
 /// An answer with a row, and the word that the next statement may come.
 fn write_answer(out: &mut BytesMut, value: &str) {
-    write::one_column(out, "blob");
-    write::one_value(out, value.as_bytes());
-    write::complete(out, "SELECT 1");
-    write::parameter(out, "load", "inflight=1");
-    write::ready(out);
+    encode::row_description(out, "blob");
+    encode::data_row(out, value.as_bytes());
+    encode::command_complete(out, "SELECT 1");
+    encode::parameter_status(out, "load", "inflight=1");
+    encode::ready_for_query(out);
 }
 
 /// The bytes of an answer.
--- /dev/null
+++ b/crates/postgres-protocol/src/encode.rs
@@ -0,0 +1,162 @@
+//! Writes messages to the end of a buffer.
+
+use crate::{backend, frontend, PROTOCOL_VERSION};
+use bytes::{BufMut, BytesMut};
+
+/// Object identifier of the type `bytea`.
+const BYTEA_OID: u32 = 17;
+/// Transaction status of a ReadyForQuery: not in a transaction.
+const IDLE: u8 = b'I';
+/// Format code of values in binary.
+const BINARY_FORMAT: u16 = 1;
+
+/// How grave the cause of an ErrorResponse is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Severity {
+    /// The query failed; the session goes on.
+    Error,
+    /// The session ends.
+    Fatal,
+}
+
+impl Severity {
+    fn as_str(self) -> &'static str {
+        match self {
+            Self::Error => "ERROR",
+            Self::Fatal => "FATAL",
+        }
+    }
+}
+
+/// The fields of an ErrorResponse.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ErrorResponse<'a> {
+    /// Written as the severity both for display and for programs.
+    pub severity: Severity,
+    /// Five letters and digits that name the error.
+    pub sqlstate: &'a str,
+    /// The error in one line.
+    pub message: &'a str,
+    /// More of it; the field is left out if there is none.
+    pub detail: Option<&'a str>,
+}
+
+/// Writes a message of type `kind`; `content` writes what follows the length.
+pub fn message(out: &mut BytesMut, kind: u8, content: impl FnOnce(&mut BytesMut)) {
+    out.put_u8(kind);
+    with_length(out, content);
+}
+
+/// Writes a length that counts itself and what `content` writes.
+fn with_length(out: &mut BytesMut, content: impl FnOnce(&mut BytesMut)) {
+    let start = out.len();
+    out.put_u32(0);
+    content(out);
+    let length = (out.len() - start) as u32;
+    out[start..start + 4].copy_from_slice(&length.to_be_bytes());
+}
+
+fn put_string(out: &mut BytesMut, text: &str) {
+    out.put_slice(text.as_bytes());
+    out.put_u8(0);
+}
+
+/// Writes a message whose body was read before.
+pub fn message_with_body(out: &mut BytesMut, kind: u8, body: &[u8]) {
+    message(out, kind, |out| out.put_slice(body));
+}
+
+/// Writes a StartupMessage with these names and values.
+pub fn startup_message(out: &mut BytesMut, parameters: &[(&str, &str)]) {
+    with_length(out, |out| {
+        out.put_u32(PROTOCOL_VERSION);
+        for (name, value) in parameters {
+            put_string(out, name);
+            put_string(out, value);
+        }
+        out.put_u8(0);
+    });
+}
+
+/// Writes a Query.
+pub fn query(out: &mut BytesMut, statement: &str) {
+    message(out, frontend::QUERY, |out| put_string(out, statement));
+}
+
+/// Writes all that a server sends when a session begins: AuthenticationOk, ParameterStatus for each of `parameters`,
+/// BackendKeyData, ReadyForQuery.
+pub fn session_start(out: &mut BytesMut, parameters: &[(&str, &str)]) {
+    message(out, backend::AUTHENTICATION, |out| out.put_u32(0));
+    for (name, value) in parameters {
+        parameter_status(out, name, value);
+    }
+    message(out, backend::BACKEND_KEY_DATA, |out| out.put_u64(0));
+    ready_for_query(out);
+}
+
+/// Writes a ParameterStatus.
+pub fn parameter_status(out: &mut BytesMut, name: &str, value: &str) {
+    message(out, backend::PARAMETER_STATUS, |out| {
+        put_string(out, name);
+        put_string(out, value);
+    });
+}
+
+/// Writes a ReadyForQuery outside of a transaction.
+pub fn ready_for_query(out: &mut BytesMut) {
+    message(out, backend::READY_FOR_QUERY, |out| out.put_u8(IDLE));
+}
+
+/// Writes an EmptyQueryResponse.
+pub fn empty_query_response(out: &mut BytesMut) {
+    message(out, backend::EMPTY_QUERY_RESPONSE, |_| {});
+}
+
+/// Writes a CommandComplete with its tag.
+pub fn command_complete(out: &mut BytesMut, tag: &str) {
+    message(out, backend::COMMAND_COMPLETE, |out| put_string(out, tag));
+}
+
+/// Writes a RowDescription of one column of type `bytea`, in binary.
+pub fn row_description(out: &mut BytesMut, column: &str) {
+    message(out, backend::ROW_DESCRIPTION, |out| {
+        out.put_u16(1);
+        put_string(out, column);
+        // Of no table, and no column of one.
+        out.put_u32(0);
+        out.put_u16(0);
+        out.put_u32(BYTEA_OID);
+        // Of variable size, without a modifier.
+        out.put_i16(-1);
+        out.put_i32(-1);
+        out.put_u16(BINARY_FORMAT);
+    });
+}
+
+/// Writes a DataRow of one value.
+pub fn data_row(out: &mut BytesMut, value: &[u8]) {
+    message(out, backend::DATA_ROW, |out| {
+        out.put_u16(1);
+        out.put_u32(value.len() as u32);
+        out.put_slice(value);
+    });
+}
+
+/// Writes an ErrorResponse.
+pub fn error_response(out: &mut BytesMut, error: &ErrorResponse<'_>) {
+    let severity = error.severity.as_str();
+    let fields = [
+        (b'S', severity),
+        (b'V', severity),
+        (b'C', error.sqlstate),
+        (b'M', error.message),
+    ];
+    let detail = error.detail.map(|detail| (b'D', detail));
+    message(out, backend::ERROR_RESPONSE, |out| {
+        for (name, text) in fields.into_iter().chain(detail) {
+            out.put_u8(name);
+            put_string(out, text);
+        }
+        out.put_u8(0);
+    });
+}
--- a/crates/postgres-protocol/src/lib.rs
+++ b/crates/postgres-protocol/src/lib.rs
@@ -1,21 +1,22 @@
-//! PostgreSQL's protocol 3, both sides, free of I/O: bytes in, messages out and back. Every length is checked
-//! before a byte that it speaks of is kept. `docs/platform.md` says why no library reads these messages.
+//! Codec of PostgreSQL's frontend/backend protocol, version 3.0, for both sides and free of I/O.
+//!
+//! Names are those of the chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Every length is checked before
+//! a byte that it announces is buffered. `docs/platform.md` says why no library reads these messages.
+//!
+//! - [`MessageDecoder`] takes messages off the bytes of a connection.
+//! - [`decode`] reads the contents of messages, and the startup packet, which has no type byte.
+//! - [`encode`] writes messages.
+//! - [`backend`] and [`frontend`] hold the type bytes of messages of either side.
 
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+pub mod backend;
+pub mod decode;
+pub mod encode;
+mod error;
+pub mod frontend;
+mod message;
 
-mod frames;
-pub mod read;
-pub mod write;
+pub use error::ProtocolError;
+pub use message::{count_complete_messages, Message, MessageDecoder};
 
-pub use frames::{waiting, Frame, Frames, Refused};
-
-/// The version of the protocol, as a startup message tells it.
-pub const VERSION: u32 = 3 << 16;
+/// Version 3.0 of the protocol, as a StartupMessage tells it.
+pub const PROTOCOL_VERSION: u32 = 3 << 16;
--- a/crates/postgres-protocol/tests/messages.rs
+++ b/crates/postgres-protocol/tests/messages.rs
@@ -1,102 +1,126 @@
-//! Messages there and back, cut anywhere, and bytes that are none.
+//! Messages are encoded and decoded, also in arbitrary pieces, and arbitrary bytes are decoded or refused.
 
 use bytes::{BufMut, BytesMut};
-use limewing_postgres_protocol::{read, waiting, write, Frame, Frames, Refused};
-use proptest::prelude::*;
+use limewing_postgres_protocol::decode::StartupPacket;
+use limewing_postgres_protocol::encode::{ErrorResponse, Severity};
+use limewing_postgres_protocol::{
+    count_complete_messages, decode, encode, Message, MessageDecoder, ProtocolError,
+};
+use proptest::prelude::{any, prop};
+use proptest::{prop_assert, prop_assert_eq, proptest};
 use rstest::rstest;
 
-const MOST: usize = 1000;
+/// Bound of a message body, in bytes.
+const MAX_BODY: usize = 1000;
 
-fn all(frames: &mut Frames, input: &mut BytesMut) -> Result<Vec<Frame>, Refused> {
-    let mut found = Vec::new();
-    while let Some(frame) = frames.take(input, |kind| (kind != b'?').then_some(MOST))? {
-        found.push(frame);
+/// All messages that are complete in `input`; any type but `?` is allowed.
+fn decode_all(
+    decoder: &mut MessageDecoder,
+    input: &mut BytesMut,
+) -> Result<Vec<Message>, ProtocolError> {
+    let mut messages = Vec::new();
+    while let Some(message) =
+        decoder.next_message(input, |kind| (kind != b'?').then_some(MAX_BODY))?
+    {
+        messages.push(message);
     }
-    Ok(found)
+    Ok(messages)
 }
 
-fn answer() -> BytesMut {
+fn response() -> BytesMut {
     let mut out = BytesMut::new();
-    write::one_column(&mut out, "blob");
-    write::one_value(&mut out, b"\x00red");
-    write::complete(&mut out, "SELECT 1");
-    write::error(&mut out, "ERROR", "53300", "no", Some("70"));
-    write::ready(&mut out);
+    encode::row_description(&mut out, "blob");
+    encode::data_row(&mut out, b"\x00red");
+    encode::command_complete(&mut out, "SELECT 1");
+    encode::error_response(
+        &mut out,
+        &ErrorResponse {
+            severity: Severity::Error,
+            sqlstate: "53300",
+            message: "no",
+            detail: Some("70"),
+        },
+    );
+    encode::ready_for_query(&mut out);
     out
 }
 
 #[test]
-fn what_is_written_is_read() {
-    let found = all(&mut Frames::default(), &mut answer()).unwrap();
-    let kinds: Vec<u8> = found.iter().map(|frame| frame.kind).collect();
+fn encoded_messages_are_decoded() {
+    let found = decode_all(&mut MessageDecoder::default(), &mut response()).unwrap();
+    let kinds: Vec<u8> = found.iter().map(|message| message.kind).collect();
     assert_eq!(kinds, b"TDCEZ");
-    assert_eq!(read::only_column(&found[0].body), Some("blob"));
-    assert_eq!(read::only_value(&found[1].body), Some(&b"\x00red"[..]));
-    assert_eq!(read::text(&found[2].body), Some("SELECT 1"));
-    assert_eq!(read::code(&found[3].body), Some("53300"));
-    assert!(read::fields(&found[3].body)
+    assert_eq!(decode::single_column_name(&found[0].body), Some("blob"));
+    assert_eq!(decode::single_value(&found[1].body), Some(&b"\x00red"[..]));
+    assert_eq!(decode::string(&found[2].body), Some("SELECT 1"));
+    assert_eq!(decode::sqlstate(&found[3].body), Some("53300"));
+    assert!(decode::error_fields(&found[3].body)
         .unwrap()
         .contains(&(b'D', "70")));
-    assert_eq!(waiting(&answer(), 10), 5);
-    assert_eq!(waiting(&answer(), 2), 2);
+    assert_eq!(count_complete_messages(&response(), 10), 5);
+    assert_eq!(count_complete_messages(&response(), 2), 2);
 }
 
 proptest! {
     /// However the bytes are cut, the messages are the same.
     #[test]
-    fn cuts_change_nothing(cuts in prop::collection::vec(1usize..40, 1..30)) {
-        let whole = all(&mut Frames::default(), &mut answer()).unwrap();
-        let (mut frames, mut input, mut rest, mut found) =
-            (Frames::default(), BytesMut::new(), &answer()[..], Vec::new());
+    fn messages_are_the_same_however_the_bytes_arrive(cuts in prop::collection::vec(1usize..40, 1..30)) {
+        let whole = decode_all(&mut MessageDecoder::default(), &mut response()).unwrap();
+        let (mut decoder, mut input, mut rest, mut found) =
+            (MessageDecoder::default(), BytesMut::new(), &response()[..], Vec::new());
         for cut in cuts.into_iter().chain([usize::MAX]) {
             let (now, later) = rest.split_at(cut.min(rest.len()));
             input.extend_from_slice(now);
             rest = later;
-            found.extend(all(&mut frames, &mut input).unwrap());
+            found.extend(decode_all(&mut decoder, &mut input).unwrap());
         }
         prop_assert_eq!(found, whole);
     }
 
     /// No bytes bring a panic, and none are kept beyond what a message may have.
     #[test]
-    fn any_bytes_are_taken_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let mut frames = Frames::default();
-        let _ = all(&mut frames, &mut BytesMut::from(&bytes[..]));
-        prop_assert!(frames.held() <= MOST);
-        let _ = read::startup(&mut BytesMut::from(&bytes[..]));
-        let _ = (read::text(&bytes), read::only_column(&bytes), read::only_value(&bytes));
-        let _ = (read::fields(&bytes), read::code(&bytes), waiting(&bytes, 10));
+    fn arbitrary_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+        let mut decoder = MessageDecoder::default();
+        let _ = decode_all(&mut decoder, &mut BytesMut::from(&bytes[..]));
+        prop_assert!(decoder.buffered_bytes() <= MAX_BODY);
+        let _ = decode::startup_packet(&mut BytesMut::from(&bytes[..]));
+        let _ = (decode::string(&bytes), decode::single_column_name(&bytes), decode::single_value(&bytes));
+        let _ = (decode::error_fields(&bytes), decode::sqlstate(&bytes), count_complete_messages(&bytes, 10));
     }
 }
 
 #[rstest]
-#[case::negative(b'D', -1, Refused::Length)]
-#[case::short(b'D', 3, Refused::Length)]
-#[case::large(b'D', MOST as i32 + 5, Refused::Unexpected)]
-#[case::huge(b'D', i32::MAX, Refused::Unexpected)]
-#[case::kind(b'?', 4, Refused::Unexpected)]
-fn a_length_is_checked_before_a_byte_is_kept(
+#[case::negative(b'D', -1, ProtocolError::InvalidLength)]
+#[case::below_its_own_length(b'D', 3, ProtocolError::InvalidLength)]
+#[case::over_the_bound(b'D', MAX_BODY as i32 + 5, ProtocolError::UnexpectedMessage)]
+#[case::largest(b'D', i32::MAX, ProtocolError::UnexpectedMessage)]
+#[case::type_not_allowed(b'?', 4, ProtocolError::UnexpectedMessage)]
+fn length_is_checked_before_a_byte_is_buffered(
     #[case] kind: u8,
-    #[case] told: i32,
-    #[case] why: Refused,
+    #[case] announced: i32,
+    #[case] error: ProtocolError,
 ) {
     let mut input = BytesMut::from(&[kind][..]);
-    input.put_i32(told);
+    input.put_i32(announced);
     assert_eq!(
-        Frames::default().take(&mut input, |kind| (kind != b'?').then_some(MOST)),
-        Err(why)
+        MessageDecoder::default()
+            .next_message(&mut input, |kind| (kind != b'?').then_some(MAX_BODY)),
+        Err(error)
     );
 }
 
 #[rstest]
-#[case::session(&[0, 0, 0, 19, 0, 3, 0, 0, b'u', b's', b'e', b'r', 0, b'a', b'p', b'i', 0, 0, 0], Err(Refused::Content))]
-#[case::plain(&[0, 0, 0, 18, 0, 3, 0, 0, b'u', b's', b'e', b'r', 0, b'a', b'p', b'i', 0, 0], Ok(Some(read::Startup::Session)))]
-#[case::bare(&[0, 0, 0, 9, 0, 3, 0, 0, 0], Ok(Some(read::Startup::Session)))]
-#[case::tls(&[0, 0, 0, 8, 4, 210, 22, 47], Ok(Some(read::Startup::Encryption)))]
-#[case::call_off(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 0, 0, 0, 0, 0], Ok(Some(read::Startup::CallOff)))]
-#[case::version(&[0, 0, 0, 9, 0, 2, 0, 0, 0], Err(Refused::Content))]
-#[case::long(&[1, 0, 0, 0, 0, 3, 0, 0], Err(Refused::Length))]
-#[case::half(&[0, 0, 0, 18, 0, 3], Ok(None))]
-fn a_session_begins(#[case] bytes: &[u8], #[case] is: Result<Option<read::Startup>, Refused>) {
-    assert_eq!(read::startup(&mut BytesMut::from(bytes)), is);
+#[case::trailing_zero(&[0, 0, 0, 19, 0, 3, 0, 0, b'u', b's', b'e', b'r', 0, b'a', b'p', b'i', 0, 0, 0], Err(ProtocolError::InvalidContent))]
+#[case::startup_message(&[0, 0, 0, 18, 0, 3, 0, 0, b'u', b's', b'e', b'r', 0, b'a', b'p', b'i', 0, 0], Ok(Some(StartupPacket::StartupMessage)))]
+#[case::without_parameters(&[0, 0, 0, 9, 0, 3, 0, 0, 0], Ok(Some(StartupPacket::StartupMessage)))]
+#[case::ssl_request(&[0, 0, 0, 8, 4, 210, 22, 47], Ok(Some(StartupPacket::SslRequest)))]
+#[case::cancel_request(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 0, 0, 0, 0, 0], Ok(Some(StartupPacket::CancelRequest)))]
+#[case::version(&[0, 0, 0, 9, 0, 2, 0, 0, 0], Err(ProtocolError::InvalidContent))]
+#[case::long(&[1, 0, 0, 0, 0, 3, 0, 0], Err(ProtocolError::InvalidLength))]
+#[case::incomplete(&[0, 0, 0, 18, 0, 3], Ok(None))]
+fn startup_packets_are_decoded(
+    #[case] bytes: &[u8],
+    #[case] expected: Result<Option<StartupPacket>, ProtocolError>,
+) {
+    assert_eq!(decode::startup_packet(&mut BytesMut::from(bytes)), expected);
 }
--- a/crates/postgres-proxy/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -14,7 +14,7 @@
 use bytes::{Bytes, BytesMut};
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, Event, PodId, RequestId};
 use limewing_net::sockets::{is_resource_exhaustion, SocketId};
-use limewing_postgres_protocol::write;
+use limewing_postgres_protocol::encode;
 use limewing_proxy_core::connection_pool::IdleConnection;
 use limewing_proxy_core::in_flight::Attempt;
 use limewing_proxy_core::send_permit::SendPermit;
@@ -139,8 +139,8 @@
             return;
         };
         let mut out = BytesMut::with_capacity(open.protocol_state.text.len() + MESSAGE_HEADS);
-        write::query(&mut out, "");
-        write::query(
+        encode::query(&mut out, "");
+        encode::query(
             &mut out,
             &open
                 .protocol_state
@@ -336,7 +336,7 @@
 impl Service {
     pub(super) fn pod_connected(&mut self, link: SocketId) {
         let mut out = BytesMut::new();
-        write::startup(&mut out, &[("user", "api"), ("database", "ledger")]);
+        encode::startup_message(&mut out, &[("user", "api"), ("database", "ledger")]);
         self.sockets.send(link, &out);
     }
 
@@ -380,7 +380,7 @@
             let Some(input) = self.sockets.input(link) else {
                 return;
             };
-            let step = match connection.frames.take(input, longest_message) {
+            let step = match connection.frames.next_message(input, longest_message) {
                 Ok(Some(frame)) => connection.step(frame),
                 Ok(None) if ended => {
                     let written = self.sockets.bytes_written(link);
@@ -409,7 +409,7 @@
         let Some(Peer::Pod(connection)) = self.peers.get_mut(&link) else {
             return;
         };
-        let begun = connection.phase.has_answer() || connection.frames.begun() || has_more;
+        let begun = connection.phase.has_answer() || connection.frames.is_mid_message() || has_more;
         if connection.phase.is_up() && begun && connection.timer.is_none() {
             connection.timer = Some(
                 self.wheel
@@ -473,7 +473,7 @@
         self.settle_connection(link);
         let mut out = BytesMut::with_capacity(answer.iter().map(Bytes::len).sum::<usize>() + 32);
         for (kind, body) in [b'T', b'D', b'C'].into_iter().zip(answer) {
-            write::again(&mut out, kind, body);
+            encode::message_with_body(&mut out, kind, body);
         }
         self.settle(attempt.hit, out);
         self.end_attempt(attempt.hit, attempt.no, AttemptOutcome::Succeeded);
@@ -535,7 +535,7 @@
                 continue;
             };
             // Half a message that came unasked is none of the next answer.
-            if good && !connection.frames.begun() && connection.timer.is_none() {
+            if good && !connection.frames.is_mid_message() && connection.timer.is_none() {
                 connection.idle = Some(idle);
                 return Some(id);
             }
--- a/crates/postgres-proxy/src/service/front.rs
+++ b/crates/postgres-proxy/src/service/front.rs
@@ -7,7 +7,9 @@
 use limewing_decision::interface::{Event, Request, RequestId};
 use limewing_net::sockets::SocketId;
 use limewing_net::timer_wheel::TimerKey;
-use limewing_postgres_protocol::{read, waiting, write, Frames};
+use limewing_postgres_protocol::decode::StartupPacket;
+use limewing_postgres_protocol::encode::{ErrorResponse, Severity};
+use limewing_postgres_protocol::{count_complete_messages, decode, encode, MessageDecoder};
 use std::time::Duration;
 
 /// Messages of a client that are no statement are no longer than this.
@@ -20,7 +22,7 @@
 const TOO_MANY: &str = "too many statements at once";
 
 pub struct Client {
-    frames: Frames,
+    frames: MessageDecoder,
     begun: bool,
     /// It has had an answer to a statement of the form that is served.
     served: bool,
@@ -39,7 +41,7 @@
             self.wheel
                 .schedule(self.now + SPEAKS_WITHIN, Due::Silent(id)),
         );
-        let (frames, since) = (Frames::default(), self.now);
+        let (frames, since) = (MessageDecoder::default(), self.now);
         let client = Client {
             frames,
             begun: false,
@@ -76,7 +78,7 @@
                 let behind = self
                     .sockets
                     .input(id)
-                    .map_or(0, |input| waiting(input, MOST_WAITING + 1));
+                    .map_or(0, |input| count_complete_messages(input, MOST_WAITING + 1));
                 // A flood that comes in parts is turned away as one that comes at once.
                 return if behind > MOST_WAITING {
                     self.give_up(id)
@@ -92,10 +94,10 @@
                 return;
             };
             if !client.begun {
-                match read::startup(input) {
-                    Ok(Some(read::Startup::Session)) => self.welcome(id),
-                    Ok(Some(read::Startup::Encryption)) => self.sockets.send(id, b"N"),
-                    Ok(Some(read::Startup::CallOff)) => return self.client_gone(id),
+                match decode::startup_packet(input) {
+                    Ok(Some(StartupPacket::StartupMessage)) => self.welcome(id),
+                    Ok(Some(StartupPacket::SslRequest)) => self.sockets.send(id, b"N"),
+                    Ok(Some(StartupPacket::CancelRequest)) => return self.client_gone(id),
                     Ok(None) if ended => return self.client_gone(id),
                     Ok(None) => return self.sockets.resume_reading(id),
                     Err(why) => return self.turn_away(id, BAD_MESSAGE, why.to_string()),
@@ -109,8 +111,8 @@
                 _ => None,
             };
             let before = input.len();
-            match client.frames.take(input, most) {
-                Ok(Some(frame)) if frame.kind == b'Q' => match read::text(&frame.body) {
+            match client.frames.next_message(input, most) {
+                Ok(Some(frame)) if frame.kind == b'Q' => match decode::string(&frame.body) {
                     Some(text) => self.statement(id, text),
                     None => {
                         return self.turn_away(id, BAD_MESSAGE, "a query that is no text".into())
@@ -122,7 +124,7 @@
                 }
                 Ok(None) if ended => return self.client_gone(id),
                 Ok(None) => {
-                    if client.silent.is_none() && (client.frames.begun() || before > 0) {
+                    if client.silent.is_none() && (client.frames.is_mid_message() || before > 0) {
                         let at = self.now + SPEAKS_WITHIN;
                         client.silent = Some(self.wheel.schedule(at, Due::Silent(id)));
                     }
@@ -148,7 +150,7 @@
             ("integer_datetimes", "on"),
             ("standard_conforming_strings", "on"),
         ];
-        write::welcome(&mut out, &parameters);
+        encode::session_start(&mut out, &parameters);
         self.sockets.send(id, &out);
     }
 
@@ -157,11 +159,11 @@
         let verb = plain.split_ascii_whitespace().next().unwrap_or_default();
         let mut out = BytesMut::new();
         match verb.to_ascii_uppercase().as_str() {
-            "" => write::empty_query(&mut out),
-            verb @ ("SET" | "RESET" | "DISCARD") => write::complete(&mut out, verb),
+            "" => encode::empty_query_response(&mut out),
+            verb @ ("SET" | "RESET" | "DISCARD") => encode::command_complete(&mut out, verb),
             _ => return self.hit(id, text),
         }
-        write::ready(&mut out);
+        encode::ready_for_query(&mut out);
         self.sockets.send(id, &out);
         self.spoke(id);
     }
@@ -191,7 +193,7 @@
         let behind = self
             .sockets
             .input(id)
-            .map_or(0, |input| waiting(input, MOST_WAITING + 1));
+            .map_or(0, |input| count_complete_messages(input, MOST_WAITING + 1));
         if behind > MOST_WAITING {
             return self.turn_away(id, "54000", TOO_MANY.into());
         }
@@ -217,12 +219,14 @@
         // No time is no advice.
         let wait = (!retry_after.is_zero()).then(|| digits.format(retry_after.as_millis() as u64));
         let mut out = BytesMut::new();
-        write::error(
+        encode::error_response(
             &mut out,
-            "ERROR",
-            REFUSED,
-            "not served now: a retry is harmless",
-            wait,
+            &ErrorResponse {
+                severity: Severity::Error,
+                sqlstate: REFUSED,
+                message: "not served now: a retry is harmless",
+                detail: wait,
+            },
         );
         self.settle(hit, out);
     }
@@ -233,12 +237,14 @@
             .get(hit)
             .is_some_and(|open| self.now >= open.deadline);
         let mut out = BytesMut::new();
-        write::error(
+        encode::error_response(
             &mut out,
-            "ERROR",
-            if late { LATE } else { FAILED },
-            "failed: it may have run",
-            None,
+            &ErrorResponse {
+                severity: Severity::Error,
+                sqlstate: if late { LATE } else { FAILED },
+                message: "failed: it may have run",
+                detail: None,
+            },
         );
         self.settle(hit, out);
     }
@@ -253,7 +259,7 @@
         self.call_off_rest(hit);
         self.tidy(hit);
         let Some(id) = client else { return };
-        write::ready(&mut out);
+        encode::ready_for_query(&mut out);
         self.sockets.send(id, &out);
         let (now, leaves) = (self.now, self.shutdown.has_begun());
         let Some(client) = self.client(id) else {
@@ -285,7 +291,7 @@
             return;
         };
         client.away = Some((code, why));
-        client.frames = Frames::default();
+        client.frames = MessageDecoder::default();
         let old = client.silent.take();
         old.map(|key| self.wheel.cancel(key));
         let speak = self.wheel.schedule(at, Due::Speak(id));
@@ -303,7 +309,15 @@
             return;
         };
         let mut out = BytesMut::new();
-        write::error(&mut out, "FATAL", code, &why, None);
+        encode::error_response(
+            &mut out,
+            &ErrorResponse {
+                severity: Severity::Fatal,
+                sqlstate: code,
+                message: &why,
+                detail: None,
+            },
+        );
         self.sockets.send(id, &out);
         self.forget_client(id);
         self.sockets.close(id);
@@ -316,12 +330,14 @@
         client.silent = None;
         if client.hit.is_none() {
             let mut out = BytesMut::new();
-            write::error(
+            encode::error_response(
                 &mut out,
-                "FATAL",
-                "57P05",
-                "nothing whole was said in time",
-                None,
+                &ErrorResponse {
+                    severity: Severity::Fatal,
+                    sqlstate: "57P05",
+                    message: "nothing whole was said in time",
+                    detail: None,
+                },
             );
             self.sockets.send(id, &out);
             self.drop_client(id);
@@ -351,7 +367,8 @@
         let Some(client) = self.client(id) else {
             return false;
         };
-        let asks = client.hit.is_some() || client.silent.is_some() || client.frames.begun();
+        let asks =
+            client.hit.is_some() || client.silent.is_some() || client.frames.is_mid_message();
         if asks || !self.sockets.is_silent(id) {
             return false;
         }
--- a/crates/postgres-proxy/src/service/pod_connection.rs
+++ b/crates/postgres-proxy/src/service/pod_connection.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, PodId, RequestId};
 use limewing_net::timer_wheel::TimerKey;
-use limewing_postgres_protocol::{read, Frame, Frames};
+use limewing_postgres_protocol::{decode, Message, MessageDecoder};
 use std::mem;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     /// The life of the pod that it was made to.
     pub life: Life,
     pub phase: Phase,
-    pub frames: Frames,
+    pub frames: MessageDecoder,
     /// Bounds the present phase.
     pub timer: Option<TimerKey>,
     /// How long it had been idle before the present attempt, if it was kept.
@@ -121,7 +121,7 @@
 
 impl PodConnection {
     pub fn connecting(pod: PodId, life: Life, timer: TimerKey) -> Self {
-        let (phase, frames) = (Phase::Connecting(None), Frames::default());
+        let (phase, frames) = (Phase::Connecting(None), MessageDecoder::default());
         Self {
             pod,
             life,
@@ -141,12 +141,12 @@
     }
 
     /// What a message means, which may end the attempt.
-    pub fn step(&mut self, frame: Frame) -> Step {
-        let Frame { kind, body } = frame;
+    pub fn step(&mut self, frame: Message) -> Step {
+        let Message { kind, body } = frame;
         match (&mut self.phase, kind) {
             // Notices and parameters may come at any time.
             (_, b'N' | b'S') => Step::On,
-            (Phase::Connecting(_), b'R') if read::is_welcome(&body) => Step::On,
+            (Phase::Connecting(_), b'R') if decode::is_authentication_ok(&body) => Step::On,
             (Phase::Connecting(_), b'K') => Step::On,
             (Phase::Connecting(_) | Phase::Settling, b'Z') => Step::Ready,
             (Phase::Connecting(attempt), b'E') => {
@@ -164,11 +164,13 @@
             return Step::Spoilt;
         };
         match (kind, &answer.description, &answer.row) {
-            (b'T', None, None) if read::only_column(&body).is_some() => {
+            (b'T', None, None) if decode::single_column_name(&body).is_some() => {
                 answer.description = Some(body)
             }
-            (b'D', Some(_), None) if read::only_value(&body).is_some() => answer.row = Some(body),
-            (b'C', Some(description), Some(row)) if read::text(&body).is_some() => {
+            (b'D', Some(_), None) if decode::single_value(&body).is_some() => {
+                answer.row = Some(body)
+            }
+            (b'C', Some(description), Some(row)) if decode::string(&body).is_some() => {
                 let step = Step::Whole(*attempt, [description.clone(), row.clone(), body]);
                 self.phase = Phase::Settling;
                 return step;
@@ -183,7 +185,7 @@
     }
 
     fn failed(&mut self, begun: bool, body: &Bytes) -> Step {
-        let fate = match read::code(body) {
+        let fate = match decode::sqlstate(body) {
             Some(TURNED_AWAY) if !begun => AttemptOutcome::Rejected,
             Some(_) => AttemptOutcome::Failed,
             None => return Step::Spoilt,
@@ -197,7 +199,7 @@
 
 /// A pod that takes no more connections has not begun anything.
 fn connecting_fate(body: &Bytes) -> AttemptOutcome {
-    match read::code(body) {
+    match decode::sqlstate(body) {
         Some(TURNED_AWAY) => AttemptOutcome::Rejected,
         _ => AttemptOutcome::ConnectFailed,
     }
--- a/crates/postgres-proxy/tests/sockets/clients.rs
+++ b/crates/postgres-proxy/tests/sockets/clients.rs
@@ -3,7 +3,7 @@
 use crate::help::{ask, sidecar, statement, with_pod};
 use bytes::{BufMut, BytesMut};
 use limewing_emulators::platform::{Answer, Client, Config, Does};
-use limewing_postgres_protocol::write;
+use limewing_postgres_protocol::encode;
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
@@ -41,8 +41,8 @@
     let (_pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::silent(at);
     let mut out = BytesMut::new();
-    write::startup(&mut out, &[("user", "api"), ("database", "ledger")]);
-    write::query(&mut out, &ask("look", 2000));
+    encode::startup_message(&mut out, &[("user", "api"), ("database", "ledger")]);
+    encode::query(&mut out, &ask("look", 2000));
     client.sends(&out);
     assert_eq!(client.hears_first(), Answer::Row("red".into()));
 }
@@ -53,8 +53,8 @@
     let (_pod, at) = with_pod(vec![Does::Serves("red"), Does::Serves("blue")]);
     let mut client = Client::new(at);
     let mut out = BytesMut::new();
-    write::query(&mut out, &ask("look", 2000));
-    write::query(&mut out, &ask("look", 2000));
+    encode::query(&mut out, &ask("look", 2000));
+    encode::query(&mut out, &ask("look", 2000));
     client.sends(&out);
     assert_eq!(client.hears(), Answer::Row("red".into()));
     assert_eq!(client.hears(), Answer::Row("blue".into()));
@@ -133,7 +133,7 @@
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::new(at);
     let mut out = BytesMut::new();
-    (0..100).for_each(|_| write::query(&mut out, &ask("look", 2000)));
+    (0..100).for_each(|_| encode::query(&mut out, &ask("look", 2000)));
     client.sends(&out);
     assert!(matches!(client.hears(), Answer::Error(..) | Answer::End));
     assert!(pod.heard_nothing());
--- a/crates/postgres-proxy/tests/sockets/pods.rs
+++ b/crates/postgres-proxy/tests/sockets/pods.rs
@@ -4,7 +4,7 @@
 use limewing_emulators::platform::{
     answer, listing, Answer, Client, Config, Discovery, Does, Listed, Pod,
 };
-use limewing_postgres_protocol::write;
+use limewing_postgres_protocol::encode;
 use limewing_postgres_proxy::bounds::{RESTS, WHOLE_WITHIN};
 use rstest::rstest;
 use std::net::TcpListener;
@@ -13,7 +13,7 @@
 
 fn spoilt(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut out = bytes::BytesMut::new();
-    write::again(&mut out, kind, body);
+    encode::message_with_body(&mut out, kind, body);
     out.to_vec()
 }
 
@@ -290,7 +290,7 @@
     client.asks(&ask("look", 60_000));
     assert!(pod.hears().starts_with("SELECT"));
     let mut long = bytes::BytesMut::new();
-    write::query(&mut long, &"x".repeat(60 * 1024));
+    encode::query(&mut long, &"x".repeat(60 * 1024));
     assert!(client.sends(&long));
     drop(client);
     assert_eq!(pod.hears(), "gone");
