--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -4,7 +4,7 @@
 use limewing_emulators::platform::{
     listing, Answer, Client, Config, Discovery, Does, Faults, Listed, Pod, World,
 };
-use limewing_postgres_proxy::bounds::{SPEAKS_WITHIN, STILL_FOUND};
+use limewing_postgres_proxy::timeouts::{CLIENT_MESSAGE_TIMEOUT, STOP_ACCEPTING_TIMEOUT};
 use limewing_rule_checker::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
 use limewing_rule_checker::rules::{check, Rule};
 use rstest::rstest;
@@ -108,7 +108,7 @@
 fn a_first_statement_that_comes_as_silence_is_over_is_answered() {
     let (_pod, sidecar, mut client) = with_pod(vec![Does::Serves("red")]);
     sidecar.signal(Signal::STOP);
-    sleep(SPEAKS_WITHIN + MOMENT);
+    sleep(CLIENT_MESSAGE_TIMEOUT + MOMENT);
     client.asks(&ask("look", 1));
     sidecar.signal(Signal::CONT);
     assert_eq!(client.hears(), Answer::Row("red".into()));
@@ -153,7 +153,7 @@
 }
 
 /// Longer than connections go on coming to a sidecar that was told to leave.
-const DOOR_CLOSES: Duration = STILL_FOUND.saturating_add(MOMENT);
+const DOOR_CLOSES: Duration = STOP_ACCEPTING_TIMEOUT.saturating_add(MOMENT);
 const MOMENT: Duration = Duration::from_millis(100);
 
 /// A request may bring a longer time than the settings have: it is answered before the process has to be gone. Without
--- a/crates/postgres-proxy/src/config.rs
+++ b/crates/postgres-proxy/src/config.rs
@@ -1,23 +1,48 @@
-//! What the platform tells a sidecar in a file: names of files and sockets, limits, the settings, and what is
-//! known at the start.
+//! The file in which the platform tells a sidecar its name, addresses, limits and settings, and what is known at the
+//! start.
 
-use crate::bounds;
-use crate::listing::Listing;
-use crate::news::State;
+use crate::endpoint_listing::EndpointListing;
+use crate::stage_updates::RolloutState;
+use crate::timeouts::ENDPOINT_LEASE;
 use limewing_decision::interface::SidecarConfig;
 use limewing_simulator_protocol::SocketTerms;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::hash::{DefaultHasher, Hash, Hasher};
+use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 use thiserror::Error;
 
+/// Bytes of a megabyte in `limits.memory_mb`.
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+
+/// What is wrong with a configuration, and what was expected.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The file can't be read.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// It is no JSON of the expected form; tells line and column.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The seed is no hexadecimal number of 64 bits.
+    #[error("seed {found:?}: expected up to 16 hexadecimal digits")]
+    Seed {
+        /// What it is.
+        found: String,
+    },
+    /// The settings can't be used; tells which one, and what was expected.
+    #[error("settings: {0}")]
+    Settings(String),
+}
+
+/// A configuration file that can't be used.
 #[derive(Debug, Error)]
-#[error("{file}: {what}")]
-pub struct Unusable {
+#[error("{file}: {error}")]
+pub struct ConfigFileError {
     file: String,
-    what: String,
+    error: ConfigError,
 }
 
 #[derive(Debug, Deserialize)]
@@ -28,98 +53,134 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    rollouts: Option<RolloutsPart>,
-    #[serde(default)]
-    known: Option<Listing>,
+    rollouts: Option<Rollouts>,
+    #[serde(default, rename = "known")]
+    cached_endpoints: Option<EndpointListing>,
     settings: Box<RawValue>,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 struct Limits {
     memory_mb: Option<f64>,
-    sockets: Option<usize>,
+    #[serde(rename = "sockets")]
+    descriptors: Option<usize>,
 }
 
 #[derive(Debug, Deserialize)]
-struct RolloutsPart {
+struct Rollouts {
     address: SocketAddr,
-    #[serde(default)]
-    news: Option<State>,
+    #[serde(default, rename = "news")]
+    state: Option<RolloutState>,
 }
 
 /// Where the platform's services are: all that a new configuration may change while a sidecar runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Places {
+pub struct ServiceAddresses {
+    /// Discovery, which lists the pods.
     pub discovery: SocketAddr,
+    /// The rollout service, if there is one.
     pub rollouts: Option<SocketAddr>,
 }
 
+/// A configuration.
 #[derive(Debug)]
-pub struct Told {
+pub struct ProxyConfig {
+    /// The sidecar's name.
     pub name: String,
+    /// Where clients are served.
     pub listen: SocketAddr,
-    pub places: Places,
+    /// Where the platform's services are.
+    pub services: ServiceAddresses,
+    /// The seed of all that is drawn by chance.
     pub seed: u64,
-    /// Bytes of memory and descriptors, where they are limited.
-    pub memory: Option<usize>,
-    pub descriptors: Option<usize>,
-    pub news: Option<State>,
-    pub known: Option<Listing>,
-    pub terms: SidecarConfig,
+    /// Bound of the address space in bytes, if one is set.
+    pub max_memory: Option<usize>,
+    /// Bound of the file descriptors, if one is set.
+    pub max_descriptors: Option<usize>,
+    /// The state of the newest build's rollout, if it is known.
+    pub rollout_state: Option<RolloutState>,
+    /// The list of pods, if it is known.
+    pub cached_endpoints: Option<EndpointListing>,
+    /// The settings of the decision engine.
+    pub engine: SidecarConfig,
+    /// The settings of this proxy, and the names that the engine knows by number.
     pub sockets: SocketTerms,
-    /// Tells the settings from others; spaces count.
-    pub mark: u64,
+    /// Hash of the settings' text, which tells them from others; spaces count.
+    pub settings_hash: u64,
 }
 
+/// Reads a configuration file.
+///
 /// # Errors
 /// The file can't be read or used, told in one line: what, where and what was expected.
-pub fn read(file: &Path) -> Result<Told, Unusable> {
-    let unusable = |what: String| Unusable {
+pub fn read(file: &Path) -> Result<ProxyConfig, ConfigFileError> {
+    let read = || parse(&std::fs::read(file)?);
+    read().map_err(|error| ConfigFileError {
         file: file.display().to_string(),
-        what,
-    };
-    let text = std::fs::read(file).map_err(|e| unusable(e.to_string()))?;
-    understand(&text).map_err(unusable)
+        error,
+    })
 }
 
+/// Parses the text of a configuration.
+///
 /// # Errors
-/// As `read`.
-pub fn understand(text: &[u8]) -> Result<Told, String> {
-    let told: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let seed = u64::from_str_radix(&told.seed, 16)
-        .map_err(|_| format!("seed {:?}: expected up to 16 hexadecimal digits", told.seed))?;
-    let settings = told.settings.get().as_bytes();
-    let mut hasher = DefaultHasher::new();
-    settings.hash(&mut hasher);
-    let mut terms = limewing_simulator_protocol::start_terms(seed, settings)
-        .map_err(|e| format!("settings: {e}"))?;
-    // On sockets a list comes by no other way than a watch.
-    terms.watch_on_request = true;
-    terms.endpoint_lease = Some(bounds::LIST_LEASE);
-    let sockets = limewing_simulator_protocol::socket_terms(settings)
-        .map_err(|e| format!("settings: {e}"))?;
-    if sockets.groups.iter().any(String::is_empty) {
-        return Err("settings: a class has no name".into());
-    }
-    let memory = told
+/// As [`read`].
+pub fn parse(text: &[u8]) -> Result<ProxyConfig, ConfigError> {
+    let file: File = serde_json::from_slice(text)?;
+    let seed = parse_seed(&file.seed)?;
+    let settings = file.settings.get().as_bytes();
+    let engine = parse_engine(seed, settings)?;
+    let sockets = parse_sockets(settings)?;
+    let max_memory = file
         .limits
         .memory_mb
-        .filter(|mb| mb.is_finite() && *mb > 0.0);
-    let places = Places {
-        discovery: told.discovery,
-        rollouts: told.rollouts.as_ref().map(|part| part.address),
+        .filter(|megabytes| megabytes.is_finite() && *megabytes > 0.0)
+        .map(|megabytes| (megabytes * BYTES_PER_MB) as usize);
+    let services = ServiceAddresses {
+        discovery: file.discovery,
+        rollouts: file.rollouts.as_ref().map(|rollouts| rollouts.address),
     };
-    Ok(Told {
-        name: told.name,
-        listen: told.listen,
-        places,
+    Ok(ProxyConfig {
+        name: file.name,
+        listen: file.listen,
+        services,
         seed,
-        memory: memory.map(|mb| (mb * 1024.0 * 1024.0) as usize),
-        descriptors: told.limits.sockets,
-        news: told.rollouts.and_then(|part| part.news),
-        known: told.known,
-        terms,
+        max_memory,
+        max_descriptors: file.limits.descriptors,
+        rollout_state: file.rollouts.and_then(|rollouts| rollouts.state),
+        cached_endpoints: file.cached_endpoints,
+        engine,
         sockets,
-        mark: hasher.finish(),
+        settings_hash: hash(settings),
     })
 }
+
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(text, 16).map_err(|_| ConfigError::Seed {
+        found: text.to_owned(),
+    })
+}
+
+fn parse_engine(seed: u64, settings: &[u8]) -> Result<SidecarConfig, ConfigError> {
+    let mut engine =
+        limewing_simulator_protocol::start_terms(seed, settings).map_err(ConfigError::Settings)?;
+    // On sockets a list comes by no other way than a watch.
+    engine.watch_on_request = true;
+    engine.endpoint_lease = Some(ENDPOINT_LEASE);
+    Ok(engine)
+}
+
+fn parse_sockets(settings: &[u8]) -> Result<SocketTerms, ConfigError> {
+    let sockets =
+        limewing_simulator_protocol::socket_terms(settings).map_err(ConfigError::Settings)?;
+    if sockets.groups.iter().any(String::is_empty) {
+        return Err(ConfigError::Settings("a class has no name".into()));
+    }
+    Ok(sockets)
+}
+
+fn hash(settings: &[u8]) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    settings.hash(&mut hasher);
+    hasher.finish()
+}
--- a/crates/postgres-proxy/src/lib.rs
+++ b/crates/postgres-proxy/src/lib.rs
@@ -1,24 +1,24 @@
-//! The platform's way in: its clients and pods speak PostgreSQL's protocol, its discovery and its rollouts HTTP.
-//! Sockets become events of the decision module, its actions become bytes on sockets.
+//! The sidecar for PostgreSQL's protocol: clients and pods speak it, discovery and the rollout service HTTP. Sockets
+//! become events of the decision engine, its actions become bytes on sockets. `docs/platform.md` has the pages.
 //!
-//! `config` and `statement` turn the platform's words into the module's; `lines` reads streams of JSON lines;
-//! `bounds` holds what this host decides beside the module; `service` drives sockets, with `front` (clients), `back`
-//! (pods), `discovery` and `rollouts`. `docs/platform.md` has the pages.
-
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+//! Without I/O:
+//!
+//! - [`config`], [`statement`], [`endpoint_listing`] and [`rollout_messages`]: what the platform's files and messages say
+//! - [`endpoint_list`], [`stage_updates`] and [`wrong_answers`]: what is known by them
+//! - [`line_codec`]: streams of JSON objects over HTTP
+//! - [`timeouts`], [`unsent_attempts`] and [`idle_clients`]: what this proxy decides beside the decision engine
+//!
+//! [`service`] drives the sockets.
 
-pub mod bounds;
 pub mod config;
-pub mod lines;
-pub mod listing;
-pub mod news;
+pub mod endpoint_list;
+pub mod endpoint_listing;
+pub mod idle_clients;
+pub mod line_codec;
+pub mod rollout_messages;
 pub mod service;
+pub mod stage_updates;
 pub mod statement;
+pub mod timeouts;
+pub mod unsent_attempts;
+pub mod wrong_answers;
--- /dev/null
+++ b/crates/postgres-proxy/src/service/attempt_writer.rs
@@ -0,0 +1,119 @@
+//! Writes attempts to connections: first an empty query and all but the last byte, then, once the connection has proved to
+//! be alive, the last byte.
+//!
+//! Whoever writes bytes of an attempt needs a [`SendPermit`], which is requested in that moment.
+
+use super::pod_connection::{CarriedAttempt, PartialAnswer, Phase};
+use super::upstream::replace_phase_timer;
+use super::{ConnectionRole, Service, TimerEvent};
+use crate::timeouts::LAST_BYTE_DELAY;
+use bytes::BytesMut;
+use limewing_decision::interface::{AttemptIndex, RequestId};
+use limewing_net::sockets::SocketId;
+use limewing_postgres_protocol::encode;
+use limewing_proxy_core::send_permit::SendPermit;
+
+/// The last byte of every Query.
+const LAST_BYTE: &[u8] = &[0];
+/// What the empty query and the statement's message take beside the statement, in bytes.
+const MESSAGE_OVERHEAD: usize = 24;
+
+impl Service {
+    /// Permission to write an attempt now.
+    pub(super) fn send_permit(&self, id: RequestId, index: AttemptIndex) -> Option<SendPermit> {
+        SendPermit::request(&self.engine, self.now, id, index)
+    }
+
+    /// Writes an attempt to a connection that carries nothing, or ends the attempt if it is no longer permitted.
+    pub(super) fn begin_writing(&mut self, socket: SocketId, carried: CarriedAttempt) {
+        if let Some(permit) = self.send_permit(carried.request, carried.index) {
+            self.write_first_bytes(socket, carried, permit);
+        } else {
+            self.return_to_pool(socket);
+            self.withdraw_attempt(carried);
+        }
+    }
+
+    /// Writes all but the last byte.
+    fn write_first_bytes(
+        &mut self,
+        socket: SocketId,
+        mut carried: CarriedAttempt,
+        _permit: SendPermit,
+    ) {
+        let Some(ConnectionRole::Pod(connection)) = self.connections.get_mut(&socket) else {
+            return;
+        };
+        let Some(request) = self.requests.get(carried.request) else {
+            return;
+        };
+        let statement = &request.protocol_state;
+        let time_left = request.deadline.saturating_sub(self.now);
+        let mut out = BytesMut::with_capacity(statement.text.len() + MESSAGE_OVERHEAD);
+        encode::query(&mut out, "");
+        encode::query(&mut out, &statement.with_timeout(time_left));
+        carried.end_offset = self.sockets.bytes_written(socket) + out.len() as u64;
+        let started_at = request
+            .attempts
+            .get(usize::from(carried.index.0))
+            .map_or(self.now, |attempt| attempt.sent_at);
+        tracing::debug!(
+            request_id = carried.request.0,
+            attempt = carried.index.0,
+            endpoint = connection.pod.0,
+            waited_ms = (self.now - started_at).as_millis() as u64,
+            "first bytes of attempt sent"
+        );
+        connection.phase = Phase::Verifying(carried);
+        let deadline = self.now + self.settings.connect_timeout;
+        let event = TimerEvent::PodPhaseTimeout(socket);
+        replace_phase_timer(&mut self.timers, connection, deadline, event);
+        self.sockets
+            .send(socket, &out[..out.len() - LAST_BYTE.len()]);
+    }
+
+    /// The empty query is answered: what breaks the connection may still be on its way.
+    pub(super) fn hold_last_byte(&mut self, socket: SocketId) {
+        let Some(ConnectionRole::Pod(connection)) = self.connections.get_mut(&socket) else {
+            return;
+        };
+        let Some(carried) = connection.phase.attempt().copied() else {
+            return;
+        };
+        connection.phase = Phase::HoldingLastByte(carried);
+        let deadline = self.now + LAST_BYTE_DELAY;
+        let event = TimerEvent::SendLastByte(socket);
+        replace_phase_timer(&mut self.timers, connection, deadline, event);
+    }
+
+    /// The connection is alive: the last byte goes, and the pod begins, unless the attempt is no longer permitted.
+    pub(super) fn send_last_byte(&mut self, socket: SocketId) {
+        let Some(connection) = self.pod_connection(socket) else {
+            return;
+        };
+        connection.timer = None;
+        let Phase::HoldingLastByte(carried) = connection.phase else {
+            return;
+        };
+        if let Some(permit) = self.send_permit(carried.request, carried.index) {
+            self.write_last_byte(socket, carried, permit);
+        } else {
+            self.close_pod_connection(socket);
+            self.withdraw_attempt(carried);
+        }
+    }
+
+    fn write_last_byte(&mut self, socket: SocketId, carried: CarriedAttempt, _permit: SendPermit) {
+        let Some(connection) = self.pod_connection(socket) else {
+            return;
+        };
+        tracing::debug!(
+            request_id = carried.request.0,
+            attempt = carried.index.0,
+            endpoint = connection.pod.0,
+            "last byte of attempt sent"
+        );
+        connection.phase = Phase::AwaitingAnswer(carried, PartialAnswer::default());
+        self.sockets.send(socket, LAST_BYTE);
+    }
+}
--- /dev/null
+++ b/crates/postgres-proxy/src/service/clients.rs
@@ -0,0 +1,324 @@
+//! Clients' sessions: their connections, startup packets and messages.
+
+use super::{ConnectionRole, Service, TimerEvent, MAX_UNSENT};
+use crate::statement::{StatementParser, MAX_STATEMENT};
+use crate::timeouts::CLIENT_MESSAGE_TIMEOUT;
+use bytes::BytesMut;
+use limewing_decision::interface::RequestId;
+use limewing_net::sockets::SocketId;
+use limewing_net::timer_wheel::TimerKey;
+use limewing_postgres_protocol::decode::StartupPacket;
+use limewing_postgres_protocol::{
+    count_complete_messages, decode, encode, frontend, Message, MessageDecoder,
+};
+use limewing_proxy_core::shutdown::ClientListener;
+use rustc_hash::FxHashSet;
+use std::ops::ControlFlow;
+use std::time::Duration;
+
+/// Bound of a client's message that is no Query, in bytes.
+const MAX_OTHER_MESSAGE: usize = 4 * 1024;
+/// Statements that may wait behind the one that is served. A client that sends more does not wait for its answers, and
+/// would fill its buffers here.
+const MAX_PIPELINED_STATEMENTS: usize = 8;
+/// The reply to an SSLRequest or a GSSENCRequest: no encryption.
+const ENCRYPTION_REFUSED: &[u8] = b"N";
+/// The parameters of a client's session.
+const SESSION_PARAMETERS: [(&str, &str); 6] = [
+    ("server_version", "16.0"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("DateStyle", "ISO, MDY"),
+    ("integer_datetimes", "on"),
+    ("standard_conforming_strings", "on"),
+];
+/// Bytes of all that a client gets when its session starts, rounded up.
+const SESSION_START_CAPACITY: usize = 256;
+
+/// What is known of the clients beside each one's state.
+pub(super) struct ClientState {
+    pub(super) listener: ClientListener,
+    /// How many are connected.
+    pub(super) connected: usize,
+    /// Connections could not be accepted in this turn, for want of room.
+    pub(super) needs_room: bool,
+    pub(super) parser: StatementParser,
+    /// The clients' ids of the requests in flight.
+    pub(super) request_ids: FxHashSet<String>,
+}
+
+impl ClientState {
+    pub(super) fn new(listener: ClientListener, parser: StatementParser) -> Self {
+        Self {
+            listener,
+            connected: 0,
+            needs_room: false,
+            parser,
+            request_ids: FxHashSet::default(),
+        }
+    }
+}
+
+/// One client's connection.
+pub(super) struct Client {
+    pub(super) decoder: MessageDecoder,
+    /// Whether its session has started.
+    has_session: bool,
+    /// Whether it has had the answer to a request.
+    pub(super) was_served: bool,
+    /// Its request that has no answer yet.
+    pub(super) request: Option<RequestId>,
+    /// Since when it has no request and no message, on the sidecar's monotonic clock.
+    pub(super) idle_since: Duration,
+    /// Ends the wait for a complete message, or the delay of an error that ends the session.
+    pub(super) timer: Option<TimerKey>,
+    /// The error that ends its session, until it is sent.
+    pub(super) fatal_error: Option<FatalError>,
+}
+
+/// An error that ends a client's session.
+pub(super) struct FatalError {
+    pub(super) sqlstate: &'static str,
+    pub(super) message: String,
+}
+
+impl FatalError {
+    /// `protocol_violation`.
+    fn protocol_violation(message: impl Into<String>) -> Self {
+        Self::new("08P01", message)
+    }
+
+    /// `feature_not_supported`.
+    fn not_supported(message: impl Into<String>) -> Self {
+        Self::new("0A000", message)
+    }
+
+    /// `syntax_error`: a statement that is no request.
+    pub(super) fn bad_statement(message: impl Into<String>) -> Self {
+        Self::new("42601", message)
+    }
+
+    /// `program_limit_exceeded`: more statements were sent than wait for their answers.
+    pub(super) fn too_many_statements() -> Self {
+        Self::new("54000", "too many statements at once")
+    }
+
+    fn new(sqlstate: &'static str, message: impl Into<String>) -> Self {
+        let message = message.into();
+        Self { sqlstate, message }
+    }
+}
+
+/// Bound of a message's body by its type, in bytes; `None` if a client sends no such message.
+fn max_message(kind: u8) -> Option<usize> {
+    match kind {
+        frontend::QUERY => Some(MAX_STATEMENT),
+        frontend::TERMINATE
+        | frontend::PARSE
+        | frontend::BIND
+        | frontend::EXECUTE
+        | frontend::DESCRIBE
+        | frontend::CLOSE
+        | frontend::FLUSH
+        | frontend::SYNC
+        | frontend::FUNCTION_CALL
+        | frontend::COPY_DATA
+        | frontend::COPY_DONE
+        | frontend::COPY_FAIL
+        | frontend::PASSWORD_MESSAGE => Some(MAX_OTHER_MESSAGE),
+        _ => None,
+    }
+}
+
+impl Service {
+    pub(super) fn accept_client(&mut self, id: SocketId) {
+        self.clients.connected += 1;
+        let deadline = self.now + CLIENT_MESSAGE_TIMEOUT;
+        let timer = self
+            .timers
+            .schedule(deadline, TimerEvent::ClientTimeout(id));
+        let client = Client {
+            decoder: MessageDecoder::default(),
+            has_session: false,
+            was_served: false,
+            request: None,
+            idle_since: self.now,
+            timer: Some(timer),
+            fatal_error: None,
+        };
+        self.connections
+            .insert(id, ConnectionRole::Client(Box::new(client)));
+    }
+
+    pub(super) fn client(&mut self, id: SocketId) -> Option<&mut Client> {
+        match self.connections.get_mut(&id) {
+            Some(ConnectionRole::Client(client)) => Some(client),
+            _ => None,
+        }
+    }
+
+    /// Takes what a client has sent, up to its next request.
+    pub(super) fn read_from_client(&mut self, id: SocketId) {
+        while self.read_client_message(id).is_continue() {}
+    }
+
+    /// Takes one message, if one may be taken and is complete.
+    fn read_client_message(&mut self, id: SocketId) -> ControlFlow<()> {
+        let has_ended = self.sockets.has_ended(id);
+        let Some(client) = self.client(id) else {
+            return ControlFlow::Break(());
+        };
+        if client.fatal_error.is_some() {
+            return ControlFlow::Break(());
+        }
+        let has_session = client.has_session;
+        if client.request.is_some() {
+            self.check_waiting_client(id);
+            return ControlFlow::Break(());
+        }
+        // Nothing more is taken off a client that does not read its answers.
+        if self.sockets.unsent_bytes(id) > MAX_UNSENT {
+            return ControlFlow::Break(());
+        }
+        if has_session {
+            self.read_session_message(id, has_ended)
+        } else {
+            self.read_startup_packet(id, has_ended)
+        }
+    }
+
+    /// What comes behind a request waits for its answer. A client that closed its side is gone, whatever it left unread.
+    fn check_waiting_client(&mut self, id: SocketId) {
+        if self.sockets.has_peer_closed(id) {
+            self.disconnect_client(id);
+        } else if self.has_too_many_statements(id) {
+            self.abandon_flooding_client(id);
+        }
+    }
+
+    pub(super) fn has_too_many_statements(&mut self, id: SocketId) -> bool {
+        let limit = MAX_PIPELINED_STATEMENTS + 1;
+        self.sockets
+            .input(id)
+            .is_some_and(|input| count_complete_messages(input, limit) == limit)
+    }
+
+    fn read_startup_packet(&mut self, id: SocketId, has_ended: bool) -> ControlFlow<()> {
+        let Some(input) = self.sockets.input(id) else {
+            return ControlFlow::Break(());
+        };
+        match decode::startup_packet(input) {
+            Ok(Some(StartupPacket::StartupMessage)) => {
+                self.start_client_session(id);
+                return ControlFlow::Continue(());
+            }
+            Ok(Some(StartupPacket::SslRequest)) => {
+                self.sockets.send(id, ENCRYPTION_REFUSED);
+                return ControlFlow::Continue(());
+            }
+            Ok(Some(StartupPacket::CancelRequest)) => self.disconnect_client(id),
+            Ok(None) if has_ended => self.disconnect_client(id),
+            Ok(None) => self.sockets.resume_reading(id),
+            Err(error) => {
+                let error = FatalError::protocol_violation(error.to_string());
+                self.fail_session(id, error);
+            }
+        }
+        ControlFlow::Break(())
+    }
+
+    fn read_session_message(&mut self, id: SocketId, has_ended: bool) -> ControlFlow<()> {
+        let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
+            return ControlFlow::Break(());
+        };
+        let Some(input) = self.sockets.input(id) else {
+            return ControlFlow::Break(());
+        };
+        let had_input = !input.is_empty();
+        match client.decoder.next_message(input, max_message) {
+            Ok(Some(message)) => return self.handle_client_message(id, &message),
+            Ok(None) if has_ended => self.disconnect_client(id),
+            Ok(None) => self.await_more_from_client(id, had_input),
+            Err(error) => {
+                let error = FatalError::protocol_violation(error.to_string());
+                self.fail_session(id, error);
+            }
+        }
+        ControlFlow::Break(())
+    }
+
+    fn handle_client_message(&mut self, id: SocketId, message: &Message) -> ControlFlow<()> {
+        match message.kind {
+            frontend::QUERY => match decode::string(&message.body) {
+                Some(text) => {
+                    self.handle_statement(id, text);
+                    return ControlFlow::Continue(());
+                }
+                None => {
+                    let error = FatalError::protocol_violation("a query that is no text");
+                    self.fail_session(id, error);
+                }
+            },
+            frontend::TERMINATE => self.disconnect_client(id),
+            _ => {
+                let error = FatalError::not_supported("only simple queries are served");
+                self.fail_session(id, error);
+            }
+        }
+        ControlFlow::Break(())
+    }
+
+    /// No complete message is left. One that has begun is complete in time.
+    fn await_more_from_client(&mut self, id: SocketId, had_input: bool) {
+        let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let has_begun = client.decoder.is_mid_message() || had_input;
+        if client.timer.is_none() && has_begun {
+            let deadline = self.now + CLIENT_MESSAGE_TIMEOUT;
+            let timer = self
+                .timers
+                .schedule(deadline, TimerEvent::ClientTimeout(id));
+            client.timer = Some(timer);
+        }
+        // What was buffered is taken over by now: the system may have more.
+        self.sockets.resume_reading(id);
+    }
+
+    fn start_client_session(&mut self, id: SocketId) {
+        let Some(client) = self.client(id) else {
+            return;
+        };
+        client.has_session = true;
+        let mut out = BytesMut::with_capacity(SESSION_START_CAPACITY);
+        encode::session_start(&mut out, &SESSION_PARAMETERS);
+        self.sockets.send(id, &out);
+    }
+
+    /// Answers the statements that a client's driver sends beside requests; any other one is a request.
+    fn handle_statement(&mut self, id: SocketId, text: &str) {
+        let trimmed = text.trim().trim_end_matches(';').trim();
+        let verb = trimmed.split_ascii_whitespace().next().unwrap_or_default();
+        let mut out = BytesMut::new();
+        match verb.to_ascii_uppercase().as_str() {
+            "" => encode::empty_query_response(&mut out),
+            verb @ ("SET" | "RESET" | "DISCARD") => encode::command_complete(&mut out, verb),
+            _ => return self.handle_request(id, text),
+        }
+        encode::ready_for_query(&mut out);
+        self.sockets.send(id, &out);
+        self.end_wait_for_message(id);
+    }
+
+    /// A client has sent a complete message: the wait for one is over.
+    pub(super) fn end_wait_for_message(&mut self, id: SocketId) {
+        let now = self.now;
+        let Some(client) = self.client(id) else {
+            return;
+        };
+        client.idle_since = now;
+        if let Some(timer) = client.timer.take() {
+            self.timers.cancel(timer);
+        }
+    }
+}
--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -1,234 +1,270 @@
-//! The watch on the list of pods. It may be lost for long: the sidecar goes on with what it knows, and the
-//! module asks again.
-
-use super::{Due, Peer, Service};
-use crate::bounds::{LIST_BEGINS_WITHIN, LIST_QUIET_AT_MOST};
-use crate::lines::{Broken, Objects};
-use crate::listing::Listing;
-use bytes::{Bytes, BytesMut};
+//! The watch on discovery's list of pods. It may be lost for long: the sidecar goes on with what it knows, and the decision
+//! engine asks for a new one.
+
+use super::http_request::encode_request;
+use super::{ConnectionRole, Service, TimerEvent};
+use crate::endpoint_list::{EndpointList, ListingError};
+use crate::endpoint_listing::EndpointListing;
+use crate::line_codec::{ObjectReader, StreamError};
+use crate::timeouts::{
+    ENDPOINT_LEASE, ENDPOINT_LEASE_AFTER_MOVE, WATCH_ANSWER_TIMEOUT, WATCH_SILENCE_TIMEOUT,
+};
+use bytes::Bytes;
 use limewing_decision::interface::{EndpointUpdate, Event, WatchLoss, WatchLossCause};
-use limewing_net::body::Framing;
-use limewing_net::http;
 use limewing_net::sockets::SocketId;
 use limewing_net::timer_wheel::TimerKey;
 use std::io::ErrorKind;
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
-/// One object of a watch is no longer than this, in bytes.
-const LONGEST_LISTING: usize = 4 * 1024 * 1024;
-
-pub struct WatchLink {
-    objects: Objects,
-    quiet: TimerKey,
-    /// When its call was made.
-    asked: Duration,
-    /// The answer has begun.
-    answered: bool,
-    /// A list has come whole by it.
-    listed: bool,
+/// Bound of one object of a watch, in bytes.
+const MAX_OBJECT: usize = 4 * 1024 * 1024;
+
+/// The list of pods, and the watch that keeps it up to date.
+pub(super) struct DiscoveryState {
+    pub(super) endpoints: EndpointList,
+    watch: Option<SocketId>,
+    /// The watch on discovery's former address, until it ends.
+    previous_watch: Option<SocketId>,
+    /// When discovery was last heard, on the sidecar's monotonic clock. What it tells from then on may be missed.
+    last_heard: Duration,
+}
+
+impl DiscoveryState {
+    pub(super) fn new(endpoints: EndpointList, now: Duration) -> Self {
+        Self {
+            endpoints,
+            watch: None,
+            previous_watch: None,
+            last_heard: now,
+        }
+    }
+}
+
+/// The connection of a watch.
+pub(super) struct WatchConnection {
+    reader: ObjectReader,
+    /// Ends the wait for the answer, or for the next line or object.
+    timer: TimerKey,
+    /// When the call was made, on the sidecar's monotonic clock.
+    called_at: Duration,
+    has_answer: bool,
+    /// Whether a complete list or change has come.
+    has_object: bool,
 }
 
 /// Why a watch is over.
 #[derive(Debug, Error)]
-pub enum WatchEnd {
+pub(super) enum WatchError {
+    /// The connection broke.
     #[error("the connection was lost")]
-    Lost,
+    ConnectionLost,
+    /// The connection was refused.
     #[error("no connection: there is nobody at its address")]
     Unreachable,
+    /// The response came to its end.
     #[error("the watch ended")]
     Ended,
+    /// The answer, or the next line or object, did not come in time.
     #[error("the watch says nothing")]
     Silent,
+    /// The response can't be read.
     #[error(transparent)]
-    Broken(#[from] Broken),
-    #[error("{0}")]
-    Unusable(String),
+    Stream(#[from] StreamError),
+    /// An object is no listing.
+    #[error("an object of the list: {0}")]
+    Json(#[from] serde_json::Error),
+    /// A listing can't be used.
+    #[error("an object of the list: {0}")]
+    Listing(#[from] ListingError),
 }
 
-impl WatchEnd {
-    /// A connection ended, or never came up.
-    pub(super) fn of(why: ErrorKind) -> Self {
-        match why {
+impl WatchError {
+    /// The error of a connection that ended, or never came up.
+    pub(super) fn from_connection_error(error: ErrorKind) -> Self {
+        match error {
             ErrorKind::ConnectionRefused => Self::Unreachable,
-            _ => Self::Lost,
+            _ => Self::ConnectionLost,
         }
     }
 
-    /// What that means of the list.
-    fn cause(&self, watch: &WatchLink) -> WatchLossCause {
+    /// What it means for the list.
+    fn cause(&self, watch: &WatchConnection) -> WatchLossCause {
         match self {
-            Self::Broken(broken) if broken.is_refusal() => WatchLossCause::Refused,
-            // A call that can't be taken may end by a reset, too.
-            Self::Lost if !watch.answered => WatchLossCause::Refused,
-            Self::Silent if !watch.answered => WatchLossCause::TimedOut,
-            // Half an object, and no more of it.
-            Self::Silent if !watch.listed => WatchLossCause::NoService,
-            Self::Unreachable | Self::Broken(_) | Self::Unusable(_) => WatchLossCause::NoService,
-            Self::Lost | Self::Ended | Self::Silent => WatchLossCause::Ended,
+            Self::Stream(error) if error.is_overload() => WatchLossCause::Refused,
+            // A call that discovery can't take may end by a reset, too.
+            Self::ConnectionLost if !watch.has_answer => WatchLossCause::Refused,
+            Self::Silent if !watch.has_answer => WatchLossCause::TimedOut,
+            // A part of an object, and no more of it.
+            Self::Silent if !watch.has_object => WatchLossCause::NoService,
+            Self::Unreachable | Self::Stream(_) | Self::Json(_) | Self::Listing(_) => {
+                WatchLossCause::NoService
+            }
+            Self::ConnectionLost | Self::Ended | Self::Silent => WatchLossCause::Ended,
         }
     }
 }
 
 impl Service {
-    pub(super) fn request(
-        &self,
-        method: &str,
-        target: &str,
-        host: String,
-        body: &[u8],
-    ) -> BytesMut {
-        let fields = [
-            ("host", &host[..]),
-            ("user-agent", "limewing"),
-            ("accept", "application/json"),
-        ];
-        let fields = fields
-            .iter()
-            .map(|(name, value)| (name.as_bytes(), value.as_bytes()));
-        let mut out = BytesMut::new();
-        http::write_request(
-            &mut out,
-            method,
-            target,
-            fields,
-            Framing::Length(body.len() as u64),
-        );
-        out.extend_from_slice(body);
-        out
-    }
-
-    pub(super) fn ask_watch(&mut self) {
-        if self.watch.is_some() {
+    /// Opens a watch, if there is none.
+    pub(super) fn watch_endpoints(&mut self) {
+        if self.discovery.watch.is_some() {
             return;
         }
-        let Ok(link) = self.sockets.connect(self.places.discovery) else {
-            return self.list_fails(WatchLossCause::Ended);
+        let Ok(socket) = self.sockets.connect(self.services.discovery) else {
+            return self.report_watch_loss(WatchLossCause::Ended);
         };
-        let quiet = self
-            .wheel
-            .schedule(self.now + LIST_BEGINS_WITHIN, Due::WatchQuiet(link));
-        let objects = Objects::new(LONGEST_LISTING);
-        let (asked, answered, listed) = (self.now, false, false);
-        let watch = WatchLink {
-            objects,
-            quiet,
-            asked,
-            answered,
-            listed,
+        let deadline = self.now + WATCH_ANSWER_TIMEOUT;
+        let timer = self
+            .timers
+            .schedule(deadline, TimerEvent::WatchTimeout(socket));
+        let watch = WatchConnection {
+            reader: ObjectReader::new(MAX_OBJECT),
+            timer,
+            called_at: self.now,
+            has_answer: false,
+            has_object: false,
         };
-        self.peers.insert(link, Peer::Watch(Box::new(watch)));
-        self.watch = Some(link);
+        self.connections
+            .insert(socket, ConnectionRole::Watch(Box::new(watch)));
+        self.discovery.watch = Some(socket);
     }
 
-    pub(super) fn watch_connected(&mut self, link: SocketId) {
-        let target = format!("/api/targets?follow=1&since={}", self.list.seq);
-        let request = self.request("GET", &target, self.places.discovery.to_string(), b"");
-        self.sockets.send(link, &request);
+    pub(super) fn send_watch_request(&mut self, socket: SocketId) {
+        let version = self.discovery.endpoints.version();
+        let target = format!("/api/targets?follow=1&since={version}");
+        let host = self.services.discovery.to_string();
+        let request = encode_request("GET", &target, &host, b"");
+        self.sockets.send(socket, &request);
     }
 
-    pub(super) fn watch_wrote(&mut self, link: SocketId) {
-        let ended = self.sockets.has_ended(link);
-        let Some(Peer::Watch(of)) = self.peers.get_mut(&link) else {
+    pub(super) fn read_watch(&mut self, socket: SocketId) {
+        let has_ended = self.sockets.has_ended(socket);
+        let Some(ConnectionRole::Watch(watch)) = self.connections.get_mut(&socket) else {
             return;
         };
-        let Some(input) = self.sockets.input(link) else {
+        let Some(input) = self.sockets.input(socket) else {
             return;
         };
-        let came = of.objects.take(input);
-        let over = ended || of.objects.ended();
-        // A trickle within one object is no sign of life: what it should tell is not told.
-        if came.alive {
-            self.list_heard = self.now;
-            let fresh = self
-                .wheel
-                .schedule(self.now + LIST_QUIET_AT_MOST, Due::WatchQuiet(link));
-            self.wheel.cancel(std::mem::replace(&mut of.quiet, fresh));
+        let received = watch.reader.read(input);
+        let is_over = has_ended || watch.reader.has_ended();
+        // Bytes within an object are no sign of life: what it should tell is not known by them.
+        if received.is_alive {
+            self.discovery.last_heard = self.now;
+            let deadline = self.now + WATCH_SILENCE_TIMEOUT;
+            let timer = self
+                .timers
+                .schedule(deadline, TimerEvent::WatchTimeout(socket));
+            self.timers
+                .cancel(std::mem::replace(&mut watch.timer, timer));
         }
-        if came.alive && !std::mem::replace(&mut of.answered, true) {
-            let waited_ms = (self.now - of.asked).as_millis() as u64;
-            tracing::debug!(waited_ms, objects = came.objects.len(), "discovery answers");
+        if received.is_alive && !watch.has_answer {
+            watch.has_answer = true;
+            let waited_ms = (self.now - watch.called_at).as_millis() as u64;
+            let objects = received.items.len();
+            tracing::debug!(waited_ms, objects, "endpoint watch answered");
         }
-        of.listed |= !came.objects.is_empty();
-        // What came whole before something that can't be read is told.
-        let told = came
-            .objects
-            .iter()
-            .try_for_each(|object| self.listed(object));
-        match told.and(came.broken.map_or(Ok(()), |broken| Err(broken.into()))) {
-            Err(why) => self.watch_lost(link, &why),
-            Ok(()) if over => self.watch_lost(link, &WatchEnd::Ended),
-            Ok(()) => self.sockets.resume_reading(link),
+        watch.has_object |= !received.items.is_empty();
+        // What came complete before something that can't be read counts.
+        let result = self
+            .apply_listings(&received.items)
+            .and(received.error.map_or(Ok(()), |error| Err(error.into())));
+        match result {
+            Err(error) => self.handle_watch_end(socket, &error),
+            Ok(()) if is_over => self.handle_watch_end(socket, &WatchError::Ended),
+            Ok(()) => self.sockets.resume_reading(socket),
         }
     }
 
-    fn listed(&mut self, object: &Bytes) -> Result<(), WatchEnd> {
-        let unusable = |why: String| WatchEnd::Unusable(format!("an object of the list: {why}"));
-        let told: Listing =
-            serde_json::from_slice(object).map_err(|why| unusable(why.to_string()))?;
-        let (seq, held) = (told.seq, self.list.seq);
-        if seq < held {
+    fn apply_listings(&mut self, objects: &[Bytes]) -> Result<(), WatchError> {
+        for object in objects {
+            self.apply_listing(object)?;
+        }
+        Ok(())
+    }
+
+    fn apply_listing(&mut self, object: &Bytes) -> Result<(), WatchError> {
+        let listing: EndpointListing = serde_json::from_slice(object)?;
+        let version = listing.version;
+        let known_version = self.discovery.endpoints.version();
+        if version < known_version {
             tracing::warn!(
-                seq,
-                held,
-                "an older list: only what makes more careful is taken from it"
+                version,
+                known_version,
+                "endpoint list is older than the known one, only its restrictions are applied"
             );
         }
         let change = self
-            .list
-            .take(told, self.now, SystemTime::now())
-            .map_err(unusable)?;
-        for why in &change.unusable {
+            .discovery
+            .endpoints
+            .apply(listing, self.now, SystemTime::now())?;
+        for error in &change.errors {
             tracing::warn!(
-                seq,
-                why,
-                "an entry of the list can't be used: its pod gets nothing more"
+                version,
+                error,
+                "endpoint cannot be used, it gets no further requests"
             );
         }
-        tracing::debug!(seq = self.list.seq, pods = self.list.len(), "the list");
-        self.events.push(Event::Endpoints(change.news));
-        // An attempt to a pod that drains or left is withdrawn by the decisions; they do not know of addresses.
-        for pod in &change.moved {
-            self.kept
-                .connections_to(*pod)
-                .into_iter()
-                .for_each(|link| self.close_connection(link));
+        tracing::debug!(
+            version = self.discovery.endpoints.version(),
+            endpoints = self.discovery.endpoints.len(),
+            "endpoint list applied"
+        );
+        self.events.push(Event::Endpoints(change.update));
+        // An attempt to a pod that drains or left is ended by the decision engine, which does not know of addresses.
+        for pod in &change.relocated {
+            for socket in self.upstream.pool.connections_to(*pod) {
+                self.close_pod_connection(socket);
+            }
         }
-        self.call_off(|_, pod| change.moved.contains(&pod));
+        self.end_unwritten_attempts(|_, pod| change.relocated.contains(&pod));
         Ok(())
     }
 
-    pub(super) fn close_watch(&mut self, link: SocketId) {
-        if let Some(Peer::Watch(of)) = self.peers.remove(&link) {
-            self.wheel.cancel(of.quiet);
+    /// Follows discovery to a new address: that one is asked first, and the former watch read to its end. What it tells
+    /// meanwhile counts as known, and is not told again.
+    pub(super) fn move_watch(&mut self) {
+        let former = self.discovery.watch.take();
+        let abandoned = std::mem::replace(&mut self.discovery.previous_watch, former);
+        if let Some(socket) = abandoned {
+            self.close_watch(socket);
         }
-        self.sockets.close(link);
+        let lease_spent = ENDPOINT_LEASE - ENDPOINT_LEASE_AFTER_MOVE;
+        self.discovery.last_heard = self.now.saturating_sub(lease_spent);
+        self.watch_endpoints();
     }
 
-    pub(super) fn watch_lost(&mut self, link: SocketId, why: &WatchEnd) {
+    fn close_watch(&mut self, socket: SocketId) {
+        if let Some(ConnectionRole::Watch(watch)) = self.connections.remove(&socket) {
+            self.timers.cancel(watch.timer);
+        }
+        self.sockets.close(socket);
+    }
+
+    pub(super) fn handle_watch_end(&mut self, socket: SocketId, error: &WatchError) {
         let mut cause = WatchLossCause::Ended;
-        if let Some(Peer::Watch(of)) = self.peers.get(&link) {
-            cause = why.cause(of);
-            let waited_ms = (self.now - of.asked).as_millis() as u64;
-            tracing::debug!(waited_ms, answered = of.answered, %why, "a watch ends");
+        if let Some(ConnectionRole::Watch(watch)) = self.connections.get(&socket) {
+            cause = error.cause(watch);
+            let waited_ms = (self.now - watch.called_at).as_millis() as u64;
+            tracing::debug!(waited_ms, answered = watch.has_answer, %error, "endpoint watch ended");
         }
-        self.close_watch(link);
-        if self.old_watch == Some(link) {
-            tracing::info!(%why, "the old watch is over");
-            self.old_watch = None;
-        } else if self.watch == Some(link) {
-            tracing::warn!(%why, "no watch on the list; the old one stays");
-            self.watch = None;
-            self.list_fails(cause);
+        self.close_watch(socket);
+        if self.discovery.previous_watch == Some(socket) {
+            tracing::info!(%error, "endpoint watch on the former address ended");
+            self.discovery.previous_watch = None;
+        } else if self.discovery.watch == Some(socket) {
+            tracing::warn!(%error, "endpoint watch lost, keeping the known list");
+            self.discovery.watch = None;
+            self.report_watch_loss(cause);
         }
     }
 
-    fn list_fails(&mut self, why: WatchLossCause) {
-        let silent = self.now.saturating_sub(self.list_heard);
-        self.events
-            .push(Event::Endpoints(EndpointUpdate::WatchLost(WatchLoss {
-                silent_for: silent,
-                cause: why,
-            })));
+    fn report_watch_loss(&mut self, cause: WatchLossCause) {
+        let loss = WatchLoss {
+            silent_for: self.now.saturating_sub(self.discovery.last_heard),
+            cause,
+        };
+        let update = EndpointUpdate::WatchLost(loss);
+        self.events.push(Event::Endpoints(update));
     }
 }
--- a/crates/postgres-proxy/src/service/pod_connection.rs
+++ b/crates/postgres-proxy/src/service/pod_connection.rs
@@ -1,206 +1,232 @@
-//! One connection to a pod, without I/O: the life of the attempt on it as a state machine.
+//! One connection to a pod, without I/O: a state machine of its session and of the attempt on it.
 
-use crate::listing::Life;
+use crate::endpoint_listing::Incarnation;
 use bytes::Bytes;
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, PodId, RequestId};
 use limewing_net::timer_wheel::TimerKey;
-use limewing_postgres_protocol::{decode, Message, MessageDecoder};
+use limewing_postgres_protocol::{backend, decode, Message, MessageDecoder};
 use std::mem;
 use std::time::Duration;
 
-/// With this code a pod tells that it has not begun a request.
-const TURNED_AWAY: &str = "53300";
+/// The SQLSTATE `too_many_connections`, by which a pod says that it has not begun a request.
+const REJECTED_SQLSTATE: &str = "53300";
 
 /// A connection to a pod; it carries at most one attempt at a time.
-pub struct PodConnection {
-    pub pod: PodId,
-    /// The life of the pod that it was made to.
-    pub life: Life,
-    pub phase: Phase,
-    pub frames: MessageDecoder,
+pub(super) struct PodConnection {
+    pub(super) pod: PodId,
+    /// The incarnation of the pod that it was opened to.
+    pub(super) incarnation: Incarnation,
+    pub(super) phase: Phase,
+    pub(super) decoder: MessageDecoder,
     /// Bounds the present phase.
-    pub timer: Option<TimerKey>,
-    /// How long it had been idle before the present attempt, if it was kept.
-    pub idle: Option<Duration>,
+    pub(super) timer: Option<TimerKey>,
+    /// How long it had been idle before the present attempt, if it came from the pool.
+    pub(super) idle_time: Option<Duration>,
 }
 
 /// Where a connection stands, with the attempt that it carries.
-pub enum Phase {
-    /// It comes up. The attempt that it was made for may have ended since.
+pub(super) enum Phase {
+    /// It is opened, or its session starts. The attempt that it was opened for may have ended since.
     Connecting(Option<CarriedAttempt>),
     /// It waits for the next attempt.
     Idle,
-    /// All but the last byte of the attempt is written, behind an empty query that is not answered yet.
-    Checking(CarriedAttempt),
+    /// All but the last byte of the attempt is written, behind an empty query that has no answer yet.
+    Verifying(CarriedAttempt),
     /// The empty query is answered, and the last byte is held back for a moment.
-    HoldingBack(CarriedAttempt),
-    /// The attempt is written whole.
-    Sent(CarriedAttempt, Answer),
-    /// The answer has come, but not yet the word that the next attempt may.
-    Settling,
+    HoldingLastByte(CarriedAttempt),
+    /// All of the attempt is written.
+    AwaitingAnswer(CarriedAttempt, PartialAnswer),
+    /// The answer has come, but not yet ReadyForQuery.
+    AwaitingReady,
 }
 
 /// An attempt on a connection.
 #[derive(Clone, Copy)]
-pub struct CarriedAttempt {
-    pub hit: RequestId,
-    pub no: AttemptIndex,
-    /// Bytes written on this connection when all of the attempt is.
-    pub until: u64,
+pub(super) struct CarriedAttempt {
+    pub(super) request: RequestId,
+    pub(super) index: AttemptIndex,
+    /// How many bytes are written on this connection once all of the attempt is.
+    pub(super) end_offset: u64,
     /// Connections that broke under it before it was written.
-    pub redials: u8,
+    pub(super) broken_connections: u8,
 }
 
 /// What has come of an answer.
 #[derive(Default)]
-pub struct Answer {
-    description: Option<Bytes>,
-    row: Option<Bytes>,
+pub(super) struct PartialAnswer {
+    row_description: Option<Bytes>,
+    data_row: Option<Bytes>,
+}
+
+/// The bodies of a complete answer's messages.
+pub(super) struct Answer {
+    pub(super) row_description: Bytes,
+    pub(super) data_row: Bytes,
+    pub(super) command_complete: Bytes,
 }
 
 /// What a message of a pod means.
-pub enum Step {
-    /// Nothing yet, or nothing for us.
-    On,
+pub(super) enum Progress {
+    /// Nothing yet, or nothing of interest.
+    Pending,
     /// The connection takes the next attempt.
     Ready,
     /// The empty query is answered.
-    CheckAnswered,
-    /// The answer is whole: the bodies of its description, its row and its completion.
-    Whole(CarriedAttempt, [Bytes; 3]),
+    Verified,
+    /// The answer is complete.
+    Answered(CarriedAttempt, Answer),
     /// The pod answered with an error.
     Failed(Option<CarriedAttempt>, AttemptOutcome),
-    /// What can't be an answer.
-    Spoilt,
+    /// The message has no place here.
+    ProtocolViolation,
 }
 
 impl CarriedAttempt {
-    pub fn new(hit: RequestId, no: AttemptIndex, redials: u8) -> Self {
+    pub(super) fn new(request: RequestId, index: AttemptIndex, broken_connections: u8) -> Self {
         Self {
-            hit,
-            no,
-            until: u64::MAX,
-            redials,
+            request,
+            index,
+            end_offset: u64::MAX,
+            broken_connections,
         }
     }
 }
 
 impl Phase {
-    pub fn attempt(&self) -> Option<&CarriedAttempt> {
+    pub(super) fn attempt(&self) -> Option<&CarriedAttempt> {
         match self {
             Self::Connecting(attempt) => attempt.as_ref(),
-            Self::Checking(attempt) | Self::HoldingBack(attempt) | Self::Sent(attempt, _) => {
-                Some(attempt)
-            }
-            Self::Idle | Self::Settling => None,
+            Self::Verifying(attempt)
+            | Self::HoldingLastByte(attempt)
+            | Self::AwaitingAnswer(attempt, _) => Some(attempt),
+            Self::Idle | Self::AwaitingReady => None,
         }
     }
 
-    pub fn is_connecting(&self) -> bool {
+    pub(super) fn is_connecting(&self) -> bool {
         matches!(self, Self::Connecting(_))
     }
 
     /// Whether the pod can't have begun what the connection carries: its last byte is not written.
-    pub fn is_unwritten(&self) -> bool {
+    pub(super) fn is_unwritten(&self) -> bool {
         matches!(
             self,
-            Self::Connecting(_) | Self::Checking(_) | Self::HoldingBack(_)
+            Self::Connecting(_) | Self::Verifying(_) | Self::HoldingLastByte(_)
         )
     }
 
     /// Whether bytes that come belong to an answer, or to nothing.
-    pub fn is_up(&self) -> bool {
-        !matches!(self, Self::Connecting(_) | Self::Settling)
+    pub(super) fn expects_answer_only(&self) -> bool {
+        !matches!(self, Self::Connecting(_) | Self::AwaitingReady)
     }
 
     /// Whether a part of an answer has come.
-    pub fn has_answer(&self) -> bool {
-        matches!(self, Self::Sent(_, answer) if answer.description.is_some())
+    pub(super) fn has_partial_answer(&self) -> bool {
+        matches!(self, Self::AwaitingAnswer(_, answer) if answer.row_description.is_some())
     }
 }
 
 impl PodConnection {
-    pub fn connecting(pod: PodId, life: Life, timer: TimerKey) -> Self {
-        let (phase, frames) = (Phase::Connecting(None), MessageDecoder::default());
+    pub(super) fn connecting(pod: PodId, incarnation: Incarnation, timer: TimerKey) -> Self {
         Self {
             pod,
-            life,
-            phase,
-            frames,
+            incarnation,
+            phase: Phase::Connecting(None),
+            decoder: MessageDecoder::default(),
             timer: Some(timer),
-            idle: None,
+            idle_time: None,
         }
     }
 
-    /// Takes the attempt off a connection that still comes up.
-    pub fn take_waiting(&mut self) -> Option<CarriedAttempt> {
+    /// Takes the attempt off a connection that is not up yet.
+    pub(super) fn take_waiting_attempt(&mut self) -> Option<CarriedAttempt> {
         match &mut self.phase {
             Phase::Connecting(attempt) => attempt.take(),
             _ => None,
         }
     }
 
-    /// What a message means, which may end the attempt.
-    pub fn step(&mut self, frame: Message) -> Step {
-        let Message { kind, body } = frame;
+    /// Takes a message, which may end the attempt.
+    pub(super) fn handle_message(&mut self, message: Message) -> Progress {
+        let Message { kind, body } = message;
         match (&mut self.phase, kind) {
-            // Notices and parameters may come at any time.
-            (_, b'N' | b'S') => Step::On,
-            (Phase::Connecting(_), b'R') if decode::is_authentication_ok(&body) => Step::On,
-            (Phase::Connecting(_), b'K') => Step::On,
-            (Phase::Connecting(_) | Phase::Settling, b'Z') => Step::Ready,
-            (Phase::Connecting(attempt), b'E') => {
-                Step::Failed(attempt.take(), connecting_fate(&body))
+            // These may come at any time.
+            (_, backend::NOTICE_RESPONSE | backend::PARAMETER_STATUS) => Progress::Pending,
+            (Phase::Connecting(_), backend::AUTHENTICATION)
+                if decode::is_authentication_ok(&body) =>
+            {
+                Progress::Pending
+            }
+            (Phase::Connecting(_), backend::BACKEND_KEY_DATA) => Progress::Pending,
+            (Phase::Connecting(_) | Phase::AwaitingReady, backend::READY_FOR_QUERY) => {
+                Progress::Ready
+            }
+            (Phase::Connecting(attempt), backend::ERROR_RESPONSE) => {
+                Progress::Failed(attempt.take(), outcome_of_refused_session(&body))
+            }
+            (Phase::Verifying(_) | Phase::HoldingLastByte(_), backend::EMPTY_QUERY_RESPONSE)
+                if body.is_empty() =>
+            {
+                Progress::Pending
+            }
+            (Phase::Verifying(_) | Phase::HoldingLastByte(_), backend::READY_FOR_QUERY) => {
+                Progress::Verified
             }
-            (Phase::Checking(_) | Phase::HoldingBack(_), b'I') if body.is_empty() => Step::On,
-            (Phase::Checking(_) | Phase::HoldingBack(_), b'Z') => Step::CheckAnswered,
-            (Phase::Sent(..), _) => self.answer(kind, body),
-            _ => Step::Spoilt,
+            (Phase::AwaitingAnswer(..), _) => self.handle_answer_message(kind, body),
+            _ => Progress::ProtocolViolation,
         }
     }
 
-    fn answer(&mut self, kind: u8, body: Bytes) -> Step {
-        let Phase::Sent(attempt, answer) = &mut self.phase else {
-            return Step::Spoilt;
+    fn handle_answer_message(&mut self, kind: u8, body: Bytes) -> Progress {
+        let Phase::AwaitingAnswer(attempt, answer) = &mut self.phase else {
+            return Progress::ProtocolViolation;
         };
-        match (kind, &answer.description, &answer.row) {
-            (b'T', None, None) if decode::single_column_name(&body).is_some() => {
-                answer.description = Some(body)
+        match (kind, &answer.row_description, &answer.data_row) {
+            (backend::ROW_DESCRIPTION, None, None)
+                if decode::single_column_name(&body).is_some() =>
+            {
+                answer.row_description = Some(body);
+                Progress::Pending
             }
-            (b'D', Some(_), None) if decode::single_value(&body).is_some() => {
-                answer.row = Some(body)
+            (backend::DATA_ROW, Some(_), None) if decode::single_value(&body).is_some() => {
+                answer.data_row = Some(body);
+                Progress::Pending
             }
-            (b'C', Some(description), Some(row)) if decode::string(&body).is_some() => {
-                let step = Step::Whole(*attempt, [description.clone(), row.clone(), body]);
-                self.phase = Phase::Settling;
-                return step;
+            (backend::COMMAND_COMPLETE, Some(row_description), Some(data_row))
+                if decode::string(&body).is_some() =>
+            {
+                let answer = Answer {
+                    row_description: row_description.clone(),
+                    data_row: data_row.clone(),
+                    command_complete: body,
+                };
+                let progress = Progress::Answered(*attempt, answer);
+                self.phase = Phase::AwaitingReady;
+                progress
             }
-            (b'E', description, _) => {
-                let begun = description.is_some();
-                return self.failed(begun, &body);
+            (backend::ERROR_RESPONSE, row_description, _) => {
+                let has_begun = row_description.is_some();
+                self.handle_answer_error(has_begun, &body)
             }
-            _ => return Step::Spoilt,
+            _ => Progress::ProtocolViolation,
         }
-        Step::On
     }
 
-    fn failed(&mut self, begun: bool, body: &Bytes) -> Step {
-        let fate = match decode::sqlstate(body) {
-            Some(TURNED_AWAY) if !begun => AttemptOutcome::Rejected,
+    fn handle_answer_error(&mut self, has_begun: bool, body: &Bytes) -> Progress {
+        let outcome = match decode::sqlstate(body) {
+            Some(REJECTED_SQLSTATE) if !has_begun => AttemptOutcome::Rejected,
             Some(_) => AttemptOutcome::Failed,
-            None => return Step::Spoilt,
+            None => return Progress::ProtocolViolation,
         };
-        let attempt = mem::replace(&mut self.phase, Phase::Settling)
-            .attempt()
-            .copied();
-        Step::Failed(attempt, fate)
+        let phase = mem::replace(&mut self.phase, Phase::AwaitingReady);
+        Progress::Failed(phase.attempt().copied(), outcome)
     }
 }
 
 /// A pod that takes no more connections has not begun anything.
-fn connecting_fate(body: &Bytes) -> AttemptOutcome {
+fn outcome_of_refused_session(body: &Bytes) -> AttemptOutcome {
     match decode::sqlstate(body) {
-        Some(TURNED_AWAY) => AttemptOutcome::Rejected,
+        Some(REJECTED_SQLSTATE) => AttemptOutcome::Rejected,
         _ => AttemptOutcome::ConnectFailed,
     }
 }
--- /dev/null
+++ b/crates/postgres-proxy/src/service/requests.rs
@@ -0,0 +1,151 @@
+//! Requests: each is taken from a client's statement, and gets one final answer.
+
+use super::clients::FatalError;
+use super::Service;
+use crate::statement::Statement;
+use crate::timeouts::response_margin;
+use bytes::BytesMut;
+use limewing_decision::interface::{Event, Request, RequestId};
+use limewing_net::sockets::SocketId;
+use limewing_postgres_protocol::encode::{self, ErrorResponse, Severity};
+use std::time::Duration;
+
+/// `too_many_connections`: the request has had no effect.
+const REJECTED_SQLSTATE: &str = "53300";
+/// `query_canceled`: the request's deadline has passed.
+const TIMED_OUT_SQLSTATE: &str = "57014";
+/// `system_error`: the request failed.
+const FAILED_SQLSTATE: &str = "58000";
+
+impl Service {
+    /// Takes a request from a client's statement.
+    pub(super) fn handle_request(&mut self, client: SocketId, text: &str) {
+        let statement = match self.clients.parser.parse(text) {
+            Ok(statement) => statement,
+            Err(error) => {
+                let error = FatalError::bad_statement(error.to_string());
+                return self.fail_session(client, error);
+            }
+        };
+        if self.clients.request_ids.contains(&statement.id) {
+            let error = FatalError::bad_statement("the id is that of another hit that is open");
+            return self.fail_session(client, error);
+        }
+        if self.has_too_many_statements(client) {
+            return self.fail_session(client, FatalError::too_many_statements());
+        }
+        self.end_wait_for_message(client);
+        let deadline = self.now + statement.timeout - response_margin(statement.timeout);
+        let class = statement.class;
+        let tenant = statement.tenant;
+        let routing_key = statement.routing_key;
+        self.clients.request_ids.insert(statement.id.clone());
+        let id = self.requests.insert(client, deadline, statement);
+        self.events.push(Event::RequestArrived(Request {
+            id,
+            class,
+            tenant,
+            routing_key,
+            deadline,
+        }));
+        if let Some(client) = self.client(client) {
+            client.request = Some(id);
+        }
+    }
+
+    /// Answers that a request had no effect, and when it may be retried.
+    pub(super) fn reject_request(&mut self, id: RequestId, retry_after: Duration) {
+        let mut digits = itoa::Buffer::new();
+        // Zero is no advice.
+        let retry_after_ms = if retry_after.is_zero() {
+            None
+        } else {
+            Some(digits.format(retry_after.as_millis() as u64))
+        };
+        let mut out = BytesMut::new();
+        let error = ErrorResponse {
+            severity: Severity::Error,
+            sqlstate: REJECTED_SQLSTATE,
+            message: "not served now: a retry is harmless",
+            detail: retry_after_ms,
+        };
+        encode::error_response(&mut out, &error);
+        self.complete_request(id, out);
+    }
+
+    /// Answers that a request failed, and may have had an effect.
+    pub(super) fn fail_request(&mut self, id: RequestId) {
+        let has_timed_out = self
+            .requests
+            .get(id)
+            .is_some_and(|request| self.now >= request.deadline);
+        let sqlstate = if has_timed_out {
+            TIMED_OUT_SQLSTATE
+        } else {
+            FAILED_SQLSTATE
+        };
+        let mut out = BytesMut::new();
+        let error = ErrorResponse {
+            severity: Severity::Error,
+            sqlstate,
+            message: "failed: it may have run",
+            detail: None,
+        };
+        encode::error_response(&mut out, &error);
+        self.complete_request(id, out);
+    }
+
+    /// Sends the final answer of a request, and ReadyForQuery behind it.
+    pub(super) fn complete_request(&mut self, id: RequestId, mut answer: BytesMut) {
+        let Some(request) = self.requests.pending_mut(id) else {
+            return;
+        };
+        request.completed = true;
+        let client_socket = request.client.take();
+        self.end_unwritten_attempts_of(id);
+        self.remove_completed_request(id);
+        let Some(socket) = client_socket else { return };
+        encode::ready_for_query(&mut answer);
+        self.sockets.send(socket, &answer);
+        let now = self.now;
+        let is_shutting_down = self.shutdown.has_begun();
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        client.request = None;
+        client.idle_since = now;
+        client.was_served = true;
+        // The client of a sidecar that shuts down is to find another one. What it sent behind is still served.
+        let is_closed = is_shutting_down && self.close_if_idle(socket);
+        if !is_closed {
+            self.read_from_client(socket);
+        }
+    }
+
+    /// The client of a request is gone, or no longer waits for it.
+    pub(super) fn abandon_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.client = None;
+        if request.completed {
+            return;
+        }
+        request.completed = true;
+        self.events.push(Event::ClientDisconnected(id));
+        self.end_unwritten_attempts_of(id);
+        self.remove_completed_request(id);
+    }
+
+    fn remove_completed_request(&mut self, id: RequestId) {
+        let statement = self.requests.remove_if_complete(id);
+        self.release_request_id(statement);
+    }
+
+    /// The client's id of a request that was removed may be used again.
+    pub(super) fn release_request_id(&mut self, removed: Option<Statement>) {
+        if let Some(statement) = removed {
+            self.clients.request_ids.remove(&statement.id);
+        }
+    }
+}
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -1,209 +1,247 @@
-//! News of the newest build, reports of wrong answers, and votes. The service may be lost for long: the sidecar
-//! goes on with what it knows and asks again.
+//! The rollout service's stream: stage updates and reports of wrong answers. It may be lost for long: the sidecar goes on
+//! with what it knows, and asks again after a backoff.
 
-use super::{Due, Peer, Service};
-use crate::lines::Lines;
-use crate::news::{self, State, Told};
+use super::http_request::encode_request;
+use super::{ConnectionRole, Service, TimerEvent};
+use crate::line_codec::{LineReader, StreamError};
+use crate::rollout_messages::{parse_message, MessageError, RolloutMessage};
+use crate::stage_updates::{age_from_ms, LatestState, RolloutState};
+use crate::timeouts::STAGE_STREAM_SILENCE_TIMEOUT;
+use crate::wrong_answers::{WrongAnswer, WrongAnswerLog};
 use bytes::Bytes;
-use limewing_decision::interface::{BuildId, ClassId, Event, StageIndex, Verdict, VoteAnswer};
-use limewing_net::http_call::{CallProgress, HttpCall};
+use limewing_decision::interface::{ClassId, Event, VoteAnswer};
 use limewing_net::sockets::SocketId;
 use limewing_net::timer_wheel::TimerKey;
-use std::time::Duration;
+use limewing_proxy_core::backoff::Backoff;
+use thiserror::Error;
 
-const LONGEST_LINE: usize = 16 * 1024;
-const MOST_ANSWER: usize = 16 * 1024;
-/// A sign of life comes every second: a stream that says less is lost.
-const QUIET_AT_MOST: Duration = Duration::from_millis(2500);
+/// Bound of one line of the stream, in bytes.
+const MAX_LINE: usize = 16 * 1024;
 
-pub struct NewsLink {
-    lines: Lines,
-    quiet: TimerKey,
+/// What is known of the newest build's rollout, and the stream that keeps it up to date.
+pub(super) struct RolloutTracker {
+    stream: Option<SocketId>,
+    /// The stream of the service's former address, until it ends.
+    previous_stream: Option<SocketId>,
+    latest: LatestState,
+    wrong_answers: WrongAnswerLog<SocketId>,
+    backoff: Backoff,
+    /// The names of the classes, in the order of their numbers.
+    classes: Vec<String>,
+}
+
+impl RolloutTracker {
+    /// A tracker that knows nothing; the backoff's jitter is drawn from `seed`.
+    pub(super) fn new(classes: Vec<String>, seed: u64) -> Self {
+        Self {
+            stream: None,
+            previous_stream: None,
+            latest: LatestState::default(),
+            wrong_answers: WrongAnswerLog::default(),
+            backoff: Backoff::new(seed),
+            classes,
+        }
+    }
+}
+
+/// The connection of a stream.
+pub(super) struct StageStream {
+    reader: LineReader,
+    /// Ends the wait for the next line.
+    timer: TimerKey,
+}
+
+/// Why a stream is over.
+#[derive(Debug, Error)]
+pub(super) enum StageStreamError {
+    /// No connection could be opened.
+    #[error("no connection")]
+    Unreachable,
+    /// The connection broke.
+    #[error("the connection was lost")]
+    ConnectionLost,
+    /// The next line did not come in time.
+    #[error("the stream says nothing")]
+    Silent,
+    /// The response came to its end.
+    #[error("the stream ended")]
+    Ended,
+    /// The response can't be read.
+    #[error(transparent)]
+    Stream(#[from] StreamError),
+    /// A line can't be parsed.
+    #[error(transparent)]
+    Message(#[from] MessageError),
 }
 
 impl Service {
-    /// How the newest build stands, told by the stream, or by the answer to a vote.
-    pub(super) fn stands(&mut self, state: State, answer: Option<VoteAnswer>) {
-        let (news, closes) = self.latest.take(state).unzip();
-        match news {
-            Some(news) => tracing::info!(?news, "news"),
-            None => tracing::warn!(?state, "old news left out"),
+    /// Takes the state of the newest build's rollout, told by the stream or by the reply to a vote.
+    pub(super) fn apply_rollout_state(
+        &mut self,
+        state: RolloutState,
+        vote_answer: Option<VoteAnswer>,
+    ) {
+        let accepted = self.rollouts.latest.accept(state);
+        match &accepted {
+            Some(accepted) => tracing::info!(update = ?accepted.update, "stage update"),
+            None => tracing::warn!(?state, "outdated stage update dropped"),
         }
-        // What was resource_limits by the news before and has not gone out is called off; the module grants it anew.
-        if let Some(closed) = closes.flatten() {
-            self.call_off(|list, pod| list.life(pod).is_some_and(|life| life.build >= closed));
+        // What was permitted by the state before and was not sent is ended; the decision engine starts it anew.
+        if let Some(closed) = accepted.and_then(|accepted| accepted.closed_build) {
+            self.end_unwritten_attempts(|endpoints, pod| {
+                endpoints
+                    .incarnation(pod)
+                    .is_some_and(|incarnation| incarnation.build >= closed)
+            });
         }
-        if news.is_some() || answer.is_some() {
+        if accepted.is_some() || vote_answer.is_some() {
             self.events.push(Event::Stage {
-                update: news,
-                vote_answer: answer,
+                update: accepted.map(|accepted| accepted.update),
+                vote_answer,
             });
         }
     }
 
-    pub(super) fn ask_news(&mut self) {
-        let Some(at) = self.places.rollouts.filter(|_| self.news.is_none()) else {
+    /// Opens a stream, if there is a rollout service and no stream.
+    pub(super) fn open_stage_stream(&mut self) {
+        let Some(address) = self.services.rollouts else {
             return;
         };
-        let Ok(link) = self.sockets.connect(at) else {
-            return self.news_again("no connection");
+        if self.rollouts.stream.is_some() {
+            return;
+        }
+        let Ok(socket) = self.sockets.connect(address) else {
+            return self.retry_stage_stream(&StageStreamError::Unreachable);
+        };
+        let deadline = self.now + STAGE_STREAM_SILENCE_TIMEOUT;
+        let timer = self
+            .timers
+            .schedule(deadline, TimerEvent::StageStreamTimeout(socket));
+        let stream = StageStream {
+            reader: LineReader::new(MAX_LINE),
+            timer,
         };
-        let quiet = self
-            .wheel
-            .schedule(self.now + QUIET_AT_MOST, Due::NewsQuiet(link));
-        let lines = Lines::new(LONGEST_LINE);
-        self.peers
-            .insert(link, Peer::News(Box::new(NewsLink { lines, quiet })));
-        self.news = Some(link);
+        self.connections
+            .insert(socket, ConnectionRole::StageStream(Box::new(stream)));
+        self.rollouts.stream = Some(socket);
     }
 
-    pub(super) fn news_connected(&mut self, link: SocketId) {
-        let host = self
-            .places
-            .rollouts
-            .map(|at| at.to_string())
+    pub(super) fn send_stage_stream_request(&mut self, socket: SocketId) {
+        let address = self.services.rollouts;
+        let host = address
+            .map(|address| address.to_string())
             .unwrap_or_default();
-        let request = self.request("GET", "/v1/events", host, b"");
-        self.sockets.send(link, &request);
+        let request = encode_request("GET", "/v1/events", &host, b"");
+        self.sockets.send(socket, &request);
     }
 
-    pub(super) fn news_wrote(&mut self, link: SocketId) {
-        let ended = self.sockets.has_ended(link);
-        let Some(Peer::News(of)) = self.peers.get_mut(&link) else {
+    pub(super) fn read_stage_stream(&mut self, socket: SocketId) {
+        let has_ended = self.sockets.has_ended(socket);
+        let Some(ConnectionRole::StageStream(stream)) = self.connections.get_mut(&socket) else {
             return;
         };
-        let Some(input) = self.sockets.input(link) else {
+        let Some(input) = self.sockets.input(socket) else {
             return;
         };
-        let came = of.lines.take(input);
-        let over = ended || of.lines.ended();
-        // A trickle within one line is no sign of life.
-        if came.alive {
-            let fresh = self
-                .wheel
-                .schedule(self.now + QUIET_AT_MOST, Due::NewsQuiet(link));
-            self.wheel.cancel(std::mem::replace(&mut of.quiet, fresh));
+        let received = stream.reader.read(input);
+        let is_over = has_ended || stream.reader.has_ended();
+        // Bytes within one line are no sign of life.
+        if received.is_alive {
+            let deadline = self.now + STAGE_STREAM_SILENCE_TIMEOUT;
+            let timer = self
+                .timers
+                .schedule(deadline, TimerEvent::StageStreamTimeout(socket));
+            self.timers
+                .cancel(std::mem::replace(&mut stream.timer, timer));
         }
-        let told = came
-            .objects
-            .iter()
-            .try_for_each(|line| self.news_line(link, line));
-        match told.and(came.broken.map_or(Ok(()), |broken| Err(broken.to_string()))) {
-            Err(why) => self.news_lost(link, &why),
-            Ok(()) if over => self.news_lost(link, "the stream ended"),
-            Ok(()) => self.sockets.resume_reading(link),
+        let result = self
+            .apply_rollout_messages(socket, &received.items)
+            .and(received.error.map_or(Ok(()), |error| Err(error.into())));
+        match result {
+            Err(error) => self.handle_stage_stream_end(socket, &error),
+            Ok(()) if is_over => self.handle_stage_stream_end(socket, &StageStreamError::Ended),
+            Ok(()) => self.sockets.resume_reading(socket),
         }
     }
 
-    fn news_line(&mut self, link: SocketId, line: &Bytes) -> Result<(), String> {
-        match news::read_line(line)? {
-            Told::News(state) => {
-                self.lost_news.reset();
-                self.stands(state, None);
-            }
-            Told::Report(report) => {
-                let age = Duration::from_millis(report.age_ms.clamp(0.0, 1e9) as u64);
-                let sent = self.now.saturating_sub(age);
-                if !self.reports.is_new(link, &report, sent, self.now) {
-                    return Ok(());
-                }
-                let pod = self.list.number(&report.instance_id, sent);
-                let group = self.groups.iter().position(|name| *name == report.lane);
-                if let (Some(pod), Some(group)) = (pod, group) {
-                    self.events.push(Event::Flagged {
-                        pod,
-                        class: ClassId(group as u16),
-                    });
+    fn apply_rollout_messages(
+        &mut self,
+        socket: SocketId,
+        lines: &[Bytes],
+    ) -> Result<(), StageStreamError> {
+        for line in lines {
+            match parse_message(line)? {
+                RolloutMessage::Stage(state) => {
+                    self.rollouts.backoff.reset();
+                    self.apply_rollout_state(state, None);
                 }
+                RolloutMessage::WrongAnswer(report) => self.apply_wrong_answer(socket, &report),
+                RolloutMessage::Ignored => {}
             }
-            Told::Nothing => {}
         }
         Ok(())
     }
 
-    pub(super) fn close_news(&mut self, link: SocketId) {
-        if let Some(Peer::News(of)) = self.peers.remove(&link) {
-            self.wheel.cancel(of.quiet);
+    fn apply_wrong_answer(&mut self, stream: SocketId, report: &WrongAnswer) {
+        let sent_at = self.now.saturating_sub(age_from_ms(report.age_ms));
+        let is_new = self
+            .rollouts
+            .wrong_answers
+            .record(stream, report, sent_at, self.now);
+        if !is_new {
+            return;
         }
-        self.sockets.close(link);
-    }
-
-    pub(super) fn news_lost(&mut self, link: SocketId, why: &str) {
-        self.close_news(link);
-        if self.old_news == Some(link) {
-            tracing::info!(why, "the old stream of news is over");
-            self.old_news = None;
-        } else if self.news == Some(link) {
-            self.news = None;
-            self.news_again(why);
+        let pod = self
+            .discovery
+            .endpoints
+            .pod_listed_at(&report.host, sent_at);
+        let class = self
+            .rollouts
+            .classes
+            .iter()
+            .position(|name| *name == report.class);
+        if let (Some(pod), Some(class)) = (pod, class) {
+            self.events.push(Event::Flagged {
+                pod,
+                class: ClassId(class as u16),
+            });
         }
     }
 
-    fn news_again(&mut self, why: &str) {
-        tracing::warn!(why, "no news; asked for again");
-        let wait = self.lost_news.next_delay();
-        self.wheel.schedule(self.now + wait, Due::AskNews);
-    }
-
-    pub(super) fn vote(&mut self, verdict: Verdict, build: BuildId, stage: StageIndex) {
-        tracing::info!(?verdict, build = build.0, stage = stage.0, "votes");
-        let Some(at) = self.places.rollouts else {
-            return self.events.push(Event::Stage {
-                update: None,
-                vote_answer: Some(VoteAnswer::Failed),
-            });
-        };
-        let Ok(link) = self.sockets.connect(at) else {
-            return self.events.push(Event::Stage {
-                update: None,
-                vote_answer: Some(VoteAnswer::Failed),
-            });
-        };
-        let body = news::vote(verdict, build, stage);
-        let request = self.request("POST", "/v1/votes", at.to_string(), &body);
-        let timer = self.wheel.schedule(
-            self.now + self.terms.vote_answer_within,
-            Due::VoteLate(link),
-        );
-        self.peers.insert(
-            link,
-            Peer::Vote(Box::new(HttpCall::new(request, MOST_ANSWER, timer))),
-        );
+    /// Follows the rollout service to a new address: that one is asked first, and the former stream read to its end. What
+    /// it tells meanwhile counts as known, and is not told again.
+    pub(super) fn move_stage_stream(&mut self) {
+        let former = self.rollouts.stream.take();
+        let abandoned = std::mem::replace(&mut self.rollouts.previous_stream, former);
+        if let Some(socket) = abandoned {
+            self.close_stage_stream(socket);
+        }
+        self.rollouts.backoff.reset();
+        self.open_stage_stream();
     }
 
-    pub(super) fn vote_connected(&mut self, link: SocketId) {
-        if let Some(Peer::Vote(call)) = self.peers.get_mut(&link) {
-            call.connected(link, &mut self.sockets);
+    fn close_stage_stream(&mut self, socket: SocketId) {
+        if let Some(ConnectionRole::StageStream(stream)) = self.connections.remove(&socket) {
+            self.timers.cancel(stream.timer);
         }
+        self.sockets.close(socket);
     }
 
-    pub(super) fn vote_wrote(&mut self, link: SocketId) {
-        let Some(Peer::Vote(call)) = self.peers.get_mut(&link) else {
-            return;
-        };
-        match call.hear(link, &mut self.sockets) {
-            CallProgress::Pending => {}
-            CallProgress::Complete(head, body) => {
-                let (answer, told) = news::vote_answer(head.status, &body);
-                self.vote_over(link, answer, told);
-            }
-            CallProgress::Failed => self.vote_over(link, VoteAnswer::Unanswered, None),
+    pub(super) fn handle_stage_stream_end(&mut self, socket: SocketId, error: &StageStreamError) {
+        self.close_stage_stream(socket);
+        if self.rollouts.previous_stream == Some(socket) {
+            tracing::info!(%error, "stage stream of the former address ended");
+            self.rollouts.previous_stream = None;
+        } else if self.rollouts.stream == Some(socket) {
+            self.rollouts.stream = None;
+            self.retry_stage_stream(error);
         }
     }
 
-    pub(super) fn vote_over(&mut self, link: SocketId, answer: VoteAnswer, state: Option<State>) {
-        let Some(Peer::Vote(of)) = self.peers.remove(&link) else {
-            return;
-        };
-        self.wheel.cancel(of.timer);
-        self.sockets.close(link);
-        tracing::info!(?answer, "a vote was answered");
-        match state {
-            Some(state) => self.stands(state, Some(answer)),
-            None => self.events.push(Event::Stage {
-                update: None,
-                vote_answer: Some(answer),
-            }),
-        }
+    fn retry_stage_stream(&mut self, error: &StageStreamError) {
+        tracing::warn!(%error, "stage stream lost, retrying");
+        let delay = self.rollouts.backoff.next_delay();
+        self.timers
+            .schedule(self.now + delay, TimerEvent::OpenStageStream);
     }
 }
--- a/crates/postgres-proxy/tests/caps.rs
+++ b/crates/postgres-proxy/tests/caps.rs
@@ -6,10 +6,11 @@
 };
 use limewing_decision::DecisionEngine;
 use limewing_emulators::platform::{listing, Config, Listed};
-use limewing_postgres_proxy::config::{self, Told};
-use limewing_postgres_proxy::lines::Objects;
-use limewing_postgres_proxy::listing::{List, Listing};
-use limewing_postgres_proxy::news::{Report, Reports};
+use limewing_postgres_proxy::config::{self, ProxyConfig};
+use limewing_postgres_proxy::endpoint_list::EndpointList;
+use limewing_postgres_proxy::endpoint_listing::EndpointListing;
+use limewing_postgres_proxy::line_codec::ObjectReader;
+use limewing_postgres_proxy::wrong_answers::{WrongAnswer, WrongAnswerLog};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -34,12 +35,12 @@
     (0..PODS).map(|n| Listed::new(&name(n), at(n))).collect()
 }
 
-fn read(text: &str) -> Listing {
+fn read(text: &str) -> EndpointListing {
     serde_json::from_str(text).unwrap()
 }
 
-fn recalled(list: &mut List, known: Listing) -> Vec<Endpoint> {
-    match list.recall(known, NOW, SystemTime::now()) {
+fn recalled(list: &mut EndpointList, known: EndpointListing) -> Vec<Endpoint> {
+    match list.load_cached(known, NOW, SystemTime::now()) {
         EndpointUpdate::Cached(rows) => rows,
         other => panic!("a list that is remembered, not {other:?}"),
     }
@@ -63,15 +64,15 @@
         r#"{{"seq":7,"whole":true,"hosts":[{}]}}"#,
         entries.join(",")
     ));
-    let rows = recalled(&mut List::new(&["a".into()], &kinds), known);
+    let rows = recalled(&mut EndpointList::new(&["a".into()], &kinds), known);
     let told: BTreeSet<_> = rows.iter().map(|row| row.machine_type).collect();
     assert_eq!(told.len(), PODS);
 }
 
-fn report(pod: usize) -> Report {
-    Report {
-        instance_id: name(pod),
-        lane: "look".into(),
+fn report(pod: usize) -> WrongAnswer {
+    WrongAnswer {
+        host: name(pod),
+        class: "look".into(),
         age_ms: 0.0,
     }
 }
@@ -79,10 +80,10 @@
 /// Each pod gives a wrong answer in the same moment, and two streams tell of all: each counts once.
 #[test]
 fn reports_of_all_pods_told_by_two_streams_count_once() {
-    let (mut reports, told) = (Reports::default(), NOW + Duration::from_millis(100));
+    let (mut reports, told) = (WrongAnswerLog::default(), NOW + Duration::from_millis(100));
     let mut new = |by| {
         (0..PODS)
-            .filter(|pod| reports.is_new(by, &report(*pod), NOW, told))
+            .filter(|pod| reports.record(by, &report(*pod), NOW, told))
             .count()
     };
     assert_eq!((new("old"), new("new")), (PODS, 0));
@@ -91,23 +92,23 @@
 /// A stream that tells without end is not remembered without end.
 #[test]
 fn a_flood_of_reports_is_forgotten() {
-    let mut reports = Reports::default();
-    assert!((0..10 * PODS).all(|pod| reports.is_new("old", &report(pod), NOW, NOW)));
-    assert!(reports.is_new("new", &report(0), NOW, NOW));
-    assert!(!reports.is_new("new", &report(10 * PODS - 1), NOW, NOW));
+    let mut reports = WrongAnswerLog::default();
+    assert!((0..10 * PODS).all(|pod| reports.record("old", &report(pod), NOW, NOW)));
+    assert!(reports.record("new", &report(0), NOW, NOW));
+    assert!(!reports.record("new", &report(10 * PODS - 1), NOW, NOW));
 }
 
 /// The settings of 350 sidecars, of which this is one, and the list of the pods as it was held before the start.
-fn told(own_number: u32) -> Told {
+fn told(own_number: u32) -> ProxyConfig {
     let config = Config {
         sidecars: (SIDECARS, own_number),
         ..Config::new(pods())
     };
-    config::understand(config.json().as_bytes()).unwrap()
+    config::parse(config.json().as_bytes()).unwrap()
 }
 
-fn hosts(told: &Listing) -> BTreeSet<&str> {
-    told.hosts
+fn hosts(told: &EndpointListing) -> BTreeSet<&str> {
+    told.entries
         .iter()
         .map(|entry| entry.as_ref().unwrap().host.as_str())
         .collect()
@@ -119,12 +120,12 @@
 fn a_configuration_names_the_whole_fleet(#[case] own_number: u32) {
     let told = told(own_number);
     assert_eq!(
-        (told.terms.sidecar_count, told.terms.sidecar_index),
+        (told.engine.sidecar_count, told.engine.sidecar_index),
         (SIDECARS, own_number)
     );
-    let known = told.known.unwrap();
+    let known = told.cached_endpoints.unwrap();
     assert_eq!(hosts(&known).len(), PODS);
-    let mut list = List::new(&told.sockets.zones, &told.sockets.kinds);
+    let mut list = EndpointList::new(&told.sockets.zones, &told.sockets.kinds);
     let rows = recalled(&mut list, known);
     let numbers: BTreeSet<PodId> = rows.iter().map(|row| row.pod).collect();
     assert_eq!((list.len(), numbers.len()), (PODS, PODS));
@@ -148,20 +149,21 @@
         .chain(chunks)
         .collect::<Vec<_>>()
         .concat();
-    let (mut objects, mut input, mut came) = (Objects::new(LONGEST), BytesMut::new(), Vec::new());
+    let (mut objects, mut input, mut came) =
+        (ObjectReader::new(LONGEST), BytesMut::new(), Vec::new());
     for piece in bytes.chunks(part) {
         input.extend_from_slice(piece);
-        let read = objects.take(&mut input);
-        assert_eq!(read.broken, None);
-        came.extend(read.objects);
+        let read = objects.read(&mut input);
+        assert_eq!(read.error, None);
+        came.extend(read.items);
     }
     assert_eq!(came.len(), 1);
-    let told: Listing = serde_json::from_slice(&came[0]).unwrap();
+    let told: EndpointListing = serde_json::from_slice(&came[0]).unwrap();
     assert_eq!(hosts(&told).len(), PODS);
-    let change = List::new(&["a".into()], &["m".into()])
-        .take(told, NOW, SystemTime::now())
+    let change = EndpointList::new(&["a".into()], &["m".into()])
+        .apply(told, NOW, SystemTime::now())
         .unwrap();
-    assert_eq!((rows(change.news).len(), change.unusable.len()), (PODS, 0));
+    assert_eq!((rows(change.update).len(), change.errors.len()), (PODS, 0));
 }
 
 fn rows(news: EndpointUpdate) -> Vec<Endpoint> {
@@ -173,7 +175,7 @@
 
 /// A sidecar's list, and its module, as they are after a start.
 struct Started {
-    list: List,
+    list: EndpointList,
     module: DecisionEngine,
     hits: u64,
 }
@@ -181,9 +183,9 @@
 impl Started {
     fn new(own_number: u32) -> Self {
         let told = told(own_number);
-        let mut list = List::new(&told.sockets.zones, &told.sockets.kinds);
-        let mut module = DecisionEngine::new(NOW, told.terms);
-        let known = list.recall(told.known.unwrap(), NOW, SystemTime::now());
+        let mut list = EndpointList::new(&told.sockets.zones, &told.sockets.kinds);
+        let mut module = DecisionEngine::new(NOW, told.engine);
+        let known = list.load_cached(told.cached_endpoints.unwrap(), NOW, SystemTime::now());
         module.handle(NOW, vec![Event::Endpoints(known)]);
         Self {
             list,
@@ -196,9 +198,9 @@
     fn take(&mut self, seq: u64, pods: &[Listed], now: Duration) -> (usize, usize) {
         let change = self
             .list
-            .take(read(&listing(seq, true, pods)), now, SystemTime::now())
+            .apply(read(&listing(seq, true, pods)), now, SystemTime::now())
             .unwrap();
-        let told = rows(change.news);
+        let told = rows(change.update);
         let many = told.len();
         (
             many,
@@ -287,7 +289,7 @@
     let (mut sidecar, next, later) = (Started::new(17), changed(what), NOW + AFTER);
     let (many, actions) = sidecar.take(8, &next, NOW + Duration::from_millis(1));
     assert_eq!((many, actions), (told, 0));
-    assert_eq!((sidecar.list.seq, sidecar.list.len()), (8, PODS));
+    assert_eq!((sidecar.list.version(), sidecar.list.len()), (8, PODS));
     assert_eq!(
         sidecar.take(9, &next, NOW + Duration::from_millis(2)),
         (0, 0)
@@ -295,7 +297,7 @@
     let went: BTreeSet<PodId> = sidecar.asks(2 * PODS, later).into_iter().collect();
     let listed = next
         .iter()
-        .filter_map(|pod| sidecar.list.number(&pod.host, later));
+        .filter_map(|pod| sidecar.list.pod_listed_at(&pod.host, later));
     let wanted = if what == "drains" {
         BTreeSet::new()
     } else {
--- a/crates/postgres-proxy/tests/golden.rs
+++ b/crates/postgres-proxy/tests/golden.rs
@@ -8,11 +8,15 @@
 };
 use limewing_emulators::platform::{listing, state, Config, Discovery, Listed, Rollouts, Vote};
 use limewing_postgres_proxy::config;
-use limewing_postgres_proxy::lines::{Lines, Objects};
-use limewing_postgres_proxy::listing::{List, Listing};
-use limewing_postgres_proxy::news::{read_line, vote, vote_answer, State, Told};
+use limewing_postgres_proxy::endpoint_list::EndpointList;
+use limewing_postgres_proxy::endpoint_listing::EndpointListing;
+use limewing_postgres_proxy::line_codec::{LineReader, ObjectReader};
+use limewing_postgres_proxy::rollout_messages::{
+    encode_vote, parse_message, parse_vote_reply, RolloutMessage,
+};
 use limewing_postgres_proxy::service::Service;
-use limewing_postgres_proxy::statement::{Names, Verb};
+use limewing_postgres_proxy::stage_updates::RolloutState;
+use limewing_postgres_proxy::statement::{StatementParser, Verb};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -45,29 +49,29 @@
 #[test]
 fn statements_are_read_and_passed_on() {
     let (classes, tenants) = (owned(&["basket", "order"]), owned(&["acme", "other"]));
-    let names = Names::new(&classes, &[false, true], &tenants);
+    let parser = StatementParser::new(&classes, &[false, true], &tenants);
     let mut read = String::new();
     for text in read_golden("statements.txt").lines() {
-        let statement = names.read(text).unwrap();
+        let statement = parser.parse(text).unwrap();
         assert_eq!(statement.text, text);
-        assert_eq!(statement.waiting(statement.waits), text);
+        assert_eq!(statement.with_timeout(statement.timeout), text);
         let verb = match statement.verb {
             Verb::Select => "select",
             Verb::Insert => "insert",
         };
-        let tenant = statement.customer.unwrap().0;
-        let key = statement.key.unwrap().0;
+        let tenant = statement.tenant.unwrap().0;
+        let key = statement.routing_key.unwrap().0;
         let (id, class, waits) = (
             &statement.id,
-            statement.group.0,
-            statement.waits.as_millis(),
+            statement.class.0,
+            statement.timeout.as_millis(),
         );
         writeln!(
             read,
             "{verb} id {id} class {class} tenant {tenant} key {key:016x} waits {waits}"
         )
         .unwrap();
-        let passed_on = statement.waiting(Duration::from_micros(99_900));
+        let passed_on = statement.with_timeout(Duration::from_micros(99_900));
         writeln!(read, "    {passed_on}").unwrap();
     }
     assert_golden("statements_read.txt", &read);
@@ -103,19 +107,21 @@
 #[test]
 fn the_stream_of_rollouts_is_read() {
     let file = read_golden("events.jsonl");
-    let came = Lines::new(1000).take(&mut streamed(&file, 37));
-    assert_eq!(came.broken, None);
-    assert_eq!(came.objects.len(), file.lines().count());
+    let came = LineReader::new(1000).read(&mut streamed(&file, 37));
+    assert_eq!(came.error, None);
+    assert_eq!(came.items.len(), file.lines().count());
     let mut read = String::new();
-    for (line, text) in came.objects.iter().zip(file.lines()) {
+    for (line, text) in came.items.iter().zip(file.lines()) {
         assert_eq!(line, text.as_bytes());
-        match read_line(line).unwrap() {
-            Told::Nothing => writeln!(read, "nothing"),
-            Told::News(state) => writeln!(read, "news {}", describe_stage(&state.news())),
-            Told::Report(report) => writeln!(
+        match parse_message(line).unwrap() {
+            RolloutMessage::Ignored => writeln!(read, "nothing"),
+            RolloutMessage::Stage(state) => {
+                writeln!(read, "news {}", describe_stage(&state.to_update()))
+            }
+            RolloutMessage::WrongAnswer(report) => writeln!(
                 read,
                 "report {} {} {}",
-                report.instance_id, report.lane, report.age_ms
+                report.host, report.class, report.age_ms
             ),
         }
         .unwrap();
@@ -129,8 +135,8 @@
     let written = state(2, 0, "Progressing", 0.25);
     let line = format!(r#"{{"type":"news","object":{written}}}"#);
     assert!(read_golden("events.jsonl").lines().any(|read| read == line));
-    let (_, told) = vote_answer(200, written.as_bytes());
-    let news = told.map(State::news).unwrap();
+    let reply = parse_vote_reply(200, written.as_bytes());
+    let news = reply.state.map(RolloutState::to_update).unwrap();
     assert_eq!(
         describe_stage(&news),
         "revision 2 wave 0 progressing share 0.25 age 5"
@@ -147,7 +153,7 @@
     ];
     let mut written = String::new();
     for verdict in verdicts {
-        let body = vote(verdict, BuildId(513), StageIndex(2));
+        let body = encode_vote(verdict, BuildId(513), StageIndex(2));
         writeln!(written, "{}", String::from_utf8(body).unwrap()).unwrap();
     }
     assert_golden("votes.jsonl", &written);
@@ -166,22 +172,22 @@
     )
 }
 
-fn describe_list(list: &List, news: &EndpointUpdate, now: Duration) -> String {
+fn describe_list(list: &EndpointList, news: &EndpointUpdate, now: Duration) -> String {
     let (how, rows) = match news {
         EndpointUpdate::Delta(rows) => ("change", rows),
         EndpointUpdate::Snapshot(rows) => ("whole", rows),
         EndpointUpdate::Cached(rows) => ("known at the start", rows),
         EndpointUpdate::WatchLost(_) => panic!("no list"),
     };
-    let mut text = format!("{how}, seq {}\n", list.seq);
+    let mut text = format!("{how}, seq {}\n", list.version());
     for row in rows {
         let host = list.host(row.pod).unwrap();
         writeln!(text, "    {host}: {}", describe_row(row, now)).unwrap();
-        if let Some(life) = list.life(row.pod) {
+        if let Some(life) = list.incarnation(row.pod) {
             writeln!(
                 text,
                 "        {} born {} version {}",
-                life.dial, life.born_ms, life.build.0
+                life.address, life.started_at_ms, life.build.0
             )
             .unwrap();
         }
@@ -193,10 +199,10 @@
 #[test]
 fn discoverys_list_is_read() {
     let file = read_golden("targets.jsonl");
-    let came = Objects::new(10_000).take(&mut streamed(&file, 53));
-    assert_eq!(came.broken, None);
-    let told: Vec<Listing> = came
-        .objects
+    let came = ObjectReader::new(10_000).read(&mut streamed(&file, 53));
+    assert_eq!(came.error, None);
+    let told: Vec<EndpointListing> = came
+        .items
         .iter()
         .map(|object| serde_json::from_slice(object).unwrap())
         .collect();
@@ -204,20 +210,20 @@
     let today = SystemTime::UNIX_EPOCH + Duration::from_millis(1_700_000_600_250);
     let now = Duration::from_secs(3600);
     let mut read = String::new();
-    let mut watched = List::new(&zones, &kinds);
+    let mut watched = EndpointList::new(&zones, &kinds);
     for listing in &told {
-        let change = watched.take(listing.clone(), now, today).unwrap();
-        read.push_str(&describe_list(&watched, &change.news, now));
-        let moved: Vec<u64> = change.moved.iter().map(|pod| pod.0).collect();
+        let change = watched.apply(listing.clone(), now, today).unwrap();
+        read.push_str(&describe_list(&watched, &change.update, now));
+        let moved: Vec<u64> = change.relocated.iter().map(|pod| pod.0).collect();
         writeln!(
             read,
             "    moved {moved:?}, unusable {}",
-            change.unusable.len()
+            change.errors.len()
         )
         .unwrap();
     }
-    let mut recalled = List::new(&zones, &kinds);
-    let news = recalled.recall(told[0].clone(), now, today);
+    let mut recalled = EndpointList::new(&zones, &kinds);
+    let news = recalled.load_cached(told[0].clone(), now, today);
     read.push_str(&describe_list(&recalled, &news, now));
     assert_golden("targets_read.txt", &read);
 }
@@ -235,28 +241,34 @@
     let mut written = listing(8, true, &[Listed::new("pod-0001", dial), drains]);
     written.push('\n');
     assert_golden("targets_written.jsonl", &written);
-    assert!(serde_json::from_str::<Listing>(&written).is_ok());
+    assert!(serde_json::from_str::<EndpointListing>(&written).is_ok());
 }
 
 #[test]
 fn a_configuration_is_read() {
-    let told = config::understand(read_golden("config.json").as_bytes()).unwrap();
+    let told = config::parse(read_golden("config.json").as_bytes()).unwrap();
     let mut read = String::new();
     let mut line = |name: &str, value: String| writeln!(read, "{name}: {value}").unwrap();
     line("name", told.name);
     line("listen", told.listen.to_string());
-    line("discovery", told.places.discovery.to_string());
-    line("rollouts", told.places.rollouts.unwrap().to_string());
+    line("discovery", told.services.discovery.to_string());
+    line("rollouts", told.services.rollouts.unwrap().to_string());
     line("seed", format!("{:016x}", told.seed));
-    line("memory", format!("{:?}", told.memory));
-    line("sockets", format!("{:?}", told.descriptors));
-    line("news", describe_stage(&told.news.unwrap().news()));
-    let known = told.known.unwrap();
-    line("known seq", known.seq.to_string());
-    line("known whole", known.whole.to_string());
-    line("known host", known.hosts[0].as_ref().unwrap().host.clone());
-    line("settings hash", format!("{:016x}", told.mark));
-    let terms = &told.terms;
+    line("memory", format!("{:?}", told.max_memory));
+    line("sockets", format!("{:?}", told.max_descriptors));
+    line(
+        "news",
+        describe_stage(&told.rollout_state.unwrap().to_update()),
+    );
+    let known = told.cached_endpoints.unwrap();
+    line("known seq", known.version.to_string());
+    line("known whole", known.is_complete.to_string());
+    line(
+        "known host",
+        known.entries[0].as_ref().unwrap().host.clone(),
+    );
+    line("settings hash", format!("{:016x}", told.settings_hash));
+    let terms = &told.engine;
     line("terms seed", format!("{:016x}", terms.seed));
     line("balancers", terms.sidecar_count.to_string());
     line("me", terms.sidecar_index.to_string());
@@ -287,7 +299,7 @@
     let mut written = config.json();
     written.push('\n');
     assert_golden("config_written.json", &written);
-    assert!(config::understand(written.as_bytes()).is_ok());
+    assert!(config::parse(written.as_bytes()).is_ok());
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -302,8 +314,8 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn start(config: &Config) -> SocketAddr {
-    let told = config::understand(config.json().as_bytes()).unwrap();
-    let service = Service::start_told(PathBuf::from("none"), told).unwrap();
+    let told = config::parse(config.json().as_bytes()).unwrap();
+    let service = Service::start_with_config(PathBuf::from("none"), told).unwrap();
     let address = service.address();
     std::thread::spawn(move || service.run());
     address
--- a/crates/postgres-proxy/tests/sockets/help.rs
+++ b/crates/postgres-proxy/tests/sockets/help.rs
@@ -32,8 +32,8 @@
 }
 
 pub(crate) fn sidecar_of(file: PathBuf, config: &Config) -> SocketAddr {
-    let told = config::understand(config.json().as_bytes()).unwrap();
-    let service = Service::start_told(file, told).unwrap();
+    let told = config::parse(config.json().as_bytes()).unwrap();
+    let service = Service::start_with_config(file, told).unwrap();
     let address = service.address();
     std::thread::spawn(move || service.run());
     address
--- a/crates/postgres-proxy/tests/sockets/pods.rs
+++ b/crates/postgres-proxy/tests/sockets/pods.rs
@@ -5,7 +5,7 @@
     answer, listing, Answer, Client, Config, Discovery, Does, Listed, Pod,
 };
 use limewing_postgres_protocol::encode;
-use limewing_postgres_proxy::bounds::{RESTS, WHOLE_WITHIN};
+use limewing_postgres_proxy::timeouts::{ANSWER_COMPLETION_TIMEOUT, CONNECTION_REST};
 use rstest::rstest;
 use std::net::TcpListener;
 use std::thread::sleep;
@@ -119,7 +119,7 @@
     for row in ["7f3a", "7f3b", "7f3c"] {
         client.asks(&ask_of(row, "pay", 2000));
         assert_eq!(client.hears(), Answer::Row("red".into()));
-        sleep(RESTS * 2);
+        sleep(CONNECTION_REST * 2);
     }
     assert_eq!(pod.links(), 1);
 }
@@ -135,7 +135,7 @@
     for value in ["red", "blue"] {
         client.asks(&ask("pay", 2000));
         assert_eq!(client.hears(), Answer::Row(value.into()));
-        sleep(RESTS * 2);
+        sleep(CONNECTION_REST * 2);
     }
     assert_eq!(pod.links(), links);
 }
@@ -157,7 +157,7 @@
     for _ in 0..5 {
         client.asks(&ask("look", 2000));
         assert_eq!(client.hears(), Answer::Row("red".into()));
-        sleep(RESTS * 2);
+        sleep(CONNECTION_REST * 2);
     }
     assert_eq!(pod.links(), 1);
 }
@@ -220,13 +220,13 @@
     client.asks(&ask("pay", 2000));
     assert_eq!(client.hears(), Answer::Row("red".into()));
     assert!(pod.hears().starts_with("SELECT"));
-    sleep(RESTS * 2);
+    sleep(CONNECTION_REST * 2);
     pod.go_on.send(()).unwrap();
     assert_eq!(pod.hears(), "said");
     client.asks(&ask("pay", 5000));
     while !pod.hears().starts_with("SELECT") {}
     // Longer than a message has to come whole in.
-    sleep(WHOLE_WITHIN * 2);
+    sleep(ANSWER_COMPLETION_TIMEOUT * 2);
     pod.go_on.send(()).unwrap();
     assert_eq!(client.hears(), Answer::Row("blue".into()));
 }
--- a/crates/postgres-proxy/tests/words.rs
+++ b/crates/postgres-proxy/tests/words.rs
@@ -3,23 +3,26 @@
 use limewing_decision::interface::{EndpointUpdate, Phase, PodState, StageIndex, VoteAnswer};
 use limewing_emulators::platform::{listing, state, Config, Listed};
 use limewing_postgres_proxy::config;
-use limewing_postgres_proxy::lines::{Lines, Objects};
-use limewing_postgres_proxy::listing::{List, Listing};
-use limewing_postgres_proxy::news::{read_line, vote_answer, Latest, Report, Reports, State, Told};
-use limewing_postgres_proxy::statement::{Names, Statement};
+use limewing_postgres_proxy::endpoint_list::EndpointList;
+use limewing_postgres_proxy::endpoint_listing::EndpointListing;
+use limewing_postgres_proxy::line_codec::{LineReader, ObjectReader};
+use limewing_postgres_proxy::rollout_messages::{parse_message, parse_vote_reply, RolloutMessage};
+use limewing_postgres_proxy::stage_updates::{LatestState, RolloutState};
+use limewing_postgres_proxy::statement::{Statement, StatementParser};
+use limewing_postgres_proxy::wrong_answers::{WrongAnswer, WrongAnswerLog};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-fn names() -> Names {
+fn parser() -> StatementParser {
     let named = |names: &[&str]| {
         names
             .iter()
             .map(|name| (*name).to_owned())
             .collect::<Vec<_>>()
     };
-    Names::new(
+    StatementParser::new(
         &named(&["basket", "order"]),
         &[false, true],
         &named(&["acme", "other"]),
@@ -29,8 +32,8 @@
 /// A client whose time is up is none that can't be understood.
 #[test]
 fn no_time_left_is_a_time() {
-    let read = names().read(&INSERT.replace("d=480", "d=0")).unwrap();
-    assert_eq!(read.waits, Duration::ZERO);
+    let read = parser().parse(&INSERT.replace("d=480", "d=0")).unwrap();
+    assert_eq!(read.timeout, Duration::ZERO);
 }
 
 const INSERT: &str = "INSERT INTO rows (handle, blob) VALUES ('7f3a', '\\x9f03') RETURNING blob /* id=9b1f,c=order,t=other,d=480,k=5c0f */";
@@ -40,12 +43,12 @@
 #[case::soon(299, true)]
 #[case::late(301, false)]
 fn the_number_of_a_pod_that_left_is_given_back(#[case] later: u64, #[case] same: bool) {
-    let (mut list, today) = (List::new(&[], &[]), SystemTime::now());
+    let (mut list, today) = (EndpointList::new(&[], &[]), SystemTime::now());
     let dial = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut told = |seq, pods: &[Listed], s| {
-        let told: Listing = serde_json::from_str(&listing(seq, true, pods)).unwrap();
-        list.take(told, Duration::from_secs(s), today).unwrap();
-        list.number("p1", Duration::from_secs(s))
+        let told: EndpointListing = serde_json::from_str(&listing(seq, true, pods)).unwrap();
+        list.apply(told, Duration::from_secs(s), today).unwrap();
+        list.pod_listed_at("p1", Duration::from_secs(s))
     };
     let first = told(1, &[Listed::new("p1", dial)], 1000).unwrap();
     assert_eq!(told(2, &[], 1000), None);
@@ -58,20 +61,20 @@
 
 #[test]
 fn a_statement_is_read_and_passed_on_with_another_wait() {
-    let read: Statement = names().read(INSERT).unwrap();
-    assert_eq!((read.group.0, read.customer.unwrap().0), (1, 1));
+    let read: Statement = parser().parse(INSERT).unwrap();
+    assert_eq!((read.class.0, read.tenant.unwrap().0), (1, 1));
     assert_eq!(
-        (read.id.as_str(), read.waits),
+        (read.id.as_str(), read.timeout),
         ("9b1f", Duration::from_millis(480))
     );
     assert_eq!(
-        read.waiting(Duration::from_micros(99_900)),
+        read.with_timeout(Duration::from_micros(99_900)),
         INSERT.replace("d=480", "d=99")
     );
-    let same = names().read(
+    let same = parser().parse(
         "SELECT blob FROM rows WHERE handle = '7f3a' /* id=9b20,c=basket,t=acme,d=480,r=1 */",
     );
-    assert_eq!(same.unwrap().key, read.key);
+    assert_eq!(same.unwrap().routing_key, read.routing_key);
 }
 
 #[rstest]
@@ -97,22 +100,22 @@
 #[case::long_id(&INSERT.replace("9b1f", &"9".repeat(65)))]
 #[case::empty_mark(&INSERT.replace("k=5c0f", "k="))]
 fn another_form_is_no_hit(#[case] text: &str) {
-    assert!(names().read(text).is_err());
+    assert!(parser().parse(text).is_err());
 }
 
 proptest! {
     #[test]
     fn any_text_is_read_or_refused(text in ".{0,80}", at in 0usize..120, put in ".{0,3}") {
-        let _ = names().read(&text);
+        let _ = parser().parse(&text);
         let mut near = INSERT.to_owned();
         near.insert_str(at.min(near.len()), &put);
-        if let Ok(read) = names().read(&near) {
-            prop_assert!(read.waiting(Duration::from_millis(7)).contains("d=7"));
+        if let Ok(read) = parser().parse(&near) {
+            prop_assert!(read.with_timeout(Duration::from_millis(7)).contains("d=7"));
         }
     }
 }
 
-fn told(seq: u64, whole: bool, pods: &[Listed]) -> Listing {
+fn told(seq: u64, whole: bool, pods: &[Listed]) -> EndpointListing {
     serde_json::from_str(&listing(seq, whole, pods)).unwrap()
 }
 
@@ -120,9 +123,9 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn list_of(pods: &[Listed]) -> List {
-    let mut list = List::new(&["a".into()], &["m".into()]);
-    list.recall(
+fn list_of(pods: &[Listed]) -> EndpointList {
+    let mut list = EndpointList::new(&["a".into()], &["m".into()]);
+    list.load_cached(
         told(7, true, pods),
         Duration::from_secs(3600),
         SystemTime::now(),
@@ -146,9 +149,9 @@
     };
     let now = Duration::from_secs(3610);
     let change = list
-        .take(told(9, true, &[moved, three]), now, SystemTime::now())
+        .apply(told(9, true, &[moved, three]), now, SystemTime::now())
         .unwrap();
-    let EndpointUpdate::Delta(rows) = change.news else {
+    let EndpointUpdate::Delta(rows) = change.update else {
         panic!("a change")
     };
     let told: Vec<_> = rows
@@ -163,8 +166,14 @@
             (3, PodState::Ready, 1)
         ]
     );
-    assert_eq!(change.moved.len(), 2);
-    assert_eq!((list.seq, list.life(rows[1].pod).unwrap().dial), (9, at(9)));
+    assert_eq!(change.relocated.len(), 2);
+    assert_eq!(
+        (
+            list.version(),
+            list.incarnation(rows[1].pod).unwrap().address
+        ),
+        (9, at(9))
+    );
 }
 
 /// A report of a forward that was sent before the pod came back with another build speaks of the build before.
@@ -176,28 +185,29 @@
         Duration::from_secs(3610),
         Duration::from_secs(3615),
     );
-    assert!(list.number("p1", before).is_some());
+    assert!(list.pod_listed_at("p1", before).is_some());
     let next = Listed {
         build: 2,
         ..Listed::new("p1", at(1))
     };
-    list.take(told(8, false, &[next]), then, SystemTime::now())
+    list.apply(told(8, false, &[next]), then, SystemTime::now())
         .unwrap();
-    assert!(list.number("p1", before).is_none() && list.number("p1", after).is_some());
+    assert!(
+        list.pod_listed_at("p1", before).is_none() && list.pod_listed_at("p1", after).is_some()
+    );
 }
 
-fn stands(build: u16, stage: u8, name: &str) -> State {
+fn stands(build: u16, stage: u8, name: &str) -> RolloutState {
     serde_json::from_str(&state(build, stage, name, 0.3)).unwrap()
 }
 
 /// News come by more than one way: what has been overtaken is left out.
 #[test]
 fn a_build_never_stands_before_where_it_stood() {
-    let mut latest = Latest::default();
+    let mut latest = LatestState::default();
     let mut take = |build, stage, name| {
-        latest
-            .take(stands(build, stage, name))
-            .map(|(news, _)| news)
+        let accepted = latest.accept(stands(build, stage, name));
+        accepted.map(|accepted| accepted.update)
     };
     assert_eq!(take(4, 1, "Progressing").unwrap().stage, StageIndex(1));
     assert!(take(4, 0, "Progressing").is_none());
@@ -220,29 +230,29 @@
     #[case] body: String,
     #[case] answer: VoteAnswer,
 ) {
-    assert_eq!(vote_answer(status, body.as_bytes()).0, answer);
+    assert_eq!(parse_vote_reply(status, body.as_bytes()).answer, answer);
 }
 
 #[test]
 fn lines_of_a_stream_are_told_apart() {
     let report = r#"{"type":"report","object":{"InstanceId":"p1","Lane":"basket","AgeMs":1200}}"#;
     assert!(
-        matches!(read_line(report.as_bytes()), Ok(Told::Report(told)) if told.lane == "basket")
+        matches!(parse_message(report.as_bytes()), Ok(RolloutMessage::WrongAnswer(told)) if told.class == "basket")
     );
-    assert_eq!(read_line(b"{}"), Ok(Told::Nothing));
-    assert!(read_line(b"{\"type\":\"news\"}").is_err() && read_line(b"<html>").is_err());
+    assert_eq!(parse_message(b"{}").unwrap(), RolloutMessage::Ignored);
+    assert!(parse_message(b"{\"type\":\"news\"}").is_err() && parse_message(b"<html>").is_err());
 }
 
 proptest! {
     /// No bytes of a service bring a panic, and no line is kept beyond its bound.
     #[test]
     fn any_bytes_are_lines_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut lines = Lines::new(50);
+        let mut lines = LineReader::new(50);
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let whole = [&head[..], format!("{:x}\r\n", bytes.len()).as_bytes(), &bytes, b"\r\n"].concat();
         for input in [&bytes[..], &whole] {
-            for line in lines.take(&mut input.into()).objects {
-                let _ = read_line(&line);
+            for line in lines.read(&mut input.into()).items {
+                let _ = parse_message(&line);
             }
         }
     }
@@ -259,9 +269,9 @@
     #[case] why: &str,
 ) {
     let good = Config::new(vec![Listed::new("p1", at(1))]).json();
-    assert!(config::understand(good.as_bytes()).is_ok());
-    let trouble = config::understand(good.replacen(from, to, 9).as_bytes()).unwrap_err();
-    assert!(trouble.contains(why), "{trouble}");
+    assert!(config::parse(good.as_bytes()).is_ok());
+    let trouble = config::parse(good.replacen(from, to, 9).as_bytes()).unwrap_err();
+    assert!(trouble.to_string().contains(why), "{trouble}");
 }
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -281,7 +291,7 @@
         let values: Vec<serde_json::Value> = texts.iter().map(|text| serde_json::json!({"seq": 1, "hosts": [{"host": text}]})).collect();
         let text = |value| if pretty { serde_json::to_string_pretty(value) } else { serde_json::to_string(value) };
         let all: String = values.iter().map(|value| text(value).unwrap() + "\n\n").collect();
-        let (mut objects, mut came, mut rest) = (Objects::new(4096), Vec::new(), all.as_bytes());
+        let (mut objects, mut came, mut rest) = (ObjectReader::new(4096), Vec::new(), all.as_bytes());
         let mut input = bytes::BytesMut::from(HEAD);
         for cut in cuts.iter().cycle() {
             let piece = &rest[..(*cut).min(rest.len())];
@@ -290,9 +300,9 @@
             }
             rest = &rest[piece.len()..];
             input.extend_from_slice(&chunked(piece));
-            let read = objects.take(&mut input);
-            prop_assert_eq!(read.broken, None);
-            came.extend(read.objects);
+            let read = objects.read(&mut input);
+            prop_assert_eq!(read.error, None);
+            came.extend(read.items);
         }
         let came: Vec<serde_json::Value> = came.iter().map(|object| serde_json::from_slice(object).unwrap()).collect();
         prop_assert_eq!(came, values);
@@ -300,10 +310,10 @@
 
     #[test]
     fn any_bytes_are_objects_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut objects = Objects::new(50);
+        let mut objects = ObjectReader::new(50);
         for input in [&bytes[..], &[HEAD, &chunked(&bytes)].concat()] {
-            let came = objects.take(&mut input.into());
-            prop_assert!(came.objects.iter().all(|object| object.len() <= 50 + 200));
+            let came = objects.read(&mut input.into());
+            prop_assert!(came.items.iter().all(|object| object.len() <= 50 + 200));
         }
     }
 }
@@ -315,11 +325,11 @@
 #[case::lines_within(b"{\n\n", false)]
 #[case::blank(b"  ", false)]
 fn what_is_a_sign_of_life(#[case] piece: &[u8], #[case] alive: bool) {
-    let mut objects = Objects::new(100);
+    let mut objects = ObjectReader::new(100);
     // The head of the answer is one.
-    assert!(objects.take(&mut bytes::BytesMut::from(HEAD)).alive);
+    assert!(objects.read(&mut bytes::BytesMut::from(HEAD)).is_alive);
     let mut input = bytes::BytesMut::from(&chunked(piece)[..]);
-    assert_eq!(objects.take(&mut input).alive, alive);
+    assert_eq!(objects.read(&mut input).is_alive, alive);
 }
 
 #[rstest]
@@ -328,14 +338,14 @@
 #[case::too_long(&[b'{'; 200])]
 fn what_is_no_object_is_refused(#[case] piece: &[u8]) {
     let mut input = bytes::BytesMut::from(&[HEAD, &chunked(piece)].concat()[..]);
-    assert!(Objects::new(100).take(&mut input).broken.is_some());
+    assert!(ObjectReader::new(100).read(&mut input).error.is_some());
 }
 
-fn change(list: &mut List, told: Listing) -> Vec<(u64, PodState)> {
+fn change(list: &mut EndpointList, told: EndpointListing) -> Vec<(u64, PodState)> {
     let EndpointUpdate::Delta(rows) = list
-        .take(told, Duration::from_secs(3610), SystemTime::now())
+        .apply(told, Duration::from_secs(3610), SystemTime::now())
         .unwrap()
-        .news
+        .update
     else {
         panic!("a change")
     };
@@ -366,7 +376,7 @@
         change(&mut list, told(3, true, &[one.clone(), two.clone(), three])),
         []
     );
-    assert_eq!(list.seq, 3);
+    assert_eq!(list.version(), 3);
     let again = Listed {
         born_ms: 6000,
         ..one
@@ -410,21 +420,21 @@
     };
     let (good, bad) = (entry(&one), entry(&two).replacen(from, to, 1));
     let text = format!(r#"{{"seq":9,"whole":true,"hosts":[{good},{bad},17]}}"#);
-    let read: Listing = serde_json::from_str(&text).unwrap();
+    let read: EndpointListing = serde_json::from_str(&text).unwrap();
     let mut list = list_of(&[one, two]);
     let changed = list
-        .take(read.clone(), Duration::from_secs(3610), SystemTime::now())
+        .apply(read.clone(), Duration::from_secs(3610), SystemTime::now())
         .unwrap();
     assert!(
-        matches!(&changed.news, EndpointUpdate::Delta(rows) if rows.len() == 1 && rows[0].state == PodState::Gone)
+        matches!(&changed.update, EndpointUpdate::Delta(rows) if rows.len() == 1 && rows[0].state == PodState::Gone)
     );
     assert!(
-        changed.unusable[0].starts_with("host p2: ")
-            && changed.unusable[1].starts_with("host unknown: ")
+        changed.errors[0].starts_with("host p2: ")
+            && changed.errors[1].starts_with("host unknown: ")
     );
     // Nor does one in the list that was held before the start.
-    let mut list = List::new(&[], &[]);
-    let held = list.recall(read, Duration::from_secs(3600), SystemTime::now());
+    let mut list = EndpointList::new(&[], &[]);
+    let held = list.load_cached(read, Duration::from_secs(3600), SystemTime::now());
     assert!(matches!(held, EndpointUpdate::Cached(rows) if rows.len() == 1));
 }
 
@@ -432,20 +442,20 @@
 /// One stream that tells of two alike tells of two.
 #[test]
 fn a_report_told_by_two_streams_counts_once() {
-    let report = |pod: &str| Report {
-        instance_id: pod.into(),
-        lane: "look".into(),
+    let report = |pod: &str| WrongAnswer {
+        host: pod.into(),
+        class: "look".into(),
         age_ms: 0.0,
     };
     let ms = |ms| Duration::from_millis(ms);
-    let mut reports = Reports::default();
-    assert!(reports.is_new("old", &report("p1"), ms(1000), ms(2000)));
-    assert!(reports.is_new("old", &report("p1"), ms(1001), ms(2001)));
-    assert!(reports.is_new("new", &report("p2"), ms(1000), ms(2002)));
-    assert!(reports.is_new("new", &report("p1"), ms(1500), ms(2003)));
-    assert!(!reports.is_new("new", &report("p1"), ms(1003), ms(2004)));
-    assert!(!reports.is_new("new", &report("p1"), ms(1003), ms(2004)));
-    assert!(reports.is_new("new", &report("p1"), ms(1003), ms(2005)));
+    let mut reports = WrongAnswerLog::default();
+    assert!(reports.record("old", &report("p1"), ms(1000), ms(2000)));
+    assert!(reports.record("old", &report("p1"), ms(1001), ms(2001)));
+    assert!(reports.record("new", &report("p2"), ms(1000), ms(2002)));
+    assert!(reports.record("new", &report("p1"), ms(1500), ms(2003)));
+    assert!(!reports.record("new", &report("p1"), ms(1003), ms(2004)));
+    assert!(!reports.record("new", &report("p1"), ms(1003), ms(2004)));
+    assert!(reports.record("new", &report("p1"), ms(1003), ms(2005)));
 }
 
 /// What came whole before something that can't be read is good, in the same piece or one before.
@@ -454,15 +464,15 @@
     let noisy =
         || bytes::BytesMut::from(&[HEAD, &chunked(b"{\"seq\":1}\n"), b"noise\r\n"].concat()[..]);
     for came in [
-        Objects::new(100).take(&mut noisy()),
-        Lines::new(100).take(&mut noisy()),
+        ObjectReader::new(100).read(&mut noisy()),
+        LineReader::new(100).read(&mut noisy()),
     ] {
-        assert_eq!(came.objects, [&b"{\"seq\":1}"[..]]);
-        assert!(came.broken.is_some());
+        assert_eq!(came.items, [&b"{\"seq\":1}"[..]]);
+        assert!(came.error.is_some());
     }
     let mut input = bytes::BytesMut::from(&[HEAD, &chunked(b"{\"seq\":1}\nnoise")].concat()[..]);
-    let came = Objects::new(100).take(&mut input);
-    assert!(came.objects.len() == 1 && came.broken.is_some());
+    let came = ObjectReader::new(100).read(&mut input);
+    assert!(came.items.len() == 1 && came.error.is_some());
 }
 
 /// News that closes a build to what has not gone out: it goes back, or its cap is lower than before.
@@ -480,8 +490,8 @@
     #[case] closes: Option<u16>,
 ) {
     let told = |build, name, cap| serde_json::from_str(&state(build, 0, name, cap)).unwrap();
-    let mut latest = Latest::default();
-    latest.take(told(1, "Progressing", 0.3)).unwrap();
-    let (_, closed) = latest.take(told(build, name, cap)).unwrap();
-    assert_eq!(closed.map(|build| build.0), closes);
+    let mut latest = LatestState::default();
+    latest.accept(told(1, "Progressing", 0.3)).unwrap();
+    let accepted = latest.accept(told(build, name, cap)).unwrap();
+    assert_eq!(accepted.closed_build.map(|build| build.0), closes);
 }
