--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -684,6 +684,8 @@
     let (mut breaches, mut counted) = (Vec::new(), 0);
     let mut worst: Option<f64> = None;
     let counter = |group: usize| if terms.cap_by_group { group } else { 0 };
+    // Requests that were written to a stopped sidecar, by its counters: it takes them when it goes on.
+    let mut unread: BTreeMap<SidecarNo, Vec<usize>> = BTreeMap::new();
     for line in lines {
         let at = line.at;
         let mut breach = |text: String| {
@@ -703,6 +705,16 @@
                         ..Exposed::default()
                     },
                 );
+                unread.remove(sidecar);
+            }
+            Entry::SidecarStopped { sidecar } => {
+                unread.entry(*sidecar).or_default();
+            }
+            Entry::SidecarGoesOn { sidecar } => {
+                let this = sidecars.entry(*sidecar).or_default();
+                for counter in unread.remove(sidecar).unwrap_or_default() {
+                    this.taken.entry(counter).or_default().push_back(at);
+                }
             }
             Entry::PodUp { pod, build, .. } => drop(builds.insert(*pod, *build)),
             Entry::ListTold {
@@ -739,8 +751,13 @@
                 key,
                 ..
             } => {
-                let taken = &mut sidecars.entry(*sidecar).or_default().taken;
-                taken.entry(counter(*group)).or_default().push_back(at);
+                match unread.get_mut(sidecar) {
+                    Some(unread) => unread.push(counter(*group)),
+                    None => {
+                        let taken = &mut sidecars.entry(*sidecar).or_default().taken;
+                        taken.entry(counter(*group)).or_default().push_back(at);
+                    }
+                }
                 if let Some(key) = key {
                     keys.insert(*of, *key);
                 }
--- a/crates/rule-checker/tests/planted.rs
+++ b/crates/rule-checker/tests/planted.rs
@@ -255,6 +255,45 @@
     );
 }
 
+/// Requests that are written to a stopped sidecar are taken when it goes on: its window of 2 s counts them from then on, and not
+/// while they lie unread. 10 hits are written from 1.1 s on while it stands still; it goes on at 3 s.
+#[rstest]
+#[case::at_the_cap(4.9, 3, false)]
+#[case::one_over(4.9, 4, true)]
+#[case::past_their_window(5.2, 2, true)]
+fn exposure_after_a_standstill_of_the_sidecar(
+    #[case] at: f64,
+    #[case] sent: u64,
+    #[case] breach: bool,
+) {
+    let taken = (0..10).map(|n| (1.1 + n as f64 * 0.01, asked(Try(OrderId(n), 0), 0)));
+    let sent = (0..sent).map(|n| (at + n as f64 * 0.01, arrived(2, Try(OrderId(n), 0), 0)));
+    let entries = [(1.0, Entry::SidecarStopped { sidecar: ONE })]
+        .into_iter()
+        .chain(taken)
+        .chain([(3.0, Entry::SidecarGoesOn { sidecar: ONE })])
+        .chain(sent);
+    assert_eq!(broken(entries.collect()).contains(&Rule::Exposure), breach);
+}
+
+/// What lies unread at a sidecar that is killed while it stands still was never taken.
+#[test]
+fn exposure_counts_no_request_that_a_killed_sidecar_never_read() {
+    let taken = (0..10).map(|n| (1.1 + n as f64 * 0.01, asked(Try(OrderId(n), 0), 0)));
+    let sent = (0..2).map(|n| (2.5 + n as f64 * 0.01, arrived(2, Try(OrderId(n), 0), 0)));
+    let entries = [(1.0, Entry::SidecarStopped { sidecar: ONE })]
+        .into_iter()
+        .chain(taken)
+        .chain([
+            (2.0, Entry::SidecarDown { sidecar: ONE }),
+            (2.1, Entry::SidecarUp { sidecar: ONE }),
+            (2.2, told(&[0, 1, 2], &[])),
+            (2.2, stage(2, 1, Phase::OnTrial, 0.2)),
+        ])
+        .chain(sent);
+    assert!(broken(entries.collect()).contains(&Rule::Exposure));
+}
+
 #[rstest]
 #[case::cap_gone_within_the_grace(vec![(1.0, stage(2, 1, Phase::GoingBack, 0.0)), (1.5, asked(HIT, 0)), (1.6, arrived(2, HIT, 0))], false)]
 #[case::cap_gone(vec![(1.0, stage(2, 1, Phase::GoingBack, 0.0)), (2.5, asked(HIT, 0)), (2.6, arrived(2, HIT, 0))], true)]
