--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -343,7 +343,8 @@
                 }
             }
             Ok(None) if !ended => {
-                let begun = client.responses.begun() && !std::mem::replace(&mut client.begun, true);
+                let begun = client.responses.is_mid_message()
+                    && !std::mem::replace(&mut client.begun, true);
                 let order = of.and_then(|of| self.clients.orders.get(&of.0));
                 let streamed =
                     order.is_some_and(|order| self.script.groups[order.group].group.streamed);
--- a/crates/http-proxy/src/service/asks.rs
+++ b/crates/http-proxy/src/service/asks.rs
@@ -261,7 +261,7 @@
             return;
         };
         if of.body.is_none() {
-            match http::response(input, false, HeadLimits::default()) {
+            match http::parse_response(input, false, HeadLimits::default()) {
                 Ok(Some(head)) if head.status == 200 => {
                     of.body = Some(BodyReader::new(head.framing))
                 }
@@ -364,7 +364,7 @@
 
     pub(super) fn vote_connected(&mut self, link: SocketId) {
         if let Some(Peer::Vote(call)) = self.peers.get_mut(&link) {
-            call.connected(link, &mut self.sockets);
+            call.on_connected(link, &mut self.sockets);
         }
     }
 
@@ -372,7 +372,7 @@
         let Some(Peer::Vote(call)) = self.peers.get_mut(&link) else {
             return;
         };
-        match call.hear(link, &mut self.sockets) {
+        match call.on_readable(link, &mut self.sockets) {
             CallProgress::Pending => {}
             CallProgress::Complete(head, body) => {
                 let (answer, told) = vote_answer(head.status, &body);
--- a/crates/http-proxy/src/service/back.rs
+++ b/crates/http-proxy/src/service/back.rs
@@ -190,7 +190,7 @@
             .protocol_state
             .head
             .fields
-            .passed_on()
+            .end_to_end()
             .filter(|(name, _)| !is_left(name))
             .chain(own)
             .chain(left);
@@ -296,7 +296,7 @@
             return Step::Broken;
         };
         if job.answer.is_none() {
-            match http::response(input, to_head, HeadLimits::default()) {
+            match http::parse_response(input, to_head, HeadLimits::default()) {
                 Ok(Some(head)) => {
                     let reader = BodyReader::new(head.framing);
                     job.answer = Some((head, reader));
--- a/crates/http-proxy/src/service/front.rs
+++ b/crates/http-proxy/src/service/front.rs
@@ -156,7 +156,7 @@
                 }
                 Ok(None) if ended => return self.client_gone(id),
                 Ok(None) => {
-                    let begun = client.requests.begun() || !input.is_empty();
+                    let begun = client.requests.is_mid_message() || !input.is_empty();
                     if begun && client.slow.is_none() {
                         let at = self.now + self.terms.request_within;
                         client.slow = Some(self.wheel.schedule(at, Due::SlowRequest(id)));
@@ -166,9 +166,9 @@
                     }
                     return self.sockets.resume_reading(id);
                 }
-                Err(HttpError::Early) => return self.client_gone(id),
+                Err(HttpError::UnexpectedEnd) => return self.client_gone(id),
                 Err(HttpError::BodyTooLarge) => {
-                    let Some((head, body, reader)) = client.requests.give_up() else {
+                    let Some((head, body, reader)) = client.requests.take_incomplete() else {
                         return;
                     };
                     client.slow.take().map(|key| self.wheel.cancel(key));
@@ -529,7 +529,7 @@
         http::write_response(
             &mut out,
             head.status,
-            head.fields.passed_on().chain(own),
+            head.fields.end_to_end().chain(own),
             framing,
             !close,
         );
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -590,7 +590,7 @@
                 }
                 None => {}
             },
-            SocketEvent::AcceptFailed { why, .. } => {
+            SocketEvent::AcceptFailed { error: why, .. } => {
                 tracing::warn!(%why, open = self.sockets.open_count(), "can't accept; tried again in 100 ms");
                 self.make_room_for_clients();
             }
--- a/crates/load-generator/src/idle.rs
+++ b/crates/load-generator/src/idle.rs
@@ -73,7 +73,7 @@
                     SocketEvent::Connected(id) if self.request.is_empty() => self.sleep(id),
                     SocketEvent::Connected(id) => self.sockets.send(id, &self.request),
                     SocketEvent::Readable(id) => self.read(id)?,
-                    SocketEvent::ConnectionLost { why, .. } => {
+                    SocketEvent::ConnectionLost { error: why, .. } => {
                         return Err(io::Error::other(format!(
                             "after {} connections: {why}",
                             self.asleep
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -58,7 +58,7 @@
                 self.at = At::End;
                 Ok(())
             }
-            _ => Err(HttpError::Early),
+            _ => Err(HttpError::UnexpectedEnd),
         }
     }
 
@@ -93,7 +93,7 @@
                         return Ok(None);
                     }
                     if &input.split_to(2)[..] != b"\r\n" {
-                        return Err(HttpError::Chunk);
+                        return Err(HttpError::InvalidChunk);
                     }
                     self.at = At::Size;
                 }
@@ -108,7 +108,7 @@
                         Ok(httparse::Status::Complete((_, size))) if plain => {
                             self.at = At::Chunk(size)
                         }
-                        _ => return Err(HttpError::Chunk),
+                        _ => return Err(HttpError::InvalidChunk),
                     }
                 }
                 At::Trailer => {
@@ -119,7 +119,7 @@
                     if line.is_empty() {
                         self.at = At::End;
                     } else if self.trailers > MOST_TRAILERS || !line.contains(&b':') {
-                        return Err(HttpError::Chunk);
+                        return Err(HttpError::InvalidChunk);
                     }
                 }
             }
@@ -140,7 +140,7 @@
             Ok(Some(line.slice(..end - 1)))
         }
         None if input.len() <= LONGEST_LINE => Ok(None),
-        _ => Err(HttpError::Chunk),
+        _ => Err(HttpError::InvalidChunk),
     }
 }
 
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -10,19 +10,19 @@
     #[error("the head is larger than allowed")]
     HeadTooLarge,
     #[error("the head is not HTTP/1.1")]
-    BadHead,
+    InvalidHead,
     #[error("line ends without carriage return")]
     BareLineFeed,
     #[error("conflicting or doubled lengths")]
-    Lengths,
+    ConflictingLengths,
     #[error("a transfer coding other than chunked")]
-    Coding,
+    UnsupportedCoding,
     #[error("a broken chunk")]
-    Chunk,
+    InvalidChunk,
     #[error("more than one or no host")]
-    Host,
+    InvalidHost,
     #[error("the message ended early")]
-    Early,
+    UnexpectedEnd,
     #[error("the body is larger than allowed")]
     BodyTooLarge,
 }
@@ -31,7 +31,7 @@
     pub fn status(self) -> u16 {
         match self {
             HttpError::HeadTooLarge => 431,
-            HttpError::Coding => 501,
+            HttpError::UnsupportedCoding => 501,
             HttpError::BodyTooLarge => 413,
             _ => 400,
         }
@@ -89,7 +89,7 @@
 
     /// The fields that go from one connection to the next: all but those that speak of this one alone
     /// (RFC 9110, 7.6.1), and lengths, which the sender sets.
-    pub fn passed_on(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
+    pub fn end_to_end(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         let named = move |name: &[u8]| self.all("connection").any(|value| has_token(value, name));
         self.iter().filter(move |(n, _)| !is_own(n) && !named(n))
     }
@@ -141,7 +141,10 @@
 ///
 /// # Errors
 /// What is refused, by RFC 9112: the connection must be closed after the answer.
-pub fn request(input: &mut BytesMut, limits: HeadLimits) -> Result<Option<RequestHead>, HttpError> {
+pub fn parse_request(
+    input: &mut BytesMut,
+    limits: HeadLimits,
+) -> Result<Option<RequestHead>, HttpError> {
     // An empty line before a request is skipped (RFC 9112, 2.2).
     while input.starts_with(b"\r\n") {
         let _ = input.split_to(2);
@@ -152,20 +155,20 @@
     let Some(length) = length_of(status, input.len(), limits)? else {
         return Ok(None);
     };
-    let minor = head.version.ok_or(HttpError::BadHead)?;
+    let minor = head.version.ok_or(HttpError::InvalidHead)?;
     let (method, target) = (
-        head.method.ok_or(HttpError::BadHead)?,
-        head.path.ok_or(HttpError::BadHead)?,
+        head.method.ok_or(HttpError::InvalidHead)?,
+        head.path.ok_or(HttpError::InvalidHead)?,
     );
     let (method, target) = (method.to_owned(), target.to_owned());
     let spans = spans(head.headers, input);
     let fields = fields(spans, input, length)?;
     if minor == 1 && fields.all("host").count() != 1 {
-        return Err(HttpError::Host);
+        return Err(HttpError::InvalidHost);
     }
     let framing = match (coding(&fields)?, content_length(&fields)?) {
-        (true, Some(_)) => return Err(HttpError::Lengths),
-        (true, None) if minor == 0 => return Err(HttpError::Lengths),
+        (true, Some(_)) => return Err(HttpError::ConflictingLengths),
+        (true, None) if minor == 0 => return Err(HttpError::ConflictingLengths),
         (true, None) => Framing::Chunked,
         (false, length) => Framing::Length(length.unwrap_or(0)),
     };
@@ -187,7 +190,7 @@
 ///
 /// # Errors
 /// What is refused: nothing more can be read from that connection.
-pub fn response(
+pub fn parse_response(
     input: &mut BytesMut,
     to_head: bool,
     limits: HeadLimits,
@@ -200,8 +203,8 @@
             return Ok(None);
         };
         let (status, minor) = (
-            head.code.ok_or(HttpError::BadHead)?,
-            head.version.ok_or(HttpError::BadHead)?,
+            head.code.ok_or(HttpError::InvalidHead)?,
+            head.version.ok_or(HttpError::InvalidHead)?,
         );
         let spans = spans(head.headers, input);
         let fields = fields(spans, input, length)?;
@@ -210,7 +213,7 @@
         }
         let framing = match (coding(&fields)?, content_length(&fields)?) {
             _ if to_head || status == 204 || status == 304 => Framing::Length(0),
-            (true, Some(_)) => return Err(HttpError::Lengths),
+            (true, Some(_)) => return Err(HttpError::ConflictingLengths),
             (true, None) => Framing::Chunked,
             (false, Some(length)) => Framing::Length(length),
             (false, None) => Framing::UntilClose,
@@ -237,7 +240,7 @@
         }
         Ok(httparse::Status::Partial) if held > limits.bytes => Err(HttpError::HeadTooLarge),
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(HttpError::BadHead),
+        Err(_) => Err(HttpError::InvalidHead),
     }
 }
 
@@ -274,7 +277,7 @@
     match (codings.next(), codings.next()) {
         (None, _) => Ok(false),
         (Some(one), None) if one.trim_ascii().eq_ignore_ascii_case(b"chunked") => Ok(true),
-        _ => Err(HttpError::Coding),
+        _ => Err(HttpError::UnsupportedCoding),
     }
 }
 
@@ -290,7 +293,7 @@
                     .fold(0, |sum, digit| sum * 10 + u64::from(digit - b'0')),
             ))
         }
-        _ => Err(HttpError::Lengths),
+        _ => Err(HttpError::ConflictingLengths),
     }
 }
 
--- a/crates/net/src/http_call.rs
+++ b/crates/net/src/http_call.rs
@@ -30,11 +30,11 @@
         }
     }
 
-    pub fn connected(&mut self, link: SocketId, sockets: &mut Sockets) {
+    pub fn on_connected(&mut self, link: SocketId, sockets: &mut Sockets) {
         sockets.send(link, &std::mem::take(&mut self.request));
     }
 
-    pub fn hear(&mut self, link: SocketId, sockets: &mut Sockets) -> CallProgress {
+    pub fn on_readable(&mut self, link: SocketId, sockets: &mut Sockets) -> CallProgress {
         let ended = sockets.has_ended(link);
         let Some(input) = sockets.input(link) else {
             return CallProgress::Failed;
--- a/crates/net/src/message_reader.rs
+++ b/crates/net/src/message_reader.rs
@@ -28,7 +28,7 @@
 
 impl Head for RequestHead {
     fn read(input: &mut BytesMut) -> Result<Option<Self>, HttpError> {
-        http::request(input, HeadLimits::default())
+        http::parse_request(input, HeadLimits::default())
     }
 
     fn framing(&self) -> Framing {
@@ -38,7 +38,7 @@
 
 impl Head for ResponseHead {
     fn read(input: &mut BytesMut) -> Result<Option<Self>, HttpError> {
-        http::response(input, false, HeadLimits::default())
+        http::parse_response(input, false, HeadLimits::default())
     }
 
     fn framing(&self) -> Framing {
@@ -56,13 +56,13 @@
     }
 
     /// Whether a message has begun and is not whole.
-    pub fn begun(&self) -> bool {
+    pub fn is_mid_message(&self) -> bool {
         self.open.is_some()
     }
 
     /// The message that is being read, with what of its body has come and the reader of the rest: for those
     /// too large to be gathered.
-    pub fn give_up(&mut self) -> Option<(H, BytesMut, BodyReader)> {
+    pub fn take_incomplete(&mut self) -> Option<(H, BytesMut, BodyReader)> {
         let Open { head, reader, body } = *self.open.take()?;
         Some((head, body, reader))
     }
@@ -70,7 +70,7 @@
     /// The next whole message; `closed` tells that no more bytes will come.
     ///
     /// # Errors
-    /// What is refused; the connection is of no further use, but for a body that is too large (see `give_up`).
+    /// What is refused; the connection is of no further use, but for a body that is too large (see `take_incomplete`).
     pub fn take(
         &mut self,
         input: &mut BytesMut,
@@ -84,7 +84,7 @@
                     head,
                     body: BytesMut::new(),
                 },
-                None if closed && !input.is_empty() => return Err(HttpError::Early),
+                None if closed && !input.is_empty() => return Err(HttpError::UnexpectedEnd),
                 None => return Ok(None),
             },
         };
--- a/crates/net/src/sockets.rs
+++ b/crates/net/src/sockets.rs
@@ -37,12 +37,12 @@
     ConnectionLost {
         socket: SocketId,
         written: u64,
-        why: ErrorKind,
+        error: ErrorKind,
     },
     /// A listener could not accept, for want of descriptors or memory; it tries again soon.
     AcceptFailed {
         listener: SocketId,
-        why: ErrorKind,
+        error: ErrorKind,
     },
     /// A datagram came.
     Datagram {
@@ -500,7 +500,7 @@
             self.told.push_back(SocketEvent::ConnectionLost {
                 socket: id,
                 written,
-                why,
+                error: why,
             });
         }
     }
@@ -755,8 +755,10 @@
             *waiting = true;
         }
         self.accept_at = Some(Instant::now() + ACCEPT_AGAIN);
-        self.told
-            .push_back(SocketEvent::AcceptFailed { listener: id, why });
+        self.told.push_back(SocketEvent::AcceptFailed {
+            listener: id,
+            error: why,
+        });
         Waits::ForRoom
     }
 }
--- a/crates/net/tests/codec.rs
+++ b/crates/net/tests/codec.rs
@@ -2,60 +2,63 @@
 
 use bytes::BytesMut;
 use limewing_net::body::{BodyReader, Framing};
-use limewing_net::http::{request, response, HeadLimits, HttpError};
+use limewing_net::http::{parse_request, parse_response, HeadLimits, HttpError};
 use limewing_net::message_reader::{RequestReader, ResponseReader};
 use rstest::rstest;
 
 #[rstest]
 #[case::two_lengths(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-    HttpError::Lengths
+    HttpError::ConflictingLengths
 )]
 #[case::doubled_length(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n",
-    HttpError::Lengths
+    HttpError::ConflictingLengths
 )]
 #[case::length_list(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n",
-    HttpError::Lengths
+    HttpError::ConflictingLengths
 )]
 #[case::signed_length(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n",
-    HttpError::Lengths
+    HttpError::ConflictingLengths
 )]
 #[case::length_and_chunks(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-    HttpError::Lengths
+    HttpError::ConflictingLengths
 )]
 #[case::chunks_in_old_http(
     "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n",
-    HttpError::Lengths
+    HttpError::ConflictingLengths
 )]
 #[case::other_coding(
     "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
-    HttpError::Coding
+    HttpError::UnsupportedCoding
 )]
 #[case::hidden_coding(
     "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n",
-    HttpError::Coding
+    HttpError::UnsupportedCoding
 )]
 #[case::two_codings(
     "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
-    HttpError::Coding
+    HttpError::UnsupportedCoding
 )]
 #[case::space_before_colon(
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 1\r\n\r\n",
-    HttpError::BadHead
+    HttpError::InvalidHead
+)]
+#[case::folded_line(
+    "GET / HTTP/1.1\r\nHost: a\r\nX: 1\r\n 2\r\n\r\n",
+    HttpError::InvalidHead
 )]
-#[case::folded_line("GET / HTTP/1.1\r\nHost: a\r\nX: 1\r\n 2\r\n\r\n", HttpError::BadHead)]
 #[case::bare_line_feed("GET / HTTP/1.1\nHost: a\r\n\r\n", HttpError::BareLineFeed)]
-#[case::no_host("GET / HTTP/1.1\r\n\r\n", HttpError::Host)]
-#[case::two_hosts("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", HttpError::Host)]
-#[case::no_http("\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", HttpError::BadHead)]
+#[case::no_host("GET / HTTP/1.1\r\n\r\n", HttpError::InvalidHost)]
+#[case::two_hosts("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", HttpError::InvalidHost)]
+#[case::no_http("\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", HttpError::InvalidHead)]
 fn what_two_readers_could_take_in_two_ways_is_refused(#[case] text: &str, #[case] want: HttpError) {
     let mut input = BytesMut::from(text);
     assert_eq!(
-        request(&mut input, HeadLimits::default()).unwrap_err(),
+        parse_request(&mut input, HeadLimits::default()).unwrap_err(),
         want
     );
 }
@@ -67,7 +70,7 @@
 fn an_oversized_head_is_refused_with_431(#[case] text: String) {
     let mut input = BytesMut::from(&text[..]);
     assert_eq!(
-        request(&mut input, HeadLimits::default())
+        parse_request(&mut input, HeadLimits::default())
             .unwrap_err()
             .status(),
         431
@@ -75,14 +78,14 @@
 }
 
 #[test]
-fn fields_of_one_connection_are_not_passed_on() {
+fn fields_of_one_connection_are_not_end_to_end() {
     let text = "GET / HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\nTE: trailers\r\nX-Far: 2\r\n\r\n";
-    let head = request(&mut BytesMut::from(text), HeadLimits::default())
+    let head = parse_request(&mut BytesMut::from(text), HeadLimits::default())
         .unwrap()
         .unwrap();
     let names: Vec<_> = head
         .fields
-        .passed_on()
+        .end_to_end()
         .map(|(n, _)| String::from_utf8_lossy(n).into_owned())
         .collect();
     assert_eq!(names, ["Host", "X-Far"]);
@@ -92,11 +95,11 @@
 #[case::whole("5\r\nhello\r\n0\r\n\r\n", Ok("hello"))]
 #[case::two_with_extension("2;x=1\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n", Ok("hello"))]
 #[case::trailers("5\r\nhello\r\n0\r\nDigest: 1\r\n\r\n", Ok("hello"))]
-#[case::no_digits("\r\nhello\r\n0\r\n\r\n", Err(HttpError::Chunk))]
-#[case::signed("+5\r\nhello\r\n0\r\n\r\n", Err(HttpError::Chunk))]
-#[case::too_long_a_size("11111111111111111\r\nhello", Err(HttpError::Chunk))]
-#[case::data_runs_on("5\r\nhelloworld\r\n0\r\n\r\n", Err(HttpError::Chunk))]
-#[case::bare_line_feed("5\nhello\r\n0\r\n\r\n", Err(HttpError::Chunk))]
+#[case::no_digits("\r\nhello\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
+#[case::signed("+5\r\nhello\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
+#[case::too_long_a_size("11111111111111111\r\nhello", Err(HttpError::InvalidChunk))]
+#[case::data_runs_on("5\r\nhelloworld\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
+#[case::bare_line_feed("5\nhello\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
 fn chunks_byte_by_byte(#[case] text: &str, #[case] want: Result<&str, HttpError>) {
     let mut reader = BodyReader::new(Framing::Chunked);
     let (mut input, mut body) = (BytesMut::new(), Vec::new());
@@ -137,9 +140,9 @@
 )]
 #[case::half(
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel",
-    Err(HttpError::Early)
+    Err(HttpError::UnexpectedEnd)
 )]
-#[case::half_a_head("HTTP/1.1 200 OK\r\nConte", Err(HttpError::Early))]
+#[case::half_a_head("HTTP/1.1 200 OK\r\nConte", Err(HttpError::UnexpectedEnd))]
 #[case::until_the_end("HTTP/1.1 200 OK\r\n\r\nhello", Ok("hello"))]
 #[case::after_a_word_between(
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -154,7 +157,7 @@
 #[test]
 fn an_answer_to_head_has_no_body_whatever_its_length_says() {
     let text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
-    let head = response(&mut BytesMut::from(text), true, HeadLimits::default())
+    let head = parse_response(&mut BytesMut::from(text), true, HeadLimits::default())
         .unwrap()
         .unwrap();
     assert!(BodyReader::new(head.framing).ended());
--- a/crates/postgres-proxy/src/lines.rs
+++ b/crates/postgres-proxy/src/lines.rs
@@ -30,7 +30,7 @@
 impl Content {
     fn next(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, Broken> {
         if self.0.is_none() {
-            match http::response(input, false, HeadLimits::default()) {
+            match http::parse_response(input, false, HeadLimits::default()) {
                 Ok(Some(head)) if head.status == 200 => {
                     self.0 = Some(BodyReader::new(head.framing))
                 }
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -366,7 +366,7 @@
             SocketEvent::ConnectionLost {
                 socket,
                 written,
-                why,
+                error: why,
             } => match self.peers.get(&socket) {
                 Some(Peer::Client(_)) => self.client_gone(socket),
                 Some(Peer::Pod(_)) => self.pod_lost(socket, written, why),
@@ -382,7 +382,7 @@
                 }
                 None => {}
             },
-            SocketEvent::AcceptFailed { why, .. } => {
+            SocketEvent::AcceptFailed { error: why, .. } => {
                 tracing::debug!(%why, open = self.sockets.open_count(), "can't accept; tried again in 100 ms");
                 self.pressed = true;
             }
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -173,7 +173,7 @@
 
     pub(super) fn vote_connected(&mut self, link: SocketId) {
         if let Some(Peer::Vote(call)) = self.peers.get_mut(&link) {
-            call.connected(link, &mut self.sockets);
+            call.on_connected(link, &mut self.sockets);
         }
     }
 
@@ -181,7 +181,7 @@
         let Some(Peer::Vote(call)) = self.peers.get_mut(&link) else {
             return;
         };
-        match call.hear(link, &mut self.sockets) {
+        match call.on_readable(link, &mut self.sockets) {
             CallProgress::Pending => {}
             CallProgress::Complete(head, body) => {
                 let (answer, told) = news::vote_answer(head.status, &body);
