--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,152 +1,200 @@
-//! Bodies of HTTP/1.1 messages, piece by piece: nothing is gathered here.
+//! Bodies of HTTP/1.1 messages (RFC 9112, 6 and 7), read and written piece by piece without buffering them.
 
-use crate::http::HttpError;
+pub use crate::framing::Framing;
+
+use crate::error::HttpError;
 use bytes::{Bytes, BytesMut};
 
-/// How the end of a body is told (RFC 9112, 6.3).
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
-    Length(u64),
-    Chunked,
-    UntilClose,
-}
+/// The longest line of a chunked body (a size with its extensions, or a trailer field), in bytes. A peer can't make us
+/// buffer more.
+const MAX_LINE: usize = 1024;
+/// The most lines of a trailer section.
+const MAX_TRAILER_LINES: u32 = 32;
+const LINE_END: &[u8] = b"\r\n";
 
+/// What is expected next of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
-    Length(u64),
-    Size,
-    Chunk(u64),
+enum State {
+    /// So many bytes of a body of known length.
+    Content { left: u64 },
+    /// The line with a chunk's size.
+    ChunkSize,
+    /// So many bytes of a chunk.
+    ChunkContent { left: u64 },
+    /// The line end behind a chunk.
     ChunkEnd,
+    /// A line of the trailer section.
     Trailer,
+    /// Bytes until the peer closes.
     UntilClose,
-    End,
+    /// Nothing: the body is complete.
+    Complete,
 }
 
-/// A line of a chunked body (size with extensions, or trailer field) is no longer than this.
-const LONGEST_LINE: usize = 1024;
-const MOST_TRAILERS: u32 = 32;
-
 /// Reads one body off the front of a buffer.
 #[derive(Clone, Debug)]
 pub struct BodyReader {
-    at: At,
-    trailers: u32,
+    state: State,
+    trailer_lines: u32,
 }
 
 impl BodyReader {
+    /// A reader of a body that is framed so.
+    #[must_use]
     pub fn new(framing: Framing) -> Self {
-        let at = match framing {
-            Framing::Length(0) => At::End,
-            Framing::Length(length) => At::Length(length),
-            Framing::Chunked => At::Size,
-            Framing::UntilClose => At::UntilClose,
+        let state = match framing {
+            Framing::Length(0) => State::Complete,
+            Framing::Length(length) => State::Content { left: length },
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
-        Self { at, trailers: 0 }
+        Self {
+            state,
+            trailer_lines: 0,
+        }
     }
 
+    /// Whether the body is complete.
+    #[must_use]
     pub fn ended(&self) -> bool {
-        self.at == At::End
+        self.state == State::Complete
     }
 
-    /// The peer closed its side.
+    /// Notes that the peer closed its side.
     ///
     /// # Errors
-    /// The body had not ended.
+    ///
+    /// [`HttpError::UnexpectedEnd`] if the body was incomplete.
     pub fn close(&mut self) -> Result<(), HttpError> {
-        match self.at {
-            At::UntilClose | At::End => {
-                self.at = At::End;
+        match self.state {
+            State::UntilClose | State::Complete => {
+                self.state = State::Complete;
                 Ok(())
             }
             _ => Err(HttpError::UnexpectedEnd),
         }
     }
 
-    /// Takes the next piece of content; none when more bytes are needed or the body has ended.
+    /// Takes the next piece of content; none when more bytes are needed or the body is complete.
     ///
     /// # Errors
-    /// A chunk that can't be read.
+    ///
+    /// [`HttpError::InvalidChunk`] if a chunk or a trailer field breaks the grammar.
     pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
-        loop {
-            match self.at {
-                At::End => return Ok(None),
-                _ if input.is_empty() => return Ok(None),
-                At::UntilClose => return Ok(Some(input.split().freeze())),
-                At::Length(left) => {
-                    let piece = take(input, left);
-                    let left = left - piece.len() as u64;
-                    self.at = if left == 0 { At::End } else { At::Length(left) };
-                    return Ok(Some(piece));
-                }
-                At::Chunk(left) => {
-                    let piece = take(input, left);
-                    let left = left - piece.len() as u64;
-                    self.at = if left == 0 {
-                        At::ChunkEnd
-                    } else {
-                        At::Chunk(left)
-                    };
-                    return Ok(Some(piece));
-                }
-                At::ChunkEnd => {
-                    if input.len() < 2 {
-                        return Ok(None);
-                    }
-                    if &input.split_to(2)[..] != b"\r\n" {
-                        return Err(HttpError::InvalidChunk);
-                    }
-                    self.at = At::Size;
-                }
-                At::Size => {
-                    let Some(line) = line(input)? else {
-                        return Ok(None);
-                    };
-                    let digits = line.split(|b| *b == b';').next().unwrap_or_default();
-                    let plain = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
-                    match httparse::parse_chunk_size(&[digits, b"\r\n"].concat()) {
-                        Ok(httparse::Status::Complete((_, 0))) if plain => self.at = At::Trailer,
-                        Ok(httparse::Status::Complete((_, size))) if plain => {
-                            self.at = At::Chunk(size)
-                        }
-                        _ => return Err(HttpError::InvalidChunk),
-                    }
-                }
-                At::Trailer => {
-                    let Some(line) = line(input)? else {
-                        return Ok(None);
-                    };
-                    self.trailers += 1;
-                    if line.is_empty() {
-                        self.at = At::End;
-                    } else if self.trailers > MOST_TRAILERS || !line.contains(&b':') {
-                        return Err(HttpError::InvalidChunk);
-                    }
+        while self.state != State::Complete && !input.is_empty() {
+            let has_read = match self.state {
+                State::Complete => return Ok(None),
+                State::UntilClose => return Ok(Some(input.split().freeze())),
+                State::Content { left } => return Ok(Some(self.read_content(input, left))),
+                State::ChunkContent { left } => {
+                    return Ok(Some(self.read_chunk_content(input, left)))
                 }
+                State::ChunkEnd => self.read_chunk_end(input)?,
+                State::ChunkSize => self.read_chunk_size(input)?,
+                State::Trailer => self.read_trailer_line(input)?,
+            };
+            if !has_read {
+                return Ok(None);
             }
         }
+        Ok(None)
+    }
+
+    fn read_content(&mut self, input: &mut BytesMut, left: u64) -> Bytes {
+        let piece = take_up_to(input, left);
+        let left = left - piece.len() as u64;
+        self.state = if left == 0 {
+            State::Complete
+        } else {
+            State::Content { left }
+        };
+        piece
+    }
+
+    fn read_chunk_content(&mut self, input: &mut BytesMut, left: u64) -> Bytes {
+        let piece = take_up_to(input, left);
+        let left = left - piece.len() as u64;
+        self.state = if left == 0 {
+            State::ChunkEnd
+        } else {
+            State::ChunkContent { left }
+        };
+        piece
+    }
+
+    /// Reads the line end behind a chunk; false if more bytes are needed.
+    fn read_chunk_end(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
+        if input.len() < LINE_END.len() {
+            return Ok(false);
+        }
+        if input.split_to(LINE_END.len()) != LINE_END {
+            return Err(HttpError::InvalidChunk);
+        }
+        self.state = State::ChunkSize;
+        Ok(true)
+    }
+
+    /// Reads the line with a chunk's size; false if more bytes are needed.
+    fn read_chunk_size(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
+        let Some(line) = take_line(input)? else {
+            return Ok(false);
+        };
+        self.state = match parse_chunk_size(&line)? {
+            0 => State::Trailer,
+            size => State::ChunkContent { left: size },
+        };
+        Ok(true)
+    }
+
+    /// Reads a line of the trailer section and drops it; false if more bytes are needed.
+    fn read_trailer_line(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
+        let Some(line) = take_line(input)? else {
+            return Ok(false);
+        };
+        self.trailer_lines += 1;
+        if line.is_empty() {
+            self.state = State::Complete;
+        } else if self.trailer_lines > MAX_TRAILER_LINES || !line.contains(&b':') {
+            return Err(HttpError::InvalidChunk);
+        }
+        Ok(true)
+    }
+}
+
+/// The size in a chunk's first line, without its extensions.
+fn parse_chunk_size(line: &[u8]) -> Result<u64, HttpError> {
+    let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
+    // Stricter than `httparse`, which lets white space follow the size.
+    if digits.is_empty() || !digits.iter().all(u8::is_ascii_hexdigit) {
+        return Err(HttpError::InvalidChunk);
+    }
+    match httparse::parse_chunk_size(&[digits, LINE_END].concat()) {
+        Ok(httparse::Status::Complete((_, size))) => Ok(size),
+        _ => Err(HttpError::InvalidChunk),
     }
 }
 
-fn take(input: &mut BytesMut, most: u64) -> Bytes {
-    let length = input.len().min(usize::try_from(most).unwrap_or(usize::MAX));
+fn take_up_to(input: &mut BytesMut, most: u64) -> Bytes {
+    let most = usize::try_from(most).unwrap_or(usize::MAX);
+    let length = input.len().min(most);
     input.split_to(length).freeze()
 }
 
-/// A line without its end; a bare line feed is no end.
-fn line(input: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
-    match input.iter().position(|b| *b == b'\n') {
-        Some(end) if end > 0 && end <= LONGEST_LINE && input[end - 1] == b'\r' => {
+/// Takes a line without its end; none if it is incomplete. A line feed without a carriage return ends no line.
+fn take_line(input: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
+    match input.iter().position(|byte| *byte == b'\n') {
+        Some(end) if end > 0 && end <= MAX_LINE && input[end - 1] == b'\r' => {
             let line = input.split_to(end + 1).freeze();
             Ok(Some(line.slice(..end - 1)))
         }
-        None if input.len() <= LONGEST_LINE => Ok(None),
+        None if input.len() <= MAX_LINE => Ok(None),
         _ => Err(HttpError::InvalidChunk),
     }
 }
 
-/// Writes one chunk; the last one is empty.
-pub fn write_chunk(out: &mut BytesMut, piece: &[u8]) {
-    out.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
-    out.extend_from_slice(piece);
-    out.extend_from_slice(b"\r\n");
+/// Writes one chunk. An empty one ends the body.
+pub fn write_chunk(out: &mut BytesMut, content: &[u8]) {
+    out.extend_from_slice(format!("{:x}\r\n", content.len()).as_bytes());
+    out.extend_from_slice(content);
+    out.extend_from_slice(LINE_END);
 }
--- /dev/null
+++ b/crates/net/src/http/fields.rs
@@ -0,0 +1,137 @@
+//! The fields of a message's head.
+
+use crate::error::HttpError;
+use bytes::{Bytes, BytesMut};
+
+/// Fields that concern one connection alone (RFC 9110, 7.6.1), and `content-length`, which each sender sets itself.
+const HOP_BY_HOP: [&str; 10] = [
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "content-length",
+    "expect",
+    "proxy-authorization",
+];
+
+/// A range of a head's bytes.
+#[derive(Clone, Copy, Debug)]
+struct Span {
+    start: usize,
+    length: usize,
+}
+
+/// Where one field's name and value stand in a head.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct FieldSpan {
+    name: Span,
+    value: Span,
+}
+
+/// The fields of one head, in the order in which they came. Names are compared without regard to case.
+#[derive(Clone, Debug, Default)]
+pub struct Fields {
+    raw: Bytes,
+    spans: Vec<FieldSpan>,
+}
+
+impl Fields {
+    /// Takes a head of `length` bytes off the front of `input`.
+    ///
+    /// # Errors
+    ///
+    /// [`HttpError::BareLineFeed`] if a line does not end with carriage return and line feed.
+    pub(super) fn take(
+        spans: Vec<FieldSpan>,
+        input: &mut BytesMut,
+        length: usize,
+    ) -> Result<Self, HttpError> {
+        let raw = input.split_to(length).freeze();
+        let is_bare = |position: usize| position == 0 || raw[position - 1] != b'\r';
+        if memchr::memchr_iter(b'\n', &raw).any(is_bare) {
+            return Err(HttpError::BareLineFeed);
+        }
+        Ok(Self { raw, spans })
+    }
+
+    fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
+        self.spans
+            .iter()
+            .map(|field| (self.bytes(field.name), self.bytes(field.value)))
+    }
+
+    fn bytes(&self, span: Span) -> &[u8] {
+        &self.raw[span.start..span.start + span.length]
+    }
+
+    /// The value of the first field of that name.
+    pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a [u8]> {
+        self.all(name).next()
+    }
+
+    /// The value of the first field of that name, if it is UTF-8.
+    pub fn text<'a>(&'a self, name: &'a str) -> Option<&'a str> {
+        let value = self.get(name)?;
+        std::str::from_utf8(value).ok()
+    }
+
+    /// The values of all fields of that name.
+    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
+        self.iter()
+            .filter(move |(candidate, _)| candidate.eq_ignore_ascii_case(name.as_bytes()))
+            .map(|(_, value)| value)
+    }
+
+    /// Name and value of the fields that a proxy forwards: all but hop-by-hop fields, those named by `Connection`
+    /// (RFC 9110, 7.6.1), and the length, which the sender sets.
+    pub fn end_to_end(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
+        self.iter()
+            .filter(|(name, _)| !is_hop_by_hop(name) && !self.connection_lists(name))
+    }
+
+    /// Whether a `Connection` field lists this token.
+    pub(super) fn connection_lists(&self, token: &[u8]) -> bool {
+        self.all("connection").any(|value| has_token(value, token))
+    }
+}
+
+/// Where the names and values of parsed headers stand in `input`.
+pub(super) fn field_spans(headers: &[httparse::Header<'_>], input: &[u8]) -> Vec<FieldSpan> {
+    headers
+        .iter()
+        .map(|header| FieldSpan {
+            name: span_within(header.name.as_bytes(), input),
+            value: span_within(header.value, input),
+        })
+        .collect()
+}
+
+fn span_within(part: &[u8], input: &[u8]) -> Span {
+    // An empty value may point anywhere.
+    if part.is_empty() {
+        return Span {
+            start: 0,
+            length: 0,
+        };
+    }
+    Span {
+        start: part.as_ptr() as usize - input.as_ptr() as usize,
+        length: part.len(),
+    }
+}
+
+fn is_hop_by_hop(name: &[u8]) -> bool {
+    HOP_BY_HOP
+        .iter()
+        .any(|hop_by_hop| name.eq_ignore_ascii_case(hop_by_hop.as_bytes()))
+}
+
+/// Whether a comma-separated list holds a token, without regard to case.
+pub(super) fn has_token(value: &[u8], token: &[u8]) -> bool {
+    value
+        .split(|byte| *byte == b',')
+        .any(|part| part.trim_ascii().eq_ignore_ascii_case(token))
+}
--- /dev/null
+++ b/crates/net/src/http/mod.rs
@@ -0,0 +1,12 @@
+//! Heads of HTTP/1.1 messages (RFC 9110, RFC 9112), parsed and written.
+//!
+//! A message that two readers could understand in two ways is refused: that is how requests are smuggled past a proxy.
+
+mod fields;
+mod parse;
+mod write;
+
+pub use crate::error::HttpError;
+pub use fields::Fields;
+pub use parse::{parse_request, parse_response, HeadLimits, RequestHead, ResponseHead, MAX_FIELDS};
+pub use write::{write_field, write_request, write_response};
--- a/crates/net/src/http_call.rs
+++ b/crates/net/src/http_call.rs
@@ -1,4 +1,4 @@
-//! One call on a connection of its own: a request is sent once the connection stands, and one answer is read.
+//! One HTTP call on a connection of its own.
 
 use crate::http::ResponseHead;
 use crate::message_reader::ResponseReader;
@@ -6,43 +6,51 @@
 use crate::timer_wheel::TimerKey;
 use bytes::BytesMut;
 
+/// A call in flight: the request is sent once the connection is established, then one response is read.
 pub struct HttpCall {
-    answers: ResponseReader,
+    responses: ResponseReader,
     request: BytesMut,
-    /// When the answer is waited for no longer.
+    /// The timer that ends the wait for the response.
     pub timer: TimerKey,
 }
 
+/// How far a call has come.
 pub enum CallProgress {
+    /// The response is incomplete.
     Pending,
+    /// The response with its body.
     Complete(ResponseHead, BytesMut),
-    /// Half an answer, or one that can't be read: the call may have been carried out.
+    /// The response can't be read, or the connection ended before it was complete. The call may have been carried out.
     Failed,
 }
 
 impl HttpCall {
-    /// The answer's body may have `most` bytes.
-    pub fn new(request: BytesMut, most: usize, timer: TimerKey) -> Self {
+    /// A call that sends `request` and takes a response whose body has at most `max_body` bytes.
+    #[must_use]
+    pub fn new(request: BytesMut, max_body: usize, timer: TimerKey) -> Self {
         Self {
-            answers: ResponseReader::new(most),
+            responses: ResponseReader::new(max_body),
             request,
             timer,
         }
     }
 
-    pub fn on_connected(&mut self, link: SocketId, sockets: &mut Sockets) {
-        sockets.send(link, &std::mem::take(&mut self.request));
+    /// Sends the request: the connection is established.
+    pub fn on_connected(&mut self, connection: SocketId, sockets: &mut Sockets) {
+        let request = std::mem::take(&mut self.request);
+        sockets.send(connection, &request);
     }
 
-    pub fn on_readable(&mut self, link: SocketId, sockets: &mut Sockets) -> CallProgress {
-        let ended = sockets.has_ended(link);
-        let Some(input) = sockets.input(link) else {
+    /// Reads what has come on the connection.
+    pub fn on_readable(&mut self, connection: SocketId, sockets: &mut Sockets) -> CallProgress {
+        let ended = sockets.has_ended(connection);
+        let Some(input) = sockets.input(connection) else {
             return CallProgress::Failed;
         };
-        match self.answers.take(input, ended) {
+        match self.responses.take(input, ended) {
             Ok(Some((head, body))) => CallProgress::Complete(head, body),
             Ok(None) if !ended => {
-                sockets.resume_reading(link);
+                sockets.resume_reading(connection);
                 CallProgress::Pending
             }
             _ => CallProgress::Failed,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,17 +1,17 @@
-//! What carries bytes: sockets on `mio` (`sockets`), HTTP/1.1 (`http`, `body`, `message`, `call`), due times (`wheel`).
-//! Nothing here decides what is sent where. All but `sockets` and `call` is free of I/O: bytes in, bytes out.
-
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+//! Sockets, the HTTP/1.1 codec and timers. Nothing here decides what is sent where.
+//!
+//! - [`sockets`]: listeners, connections and datagrams on one `mio` poll
+//! - [`http`]: heads of messages, parsed and written
+//! - [`body`]: bodies of messages, piece by piece
+//! - [`message_reader`]: complete messages
+//! - [`http_call`]: one call on a connection of its own
+//! - [`timer_wheel`]: many timers
+//!
+//! All but [`sockets`] and [`http_call`] is free of I/O.
 
 pub mod body;
+mod error;
+mod framing;
 pub mod http;
 pub mod http_call;
 pub mod message_reader;
--- a/crates/net/src/message_reader.rs
+++ b/crates/net/src/message_reader.rs
@@ -1,28 +1,34 @@
-//! Whole messages, gathered up to a bound: for peers that exchange small ones.
+//! Complete messages with their bodies, for peers that exchange small ones.
 
-use crate::body::{BodyReader, Framing};
-use crate::http::{self, HeadLimits, HttpError, RequestHead, ResponseHead};
+use crate::body::BodyReader;
+use crate::error::HttpError;
+use crate::framing::Framing;
+use crate::http::{self, HeadLimits, RequestHead, ResponseHead};
 use bytes::BytesMut;
 
-/// Gathers one message after the other off a connection's bytes.
+/// Reads one message after the other off a connection's bytes, each with its body in memory.
 pub struct MessageReader<H> {
-    /// Apart, so that a connection between two messages is small.
-    open: Option<Box<Open<H>>>,
-    most: usize,
+    /// Boxed, so that an idle connection's reader is small.
+    incomplete: Option<Box<IncompleteMessage<H>>>,
+    max_body: usize,
 }
 
-struct Open<H> {
+struct IncompleteMessage<H> {
     head: H,
-    reader: BodyReader,
+    body_reader: BodyReader,
     body: BytesMut,
 }
 
 /// The head of a message, as it is read off a connection's bytes.
 pub trait Head: Sized {
+    /// Takes a head off the front of `input`; none while it is incomplete.
+    ///
     /// # Errors
-    /// What is refused; the connection is of no further use.
+    ///
+    /// Any [`HttpError`] of a head. The connection is of no further use.
     fn read(input: &mut BytesMut) -> Result<Option<Self>, HttpError>;
 
+    /// How the end of the message's body is marked.
     fn framing(&self) -> Framing;
 }
 
@@ -46,70 +52,94 @@
     }
 }
 
+/// A server's reader.
 pub type RequestReader = MessageReader<RequestHead>;
+/// A client's reader. It can't read the responses to `HEAD`.
 pub type ResponseReader = MessageReader<ResponseHead>;
 
 impl<H: Head> MessageReader<H> {
-    /// Bodies may have `most` bytes.
-    pub fn new(most: usize) -> Self {
-        Self { open: None, most }
+    /// A reader of messages whose bodies have at most `max_body` bytes.
+    #[must_use]
+    pub fn new(max_body: usize) -> Self {
+        Self {
+            incomplete: None,
+            max_body,
+        }
     }
 
-    /// Whether a message has begun and is not whole.
+    /// Whether a message's head was read and its body is incomplete.
+    #[must_use]
     pub fn is_mid_message(&self) -> bool {
-        self.open.is_some()
+        self.incomplete.is_some()
     }
 
-    /// The message that is being read, with what of its body has come and the reader of the rest: for those
-    /// too large to be gathered.
+    /// Takes the incomplete message, with what of its body has come and the reader of the rest: for bodies that are too
+    /// large for memory.
     pub fn take_incomplete(&mut self) -> Option<(H, BytesMut, BodyReader)> {
-        let Open { head, reader, body } = *self.open.take()?;
-        Some((head, body, reader))
+        let message = *self.incomplete.take()?;
+        Some((message.head, message.body, message.body_reader))
     }
 
-    /// The next whole message; `closed` tells that no more bytes will come.
+    /// Takes the next complete message off the front of `input`. `closed` tells that no more bytes will come.
     ///
     /// # Errors
-    /// What is refused; the connection is of no further use, but for a body that is too large (see `take_incomplete`).
+    ///
+    /// Any [`HttpError`]. The connection is of no further use, except after [`HttpError::BodyTooLarge`]: the message can
+    /// then be read on with [`take_incomplete`](Self::take_incomplete).
     pub fn take(
         &mut self,
         input: &mut BytesMut,
         closed: bool,
     ) -> Result<Option<(H, BytesMut)>, HttpError> {
-        let mut open = match self.open.take() {
-            Some(open) => *open,
-            None => match H::read(input)? {
-                Some(head) => Open {
-                    reader: BodyReader::new(head.framing()),
-                    head,
-                    body: BytesMut::new(),
-                },
-                None if closed && !input.is_empty() => return Err(HttpError::UnexpectedEnd),
-                None => return Ok(None),
-            },
+        let Some(mut message) = self.begin_or_continue(input, closed)? else {
+            return Ok(None);
         };
-        while let Some(piece) = open.reader.next(input)? {
-            open.body.extend_from_slice(&piece);
-            if open.body.len() > self.most {
-                self.open = Some(Box::new(open));
+        while let Some(piece) = message.body_reader.next(input)? {
+            message.body.extend_from_slice(&piece);
+            if message.body.len() > self.max_body {
+                self.incomplete = Some(Box::new(message));
                 return Err(HttpError::BodyTooLarge);
             }
         }
         if closed {
-            open.reader.close()?;
+            message.body_reader.close()?;
         }
-        if open.reader.ended() {
-            return Ok(Some((open.head, open.body)));
+        if message.body_reader.ended() {
+            return Ok(Some((message.head, message.body)));
         }
-        self.open = Some(Box::new(open));
+        self.incomplete = Some(Box::new(message));
         Ok(None)
     }
+
+    /// The message that is being read, or the next one once its head is complete.
+    fn begin_or_continue(
+        &mut self,
+        input: &mut BytesMut,
+        closed: bool,
+    ) -> Result<Option<IncompleteMessage<H>>, HttpError> {
+        if let Some(message) = self.incomplete.take() {
+            return Ok(Some(*message));
+        }
+        match H::read(input)? {
+            Some(head) => Ok(Some(IncompleteMessage {
+                body_reader: BodyReader::new(head.framing()),
+                head,
+                body: BytesMut::new(),
+            })),
+            None if closed && !input.is_empty() => Err(HttpError::UnexpectedEnd),
+            None => Ok(None),
+        }
+    }
 }
 
 impl RequestReader {
-    /// Whether a client waits for a word before it sends the body (RFC 9110, 10.1.1); told once a request.
+    /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1). True once a request.
     pub fn wants_continue(&mut self) -> bool {
-        let waits = self.open.as_mut().filter(|open| !open.reader.ended());
-        waits.is_some_and(|open| std::mem::take(&mut open.head.expects_continue))
+        match &mut self.incomplete {
+            Some(message) if !message.body_reader.ended() => {
+                std::mem::take(&mut message.head.expects_continue)
+            }
+            _ => false,
+        }
     }
 }
