--- a/crates/net/src/sockets/tests.rs
+++ b/crates/net/src/sockets/tests.rs
@@ -1,10 +1,17 @@
 //! Connections that end while something else goes on, and what the poll refuses.
 
-use super::*;
+use super::closing::LINGER_TIMEOUT;
+use super::connection::Connection;
+use super::listener::ACCEPT_BATCH;
+use super::socket_table::Socket;
+use super::{SocketEvent, SocketId, Sockets, MAX_INPUT};
+use mio::net::TcpStream;
 use std::fs::File;
+use std::io::Write;
 use std::net::{TcpListener as Listener, TcpStream as Stream};
 use std::os::fd::OwnedFd;
 use std::thread;
+use std::time::{Duration, Instant};
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -185,7 +192,7 @@
     sockets.close_when_sent(id);
     assert!(sockets.has_lingering());
     let sends = thread::spawn(move || while peer.write_all(&[0; 4096]).is_ok() {});
-    let end = Instant::now() + LINGER;
+    let end = Instant::now() + LINGER_TIMEOUT;
     while sockets.has_lingering() {
         sockets.wait(Some(PATIENCE)).unwrap();
     }
@@ -199,6 +206,6 @@
     let mut sockets = Sockets::new().unwrap();
     let file = OwnedFd::from(File::open("/dev/null").unwrap());
     let stream = TcpStream::from_std(std::net::TcpStream::from(file));
-    let refused = sockets.insert(Socket::Link(Box::new(Link::new(stream, false))));
-    assert!(refused.is_err() && sockets.open_count() == 0 && sockets.accepted == 0);
+    let refused = sockets.insert(Socket::Connection(Box::new(Connection::accepted(stream))));
+    assert!(refused.is_err() && sockets.open_count() == 0 && sockets.accepted_count == 0);
 }
