--- a/crates/net/src/sockets/tests.rs
+++ b/crates/net/src/sockets/tests.rs
@@ -1,4 +1,4 @@
-//! Connections that end while something else goes on, and what the poll refuses.
+//! Connections that end with input unread or output unsent, listeners that close, and sockets that the poll refuses.
 
 use super::closing::LINGER_TIMEOUT;
 use super::connection::Connection;
@@ -13,46 +13,47 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits before it fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A connection that stands: its number here, and the other side.
-fn pair(sockets: &mut Sockets) -> (SocketId, Stream) {
+/// An established connection: its id, and the peer's side.
+fn connected_pair(sockets: &mut Sockets) -> (SocketId, Stream) {
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let id = sockets.connect(listener.local_addr().unwrap()).unwrap();
     let (peer, _) = listener.accept().unwrap();
-    until(
+    wait_until(
         sockets,
-        |what| matches!(what, SocketEvent::Connected(at) if *at == id),
+        |event| matches!(event, SocketEvent::Connected(at) if *at == id),
     );
     (id, peer)
 }
 
-/// Goes on until this happens; all that happened up to then.
-fn until(sockets: &mut Sockets, wanted: impl Fn(&SocketEvent) -> bool) -> Vec<SocketEvent> {
-    let end = Instant::now() + PATIENCE;
-    let mut all = Vec::new();
-    while !all.iter().any(&wanted) {
-        assert!(Instant::now() < end, "only {all:?}");
-        all.extend(sockets.wait(Some(PATIENCE)).unwrap());
+/// Waits until an event is the wanted one; returns all events up to then.
+fn wait_until(sockets: &mut Sockets, wanted: impl Fn(&SocketEvent) -> bool) -> Vec<SocketEvent> {
+    let end = Instant::now() + TEST_TIMEOUT;
+    let mut events = Vec::new();
+    while !events.iter().any(&wanted) {
+        assert!(Instant::now() < end, "only {events:?}");
+        events.extend(sockets.wait(Some(TEST_TIMEOUT)).unwrap());
     }
-    all
+    events
 }
 
-/// The peer answers and resets at once: it closes with bytes unread.
-fn answers_and_resets(sockets: &mut Sockets, id: SocketId, mut peer: Stream, answer: &[u8]) {
+/// The peer sends an answer and resets the connection, as it closes with input unread.
+fn peer_answers_and_resets(sockets: &mut Sockets, id: SocketId, mut peer: Stream, answer: &[u8]) {
     sockets.send(id, b"ask");
     peer.peek(&mut [0]).unwrap();
     peer.write_all(answer).unwrap();
 }
 
-/// What is read up to the loss.
+/// All input that comes before the connection is reported as lost.
 fn read_until_lost(sockets: &mut Sockets, id: SocketId) -> Vec<u8> {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     let mut read = Vec::new();
     loop {
-        assert!(Instant::now() < end, "no loss is told");
-        for what in sockets.wait(Some(PATIENCE)).unwrap() {
-            match what {
+        assert!(Instant::now() < end, "the loss is not reported");
+        for event in sockets.wait(Some(TEST_TIMEOUT)).unwrap() {
+            match event {
                 SocketEvent::Readable(at) if at == id => {
                     read.extend_from_slice(&sockets.input(id).unwrap().split());
                     sockets.resume_reading(id);
@@ -67,35 +68,32 @@
     }
 }
 
-/// An answer that stands before a reset is read, however long it is, and the loss is told behind it.
 #[test]
-fn what_came_before_a_reset_is_read() {
+fn input_before_a_reset_is_read_before_the_loss_is_reported() {
     for length in [6, MAX_INPUT * 3] {
         let mut sockets = Sockets::new().unwrap();
-        let (id, peer) = pair(&mut sockets);
+        let (id, peer) = connected_pair(&mut sockets);
         let answer = vec![b'x'; length];
-        answers_and_resets(&mut sockets, id, peer, &answer);
+        peer_answers_and_resets(&mut sockets, id, peer, &answer);
         assert_eq!(read_until_lost(&mut sockets, id).len(), length);
     }
 }
 
-/// A write that fails takes nothing from the answer that waits with the system.
 #[test]
-fn what_came_before_a_failed_write_is_read() {
+fn input_before_a_failed_write_is_read() {
     let mut sockets = Sockets::new().unwrap();
-    let (id, peer) = pair(&mut sockets);
-    answers_and_resets(&mut sockets, id, peer, b"answer");
+    let (id, peer) = connected_pair(&mut sockets);
+    peer_answers_and_resets(&mut sockets, id, peer, b"answer");
     sockets.send(id, b"more");
     sockets.send(id, b"and more");
     assert_eq!(read_until_lost(&mut sockets, id), b"answer");
 }
 
-/// One that was lost is not used again, and its owner may close it before it is told.
 #[test]
-fn a_lost_connection_is_neither_quiet_nor_told_after_its_close() {
+fn a_lost_connection_is_not_silent_and_its_loss_is_not_reported_after_close() {
     let mut sockets = Sockets::new().unwrap();
-    let (id, peer) = pair(&mut sockets);
-    answers_and_resets(&mut sockets, id, peer, b"answer");
+    let (id, peer) = connected_pair(&mut sockets);
+    peer_answers_and_resets(&mut sockets, id, peer, b"answer");
     sockets.send(id, b"more");
     assert!(!sockets.is_silent(id) && sockets.has_peer_closed(id));
     sockets.close(id);
@@ -103,28 +101,27 @@
         .wait(Some(Duration::ZERO))
         .unwrap()
         .iter()
-        .all(|what| !matches!(what, SocketEvent::ConnectionLost { .. })));
+        .all(|event| !matches!(event, SocketEvent::ConnectionLost { .. })));
 }
 
-/// A peer that closes is known to have, though its end stands behind more than is read ahead.
 #[test]
-fn an_end_behind_a_full_buffer_is_told() {
+fn a_peers_close_behind_a_full_buffer_is_reported() {
     let mut sockets = Sockets::new().unwrap();
-    let (id, mut peer) = pair(&mut sockets);
-    let writes = thread::spawn(move || {
+    let (id, mut peer) = connected_pair(&mut sockets);
+    let writer = thread::spawn(move || {
         peer.write_all(&vec![b'x'; MAX_INPUT + 10]).unwrap();
         peer
     });
-    let readable = |what: &SocketEvent| matches!(what, SocketEvent::Readable(at) if *at == id);
-    until(&mut sockets, readable);
-    let peer = writes.join().unwrap();
-    // All of it has come, and what there is room for was read.
+    let readable = |event: &SocketEvent| matches!(event, SocketEvent::Readable(at) if *at == id);
+    wait_until(&mut sockets, readable);
+    let peer = writer.join().unwrap();
+    // All of it has arrived, and the buffer is filled.
     while sockets.input(id).unwrap().len() < MAX_INPUT {
-        sockets.wait(Some(PATIENCE)).unwrap();
+        sockets.wait(Some(TEST_TIMEOUT)).unwrap();
     }
     assert!(!sockets.has_peer_closed(id));
     drop(peer);
-    until(&mut sockets, readable);
+    wait_until(&mut sockets, readable);
     assert!(sockets.has_peer_closed(id) && !sockets.has_ended(id));
     assert_eq!(sockets.input(id).unwrap().split().len(), MAX_INPUT);
     sockets.resume_reading(id);
@@ -132,51 +129,51 @@
     assert!(sockets.has_ended(id));
 }
 
-/// Connections that wait at a listener are let in before it closes, more than one turn lets in too.
 #[test]
-fn nobody_is_left_at_a_listener_that_closes() {
+fn a_closing_listener_accepts_more_than_one_batch_of_its_backlog() {
     let mut sockets = Sockets::new().unwrap();
     let (listener, at) = sockets.listen("127.0.0.1:0".parse().unwrap()).unwrap();
-    let came: Vec<Stream> = (0..ACCEPT_BATCH + 36)
+    let peers: Vec<Stream> = (0..ACCEPT_BATCH + 36)
         .map(|_| Stream::connect(at).unwrap())
         .collect();
     assert!(sockets.stop_listening(listener));
-    let accepted = |what: &SocketEvent| matches!(what, SocketEvent::Accepted { .. });
+    let accepted = |event: &SocketEvent| matches!(event, SocketEvent::Accepted { .. });
     assert_eq!(
         sockets
-            .wait(Some(PATIENCE))
+            .wait(Some(TEST_TIMEOUT))
             .unwrap()
             .iter()
-            .filter(|what| accepted(what))
+            .filter(|event| accepted(event))
             .count(),
-        came.len()
+        peers.len()
     );
     assert!(Stream::connect(at).is_err());
 }
 
-/// Where there is no room for all of them it stays open until there is.
 #[test]
-fn a_listener_without_room_stays_open() {
+fn a_closing_listener_stays_open_until_its_backlog_fits_the_limit() {
     let mut sockets = Sockets::new().unwrap();
     let (listener, at) = sockets.listen("127.0.0.1:0".parse().unwrap()).unwrap();
     sockets.limit_connections(2, usize::MAX);
-    let _came: Vec<Stream> = (0..3).map(|_| Stream::connect(at).unwrap()).collect();
+    let _peers: Vec<Stream> = (0..3).map(|_| Stream::connect(at).unwrap()).collect();
     assert!(!sockets.stop_listening(listener));
-    let accepted = |what: &SocketEvent| match what {
+    let accepted = |event: &SocketEvent| match event {
         SocketEvent::Accepted { socket, .. } => Some(*socket),
         _ => None,
     };
     let first: Vec<SocketId> = sockets
-        .wait(Some(PATIENCE))
+        .wait(Some(TEST_TIMEOUT))
         .unwrap()
         .iter()
         .filter_map(accepted)
         .collect();
     assert_eq!(first.len(), 2);
-    first.into_iter().for_each(|id| sockets.close(id));
+    for id in first {
+        sockets.close(id);
+    }
     assert!(sockets.stop_listening(listener));
     assert!(sockets
-        .wait(Some(PATIENCE))
+        .wait(Some(TEST_TIMEOUT))
         .unwrap()
         .iter()
         .filter_map(accepted)
@@ -184,26 +181,25 @@
         .is_some());
 }
 
-/// A peer that sends without end does not hold a connection that closes.
 #[test]
-fn a_closing_connection_hears_its_peer_out_in_bounds() {
+fn a_closing_connection_discards_only_so_much_of_a_peers_input() {
     let mut sockets = Sockets::new().unwrap();
-    let (id, mut peer) = pair(&mut sockets);
+    let (id, mut peer) = connected_pair(&mut sockets);
     sockets.close_when_sent(id);
     assert!(sockets.has_lingering());
-    let sends = thread::spawn(move || while peer.write_all(&[0; 4096]).is_ok() {});
+    let sender = thread::spawn(move || while peer.write_all(&[0; 4096]).is_ok() {});
     let end = Instant::now() + LINGER_TIMEOUT;
     while sockets.has_lingering() {
-        sockets.wait(Some(PATIENCE)).unwrap();
+        sockets.wait(Some(TEST_TIMEOUT)).unwrap();
     }
     assert!(Instant::now() < end && sockets.open_count() == 0);
-    sends.join().unwrap();
+    sender.join().unwrap();
 }
 
-/// What the poll refuses to watch, here a file in place of a socket, leaves nothing behind.
 #[test]
-fn a_connection_that_cannot_be_registered_is_let_go() {
+fn a_connection_that_the_poll_refuses_leaves_nothing_behind() {
     let mut sockets = Sockets::new().unwrap();
+    // The poll can't watch a file.
     let file = OwnedFd::from(File::open("/dev/null").unwrap());
     let stream = TcpStream::from_std(std::net::TcpStream::from(file));
     let refused = sockets.insert(Socket::Connection(Box::new(Connection::accepted(stream))));
--- a/crates/net/tests/any_bytes.rs
+++ b/crates/net/tests/any_bytes.rs
@@ -1,14 +1,15 @@
-//! Whatever comes in: no panic, no more held than allowed, and the same however it is cut.
+//! Drawn bytes that resemble HTTP: readers never panic, never hold more than allowed, and read the same however the bytes
+//! are split.
 
 use bytes::BytesMut;
 use limewing_net::message_reader::{RequestReader, ResponseReader};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const MOST: usize = 100;
+const MAX_BODY: usize = 100;
 
-/// Bytes that are nearly HTTP.
-fn nearly() -> impl Strategy<Value = Vec<u8>> {
+/// Fragments of HTTP in any order, now and then with noise between.
+fn http_like_bytes() -> impl Strategy<Value = Vec<u8>> {
     let parts = prop::sample::select(vec![
         "GET / HTTP/1.1\r\n",
         "POST /a HTTP/1.0\r\n",
@@ -33,39 +34,56 @@
     prop::collection::vec(part, 0..14).prop_map(|parts| parts.concat())
 }
 
-/// What is read when the bytes come in pieces of so many: targets and bodies, and the trouble that ended it.
-fn requests(bytes: &[u8], piece: usize) -> (Vec<(String, Vec<u8>)>, Option<String>) {
-    let (mut reader, mut input, mut found) =
-        (RequestReader::new(MOST), BytesMut::new(), Vec::new());
-    for piece in bytes.chunks(piece) {
+/// What a reader makes of the bytes: targets and bodies, and the error that ended it.
+#[derive(Debug)]
+struct ReadRequests {
+    requests: Vec<(String, Vec<u8>)>,
+    error: Option<String>,
+}
+
+fn read_in_pieces(bytes: &[u8], piece_length: usize) -> ReadRequests {
+    let mut reader = RequestReader::new(MAX_BODY);
+    let mut input = BytesMut::new();
+    let mut requests = Vec::new();
+    for piece in bytes.chunks(piece_length) {
         input.extend_from_slice(piece);
         loop {
             match reader.take(&mut input, false) {
-                Ok(Some((head, body))) => found.push((head.target, body.to_vec())),
+                Ok(Some((head, body))) => requests.push((head.target, body.to_vec())),
                 Ok(None) => break,
-                Err(why) => return (found, Some(why.to_string())),
+                Err(error) => {
+                    return ReadRequests {
+                        requests,
+                        error: Some(error.to_string()),
+                    }
+                }
             }
         }
     }
-    (found, None)
+    ReadRequests {
+        requests,
+        error: None,
+    }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn requests_are_the_same_however_they_are_cut(bytes in nearly(), piece in 1_usize..50) {
-        let (whole, cut) = (requests(&bytes, 10_000), requests(&bytes, piece));
-        prop_assert!(whole.0.iter().all(|(_, body)| body.len() <= MOST));
-        prop_assert_eq!(&whole.0, &cut.0);
-        prop_assert_eq!(whole.1.is_some(), cut.1.is_some());
+    fn requests_are_read_the_same_however_they_are_split(bytes in http_like_bytes(), piece_length in 1_usize..50) {
+        let whole = read_in_pieces(&bytes, 10_000);
+        let split = read_in_pieces(&bytes, piece_length);
+        prop_assert!(whole.requests.iter().all(|(_, body)| body.len() <= MAX_BODY));
+        prop_assert_eq!(&whole.requests, &split.requests);
+        prop_assert_eq!(whole.error.is_some(), split.error.is_some());
     }
 
     #[test]
-    fn answers_end_in_words_or_trouble(bytes in nearly()) {
-        let (mut reader, mut input) = (ResponseReader::new(MOST), BytesMut::from(&bytes[..]));
+    fn response_bodies_stay_within_the_limit(bytes in http_like_bytes()) {
+        let mut reader = ResponseReader::new(MAX_BODY);
+        let mut input = BytesMut::from(&bytes[..]);
         while let Ok(Some((_, body))) = reader.take(&mut input, true) {
-            prop_assert!(body.len() <= MOST);
+            prop_assert!(body.len() <= MAX_BODY);
             if input.is_empty() {
                 break;
             }
--- a/crates/net/tests/codec.rs
+++ b/crates/net/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Bytes in, words out: no sockets.
+//! Heads and bodies of single messages, parsed from text.
 
 use bytes::BytesMut;
 use limewing_net::body::{BodyReader, Framing};
@@ -54,18 +54,18 @@
 #[case::bare_line_feed("GET / HTTP/1.1\nHost: a\r\n\r\n", HttpError::BareLineFeed)]
 #[case::no_host("GET / HTTP/1.1\r\n\r\n", HttpError::InvalidHost)]
 #[case::two_hosts("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", HttpError::InvalidHost)]
-#[case::no_http("\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", HttpError::InvalidHead)]
-fn what_two_readers_could_take_in_two_ways_is_refused(#[case] text: &str, #[case] want: HttpError) {
+#[case::tls_client_hello("\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", HttpError::InvalidHead)]
+fn ambiguous_or_malformed_heads_are_refused(#[case] text: &str, #[case] expected: HttpError) {
     let mut input = BytesMut::from(text);
     assert_eq!(
         parse_request(&mut input, HeadLimits::default()).unwrap_err(),
-        want
+        expected
     );
 }
 
 #[rstest]
 #[case::one_long_field(format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "x".repeat(20_000)))]
-#[case::endless(format!("GET /{}", "x".repeat(20_000)))]
+#[case::endless_target(format!("GET /{}", "x".repeat(20_000)))]
 #[case::many_fields(format!("GET / HTTP/1.1\r\nHost: a\r\n{}\r\n", "X: 1\r\n".repeat(100)))]
 fn an_oversized_head_is_refused_with_431(#[case] text: String) {
     let mut input = BytesMut::from(&text[..]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn fields_of_one_connection_are_not_end_to_end() {
+fn hop_by_hop_fields_are_not_end_to_end() {
     let text = "GET / HTTP/1.1\r\nHost: a\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\nTE: trailers\r\nX-Far: 2\r\n\r\n";
     let head = parse_request(&mut BytesMut::from(text), HeadLimits::default())
         .unwrap()
@@ -86,24 +86,28 @@
     let names: Vec<_> = head
         .fields
         .end_to_end()
-        .map(|(n, _)| String::from_utf8_lossy(n).into_owned())
+        .map(|(name, _)| String::from_utf8_lossy(name).into_owned())
         .collect();
     assert_eq!(names, ["Host", "X-Far"]);
 }
 
 #[rstest]
-#[case::whole("5\r\nhello\r\n0\r\n\r\n", Ok("hello"))]
-#[case::two_with_extension("2;x=1\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n", Ok("hello"))]
+#[case::one_chunk("5\r\nhello\r\n0\r\n\r\n", Ok("hello"))]
+#[case::two_chunks_with_extension("2;x=1\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n", Ok("hello"))]
 #[case::trailers("5\r\nhello\r\n0\r\nDigest: 1\r\n\r\n", Ok("hello"))]
 #[case::no_digits("\r\nhello\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
 #[case::signed("+5\r\nhello\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
-#[case::too_long_a_size("11111111111111111\r\nhello", Err(HttpError::InvalidChunk))]
-#[case::data_runs_on("5\r\nhelloworld\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
+#[case::size_overflows("11111111111111111\r\nhello", Err(HttpError::InvalidChunk))]
+#[case::content_exceeds_size("5\r\nhelloworld\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
 #[case::bare_line_feed("5\nhello\r\n0\r\n\r\n", Err(HttpError::InvalidChunk))]
-fn chunks_byte_by_byte(#[case] text: &str, #[case] want: Result<&str, HttpError>) {
+fn chunked_bodies_are_read_byte_by_byte(
+    #[case] text: &str,
+    #[case] expected: Result<&str, HttpError>,
+) {
     let mut reader = BodyReader::new(Framing::Chunked);
-    let (mut input, mut body) = (BytesMut::new(), Vec::new());
-    let got = text.bytes().try_for_each(|byte| {
+    let mut input = BytesMut::new();
+    let mut body = Vec::new();
+    let result = text.bytes().try_for_each(|byte| {
         input.extend_from_slice(&[byte]);
         while let Some(piece) = reader.next(&mut input)? {
             body.extend_from_slice(&piece);
@@ -111,19 +115,19 @@
         Ok(())
     });
     assert_eq!(
-        got.map(|()| String::from_utf8(body).unwrap()),
-        want.map(str::to_owned)
+        result.map(|()| String::from_utf8(body).unwrap()),
+        expected.map(str::to_owned)
     );
-    assert_eq!(reader.ended(), want.is_ok());
+    assert_eq!(reader.ended(), expected.is_ok());
 }
 
 #[test]
-fn pipelined_requests_come_one_by_one() {
-    let one = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
-    let mut input = BytesMut::from(&format!("{one}\r\n{}GET /b", one.replace("/a", "/c"))[..]);
-    let mut requests = RequestReader::new(10);
+fn pipelined_requests_are_read_one_by_one() {
+    let first = "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
+    let mut input = BytesMut::from(&format!("{first}\r\n{}GET /b", first.replace("/a", "/c"))[..]);
+    let mut reader = RequestReader::new(10);
     let mut targets = Vec::new();
-    while let Some((head, body)) = requests.take(&mut input, false).unwrap() {
+    while let Some((head, body)) = reader.take(&mut input, false).unwrap() {
         assert_eq!(&body[..], b"hi");
         targets.push(head.target);
     }
@@ -138,24 +142,27 @@
     "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\nhello world",
     Err(HttpError::BodyTooLarge)
 )]
-#[case::half(
+#[case::incomplete_body(
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel",
     Err(HttpError::UnexpectedEnd)
 )]
-#[case::half_a_head("HTTP/1.1 200 OK\r\nConte", Err(HttpError::UnexpectedEnd))]
-#[case::until_the_end("HTTP/1.1 200 OK\r\n\r\nhello", Ok("hello"))]
-#[case::after_a_word_between(
+#[case::incomplete_head("HTTP/1.1 200 OK\r\nConte", Err(HttpError::UnexpectedEnd))]
+#[case::body_until_close("HTTP/1.1 200 OK\r\n\r\nhello", Ok("hello"))]
+#[case::after_interim_response(
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
     Ok("hello")
 )]
-fn an_answer_and_then_the_end(#[case] text: &str, #[case] want: Result<&str, HttpError>) {
-    let got = ResponseReader::new(10).take(&mut BytesMut::from(text), true);
-    let body = got.map(|found| String::from_utf8(found.unwrap().1.to_vec()).unwrap());
-    assert_eq!(body, want.map(str::to_owned));
+fn a_response_is_read_from_a_connection_that_closes(
+    #[case] text: &str,
+    #[case] expected: Result<&str, HttpError>,
+) {
+    let result = ResponseReader::new(10).take(&mut BytesMut::from(text), true);
+    let body = result.map(|found| String::from_utf8(found.unwrap().1.to_vec()).unwrap());
+    assert_eq!(body, expected.map(str::to_owned));
 }
 
 #[test]
-fn an_answer_to_head_has_no_body_whatever_its_length_says() {
+fn a_response_to_head_has_no_body_despite_its_content_length() {
     let text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
     let head = parse_response(&mut BytesMut::from(text), true, HeadLimits::default())
         .unwrap()
--- a/crates/net/tests/timer_wheel.rs
+++ b/crates/net/tests/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! The timer wheel against the plainest thing that could be right: a sorted list.
+//! The timer wheel against a plain list of timers.
 
 use limewing_net::timer_wheel::TimerWheel;
 use rstest::rstest;
@@ -8,8 +8,8 @@
     Duration::from_millis(ms)
 }
 
-/// A row of numbers that looks like chance.
-fn drawn(state: &mut u64) -> u64 {
+/// The next number of a linear congruential generator.
+fn draw(state: &mut u64) -> u64 {
     *state = state
         .wrapping_mul(6364136223846793005)
         .wrapping_add(1442695040888963407);
@@ -19,46 +19,47 @@
 #[rstest]
 #[case::within_a_second(1_000)]
 #[case::within_minutes(300_000)]
-#[case::beyond_the_far_edge(100_000_000)]
-fn timers_fire_in_order_none_early_none_lost(#[case] reach: u64) {
-    let (mut wheel, mut state) = (TimerWheel::default(), 7);
-    let mut left: Vec<(u64, u64)> = Vec::new();
+#[case::beyond_the_wheels_reach(100_000_000)]
+fn timers_fire_when_due_and_none_is_lost(#[case] max_delay: u64) {
+    let mut wheel = TimerWheel::default();
+    let mut state = 7;
+    let mut scheduled: Vec<(u64, u64)> = Vec::new();
     let mut now = 0;
     for n in 0..3_000 {
-        let at = now + drawn(&mut state) % reach;
+        let at = now + draw(&mut state) % max_delay;
         let key = wheel.schedule(ms(at), n);
-        if drawn(&mut state).is_multiple_of(3) {
+        if draw(&mut state).is_multiple_of(3) {
             assert_eq!(wheel.cancel(key), Some(n));
             assert_eq!(wheel.cancel(key), None);
         } else {
-            left.push((at, n));
+            scheduled.push((at, n));
         }
-        if drawn(&mut state).is_multiple_of(10) {
-            now += drawn(&mut state) % (reach / 500);
+        if draw(&mut state).is_multiple_of(10) {
+            now += draw(&mut state) % (max_delay / 500);
             let mut fired = Vec::new();
             while let Some(n) = wheel.pop_expired(ms(now)) {
                 fired.push(n);
             }
-            let mut due: Vec<u64> = left
+            let mut due: Vec<u64> = scheduled
                 .iter()
                 .filter(|(at, _)| *at <= now)
                 .map(|(_, n)| *n)
                 .collect();
-            left.retain(|(at, _)| *at > now);
+            scheduled.retain(|(at, _)| *at > now);
             fired.sort_unstable();
             due.sort_unstable();
             assert_eq!(fired, due, "at {now}");
         }
-        let soonest = left.iter().map(|(at, _)| *at).min();
+        let earliest = scheduled.iter().map(|(at, _)| *at).min();
         assert!(wheel
             .next_deadline()
-            .is_none_or(|next| soonest.is_some_and(|at| next <= ms(at.max(now + 1)))));
+            .is_none_or(|next| earliest.is_some_and(|at| next <= ms(at.max(now + 1)))));
     }
-    assert_eq!(wheel.len(), left.len());
+    assert_eq!(wheel.len(), scheduled.len());
 }
 
 #[test]
-fn a_clock_that_jumps_fires_all_that_fell_due() {
+fn a_clock_jump_fires_every_timer_that_fell_due() {
     let mut wheel = TimerWheel::default();
     for n in 0..1_000 {
         wheel.schedule(ms(n), n);
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_clock_far_from_zero_costs_no_ticks() {
+fn a_clock_far_from_zero_is_reached_without_stepping_each_tick() {
     let mut wheel = TimerWheel::default();
     let year = Duration::from_secs(365 * 86_400);
     wheel.schedule(year + ms(5), 1);
