--- a/crates/postgres-proxy/src/line_codec.rs
+++ b/crates/postgres-proxy/src/line_codec.rs
@@ -53,7 +53,7 @@
 }
 
 fn read_head(input: &mut BytesMut) -> Result<Option<BodyReader>, StreamError> {
-    match http::response(input, false, HeadLimits::default()) {
+    match http::parse_response(input, false, HeadLimits::default()) {
         Ok(Some(head)) if head.status == 200 => Ok(Some(BodyReader::new(head.framing))),
         Ok(Some(head)) => Err(StreamError::Status(head.status)),
         Ok(None) => Ok(None),
--- a/crates/postgres-proxy/src/service/event_loop.rs
+++ b/crates/postgres-proxy/src/service/event_loop.rs
@@ -118,11 +118,11 @@
             SocketEvent::ConnectionLost {
                 socket,
                 written,
-                why,
-            } => self.handle_connection_lost(socket, written, why),
-            SocketEvent::AcceptFailed { why, .. } => {
+                error,
+            } => self.handle_connection_lost(socket, written, error),
+            SocketEvent::AcceptFailed { error, .. } => {
                 let open = self.sockets.open_count();
-                tracing::debug!(error = %why, open, "can't accept; tried again in 100 ms");
+                tracing::debug!(%error, open, "can't accept; tried again in 100 ms");
                 self.clients.needs_room = true;
             }
             // No socket for datagrams is ever opened here.
