--- /dev/null
+++ b/crates/postgres-proxy/tests/rollout_messages.rs
@@ -0,0 +1,49 @@
+//! Lines of the rollout service's stream, and its replies to votes.
+
+use limewing_decision::interface::VoteAnswer;
+use limewing_emulators::platform::state;
+use limewing_postgres_proxy::line_codec::LineReader;
+use limewing_postgres_proxy::rollout_messages::{parse_message, parse_vote_reply, RolloutMessage};
+use proptest::prelude::{any, prop};
+use proptest::proptest;
+use rstest::rstest;
+
+#[rstest]
+#[case::counted(200, state(2, 1, "Progressing", 0.3), VoteAnswer::Counted)]
+#[case::part(200, "{\"Revision\":2,".into(), VoteAnswer::Unanswered)]
+#[case::full(429, String::new(), VoteAnswer::Full)]
+#[case::moot(409, String::new(), VoteAnswer::Moot)]
+#[case::failed(500, String::new(), VoteAnswer::Failed)]
+#[case::refused(400, String::new(), VoteAnswer::Failed)]
+fn an_answer_to_a_vote_is_told(
+    #[case] status: u16,
+    #[case] body: String,
+    #[case] answer: VoteAnswer,
+) {
+    assert_eq!(parse_vote_reply(status, body.as_bytes()).answer, answer);
+}
+
+#[test]
+fn lines_of_a_stream_are_told_apart() {
+    let report = r#"{"type":"report","object":{"InstanceId":"p1","Lane":"basket","AgeMs":1200}}"#;
+    assert!(
+        matches!(parse_message(report.as_bytes()), Ok(RolloutMessage::WrongAnswer(told)) if told.class == "basket")
+    );
+    assert_eq!(parse_message(b"{}").unwrap(), RolloutMessage::Ignored);
+    assert!(parse_message(b"{\"type\":\"news\"}").is_err() && parse_message(b"<html>").is_err());
+}
+
+proptest! {
+    /// No bytes of a service bring a panic, and no line is kept beyond its bound.
+    #[test]
+    fn any_bytes_are_lines_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let mut lines = LineReader::new(50);
+        let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        let whole = [&head[..], format!("{:x}\r\n", bytes.len()).as_bytes(), &bytes, b"\r\n"].concat();
+        for input in [&bytes[..], &whole] {
+            for line in lines.read(&mut input.into()).items {
+                let _ = parse_message(&line);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/postgres-proxy/tests/wrong_answers.rs
@@ -0,0 +1,24 @@
+//! Wrong answers that two streams tell count once.
+
+use limewing_postgres_proxy::wrong_answers::{WrongAnswer, WrongAnswerLog};
+use std::time::Duration;
+
+/// While the stream to where rollouts were before stands beside the new one, each tells of a wrong answer: it counts once.
+/// One stream that tells of two alike tells of two.
+#[test]
+fn a_report_told_by_two_streams_counts_once() {
+    let report = |pod: &str| WrongAnswer {
+        host: pod.into(),
+        class: "look".into(),
+        age_ms: 0.0,
+    };
+    let ms = |ms| Duration::from_millis(ms);
+    let mut reports = WrongAnswerLog::default();
+    assert!(reports.record("old", &report("p1"), ms(1000), ms(2000)));
+    assert!(reports.record("old", &report("p1"), ms(1001), ms(2001)));
+    assert!(reports.record("new", &report("p2"), ms(1000), ms(2002)));
+    assert!(reports.record("new", &report("p1"), ms(1500), ms(2003)));
+    assert!(!reports.record("new", &report("p1"), ms(1003), ms(2004)));
+    assert!(!reports.record("new", &report("p1"), ms(1003), ms(2004)));
+    assert!(reports.record("new", &report("p1"), ms(1003), ms(2005)));
+}
