--- a/crates/postgres-proxy/tests/config.rs
+++ b/crates/postgres-proxy/tests/config.rs
@@ -10,7 +10,7 @@
 #[case::group("\"free\"", "\"sometimes\"", "unknown profiles.repeat")]
 #[case::name("\"name\":\"look\",", "", "a class has no name")]
 #[case::half("}}", "}", "EOF")]
-fn a_configuration_that_cannot_be_used_is_told(
+fn unusable_configuration_is_rejected_with_a_reason(
     #[case] from: &str,
     #[case] to: &str,
     #[case] why: &str,
--- a/crates/postgres-proxy/tests/endpoint_list.rs
+++ b/crates/postgres-proxy/tests/endpoint_list.rs
@@ -44,11 +44,11 @@
     }
 }
 
-/// A pod that left long ago gives its number back; one that returns soon has it still.
+/// A pod that returns soon has the same number; one that returns late has another.
 #[rstest]
 #[case::soon(299, true)]
 #[case::late(301, false)]
-fn the_number_of_a_pod_that_left_is_given_back(#[case] later: u64, #[case] same: bool) {
+fn pod_number_is_released_some_time_after_the_pod_left(#[case] later: u64, #[case] same: bool) {
     let (mut list, today) = (EndpointList::new(&[], &[]), SystemTime::now());
     let dial = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut told = |seq, pods: &[Listed], s| {
@@ -65,9 +65,9 @@
     );
 }
 
-/// What is told again unchanged is left out, also in a whole list; what is missing from one is gone.
+/// Unchanged entries are left out of the update, also of a complete listing; what is missing from one is gone.
 #[test]
-fn a_list_tells_what_changed() {
+fn listing_changes_only_what_differs() {
     let (one, two, three) = (
         Listed::new("p1", at(1)),
         Listed::new("p2", at(2)),
@@ -108,9 +108,9 @@
     );
 }
 
-/// A report of a forward that was sent before the pod came back with another build speaks of the build before.
+/// An attempt that was sent before the pod came back with another build was answered by the build before.
 #[test]
-fn a_report_of_an_earlier_build_is_not_laid_on_the_present_one() {
+fn wrong_answer_of_an_earlier_build_is_not_blamed_on_the_present_one() {
     let mut list = list_of(&[Listed::new("p1", at(1))]);
     let (before, then, after) = (
         Duration::from_secs(3605),
@@ -129,10 +129,10 @@
     );
 }
 
-/// A list of an earlier version, of a discovery that began anew or lags behind, unlearns nothing: what drains, left or
-/// started since stays so; a pod that has started since is as it is told.
+/// A listing of an earlier version, of a discovery that began anew or lags behind, undoes nothing: what drains, left or
+/// started since stays so; a pod that has started since then is as it is listed.
 #[test]
-fn an_older_list_brings_nothing_back() {
+fn older_listing_restores_nothing() {
     let [one, two, three] =
         [("p1", 1), ("p2", 2), ("p3", 3)].map(|(host, port)| Listed::new(host, at(port)));
     let mut list = list_of(&[one.clone(), two.clone(), three.clone()]);
@@ -155,29 +155,29 @@
         change(&mut list, told(2, true, &[again, started])),
         [(1, PodState::Ready)]
     );
-    // From then on it is followed as any other.
+    // From then on versions count from that one.
     assert_eq!(
         change(&mut list, told(4, false, &[two])),
         [(2, PodState::Ready)]
     );
 }
 
-/// What it says to be careful about counts.
+/// What it removes or drains counts.
 #[test]
-fn an_older_list_still_takes_pods_away() {
+fn older_listing_still_removes_and_drains_pods() {
     let (one, two) = (Listed::new("p1", at(1)), Listed::new("p2", at(2)));
     let mut list = list_of(&[one.clone(), two]);
     let told = change(&mut list, told(3, true, &[drains(&one)]));
     assert_eq!(told, [(2, PodState::Gone), (1, PodState::Draining)]);
 }
 
-/// One entry that can't be understood costs its pod alone, and is told.
+/// An entry that can't be parsed removes its pod alone, and is reported.
 #[rstest]
 #[case::health("\"in_service\"", "\"resting\"")]
 #[case::build("\"version_no\":1", "\"version_no\":70000")]
 #[case::address("127.0.0.1:2", "somewhere")]
 #[case::negative("\"born_ms\":0", "\"born_ms\":-1")]
-fn an_entry_that_cannot_be_used_spoils_no_other(#[case] from: &str, #[case] to: &str) {
+fn unusable_entry_removes_its_pod_alone(#[case] from: &str, #[case] to: &str) {
     let (one, two) = (Listed::new("p1", at(1)), Listed::new("p2", at(2)));
     let entry = |of: &Listed| listing(1, false, std::slice::from_ref(of));
     let entry = |of: &Listed| {
@@ -202,7 +202,7 @@
         changed.errors[0].starts_with("host p2: ")
             && changed.errors[1].starts_with("host unknown: ")
     );
-    // Nor does one in the list that was held before the start.
+    // The same in the list that was known before the start.
     let mut list = EndpointList::new(&[], &[]);
     let held = list.load_cached(read, Duration::from_secs(3600), SystemTime::now());
     assert!(matches!(held, EndpointUpdate::Cached(rows) if rows.len() == 1));
--- a/crates/postgres-proxy/tests/fleet_limits.rs
+++ b/crates/postgres-proxy/tests/fleet_limits.rs
@@ -1,4 +1,4 @@
-//! Fleets of hundreds of sidecars and more than a thousand pods: nothing here has room for fewer.
+//! Fleets of hundreds of sidecars and more than a thousand pods fit all limits.
 
 use bytes::BytesMut;
 use limewing_decision::interface::{
@@ -16,13 +16,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-/// Sidecars and pods of the largest fleet that is played.
+/// Sidecars and pods of the largest fleet that is tested.
 const SIDECARS: u32 = 350;
 const PODS: usize = 1100;
 
 const NOW: Duration = Duration::from_secs(3600);
-/// An object of a watch, in bytes, at most.
-const LONGEST: usize = 4 * 1024 * 1024;
+/// Bound of an object of a watch, in bytes.
+const MAX_OBJECT: usize = 4 * 1024 * 1024;
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn name(number: usize) -> String {
@@ -46,9 +46,10 @@
     }
 }
 
-/// Each pod's class is another one, all named by the settings: with numbers of one byte those from the 256th on were one.
+/// Each pod has a machine type of its own, all named by the settings: with numbers of one byte those from the 256th on were
+/// the same.
 #[test]
-fn as_many_kinds_of_machine_as_pods_are_told_apart() {
+fn machine_types_are_distinct_for_as_many_as_there_are_pods() {
     let kinds: Vec<String> = (0..PODS).map(|n| format!("m{n}")).collect();
     let one = |(n, pod): (usize, Listed)| {
         let text =
@@ -77,9 +78,9 @@
     }
 }
 
-/// Each pod gives a wrong answer in the same moment, and two streams tell of all: each counts once.
+/// Each pod gives a wrong answer at the same time, and two streams report all: each counts once.
 #[test]
-fn reports_of_all_pods_told_by_two_streams_count_once() {
+fn wrong_answers_of_all_pods_from_two_streams_count_once() {
     let (mut reports, told) = (WrongAnswerLog::default(), NOW + Duration::from_millis(100));
     let mut new = |by| {
         (0..PODS)
@@ -89,16 +90,16 @@
     assert_eq!((new("old"), new("new")), (PODS, 0));
 }
 
-/// A stream that tells without end is not remembered without end.
+/// Reports without end are not remembered without end.
 #[test]
-fn a_flood_of_reports_is_forgotten() {
+fn flood_of_wrong_answers_is_forgotten() {
     let mut reports = WrongAnswerLog::default();
     assert!((0..10 * PODS).all(|pod| reports.record("old", &report(pod), NOW, NOW)));
     assert!(reports.record("new", &report(0), NOW, NOW));
     assert!(!reports.record("new", &report(10 * PODS - 1), NOW, NOW));
 }
 
-/// The settings of 350 sidecars, of which this is one, and the list of the pods as it was held before the start.
+/// The settings of 350 sidecars, of which this is one, and the list of the pods as it was known before the start.
 fn told(own_number: u32) -> ProxyConfig {
     let config = Config {
         sidecars: (SIDECARS, own_number),
@@ -117,7 +118,7 @@
 #[rstest]
 #[case::first(0)]
 #[case::last(SIDECARS - 1)]
-fn a_configuration_names_the_whole_fleet(#[case] own_number: u32) {
+fn configuration_names_the_whole_fleet(#[case] own_number: u32) {
     let told = told(own_number);
     assert_eq!(
         (told.engine.sidecar_count, told.engine.sidecar_index),
@@ -131,14 +132,14 @@
     assert_eq!((list.len(), numbers.len()), (PODS, PODS));
 }
 
-/// The whole object of a watch is read however it is cut, into chunks and on its way: as one, and once.
+/// An object of a watch is read once, in whatever chunks and pieces it arrives.
 #[rstest]
 #[case::in_one(usize::MAX, usize::MAX)]
 #[case::read_in_parts(usize::MAX, 32 * 1024)]
 #[case::in_small_chunks(100, 16 * 1024)]
 #[case::in_small_parts(1460, 7)]
 #[case::byte_by_byte(1, 1)]
-fn a_whole_list_is_read_from_a_watch(#[case] chunk: usize, #[case] part: usize) {
+fn complete_listing_is_read_in_any_pieces(#[case] chunk: usize, #[case] part: usize) {
     let object = listing(8, true, &pods());
     let chunks = object
         .as_bytes()
@@ -150,7 +151,7 @@
         .collect::<Vec<_>>()
         .concat();
     let (mut objects, mut input, mut came) =
-        (ObjectReader::new(LONGEST), BytesMut::new(), Vec::new());
+        (ObjectReader::new(MAX_OBJECT), BytesMut::new(), Vec::new());
     for piece in bytes.chunks(part) {
         input.extend_from_slice(piece);
         let read = objects.read(&mut input);
@@ -173,28 +174,28 @@
     }
 }
 
-/// A sidecar's list, and its module, as they are after a start.
+/// A sidecar's list and its decision engine, as they are after a start.
 struct Started {
     list: EndpointList,
-    module: DecisionEngine,
-    hits: u64,
+    engine: DecisionEngine,
+    requests_started: u64,
 }
 
 impl Started {
     fn new(own_number: u32) -> Self {
         let told = told(own_number);
         let mut list = EndpointList::new(&told.sockets.zones, &told.sockets.kinds);
-        let mut module = DecisionEngine::new(NOW, told.engine);
+        let mut engine = DecisionEngine::new(NOW, told.engine);
         let known = list.load_cached(told.cached_endpoints.unwrap(), NOW, SystemTime::now());
-        module.handle(NOW, vec![Event::Endpoints(known)]);
+        engine.handle(NOW, vec![Event::Endpoints(known)]);
         Self {
             list,
-            module,
-            hits: 0,
+            engine,
+            requests_started: 0,
         }
     }
 
-    /// Takes a whole list; how many rows the module is told, and how many actions it answers with.
+    /// Applies a complete listing; returns how many rows the engine gets, and how many actions it returns.
     fn take(&mut self, seq: u64, pods: &[Listed], now: Duration) -> (usize, usize) {
         let change = self
             .list
@@ -204,17 +205,17 @@
         let many = told.len();
         (
             many,
-            self.module
+            self.engine
                 .handle(now, vec![Event::Endpoints(EndpointUpdate::Delta(told))])
                 .len(),
         )
     }
 
-    /// As many requests as that at once: the pods that their attempts go to, one of each request.
+    /// Starts so many requests at once; returns the pods that their attempts go to, one of each request.
     fn asks(&mut self, many: usize, now: Duration) -> Vec<PodId> {
         let (group, due) = (ClassId(0), now + Duration::from_secs(5));
-        let first = self.hits;
-        self.hits += many as u64;
+        let first = self.requests_started;
+        self.requests_started += many as u64;
         let hit = |id| Request {
             id: RequestId(id),
             class: group,
@@ -222,14 +223,14 @@
             routing_key: None,
             deadline: due,
         };
-        let asked = (first..self.hits)
+        let asked = (first..self.requests_started)
             .map(|id| Event::RequestArrived(hit(id)))
             .collect();
         let goes = |action| match action {
             Action::StartAttempt { pod, .. } => Some(pod),
             _ => None,
         };
-        self.module
+        self.engine
             .handle(now, asked)
             .into_iter()
             .filter_map(goes)
@@ -237,7 +238,7 @@
     }
 }
 
-/// Requests of which none is answered go to all pods in the end: none is out of a sidecar's reach, whichever it is.
+/// Requests of which none is answered go to all pods in the end, whichever sidecar it is.
 #[rstest]
 #[case::first(0)]
 #[case::middle(17)]
@@ -249,7 +250,7 @@
     assert_eq!(went.into_iter().collect::<BTreeSet<_>>().len(), PODS);
 }
 
-/// Longer than a pod that drains may be used, and sooner than a sidecar turns requests away because none is answered.
+/// Longer than a pod that drains may be used, and sooner than a sidecar rejects requests because none is answered.
 const AFTER: Duration = Duration::from_secs(1);
 
 /// How each pod is listed after a change of all.
@@ -277,15 +278,14 @@
     pods().into_iter().map(change).collect()
 }
 
-/// A change of all pods in one object: the module is told each pod's row once (twice the pods where others come in their
-/// place), does no more than ask for its next beat, and hears nothing when the same is told again. Requests then go where
-/// the new list has them go.
+/// All pods change in one object: the engine gets each pod's row once (twice the rows where others replace them), starts
+/// nothing by it, and gets nothing when the same is listed again. Requests then go where the new list says.
 #[rstest]
 #[case::drains("drains", PODS)]
 #[case::starts_anew("starts anew", PODS)]
 #[case::moves("moves", PODS)]
 #[case::is_replaced("is replaced", 2 * PODS)]
-fn a_change_of_all_pods_is_taken(#[case] what: &str, #[case] told: usize) {
+fn change_of_all_pods_is_applied_once(#[case] what: &str, #[case] told: usize) {
     let (mut sidecar, next, later) = (Started::new(17), changed(what), NOW + AFTER);
     let (many, actions) = sidecar.take(8, &next, NOW + Duration::from_millis(1));
     assert_eq!((many, actions), (told, 0));
--- a/crates/postgres-proxy/tests/line_codec.rs
+++ b/crates/postgres-proxy/tests/line_codec.rs
@@ -12,9 +12,9 @@
 }
 
 proptest! {
-    /// However objects are laid out and cut into pieces, they are the same; brackets in their texts end none.
+    /// Objects are the same however they are formatted and cut into pieces; brackets in strings end none.
     #[test]
-    fn objects_are_told_apart_however_they_come(
+    fn objects_are_split_however_they_arrive(
         texts in prop::collection::vec("[a-z{}\\[\\]\"\\\\ ]{0,12}", 1..5),
         pretty in any::<bool>(),
         cuts in prop::collection::vec(1usize..40, 1..30),
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn any_bytes_are_objects_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_objects_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut objects = ObjectReader::new(50);
         for input in [&bytes[..], &[HEAD, &chunked(&bytes)].concat()] {
             let came = objects.read(&mut input.into());
@@ -55,9 +55,9 @@
 #[case::half(b"{\"seq\":", false)]
 #[case::lines_within(b"{\n\n", false)]
 #[case::blank(b"  ", false)]
-fn what_is_a_sign_of_life(#[case] piece: &[u8], #[case] alive: bool) {
+fn complete_lines_and_objects_are_signs_of_life(#[case] piece: &[u8], #[case] alive: bool) {
     let mut objects = ObjectReader::new(100);
-    // The head of the answer is one.
+    // The head of the response is one.
     assert!(objects.read(&mut bytes::BytesMut::from(HEAD)).is_alive);
     let mut input = bytes::BytesMut::from(&chunked(piece)[..]);
     assert_eq!(objects.read(&mut input).is_alive, alive);
@@ -67,14 +67,14 @@
 #[case::noise(b"\x00\xff")]
 #[case::other(b"[1]")]
 #[case::too_long(&[b'{'; 200])]
-fn what_is_no_object_is_refused(#[case] piece: &[u8]) {
+fn what_is_no_object_is_rejected(#[case] piece: &[u8]) {
     let mut input = bytes::BytesMut::from(&[HEAD, &chunked(piece)].concat()[..]);
     assert!(ObjectReader::new(100).read(&mut input).error.is_some());
 }
 
-/// What came whole before something that can't be read is good, in the same piece or one before.
+/// What came complete before something that can't be read is kept, in the same piece or one before.
 #[test]
-fn what_came_before_noise_is_told() {
+fn items_before_unreadable_bytes_are_kept() {
     let noisy =
         || bytes::BytesMut::from(&[HEAD, &chunked(b"{\"seq\":1}\n"), b"noise\r\n"].concat()[..]);
     for came in [
--- a/crates/postgres-proxy/tests/rollout_messages.rs
+++ b/crates/postgres-proxy/tests/rollout_messages.rs
@@ -15,7 +15,7 @@
 #[case::moot(409, String::new(), VoteAnswer::Moot)]
 #[case::failed(500, String::new(), VoteAnswer::Failed)]
 #[case::refused(400, String::new(), VoteAnswer::Failed)]
-fn an_answer_to_a_vote_is_told(
+fn reply_to_a_vote_is_parsed(
     #[case] status: u16,
     #[case] body: String,
     #[case] answer: VoteAnswer,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn lines_of_a_stream_are_told_apart() {
+fn stream_lines_are_parsed_by_type() {
     let report = r#"{"type":"report","object":{"InstanceId":"p1","Lane":"basket","AgeMs":1200}}"#;
     assert!(
         matches!(parse_message(report.as_bytes()), Ok(RolloutMessage::WrongAnswer(told)) if told.class == "basket")
@@ -34,9 +34,9 @@
 }
 
 proptest! {
-    /// No bytes of a service bring a panic, and no line is kept beyond its bound.
+    /// No bytes of a service cause a panic.
     #[test]
-    fn any_bytes_are_lines_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_lines_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut lines = LineReader::new(50);
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let whole = [&head[..], format!("{:x}\r\n", bytes.len()).as_bytes(), &bytes, b"\r\n"].concat();
--- a/crates/postgres-proxy/tests/sockets/clients.rs
+++ b/crates/postgres-proxy/tests/sockets/clients.rs
@@ -1,6 +1,6 @@
-//! What clients say, and what they are owed.
+//! What clients send, and the answers that they get.
 
-use crate::help::{ask, sidecar, statement, with_pod};
+use crate::helpers::{ask, sidecar, statement, with_pod};
 use bytes::{BufMut, BytesMut};
 use limewing_emulators::platform::{Answer, Client, Config, Does};
 use limewing_postgres_protocol::encode;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_hit_gets_the_value_that_the_pod_gave_and_the_pod_the_statement_with_its_own_wait() {
+fn request_gets_the_pods_value_and_the_pod_the_time_that_is_left() {
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::new(at);
     client.asks(&statement("id=00000000000000a1,c=order,t=acme,d=2000,k=5c"));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_empty_query_is_answered_as_such_and_settings_of_a_session_do_nothing() {
+fn empty_queries_and_session_settings_are_answered_here() {
     let mut client = Client::new(sidecar(&Config::new(vec![])));
     client.asks("");
     assert_eq!(client.hears(), Answer::Empty);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_session_may_ask_before_it_is_welcomed() {
+fn query_may_be_sent_with_the_startup_message() {
     let (_pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::silent(at);
     let mut out = BytesMut::new();
@@ -49,7 +49,7 @@
 
 /// Two statements at once are answered in their order.
 #[test]
-fn what_comes_behind_waits_its_turn() {
+fn pipelined_statements_are_answered_in_order() {
     let (_pod, at) = with_pod(vec![Does::Serves("red"), Does::Serves("blue")]);
     let mut client = Client::new(at);
     let mut out = BytesMut::new();
@@ -68,7 +68,7 @@
 #[case::no_mark("id=00000000000000a1,c=order,t=acme,d=500")]
 #[case::twice("id=00000000000000a1,c=look,c=pay,t=acme,d=500")]
 #[case::tenant("id=00000000000000a1,c=look,t=nobody,d=500")]
-fn what_is_no_hit_goes_to_no_pod_and_is_told_so(#[case] comment: &str) {
+fn invalid_statement_goes_to_no_pod_and_is_rejected(#[case] comment: &str) {
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::new(at);
     client.asks(&statement(comment));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_id_of_a_hit_that_is_open_is_not_taken_again() {
+fn id_of_an_open_request_is_rejected() {
     let (pod, at) = with_pod(vec![Does::Waits]);
     let (mut first, mut second) = (Client::new(at), Client::new(at));
     let asked = statement("id=00000000000000a1,c=look,t=acme,d=4000");
@@ -94,7 +94,7 @@
     out
 }
 
-/// Each is owed an error or a close within three seconds.
+/// Each gets an error or a close within three seconds.
 #[rstest]
 #[case::huge(head(b'Q', i32::MAX))]
 #[case::negative(head(b'Q', -1))]
@@ -104,7 +104,7 @@
 #[case::no_end(head(b'Q', 8).into_iter().chain(*b"abcd").collect())]
 #[case::half(head(b'Q', 200).into_iter().chain(*b"SELECT").collect())]
 #[case::nothing(vec![])]
-fn a_client_that_cannot_be_understood_hears_so_in_time(#[case] says: Vec<u8>) {
+fn protocol_violation_is_answered_in_time(#[case] says: Vec<u8>) {
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::new(at);
     let began = Instant::now();
@@ -119,7 +119,7 @@
 #[case::huge(vec![0x7f, 0xff, 0xff, 0xff, 0, 3, 0, 0])]
 #[case::names(vec![0, 0, 0, 12, 0, 3, 0, 0, 1, 1, 1, 1])]
 #[case::silence(vec![])]
-fn a_session_that_does_not_begin_ends_in_time(#[case] says: Vec<u8>) {
+fn session_that_does_not_start_ends_in_time(#[case] says: Vec<u8>) {
     let mut client = Client::silent(sidecar(&Config::new(vec![])));
     let began = Instant::now();
     client.sends(&says);
@@ -127,9 +127,9 @@
     assert!(client.hears_the_end() && began.elapsed() < Duration::from_secs(3));
 }
 
-/// Hundreds of statements at once are none of a client's that means well: none of them is sent on.
+/// No client that waits for its answers sends hundreds of statements at once: none of them is forwarded.
 #[test]
-fn a_flood_of_statements_is_turned_away_whole() {
+fn flood_of_statements_is_rejected_as_a_whole() {
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::new(at);
     let mut out = BytesMut::new();
@@ -139,9 +139,9 @@
     assert!(pod.heard_nothing());
 }
 
-/// Clients that say nothing don't keep others out for long.
+/// Clients that send nothing don't keep others out for long.
 #[test]
-fn silent_connections_make_room() {
+fn silent_clients_are_evicted_for_others() {
     let pod = limewing_emulators::platform::Pod::new(vec![Does::Serves("red")]);
     let mut config = Config::new(vec![limewing_emulators::platform::Listed::new(
         "p1", pod.at,
@@ -155,9 +155,9 @@
     drop(silent);
 }
 
-/// The same where the first statement is out before the others come. Without the mend it is waited for as long as it takes.
+/// The same where the first statement is forwarded before the others come. Once the first one was waited for as long as it took.
 #[test]
-fn a_flood_that_comes_in_parts_is_turned_away_whole() {
+fn flood_that_arrives_in_parts_is_rejected_as_a_whole() {
     let (pod, at) = with_pod(vec![Does::Waits]);
     let mut client = Client::new(at);
     client.asks(&ask("look", 60_000));
--- a/crates/postgres-proxy/tests/sockets/help.rs
+++ b/crates/postgres-proxy/tests/sockets/helpers.rs
@@ -9,16 +9,16 @@
 
 static NEXT: AtomicU64 = AtomicU64::new(1);
 
-/// A statement of a path group, under an id of its own, about a row of its own.
-pub(crate) fn ask(group: &str, waits_ms: u64) -> String {
+/// A statement of a class, with an id and a row of its own.
+pub(crate) fn ask(class: &str, waits_ms: u64) -> String {
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
-    ask_of(&format!("{n:x}"), group, waits_ms)
+    ask_of(&format!("{n:x}"), class, waits_ms)
 }
 
-/// The same about this row.
-pub(crate) fn ask_of(row: &str, group: &str, waits_ms: u64) -> String {
+/// A statement of a class about this row, with an id of its own.
+pub(crate) fn ask_of(row: &str, class: &str, waits_ms: u64) -> String {
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
-    statement(&format!("id={id:016x},c={group},t=acme,d={waits_ms},k=abc")).replace("7f3a", row)
+    statement(&format!("id={id:016x},c={class},t=acme,d={waits_ms},k=abc")).replace("7f3a", row)
 }
 
 /// A statement with this comment.
@@ -39,7 +39,7 @@
     address
 }
 
-/// A sidecar that knows one pod, which does these in turn.
+/// A sidecar that knows one pod, which follows this script.
 pub(crate) fn with_pod(script: Vec<Does>) -> (Pod, SocketAddr) {
     let pod = Pod::new(script);
     let at = sidecar(&Config::new(vec![Listed::new("p1", pod.at)]));
--- a/crates/postgres-proxy/tests/sockets/fleets.rs
+++ b/crates/postgres-proxy/tests/sockets/large_fleet.rs
@@ -1,6 +1,6 @@
-//! The largest fleet that is played: 350 sidecars, of which one is tested, and 1,100 pods.
+//! The largest fleet that is tested: 350 sidecars, of which one runs, and 1,100 pods.
 
-use crate::help::{ask, sidecar};
+use crate::helpers::{ask, sidecar};
 use limewing_emulators::platform::{listing, Answer, Client, Config, Discovery, Does, Listed, Pod};
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -21,14 +21,14 @@
     client.hears()
 }
 
-/// Of a list that a watch tells whole, in one chunk or in thousands, all but one entry drain: only where each is read does a
-/// request find the one that serves.
+/// In a complete listing, in one chunk or in thousands, all pods but one drain: a request finds that one only if each entry
+/// is read.
 #[rstest]
 #[case::first_in_one(0, usize::MAX)]
 #[case::last_in_one(PODS - 1, usize::MAX)]
 #[case::first_in_pieces(0, 60)]
 #[case::last_in_pieces(PODS - 1, 60)]
-fn a_list_is_read_to_its_last_entry(#[case] serves: usize, #[case] piece: usize) {
+fn listing_is_read_to_its_last_entry(#[case] serves: usize, #[case] piece: usize) {
     let (pod, other) = (
         Pod::new(vec![Does::Serves("red")]),
         Pod::new(vec![Does::Serves("drains")]),
@@ -60,12 +60,12 @@
     );
 }
 
-/// Asks until the answer is that one, a bounded number of times.
+/// Sends requests until the answer is `wanted`, a bounded number of times.
 fn answer_within(at: SocketAddr, wanted: &str) -> bool {
     (0..TRIES).any(|_| answer_of(at) == Answer::Row(wanted.into()))
 }
 
-/// A request waits seconds for a pod that serves; so many are enough where a list is on its way.
+/// A request waits seconds for a pod that serves; so many are enough where a listing is on its way.
 const TRIES: usize = 20;
 
 /// All pods move in one object: from then on none of the old connections is used, and the watch goes on.
@@ -102,7 +102,7 @@
 /// Requests of each client.
 const REQUESTS: usize = 250;
 
-/// With far fewer descriptors than pods, kept connections make room for others: each request is answered, over more connections
+/// With far fewer descriptors than pods, idle connections make room for others: each request is answered, over more connections
 /// than could be open together.
 #[test]
 fn few_descriptors_serve_many_pods() {
--- a/crates/postgres-proxy/tests/sockets/main.rs
+++ b/crates/postgres-proxy/tests/sockets/main.rs
@@ -1,7 +1,7 @@
-//! A sidecar on the platform's sockets, with pods, discovery and rollouts that do as they are told.
+//! A sidecar on real sockets, with emulated clients, pods, discovery and rollout service.
 
 mod clients;
-mod fleets;
-mod help;
+mod helpers;
+mod large_fleet;
 mod pods;
 mod services;
--- a/crates/postgres-proxy/tests/sockets/pods.rs
+++ b/crates/postgres-proxy/tests/sockets/pods.rs
@@ -1,6 +1,6 @@
 //! What pods answer, and what it proves.
 
-use crate::help::{ask, ask_of, sidecar, with_pod};
+use crate::helpers::{ask, ask_of, sidecar, with_pod};
 use limewing_emulators::platform::{
     answer, listing, Answer, Client, Config, Discovery, Does, Listed, Pod,
 };
@@ -11,31 +11,31 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-fn spoilt(kind: u8, body: &[u8]) -> Vec<u8> {
+fn malformed(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut out = bytes::BytesMut::new();
     encode::message_with_body(&mut out, kind, body);
     out.to_vec()
 }
 
-fn one_hit(script: Vec<Does>, group: &str) -> (Answer, Pod, Client) {
+fn one_request(script: Vec<Does>, class: &str) -> (Answer, Pod, Client) {
     let (pod, at) = with_pod(script);
     let mut client = Client::new(at);
-    client.asks(&ask(group, 1000));
+    client.asks(&ask(class, 1000));
     (client.hears(), pod, client)
 }
 
-/// A spoilt answer may have run: a hit that must not run twice fails and is asked for once.
+/// A request with a malformed answer may have run: one that is not idempotent fails and is sent once.
 #[rstest]
 #[case::noise(b"\x00\xff\x13noise".to_vec())]
 #[case::huge(vec![b'D', 0xc0, 0, 0, 0])]
 #[case::negative(vec![b'T', 0xff, 0xff, 0xff, 0xff])]
-#[case::row_first(spoilt(b'D', &[0, 1, 0, 0, 0, 1, b'x']))]
-#[case::columns(spoilt(b'T', &[0, 2]))]
-#[case::code(spoilt(b'E', b"Cxx\0\0"))]
+#[case::row_first(malformed(b'D', &[0, 1, 0, 0, 0, 1, b'x']))]
+#[case::columns(malformed(b'T', &[0, 2]))]
+#[case::code(malformed(b'E', b"Cxx\0\0"))]
 #[case::not_whole(vec![b'T', 0, 0, 0, 50, 0, 1])]
-#[case::complete_first(spoilt(b'C', b"SELECT 1\0"))]
-fn a_spoilt_answer_is_not_passed_on_and_may_have_run(#[case] says: Vec<u8>) {
-    let (answer, pod, _client) = one_hit(vec![Does::Says(says)], "pay");
+#[case::complete_first(malformed(b'C', b"SELECT 1\0"))]
+fn malformed_answer_is_not_passed_on_and_may_have_run(#[case] says: Vec<u8>) {
+    let (answer, pod, _client) = one_request(vec![Does::Says(says)], "pay");
     assert_eq!(answer, Answer::Error("58000".into(), None));
     assert!(pod.hears().starts_with("SELECT"));
     assert_eq!(pod.hears(), "gone");
@@ -44,23 +44,23 @@
 #[rstest]
 #[case::reset(Does::Closes)]
 #[case::error(Does::Errs("XX000"))]
-#[case::half(Does::SaysAndCloses(spoilt(b'T', b"\0\x01b\0")))]
-fn what_may_have_run_is_asked_for_once_if_it_must_not_run_twice(#[case] does: Does) {
-    let (answer, pod, _client) = one_hit(vec![does], "pay");
+#[case::half(Does::SaysAndCloses(malformed(b'T', b"\0\x01b\0")))]
+fn non_idempotent_request_that_may_have_run_is_not_retried(#[case] does: Does) {
+    let (answer, pod, _client) = one_request(vec![does], "pay");
     assert_eq!(answer, Answer::Error("58000".into(), None));
     assert!(pod.hears().starts_with("SELECT"));
     assert!(pod.seen.try_iter().all(|heard| heard == "gone"));
 }
 
-/// Turned away is proof that it never ran: a refusal may say so, and when to come back.
+/// A rejection proves that the request never ran: its answer says so, and when to retry.
 #[test]
-fn a_hit_that_never_ran_is_refused_with_a_time_to_come_back() {
-    let (answer, ..) = one_hit(vec![Does::Errs("53300")], "pay");
+fn request_that_never_ran_is_rejected_with_a_retry_delay() {
+    let (answer, ..) = one_request(vec![Does::Errs("53300")], "pay");
     assert_eq!(answer, Answer::Error("53300".into(), Some("500".into())));
 }
 
 #[test]
-fn a_pod_that_cannot_be_reached_leaves_the_hit_to_another() {
+fn request_is_retried_at_another_pod_if_one_is_unreachable() {
     let closed = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -70,7 +70,7 @@
         Listed::new("p1", closed),
         Listed::new("p2", pod.at),
     ]));
-    // The first ones may be refused, as further forwards are saved up for; none is told that it may have run.
+    // The first ones may be rejected, as the retry budget fills up with requests; none may have run.
     let mut client = Client::new(at);
     loop {
         client.asks(&ask("pay", 2000));
@@ -84,9 +84,9 @@
     }
 }
 
-/// What a pod sends beyond its answer must not be taken for the next hit's.
+/// What a pod sends beyond its answer must not be taken for the next request's.
 #[test]
-fn a_second_copy_of_an_answer_is_nobodys() {
+fn duplicate_answer_is_discarded() {
     let (pod, at) = with_pod(vec![Does::ServesTwice("red"), Does::Serves("blue")]);
     let mut client = Client::new(at);
     client.asks(&ask("pay", 2000));
@@ -97,11 +97,11 @@
 }
 
 /// Nor what it sends again some milliseconds later, when the next statement is on its way: the connection rests until
-/// then. Without the mend the second statement, about the same row, has the copy for its answer.
+/// then. Once the second statement, about the same row, got the duplicate for its answer.
 #[rstest]
 #[case::same_row("7f3a", "7f3a")]
 #[case::other_row("7f3a", "7f3b")]
-fn a_late_copy_of_an_answer_is_not_the_next_ones(#[case] first: &str, #[case] second: &str) {
+fn late_duplicate_answer_is_not_taken_for_the_next_one(#[case] first: &str, #[case] second: &str) {
     let (pod, at) = with_pod(vec![Does::Serves("red"), Does::CopiesFirst("blue")]);
     let mut client = Client::new(at);
     for (row, value) in [(first, "red"), (second, "blue")] {
@@ -111,7 +111,7 @@
     assert_eq!(pod.links(), 2);
 }
 
-/// Equal values of several rows are nothing odd. Without the mend the second one is taken for a copy of the first.
+/// Equal values of several rows are no duplicates. Once the second one was taken for a duplicate of the first.
 #[test]
 fn equal_values_of_several_rows_are_served() {
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
@@ -124,12 +124,15 @@
     assert_eq!(pod.links(), 1);
 }
 
-/// What breaks before the last byte of a statement never ran: another connection carries it, also where it must
-/// not run twice.
+/// What breaks before the last byte of a statement never ran: another connection carries it, also where it is
+/// not idempotent.
 #[rstest]
 #[case::kept(vec![Does::Serves("red"), Does::ClosesEarly, Does::Serves("blue")], 2)]
 #[case::two(vec![Does::Serves("red"), Does::ClosesEarly, Does::ClosesEarly, Does::Serves("blue")], 3)]
-fn a_connection_that_breaks_early_is_replaced(#[case] script: Vec<Does>, #[case] links: usize) {
+fn connection_that_breaks_before_the_last_byte_is_replaced(
+    #[case] script: Vec<Does>,
+    #[case] links: usize,
+) {
     let (pod, at) = with_pod(script);
     let mut client = Client::new(at);
     for value in ["red", "blue"] {
@@ -140,10 +143,10 @@
     assert_eq!(pod.links(), links);
 }
 
-/// A pod that is silent before the last byte has not run the hit: a refusal may say that a retry is harmless.
+/// A pod that is silent before the last byte has not run the request: the rejection says that a retry is harmless.
 #[test]
-fn a_silent_connection_proves_that_nothing_ran() {
-    let (answer, ..) = one_hit(vec![Does::WaitsEarly], "pay");
+fn silent_connection_proves_that_nothing_ran() {
+    let (answer, ..) = one_request(vec![Does::WaitsEarly], "pay");
     assert!(
         matches!(&answer, Answer::Error(code, _) if code == "53300"),
         "{answer:?}"
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn a_connection_serves_one_hit_after_the_other() {
+fn connection_is_reused_for_the_next_request() {
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::new(at);
     for _ in 0..5 {
@@ -162,9 +165,9 @@
     assert_eq!(pod.links(), 1);
 }
 
-/// An answer is the client's at once; the connection is not used before the pod says that the next may come.
+/// The client gets an answer at once; the connection is not used before ReadyForQuery.
 #[test]
-fn a_connection_that_is_not_ready_is_not_used() {
+fn connection_is_not_reused_before_ready_for_query() {
     let (pod, at) = with_pod(vec![Does::ServesSlowly("red"), Does::Serves("blue")]);
     let mut client = Client::new(at);
     client.asks(&ask("look", 2000));
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_forward() {
+fn disconnected_client_ends_its_attempt() {
     let (pod, at) = with_pod(vec![Does::Waits]);
     let mut client = Client::new(at);
     client.asks(&ask("look", 4000));
@@ -185,9 +188,9 @@
     assert_eq!(pod.hears(), "gone");
 }
 
-/// A hit whose client has no time left has its answer at once, and its connection stays.
+/// A request whose client has no time left is answered at once, and the connection stays.
 #[test]
-fn a_hit_with_no_time_left_is_refused_at_once() {
+fn request_without_time_left_is_answered_at_once() {
     let (pod, at) = with_pod(vec![Does::Serves("red")]);
     let mut client = Client::new(at);
     client.asks(&ask("pay", 0));
@@ -201,15 +204,15 @@
 }
 
 #[test]
-fn a_hit_that_no_pod_answers_has_its_answer_in_time() {
-    let (answer, ..) = one_hit(vec![Does::Waits], "pay");
+fn request_that_no_pod_answers_is_answered_by_its_deadline() {
+    let (answer, ..) = one_request(vec![Does::Waits], "pay");
     assert_eq!(answer, Answer::Error("57014".into(), None));
 }
 
-/// Half a notice comes on a kept connection before the next statement. Without the mend the time that it has to come whole
-/// in runs on into the next answer, which is then given up as broken off.
+/// A part of a notice comes on an idle connection before the next statement. Once its timeout ran on into the next answer,
+/// which was then given up as incomplete.
 #[test]
-fn half_a_message_on_a_kept_connection_is_none_of_the_next_answer() {
+fn partial_message_on_an_idle_connection_is_not_part_of_the_next_answer() {
     let notice: (&[u8], &[u8]) = (&[b'N', 0, 0, 0, 8], &[0, 0, 0, 0]);
     let script = vec![
         Does::ServesThenSays("red", notice.0, notice.1),
@@ -225,24 +228,24 @@
     assert_eq!(pod.hears(), "said");
     client.asks(&ask("pay", 5000));
     while !pod.hears().starts_with("SELECT") {}
-    // Longer than a message has to come whole in.
+    // Longer than a message may take to be complete.
     sleep(ANSWER_COMPLETION_TIMEOUT * 2);
     pod.go_on.send(()).unwrap();
     assert_eq!(client.hears(), Answer::Row("blue".into()));
 }
 
-/// What a client has not read from its pod when the pod resets is still its answer.
+/// An answer that was not read yet when the pod resets the connection is still the answer.
 #[test]
-fn an_answer_before_a_reset_counts() {
-    let (answer, pod, _client) = one_hit(vec![Does::SaysAndCloses(answer("red"))], "pay");
+fn answer_before_a_reset_counts() {
+    let (answer, pod, _client) = one_request(vec![Does::SaysAndCloses(answer("red"))], "pay");
     assert_eq!(answer, Answer::Row("red".into()));
     assert!(pod.hears().starts_with("SELECT"));
 }
 
-/// Connections that break early cost a bounded number of further ones, however long that goes on: four for each forward.
+/// Connections that break early cost a bounded number of further ones, however long that goes on: four for each attempt.
 #[test]
-fn a_hit_costs_a_bounded_number_of_connections() {
-    let (answer, pod, _client) = one_hit(vec![Does::ClosesEarly], "look");
+fn request_costs_a_bounded_number_of_connections() {
+    let (answer, pod, _client) = one_request(vec![Does::ClosesEarly], "look");
     assert!(
         matches!(&answer, Answer::Error(code, _) if code == "53300"),
         "{answer:?}"
@@ -255,10 +258,10 @@
     assert!(pod.seen.try_iter().all(|heard| heard == "gone"));
 }
 
-/// The client goes while its forward waits for the pod's sign of life: nothing goes out for it any more, also where a
-/// forward that has gone out may not be cancelled. Without the mend the statement follows the word.
+/// The client disconnects while its attempt waits for the answer to the empty query: nothing more is sent for it, also
+/// where an attempt that was sent may not be cancelled. Once the statement followed that answer.
 #[test]
-fn nothing_goes_out_for_a_client_that_went() {
+fn nothing_is_sent_for_a_disconnected_client() {
     let pod = Pod::new(vec![Does::LivesLater("red"), Does::Serves("blue")]);
     let at = sidecar(&Config {
         cancel: false,
@@ -268,7 +271,7 @@
     client.asks(&ask_of("gone", "look", 4000));
     assert_eq!(pod.hears(), "empty");
     drop(client);
-    // One that comes later has its answer: the sidecar knows of the end by then.
+    // A later request is answered: the sidecar knows of the disconnect by then.
     let mut other = Client::new(at);
     other.asks(&ask_of("other", "look", 4000));
     assert_eq!(other.hears(), Answer::Row("blue".into()));
@@ -281,10 +284,10 @@
     );
 }
 
-/// A client that has sent more than is read ahead of it, and goes: its forward is given up. Without the mend the end is
-/// not seen behind the full buffer.
+/// A client sends more than is read ahead, and disconnects: its attempt is ended. Once the end was not seen behind the full
+/// buffer.
 #[test]
-fn a_client_that_goes_behind_unread_statements_has_gone() {
+fn disconnect_is_seen_behind_unread_statements() {
     let (pod, at) = with_pod(vec![Does::Waits]);
     let mut client = Client::new(at);
     client.asks(&ask("look", 60_000));
@@ -296,9 +299,9 @@
     assert_eq!(pod.hears(), "gone");
 }
 
-/// A connection that comes up when its request is over carries nothing for that one.
+/// A connection that comes up when its request is completed carries nothing for that one.
 #[test]
-fn a_connection_that_comes_up_late_carries_nothing_for_a_request_that_is_over() {
+fn late_connection_carries_nothing_for_a_completed_request() {
     let (pod, at) = with_pod(vec![Does::WelcomesLater, Does::Serves("red")]);
     let mut client = Client::new(at);
     client.asks(&ask_of("over", "pay", 300));
@@ -311,10 +314,10 @@
     assert!(pod.hears().contains("'next'"));
 }
 
-/// What comes behind a welcome would be taken for the answer: another connection carries the attempt that waited for it. Without
-/// the mend the attempt was forgotten with its connection, and waited for the end of the request's time.
+/// Bytes behind the start of a session would be taken for the answer: another connection carries the attempt that waited for
+/// it. Once the attempt was forgotten with its connection, and the request timed out.
 #[test]
-fn an_attempt_outlives_a_connection_with_more_than_a_welcome() {
+fn attempt_survives_a_connection_with_extra_bytes_at_session_start() {
     let (pod, at) = with_pod(vec![Does::WelcomesWithMore, Does::Serves("red")]);
     let mut client = Client::new(at);
     client.asks(&ask("pay", 30_000));
@@ -323,9 +326,9 @@
     assert_eq!(pod.links(), 2);
 }
 
-/// A client that goes while its request waits for any pod at all: the first pod that comes does not get it.
+/// A client disconnects while its request waits for any pod at all: the first pod that is listed does not get it.
 #[test]
-fn nothing_goes_out_later_for_a_client_that_went_while_it_waited() {
+fn nothing_is_sent_for_a_client_that_disconnected_while_waiting_for_a_pod() {
     let pod = Pod::new(vec![Does::Serves("red")]);
     let discovery = Discovery::new(listing(8, false, &[]));
     let at = sidecar(&Config {
@@ -335,7 +338,7 @@
     discovery.is_asked();
     let mut client = Client::new(at);
     client.asks(&ask_of("gone", "look", 4000));
-    // It has been taken: another one behind it on the loop has its answer.
+    // The request has been taken: another client behind it on the loop is answered.
     let mut other = Client::new(at);
     other.asks("");
     assert_eq!(other.hears(), Answer::Empty);
--- a/crates/postgres-proxy/tests/sockets/services.rs
+++ b/crates/postgres-proxy/tests/sockets/services.rs
@@ -1,6 +1,6 @@
-//! Discovery, rollouts, and new configurations.
+//! Discovery, the rollout service, and reloads of the configuration.
 
-use crate::help::{ask, ask_of, sidecar, sidecar_of};
+use crate::helpers::{ask, ask_of, sidecar, sidecar_of};
 use limewing_emulators::platform::{
     listing, state, Answer, Client, Config, Discovery, Does, Listed, Pod, Rollouts, Vote,
 };
@@ -12,8 +12,8 @@
 
 const SOON: Duration = Duration::from_secs(15);
 
-/// Asks until the answer is that one.
-fn asks_until(at: std::net::SocketAddr, wanted: &str) {
+/// Sends requests until the answer is `wanted`.
+fn request_until(at: std::net::SocketAddr, wanted: &str) {
     let mut client = Client::new(at);
     let end = Instant::now() + SOON;
     while Instant::now() < end {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_watch_goes_on_from_what_is_known_and_tells_what_changes() {
+fn watch_continues_from_the_known_version() {
     let (old, new) = (
         Pod::new(vec![Does::Serves("old")]),
         Pod::new(vec![Does::Serves("new")]),
@@ -38,20 +38,20 @@
     assert!(discovery
         .is_asked()
         .starts_with("GET /api/targets?follow=1&since=7 "));
-    asks_until(at, "old");
+    request_until(at, "old");
     let gone = Listed {
         health: "terminated",
         ..Listed::new("p1", old.at)
     };
     discovery.says(&listing(9, false, &[gone, Listed::new("p2", new.at)]));
-    asks_until(at, "new");
-    // One that ends is asked for again, from what was told last.
+    request_until(at, "new");
+    // A watch that ends is opened again, from the version that was applied last.
     discovery.cuts();
     assert!(discovery.is_asked().contains("since=9 "));
 }
 
 #[test]
-fn what_is_no_list_is_left_and_asked_for_again() {
+fn unreadable_watch_is_opened_again() {
     let pod = Pod::new(vec![Does::Serves("red")]);
     let discovery = Discovery::new("{\"seq\":\"what\"".into());
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
@@ -60,7 +60,7 @@
     for _ in 0..2 {
         assert!(discovery.is_asked().contains("since=7 "));
     }
-    asks_until(at, "red");
+    request_until(at, "red");
 }
 
 #[rstest]
@@ -75,9 +75,9 @@
 )]
 #[case::other(Vote::Says(200, "<html>".into()), true)]
 #[case::silence(Vote::Waits, true)]
-fn a_vote_that_did_not_count_is_cast_again(#[case] vote: Vote, #[case] again: bool) {
+fn vote_that_did_not_count_is_cast_again(#[case] vote: Vote, #[case] again: bool) {
     let rollouts = Rollouts::new(
-        &news(2, 0),
+        &stage_message(2, 0),
         vec![vote, Vote::Says(200, state(2, 0, "Progressing", 0.5))],
     );
     let pod = Pod::new(vec![Does::Serves("red")]);
@@ -89,17 +89,17 @@
         first.ends_with(r#"{"Revision":2,"Wave":0,"Decision":"pause"}"#),
         "{first}"
     );
-    // A vote stands for four seconds, and is told anew before it lapses; what comes earlier is a second try.
+    // A vote stands for four seconds, and is renewed before it expires; what comes earlier is a retry.
     assert_eq!(rollouts.vote(Duration::from_millis(2200)).is_some(), again);
 }
 
-/// Errors speak against the build on trial; answers that come spoilt, as any pod's may, do not.
+/// Errors are evidence against the build on trial; malformed answers, which any pod may give, are not.
 #[rstest]
 #[case::errors(Does::Errs("XX000"), true)]
-#[case::spoilt(Does::Says(vec![0, 1, 2]), false)]
-fn spoilt_answers_speak_against_no_build(#[case] bad: Does, #[case] back: bool) {
+#[case::malformed(Does::Says(vec![0, 1, 2]), false)]
+fn malformed_answers_are_no_evidence_against_a_build(#[case] bad: Does, #[case] back: bool) {
     let rollouts = Rollouts::new(
-        &news(2, 0),
+        &stage_message(2, 0),
         vec![Vote::Says(200, state(2, 0, "Progressing", 0.5))],
     );
     let good = Pod::new(vec![Does::Serves("red")]);
@@ -122,7 +122,7 @@
     assert_eq!(votes.take(5).any(|vote| vote.contains("abort")), back);
 }
 
-fn news(build: u16, stage: u8) -> String {
+fn stage_message(build: u16, stage: u8) -> String {
     format!(
         r#"{{"type":"news","object":{}}}"#,
         state(build, stage, "Progressing", 0.5)
@@ -133,7 +133,7 @@
 #[case::unreadable("{\"type\":")]
 #[case::other_bytes("\u{0}\u{1}")]
 #[case::too_long(&"x".repeat(100_000))]
-fn news_that_cannot_be_read_is_asked_for_again(#[case] line: &str) {
+fn unreadable_stage_stream_is_opened_again(#[case] line: &str) {
     let rollouts = Rollouts::new("{}", vec![Vote::Waits]);
     let pod = Pod::new(vec![Does::Serves("red")]);
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
@@ -142,13 +142,13 @@
     rollouts.is_asked();
     rollouts.says(line);
     rollouts.is_asked();
-    rollouts.says(&news(2, 0));
+    rollouts.says(&stage_message(2, 0));
     assert!(rollouts.vote(SOON).is_some());
 }
 
-/// The services of a new configuration are asked at once, and the list goes on from what is known.
+/// The services of a new configuration are called at once, and the watch continues from the known version.
 #[test]
-fn a_new_configuration_is_followed() {
+fn reload_follows_moved_services() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let pod = Pod::new(vec![Does::Serves("red")]);
@@ -163,29 +163,29 @@
     config.discovery = second.at;
     std::fs::write(&file, "half a fi").unwrap();
     signal_hook::low_level::raise(signal_hook::consts::SIGHUP).unwrap();
-    asks_until(at, "red");
+    request_until(at, "red");
     std::fs::write(&file, config.json()).unwrap();
     signal_hook::low_level::raise(signal_hook::consts::SIGHUP).unwrap();
     assert!(second.is_asked().contains("since=8 "));
-    asks_until(at, "red");
+    request_until(at, "red");
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_told_with_its_file() {
+fn error_of_a_configuration_names_its_file() {
     let trouble = Service::start(PathBuf::from("nowhere.json"))
         .map(|_| ())
         .unwrap_err();
     assert!(trouble.to_string().starts_with("nowhere.json: "));
 }
 
-fn hang_up() {
+fn send_sighup() {
     signal_hook::low_level::raise(signal_hook::consts::SIGHUP).unwrap();
 }
 
-/// What discovery writes to the old watch after a new configuration has come counts as told: it is read until it ends.
-/// Without the mend the old watch is closed at once.
+/// What discovery writes to the former watch after a reload counts as known: it is read until it ends. Once the former
+/// watch was closed at once.
 #[test]
-fn an_old_watch_is_read_to_its_end() {
+fn watch_on_the_former_address_is_read_to_its_end() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let (old, new) = (
@@ -193,28 +193,28 @@
         Pod::new(vec![Does::Serves("new")]),
     );
     let first = Discovery::new(listing(8, false, &[]));
-    // Takes connections and says nothing.
+    // Accepts connections and sends nothing.
     let second = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut config = Config::new(vec![Listed::new("p1", old.at)]);
     config.discovery = first.at;
     let at = sidecar_of(file.clone(), &config);
     first.is_asked();
-    asks_until(at, "old");
+    request_until(at, "old");
     config.discovery = second.local_addr().unwrap();
     std::fs::write(&file, config.json()).unwrap();
-    hang_up();
+    send_sighup();
     let _asked = second.accept().unwrap();
     let gone = Listed {
         health: "terminated",
         ..Listed::new("p1", old.at)
     };
     first.says(&listing(9, false, &[gone, Listed::new("p2", new.at)]));
-    asks_until(at, "new");
+    request_until(at, "new");
 }
 
-/// The same of news.
+/// The same for the stream of the rollout service.
 #[test]
-fn an_old_stream_of_news_is_read_to_its_end() {
+fn stage_stream_of_the_former_address_is_read_to_its_end() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let pod = Pod::new(vec![Does::Serves("red")]);
@@ -226,18 +226,18 @@
     first.is_asked();
     config.rollouts = Some(second.at);
     std::fs::write(&file, config.json()).unwrap();
-    hang_up();
+    send_sighup();
     second.is_asked();
-    first.says(&news(2, 0));
+    first.says(&stage_message(2, 0));
     assert!(
         second.vote(SOON).is_some(),
         "what the old stream told is not known"
     );
 }
 
-/// One that is another sidecar's is not followed.
+/// A configuration with another sidecar's name is ignored.
 #[test]
-fn another_sidecars_configuration_is_not_followed() {
+fn configuration_of_another_sidecar_is_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let pod = Pod::new(vec![Does::Serves("red")]);
@@ -253,19 +253,18 @@
         ..Config::new(Vec::new())
     };
     std::fs::write(&file, others.json()).unwrap();
-    hang_up();
-    asks_until(at, "red");
+    send_sighup();
+    request_until(at, "red");
     config.discovery = third.at;
     std::fs::write(&file, config.json()).unwrap();
-    hang_up();
+    send_sighup();
     third.is_asked();
     assert!(second.calls.try_recv().is_err());
 }
 
-/// An object over many lines is as good as one on a line. Without the mend each line is taken for an object, and the watch
-/// is asked for again and again.
+/// An object may span many lines. Once each line was taken for an object, and the watch was opened again and again.
 #[test]
-fn a_list_may_come_over_many_lines() {
+fn listing_may_span_many_lines() {
     let (old, new) = (
         Pod::new(vec![Does::Serves("old")]),
         Pod::new(vec![Does::Serves("new")]),
@@ -277,13 +276,13 @@
     config.discovery = discovery.at;
     let at = sidecar(&config);
     discovery.is_asked();
-    asks_until(at, "new");
+    request_until(at, "new");
     assert!(discovery.calls.try_recv().is_err());
 }
 
-/// Bytes within one object are no sign of life. Without the mend each renews the wait.
+/// Bytes within one object are no sign of life. Once each renewed the timeout.
 #[test]
-fn a_trickle_within_an_object_does_not_keep_a_watch() {
+fn trickle_within_an_object_does_not_keep_a_watch_alive() {
     let pod = Pod::new(vec![Does::Serves("red")]);
     let discovery = Discovery::new(listing(8, false, &[]));
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
@@ -302,9 +301,9 @@
     }
 }
 
-/// A connection to where a pod was is not kept for where it is. Without the mend it goes back among those of the pod.
+/// A connection to a pod's former address is not pooled for its present one. Once it was returned to the pool.
 #[test]
-fn a_connection_to_where_a_pod_was_is_not_used_again() {
+fn connection_to_a_pods_former_address_is_not_reused() {
     let (old, new) = (
         Pod::new(vec![Does::ServesLater("old"), Does::Serves("old")]),
         Pod::new(vec![Does::Serves("new")]),
@@ -318,7 +317,7 @@
     client.asks(&ask("look", 10_000));
     assert!(old.hears().starts_with("SELECT"));
     discovery.says(&listing(9, false, &[Listed::new("p1", new.at)]));
-    asks_until(at, "new");
+    request_until(at, "new");
     old.go_on.send(()).unwrap();
     assert_eq!(client.hears(), Answer::Row("old".into()));
     for _ in 0..5 {
@@ -327,9 +326,9 @@
     }
 }
 
-/// What has not gone out to a pod when it is told to drain goes to it no more. Without the mend it waits for the pod.
+/// An attempt that was not sent when its pod is listed as draining is not sent. Once it waited for the pod.
 #[test]
-fn what_has_not_gone_out_does_not_go_to_a_pod_that_drains() {
+fn unsent_attempt_does_not_go_to_a_draining_pod() {
     let old = Pod::new(vec![Does::LivesLater("old"), Does::Waits]);
     let discovery = Discovery::new(listing(8, false, &[]));
     let mut config = Config {
@@ -350,18 +349,18 @@
             ..Listed::new("p1", old.at)
         }],
     ));
-    // No pod is left for it. That it never ran is known, long before its time is up.
+    // No pod is left for it. That it never ran is known long before its deadline.
     assert!(client.has_come(Duration::from_secs(5)));
     assert!(matches!(client.hears(), Answer::Error(code, _) if code == "53300"));
     old.go_on.send(()).unwrap();
     assert_eq!(old.hears(), "gone");
 }
 
-/// Nor to a build whose cap was lowered meanwhile.
+/// Nor is one to a build that is rolled back meanwhile.
 #[test]
-fn what_has_not_gone_out_does_not_go_to_a_build_that_goes_back() {
+fn unsent_attempt_does_not_go_to_a_build_that_is_rolled_back() {
     let rollouts = Rollouts::new(
-        &news(2, 0),
+        &stage_message(2, 0),
         vec![Vote::Says(200, state(2, 0, "Progressing", 0.5))],
     );
     let base = Pod::new(vec![Does::Serves("base")]);
@@ -379,7 +378,7 @@
     rollouts.vote(SOON).expect("a vote to hold");
     let mut client = Client::new(at);
     let end = Instant::now() + SOON;
-    // Others are served by the base, until one is meant for the trial.
+    // Requests are served by the base build, until one is meant for the trial.
     'asks: loop {
         client.asks(&ask("look", 10_000));
         while !client.has_come(Duration::from_millis(20)) {
@@ -400,10 +399,10 @@
     assert_eq!(trial.hears(), "gone");
 }
 
-/// A pod that left and is back under the same address with another build: what an attempt of its earlier life answers still
-/// counts, and its connection is not kept for the new one.
+/// A pod left and is back under the same address with another build: the answer to an attempt at its earlier incarnation
+/// still counts, and the connection is not pooled for the new one.
 #[test]
-fn a_connection_to_an_earlier_life_of_a_pod_is_not_kept() {
+fn connection_to_an_earlier_incarnation_is_not_pooled() {
     let pod = Pod::new(vec![Does::ServesLater("old"), Does::Serves("new")]);
     let discovery = Discovery::new(listing(8, false, &[]));
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
@@ -429,19 +428,19 @@
             ..Listed::new("p1", pod.at)
         }],
     ));
-    asks_until(at, "new");
+    request_until(at, "new");
     pod.go_on.send(()).unwrap();
     assert_eq!(client.hears(), Answer::Row("old".into()));
     while pod.hears() != "gone" {}
 }
 
-/// A vote that was out to where rollouts were before, and has no answer, is cast again where they are now.
+/// A vote to the former address of the rollout service that has no reply is cast again at the new one.
 #[test]
-fn a_vote_that_crosses_a_new_configuration_is_cast_again() {
+fn vote_that_crosses_a_reload_is_cast_again() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
     let pod = Pod::new(vec![Does::Serves("red")]);
-    let first = Rollouts::new(&news(2, 0), vec![Vote::Waits]);
+    let first = Rollouts::new(&stage_message(2, 0), vec![Vote::Waits]);
     let second = Rollouts::new("{}", vec![Vote::Says(200, state(2, 0, "Progressing", 0.5))]);
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
     config.rollouts = Some(first.at);
@@ -449,14 +448,14 @@
     first.vote(SOON).expect("a vote to hold");
     config.rollouts = Some(second.at);
     std::fs::write(&file, config.json()).unwrap();
-    hang_up();
+    send_sighup();
     let again = second.vote(SOON).expect("the vote once more");
     assert!(again.contains("pause"), "{again}");
 }
 
-/// A list right before noise counts: the watch is asked for again from there. Without the mend both are thrown away.
+/// A listing right before unreadable bytes counts: the watch is opened again from its version. Once both were thrown away.
 #[test]
-fn a_list_right_before_noise_is_told() {
+fn listing_right_before_unreadable_bytes_is_applied() {
     let pod = Pod::new(vec![Does::Serves("red")]);
     let first = listing(8, true, &[Listed::new("p1", pod.at)]);
     let discovery = Discovery::new(format!("{first}\u{0}noise"));
@@ -466,5 +465,5 @@
     });
     discovery.is_asked();
     assert!(discovery.is_asked().contains("since=8 "));
-    asks_until(at, "red");
+    request_until(at, "red");
 }
--- a/crates/postgres-proxy/tests/stage_updates.rs
+++ b/crates/postgres-proxy/tests/stage_updates.rs
@@ -5,16 +5,16 @@
 use limewing_postgres_proxy::stage_updates::{LatestState, RolloutState};
 use rstest::rstest;
 
-fn stands(build: u16, stage: u8, name: &str) -> RolloutState {
+fn rollout_state(build: u16, stage: u8, name: &str) -> RolloutState {
     serde_json::from_str(&state(build, stage, name, 0.3)).unwrap()
 }
 
-/// News come by more than one way: what has been overtaken is left out.
+/// States come on more than one connection: those that were overtaken are dropped.
 #[test]
-fn a_build_never_stands_before_where_it_stood() {
+fn outdated_rollout_states_are_dropped() {
     let mut latest = LatestState::default();
     let mut take = |build, stage, name| {
-        let accepted = latest.accept(stands(build, stage, name));
+        let accepted = latest.accept(rollout_state(build, stage, name));
         accepted.map(|accepted| accepted.update)
     };
     assert_eq!(take(4, 1, "Progressing").unwrap().stage, StageIndex(1));
@@ -26,15 +26,15 @@
     assert!(take(5, 0, "Progressing").is_some());
 }
 
-/// News that closes a build to what has not gone out: it goes back, or its cap is lower than before.
+/// A state closes a build to unsent attempts if the build is rolled back, or its cap is lower than before.
 #[rstest]
-#[case::begins(2, "Progressing", 0.3, None)]
+#[case::new_build(2, "Progressing", 0.3, None)]
 #[case::higher(1, "Progressing", 0.6, None)]
 #[case::lower(1, "Progressing", 0.2, Some(1))]
 #[case::released(1, "Healthy", 1.0, None)]
-#[case::goes_back(1, "Aborting", 0.0, Some(1))]
-#[case::withdrawn(1, "Aborted", 0.0, Some(1))]
-fn news_may_close_a_build(
+#[case::rolling_back(1, "Aborting", 0.0, Some(1))]
+#[case::rolled_back(1, "Aborted", 0.0, Some(1))]
+fn rollback_or_lower_cap_closes_a_build(
     #[case] build: u16,
     #[case] name: &str,
     #[case] cap: f64,
--- a/crates/postgres-proxy/tests/statement.rs
+++ b/crates/postgres-proxy/tests/statement.rs
@@ -21,15 +21,15 @@
     )
 }
 
-/// A client whose time is up is none that can't be understood.
+/// A request without time left is a request.
 #[test]
-fn no_time_left_is_a_time() {
+fn zero_timeout_is_valid() {
     let read = parser().parse(&INSERT.replace("d=480", "d=0")).unwrap();
     assert_eq!(read.timeout, Duration::ZERO);
 }
 
 #[test]
-fn a_statement_is_read_and_passed_on_with_another_wait() {
+fn statement_is_parsed_and_passed_on_with_another_timeout() {
     let read: Statement = parser().parse(INSERT).unwrap();
     assert_eq!((read.class.0, read.tenant.unwrap().0), (1, 1));
     assert_eq!(
@@ -68,13 +68,13 @@
 #[case::signed("SELECT blob FROM rows WHERE handle = '7f3a' /* id=1,c=basket,t=acme,d=+480 */")]
 #[case::long_id(&INSERT.replace("9b1f", &"9".repeat(65)))]
 #[case::empty_mark(&INSERT.replace("k=5c0f", "k="))]
-fn another_form_is_no_hit(#[case] text: &str) {
+fn statement_of_another_form_is_rejected(#[case] text: &str) {
     assert!(parser().parse(text).is_err());
 }
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_refused(text in ".{0,80}", at in 0usize..120, put in ".{0,3}") {
+    fn arbitrary_text_is_parsed_or_rejected(text in ".{0,80}", at in 0usize..120, put in ".{0,3}") {
         let _ = parser().parse(&text);
         let mut near = INSERT.to_owned();
         near.insert_str(at.min(near.len()), &put);
--- a/crates/postgres-proxy/tests/wrong_answers.rs
+++ b/crates/postgres-proxy/tests/wrong_answers.rs
@@ -3,10 +3,10 @@
 use limewing_postgres_proxy::wrong_answers::{WrongAnswer, WrongAnswerLog};
 use std::time::Duration;
 
-/// While the stream to where rollouts were before stands beside the new one, each tells of a wrong answer: it counts once.
-/// One stream that tells of two alike tells of two.
+/// While the stream of the former address stands beside the new one, both report a wrong answer: it counts once. One stream
+/// that reports two alike reports two.
 #[test]
-fn a_report_told_by_two_streams_counts_once() {
+fn wrong_answer_from_two_streams_counts_once() {
     let report = |pod: &str| WrongAnswer {
         host: pod.into(),
         class: "look".into(),
