--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -2,6 +2,7 @@
 //! engine asks for a new one.
 
 use super::http_request::encode_request;
+use super::service_connection::{EndedConnection, ServiceConnections};
 use super::{ConnectionRole, Service, TimerEvent};
 use crate::endpoint_list::{EndpointList, ListingError};
 use crate::endpoint_listing::EndpointListing;
@@ -23,9 +24,7 @@
 /// The list of pods, and the watch that keeps it up to date.
 pub(super) struct DiscoveryState {
     pub(super) endpoints: EndpointList,
-    watch: Option<SocketId>,
-    /// The watch on discovery's former address, until it ends.
-    previous_watch: Option<SocketId>,
+    watches: ServiceConnections,
     /// When discovery was last heard, on the sidecar's monotonic clock. What it tells from then on may be missed.
     last_heard: Duration,
 }
@@ -34,8 +33,7 @@
     pub(super) fn new(endpoints: EndpointList, now: Duration) -> Self {
         Self {
             endpoints,
-            watch: None,
-            previous_watch: None,
+            watches: ServiceConnections::default(),
             last_heard: now,
         }
     }
@@ -108,7 +106,7 @@
 impl Service {
     /// Opens a watch, if there is none.
     pub(super) fn watch_endpoints(&mut self) {
-        if self.discovery.watch.is_some() {
+        if self.discovery.watches.is_open() {
             return;
         }
         let Ok(socket) = self.sockets.connect(self.services.discovery) else {
@@ -127,7 +125,7 @@
         };
         self.connections
             .insert(socket, ConnectionRole::Watch(Box::new(watch)));
-        self.discovery.watch = Some(socket);
+        self.discovery.watches.set_current(socket);
     }
 
     pub(super) fn send_watch_request(&mut self, socket: SocketId) {
@@ -224,9 +222,7 @@
     /// Follows discovery to a new address: that one is asked first, and the former watch read to its end. What it tells
     /// meanwhile counts as known, and is not told again.
     pub(super) fn move_watch(&mut self) {
-        let former = self.discovery.watch.take();
-        let abandoned = std::mem::replace(&mut self.discovery.previous_watch, former);
-        if let Some(socket) = abandoned {
+        if let Some(socket) = self.discovery.watches.begin_move() {
             self.close_watch(socket);
         }
         let lease_spent = ENDPOINT_LEASE - ENDPOINT_LEASE_AFTER_MOVE;
@@ -249,13 +245,15 @@
             tracing::debug!(waited_ms, answered = watch.has_answer, %error, "endpoint watch ended");
         }
         self.close_watch(socket);
-        if self.discovery.previous_watch == Some(socket) {
-            tracing::info!(%error, "endpoint watch on the former address ended");
-            self.discovery.previous_watch = None;
-        } else if self.discovery.watch == Some(socket) {
-            tracing::warn!(%error, "endpoint watch lost, keeping the known list");
-            self.discovery.watch = None;
-            self.report_watch_loss(cause);
+        match self.discovery.watches.remove(socket) {
+            EndedConnection::Former => {
+                tracing::info!(%error, "endpoint watch on the former address ended");
+            }
+            EndedConnection::Current => {
+                tracing::warn!(%error, "endpoint watch lost, keeping the known list");
+                self.report_watch_loss(cause);
+            }
+            EndedConnection::Unknown => {}
         }
     }
 
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! All state is owned by [`Service`]. Its methods are split by what they deal with: `event_loop` (turns, dispatch),
 //! `clients`, `client_closing` and `requests` (the clients' side), `attempts`, `attempt_writer`, `upstream`,
-//! `upstream_pool` and `pod_connection` (the pods' side), `discovery`, `rollouts` and `votes` (the platform's services),
-//! `config_reload` and `graceful_shutdown` (signals).
+//! `upstream_pool` and `pod_connection` (the pods' side), `discovery`, `rollouts`, `votes`, `service_connection` and
+//! `http_request` (the platform's services), `config_reload` and `graceful_shutdown` (signals).
 
 mod attempt_writer;
 mod attempts;
@@ -17,6 +17,7 @@
 mod pod_connection;
 mod requests;
 mod rollouts;
+mod service_connection;
 mod upstream;
 mod upstream_pool;
 mod votes;
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -2,6 +2,7 @@
 //! with what it knows, and asks again after a backoff.
 
 use super::http_request::encode_request;
+use super::service_connection::{EndedConnection, ServiceConnections};
 use super::{ConnectionRole, Service, TimerEvent};
 use crate::line_codec::{LineReader, StreamError};
 use crate::rollout_messages::{parse_message, MessageError, RolloutMessage};
@@ -20,9 +21,7 @@
 
 /// What is known of the newest build's rollout, and the stream that keeps it up to date.
 pub(super) struct RolloutTracker {
-    stream: Option<SocketId>,
-    /// The stream of the service's former address, until it ends.
-    previous_stream: Option<SocketId>,
+    streams: ServiceConnections,
     latest: LatestState,
     wrong_answers: WrongAnswerLog<SocketId>,
     backoff: Backoff,
@@ -34,8 +33,7 @@
     /// A tracker that knows nothing; the backoff's jitter is drawn from `seed`.
     pub(super) fn new(classes: Vec<String>, seed: u64) -> Self {
         Self {
-            stream: None,
-            previous_stream: None,
+            streams: ServiceConnections::default(),
             latest: LatestState::default(),
             wrong_answers: WrongAnswerLog::default(),
             backoff: Backoff::new(seed),
@@ -107,7 +105,7 @@
         let Some(address) = self.services.rollouts else {
             return;
         };
-        if self.rollouts.stream.is_some() {
+        if self.rollouts.streams.is_open() {
             return;
         }
         let Ok(socket) = self.sockets.connect(address) else {
@@ -123,7 +121,7 @@
         };
         self.connections
             .insert(socket, ConnectionRole::StageStream(Box::new(stream)));
-        self.rollouts.stream = Some(socket);
+        self.rollouts.streams.set_current(socket);
     }
 
     pub(super) fn send_stage_stream_request(&mut self, socket: SocketId) {
@@ -211,9 +209,7 @@
     /// Follows the rollout service to a new address: that one is asked first, and the former stream read to its end. What
     /// it tells meanwhile counts as known, and is not told again.
     pub(super) fn move_stage_stream(&mut self) {
-        let former = self.rollouts.stream.take();
-        let abandoned = std::mem::replace(&mut self.rollouts.previous_stream, former);
-        if let Some(socket) = abandoned {
+        if let Some(socket) = self.rollouts.streams.begin_move() {
             self.close_stage_stream(socket);
         }
         self.rollouts.backoff.reset();
@@ -229,12 +225,12 @@
 
     pub(super) fn handle_stage_stream_end(&mut self, socket: SocketId, error: &StageStreamError) {
         self.close_stage_stream(socket);
-        if self.rollouts.previous_stream == Some(socket) {
-            tracing::info!(%error, "stage stream of the former address ended");
-            self.rollouts.previous_stream = None;
-        } else if self.rollouts.stream == Some(socket) {
-            self.rollouts.stream = None;
-            self.retry_stage_stream(error);
+        match self.rollouts.streams.remove(socket) {
+            EndedConnection::Former => {
+                tracing::info!(%error, "stage stream of the former address ended");
+            }
+            EndedConnection::Current => self.retry_stage_stream(error),
+            EndedConnection::Unknown => {}
         }
     }
 
