--- a/crates/emulators/src/platform/pod.rs
+++ b/crates/emulators/src/platform/pod.rs
@@ -36,7 +36,7 @@
     ClosesEarly,
     /// Says nothing from the first bytes on.
     WaitsEarly,
-    /// Welcomes a connection, of which it tells `came`, only after a word of the test; then tells `welcomed`.
+    /// Tells `came` once a connection's startup message is here, and welcomes it only after a word of the test; then tells `welcomed`.
     WelcomesLater,
     /// Welcomes a connection with half a message behind it, in one piece, and then says nothing.
     WelcomesWithMore,
@@ -108,17 +108,20 @@
     let first = script.lock().unwrap().first().cloned();
     if matches!(first, Some(Does::WelcomesWithMore)) {
         script.lock().unwrap().remove(0);
-        let mut link = welcome_with(stream, &[b'T', 0])?;
+        let mut link = read_startup(stream)?;
+        write_welcome(&mut link, &[b'T', 0])?;
         while link.hear().is_some() {}
         return None;
     }
+    // Only with the sidecar's first message here can it be welcomed while the sidecar stands still.
+    let mut link = read_startup(stream)?;
     let later = matches!(first, Some(Does::WelcomesLater));
     if later {
         script.lock().unwrap().remove(0);
         let _ = tell.send("came".into());
         let _ = word.lock().unwrap().recv_timeout(Duration::from_secs(20));
     }
-    let mut link = welcome(stream)?;
+    write_welcome(&mut link, &[])?;
     if later {
         let _ = tell.send("welcomed".into());
     }
@@ -231,20 +234,26 @@
 
 /// A connection that is welcomed.
 pub(super) fn welcome(stream: TcpStream) -> Option<Link> {
-    welcome_with(stream, &[])
+    let mut link = read_startup(stream)?;
+    write_welcome(&mut link, &[])?;
+    Some(link)
 }
 
-/// Welcomes a connection, with these bytes right behind.
-fn welcome_with(stream: TcpStream, more: &[u8]) -> Option<Link> {
+/// A connection whose startup message has come.
+fn read_startup(stream: TcpStream) -> Option<Link> {
     let mut link = Link::new(stream).ok()?;
     while read::startup(&mut link.input).ok()?.is_none() {
         link.fill()?;
     }
+    Some(link)
+}
+
+/// Welcomes a connection, with these bytes right behind.
+fn write_welcome(link: &mut Link, more: &[u8]) -> Option<()> {
     let mut out = BytesMut::new();
     write::welcome(&mut out, &[("server_version", "16.0")]);
     out.extend_from_slice(more);
-    link.stream.write_all(&out).ok()?;
-    Some(link)
+    link.stream.write_all(&out).ok()
 }
 
 /// The next statement; empty queries before it are answered.
