--- a/crates/cli/tests/command/help.rs
+++ b/crates/cli/tests/command/help.rs
@@ -103,6 +103,25 @@
     }
 }
 
+/// Stops a process, and waits until all its threads stand still. Before that its poll may still return what comes, and the
+/// process would act on that alone when it goes on.
+pub(crate) fn stop(child: &Child) {
+    kill_process(Pid::from_child(child), Signal::STOP).unwrap();
+    let tasks = format!("/proc/{}/task", child.id());
+    let is_stopped = |task: std::fs::DirEntry| {
+        let stat = std::fs::read_to_string(task.path().join("stat")).unwrap();
+        // The state stands behind the name, which is in parentheses (proc(5)).
+        let (_, state) = stat.rsplit_once(") ").unwrap();
+        state.starts_with('T')
+    };
+    while !std::fs::read_dir(&tasks)
+        .unwrap()
+        .all(|task| is_stopped(task.unwrap()))
+    {
+        std::thread::yield_now();
+    }
+}
+
 /// A process of `limewing platform`, ended with its test.
 pub(crate) struct Platform {
     child: Child,
@@ -152,6 +171,11 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
+    /// Stops it, and waits until it stands still.
+    pub(crate) fn stop(&self) {
+        stop(&self.child);
+    }
+
     /// Waits until it has ended; whether it did so by itself and well.
     pub(crate) fn ends(&mut self) -> bool {
         self.child.wait().unwrap().success()
--- a/crates/cli/tests/command/leaving.rs
+++ b/crates/cli/tests/command/leaving.rs
@@ -1,6 +1,6 @@
 //! A sidecar in HTTP that is told to leave while requests are on their way to it.
 
-use crate::help::{settings, Running};
+use crate::help::{settings, stop, Running};
 use rstest::rstest;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{Read, Write};
@@ -25,7 +25,7 @@
         .write_all(b"GET /limewing/status HTTP/1.1\r\nhost: q\r\n\r\n")
         .unwrap();
     assert!(first.read(&mut [0; 4096]).unwrap() > 0);
-    signal(Signal::STOP);
+    stop(&sidecar.child);
     if new {
         client = sidecar.connect();
     }
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -82,7 +82,7 @@
             break;
         }
     }
-    sidecar.signal(Signal::STOP);
+    sidecar.stop();
     sleep(DOOR_CLOSES);
     if new {
         client = Client::silent(sidecar.at);
@@ -107,7 +107,7 @@
 #[test]
 fn a_first_statement_that_comes_as_silence_is_over_is_answered() {
     let (_pod, sidecar, mut client) = with_pod(vec![Does::Serves("red")]);
-    sidecar.signal(Signal::STOP);
+    sidecar.stop();
     sleep(SPEAKS_WITHIN + MOMENT);
     client.asks(&ask("look", 1));
     sidecar.signal(Signal::CONT);
@@ -136,7 +136,7 @@
     let mut client = Client::new(sidecar.at);
     client.asks(&ask("look", 1));
     assert_eq!(pod.hears(), "came");
-    sidecar.signal(Signal::STOP);
+    sidecar.stop();
     pod.go_on.send(()).unwrap();
     assert_eq!(pod.hears(), "welcomed");
     discovery.says(&listing(
@@ -362,7 +362,7 @@
     world.note(Entry::SidecarStopped {
         sidecar: sidecar(2),
     });
-    all[2].signal(Signal::STOP);
+    all[2].stop();
     pause(400);
     all[2].signal(Signal::CONT);
     world.note(Entry::SidecarGoesOn {
