--- a/crates/postgres-protocol/src/lib.rs
+++ b/crates/postgres-protocol/src/lib.rs
@@ -18,5 +18,5 @@
 pub use error::ProtocolError;
 pub use message::{count_complete_messages, Message, MessageDecoder};
 
-/// Version 3.0 of the protocol, as a StartupMessage tells it.
+/// Version 3.0 of the protocol, as in a StartupMessage.
 pub const PROTOCOL_VERSION: u32 = 3 << 16;
--- a/crates/postgres-proxy/src/config.rs
+++ b/crates/postgres-proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! The file in which the platform tells a sidecar its name, addresses, limits and settings, and what is known at the
+//! The file in which the platform gives a sidecar its name, addresses, limits and settings, and what is known at the
 //! start.
 
 use crate::endpoint_listing::EndpointListing;
@@ -23,7 +23,7 @@
     /// The file can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is no JSON of the expected form; tells line and column.
+    /// It is no JSON of the expected form; says at which line and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The seed is no hexadecimal number of 64 bits.
@@ -32,7 +32,7 @@
         /// What it is.
         found: String,
     },
-    /// The settings can't be used; tells which one, and what was expected.
+    /// The settings can't be used; says which one, and what was expected.
     #[error("settings: {0}")]
     Settings(String),
 }
@@ -105,14 +105,14 @@
     pub engine: SidecarConfig,
     /// The settings of this proxy, and the names that the engine knows by number.
     pub sockets: SocketTerms,
-    /// Hash of the settings' text, which tells them from others; spaces count.
+    /// Hash of the settings' text, which distinguishes them from others; spaces count.
     pub settings_hash: u64,
 }
 
 /// Reads a configuration file.
 ///
 /// # Errors
-/// The file can't be read or used, told in one line: what, where and what was expected.
+/// The file can't be read or used; the text says in one line what, where and what was expected.
 pub fn read(file: &Path) -> Result<ProxyConfig, ConfigFileError> {
     let read = || parse(&std::fs::read(file)?);
     read().map_err(|error| ConfigFileError {
--- a/crates/postgres-proxy/src/endpoint_list.rs
+++ b/crates/postgres-proxy/src/endpoint_list.rs
@@ -122,7 +122,7 @@
         EndpointUpdate::Cached(endpoints)
     }
 
-    /// Applies a listing of a watch. What it tells again though nothing changed is left out, as the decision engine would
+    /// Applies a listing of a watch. What it repeats unchanged is left out, as the decision engine would
     /// draw the fractional allowance of a pod that warms up anew.
     ///
     /// A listing of an earlier version than the one applied last comes from another discovery, or one that began anew.
--- a/crates/postgres-proxy/src/endpoint_listing.rs
+++ b/crates/postgres-proxy/src/endpoint_listing.rs
@@ -72,7 +72,7 @@
 }
 
 impl ListedEndpoint {
-    /// What tells this start of the pod from others.
+    /// What distinguishes this start of the pod from others.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
--- a/crates/postgres-proxy/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Takes an attempt off its connection; tells whether it had been written. A connection that is not up yet is left to
+    /// Takes an attempt off its connection; returns whether it had been written. A connection that is not up yet is left to
     /// other attempts. One with an attempt on it is closed, as its answer may still come.
     fn detach_attempt(&mut self, connection: Option<SocketId>) -> bool {
         let Some(socket) = connection else {
--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -25,7 +25,7 @@
 pub(super) struct DiscoveryState {
     pub(super) endpoints: EndpointList,
     watches: ServiceConnections,
-    /// When discovery was last heard, on the sidecar's monotonic clock. What it tells from then on may be missed.
+    /// When discovery was last heard, on the sidecar's monotonic clock. What it sends from then on may be missed.
     last_heard: Duration,
 }
 
@@ -219,8 +219,8 @@
         Ok(())
     }
 
-    /// Follows discovery to a new address: that one is asked first, and the former watch read to its end. What it tells
-    /// meanwhile counts as known, and is not told again.
+    /// Follows discovery to a new address: that one is asked first, and the former watch read to its end. What it sends
+    /// meanwhile counts as known, and is not sent again.
     pub(super) fn move_watch(&mut self) {
         if let Some(socket) = self.discovery.watches.begin_move() {
             self.close_watch(socket);
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -138,7 +138,7 @@
     connections: FxHashMap<SocketId, ConnectionRole>,
     engine: DecisionEngine,
     engine_wake_at: Duration,
-    /// What the decision engine is told in this turn.
+    /// What the decision engine gets in this turn.
     events: Vec<Event>,
     clients: ClientState,
     requests: InFlightRequests<Statement>,
@@ -230,7 +230,7 @@
         &self.settings.name
     }
 
-    /// Serves until it is told to shut down, and has done so.
+    /// Serves until a signal begins the shutdown, and the shutdown is done.
     ///
     /// # Errors
     /// The sockets can't be polled.
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -73,7 +73,7 @@
 }
 
 impl Service {
-    /// Takes the state of the newest build's rollout, told by the stream or by the reply to a vote.
+    /// Takes the state of the newest build's rollout, from the stream or from the reply to a vote.
     pub(super) fn apply_rollout_state(
         &mut self,
         state: RolloutState,
@@ -207,7 +207,7 @@
     }
 
     /// Follows the rollout service to a new address: that one is asked first, and the former stream read to its end. What
-    /// it tells meanwhile counts as known, and is not told again.
+    /// it sends meanwhile counts as known, and is not sent again.
     pub(super) fn move_stage_stream(&mut self) {
         if let Some(socket) = self.rollouts.streams.begin_move() {
             self.close_stage_stream(socket);
--- a/crates/postgres-proxy/src/service/service_connection.rs
+++ b/crates/postgres-proxy/src/service/service_connection.rs
@@ -49,3 +49,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/postgres-proxy/src/stage_updates.rs
+++ b/crates/postgres-proxy/src/stage_updates.rs
@@ -1,13 +1,13 @@
-//! The state of the newest build's rollout, as the rollout service tells it.
+//! The state of the newest build's rollout, as the rollout service reports it.
 
 use limewing_decision::interface::{BuildId, Phase, StageIndex, StageUpdate};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Bound of an age that a message tells, in milliseconds; also keeps it a number that a `Duration` can hold.
+/// Bound of an age in a message, in milliseconds; keeps it a number that a `Duration` can hold.
 const MAX_AGE_MS: f64 = 1e9;
 
-/// An age that a message tells in milliseconds; one below zero or no number counts as zero.
+/// An age of a message, in milliseconds; one below zero or no number counts as zero.
 pub(crate) fn age_from_ms(milliseconds: f64) -> Duration {
     Duration::from_millis(milliseconds.clamp(0.0, MAX_AGE_MS) as u64)
 }
@@ -86,7 +86,7 @@
 }
 
 /// Drops states that were overtaken: the stream and the replies to votes come on connections of their own, and a late reply
-/// may tell a cap that has been lowered since.
+/// may have a cap that has been lowered since.
 #[derive(Debug, Default)]
 pub struct LatestState(Option<RolloutState>);
 
--- a/crates/postgres-proxy/src/statement.rs
+++ b/crates/postgres-proxy/src/statement.rs
@@ -119,7 +119,7 @@
 }
 
 impl StatementParser {
-    /// A parser for classes and tenants in the order of their numbers. `needs_idempotency_key` tells for each class
+    /// A parser for classes and tenants in the order of their numbers. `needs_idempotency_key` says for each class
     /// whether its statements have to have a key.
     #[must_use]
     pub fn new(classes: &[String], needs_idempotency_key: &[bool], tenants: &[String]) -> Self {
--- a/crates/postgres-proxy/src/unsent_attempts.rs
+++ b/crates/postgres-proxy/src/unsent_attempts.rs
@@ -17,7 +17,7 @@
     MayHaveRun,
 }
 
-/// A connection ended under an attempt. `is_unwritten` tells that the attempt's last byte was not with the system by then;
+/// A connection ended under an attempt. `is_unwritten` means that the attempt's last byte was not with the system by then;
 /// `broken_connections` had ended under it before.
 #[must_use]
 pub fn after_connection_loss(
--- a/crates/postgres-proxy/src/wrong_answers.rs
+++ b/crates/postgres-proxy/src/wrong_answers.rs
@@ -20,11 +20,11 @@
     pub age_ms: f64,
 }
 
-/// A wrong answer that two streams tell is told by both within this time...
+/// Two streams report the same wrong answer within this time...
 const DUPLICATE_WINDOW: Duration = Duration::from_secs(3);
 /// ...and with times of the attempt no further apart than this.
 const SENT_AT_TOLERANCE: Duration = Duration::from_millis(20);
-/// Reports that are remembered: some of each pod of a large fleet, and no more of a stream that tells without end. Beyond it
+/// Reports that are remembered: some of each pod of a large fleet, and no more of a stream that reports without end. Beyond it
 /// the oldest is forgotten, and may count twice.
 const MAX_REMEMBERED: usize = 4096;
 
@@ -36,8 +36,8 @@
     received_at: Duration,
 }
 
-/// Recognizes wrong answers that two streams tell: while the stream of the rollout service's former address stands beside
-/// the new one, each may tell the same. `S` identifies a stream.
+/// Recognizes wrong answers that two streams report: while the stream of the rollout service's former address stands beside
+/// the new one, each may report the same. `S` identifies a stream.
 pub struct WrongAnswerLog<S>(VecDeque<Remembered<S>>);
 
 impl<S> Default for WrongAnswerLog<S> {
@@ -47,7 +47,7 @@
 }
 
 impl<S: PartialEq> WrongAnswerLog<S> {
-    /// Records a report; tells whether no other stream has told of the same wrong answer.
+    /// Records a report; returns whether no other stream has reported the same wrong answer.
     pub fn record(
         &mut self,
         stream: S,
--- a/crates/postgres-proxy/tests/fleet_limits.rs
+++ b/crates/postgres-proxy/tests/fleet_limits.rs
@@ -100,9 +100,9 @@
 }
 
 /// The settings of 350 sidecars, of which this is one, and the list of the pods as it was known before the start.
-fn told(own_number: u32) -> ProxyConfig {
+fn config_of(sidecar_index: u32) -> ProxyConfig {
     let config = Config {
-        sidecars: (SIDECARS, own_number),
+        sidecars: (SIDECARS, sidecar_index),
         ..Config::new(pods())
     };
     config::parse(config.json().as_bytes()).unwrap()
@@ -118,15 +118,15 @@
 #[rstest]
 #[case::first(0)]
 #[case::last(SIDECARS - 1)]
-fn configuration_names_the_whole_fleet(#[case] own_number: u32) {
-    let told = told(own_number);
+fn configuration_names_the_whole_fleet(#[case] sidecar_index: u32) {
+    let config = config_of(sidecar_index);
     assert_eq!(
-        (told.engine.sidecar_count, told.engine.sidecar_index),
-        (SIDECARS, own_number)
+        (config.engine.sidecar_count, config.engine.sidecar_index),
+        (SIDECARS, sidecar_index)
     );
-    let known = told.cached_endpoints.unwrap();
+    let known = config.cached_endpoints.unwrap();
     assert_eq!(hosts(&known).len(), PODS);
-    let mut list = EndpointList::new(&told.sockets.zones, &told.sockets.kinds);
+    let mut list = EndpointList::new(&config.sockets.zones, &config.sockets.kinds);
     let rows = recalled(&mut list, known);
     let numbers: BTreeSet<PodId> = rows.iter().map(|row| row.pod).collect();
     assert_eq!((list.len(), numbers.len()), (PODS, PODS));
@@ -182,11 +182,11 @@
 }
 
 impl Started {
-    fn new(own_number: u32) -> Self {
-        let told = told(own_number);
-        let mut list = EndpointList::new(&told.sockets.zones, &told.sockets.kinds);
-        let mut engine = DecisionEngine::new(NOW, told.engine);
-        let known = list.load_cached(told.cached_endpoints.unwrap(), NOW, SystemTime::now());
+    fn new(sidecar_index: u32) -> Self {
+        let config = config_of(sidecar_index);
+        let mut list = EndpointList::new(&config.sockets.zones, &config.sockets.kinds);
+        let mut engine = DecisionEngine::new(NOW, config.engine);
+        let known = list.load_cached(config.cached_endpoints.unwrap(), NOW, SystemTime::now());
         engine.handle(NOW, vec![Event::Endpoints(known)]);
         Self {
             list,
@@ -243,8 +243,8 @@
 #[case::first(0)]
 #[case::middle(17)]
 #[case::last(SIDECARS - 1)]
-fn every_pod_is_reached(#[case] own_number: u32) {
-    let mut sidecar = Started::new(own_number);
+fn every_pod_is_reached(#[case] sidecar_index: u32) {
+    let mut sidecar = Started::new(sidecar_index);
     let went = sidecar.asks(2 * PODS, NOW);
     assert_eq!(went.len(), 2 * PODS);
     assert_eq!(went.into_iter().collect::<BTreeSet<_>>().len(), PODS);
--- a/crates/proxy-core/src/eviction.rs
+++ b/crates/proxy-core/src/eviction.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether a connection to a pod may be opened. Where all descriptors are taken, one idle connection is evicted first,
-    /// so that those kept to some pods don't keep requests from the others.
+    /// so that idle connections to some pods don't keep requests from the others.
     fn make_room_for_connection(&mut self) -> bool {
         if self.is_out_of_descriptors() {
             self.evict_idle_connection();
--- a/crates/proxy-core/src/vote_call.rs
+++ b/crates/proxy-core/src/vote_call.rs
@@ -14,7 +14,7 @@
 pub struct VoteReply<S> {
     /// What became of the vote.
     pub answer: VoteAnswer,
-    /// The state of the rollout, if the reply told it.
+    /// The state of the rollout, if the reply has it.
     pub state: Option<S>,
 }
 
