--- a/crates/consensus/tests/digest.rs
+++ b/crates/consensus/tests/digest.rs
@@ -11,18 +11,18 @@
 use helpers::node::PlantedFault;
 use helpers::seconds;
 use limewing_fault_injection::{Fault, Script};
+use limewing_test_support::digest::Digest;
 
 const SEEDS: u64 = 20;
 const SECONDS: f64 = 25.0;
 const LEARNERS: usize = 2;
-const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 
 /// Votes that are given (true) or taken, in this order, where a group changes its members.
 const MEMBER_CHANGES: [(&str, bool); 4] =
     [("s3", true), ("s4", true), ("s0", false), ("s1", false)];
 
 /// Runs a group of fixed members; every other one crashes at one of its first writes.
-fn run_fixed_group(seed: u64, voters: usize, digest: u64) -> Cluster {
+fn run_fixed_group(seed: u64, voters: usize, digest: Digest) -> Cluster {
     let script = random_faults(seed, voters, SECONDS);
     let mut cluster = Cluster::new(&script, voters, LEARNERS, seed, PlantedFault::None);
     cluster.digest = OutputDigest::resume(digest);
@@ -38,7 +38,7 @@
 }
 
 /// Runs three voters that become five, and then another three, under faults.
-fn run_changing_group(seed: u64, digest: u64) -> Cluster {
+fn run_changing_group(seed: u64, digest: Digest) -> Cluster {
     let mut script: Script = random_faults(seed, 5, SECONDS);
     // Five voters may lose disks at a rate that three can't bear.
     script
@@ -74,7 +74,7 @@
 #[test]
 #[ignore = "prints a digest; run by tools/digests.sh"]
 fn consensus_digest() {
-    let mut digest = FNV_OFFSET_BASIS;
+    let mut digest = Digest::new();
     for seed in 0..SEEDS {
         let mut cluster = match seed % 4 {
             0 | 1 => run_fixed_group(seed, 3, digest),
@@ -91,7 +91,7 @@
             agreed.is_some(),
             "seed {seed}: no agreement after the last fault"
         );
-        digest = cluster.digest.hash().expect("it was set at the start");
+        digest = cluster.digest.digest().expect("it was set at the start");
     }
-    println!("digest consensus {digest:016x}");
+    println!("digest consensus {:016x}", digest.value());
 }
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -7,45 +7,11 @@
     read_log, Committed, Configuration, Entry, EntryPayload, LogPosition, Members, Message, NodeId,
     Packet, RaftConfig, RaftNode, Record,
 };
-use std::path::Path;
+use limewing_test_support::golden::{assert_items, Item};
 use std::time::Duration;
 
-type Item = (&'static str, Vec<u8>);
-
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(300);
 
-fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
-/// Compares what the code writes with the golden file, kind by kind; returns the file's bytes.
-fn assert_golden(file: &str, written: &[Item]) -> Vec<Vec<u8>> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(file);
-    if std::env::var_os("GOLDEN_WRITE").is_some() {
-        let line = |(kind, bytes): &Item| format!("{kind} {}\n", to_hex(bytes));
-        std::fs::write(&path, written.iter().map(line).collect::<String>()).expect("it is written");
-    }
-    let text = std::fs::read_to_string(&path).expect("the golden file is there");
-    let golden: Vec<(&str, Vec<u8>)> = text
-        .lines()
-        .map(|line| line.split_once(' ').expect("a kind and its bytes"))
-        .map(|(kind, hex)| (kind, from_hex(hex)))
-        .collect();
-    assert_eq!(golden.len(), written.len(), "{file}: number of items");
-    for ((golden_kind, golden_bytes), (kind, bytes)) in golden.iter().zip(written) {
-        assert_eq!(golden_kind, kind, "{file}");
-        assert_eq!(to_hex(golden_bytes), to_hex(bytes), "{file}: {kind}");
-    }
-    golden.into_iter().map(|(_, bytes)| bytes).collect()
-}
-
 fn id(number: u64) -> NodeId {
     NodeId {
         name: format!("s{number}"),
@@ -252,7 +218,7 @@
         .collect();
     let kinds: std::collections::BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), MESSAGE_KINDS);
-    let golden = assert_golden("datagrams.hex", &written);
+    let golden = assert_items(env!("CARGO_MANIFEST_DIR"), "datagrams.hex", &written);
     for (bytes, packet) in golden.iter().zip(&packets) {
         assert_eq!(Packet::decode(bytes).as_ref(), Ok(packet));
         assert_eq!(
@@ -338,7 +304,7 @@
     let written = items(&records());
     let kinds: std::collections::BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), RECORD_KINDS);
-    let golden = assert_golden("records.hex", &written);
+    let golden = assert_items(env!("CARGO_MANIFEST_DIR"), "records.hex", &written);
     assert_log_reads_as(&golden, &records());
 }
 
@@ -415,9 +381,13 @@
     let written = items(&log);
     let kinds: std::collections::BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), RECORD_KINDS);
-    let golden = assert_golden("log.hex", &written);
+    let golden = assert_items(env!("CARGO_MANIFEST_DIR"), "log.hex", &written);
     assert_log_reads_as(&golden, &log);
-    let golden_compacted = assert_golden("log_compacted.hex", &items(&compacted));
+    let golden_compacted = assert_items(
+        env!("CARGO_MANIFEST_DIR"),
+        "log_compacted.hex",
+        &items(&compacted),
+    );
     assert_log_reads_as(&golden_compacted, &compacted);
     // A voter that starts with either file has the same state.
     for bytes in [golden.concat(), golden_compacted.concat()] {
--- a/crates/consensus/tests/helpers/digest.rs
+++ b/crates/consensus/tests/helpers/digest.rs
@@ -1,33 +1,32 @@
 //! A hash of all that the nodes of a cluster put out, in order.
 
 use limewing_consensus::{Committed, LogPosition, ProposeError, Role};
+use limewing_test_support::digest::Digest;
 use std::time::Duration;
 
 /// The 64-bit FNV-1a hash of all outputs; without one, outputs are not hashed.
 #[derive(Default)]
 pub(crate) struct OutputDigest {
-    hash: Option<u64>,
+    digest: Option<Digest>,
 }
 
 impl OutputDigest {
-    const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-
-    /// Goes on from the hash of earlier outputs.
+    /// Goes on from the digest of earlier outputs.
     #[allow(dead_code, reason = "only the digest test keeps one")]
-    pub(crate) fn resume(hash: u64) -> Self {
-        Self { hash: Some(hash) }
+    pub(crate) fn resume(digest: Digest) -> Self {
+        Self {
+            digest: Some(digest),
+        }
     }
 
     #[allow(dead_code, reason = "only the digest test keeps one")]
-    pub(crate) fn hash(&self) -> Option<u64> {
-        self.hash
+    pub(crate) fn digest(&self) -> Option<Digest> {
+        self.digest
     }
 
     pub(super) fn observe(&mut self, bytes: &[u8]) {
-        if let Some(hash) = &mut self.hash {
-            for byte in bytes {
-                *hash = (*hash ^ u64::from(*byte)).wrapping_mul(Self::FNV_PRIME);
-            }
+        if let Some(digest) = &mut self.digest {
+            digest.raw(bytes);
         }
     }
 
--- a/crates/coordination/tests/digest.rs
+++ b/crates/coordination/tests/digest.rs
@@ -9,6 +9,7 @@
     Coordinator, FleetView, LoadReport, Member, OutlierHint, OutlierObservation, PeerReport, Pod,
     Service, ROTATION_INTERVAL,
 };
+use limewing_test_support::digest::Digest;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -22,47 +23,14 @@
 const LOSS: f64 = 0.1;
 const SERVICES: [Service; 2] = [Service::EndpointList, Service::Installer];
 
-/// 64-bit FNV-1a.
-struct Digest(u64);
-
-impl Digest {
-    fn new() -> Self {
-        Self(0xcbf2_9ce4_8422_2325)
-    }
-
-    fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        self.raw(bytes);
-    }
-
-    fn number(&mut self, number: u64) {
-        self.raw(&number.to_le_bytes());
-    }
-
-    fn numbers(&mut self, numbers: impl ExactSizeIterator<Item = u64>) {
-        self.number(numbers.len() as u64);
-        numbers.for_each(|number| self.number(number));
-    }
-
-    fn time(&mut self, time: Duration) {
-        self.number(time.as_nanos() as u64);
-    }
-
-    fn view(&mut self, view: Option<&FleetView>) {
-        let Some(view) = view else {
-            return self.number(0);
-        };
-        self.number(1);
-        self.numbers(view.preference.iter().copied());
-        self.number(view.min_endpoints as u64);
-        self.numbers(view.probed_by_peers.iter().copied());
-    }
-
-    fn raw(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-        }
-    }
+fn hash_view(digest: &mut Digest, view: Option<&FleetView>) {
+    let Some(view) = view else {
+        return digest.number(0);
+    };
+    digest.number(1);
+    digest.numbers(view.preference.iter().copied());
+    digest.number(view.min_endpoints as u64);
+    digest.numbers(view.probed_by_peers.iter().copied());
 }
 
 /// SplitMix64.
@@ -371,7 +339,7 @@
         if let Some(view) = sidecar.coordinator.take_view(self.now) {
             self.digest.number(number as u64);
             self.digest.time(self.now);
-            self.digest.view(view.as_ref());
+            hash_view(self.digest, view.as_ref());
             sidecar.view = view;
         }
         self.digest.time(sidecar.coordinator.next_deadline());
@@ -461,5 +429,5 @@
         observe_rotation(&mut digest, &members);
         observe_outliers(&mut digest, &mut random, &members, &pods);
     }
-    println!("digest coordination {:016x}", digest.0);
+    println!("digest coordination {:016x}", digest.value());
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -5,7 +5,7 @@
 //! `GOLDEN_WRITE=1` writes the files anew; that is for new kinds only.
 
 use limewing_coordination::{stable_key, LoadReport, OutlierHint, Service, MAX_HINTS};
-use std::path::Path;
+use limewing_test_support::golden;
 
 fn report(
     zone: u16,
@@ -60,25 +60,6 @@
     "zone-ü",
 ];
 
-fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
-fn read_golden(file: &str, today: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(file);
-    if std::env::var_os("GOLDEN_WRITE").is_some() {
-        std::fs::write(&path, today).expect("the golden file can be written");
-    }
-    std::fs::read_to_string(path).expect("the golden file can be read")
-}
-
 /// Reports built from code are written as in the file; those of the file are read as those values,
 /// and written again alike. So are those of an earlier version, which end before the lost services,
 /// and of a later one, which has more behind them.
@@ -86,13 +67,13 @@
 fn reports_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = reports()
         .iter()
-        .map(|(name, report)| format!("{name} {}\n", to_hex(&report.encode())))
+        .map(|(name, report)| format!("{name} {}\n", golden::to_hex(&report.encode())))
         .collect();
-    let text = read_golden("reports.hex", &lines.concat());
+    let text = golden::read(env!("CARGO_MANIFEST_DIR"), "reports.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
     for (line, (_, built)) in text.lines().zip(reports()) {
         let (name, hex) = line.split_once(' ').unwrap();
-        let bytes = from_hex(hex);
+        let bytes = golden::from_hex(hex);
         let report = LoadReport::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error:?}"));
         assert_eq!(report, built, "{name}");
         assert_eq!(report.encode(), bytes, "{name}");
@@ -118,5 +99,8 @@
         .iter()
         .map(|name| format!("{name} {:016x}\n", stable_key(name)))
         .collect();
-    assert_eq!(lines, read_golden("keys.txt", &lines));
+    assert_eq!(
+        lines,
+        golden::read(env!("CARGO_MANIFEST_DIR"), "keys.txt", &lines)
+    );
 }
--- a/crates/maintenance/tests/digest.rs
+++ b/crates/maintenance/tests/digest.rs
@@ -10,6 +10,7 @@
     MaintenanceList, MaintenanceSchedule, Message, Pod, RejectionRate, Scheduler, Window,
     ZoneTracker,
 };
+use limewing_test_support::digest::Digest;
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -31,33 +32,6 @@
 const COMMANDS_PER_STEP: usize = 3;
 const STEPS_PER_LIST: u64 = 80;
 
-/// A 64-bit FNV-1a hash.
-struct Digest(u64);
-
-impl Digest {
-    fn bytes(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
-        }
-    }
-
-    fn number(&mut self, number: u64) {
-        self.bytes(&number.to_le_bytes());
-    }
-
-    fn float(&mut self, number: f64) {
-        self.number(number.to_bits());
-    }
-
-    fn names<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
-        for name in names {
-            self.number(name.len() as u64);
-            self.bytes(name.as_bytes());
-        }
-        self.number(u64::MAX);
-    }
-}
-
 fn phase_number(step: MachinePhase) -> u64 {
     match step {
         MachinePhase::Waiting => 0,
@@ -219,7 +193,7 @@
         self.log.push(command.clone());
         let index = self.log.len() as u64;
         let result = result_number(self.schedule.apply(index, &command));
-        self.digest.bytes(&bytes);
+        self.digest.raw(&bytes);
         self.digest.number(result);
         self.results_seen.insert(result);
         index
@@ -270,7 +244,7 @@
         };
         if self.chance(500) {
             self.digest
-                .bytes(&Message::Leave { incarnation: start }.encode());
+                .raw(&Message::Leave { incarnation: start }.encode());
             self.commit(Command::SidecarGone {
                 name,
                 incarnation: start,
@@ -418,7 +392,7 @@
             drained: clear.clone(),
             rejected_per_mille: turned_away,
         };
-        self.digest.bytes(&request.encode());
+        self.digest.raw(&request.encode());
         if self.chance(150) {
             return;
         }
@@ -445,7 +419,7 @@
             request: no,
             commit_index: self.log.len() as u64,
         };
-        self.digest.bytes(&message.encode());
+        self.digest.raw(&message.encode());
         let start = self.sidecars[index].start;
         let delay = match self.below(10) {
             0 => return,
@@ -625,11 +599,11 @@
             digest.names(grantor.sidecars_not_drained(now, &self.schedule, grant));
         }
         if let Some(command) = self.schedule.next_command() {
-            digest.bytes(&command.encode());
+            digest.raw(&command.encode());
         }
         if number.is_multiple_of(16) {
             let snapshot = self.schedule.encode();
-            digest.bytes(&snapshot);
+            digest.raw(&snapshot);
             assert_eq!(
                 MaintenanceSchedule::decode(&snapshot).as_ref(),
                 Some(&self.schedule)
@@ -656,19 +630,19 @@
     ];
     digest.number(number.0);
     digest.number(list.completed_index);
-    digest.bytes(&flags.map(u8::from));
+    digest.raw(&flags.map(u8::from));
     for state in &list.machines {
         digest.number(phase_number(state.phase));
         digest.number(state.grant.map_or(0, |grant| grant.0));
         digest.number(state.since_ms);
-        digest.bytes(&[state.work_began, state.stalled].map(u8::from));
+        digest.raw(&[state.work_began, state.stalled].map(u8::from));
     }
 }
 
 #[test]
 #[ignore = "prints a digest; run by tools/digests.sh"]
 fn maintenance_digest() {
-    let mut digest = Digest(0xcbf2_9ce4_8422_2325);
+    let mut digest = Digest::new();
     let (mut results, mut steps) = (BTreeSet::new(), BTreeSet::new());
     for seed in 0..SEEDS {
         let mut simulation = Simulation::new(seed, digest);
@@ -683,5 +657,5 @@
     // Faults and limits were met: every step of a machine, and most reasons to refuse a command.
     assert_eq!(steps.len(), 6, "steps of machines: {steps:?}");
     assert!(results.len() >= 8, "results of commands: {results:?}");
-    println!("digest maintenance {:016x}", digest.0);
+    println!("digest maintenance {:016x}", digest.value());
 }
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -7,42 +7,8 @@
     Command, DisruptionLimits, FleetSummary, FormatError, Identifier, ListConfig, Machine,
     MachinePhase, MaintenanceSchedule, Message, Window,
 };
+use limewing_test_support::golden::{assert_items, Item};
 use std::collections::BTreeSet;
-use std::path::Path;
-
-type Item = (&'static str, Vec<u8>);
-
-fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
-/// Compares what the code writes with the golden file, kind by kind; returns the file's bytes.
-fn assert_golden(file: &str, written: &[Item]) -> Vec<Vec<u8>> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(file);
-    if std::env::var_os("GOLDEN_WRITE").is_some() {
-        let line = |(kind, bytes): &Item| format!("{kind} {}\n", to_hex(bytes));
-        std::fs::write(&path, written.iter().map(line).collect::<String>()).expect("it is written");
-    }
-    let text = std::fs::read_to_string(&path).expect("the golden file is there");
-    let golden: Vec<(&str, Vec<u8>)> = text
-        .lines()
-        .map(|line| line.split_once(' ').expect("a kind and its bytes"))
-        .map(|(kind, hex)| (kind, from_hex(hex)))
-        .collect();
-    assert_eq!(golden.len(), written.len(), "{file}: number of items");
-    for ((golden_kind, golden_bytes), (kind, bytes)) in golden.iter().zip(written) {
-        assert_eq!(golden_kind, kind, "{file}");
-        assert_eq!(to_hex(golden_bytes), to_hex(bytes), "{file}: {kind}");
-    }
-    golden.into_iter().map(|(_, bytes)| bytes).collect()
-}
 
 const LIST: Identifier = Identifier(0xfeed_f00d_0102_0304);
 
@@ -206,7 +172,7 @@
         .collect();
     let kinds: BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), COMMAND_KINDS);
-    let golden = assert_golden("commands.hex", &written);
+    let golden = assert_items(env!("CARGO_MANIFEST_DIR"), "commands.hex", &written);
     for (bytes, command) in golden.iter().zip(&commands) {
         assert_eq!(Command::decode(bytes).as_ref(), Ok(command));
         assert_eq!(
@@ -282,7 +248,7 @@
         .collect();
     let kinds: BTreeSet<&str> = written.iter().map(|(kind, _)| *kind).collect();
     assert_eq!(kinds.len(), MESSAGE_KINDS);
-    let golden = assert_golden("messages.hex", &written);
+    let golden = assert_items(env!("CARGO_MANIFEST_DIR"), "messages.hex", &written);
     for (bytes, message) in golden.iter().zip(&messages) {
         assert_eq!(Message::decode(bytes).as_ref(), Ok(message));
         assert_eq!(
@@ -428,7 +394,7 @@
     assert!(machines().any(|state| state.stalled) && machines().any(|state| state.work_began));
     let empty = MaintenanceSchedule::default();
     let written = [("empty", empty.encode()), ("schedule", schedule.encode())];
-    let golden = assert_golden("snapshots.hex", &written);
+    let golden = assert_items(env!("CARGO_MANIFEST_DIR"), "snapshots.hex", &written);
     for (bytes, state) in golden.iter().zip([&empty, &schedule]) {
         assert_eq!(MaintenanceSchedule::decode(bytes).as_ref(), Some(state));
         assert_eq!(
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -6,6 +6,7 @@
 use limewing_membership::{
     Config, DatagramError, Key, MemberName, MemberStatus, Membership, MembershipEvent,
 };
+use limewing_test_support::digest::Digest;
 use nanorand::{Rng, WyRand};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,34 +22,6 @@
 /// A member publishes or sends something so often.
 const ACTION_INTERVAL: Duration = Duration::from_millis(700);
 
-/// 64-bit FNV-1a.
-struct Digest(u64);
-
-impl Digest {
-    const fn new() -> Self {
-        Self(0xcbf2_9ce4_8422_2325)
-    }
-
-    fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        self.raw(bytes);
-    }
-
-    fn number(&mut self, number: u64) {
-        self.raw(&number.to_le_bytes());
-    }
-
-    fn time(&mut self, time: Duration) {
-        self.number(time.as_nanos() as u64);
-    }
-
-    fn raw(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-        }
-    }
-}
-
 thread_local! {
     static DIGEST: RefCell<Digest> = const { RefCell::new(Digest::new()) };
     static SEED: RefCell<u64> = const { RefCell::new(0) };
@@ -408,5 +381,5 @@
         observe(|digest| digest.number(datagrams));
         observe(|digest| digest.number(bytes));
     }
-    DIGEST.with(|digest| println!("digest membership {:016x}", digest.borrow().0));
+    DIGEST.with(|digest| println!("digest membership {:016x}", digest.borrow().value()));
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -7,9 +7,9 @@
 //! new kinds only.
 
 use limewing_membership::{Config, Key, MemberName, MemberStatus, Membership};
+use limewing_test_support::golden;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use std::path::Path;
 use std::time::Duration;
 
 /// Unix time in milliseconds at which all members of the exchange start.
@@ -232,21 +232,12 @@
     ("left", |frame| tells(frame, WireStatus::Left)),
 ];
 
-fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
 fn read_golden() -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/datagrams.hex");
-    if std::env::var_os("GOLDEN_WRITE").is_some() {
-        std::fs::write(&path, written_today()).expect("the golden file can be written");
-    }
-    std::fs::read_to_string(path).expect("the golden file can be read")
+    golden::read(
+        env!("CARGO_MANIFEST_DIR"),
+        "datagrams.hex",
+        &written_today(),
+    )
 }
 
 fn written_today() -> String {
@@ -255,7 +246,7 @@
     for (name, shows) in SHOWN {
         let first = sent.iter().find(|sent| shows(&read_frame(&sent.bytes)));
         let first = first.unwrap_or_else(|| panic!("no datagram of the exchange shows {name}"));
-        text += &format!("{name} {} {}\n", first.to, to_hex(&first.bytes));
+        text += &format!("{name} {} {}\n", first.to, golden::to_hex(&first.bytes));
     }
     text
 }
@@ -270,7 +261,7 @@
         (
             name.to_owned(),
             to.parse().expect("the number of a member"),
-            from_hex(hex),
+            golden::from_hex(hex),
         )
     };
     let datagrams: Vec<_> = text.lines().map(line).collect();
--- a/crates/replication/tests/digest.rs
+++ b/crates/replication/tests/digest.rs
@@ -10,6 +10,7 @@
     ExecutionMark, LocalState, MergedState, Origin, Packet, PacketError, Phase, Record, Refusal,
     Replica, Stage,
 };
+use limewing_test_support::digest::Digest;
 use nanorand::{Rng, WyRand};
 use std::cell::RefCell;
 use std::time::Duration;
@@ -24,34 +25,6 @@
 const TAGS: u64 = 60;
 const FIRST_CAP: f64 = 0.14;
 
-/// 64-bit FNV-1a.
-struct Digest(u64);
-
-impl Digest {
-    const fn new() -> Self {
-        Self(0xcbf2_9ce4_8422_2325)
-    }
-
-    fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        self.raw(bytes);
-    }
-
-    fn number(&mut self, number: u64) {
-        self.raw(&number.to_le_bytes());
-    }
-
-    fn time(&mut self, time: Duration) {
-        self.number(time.as_nanos() as u64);
-    }
-
-    fn raw(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-        }
-    }
-}
-
 thread_local! {
     static DIGEST: RefCell<Digest> = const { RefCell::new(Digest::new()) };
     static SEED: RefCell<u64> = const { RefCell::new(0) };
@@ -399,5 +372,5 @@
         observe(|digest| digest.number(packets));
         observe(|digest| digest.number(bytes));
     }
-    DIGEST.with(|digest| println!("digest replication {:016x}", digest.borrow().0));
+    DIGEST.with(|digest| println!("digest replication {:016x}", digest.borrow().value()));
 }
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -7,7 +7,7 @@
 use limewing_replication::{
     Entry, ExecutionMark, LogPosition, Message, Origin, Packet, Phase, Record, SequenceRange, Stage,
 };
-use std::path::Path;
+use limewing_test_support::golden;
 
 fn origin(name: &str, incarnation: u64) -> Origin {
     Origin {
@@ -163,24 +163,9 @@
         .collect()
 }
 
-fn to_hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn from_hex(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("a golden file");
-    (0..text.len()).step_by(2).map(digits).collect()
-}
-
 /// The file's text, which must have one line for each of `today`.
 fn read_golden(file: &str, today: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(file);
-    if std::env::var_os("GOLDEN_WRITE").is_some() {
-        std::fs::write(&path, today).expect("a golden file");
-    }
-    let text = std::fs::read_to_string(path).expect("a golden file");
+    let text = golden::read(env!("CARGO_MANIFEST_DIR"), file, today);
     assert_eq!(text.lines().count(), today.lines().count());
     text
 }
@@ -191,13 +176,13 @@
 fn packets_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = packets()
         .iter()
-        .map(|(name, packet)| format!("{name} {}\n", to_hex(&packet.encode())))
+        .map(|(name, packet)| format!("{name} {}\n", golden::to_hex(&packet.encode())))
         .collect();
     let text = read_golden("packets.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
     for (line, (_, built)) in text.lines().zip(packets()) {
         let (name, hex) = line.split_once(' ').expect("a golden file");
-        let bytes = from_hex(hex);
+        let bytes = golden::from_hex(hex);
         let packet = Packet::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(packet, built, "{name}");
         assert_eq!(packet.encode(), bytes, "{name}");
@@ -209,7 +194,13 @@
 fn records_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = records()
         .iter()
-        .map(|(name, record)| format!("{name} {} {}\n", record.kind(), to_hex(&record.encode())))
+        .map(|(name, record)| {
+            format!(
+                "{name} {} {}\n",
+                record.kind(),
+                golden::to_hex(&record.encode())
+            )
+        })
         .collect();
     let text = read_golden("records.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
@@ -217,7 +208,7 @@
         let [name, kind, hex] = line.split(' ').collect::<Vec<_>>()[..] else {
             panic!("{line}")
         };
-        let bytes = from_hex(hex);
+        let bytes = golden::from_hex(hex);
         let record = Record::decode(kind.parse().expect("a golden file"), &bytes);
         assert_eq!(record, Some(built), "{name}");
         assert_eq!(record.expect("a golden file").encode(), bytes, "{name}");
