--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The sidecar: sockets become events of the decision module, its actions become bytes on sockets.
 //!
 //! `routes`, `pods`, `stages` and `memory` turn bytes into the module's words and back and are free of
-//! sockets; `service` drives them, `keeper` has a thread of its own for the disk. Which pod gets a hit, and when one is given up, is the module's alone.
+//! sockets; `service` drives them, `state_store` has a thread of its own for the disk. Which pod gets a hit, and when one is given up, is the module's alone.
 
 // Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
 #![allow(
@@ -13,10 +13,10 @@
     clippy::wildcard_imports
 )]
 
-pub mod keeper;
 pub mod memory;
 pub mod pods;
-pub mod promises;
 pub mod routes;
 pub mod service;
 pub mod stages;
+pub mod state_store;
+pub mod vote_log;
--- a/crates/http-proxy/src/service/asks.rs
+++ b/crates/http-proxy/src/service/asks.rs
@@ -185,7 +185,7 @@
             );
             self.keeper
                 .iter()
-                .for_each(|keeper| keeper.put(self.rows.clone()));
+                .for_each(|keeper| keeper.store(self.rows.clone()));
         }
     }
 
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -11,11 +11,11 @@
 mod front;
 mod work;
 
-use crate::keeper::Keeper;
 use crate::memory;
 use crate::pods::{PodBook, Row};
 use crate::routes::Routes;
 use crate::stages::Latest;
+use crate::state_store::StateStore;
 use asks::{ListLink, NewsLink};
 use back::PodLink;
 use copies::{Copies, COPIES};
@@ -164,7 +164,7 @@
     list_link: Option<SocketId>,
     list_asked: Duration,
     /// The list is not on disk as it is: when that is tried again.
-    keeper: Option<Keeper<Vec<Row>>>,
+    keeper: Option<StateStore<Vec<Row>>>,
     room: DescriptorBudget,
     reports: Reports,
     /// The other sidecars, where the settings tell of them.
@@ -224,7 +224,8 @@
         let fleet = of_peers
             .map(|peers| Fleet::start(&settings.name, peers, zone, &mut sockets, now, seed))
             .transpose()?;
-        let keep = |file: PathBuf| Keeper::start(move |rows: &Vec<Row>| memory::keep(&file, rows));
+        let keep =
+            |file: PathBuf| StateStore::start(move |rows: &Vec<Row>| memory::keep(&file, rows));
         let keeper = settings.state_file.clone().map(keep).transpose()?;
         let rules = &settings.rules;
         let longest = settings
@@ -322,7 +323,7 @@
         if self
             .keeper
             .as_ref()
-            .is_some_and(|keeper| !keeper.settle(KEPT_WITHIN))
+            .is_some_and(|keeper| !keeper.flush(KEPT_WITHIN))
         {
             tracing::warn!("the newest list is not on disk; a start begins with an older one");
         }
--- a/crates/http-proxy/src/service/work.rs
+++ b/crates/http-proxy/src/service/work.rs
@@ -3,7 +3,7 @@
 
 use super::fleet::Fleet;
 use crate::pods::Row;
-use crate::promises::Promises;
+use crate::vote_log::VoteLog;
 use limewing_consensus::{
     Committed, Learner, NodeId, Packet, RaftConfig, RaftNode, Role, MAX_COMMAND_BYTES, MAX_VOTERS,
 };
@@ -35,7 +35,7 @@
 const MOST_HELD: u64 = 400;
 
 enum Part {
-    Votes(Box<RaftNode>, Promises),
+    Votes(Box<RaftNode>, VoteLog),
     Follows(Box<Learner>),
 }
 
@@ -282,7 +282,7 @@
         let voters = told.voters.clone();
         let part = match told.folder.as_deref() {
             Some(folder) => {
-                let (promises, records) = Promises::open(folder)?;
+                let (log, records) = VoteLog::open(folder)?;
                 let terms = RaftConfig {
                     voters: voters.clone(),
                     heartbeat_interval: patience / 6,
@@ -291,7 +291,7 @@
                 };
                 Part::Votes(
                     Box::new(RaftNode::new(now, name, rand::random(), &records, terms)),
-                    promises,
+                    log,
                 )
             }
             None => {
@@ -341,7 +341,7 @@
 
     pub(super) fn next(&self) -> Duration {
         let part = match &self.part {
-            Part::Votes(agree, promises) if promises.idle() => agree.next_deadline(),
+            Part::Votes(agree, log) if log.is_idle() => agree.next_deadline(),
             // It is looked for at the next turn.
             Part::Votes(..) => Duration::ZERO,
             Part::Follows(follow) => follow.next_deadline(),
@@ -540,24 +540,24 @@
     fn drive(&mut self, now: Duration) {
         let mut out = Vec::new();
         match &mut self.part {
-            Part::Votes(agree, promises) => {
-                if let Some(no) = promises.done() {
+            Part::Votes(agree, log) => {
+                if let Some(no) = log.take_durable() {
                     agree.persisted(now, no);
                 }
                 if now >= agree.next_deadline() {
                     agree.tick(now);
                 }
                 if agree.uncompacted_entries() > MOST_HELD
-                    && promises.idle()
+                    && log.is_idle()
                     && agree.commit_index() == self.read
                 {
                     agree.compact(self.read, self.turns.encode());
                     if let Some(write) = agree.next_write_batch() {
-                        promises.rewrite(write.number, &agree.compacted_records());
+                        log.replace(write.number, &agree.compacted_records());
                     }
                 }
                 while let Some(write) = agree.next_write_batch() {
-                    promises.write(write.number, &write.records);
+                    log.append(write.number, &write.records);
                 }
                 while let Some(one) = agree.take_packet() {
                     out.push(one);
