--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -13,9 +13,9 @@
 
 use crate::endpoint_list::{EndpointDirectory, EndpointRecord};
 use crate::endpoint_list_file;
-use crate::keeper::Keeper;
 use crate::request_classifier::RequestClassifier;
 use crate::stage_updates::StageUpdateFilter;
+use crate::state_store::StateStore;
 use clients::{Client, ClientRequest, ResponseOrigins, MAX_UNSENT_BYTES};
 use control::{EndpointListConnection, StageStreamConnection};
 use copies::{Copies, COPIES};
@@ -164,7 +164,7 @@
     list_link: Option<SocketId>,
     list_asked: Duration,
     /// The list is not on disk as it is: when that is tried again.
-    keeper: Option<Keeper<Vec<EndpointRecord>>>,
+    keeper: Option<StateStore<Vec<EndpointRecord>>>,
     room: DescriptorBudget,
     reports: ResponseOrigins,
     /// The other sidecars, where the settings tell of them.
@@ -225,7 +225,9 @@
             .map(|peers| Fleet::start(&settings.name, peers, zone, &mut sockets, now, seed))
             .transpose()?;
         let keep = |file: PathBuf| {
-            Keeper::start(move |rows: &Vec<EndpointRecord>| endpoint_list_file::save(&file, rows))
+            StateStore::start(move |rows: &Vec<EndpointRecord>| {
+                endpoint_list_file::save(&file, rows)
+            })
         };
         let keeper = settings.state_file.clone().map(keep).transpose()?;
         let rules = &settings.rules;
@@ -324,7 +326,7 @@
         if self
             .keeper
             .as_ref()
-            .is_some_and(|keeper| !keeper.settle(KEPT_WITHIN))
+            .is_some_and(|keeper| !keeper.flush(KEPT_WITHIN))
         {
             tracing::warn!("the newest list is not on disk; a start begins with an older one");
         }
