--- a/crates/http-proxy/src/service/clients.rs
+++ b/crates/http-proxy/src/service/clients.rs
@@ -157,7 +157,7 @@
                 }
                 Ok(None) if ended => return self.client_disconnected(id),
                 Ok(None) => {
-                    let begun = client.requests.begun() || !input.is_empty();
+                    let begun = client.requests.is_mid_message() || !input.is_empty();
                     if begun && client.slow.is_none() {
                         let at = self.now + self.terms.request_within;
                         client.slow =
@@ -168,9 +168,9 @@
                     }
                     return self.sockets.resume_reading(id);
                 }
-                Err(HttpError::Early) => return self.client_disconnected(id),
+                Err(HttpError::UnexpectedEnd) => return self.client_disconnected(id),
                 Err(HttpError::BodyTooLarge) => {
-                    let Some((head, body, reader)) = client.requests.give_up() else {
+                    let Some((head, body, reader)) = client.requests.take_incomplete() else {
                         return;
                     };
                     client.slow.take().map(|key| self.timers.cancel(key));
@@ -546,7 +546,7 @@
         http::write_response(
             &mut out,
             head.status,
-            head.fields.passed_on().chain(own),
+            head.fields.end_to_end().chain(own),
             framing,
             !close,
         );
--- a/crates/proxy-core/src/vote_call.rs
+++ b/crates/proxy-core/src/vote_call.rs
@@ -56,7 +56,7 @@
 
     /// Sends the request, once the connection is up.
     pub fn send(&mut self, socket: SocketId, sockets: &mut Sockets) {
-        self.call.connected(socket, sockets);
+        self.call.on_connected(socket, sockets);
     }
 
     /// Reads what has arrived; `None` while the reply is incomplete. `parse` gets the reply's status and body.
@@ -66,7 +66,7 @@
         sockets: &mut Sockets,
         parse: impl FnOnce(u16, &[u8]) -> VoteReply<S>,
     ) -> Option<VoteReply<S>> {
-        match self.call.hear(socket, sockets) {
+        match self.call.on_readable(socket, sockets) {
             CallProgress::Pending => None,
             CallProgress::Complete(head, body) => Some(parse(head.status, &body)),
             CallProgress::Failed => Some(VoteReply::without_state(VoteAnswer::Unanswered)),
