--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -13,6 +13,7 @@
     clippy::wildcard_imports
 )]
 
+pub mod endpoint_directory;
 pub mod endpoint_list;
 pub mod endpoint_list_file;
 pub mod request_classifier;
@@ -20,3 +21,4 @@
 pub mod stage_updates;
 pub mod state_store;
 pub mod vote_log;
+pub mod votes;
--- a/crates/http-proxy/src/request_classifier.rs
+++ b/crates/http-proxy/src/request_classifier.rs
@@ -1,4 +1,4 @@
-//! What a request is as a hit: its path group by method and path, customer, key and deadline by header.
+//! Classification of requests: class by method and path; tenant, routing key and deadline by header.
 
 use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
 use limewing_net::http::RequestHead;
@@ -7,145 +7,177 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The field that marks a tagged hit.
+/// The field that carries a request's idempotency key.
 pub const IDEMPOTENCY_KEY_FIELD: &str = "idempotency-key";
 
+const NOT_FOUND: u16 = 404;
+const BAD_REQUEST: u16 = 400;
+
+/// Classifies requests by the settings.
 pub struct RequestClassifier {
     router: Router,
-    groups: Vec<Group>,
-    customers: BTreeMap<String, TenantId>,
+    classes: Vec<ClassSettings>,
+    tenants: BTreeMap<String, TenantId>,
     headers: Headers,
-    margin: Duration,
+    deadline_margin: Duration,
 }
 
-struct Group {
+#[derive(Debug)]
+struct ClassSettings {
     client_timeout: Duration,
-    tagged: bool,
-    mutating: bool,
+    /// Its requests need an idempotency key.
+    keyed: bool,
+    non_idempotent: bool,
 }
 
-/// A request as the decision module needs it.
+/// What the decision engine has to know of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestTraits {
-    pub group: ClassId,
-    pub customer: Option<TenantId>,
-    pub key: Option<RoutingKey>,
-    pub due: Duration,
-    /// The hash of the tag of a hit that may not run twice.
-    pub once: Option<u64>,
+    /// Its class.
+    pub class: ClassId,
+    /// Its tenant, if the settings name it.
+    pub tenant: Option<TenantId>,
+    /// The hash of its routing key.
+    pub routing_key: Option<RoutingKey>,
+    /// When it has to be answered at the latest, on the sidecar's monotonic clock.
+    pub deadline: Duration,
+    /// The hash of the idempotency key of a request that may not run twice.
+    pub idempotency_hash: Option<u64>,
 }
 
-/// Why a request is no hit, and the status that says so.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClassificationError {
-    pub status: u16,
-    pub why: &'static str,
+/// Why a request can't be forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ClassificationError {
+    /// It belongs to no class.
+    #[error("no path group has this method and path")]
+    UnknownClass,
+    /// Its class needs an idempotency key.
+    #[error("this path group needs an Idempotency-Key")]
+    NoIdempotencyKey,
+    /// Its deadline can't be read.
+    #[error("the deadline is not a number of milliseconds")]
+    Deadline,
+}
+
+impl ClassificationError {
+    /// The status of the response.
+    #[must_use]
+    pub const fn status(self) -> u16 {
+        match self {
+            Self::UnknownClass => NOT_FOUND,
+            Self::NoIdempotencyKey | Self::Deadline => BAD_REQUEST,
+        }
+    }
 }
 
 impl RequestClassifier {
+    /// A classifier by these settings.
+    ///
     /// # Errors
-    /// A path pattern that can't be used, or two that match the same paths.
+    /// A path pattern can't be used, or two match the same paths.
     pub fn new(settings: &SidecarSettings) -> Result<Self, ConfigError> {
         let router = Router::new(&settings.path_groups)?;
-        let groups = settings.path_groups.iter().map(|group| Group {
-            client_timeout: group.client_timeout.into(),
-            tagged: matches!(group.repeat, Repeat::Tagged { .. }),
-            mutating: group.repeat == Repeat::Mutating,
+        let classes = settings.path_groups.iter().map(|class| ClassSettings {
+            client_timeout: class.client_timeout.into(),
+            keyed: matches!(class.repeat, Repeat::Tagged { .. }),
+            non_idempotent: class.repeat == Repeat::Mutating,
         });
-        let customers = (0u32..)
+        let tenants = (0u32..)
             .zip(&settings.customers)
-            .map(|(n, c)| (c.name.clone(), TenantId(n)));
+            .map(|(number, tenant)| (tenant.name.clone(), TenantId(number)));
         Ok(Self {
             router,
-            groups: groups.collect(),
-            customers: customers.collect(),
+            classes: classes.collect(),
+            tenants: tenants.collect(),
             headers: settings.headers.clone(),
-            margin: settings.limits.deadline_margin.into(),
+            deadline_margin: settings.limits.deadline_margin.into(),
         })
     }
 
-    /// The field in which a pod is told how long its answer is waited for.
+    /// The field that tells a pod how long its response is waited for, if the settings name one.
+    #[must_use]
     pub fn deadline_field(&self) -> Option<&str> {
         self.headers.deadline_ms.as_deref()
     }
 
+    /// Classifies a request that came at `now`.
+    ///
     /// # Errors
-    /// The request belongs to no path group, or lacks what its group needs.
+    /// The request belongs to no class, or lacks what its class needs.
     pub fn classify(
         &self,
         head: &RequestHead,
         now: Duration,
     ) -> Result<RequestTraits, ClassificationError> {
-        let found = self.router.find(&head.method, path_of(&head.target));
-        let place = found.ok_or(ClassificationError {
-            status: 404,
-            why: "no path group has this method and path",
-        })?;
-        let group = ClassId(place as u16);
-        let of = &self.groups[usize::from(group.0)];
-        if of.tagged
-            && head
-                .fields
-                .get(IDEMPOTENCY_KEY_FIELD)
-                .is_none_or(<[u8]>::is_empty)
-        {
-            return Err(ClassificationError {
-                status: 400,
-                why: "this path group needs an Idempotency-Key",
-            });
-        }
-        let told = match named(head, &self.headers.deadline_ms) {
-            None => of.client_timeout,
-            Some(text) => {
-                let ms = text.trim().parse::<u32>();
-                ms.map(|ms| Duration::from_millis(ms.into()))
-                    .map_err(|_| ClassificationError {
-                        status: 400,
-                        why: "the deadline is not a number of milliseconds",
-                    })?
-            }
-        };
-        let waits = told.min(of.client_timeout).saturating_sub(self.margin);
-        let tag = head
+        let index = self
+            .router
+            .find(&head.method, path_of(&head.target))
+            .ok_or(ClassificationError::UnknownClass)?;
+        let id = ClassId(index as u16);
+        let class = &self.classes[usize::from(id.0)];
+        let idempotency_key = head
             .fields
             .get(IDEMPOTENCY_KEY_FIELD)
-            .filter(|tag| of.mutating && !tag.is_empty())
+            .filter(|key| !key.is_empty());
+        if class.keyed && idempotency_key.is_none() {
+            return Err(ClassificationError::NoIdempotencyKey);
+        }
+        let timeout = self.timeout(head, class)?;
+        let idempotency_hash = idempotency_key
+            .filter(|_| class.non_idempotent)
             .map(stable_hash);
-        let customer = named(head, &self.headers.customer)
-            .and_then(|name| self.customers.get(name))
-            .copied();
-        let key = named(head, &self.headers.key).map(key_of);
+        let tenant = field_text(head, self.headers.customer.as_deref())
+            .and_then(|name| self.tenants.get(name));
+        let routing_key = field_text(head, self.headers.key.as_deref())
+            .map(|key| RoutingKey(stable_hash(key.as_bytes())));
         Ok(RequestTraits {
-            group,
-            customer,
-            key,
-            due: now + waits,
-            once: tag,
+            class: id,
+            tenant: tenant.copied(),
+            routing_key,
+            deadline: now + timeout,
+            idempotency_hash,
         })
     }
+
+    fn timeout(
+        &self,
+        head: &RequestHead,
+        class: &ClassSettings,
+    ) -> Result<Duration, ClassificationError> {
+        let requested = match field_text(head, self.headers.deadline_ms.as_deref()) {
+            None => class.client_timeout,
+            Some(text) => {
+                let millis: u32 = text
+                    .trim()
+                    .parse()
+                    .map_err(|_| ClassificationError::Deadline)?;
+                Duration::from_millis(millis.into())
+            }
+        };
+        let timeout = requested.min(class.client_timeout);
+        Ok(timeout.saturating_sub(self.deadline_margin))
+    }
 }
 
-/// The path of a request's target, which may be a whole URI (RFC 9112, 3.2.2).
+/// The path of a request's target, which may be an absolute URI (RFC 9112, 3.2.2).
+#[must_use]
 pub fn path_of(target: &str) -> &str {
-    let after = target
-        .split_once("://")
-        .filter(|_| !target.starts_with('/'))
-        .map(|(_, after)| after);
-    let path = after.map_or(target, |after| {
-        after.find('/').map_or("/", |slash| &after[slash..])
-    });
+    let path = match target.split_once("://") {
+        Some((_, authority)) if !target.starts_with('/') => match authority.find('/') {
+            Some(slash) => &authority[slash..],
+            None => "/",
+        },
+        _ => target,
+    };
     path.split(['?', '#']).next().unwrap_or_default()
 }
 
-fn named<'a>(head: &'a RequestHead, name: &'a Option<String>) -> Option<&'a str> {
-    head.fields.text(name.as_deref()?)
+fn field_text<'a>(head: &'a RequestHead, name: Option<&'a str>) -> Option<&'a str> {
+    head.fields.text(name?)
 }
 
-/// The same at all sidecars, of whatever version: they tell each other of keys and tags.
+/// A hash that is the same at all sidecars of whatever version, as they tell each other of routing and idempotency keys.
+#[must_use]
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     SipHasher13::new().hash(bytes)
 }
-
-fn key_of(text: &str) -> RoutingKey {
-    RoutingKey(stable_hash(text.as_bytes()))
-}
--- a/crates/http-proxy/src/service/clients.rs
+++ b/crates/http-proxy/src/service/clients.rs
@@ -211,7 +211,9 @@
         }
         match self.routes.classify(&head, self.now) {
             Ok(traits) => self.start_request(id, head, body, traits),
-            Err(no) => self.reply(id, no.status, &[], format!("{}\n", no.why).as_bytes()),
+            Err(error) => {
+                self.reply(id, error.status(), &[], format!("{error}\n").as_bytes());
+            }
         }
     }
 
@@ -223,11 +225,11 @@
         traits: RequestTraits,
     ) {
         let RequestTraits {
-            group,
-            customer,
-            key,
-            due,
-            once,
+            class: group,
+            tenant: customer,
+            routing_key: key,
+            deadline: due,
+            idempotency_hash: once,
         } = traits;
         let refused = self
             .copies
--- a/crates/http-proxy/src/service/control.rs
+++ b/crates/http-proxy/src/service/control.rs
@@ -3,9 +3,8 @@
 
 use super::{ConnectionRole, Service, TimerEvent};
 use crate::endpoint_list;
-use crate::stage_updates::{
-    parse_vote_response, StageEventReader, StageMessage, StageUpdateFilter, VoteMessage,
-};
+use crate::stage_updates::{StageEventReader, StageMessage, StageUpdateFilter};
+use crate::votes::{parse_vote_response, VoteMessage};
 use bytes::BytesMut;
 use limewing_coordination::Service as Asked;
 use limewing_decision::interface::{
@@ -41,7 +40,7 @@
     latest: &mut StageUpdateFilter,
     message: StageMessage,
 ) -> Option<StageUpdate> {
-    let news = latest.take(message);
+    let news = latest.accept(message);
     if news.is_none() {
         tracing::warn!(number = message.number, "old stage news left out");
     }
@@ -147,11 +146,11 @@
         self.list_index = if index < self.list_index { 0 } else { index };
         if changed {
             match endpoint_list::parse_endpoint_list(&body) {
-                Ok((rows, troubles)) => {
-                    troubles.iter().for_each(
+                Ok(list) => {
+                    list.rejected.iter().for_each(
                         |trouble| tracing::warn!(%trouble, "an entry of the list is not used"),
                     );
-                    self.apply_endpoint_list(rows);
+                    self.apply_endpoint_list(list.endpoints);
                 }
                 Err(trouble) => {
                     tracing::warn!(%trouble, "the list can't be used");
@@ -182,10 +181,8 @@
         let today = wall_clock_now();
         // The first one tells what of the remembered list is gone; later ones only what changed.
         let news = match std::mem::replace(&mut self.list_known, true) {
-            false => EndpointUpdate::Snapshot(self.directory.entries(&rows, self.now, today)),
-            true => {
-                EndpointUpdate::Delta(self.directory.changes(&self.rows, &rows, self.now, today))
-            }
+            false => EndpointUpdate::Snapshot(self.directory.snapshot(&rows, self.now, today)),
+            true => EndpointUpdate::Delta(self.directory.delta(&self.rows, &rows, self.now, today)),
         };
         self.events.push(Event::Endpoints(news));
         if rows != self.rows {
@@ -289,7 +286,7 @@
         let Some(body) = &mut of.body else { return };
         loop {
             let news = match body.next(input) {
-                Ok(Some(piece)) => of.events.take(&piece),
+                Ok(Some(piece)) => of.events.read(&piece).map_err(|error| error.to_string()),
                 Ok(None) => break,
                 Err(why) => Err(why.to_string()),
             };
@@ -393,8 +390,8 @@
         match call.on_readable(link, &mut self.sockets) {
             CallProgress::Pending => {}
             CallProgress::Complete(head, body) => {
-                let (answer, told) = parse_vote_response(head.status, &body);
-                self.vote_completed(link, answer, told);
+                let reply = parse_vote_response(head.status, &body);
+                self.vote_completed(link, reply.answer, reply.state);
             }
             CallProgress::Failed => self.vote_completed(link, VoteAnswer::Unanswered, None),
         }
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -11,7 +11,8 @@
 mod upstream;
 mod work;
 
-use crate::endpoint_list::{EndpointDirectory, EndpointRecord};
+use crate::endpoint_directory::EndpointDirectory;
+use crate::endpoint_list::EndpointRecord;
 use crate::endpoint_list_file;
 use crate::request_classifier::RequestClassifier;
 use crate::stage_updates::StageUpdateFilter;
@@ -532,7 +533,7 @@
             let rows = self.told(self.listed.clone());
             let news = self
                 .directory
-                .changes(&self.rows, &rows, self.now, wall_clock_now());
+                .delta(&self.rows, &rows, self.now, wall_clock_now());
             self.rows = rows;
             if !news.is_empty() {
                 self.events
@@ -563,7 +564,7 @@
         self.rows = self.told(self.listed.clone());
         let entries = self
             .directory
-            .entries(&self.rows, self.now, wall_clock_now());
+            .snapshot(&self.rows, self.now, wall_clock_now());
         self.events
             .push(Event::Endpoints(EndpointUpdate::Cached(entries)));
     }
--- a/crates/http-proxy/src/stage_updates.rs
+++ b/crates/http-proxy/src/stage_updates.rs
@@ -1,189 +1,172 @@
-//! What the installer and a sidecar say to each other: stage news as a stream of server-sent events, votes as
-//! JSON. `docs/protocol.md` has the pages of both.
+//! Stage updates of the rollout service: a stream of server-sent events, whose format `docs/protocol.md` has.
 
 use bytes::BytesMut;
-use limewing_decision::interface::{BuildId, Phase, StageIndex, StageUpdate, Verdict, VoteAnswer};
+use limewing_decision::interface::{BuildId, Phase, StageIndex, StageUpdate};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
+/// Bound of a line and of an event's data; no stage update is longer.
+const MAX_EVENT_BYTES: usize = 16 * 1024;
+/// Bound of an age that is told, in milliseconds: older is long ago.
+const MAX_AGE_MS: f64 = 1e9;
+/// The name of the events that carry stage updates; events without a name do, too.
+const STAGE_EVENT: &str = "stage";
+
+/// A stage's phase as messages have it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StagePhase {
+    /// The build is a canary.
     OnTrial,
+    /// The build is being withdrawn.
     #[serde(rename = "going_back")]
     RollingBack,
+    /// The build is released.
     Released,
+    /// The build is withdrawn.
     #[serde(rename = "withdrawn")]
     RolledBack,
 }
 
+impl From<StagePhase> for Phase {
+    fn from(phase: StagePhase) -> Self {
+        match phase {
+            StagePhase::OnTrial => Self::OnTrial,
+            StagePhase::RollingBack => Self::RollingBack,
+            StagePhase::Released => Self::Released,
+            StagePhase::RolledBack => Self::RolledBack,
+        }
+    }
+}
+
+/// The state of the rollout as messages have it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageMessage {
-    /// Grows with each change of the state; 0 from an installer that does not count them.
+    /// Grows with each change of the state; 0 from a rollout service that does not count them.
     #[serde(default)]
     pub number: u64,
+    /// The newest build.
     pub build: u16,
+    /// Its stage.
     pub stage: u8,
+    /// The stage's phase.
     pub phase: StagePhase,
-    /// The most of a sidecar's hits that may go to the build, 0 to 1.
+    /// The most of a sidecar's requests that may go to the build, 0 to 1.
     pub cap: f64,
-    /// How long ago it came to stand so.
+    /// How long ago the state was entered, in milliseconds.
     #[serde(default)]
     pub age_ms: f64,
 }
 
 impl StageMessage {
+    /// The update for the decision engine; a cap that is no number admits nothing.
+    #[must_use]
     pub fn to_update(self) -> StageUpdate {
+        let cap = if self.cap.is_finite() {
+            self.cap.clamp(0.0, 1.0)
+        } else {
+            0.0
+        };
         StageUpdate {
             build: BuildId(self.build),
             stage: StageIndex(self.stage),
-            phase: match self.phase {
-                StagePhase::OnTrial => Phase::OnTrial,
-                StagePhase::RollingBack => Phase::RollingBack,
-                StagePhase::Released => Phase::Released,
-                StagePhase::RolledBack => Phase::RolledBack,
-            },
-            cap: if self.cap.is_finite() {
-                self.cap.clamp(0.0, 1.0)
-            } else {
-                0.0
-            },
-            age: Duration::from_millis(self.age_ms.clamp(0.0, 1e9) as u64),
+            phase: self.phase.into(),
+            cap,
+            age: Duration::from_millis(self.age_ms.clamp(0.0, MAX_AGE_MS) as u64),
         }
     }
 }
 
-/// Lets only news through that is no older than what came before. The stream and the answers to votes are
-/// connections of their own: a late answer may tell a cap that has been lowered since. Where the count began
-/// anew, as an installer lost it, this hurts: its news is taken for old until it has caught up, and is logged.
-#[derive(Default)]
+/// Drops updates that are older than one that came before.
+///
+/// The stream and the replies to votes are connections of their own, so a late reply may have a cap that was lowered
+/// since. If the rollout service lost its count, its updates are dropped until the count has caught up.
+#[derive(Debug, Default)]
 pub struct StageUpdateFilter {
-    number: u64,
+    latest_number: u64,
 }
 
 impl StageUpdateFilter {
-    pub fn take(&mut self, message: StageMessage) -> Option<StageUpdate> {
-        if message.number != 0 && message.number < self.number {
+    /// The message's update; `None` if the message is outdated.
+    pub fn accept(&mut self, message: StageMessage) -> Option<StageUpdate> {
+        if message.number != 0 && message.number < self.latest_number {
             return None;
         }
-        self.number = self.number.max(message.number);
+        self.latest_number = self.latest_number.max(message.number);
         Some(message.to_update())
     }
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum VoteVerdict {
-    #[serde(rename = "withhold")]
-    Abstain,
-    #[serde(rename = "on")]
-    Promote,
-    Hold,
-    #[serde(rename = "back")]
-    RollBack,
+/// Why a stream of events can't be read on; a new one has to be opened.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum StageStreamError {
+    /// An event's data is no stage message.
+    #[error("stage news {data:?}: {cause}")]
+    Malformed {
+        /// The event's data.
+        data: String,
+        /// What the JSON parser says.
+        cause: String,
+    },
+    /// A line or an event exceeds the bound.
+    #[error("an event of over {MAX_EVENT_BYTES} bytes")]
+    TooLong,
 }
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VoteMessage {
-    pub sidecar: String,
-    pub build: u16,
-    pub stage: u8,
-    pub verdict: VoteVerdict,
+/// Reads server-sent events: `data` of events that are named `stage`, or have no name.
+#[derive(Debug, Default)]
+pub struct StageEventReader {
+    unread: BytesMut,
+    data: String,
+    event_name: String,
 }
 
-impl VoteMessage {
-    pub fn new(sidecar: &str, verdict: Verdict, build: BuildId, stage: StageIndex) -> Self {
-        let verdict = match verdict {
-            Verdict::Abstain => VoteVerdict::Abstain,
-            Verdict::Promote => VoteVerdict::Promote,
-            Verdict::Hold => VoteVerdict::Hold,
-            Verdict::RollBack => VoteVerdict::RollBack,
-        };
-        Self {
-            sidecar: sidecar.to_owned(),
-            build: build.0,
-            stage: stage.0,
-            verdict,
+impl StageEventReader {
+    /// Takes the next piece of the stream, cut anywhere, and returns the messages that it completes.
+    ///
+    /// # Errors
+    /// A line or an event is too long, or a message can't be read.
+    pub fn read(&mut self, piece: &[u8]) -> Result<Vec<StageMessage>, StageStreamError> {
+        self.unread.extend_from_slice(piece);
+        let mut messages = Vec::new();
+        while let Some(end) = self.unread.iter().position(|byte| *byte == b'\n') {
+            let line = self.unread.split_to(end + 1);
+            let line = String::from_utf8_lossy(line.trim_ascii_end());
+            messages.extend(self.read_line(&line)?);
         }
+        if self.unread.len() + self.data.len() > MAX_EVENT_BYTES {
+            return Err(StageStreamError::TooLong);
+        }
+        Ok(messages)
     }
-}
 
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum VoteStatus {
-    Counted,
-    Moot,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct VoteReply {
-    pub answer: VoteStatus,
-    /// Where the newest build stands.
-    #[serde(default)]
-    pub stage: Option<StageMessage>,
-}
-
-/// What an installer's answer to a vote says.
-pub fn parse_vote_response(status: u16, body: &[u8]) -> (VoteAnswer, Option<StageMessage>) {
-    match (status, serde_json::from_slice::<VoteReply>(body)) {
-        (200, Ok(reply)) => {
-            let answer = match reply.answer {
-                VoteStatus::Counted => VoteAnswer::Counted,
-                VoteStatus::Moot => VoteAnswer::Moot,
-            };
-            (answer, reply.stage)
+    fn read_line(&mut self, line: &str) -> Result<Option<StageMessage>, StageStreamError> {
+        if line.is_empty() {
+            return self.end_event();
         }
-        (429, _) => (VoteAnswer::Full, None),
-        _ => (VoteAnswer::Failed, None),
+        let (field, value) = line.split_once(':').unwrap_or((line, ""));
+        let value = value.strip_prefix(' ').unwrap_or(value);
+        match field {
+            "data" => self.data.push_str(value),
+            "event" => value.clone_into(&mut self.event_name),
+            _ => {}
+        }
+        Ok(None)
     }
-}
 
-/// Reads server-sent events: only `data` of events named `stage` (or unnamed) is used.
-#[derive(Default)]
-pub struct StageEventReader {
-    held: BytesMut,
-    data: String,
-    name: String,
-}
-
-/// An event longer than this is no stage news.
-const MAX_EVENT_BYTES: usize = 16 * 1024;
-
-impl StageEventReader {
-    /// Takes content as it comes and tells the news in it.
-    ///
-    /// # Errors
-    /// A line or an event that is too long, or news that can't be read: the stream is to be asked for anew.
-    pub fn take(&mut self, piece: &[u8]) -> Result<Vec<StageMessage>, String> {
-        self.held.extend_from_slice(piece);
-        let mut found = Vec::new();
-        while let Some(end) = self.held.iter().position(|b| *b == b'\n') {
-            let line = self.held.split_to(end + 1);
-            let line = String::from_utf8_lossy(line.trim_ascii_end()).into_owned();
-            let (field, value) = line.split_once(':').unwrap_or((&line, ""));
-            let value = value.strip_prefix(' ').unwrap_or(value);
-            match field {
-                "" if line.is_empty() => {
-                    let (name, data) = (
-                        std::mem::take(&mut self.name),
-                        std::mem::take(&mut self.data),
-                    );
-                    if !data.is_empty() && matches!(name.as_str(), "" | "stage") {
-                        let news = serde_json::from_str(&data)
-                            .map_err(|e| format!("stage news {data:?}: {e}"))?;
-                        found.push(news);
-                    }
-                }
-                "data" => self.data.push_str(value),
-                "event" => self.name = value.to_owned(),
-                _ => {}
-            }
+    fn end_event(&mut self) -> Result<Option<StageMessage>, StageStreamError> {
+        let name = std::mem::take(&mut self.event_name);
+        let data = std::mem::take(&mut self.data);
+        let is_stage_event = name.is_empty() || name == STAGE_EVENT;
+        if data.is_empty() || !is_stage_event {
+            return Ok(None);
         }
-        let long = self.held.len() + self.data.len() > MAX_EVENT_BYTES;
-        if long {
-            Err(format!("an event of over {MAX_EVENT_BYTES} bytes"))
-        } else {
-            Ok(found)
+        match serde_json::from_str(&data) {
+            Ok(message) => Ok(Some(message)),
+            Err(error) => Err(StageStreamError::Malformed {
+                data,
+                cause: error.to_string(),
+            }),
         }
     }
 }
--- /dev/null
+++ b/crates/http-proxy/tests/endpoint_list.rs
@@ -0,0 +1,136 @@
+//! The endpoint list: parsing, the directory's numbers and deltas, the state file.
+
+use limewing_decision::interface::PodState;
+use limewing_http_proxy::endpoint_directory::EndpointDirectory;
+use limewing_http_proxy::endpoint_list::{
+    parse_endpoint_list, EndpointListError, EndpointRecord, EntryError,
+};
+use limewing_http_proxy::endpoint_list_file;
+use rstest::rstest;
+use serde_json::{json, Value};
+use std::time::{Duration, SystemTime};
+
+fn entry(port: u16, build: &str, status: &str) -> Value {
+    json!({
+        "Node": {"Datacenter": "east"},
+        "Service": {"ID": format!("web-{port}"), "Address": "127.0.0.1", "Port": port,
+            "Meta": {"build": build, "started": "1000.5"}, "Weights": {"Passing": 4}},
+        "Checks": [{"CheckID": "x", "Status": "passing"}, {"CheckID": "y", "Status": status}]
+    })
+}
+
+fn parsed(entries: &[Value]) -> Vec<EndpointRecord> {
+    parse_endpoint_list(json!(entries).to_string().as_bytes())
+        .unwrap()
+        .endpoints
+}
+
+#[test]
+fn usable_entries_are_returned_beside_the_causes_of_the_others() {
+    let mut odd = entry(3, "2", "passing");
+    odd["Service"]["Address"] = json!("nowhere");
+    let all = json!([entry(1, "1", "passing"), entry(2, "2", "critical"), odd, entry(4, "70000", "passing"),
+        entry(1, "1", "passing"), {"Service": 5}]);
+    let list = parse_endpoint_list(all.to_string().as_bytes()).unwrap();
+    let seen: Vec<_> = list
+        .endpoints
+        .iter()
+        .map(|record| {
+            (
+                record.address.port(),
+                record.build,
+                record.draining,
+                record.weight,
+            )
+        })
+        .collect();
+    assert_eq!(seen, [(1, 1, false, 4.0), (2, 2, true, 4.0)]);
+    let texts: Vec<String> = list.rejected.iter().map(ToString::to_string).collect();
+    assert_eq!(
+        texts[..3],
+        [
+            "service web-3: \"nowhere\" is not an IP address",
+            "service web-4: Meta.build \"70000\" is no number below 65536",
+            "service web-1: 127.0.0.1:1 is listed twice"
+        ]
+    );
+    assert!(matches!(
+        &list.rejected[3..],
+        [EndpointListError::Entry { id, cause: EntryError::Malformed(_) }] if id == "number 5"
+    ));
+}
+
+#[rstest]
+#[case::no_array(b"{}")]
+#[case::cut_off(b"[")]
+#[case::no_text(b"\xff\xfe")]
+fn a_body_that_is_no_list_is_rejected_as_a_whole(#[case] body: &[u8]) {
+    assert!(parse_endpoint_list(body).is_err());
+}
+
+#[test]
+fn a_step_of_the_time_of_day_does_not_look_like_a_restart() {
+    let list = parsed(&[entry(1, "1", "passing")]);
+    let mut directory = EndpointDirectory::new(&["east".into()]);
+    let day = |seconds| SystemTime::UNIX_EPOCH + Duration::from_secs_f64(seconds);
+    let first = directory.snapshot(&list, Duration::from_secs(3600), day(1002.5));
+    let later = directory.snapshot(&list, Duration::from_secs(3610), day(5.0));
+    assert_eq!(first[0].started_at, Some(Duration::from_secs(3598)));
+    assert_eq!(
+        (later[0].started_at, later[0].state),
+        (first[0].started_at, PodState::Ready)
+    );
+    let address = directory.address(first[0].pod).unwrap();
+    assert_eq!(address.to_string(), "127.0.0.1:1");
+}
+
+#[test]
+fn a_delta_has_only_what_changed() {
+    let old = parsed(&[
+        entry(1, "1", "passing"),
+        entry(2, "1", "passing"),
+        entry(3, "1", "passing"),
+    ]);
+    let new = parsed(&[
+        entry(1, "1", "passing"),
+        entry(2, "1", "critical"),
+        entry(4, "2", "passing"),
+    ]);
+    let mut directory = EndpointDirectory::new(&["east".into()]);
+    let now = Duration::from_secs(3600);
+    let delta = directory.delta(&old, &new, now, SystemTime::UNIX_EPOCH);
+    let delta: Vec<_> = delta
+        .iter()
+        .map(|endpoint| {
+            let address = directory.address(endpoint.pod).unwrap();
+            (address.port(), endpoint.state)
+        })
+        .collect();
+    assert_eq!(
+        delta,
+        [
+            (3, PodState::Gone),
+            (2, PodState::Draining),
+            (4, PodState::Ready)
+        ]
+    );
+    assert!(directory
+        .delta(&new, &new, now, SystemTime::UNIX_EPOCH)
+        .is_empty());
+}
+
+#[test]
+fn the_state_file_is_read_whole_or_not_at_all() {
+    let folder = tempfile::tempdir().unwrap();
+    let file = folder.path().join("state.json");
+    assert_eq!(endpoint_list_file::load(&file).unwrap(), None);
+    let list = parsed(&[entry(1, "1", "passing")]);
+    endpoint_list_file::save(&file, &list).unwrap();
+    assert_eq!(endpoint_list_file::load(&file).unwrap(), Some(list.clone()));
+    // A folder that is gone: the old file is not touched.
+    assert!(endpoint_list_file::save(&folder.path().join("none/state.json"), &list).is_err());
+    assert_eq!(endpoint_list_file::load(&file).unwrap(), Some(list));
+    let text = std::fs::read_to_string(&file).unwrap();
+    std::fs::write(&file, &text[..text.len() / 2]).unwrap();
+    assert!(endpoint_list_file::load(&file).is_err());
+}
--- a/crates/proxy-core/src/backoff.rs
+++ b/crates/proxy-core/src/backoff.rs
@@ -46,3 +46,6 @@
         self.delays = self.policy.build();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy-core/src/descriptor_budget.rs
+++ b/crates/proxy-core/src/descriptor_budget.rs
@@ -42,3 +42,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
