--- a/crates/http-proxy/src/service/clients.rs
+++ b/crates/http-proxy/src/service/clients.rs
@@ -89,7 +89,8 @@
 
 #[derive(Deserialize)]
 struct WrongAnswerReport {
-    start_attempt: String,
+    #[serde(rename = "forward")]
+    attempt: String,
 }
 
 impl Service {
@@ -614,7 +615,7 @@
             return self.reply(id, 400, &[], b"expected {\"forward\": mark}\n");
         };
         let of = self
-            .parse_attempt_token(&report.start_attempt)
+            .parse_attempt_token(&report.attempt)
             .and_then(|key| self.reports.0.remove(&key));
         let Some((pod, group)) = of else {
             return self.reply(id, 404, &[], b"no such forward\n");
