--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -13,10 +13,10 @@
     clippy::wildcard_imports
 )]
 
-pub mod memory;
-pub mod pods;
-pub mod routes;
+pub mod endpoint_list;
+pub mod endpoint_list_file;
+pub mod request_classifier;
 pub mod service;
-pub mod stages;
+pub mod stage_updates;
 pub mod state_store;
 pub mod vote_log;
