--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -5,7 +5,7 @@
 use comfy_table::Table;
 use limewing_emulators::fleet::{self, Crowd, CrowdPlan, Member, Plan};
 use limewing_fault_injection::{Fault, Script, World};
-use limewing_http_proxy::service::{StateView, View};
+use limewing_http_proxy::service::{MembershipView, ReplicationView};
 use limewing_settings::{Checked, ConfigError, SidecarSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -39,19 +39,19 @@
 pub fn state(at: SocketAddr) -> Result<(), Stop> {
     let text = fleet::call(at, "GET", "/limewing/state", "")
         .map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    let view: StateView =
+    let view: ReplicationView =
         serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
     println!(
         "{}, started {}: {}; {} keys that met a build, {} hits that may have run, {} bytes sent",
         view.name,
-        view.start,
+        view.incarnation,
         if view.caught_up {
             "has caught up"
         } else {
             "has NOT caught up"
         },
         view.keys,
-        view.hits,
+        view.requests,
         view.bytes_sent
     );
     println!(
@@ -62,11 +62,11 @@
     let mut rows = table(&["of", "start", "whole up to", "live", "given up"]);
     for log in view.logs {
         let (start, upto, live) = (
-            log.start.to_string(),
-            log.upto.to_string(),
-            log.live.to_string(),
+            log.incarnation.to_string(),
+            log.contiguous_through.to_string(),
+            log.live_entries.to_string(),
         );
-        rows.add_row([log.name, start, upto, live, log.given_up.to_string()]);
+        rows.add_row([log.name, start, upto, live, log.evicted_entries.to_string()]);
     }
     println!("{rows}");
     Ok(())
@@ -74,33 +74,37 @@
 
 pub fn show(at: SocketAddr) -> Result<(), Stop> {
     let text = fleet::ask(at).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    let view: View = serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
+    let view: MembershipView =
+        serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
     println!(
         "{} at {}, started {}, incarnation {}, slowness {} of 8",
-        view.name, view.at, view.start, view.incarnation, view.slowness
+        view.name, view.address, view.started_at_ms, view.incarnation, view.local_health
     );
     let mut rows = table(&["member", "at", "standing", "start", "incarnation", "for s"]);
     for seen in view.members {
-        let spans = format!("{:.1}", seen.for_s);
+        let spans = format!("{:.1}", seen.seconds_in_status);
         rows.add_row([
             seen.name,
-            seen.at.to_string(),
-            seen.standing,
-            seen.start.to_string(),
+            seen.address.to_string(),
+            seen.status,
+            seen.started_at_ms.to_string(),
             seen.incarnation.to_string(),
             spans,
         ]);
     }
     println!("{rows}");
-    if let Some(chosen) = &view.chosen {
-        println!("uses {}", chosen.uses.join(", "));
-        println!("leaves to others to prove: {}", chosen.held.join(", "));
+    if let Some(chosen) = &view.selection {
+        println!("uses {}", chosen.used.join(", "));
+        println!(
+            "leaves to others to prove: {}",
+            chosen.probed_by_peers.join(", ")
+        );
     }
     println!(
         "{} bytes sent; keys {:?}, {} key files could not be used",
         view.bytes_sent, view.keys, view.keys_unusable
     );
-    for (why, count) in view.refused {
+    for (why, count) in view.rejected {
         println!("{count} datagrams refused: {why}");
     }
     Ok(())
--- a/crates/cli/src/work.rs
+++ b/crates/cli/src/work.rs
@@ -4,7 +4,7 @@
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
 use limewing_emulators::fleet::call;
-use limewing_http_proxy::service::{Asked, WorkView};
+use limewing_http_proxy::service::{MaintenanceRequest, MaintenanceView};
 use limewing_settings::WorkList;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -25,12 +25,12 @@
     Err(Stop::input(lines.join("\n")))
 }
 
-fn view(at: SocketAddr) -> Result<WorkView, Stop> {
+fn view(at: SocketAddr) -> Result<MaintenanceView, Stop> {
     let text = call(at, "GET", PAGE, "").map_err(|e| Stop::failed(format!("{at}: {e}")))?;
     serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))
 }
 
-fn post(at: SocketAddr, asked: &Asked) -> Result<Option<u64>, Stop> {
+fn post(at: SocketAddr, asked: &MaintenanceRequest) -> Result<Option<u64>, Stop> {
     let body = serde_json::to_string(asked).map_err(Stop::failed)?;
     let said = call(at, "POST", PAGE, &body).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
     let said: serde_json::Value =
@@ -38,7 +38,7 @@
     Ok(said["list"].as_u64())
 }
 
-fn until(at: SocketAddr, shows: impl Fn(&WorkView) -> bool, done: &str) -> Result<(), Stop> {
+fn until(at: SocketAddr, shows: impl Fn(&MaintenanceView) -> bool, done: &str) -> Result<(), Stop> {
     let from = Instant::now();
     while from.elapsed() < SHOWS_WITHIN {
         if shows(&view(at)?) {
@@ -56,12 +56,12 @@
 pub fn ask(at: SocketAddr, file: &Path) -> Result<(), Stop> {
     check(file)?;
     let list: WorkList = limewing_settings::read(file).map_err(Stop::input)?;
-    let number = post(at, &Asked::Ask(Box::new(list)))?
+    let number = post(at, &MaintenanceRequest::CreateList(Box::new(list)))?
         .ok_or(Stop::failed("no number of the list came back"))?;
-    let whole = |view: &WorkView| {
+    let whole = |view: &MaintenanceView| {
         view.lists
             .iter()
-            .any(|of| of.list == number && !of.machines.is_empty())
+            .any(|of| of.id == number && !of.machines.is_empty())
     };
     until(at, whole, &format!("list {number}"))
 }
@@ -70,9 +70,9 @@
     post(
         at,
         &if held {
-            Asked::Hold(list)
+            MaintenanceRequest::PauseList(list)
         } else {
-            Asked::GoOn(list)
+            MaintenanceRequest::ResumeList(list)
         },
     )?;
     let done = if held {
@@ -85,7 +85,7 @@
         |view| {
             view.lists
                 .iter()
-                .any(|of| of.list == list && of.held == held)
+                .any(|of| of.id == list && of.paused == held)
         },
         done,
     )
@@ -94,13 +94,13 @@
 /// Gives a sidecar a vote, or takes it; waits until it shows.
 pub fn vote(at: SocketAddr, name: &str, has: bool) -> Result<(), Stop> {
     let asked = if has {
-        Asked::Vote(name.to_owned())
+        MaintenanceRequest::AddVoter(name.to_owned())
     } else {
-        Asked::Unvote(name.to_owned())
+        MaintenanceRequest::RemoveVoter(name.to_owned())
     };
     post(at, &asked)?;
-    let shows = |view: &WorkView| {
-        !view.members.is_empty() && view.members.iter().any(|voter| voter == name) == has
+    let shows = |view: &MaintenanceView| {
+        !view.voters.is_empty() && view.voters.iter().any(|voter| voter == name) == has
     };
     until(
         at,
@@ -114,17 +114,17 @@
 }
 
 pub fn withdraw(at: SocketAddr, list: u64) -> Result<(), Stop> {
-    post(at, &Asked::Withdraw(list))?;
+    post(at, &MaintenanceRequest::WithdrawList(list))?;
     let done = "withdrawn: nothing more goes out, what is out comes back when its work ends";
     until(
         at,
-        |view| view.lists.iter().any(|of| of.list == list && of.withdrawn),
+        |view| view.lists.iter().any(|of| of.id == list && of.withdrawn),
         done,
     )
 }
 
 pub fn gone(at: SocketAddr, sidecar: &str) -> Result<(), Stop> {
-    post(at, &Asked::Gone(sidecar.to_owned()))?;
+    post(at, &MaintenanceRequest::SidecarGone(sidecar.to_owned()))?;
     until(
         at,
         |view| !view.sidecars.iter().any(|name| name == sidecar),
@@ -138,32 +138,32 @@
     println!(
         "{}: {}, led by {leader} in term {}, read up to {}, {}",
         view.name,
-        view.standing,
+        view.role,
         view.term,
-        view.settled,
-        if view.lease {
+        view.applied_index,
+        if view.has_lease {
             "with a lease"
         } else {
             "WITHOUT a lease: sends to no machine on a list"
         }
     );
-    println!("voters: {}", view.members.join(", "));
-    if let Some(name) = &view.awaited {
+    println!("voters: {}", view.voters.join(", "));
+    if let Some(name) = &view.pending_voter {
         println!("gets a vote once it has caught up: {name}");
     }
     println!("sidecars: {}", view.sidecars.join(", "));
     for list in view.lists {
         let state = match () {
-            () if list.over => "over",
+            () if list.finished => "over",
             () if list.withdrawn => "withdrawn",
-            () if list.held => "held",
+            () if list.paused => "held",
             () => "under way",
         };
-        println!("\nlist {} ({}): {state}", list.list, list.name);
-        if !list.unknown_to.is_empty() {
+        println!("\nlist {} ({}): {state}", list.id, list.name);
+        if !list.sidecars_behind.is_empty() {
             println!(
                 "waits until these know it, or are said to be gone: {}",
-                list.unknown_to.join(", ")
+                list.sidecars_behind.join(", ")
             );
         }
         let mut table = Table::new();
@@ -172,11 +172,13 @@
             .set_header(["machine", "step", "grant", "waits for"]);
         for machine in list.machines {
             let step = if machine.stalled {
-                format!("{}, stalled", machine.step)
+                format!("{}, stalled", machine.phase)
             } else {
-                machine.step
+                machine.phase
             };
-            let waits = machine.why.unwrap_or(machine.not_clear.join(", "));
+            let waits = machine
+                .blocked_reason
+                .unwrap_or(machine.sidecars_not_drained.join(", "));
             table.add_row([
                 machine.machine,
                 step,
--- a/crates/cli/tests/command/copies.rs
+++ b/crates/cli/tests/command/copies.rs
@@ -76,7 +76,7 @@
         let log = day.log(number);
         let told: Vec<&str> = log
             .lines()
-            .filter(|line| line.contains("stage news by the others' copies"))
+            .filter(|line| line.contains("stage update from other sidecars"))
             .collect();
         assert!(
             told.iter().any(|line| line.contains("OnTrial")),
--- a/crates/emulators/src/day/work.rs
+++ b/crates/emulators/src/day/work.rs
@@ -5,7 +5,7 @@
 use crate::fleet::call;
 use crate::installer::PlaceNo;
 use crate::script::{WorkDoes, WorkScript};
-use limewing_http_proxy::service::{Asked, Said, WorkView};
+use limewing_http_proxy::service::{MaintenanceRequest, MaintenanceView, WorkReport};
 use limewing_rule_checker::record::Entry;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,13 +24,13 @@
 /// What the thread is to post, until it shows.
 enum Post {
     Does(WorkDoes),
-    Report(u64, Said),
+    Report(u64, WorkReport),
     Over,
 }
 
 pub struct Agents {
     posts: Sender<Post>,
-    views: Receiver<WorkView>,
+    views: Receiver<MaintenanceView>,
     thread: Option<std::thread::JoinHandle<()>>,
     /// Grants that are out, or were, by the place of their machine.
     known: BTreeMap<u64, PlaceNo>,
@@ -62,32 +62,32 @@
 }
 
 /// Whether what was posted shows in a sidecar's view, so that it need not be posted again.
-fn shows(view: &WorkView, post: &Post, list: Option<u64>) -> bool {
-    let of = view.lists.iter().find(|of| Some(of.list) == list);
+fn shows(view: &MaintenanceView, post: &Post, list: Option<u64>) -> bool {
+    let of = view.lists.iter().find(|of| Some(of.id) == list);
     let at = |grant: u64| {
         let mut machines = view.lists.iter().flat_map(|list| &list.machines);
         machines
             .find(|machine| machine.grant == Some(grant))
-            .map(|machine| machine.step.as_str())
+            .map(|machine| machine.phase.as_str())
     };
     match post {
         Post::Does(WorkDoes::Ask(_)) => of.is_some_and(|of| !of.machines.is_empty()),
-        Post::Does(WorkDoes::Hold) => of.is_some_and(|of| of.held),
-        Post::Does(WorkDoes::GoOn) => of.is_some_and(|of| !of.held),
+        Post::Does(WorkDoes::Hold) => of.is_some_and(|of| of.paused),
+        Post::Does(WorkDoes::GoOn) => of.is_some_and(|of| !of.paused),
         Post::Does(WorkDoes::Withdraw) => of.is_some_and(|of| of.withdrawn),
         Post::Does(WorkDoes::Gone(name)) => !view.sidecars.contains(name),
-        Post::Does(WorkDoes::Vote(name)) => view.members.contains(name),
+        Post::Does(WorkDoes::Vote(name)) => view.voters.contains(name),
         Post::Does(WorkDoes::Unvote(name)) => {
-            !view.members.is_empty() && !view.members.contains(name)
+            !view.voters.is_empty() && !view.voters.contains(name)
         }
         // That it began does not show: it is told once.
-        Post::Report(_, Said::Began) => true,
+        Post::Report(_, WorkReport::Began) => true,
         Post::Report(grant, _) => at(*grant) != Some("out"),
         Post::Over => true,
     }
 }
 
-fn look(sidecars: &[SocketAddr], posts: &Receiver<Post>, views: &Sender<WorkView>) {
+fn look(sidecars: &[SocketAddr], posts: &Receiver<Post>, views: &Sender<MaintenanceView>) {
     let mut open: Vec<(Post, Option<std::time::Instant>)> = Vec::new();
     let (mut list, mut turn) = (None, 0);
     loop {
@@ -112,18 +112,30 @@
                     continue;
                 }
                 let asked = match (&*post, list) {
-                    // Asked for once: again it would be another list.
+                    // MaintenanceRequest for once: again it would be another list.
                     (Post::Does(WorkDoes::Ask(_)), _) if posted.is_some() => continue,
-                    (Post::Does(WorkDoes::Ask(told)), _) => Asked::Ask(told.clone()),
-                    (Post::Does(WorkDoes::Hold), Some(list)) => Asked::Hold(list),
-                    (Post::Does(WorkDoes::GoOn), Some(list)) => Asked::GoOn(list),
-                    (Post::Does(WorkDoes::Withdraw), Some(list)) => Asked::Withdraw(list),
-                    (Post::Does(WorkDoes::Gone(name)), _) => Asked::Gone(name.clone()),
-                    (Post::Does(WorkDoes::Vote(name)), _) => Asked::Vote(name.clone()),
-                    (Post::Does(WorkDoes::Unvote(name)), _) => Asked::Unvote(name.clone()),
-                    (Post::Report(grant, said), _) => Asked::Report {
+                    (Post::Does(WorkDoes::Ask(told)), _) => {
+                        MaintenanceRequest::CreateList(told.clone())
+                    }
+                    (Post::Does(WorkDoes::Hold), Some(list)) => MaintenanceRequest::PauseList(list),
+                    (Post::Does(WorkDoes::GoOn), Some(list)) => {
+                        MaintenanceRequest::ResumeList(list)
+                    }
+                    (Post::Does(WorkDoes::Withdraw), Some(list)) => {
+                        MaintenanceRequest::WithdrawList(list)
+                    }
+                    (Post::Does(WorkDoes::Gone(name)), _) => {
+                        MaintenanceRequest::SidecarGone(name.clone())
+                    }
+                    (Post::Does(WorkDoes::Vote(name)), _) => {
+                        MaintenanceRequest::AddVoter(name.clone())
+                    }
+                    (Post::Does(WorkDoes::Unvote(name)), _) => {
+                        MaintenanceRequest::RemoveVoter(name.clone())
+                    }
+                    (Post::Report(grant, said), _) => MaintenanceRequest::ReportWork {
                         grant: *grant,
-                        said: *said,
+                        report: *said,
                     },
                     _ => continue,
                 };
@@ -176,7 +188,7 @@
         let mut fresh = Vec::new();
         let mut over = false;
         for view in agents.views.try_iter() {
-            over |= !view.lists.is_empty() && view.lists.iter().all(|list| list.over);
+            over |= !view.lists.is_empty() && view.lists.iter().all(|list| list.finished);
             for machine in view.lists.iter().flat_map(|list| &list.machines) {
                 let place = machine
                     .machine
@@ -184,7 +196,7 @@
                     .and_then(|place| place.parse().ok());
                 let out = machine
                     .grant
-                    .filter(|grant| machine.step == "out" && !agents.known.contains_key(grant));
+                    .filter(|grant| machine.phase == "out" && !agents.known.contains_key(grant));
                 if let Some((grant, place)) = out.zip(place) {
                     agents.known.insert(grant, PlaceNo(place));
                     fresh.push((grant, PlaceNo(place)));
@@ -232,7 +244,7 @@
         let Some((place, work, agents)) = self.worked_at(grant) else {
             return;
         };
-        agents.post(Post::Report(grant, Said::Began));
+        agents.post(Post::Report(grant, WorkReport::Began));
         let (lasts, stalls) = (work.works_for, work.stall.contains(&place.0));
         let places = self.script.places_of(place.0);
         let open = places
@@ -259,7 +271,11 @@
             return Ok(());
         };
         let fails = work.fail.contains(&place.0);
-        let said = if fails { Said::Failed } else { Said::Worked };
+        let said = if fails {
+            WorkReport::Failed
+        } else {
+            WorkReport::Succeeded
+        };
         agents.post(Post::Report(grant, said));
         if work.twice.contains(&place.0) {
             agents.post(Post::Report(grant, said));
--- a/crates/http-proxy/src/service/clients.rs
+++ b/crates/http-proxy/src/service/clients.rs
@@ -230,9 +230,9 @@
             once,
         } = traits;
         let refused = self
-            .copies
+            .replication
             .as_ref()
-            .and_then(|copies| copies.refuses(self.now, once, key.is_some()));
+            .and_then(|replication| replication.refusal(self.now, once, key.is_some()));
         if let Some(refused) = refused {
             let (status, harmless) = match refused {
                 // That it never ran nobody here can say yet.
@@ -405,7 +405,9 @@
 
     /// The final answer of a hit that no pod answered.
     fn complete_with_own_response(&mut self, hit: RequestId, status: u16, fields: &[(&str, &str)]) {
-        self.copies.iter_mut().for_each(|copies| copies.over(hit));
+        self.replication
+            .iter_mut()
+            .for_each(|replication| replication.request_finished(hit));
         let Some(open) = self.requests.pending_mut(hit) else {
             return;
         };
@@ -623,8 +625,8 @@
 
     /// Who else is there, as this sidecar holds it.
     fn tell_fleet(&mut self, id: SocketId) {
-        match self.fleet.as_ref().map(|fleet| {
-            serde_json::to_vec(&fleet.view(self.now, |pod| self.directory.address(pod)))
+        match self.membership.as_ref().map(|membership| {
+            serde_json::to_vec(&membership.view(self.now, |pod| self.directory.address(pod)))
         }) {
             Some(Ok(body)) => self.reply(id, 200, &[("content-type", "application/json")], &body),
             _ => self.reply(
@@ -638,9 +640,9 @@
 
     fn tell_state(&mut self, id: SocketId) {
         match self
-            .copies
+            .replication
             .as_ref()
-            .map(|copies| serde_json::to_vec(&copies.view()))
+            .map(|replication| serde_json::to_vec(&replication.view()))
         {
             Some(Ok(body)) => self.reply(id, 200, &[("content-type", "application/json")], &body),
             _ => self.reply(
@@ -654,9 +656,9 @@
 
     fn tell_work(&mut self, id: SocketId) {
         match self
-            .work
+            .maintenance
             .as_ref()
-            .map(|work| serde_json::to_vec(&work.view(self.now)))
+            .map(|maintenance| serde_json::to_vec(&maintenance.view(self.now)))
         {
             Some(Ok(body)) => self.reply(id, 200, &[("content-type", "application/json")], &body),
             _ => self.reply(
@@ -669,11 +671,12 @@
     }
 
     fn asked_for_work(&mut self, id: SocketId, body: &[u8]) {
-        let Some(work) = &mut self.work else {
+        let Some(maintenance) = &mut self.maintenance else {
             return self.tell_work(id);
         };
         let asked = serde_json::from_slice(body).map_err(|e| e.to_string());
-        match asked.and_then(|asked| work.asked(self.now, &asked, &self.listed)) {
+        match asked.and_then(|request| maintenance.handle_request(self.now, &request, &self.listed))
+        {
             Ok(list) => {
                 let said = serde_json::json!({ "list": list }).to_string();
                 self.reply(
@@ -760,7 +763,9 @@
         open.client = None;
         if !open.completed {
             open.completed = true;
-            self.copies.iter_mut().for_each(|copies| copies.over(hit));
+            self.replication
+                .iter_mut()
+                .for_each(|replication| replication.request_finished(hit));
             self.events.push(Event::ClientDisconnected(hit));
             // An answer in mid-way has nobody to go to.
             if let Some(no) = open.protocol_state.passing {
--- a/crates/http-proxy/src/service/control.rs
+++ b/crates/http-proxy/src/service/control.rs
@@ -63,17 +63,17 @@
     /// When a lost service is to be thought of again, if it is others' turn to ask it now.
     fn deferred_poll_time(&self, service: Asked) -> Option<Duration> {
         let at = self
-            .fleet
+            .membership
             .as_ref()
-            .map(|fleet| fleet.may_ask(self.now, service));
+            .map(|membership| membership.next_poll(self.now, service));
         at.filter(|at| *at > self.now)
     }
 
     fn record_service_state(&mut self, service: Asked, answers: bool) {
         let now = self.now;
-        self.fleet
+        self.membership
             .iter_mut()
-            .for_each(|fleet| fleet.answers(now, service, answers));
+            .for_each(|membership| membership.record_poll(now, service, answers));
     }
 
     pub(super) fn poll_endpoint_list(&mut self) {
@@ -298,18 +298,18 @@
                     if !news.is_empty() {
                         self.stage_backoff.reset();
                         let now = self.now;
-                        let fleet = self.fleet.as_mut();
-                        fleet
-                            .into_iter()
-                            .for_each(|fleet| fleet.answers(now, Asked::Installer, true));
+                        let membership = self.membership.as_mut();
+                        membership.into_iter().for_each(|membership| {
+                            membership.record_poll(now, Asked::Installer, true)
+                        });
                     }
                     for message in news {
                         let Some(news) = accept_stage_message(&mut self.latest, message) else {
                             continue;
                         };
-                        self.copies
-                            .iter_mut()
-                            .for_each(|copies| copies.stage_told(self.now, &message));
+                        self.replication.iter_mut().for_each(|replication| {
+                            replication.stage_announced(self.now, &message)
+                        });
                         self.events.push(Event::Stage {
                             update: Some(news),
                             vote_answer: None,
@@ -413,8 +413,8 @@
         self.sockets.close(link);
         tracing::debug!(?answer, "a vote was answered");
         let now = news.and_then(|message| accept_stage_message(&mut self.latest, message));
-        if let (Some(message), Some(_), Some(copies)) = (news, now, &mut self.copies) {
-            copies.stage_told(self.now, &message);
+        if let (Some(message), Some(_), Some(replication)) = (news, now, &mut self.replication) {
+            replication.stage_announced(self.now, &message);
         }
         self.events.push(Event::Stage {
             update: now,
--- a/crates/http-proxy/src/service/work.rs
+++ b/crates/http-proxy/src/service/maintenance.rs
@@ -1,7 +1,8 @@
 //! Machines out for work: packets go between the other sidecars and `limewing_consensus`, what is settled goes to
 //! `limewing_maintenance`, and what that closes is told to the decision module as machines that drain.
 
-use super::fleet::Fleet;
+use super::direct_message::{DirectMessage, CONSENSUS, MAINTENANCE};
+use super::membership::FleetMembership;
 use crate::endpoint_list::EndpointRecord;
 use crate::vote_log::VoteLog;
 use limewing_consensus::{
@@ -20,9 +21,6 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-/// The first byte of a parcel: whose it is.
-const AGREES: u8 = 1;
-const TALKS: u8 = 2;
 /// Those that follow ask for what is settled so often.
 const FOLLOWS_EVERY: Duration = Duration::from_millis(400);
 /// While a write is under way it is looked for so often.
@@ -34,16 +32,16 @@
 /// Entries beyond which the log is made short.
 const MOST_HELD: u64 = 400;
 
-enum Part {
-    Votes(Box<RaftNode>, VoteLog),
-    Follows(Box<Learner>),
+enum ConsensusRole {
+    Voter(Box<RaftNode>, VoteLog),
+    Learner(Box<Learner>),
 }
 
-pub struct Work {
+pub struct Maintenance {
     name: String,
     start: u64,
     voters: Vec<String>,
-    part: Part,
+    part: ConsensusRole,
     turns: MaintenanceSchedule,
     /// Up to where the log was read.
     read: u64,
@@ -58,7 +56,7 @@
     unanswered: u32,
     /// Words that were asked for here, until when.
     asked_for: Vec<(Command, Duration)>,
-    /// Votes that are to be given or taken, until when.
+    /// Voter that are to be given or taken, until when.
     votes: Vec<(String, bool, Duration)>,
     next_put_up: Duration,
     /// Machines that the module was told are closed, since when; none: all.
@@ -76,7 +74,7 @@
 }
 
 /// What of the sidecar it goes by.
-pub struct Site<'a> {
+pub struct EndpointContext<'a> {
     /// The node list as it was told.
     pub rows: &'a [EndpointRecord],
     /// Addresses that forwards are out to.
@@ -86,72 +84,94 @@
 /// What one may ask of it, as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Asked {
-    Ask(Box<WorkList>),
-    Hold(u64),
-    GoOn(u64),
-    Withdraw(u64),
+pub enum MaintenanceRequest {
+    #[serde(rename = "ask")]
+    CreateList(Box<WorkList>),
+    #[serde(rename = "hold")]
+    PauseList(u64),
+    #[serde(rename = "go_on")]
+    ResumeList(u64),
+    #[serde(rename = "withdraw")]
+    WithdrawList(u64),
     /// A sidecar that runs no more and did not say so.
-    Gone(String),
+    #[serde(rename = "gone")]
+    SidecarGone(String),
     /// Gives this sidecar a vote, which it gets once it has caught up; or takes it.
-    Vote(String),
-    Unvote(String),
-    Report {
+    #[serde(rename = "vote")]
+    AddVoter(String),
+    #[serde(rename = "unvote")]
+    RemoveVoter(String),
+    #[serde(rename = "report")]
+    ReportWork {
         grant: u64,
-        said: Said,
+        #[serde(rename = "said")]
+        report: WorkReport,
     },
 }
 
 /// What a machine's agent says of the work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Said {
+pub enum WorkReport {
     Began,
-    Worked,
+    #[serde(rename = "worked")]
+    Succeeded,
     Failed,
 }
 
 /// One sidecar's view of the work.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WorkView {
+pub struct MaintenanceView {
     pub name: String,
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub role: String,
     pub leader: Option<String>,
     pub term: u64,
-    pub settled: u64,
-    pub members: Vec<String>,
+    #[serde(rename = "settled")]
+    pub applied_index: u64,
+    #[serde(rename = "members")]
+    pub voters: Vec<String>,
     /// Who is to get a vote once it has caught up.
-    #[serde(default)]
-    pub awaited: Option<String>,
+    #[serde(default, rename = "awaited")]
+    pub pending_voter: Option<String>,
     /// Whether it holds a lease; without one it sends to no machine on a list.
-    pub lease: bool,
+    #[serde(rename = "lease")]
+    pub has_lease: bool,
     pub sidecars: Vec<String>,
-    pub closed: Vec<String>,
+    #[serde(rename = "closed")]
+    pub closed_machines: Vec<String>,
     pub lists: Vec<ListView>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListView {
-    pub list: u64,
+    #[serde(rename = "list")]
+    pub id: u64,
     pub name: String,
-    pub held: bool,
+    #[serde(rename = "held")]
+    pub paused: bool,
     pub withdrawn: bool,
-    pub over: bool,
+    #[serde(rename = "over")]
+    pub finished: bool,
     /// Sidecars that do not know the list yet, as far as whoever leads was told.
-    pub unknown_to: Vec<String>,
-    pub machines: Vec<WayView>,
+    #[serde(rename = "unknown_to")]
+    pub sidecars_behind: Vec<String>,
+    pub machines: Vec<MachineView>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WayView {
+pub struct MachineView {
     pub machine: String,
-    pub step: String,
+    #[serde(rename = "step")]
+    pub phase: String,
     pub grant: Option<u64>,
     pub stalled: bool,
     /// Sidecars that may still send there, as far as whoever leads was told.
-    pub not_clear: Vec<String>,
+    #[serde(rename = "not_clear")]
+    pub sidecars_not_drained: Vec<String>,
     /// Why one that waits may not go now.
-    pub why: Option<String>,
+    #[serde(rename = "why")]
+    pub blocked_reason: Option<String>,
 }
 
 fn ms(today: SystemTime) -> u64 {
@@ -277,7 +297,7 @@
     }
 }
 
-impl Work {
+impl Maintenance {
     pub(super) fn start(
         name: &str,
         told: &settings::Work,
@@ -296,7 +316,7 @@
                     election_timeout: patience,
                     seed,
                 };
-                Part::Votes(
+                ConsensusRole::Voter(
                     Box::new(RaftNode::new(now, name, rand::random(), &records, terms)),
                     log,
                 )
@@ -306,7 +326,7 @@
                     name: name.to_owned(),
                     incarnation: rand::random(),
                 };
-                Part::Follows(Box::new(Learner::new(
+                ConsensusRole::Learner(Box::new(Learner::new(
                     now,
                     me,
                     voters.clone(),
@@ -346,34 +366,34 @@
         })
     }
 
-    pub(super) fn next(&self) -> Duration {
+    pub(super) fn next_deadline(&self) -> Duration {
         let part = match &self.part {
-            Part::Votes(agree, log) if log.is_idle() => agree.next_deadline(),
+            ConsensusRole::Voter(agree, log) if log.is_idle() => agree.next_deadline(),
             // It is looked for at the next turn.
-            Part::Votes(..) => Duration::ZERO,
-            Part::Follows(follow) => follow.next_deadline(),
+            ConsensusRole::Voter(..) => Duration::ZERO,
+            ConsensusRole::Learner(follow) => follow.next_deadline(),
         };
         part.min(self.next_ask)
     }
 
     /// When the loop has to come round for it, at the latest.
-    pub(super) fn wakes(&self, now: Duration) -> Duration {
-        self.next().max(now + LOOKS_EVERY)
+    pub(super) fn next_wake(&self, now: Duration) -> Duration {
+        self.next_deadline().max(now + LOOKS_EVERY)
     }
 
     /// So many hits were taken, and so many turned away.
-    pub(super) fn count(&mut self, now: Duration, hits: u32, turned_away: u32) {
+    pub(super) fn record_requests(&mut self, now: Duration, hits: u32, turned_away: u32) {
         self.turned_away.record(now, hits, turned_away);
     }
 
     /// The stage news that the module is told.
-    pub(super) fn trial(&mut self, trial: bool) {
+    pub(super) fn set_release_on_trial(&mut self, trial: bool) {
         self.trial = trial;
     }
 
-    pub(super) fn hear(&mut self, now: Duration, from: &str, bytes: &[u8]) {
+    pub(super) fn receive(&mut self, now: Duration, from: &str, bytes: &[u8]) {
         match bytes.split_first() {
-            Some((&AGREES, rest)) => {
+            Some((&CONSENSUS, rest)) => {
                 let Ok(packet) = Packet::decode(rest) else {
                     return;
                 };
@@ -382,19 +402,19 @@
                     return;
                 }
                 match &mut self.part {
-                    Part::Votes(agree, _) => {
+                    ConsensusRole::Voter(agree, _) => {
                         // Whoever stood still learns that it leads no more before it says another word.
                         if now >= agree.next_deadline() {
                             agree.tick(now);
                         }
                         agree.receive(now, packet);
                     }
-                    Part::Follows(follow) => follow.receive(now, packet),
+                    ConsensusRole::Learner(follow) => follow.receive(now, packet),
                 }
             }
-            Some((&TALKS, rest)) => {
+            Some((&MAINTENANCE, rest)) => {
                 if let Ok(talk) = Message::decode(rest) {
-                    self.talk(now, from, talk);
+                    self.handle_message(now, from, talk);
                 }
             }
             _ => {}
@@ -403,13 +423,15 @@
 
     fn leads(&self) -> Option<&RaftNode> {
         match &self.part {
-            Part::Votes(agree, _) => Some(&**agree).filter(|agree| agree.role() == Role::Leader),
-            Part::Follows(_) => None,
+            ConsensusRole::Voter(agree, _) => {
+                Some(&**agree).filter(|agree| agree.role() == Role::Leader)
+            }
+            ConsensusRole::Learner(_) => None,
         }
     }
 
     fn propose(&mut self, now: Duration, word: &Command) {
-        if let Part::Votes(agree, _) = &mut self.part {
+        if let ConsensusRole::Voter(agree, _) = &mut self.part {
             if let Ok(place) = agree.propose(now, word.encode()) {
                 self.leader
                     .iter_mut()
@@ -418,13 +440,13 @@
         }
     }
 
-    fn say(&mut self, to: &str, talk: &Message) {
-        self.out
-            .push((to.to_owned(), [&[TALKS], &talk.encode()[..]].concat()));
+    fn send(&mut self, to: &str, talk: &Message) {
+        let message = DirectMessage::new(to.to_owned(), MAINTENANCE, &talk.encode());
+        self.out.push((message.to, message.bytes));
     }
 
-    fn talk(&mut self, now: Duration, from: &str, talk: Message) {
-        if let Part::Votes(agree, _) = &mut self.part {
+    fn handle_message(&mut self, now: Duration, from: &str, talk: Message) {
+        if let ConsensusRole::Voter(agree, _) = &mut self.part {
             if now >= agree.next_deadline() {
                 agree.tick(now);
             }
@@ -440,7 +462,7 @@
                 if let Some(settled) =
                     self.give_lease(now, (from, start), (read, &clear, turned_away))
                 {
-                    self.say(
+                    self.send(
                         from,
                         &Message::LeaseResponse {
                             request: no,
@@ -474,7 +496,9 @@
             } => self.want_vote(now, name, has),
             Message::Propose { command: word } => {
                 // Only what can be read is settled.
-                if let (Part::Votes(agree, _), Ok(_)) = (&mut self.part, Command::decode(&word)) {
+                if let (ConsensusRole::Voter(agree, _), Ok(_)) =
+                    (&mut self.part, Command::decode(&word))
+                {
                     if agree.role() == Role::Leader {
                         let _ = agree.propose(now, word);
                     } else {
@@ -523,11 +547,16 @@
     }
 
     /// Does what is due. Whether what is closed to the module has changed.
-    pub(super) fn turn(&mut self, now: Duration, fleet: &mut Fleet, site: &Site) -> bool {
+    pub(super) fn turn(
+        &mut self,
+        now: Duration,
+        membership: &mut FleetMembership,
+        site: &EndpointContext,
+    ) -> bool {
         self.drive(now);
         self.read_on();
         self.lead(now, site);
-        self.put_up(now);
+        self.retry_pending(now);
         self.look_whether_clear(now, site);
         if now >= self.next_ask {
             let serve = site.rows.iter().filter(|row| !row.draining);
@@ -538,7 +567,7 @@
         self.drive(now);
         self.read_on();
         for (to, bytes) in std::mem::take(&mut self.out) {
-            fleet.post_parcel(now, &to, bytes);
+            membership.send_direct(now, DirectMessage { to, bytes });
         }
         self.close_off(now)
     }
@@ -547,7 +576,7 @@
     fn drive(&mut self, now: Duration) {
         let mut out = Vec::new();
         match &mut self.part {
-            Part::Votes(agree, log) => {
+            ConsensusRole::Voter(agree, log) => {
                 if let Some(no) = log.take_durable() {
                     agree.persisted(now, no);
                 }
@@ -570,23 +599,24 @@
                     out.push(one);
                 }
             }
-            Part::Follows(follow) => {
+            ConsensusRole::Learner(follow) => {
                 follow.tick(now);
                 while let Some(one) = follow.take_packet() {
                     out.push(one);
                 }
             }
         }
-        let parcel =
-            |(to, packet): (String, Packet)| (to, [&[AGREES], &packet.encode()[..]].concat());
-        self.out.extend(out.into_iter().map(parcel));
+        for (to, packet) in out {
+            let message = DirectMessage::new(to, CONSENSUS, &packet.encode());
+            self.out.push((message.to, message.bytes));
+        }
     }
 
     fn read_on(&mut self) {
         loop {
             let next = match &mut self.part {
-                Part::Votes(agree, _) => agree.take_committed(),
-                Part::Follows(follow) => follow.take_committed(),
+                ConsensusRole::Voter(agree, _) => agree.take_committed(),
+                ConsensusRole::Learner(follow) => follow.take_committed(),
             };
             match next {
                 Some(Committed::Command {
@@ -620,12 +650,12 @@
             }
         }
         self.read = match &self.part {
-            Part::Votes(agree, _) => agree.commit_index(),
-            Part::Follows(follow) => follow.applied_index(),
+            ConsensusRole::Voter(agree, _) => agree.commit_index(),
+            ConsensusRole::Learner(follow) => follow.applied_index(),
         };
     }
 
-    fn lead(&mut self, now: Duration, site: &Site) {
+    fn lead(&mut self, now: Duration, site: &EndpointContext) {
         let term = self.leads().map(RaftNode::term);
         if self.leader.as_ref().map(|leader| leader.term) != term {
             let lessor = || LeaseGrantor::new(now, self.lasts, self.patience * 2, self.settles);
@@ -659,7 +689,7 @@
 
     /// Gives or takes votes that were asked for here and do not show yet; where this one does not lead, by whoever does.
     fn change_votes(&mut self, now: Duration) {
-        let Part::Votes(agree, _) = &mut self.part else {
+        let ConsensusRole::Voter(agree, _) = &mut self.part else {
             let wanted: Vec<_> = self.votes.drain(..).collect();
             let to = self
                 .answered_by
@@ -669,7 +699,7 @@
                 .into_iter()
                 .filter_map(|wanted| Some((wanted, to.clone()?)))
             {
-                self.say(
+                self.send(
                     &to,
                     &Message::ChangeVote {
                         name,
@@ -706,7 +736,7 @@
                 name: name.clone(),
                 is_voter: *has,
             };
-            self.say(&leader, &talk);
+            self.send(&leader, &talk);
         }
     }
 
@@ -718,7 +748,7 @@
     }
 
     /// Puts up again what was asked for here and does not show yet.
-    fn put_up(&mut self, now: Duration) {
+    fn retry_pending(&mut self, now: Duration) {
         if (self.asked_for.is_empty() && self.votes.is_empty()) || now < self.next_put_up {
             return;
         }
@@ -729,11 +759,11 @@
             .retain(|(word, until)| now < *until && !turns.is_reflected(word));
         for (word, _) in self.asked_for.clone() {
             match &mut self.part {
-                Part::Votes(agree, _) if agree.role() == Role::Leader => {
+                ConsensusRole::Voter(agree, _) if agree.role() == Role::Leader => {
                     let _ = agree.propose(now, word.encode());
                 }
-                Part::Votes(agree, _) => agree.forward_proposal(word.encode()),
-                Part::Follows(_) => {
+                ConsensusRole::Voter(agree, _) => agree.forward_proposal(word.encode()),
+                ConsensusRole::Learner(_) => {
                     let to = self
                         .answered_by
                         .clone()
@@ -741,14 +771,14 @@
                     let talk = Message::Propose {
                         command: word.encode(),
                     };
-                    to.into_iter().for_each(|to| self.say(&to, &talk));
+                    to.into_iter().for_each(|to| self.send(&to, &talk));
                 }
             }
         }
     }
 
     /// Of which grants' machines this sidecar is clear: the module knows that they drain, its grace is over, nothing is out.
-    fn look_whether_clear(&mut self, now: Duration, site: &Site) {
+    fn look_whether_clear(&mut self, now: Duration, site: &EndpointContext) {
         let quiet: Vec<(String, Identifier)> = self
             .clearing
             .past_grace(now, &self.turns)
@@ -801,14 +831,16 @@
             None => self.may_lead(),
         };
         self.unanswered += 1;
-        to.iter().for_each(|to| self.say(to, &ask));
+        to.iter().for_each(|to| self.send(to, &ask));
     }
 
     /// All others that may lead: by the settings, and by the log.
     fn may_lead(&self) -> Vec<String> {
         let known: Vec<String> = match &self.part {
-            Part::Votes(agree, _) => agree.members().iter().map(|id| id.name.clone()).collect(),
-            Part::Follows(follow) => follow.voters().to_vec(),
+            ConsensusRole::Voter(agree, _) => {
+                agree.members().iter().map(|id| id.name.clone()).collect()
+            }
+            ConsensusRole::Learner(follow) => follow.voters().to_vec(),
         };
         let all: BTreeSet<String> = known
             .into_iter()
@@ -833,21 +865,21 @@
     }
 
     /// Whether the module is to be told that a machine drains.
-    pub(super) fn closes(&self, machine: &str) -> bool {
+    pub(super) fn is_closed(&self, machine: &str) -> bool {
         self.closed
             .as_ref()
             .is_none_or(|closed| closed.contains(machine))
     }
 
-    pub(super) fn leave(&mut self, now: Duration, fleet: &mut Fleet) {
+    pub(super) fn leave(&mut self, now: Duration, membership: &mut FleetMembership) {
         let talk = Message::Leave {
             incarnation: self.start,
         };
         self.may_lead()
             .iter()
-            .for_each(|voter| self.say(voter, &talk));
+            .for_each(|voter| self.send(voter, &talk));
         for (to, bytes) in std::mem::take(&mut self.out) {
-            fleet.post_parcel(now, &to, bytes);
+            membership.send_direct(now, DirectMessage { to, bytes });
         }
     }
 
@@ -855,10 +887,10 @@
     ///
     /// # Errors
     /// What of it can't be used.
-    pub(super) fn asked(
+    pub(super) fn handle_request(
         &mut self,
         now: Duration,
-        asked: &Asked,
+        asked: &MaintenanceRequest,
         rows: &[EndpointRecord],
     ) -> Result<Option<u64>, String> {
         let known = |list: &u64| {
@@ -868,17 +900,23 @@
                 .ok_or(format!("no list {list}"))
         };
         let (words, list) = match asked {
-            Asked::Ask(told) => {
+            MaintenanceRequest::CreateList(told) => {
                 if let Some(error) = settings::Checked::config_errors(&**told).first() {
                     return Err(format!("at {}: {}", error.path, error.expected));
                 }
                 let list = Identifier(u64::from(rand::random::<u32>()));
                 (words(list, told, rows)?, Some(list.0))
             }
-            Asked::Hold(list) => (vec![Command::PauseList { list: known(list)? }], None),
-            Asked::GoOn(list) => (vec![Command::ResumeList { list: known(list)? }], None),
-            Asked::Withdraw(list) => (vec![Command::WithdrawList { list: known(list)? }], None),
-            Asked::Gone(name) => {
+            MaintenanceRequest::PauseList(list) => {
+                (vec![Command::PauseList { list: known(list)? }], None)
+            }
+            MaintenanceRequest::ResumeList(list) => {
+                (vec![Command::ResumeList { list: known(list)? }], None)
+            }
+            MaintenanceRequest::WithdrawList(list) => {
+                (vec![Command::WithdrawList { list: known(list)? }], None)
+            }
+            MaintenanceRequest::SidecarGone(name) => {
                 let start = self
                     .turns
                     .sidecars()
@@ -892,25 +930,29 @@
                     None,
                 )
             }
-            Asked::Vote(name) | Asked::Unvote(name) => {
+            MaintenanceRequest::AddVoter(name) | MaintenanceRequest::RemoveVoter(name) => {
                 if name.is_empty() || name.len() > 32 {
                     return Err("expected a sidecar's name of 1 to 32 letters".into());
                 }
-                self.want_vote(now, name.clone(), matches!(asked, Asked::Vote(_)));
+                self.want_vote(
+                    now,
+                    name.clone(),
+                    matches!(asked, MaintenanceRequest::AddVoter(_)),
+                );
                 (Vec::new(), None)
             }
-            Asked::Report { grant, said } => {
+            MaintenanceRequest::ReportWork { grant, report } => {
                 let grant = Identifier(*grant);
                 self.turns
                     .machine_with_grant(grant)
                     .ok_or(format!("no grant {}", grant.0))?;
-                let word = match said {
-                    Said::Began => Command::WorkBegan { grant },
-                    Said::Worked => Command::WorkEnded {
+                let word = match report {
+                    WorkReport::Began => Command::WorkBegan { grant },
+                    WorkReport::Succeeded => Command::WorkEnded {
                         grant,
                         succeeded: true,
                     },
-                    Said::Failed => Command::WorkEnded {
+                    WorkReport::Failed => Command::WorkEnded {
                         grant,
                         succeeded: false,
                     },
@@ -928,31 +970,33 @@
         Ok(list)
     }
 
-    pub(super) fn view(&self, now: Duration) -> WorkView {
+    pub(super) fn view(&self, now: Duration) -> MaintenanceView {
         let (standing, leader, term, members) = match &self.part {
-            Part::Votes(agree, _) => (
+            ConsensusRole::Voter(agree, _) => (
                 role_on_page(agree.role()).to_owned(),
                 agree.leader().map(|id| id.name.clone()),
                 agree.term(),
                 agree.members().iter().map(|id| id.name.clone()).collect(),
             ),
-            Part::Follows(_) => ("asks".to_owned(), self.answered_by.clone(), 0, Vec::new()),
+            ConsensusRole::Learner(_) => {
+                ("asks".to_owned(), self.answered_by.clone(), 0, Vec::new())
+            }
         };
         let lessor = self.leader.as_ref().map(|leader| &leader.grantor);
         let owned = |names: Vec<&str>| names.into_iter().map(str::to_owned).collect();
-        let way = |list: &Identifier, way: &limewing_maintenance::MachineState| WayView {
+        let way = |list: &Identifier, way: &limewing_maintenance::MachineState| MachineView {
             machine: way.machine.name.clone(),
-            step: way.phase.to_string(),
+            phase: way.phase.to_string(),
             grant: way.grant.map(|grant| grant.0),
             stalled: way.stalled,
-            not_clear: way
+            sidecars_not_drained: way
                 .grant
                 .filter(|_| way.phase == MachinePhase::Granted)
                 .zip(lessor)
                 .map_or(Vec::new(), |(grant, lessor)| {
                     owned(lessor.sidecars_not_drained(now, &self.turns, grant))
                 }),
-            why: (way.phase == MachinePhase::Waiting)
+            blocked_reason: (way.phase == MachinePhase::Waiting)
                 .then(|| {
                     self.turns
                         .check_grant(*list, &way.machine.name)
@@ -962,30 +1006,30 @@
                 .flatten(),
         };
         let list = |(no, list): (&Identifier, &limewing_maintenance::MaintenanceList)| ListView {
-            list: no.0,
+            id: no.0,
             name: list.config.name.clone(),
-            held: list.paused,
+            paused: list.paused,
             withdrawn: list.withdrawn,
-            over: list.is_finished(),
-            unknown_to: lessor.filter(|_| !list.known).map_or(Vec::new(), |lessor| {
+            finished: list.is_finished(),
+            sidecars_behind: lessor.filter(|_| !list.known).map_or(Vec::new(), |lessor| {
                 owned(lessor.sidecars_behind(&self.turns, list.completed_index))
             }),
             machines: list.machines.iter().map(|one| way(no, one)).collect(),
         };
-        WorkView {
+        MaintenanceView {
             name: self.name.clone(),
-            standing,
+            role: standing,
             leader,
             term,
-            settled: self.read,
-            members,
-            awaited: match &self.part {
-                Part::Votes(agree, _) => agree.pending_voter().map(str::to_owned),
-                Part::Follows(_) => None,
+            applied_index: self.read,
+            voters: members,
+            pending_voter: match &self.part {
+                ConsensusRole::Voter(agree, _) => agree.pending_voter().map(str::to_owned),
+                ConsensusRole::Learner(_) => None,
             },
-            lease: self.lease.is_held(now, self.read),
+            has_lease: self.lease.is_held(now, self.read),
             sidecars: self.turns.sidecars().keys().cloned().collect(),
-            closed: self
+            closed_machines: self
                 .closed
                 .clone()
                 .unwrap_or_default()
--- a/crates/http-proxy/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/membership.rs
@@ -1,6 +1,7 @@
 //! The other sidecars: datagrams go between the sockets and `limewing_membership`, which decides who is there; events of the
 //! decision module are shown to `limewing_coordination`, and its view goes to the module.
 
+use super::direct_message::DirectMessage;
 use super::StartError;
 use limewing_coordination::{
     stable_key, Coordinator, LoadReport, OutlierObservation, Pod, Service,
@@ -18,19 +19,19 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-pub struct Fleet {
-    peers: Membership,
+pub struct FleetMembership {
+    membership: Membership,
     socket: SocketId,
-    listens: SocketAddr,
+    listen_address: SocketAddr,
     key_file: PathBuf,
     keys: Vec<u8>,
     keys_unusable: u64,
-    choices: Option<Chooser>,
+    coordination: Option<EndpointCoordination>,
 }
 
 /// The choices, and the pods by their keys.
-struct Chooser {
-    choices: Coordinator,
+struct EndpointCoordination {
+    coordinator: Coordinator,
     pods: BTreeMap<PodId, (Endpoint, u64)>,
     changed: bool,
     view: Option<FleetView>,
@@ -38,46 +39,57 @@
 
 /// One sidecar's view of its fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct View {
+pub struct MembershipView {
     pub name: String,
-    pub at: SocketAddr,
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
     /// Where it takes datagrams, if the others do not reach it there.
-    pub listens: SocketAddr,
-    pub start: u64,
+    #[serde(rename = "listens")]
+    pub listen_address: SocketAddr,
+    #[serde(rename = "start")]
+    pub started_at_ms: u64,
     pub incarnation: u32,
     /// How much longer it waits for others, for being slow itself: 0 to 8.
-    pub slowness: u32,
+    #[serde(rename = "slowness")]
+    pub local_health: u32,
     pub bytes_sent: u64,
     /// The keys known, the one that seals first, and how often a new key file could not be used.
     pub keys: Vec<u8>,
     pub keys_unusable: u64,
     /// Datagrams that were refused, by cause.
-    pub refused: Vec<(String, u64)>,
-    pub members: Vec<Seen>,
+    #[serde(rename = "refused")]
+    pub rejected: Vec<(String, u64)>,
+    pub members: Vec<MemberView>,
     /// What of the fleet moves its choices; none: nothing does.
-    #[serde(default)]
-    pub chosen: Option<Chosen>,
+    #[serde(default, rename = "chosen")]
+    pub selection: Option<EndpointSelectionView>,
 }
 
 /// Pods as this sidecar is to use them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Chosen {
+pub struct EndpointSelectionView {
     /// The pods to use, the first one first.
-    pub uses: Vec<String>,
+    #[serde(rename = "uses")]
+    pub used: Vec<String>,
     /// Shut pods whose proof is others' turn.
-    pub held: Vec<String>,
+    #[serde(rename = "held")]
+    pub probed_by_peers: Vec<String>,
 }
 
 /// Another member, as it is held.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Seen {
+pub struct MemberView {
     pub name: String,
-    pub at: SocketAddr,
-    pub standing: String,
-    pub start: u64,
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
+    #[serde(rename = "standing")]
+    pub status: String,
+    #[serde(rename = "start")]
+    pub started_at_ms: u64,
     pub incarnation: u32,
     /// Seconds for which it has stood so.
-    pub for_s: f64,
+    #[serde(rename = "for_s")]
+    pub seconds_in_status: f64,
 }
 
 /// The word for a status on `GET /limewing/fleet`; its readers match on it.
@@ -117,162 +129,164 @@
         .collect())
 }
 
-impl Fleet {
+impl FleetMembership {
     pub(super) fn start(
         name: &str,
-        told: &settings::Peers,
+        settings: &settings::Peers,
         zone: u16,
         sockets: &mut Sockets,
         now: Duration,
         seed: u64,
     ) -> Result<Self, StartError> {
-        let keys = read_keys(&told.key_file).map_err(StartError::Keys)?;
+        let keys = read_keys(&settings.key_file).map_err(StartError::Keys)?;
         let ids = keys.iter().map(|key| key.id).collect();
-        let at = told.listen;
+        let at = settings.listen;
         let (socket, address) = sockets
             .bind_datagrams(at)
             .map_err(|why| StartError::Datagrams { at, why })?;
         let start = wall_clock_now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let terms = Config {
+        let config = Config {
             name: MemberName::try_from(name.to_owned()).map_err(|expected| {
                 StartError::Settings(settings::ConfigError::new("/name", expected.to_string()))
             })?,
             started_at_ms: start.as_millis() as u64,
             started_at: now,
-            address: told.advertise.unwrap_or(address),
-            seed_addresses: told.join.clone(),
+            address: settings.advertise.unwrap_or(address),
+            seed_addresses: settings.join.clone(),
             keys,
-            probe_interval: told.period.into(),
-            bytes_per_second: told.bytes_per_s,
+            probe_interval: settings.period.into(),
+            bytes_per_second: settings.bytes_per_s,
             seed,
         };
-        let peers = Membership::new(now, terms).map_err(StartError::Membership)?;
-        tracing::info!(%address, "takes datagrams of other sidecars");
-        let key_file = told.key_file.clone();
-        let chooser = || Chooser {
-            choices: Coordinator::new(now, stable_key(name), zone),
+        let membership = Membership::new(now, config).map_err(StartError::Membership)?;
+        tracing::info!(%address, "membership listens for datagrams");
+        let key_file = settings.key_file.clone();
+        let new_coordination = || EndpointCoordination {
+            coordinator: Coordinator::new(now, stable_key(name), zone),
             pods: BTreeMap::new(),
             changed: false,
             view: None,
         };
-        let choices = told.choices.then(chooser);
+        let coordination = settings.choices.then(new_coordination);
         Ok(Self {
-            peers,
+            membership,
             socket,
-            listens: address,
+            listen_address: address,
             key_file,
             keys: ids,
             keys_unusable: 0,
-            choices,
+            coordination,
         })
     }
 
-    pub(super) fn next(&self) -> Duration {
+    pub(super) fn next_deadline(&self) -> Duration {
         let choices = self
-            .choices
+            .coordination
             .as_ref()
-            .map(|chooser| chooser.choices.next_deadline());
-        choices.map_or(self.peers.next_deadline(), |next| {
-            next.min(self.peers.next_deadline())
+            .map(|coordination| coordination.coordinator.next_deadline());
+        choices.map_or(self.membership.next_deadline(), |next| {
+            next.min(self.membership.next_deadline())
         })
     }
 
-    /// Shows it what the decision module is about to be told; what of the fleet is news to the module comes back.
-    pub(super) fn watch(
+    /// Shows it what the decision module is about to be settings; what of the fleet is news to the module comes back.
+    pub(super) fn observe_events(
         &mut self,
         now: Duration,
         events: &[Event],
         address: impl Fn(PodId) -> Option<SocketAddr>,
     ) -> Option<Event> {
-        let Some(chooser) = &mut self.choices else {
+        let Some(coordination) = &mut self.coordination else {
             return None;
         };
         events
             .iter()
-            .for_each(|event| chooser.see(now, event, &address));
-        chooser.look(now, &mut self.peers).map(Event::Fleet)
+            .for_each(|event| coordination.observe_event(now, event, &address));
+        coordination
+            .update(now, &mut self.membership)
+            .map(Event::Fleet)
     }
 
     /// Whether a service answers, as far as its last ask or watch tells.
-    pub(super) fn answers(&mut self, now: Duration, service: Service, answers: bool) {
-        match &mut self.choices {
-            Some(chooser) if answers => chooser.choices.record_poll_success(service),
-            Some(chooser) => chooser.choices.record_poll_failure(now, service),
+    pub(super) fn record_poll(&mut self, now: Duration, service: Service, answers: bool) {
+        match &mut self.coordination {
+            Some(coordination) if answers => coordination.coordinator.record_poll_success(service),
+            Some(coordination) => coordination.coordinator.record_poll_failure(now, service),
             None => {}
         }
     }
 
     /// When a service may be asked: now, or the time at which this is to be asked again.
-    pub(super) fn may_ask(&self, now: Duration, service: Service) -> Duration {
-        self.choices
-            .as_ref()
-            .map_or(now, |chooser| chooser.choices.next_poll(now, service))
+    pub(super) fn next_poll(&self, now: Duration, service: Service) -> Duration {
+        self.coordination.as_ref().map_or(now, |coordination| {
+            coordination.coordinator.next_poll(now, service)
+        })
     }
 
-    pub(super) fn hear(&mut self, now: Duration, bytes: &[u8]) {
-        if let Err(why) = self.peers.receive(now, bytes) {
-            tracing::debug!(%why, "a datagram is refused");
+    pub(super) fn receive(&mut self, now: Duration, bytes: &[u8]) {
+        if let Err(error) = self.membership.receive(now, bytes) {
+            tracing::debug!(%error, "datagram rejected");
         }
     }
 
     /// Does what is due, and sends what there is.
     pub(super) fn turn(&mut self, now: Duration, sockets: &mut Sockets) {
-        if now >= self.peers.next_deadline() {
-            self.peers.tick(now);
+        if now >= self.membership.next_deadline() {
+            self.membership.tick(now);
         }
-        while let Some((to, bytes)) = self.peers.take_datagram() {
+        while let Some((to, bytes)) = self.membership.take_datagram() {
             sockets.send_datagram(self.socket, to, &bytes);
         }
-        while let Some(news) = self.peers.take_event() {
-            tracing::info!(?news, "fleet");
+        while let Some(event) = self.membership.take_event() {
+            tracing::info!(?event, "membership event");
         }
     }
 
     /// Sends another something; one that is not known gets nothing.
-    pub(super) fn post_parcel(&mut self, now: Duration, to: &str, bytes: Vec<u8>) {
-        if let Ok(name) = MemberName::try_from(to.to_owned()) {
-            self.peers.send_direct(now, &name, bytes);
+    pub(super) fn send_direct(&mut self, now: Duration, message: DirectMessage) {
+        if let Ok(name) = MemberName::try_from(message.to) {
+            self.membership.send_direct(now, &name, message.bytes);
         }
     }
 
     /// Names of the others that are held to be there.
-    pub(super) fn here(&self) -> impl Iterator<Item = String> + '_ {
-        self.peers
+    pub(super) fn active_names(&self) -> impl Iterator<Item = String> + '_ {
+        self.membership
             .active_members()
             .map(|member| member.update.name.to_string())
     }
 
-    pub(super) fn parcel(&mut self) -> Option<(String, Vec<u8>)> {
-        self.peers
+    pub(super) fn take_direct_message(&mut self) -> Option<(String, Vec<u8>)> {
+        self.membership
             .take_direct_message()
             .map(|(from, bytes)| (from.to_string(), bytes))
     }
 
     pub(super) fn leave(&mut self, now: Duration, sockets: &mut Sockets) {
-        self.peers.leave(now);
+        self.membership.leave(now);
         self.turn(now, sockets);
     }
 
     /// Keys that can't be used change nothing.
-    pub(super) fn read_keys(&mut self) {
-        let read = read_keys(&self.key_file).map_err(|trouble| trouble.to_string());
+    pub(super) fn reload_keys(&mut self) {
+        let read = read_keys(&self.key_file).map_err(|error| error.to_string());
         let ids = |keys: &[Key]| keys.iter().map(|key| key.id).collect();
         let change = |keys: Vec<Key>| {
             let ids = ids(&keys);
-            self.peers
+            self.membership
                 .replace_keys(keys)
                 .map(|()| ids)
-                .map_err(|trouble| trouble.to_string())
+                .map_err(|error| error.to_string())
         };
         match read.and_then(change) {
             Ok(ids) => {
-                tracing::info!("the keys of the fleet were read again");
+                tracing::info!("membership keys reloaded");
                 self.keys = ids;
             }
-            Err(trouble) => {
-                tracing::warn!(%trouble, "the new keys can't be used; the old ones stay");
+            Err(error) => {
+                tracing::warn!(%error, "cannot reload the membership keys; the old ones stay");
                 self.keys_unusable += 1;
             }
         }
@@ -282,52 +296,51 @@
         &self,
         now: Duration,
         address: impl Fn(PodId) -> Option<SocketAddr>,
-    ) -> View {
-        let me = self.peers.local_member();
-        let members = self.peers.known_members().map(|member| Seen {
+    ) -> MembershipView {
+        let me = self.membership.local_member();
+        let members = self.membership.known_members().map(|member| MemberView {
             name: member.update.name.to_string(),
-            at: member.update.address,
-            standing: status_text(member.update.status).to_owned(),
-            start: member.update.started_at_ms,
+            address: member.update.address,
+            status: status_text(member.update.status).to_owned(),
+            started_at_ms: member.update.started_at_ms,
             incarnation: member.update.incarnation,
-            for_s: now.saturating_sub(member.status_since).as_secs_f64(),
+            seconds_in_status: now.saturating_sub(member.status_since).as_secs_f64(),
         });
-        View {
+        MembershipView {
             name: me.name.to_string(),
-            at: me.address,
-            listens: self.listens,
-            start: me.started_at_ms,
+            address: me.address,
+            listen_address: self.listen_address,
+            started_at_ms: me.started_at_ms,
             incarnation: me.incarnation,
-            slowness: self.peers.local_health(),
-            bytes_sent: self.peers.bytes_sent(),
+            local_health: self.membership.local_health(),
+            bytes_sent: self.membership.bytes_sent(),
             keys: self.keys.clone(),
             keys_unusable: self.keys_unusable,
-            refused: self
-                .peers
+            rejected: self.membership
                 .rejected_datagrams()
                 .iter()
                 .map(|(why, count)| (rejection_text(*why).to_owned(), *count))
                 .collect(),
             members: members.collect(),
-            chosen: self
-                .choices
+            selection: self
+                .coordination
                 .as_ref()
-                .and_then(|chooser| chooser.chosen(address)),
+                .and_then(|coordination| coordination.selection(address)),
         }
     }
 }
 
-impl Chooser {
-    fn see(
+impl EndpointCoordination {
+    fn observe_event(
         &mut self,
         now: Duration,
         event: &Event,
         address: &impl Fn(PodId) -> Option<SocketAddr>,
     ) {
         match event {
-            Event::RequestArrived(_) => self.choices.record_request(),
+            Event::RequestArrived(_) => self.coordinator.record_request(),
             Event::AttemptFinished(outcome) => {
-                let sign = match outcome.outcome {
+                let observation = match outcome.outcome {
                     AttemptOutcome::Succeeded | AttemptOutcome::Failed => {
                         Some(OutlierObservation::Answered(outcome.duration.as_secs_f64()))
                     }
@@ -341,10 +354,10 @@
                     )),
                     AttemptOutcome::NeverSent => None,
                 };
-                let known = self.pods.get(&outcome.pod).zip(sign);
-                known
-                    .into_iter()
-                    .for_each(|((_, key), sign)| self.choices.record_outcome(now, *key, sign));
+                let known = self.pods.get(&outcome.pod).zip(observation);
+                known.into_iter().for_each(|((_, key), observation)| {
+                    self.coordinator.record_outcome(now, *key, observation)
+                });
             }
             Event::Endpoints(news) => {
                 let (whole, rows) = match news {
@@ -371,8 +384,8 @@
     }
 
     /// The view for the module, if it changed; what is to be said is put up.
-    fn look(&mut self, now: Duration, peers: &mut Membership) -> Option<Option<FleetView>> {
-        if now < self.choices.next_deadline() {
+    fn update(&mut self, now: Duration, peers: &mut Membership) -> Option<Option<FleetView>> {
+        if now < self.coordinator.next_deadline() {
             return None;
         }
         if std::mem::take(&mut self.changed) {
@@ -381,9 +394,10 @@
                 zone: row.zone.0,
                 capacity: row.weight,
             };
-            self.choices.set_pods(self.pods.values().map(pod).collect());
+            self.coordinator
+                .set_pods(self.pods.values().map(pod).collect());
         }
-        if let Some(says) = self.choices.take_report(now) {
+        if let Some(says) = self.coordinator.take_report(now) {
             peers.publish(now, says.encode());
         }
         let says = |name| {
@@ -397,8 +411,8 @@
                 says(&member.update.name),
             )
         });
-        self.choices.set_peers(others);
-        let view = self.choices.take_view(now)?;
+        self.coordinator.set_peers(others);
+        let view = self.coordinator.take_view(now)?;
         let by_key: BTreeMap<u64, PodId> = self
             .pods
             .iter()
@@ -410,24 +424,31 @@
             min_endpoints: view.min_endpoints,
             probed_by_peers: view.probed_by_peers.iter().filter_map(pod).collect(),
         });
-        let (uses, held) = self.view.as_ref().map_or((0, 0), |view| {
+        let (min_endpoints, probed_by_peers) = self.view.as_ref().map_or((0, 0), |view| {
             (view.min_endpoints, view.probed_by_peers.len())
         });
-        tracing::info!(uses, held, "the fleet's word on the choices changed");
+        tracing::info!(
+            min_endpoints,
+            probed_by_peers,
+            "endpoint selection of the fleet changed"
+        );
         Some(self.view.clone())
     }
 
-    fn chosen(&self, address: impl Fn(PodId) -> Option<SocketAddr>) -> Option<Chosen> {
+    fn selection(
+        &self,
+        address: impl Fn(PodId) -> Option<SocketAddr>,
+    ) -> Option<EndpointSelectionView> {
         let view = self.view.as_ref()?;
         let name = |pod: &PodId| address(*pod).map(|at| at.to_string());
-        Some(Chosen {
-            uses: view
+        Some(EndpointSelectionView {
+            used: view
                 .preference
                 .iter()
                 .take(view.min_endpoints)
                 .filter_map(name)
                 .collect(),
-            held: view.probed_by_peers.iter().filter_map(name).collect(),
+            probed_by_peers: view.probed_by_peers.iter().filter_map(name).collect(),
         })
     }
 }
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -6,10 +6,11 @@
 
 mod clients;
 mod control;
-mod copies;
-mod fleet;
+mod direct_message;
+mod maintenance;
+mod membership;
+mod replication;
 mod upstream;
-mod work;
 
 use crate::endpoint_list::{EndpointDirectory, EndpointRecord};
 use crate::endpoint_list_file;
@@ -18,10 +19,6 @@
 use crate::state_store::StateStore;
 use clients::{Client, ClientRequest, ResponseOrigins, MAX_UNSENT_BYTES};
 use control::{EndpointListConnection, StageStreamConnection};
-use copies::{Copies, COPIES};
-pub use copies::{LogView, StateView};
-use fleet::Fleet;
-pub use fleet::{Seen, View};
 use limewing_decision::interface::{
     Action, AttemptIndex, EndpointUpdate, Event, Phase, RequestId, SidecarConfig, VoteAnswer,
 };
@@ -37,6 +34,12 @@
 use limewing_proxy_core::send_permit::SendAuthority;
 use limewing_proxy_core::shutdown::{PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts};
 use limewing_settings::{ConfigError, SidecarSettings};
+use maintenance::{EndpointContext, Maintenance};
+pub use maintenance::{ListView, MachineView, MaintenanceRequest, MaintenanceView, WorkReport};
+use membership::FleetMembership;
+pub use membership::{EndpointSelectionView, MemberView, MembershipView};
+use replication::Replication;
+pub use replication::{LogView, ReplicationView};
 use rustc_hash::FxHashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -44,8 +47,6 @@
 use std::time::Duration;
 use thiserror::Error;
 use upstream::UpstreamConnection;
-pub use work::{Asked, ListView, Said, WayView, WorkView};
-use work::{Site, Work};
 
 /// The signals on which a sidecar settles what it holds and leaves: SIGTERM and SIGINT.
 const LEAVE_ON: [i32; 2] = [15, 2];
@@ -168,14 +169,14 @@
     room: DescriptorBudget,
     reports: ResponseOrigins,
     /// The other sidecars, where the settings tell of them.
-    fleet: Option<Fleet>,
-    work: Option<Work>,
+    membership: Option<FleetMembership>,
+    maintenance: Option<Maintenance>,
     /// State that the others keep too.
-    copies: Option<Copies>,
+    replication: Option<Replication>,
     /// The node list as it was told; `rows` is what the module knows of it.
     listed: Vec<EndpointRecord>,
     /// Parcels for it came.
-    work_heard: bool,
+    maintenance_message_received: bool,
     shutdown: Shutdown,
     /// Connections wait at the listener, and there is no room for them.
     door: bool,
@@ -221,8 +222,10 @@
         let seed = settings.seed.unwrap_or_else(rand::random);
         let of_peers = settings.peers.as_ref();
         let zone = settings.start_terms(seed).zone.0;
-        let fleet = of_peers
-            .map(|peers| Fleet::start(&settings.name, peers, zone, &mut sockets, now, seed))
+        let membership = of_peers
+            .map(|peers| {
+                FleetMembership::start(&settings.name, peers, zone, &mut sockets, now, seed)
+            })
             .transpose()?;
         let keep = |file: PathBuf| {
             StateStore::start(move |rows: &Vec<EndpointRecord>| {
@@ -238,13 +241,13 @@
             .max();
         let longest_hit = longest.unwrap_or_default();
         let spans = (rules.drain_grace.into(), longest_hit, rules.cold_for.into());
-        let work = settings
+        let maintenance = settings
             .work
             .as_ref()
-            .map(|work| Work::start(&settings.name, work, now, seed, spans));
-        let work = work.transpose().map_err(StartError::Work)?;
+            .map(|work| Maintenance::start(&settings.name, work, now, seed, spans));
+        let maintenance = maintenance.transpose().map_err(StartError::Work)?;
         let replicas = settings.peers.as_ref().filter(|peers| peers.replicas);
-        let copies = replicas.map(|told| Copies::start(now, settings, told, seed));
+        let replication = replicas.map(|told| Replication::start(now, settings, told, seed));
         let terms = ServiceSettings {
             name: settings.name.clone(),
             via: format!("1.1 {}", settings.name),
@@ -293,11 +296,11 @@
             keeper,
             room,
             reports: ResponseOrigins::default(),
-            fleet,
-            work,
-            copies,
+            membership,
+            maintenance,
+            replication,
             listed: Vec::new(),
-            work_heard: false,
+            maintenance_message_received: false,
             shutdown: Shutdown::new(shutdown_timeouts(longest_hit)),
             door: false,
         };
@@ -319,9 +322,10 @@
         while !self.shutdown.is_done() {
             self.turn()?;
         }
-        if let (Some(work), Some(fleet)) = (&mut self.work, &mut self.fleet) {
-            work.leave(self.now, fleet);
-            fleet.leave(self.now, &mut self.sockets);
+        if let (Some(maintenance), Some(membership)) = (&mut self.maintenance, &mut self.membership)
+        {
+            maintenance.leave(self.now, membership);
+            membership.leave(self.now, &mut self.sockets);
         }
         if self
             .keeper
@@ -340,17 +344,16 @@
             .min();
         let next = next.map_or(self.wake, |at| at.min(self.wake));
         let next = self
-            .fleet
-            .as_ref()
-            .map_or(next, |fleet| fleet.next().min(next));
-        let next = self
-            .copies
+            .membership
             .as_ref()
-            .map_or(next, |copies| copies.next().min(next));
+            .map_or(next, |membership| membership.next_deadline().min(next));
         let next = self
-            .work
+            .replication
             .as_ref()
-            .map_or(next, |work| work.wakes(self.clock.now()).min(next));
+            .map_or(next, |replication| replication.next_deadline().min(next));
+        let next = self.maintenance.as_ref().map_or(next, |maintenance| {
+            maintenance.next_wake(self.clock.now()).min(next)
+        });
         let wait = if self.events.is_empty() {
             next.saturating_sub(self.clock.now())
         } else {
@@ -374,12 +377,12 @@
         while let Some(due) = self.timers.pop_expired(self.now) {
             self.handle_timer(due);
         }
-        self.open_parcels();
-        self.copy();
-        self.work_on();
-        self.show_fleet();
-        if let Some(fleet) = &mut self.fleet {
-            fleet.turn(self.now, &mut self.sockets);
+        self.receive_direct_messages();
+        self.run_replication();
+        self.run_maintenance();
+        self.notify_coordination();
+        if let Some(membership) = &mut self.membership {
+            membership.turn(self.now, &mut self.sockets);
         }
         let read = self.clock.now();
         let mut decided = read;
@@ -393,15 +396,15 @@
             actions
                 .into_iter()
                 .for_each(|action| self.carry_out(action));
-            // Work, copies and time bring lists and news, too.
+            // Work, replication and time bring lists and news, too.
             if forbids {
                 self.withdraw_forbidden_attempts();
             }
         }
         // What was just sent may be all that is left of this process: the others are told in the same turn.
-        self.copy();
-        if let Some(fleet) = &mut self.fleet {
-            fleet.turn(self.now, &mut self.sockets);
+        self.run_replication();
+        if let Some(membership) = &mut self.membership {
+            membership.turn(self.now, &mut self.sockets);
         }
         let done = self.clock.now();
         if done - self.now > LONG_TURN {
@@ -440,15 +443,15 @@
     }
 
     /// Brings what lists, news and the other sidecars have told to the decisions, and ends the attempts that are no longer
-    /// allowed. Each event is shown to copies, work and fleet once: here, or later in the turn.
+    /// allowed. Each event is shown to replication, work and fleet once: here, or later in the turn.
     fn apply_control_events(&mut self) {
-        self.open_parcels();
-        self.copy();
-        self.work_on();
+        self.receive_direct_messages();
+        self.run_replication();
+        self.run_maintenance();
         if self.events.is_empty() {
             return;
         }
-        self.show_fleet();
+        self.notify_coordination();
         let events = std::mem::take(&mut self.events);
         let actions = self.decisions.apply_events(self.now, events);
         actions
@@ -458,22 +461,33 @@
     }
 
     /// Shows the fleet what the module is about to be told, and adds what is news to it.
-    fn show_fleet(&mut self) {
-        let Some(fleet) = &mut self.fleet else { return };
-        let news = fleet.watch(self.now, &self.events, |pod| self.directory.address(pod));
+    fn notify_coordination(&mut self) {
+        let Some(membership) = &mut self.membership else {
+            return;
+        };
+        let news =
+            membership.observe_events(self.now, &self.events, |pod| self.directory.address(pod));
         self.events.extend(news);
     }
 
     /// Gives what other sidecars sent to whom it is for.
-    fn open_parcels(&mut self) {
-        let Some(fleet) = &mut self.fleet else { return };
-        while let Some((from, bytes)) = fleet.parcel() {
-            match (bytes.split_first(), &mut self.copies, &mut self.work) {
-                (Some((&COPIES, rest)), Some(copies), _) => copies.hear(self.now, &from, rest),
-                (Some((&COPIES, _)), None, _) => {}
-                (_, _, Some(work)) => {
-                    self.work_heard = true;
-                    work.hear(self.now, &from, &bytes);
+    fn receive_direct_messages(&mut self) {
+        let Some(membership) = &mut self.membership else {
+            return;
+        };
+        while let Some((from, bytes)) = membership.take_direct_message() {
+            match (
+                bytes.split_first(),
+                &mut self.replication,
+                &mut self.maintenance,
+            ) {
+                (Some((&direct_message::REPLICATION, rest)), Some(replication), _) => {
+                    replication.receive(self.now, &from, rest)
+                }
+                (Some((&direct_message::REPLICATION, _)), None, _) => {}
+                (_, _, Some(maintenance)) => {
+                    self.maintenance_message_received = true;
+                    maintenance.receive(self.now, &from, &bytes);
                 }
                 _ => {}
             }
@@ -481,12 +495,15 @@
     }
 
     /// Copies of state go between the others and this one; what of them is news to the module.
-    fn copy(&mut self) {
-        let (Some(copies), Some(fleet)) = (&mut self.copies, &mut self.fleet) else {
+    fn run_replication(&mut self) {
+        let (Some(replication), Some(membership)) = (&mut self.replication, &mut self.membership)
+        else {
             return;
         };
-        self.events.iter().for_each(|event| copies.see(event));
-        let (events, stage) = copies.turn(self.now, fleet);
+        self.events
+            .iter()
+            .for_each(|event| replication.observe_event(event));
+        let (events, stage) = replication.turn(self.now, membership);
         self.events.extend(events);
         if let Some(news) =
             stage.and_then(|message| control::accept_stage_message(&mut self.latest, message))
@@ -499,8 +516,9 @@
     }
 
     /// What is settled about machines that go out, and what the module is to be told of that.
-    fn work_on(&mut self) {
-        let (Some(work), Some(fleet)) = (&mut self.work, &mut self.fleet) else {
+    fn run_maintenance(&mut self) {
+        let (Some(maintenance), Some(membership)) = (&mut self.maintenance, &mut self.membership)
+        else {
             return;
         };
         for event in &self.events {
@@ -508,13 +526,18 @@
                 Event::Stage {
                     update: Some(news), ..
                 } => {
-                    work.trial(matches!(news.phase, Phase::OnTrial | Phase::RollingBack));
+                    maintenance.set_release_on_trial(matches!(
+                        news.phase,
+                        Phase::OnTrial | Phase::RollingBack
+                    ));
                 }
-                Event::RequestArrived { .. } => work.count(self.now, 1, 0),
+                Event::RequestArrived { .. } => maintenance.record_requests(self.now, 1, 0),
                 _ => {}
             }
         }
-        if !std::mem::take(&mut self.work_heard) && self.now < work.next() {
+        if !std::mem::take(&mut self.maintenance_message_received)
+            && self.now < maintenance.next_deadline()
+        {
             return;
         }
         let (requests, directory) = (&self.requests, &self.directory);
@@ -524,11 +547,11 @@
                 .filter_map(|pod| directory.address(pod))
                 .collect()
         };
-        let site = Site {
+        let site = EndpointContext {
             rows: &self.listed,
             busy: &busy,
         };
-        if work.turn(self.now, fleet, &site) {
+        if maintenance.turn(self.now, membership, &site) {
             let rows = self.told(self.listed.clone());
             let news = self
                 .directory
@@ -543,9 +566,9 @@
 
     /// The list as the module is told it: machines that go out for work drain.
     fn told(&self, mut rows: Vec<EndpointRecord>) -> Vec<EndpointRecord> {
-        if let Some(work) = &self.work {
+        if let Some(maintenance) = &self.maintenance {
             rows.iter_mut()
-                .for_each(|row| row.draining |= work.closes(&row.machine));
+                .for_each(|row| row.draining |= maintenance.is_closed(&row.machine));
         }
         rows
     }
@@ -616,13 +639,13 @@
                 self.make_room_for_clients();
             }
             SocketEvent::Datagram { bytes, .. } => {
-                if let Some(fleet) = &mut self.fleet {
-                    fleet.hear(self.now, &bytes);
+                if let Some(membership) = &mut self.membership {
+                    membership.receive(self.now, &bytes);
                 }
             }
             SocketEvent::Signal(HANG_UP) => {
-                if let Some(fleet) = &mut self.fleet {
-                    fleet.read_keys();
+                if let Some(membership) = &mut self.membership {
+                    membership.reload_keys();
                 }
             }
             SocketEvent::Signal(signal) => self.begin_shutdown(signal),
@@ -662,9 +685,9 @@
                 request: hit,
                 retry_after,
             } => {
-                self.work
+                self.maintenance
                     .iter_mut()
-                    .for_each(|work| work.count(self.now, 0, 1));
+                    .for_each(|maintenance| maintenance.record_requests(self.now, 0, 1));
                 self.reject_request(hit, retry_after);
             }
             Action::Fail { request: hit } => self.fail_request(hit),
@@ -690,8 +713,12 @@
             "leaving: no new hits are taken"
         );
         // Where machines go out for work it is waited for until it has settled all: it says so at its end.
-        if let Some(fleet) = self.fleet.as_mut().filter(|_| self.work.is_none()) {
-            fleet.leave(self.now, &mut self.sockets);
+        if let Some(membership) = self
+            .membership
+            .as_mut()
+            .filter(|_| self.maintenance.is_none())
+        {
+            membership.leave(self.now, &mut self.sockets);
         }
     }
 
--- a/crates/http-proxy/src/service/copies.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -1,7 +1,8 @@
 //! State that matters, kept by the others too: what this sidecar does is shown to `limewing_replication`, what the others put up goes to
 //! the decision module as keys that met a build and as stage news that only closes, and says which hits are not sent again.
 
-use super::fleet::Fleet;
+use super::direct_message::{DirectMessage, REPLICATION};
+use super::membership::FleetMembership;
 use crate::stage_updates::{StageMessage, StagePhase};
 use limewing_decision::interface::{
     AttemptOutcome, AttemptResult, BuildId, EndpointUpdate, Event, PodId, PodState, RequestId,
@@ -17,35 +18,36 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
 
-/// The first byte of a parcel: it is of the copies.
-pub const COPIES: u8 = 3;
-const BEAT: Duration = Duration::from_millis(50);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
 /// New entries go to so many others.
-const FAN: usize = 4;
+const GOSSIP_FANOUT: usize = 4;
 /// The others are looked for so often.
-const LOOKS_EVERY: Duration = Duration::from_millis(100);
+const MEMBERSHIP_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 /// Pods whose build is remembered, at most: beyond, the next lists tell anew.
-const MOST_PODS: usize = 10_000;
+const MAX_KNOWN_BUILDS: usize = 10_000;
 
-pub struct Copies {
+pub struct Replication {
     replica: Replica,
-    facts: MergedState,
-    own: LocalState,
+    merged: MergedState,
+    local: LocalState,
     builds: BTreeMap<PodId, BuildId>,
-    next_look: Duration,
+    next_refresh: Duration,
 }
 
 /// One sidecar's copies.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct StateView {
+pub struct ReplicationView {
     pub name: String,
-    pub start: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
     pub caught_up: bool,
     pub bytes_sent: u64,
     pub keys: usize,
-    pub hits: usize,
+    #[serde(rename = "hits")]
+    pub requests: usize,
     /// Facts that were left out for want of room.
-    pub left_out: u64,
+    #[serde(rename = "left_out")]
+    pub dropped_records: u64,
     /// By origin: up to where its copy is whole, entries that live, and entries given up for want of room.
     pub logs: Vec<LogView>,
     pub stages: Vec<String>,
@@ -56,13 +58,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogView {
     pub name: String,
-    pub start: u64,
-    pub upto: u64,
-    pub live: usize,
-    pub given_up: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
+    #[serde(rename = "upto")]
+    pub contiguous_through: u64,
+    #[serde(rename = "live")]
+    pub live_entries: usize,
+    #[serde(rename = "given_up")]
+    pub evicted_entries: u64,
 }
 
-fn stage_of(message: &StageMessage) -> Stage {
+fn to_record(message: &StageMessage) -> Stage {
     Stage {
         number: message.number,
         build: message.build,
@@ -77,7 +83,7 @@
     }
 }
 
-fn message_of(stage: &Stage) -> StageMessage {
+fn to_message(stage: &Stage) -> StageMessage {
     StageMessage {
         number: stage.number,
         build: stage.build,
@@ -94,7 +100,7 @@
     }
 }
 
-impl Copies {
+impl Replication {
     pub(super) fn start(
         now: Duration,
         settings: &SidecarSettings,
@@ -115,48 +121,53 @@
             .first()
             .map_or(0.0, |stage| stage.cap);
         // The rest is for knowing who is there.
-        let terms = ReplicaConfig {
+        let config = ReplicaConfig {
             origin: me,
-            gossip_interval: BEAT,
-            gossip_fanout: FAN,
+            gossip_interval: GOSSIP_INTERVAL,
+            gossip_fanout: GOSSIP_FANOUT,
             bytes_per_second: peers.bytes_per_s / 2,
             seed,
         };
         Self {
-            replica: Replica::new(now, terms),
-            facts: MergedState::default(),
-            own: LocalState::new(now, settings.releases.keys_stay, first_cap),
+            replica: Replica::new(now, config),
+            merged: MergedState::default(),
+            local: LocalState::new(now, settings.releases.keys_stay, first_cap),
             builds: BTreeMap::new(),
-            next_look: now,
+            next_refresh: now,
         }
     }
 
-    pub(super) fn next(&self) -> Duration {
-        self.replica.next_tick().min(self.next_look)
+    pub(super) fn next_deadline(&self) -> Duration {
+        self.replica.next_tick().min(self.next_refresh)
     }
 
-    pub(super) fn hear(&mut self, now: Duration, from: &str, bytes: &[u8]) {
+    pub(super) fn receive(&mut self, now: Duration, from: &str, bytes: &[u8]) {
         match Packet::decode(bytes) {
             Ok(packet) => self.replica.receive(now, from, packet),
-            Err(why) => tracing::debug!(from, %why, "copies that can't be read"),
+            Err(error) => tracing::debug!(from, %error, "replication packet rejected"),
         }
     }
 
-    fn put(&mut self, now: Duration, fact: &Record, life: Duration) {
-        let no = self.replica.publish(now, fact, life);
+    fn publish(&mut self, now: Duration, record: &Record, life: Duration) {
+        let no = self.replica.publish(now, record, life);
         let me = self.replica.origin().clone();
-        self.facts.apply(&me, no, now + life, fact);
+        self.merged.apply(&me, no, now + life, record);
     }
 
     /// A forward of a hit that may not run twice is about to leave.
-    pub(super) fn sent(&mut self, now: Duration, hit: RequestId, tag: u64) {
-        if let Some(fact) = self.own.attempt_started(hit.0, tag) {
-            self.put(now, &fact, EXECUTION_TIME_TO_LIVE);
+    pub(super) fn attempt_started(
+        &mut self,
+        now: Duration,
+        request: RequestId,
+        idempotency_key: u64,
+    ) {
+        if let Some(record) = self.local.attempt_started(request.0, idempotency_key) {
+            self.publish(now, &record, EXECUTION_TIME_TO_LIVE);
         }
     }
 
     /// Which build a pod runs is told by the list.
-    pub(super) fn see(&mut self, event: &Event) {
+    pub(super) fn observe_event(&mut self, event: &Event) {
         let Event::Endpoints(news) = event else {
             return;
         };
@@ -166,55 +177,62 @@
         else {
             return;
         };
-        if self.builds.len() > MOST_PODS {
+        if self.builds.len() > MAX_KNOWN_BUILDS {
             self.builds.clear();
         }
         let here = rows.iter().filter(|row| row.state != PodState::Gone);
         self.builds.extend(here.map(|row| (row.pod, row.build)));
     }
 
-    pub(super) fn ended(
+    pub(super) fn attempt_ended(
         &mut self,
         now: Duration,
         outcome: &AttemptResult,
         key: Option<RoutingKey>,
     ) {
         let build = self.builds.get(&outcome.pod).copied();
-        if let Some(fact) = self.own.attempt_ended(
+        if let Some(record) = self.local.attempt_ended(
             outcome.request.0,
             outcome.outcome.never_ran(),
             outcome.request_over,
         ) {
-            self.put(now, &fact, EXECUTION_TIME_TO_LIVE);
+            self.publish(now, &record, EXECUTION_TIME_TO_LIVE);
         }
         let met = key
             .zip(build)
             .filter(|_| outcome.outcome == AttemptOutcome::Succeeded);
-        if let Some(fact) = met.and_then(|(key, build)| self.own.key_served(now, key.0, build.0)) {
-            self.put(now, &fact, KEY_TIME_TO_LIVE);
+        if let Some(record) =
+            met.and_then(|(key, build)| self.local.key_served(now, key.0, build.0))
+        {
+            self.publish(now, &record, KEY_TIME_TO_LIVE);
         }
     }
 
     /// Nothing more is sent of a hit.
-    pub(super) fn over(&mut self, hit: RequestId) {
-        self.own.request_finished(hit.0);
+    pub(super) fn request_finished(&mut self, request: RequestId) {
+        self.local.request_finished(request.0);
     }
 
     /// Whether a hit is not to be sent now.
-    pub(super) fn refuses(
+    pub(super) fn refusal(
         &self,
         now: Duration,
-        tag: Option<u64>,
-        has_key: bool,
+        idempotency_key: Option<u64>,
+        has_routing_key: bool,
     ) -> Option<Refusal> {
-        self.own
-            .refusal(now, &self.facts, self.replica.caught_up(), tag, has_key)
+        self.local.refusal(
+            now,
+            &self.merged,
+            self.replica.caught_up(),
+            idempotency_key,
+            has_routing_key,
+        )
     }
 
     /// The installer's word: the others are told.
-    pub(super) fn stage_told(&mut self, now: Duration, message: &StageMessage) {
-        if let Some(fact) = self.own.stage_announced(stage_of(message)) {
-            self.put(now, &fact, STAGE_TIME_TO_LIVE);
+    pub(super) fn stage_announced(&mut self, now: Duration, message: &StageMessage) {
+        if let Some(record) = self.local.stage_announced(to_record(message)) {
+            self.publish(now, &record, STAGE_TIME_TO_LIVE);
         }
     }
 
@@ -222,24 +240,24 @@
     pub(super) fn turn(
         &mut self,
         now: Duration,
-        fleet: &mut Fleet,
+        membership: &mut FleetMembership,
     ) -> (Vec<Event>, Option<StageMessage>) {
-        if now >= self.next_look {
-            self.next_look = now + LOOKS_EVERY;
-            self.replica.set_peers(fleet.here());
-            self.facts.expire(now);
+        if now >= self.next_refresh {
+            self.next_refresh = now + MEMBERSHIP_REFRESH_INTERVAL;
+            self.replica.set_peers(membership.active_names());
+            self.merged.expire(now);
         }
         if now >= self.replica.next_tick() {
             self.replica.tick(now);
         }
         let (mut events, mut stages) = (Vec::new(), false);
         while let Some((origin, entry)) = self.replica.take_applied() {
-            let Some(fact) = Record::decode(entry.kind, &entry.body) else {
+            let Some(record) = Record::decode(entry.kind, &entry.body) else {
                 continue;
             };
             let until = now + Duration::from_millis(entry.time_to_live_ms.into());
-            let fresh = self.facts.apply(&origin, entry.sequence, until, &fact);
-            match fact {
+            let fresh = self.merged.apply(&origin, entry.sequence, until, &record);
+            match record {
                 Record::KeyServed { key, build } if fresh => {
                     events.push(Event::KeyServed(RoutingKey(key), BuildId(build)))
                 }
@@ -248,46 +266,46 @@
             }
         }
         while let Some((to, packet)) = self.replica.take_packet() {
-            let parcel = [&[COPIES], &packet.encode()[..]].concat();
-            fleet.post_parcel(now, &to, parcel);
+            let message = DirectMessage::new(to, REPLICATION, &packet.encode());
+            membership.send_direct(now, message);
         }
         let stage = stages
             .then(|| {
-                self.own
-                    .merge_stages(&self.replica.origin().name, &self.facts)
+                self.local
+                    .merge_stages(&self.replica.origin().name, &self.merged)
             })
             .flatten();
         if let Some(stage) = &stage {
-            tracing::info!(%stage, "stage news by the others' copies");
+            tracing::info!(%stage, "stage update from other sidecars");
         }
-        (events, stage.as_ref().map(message_of))
+        (events, stage.as_ref().map(to_message))
     }
 
-    pub(super) fn view(&self) -> StateView {
+    pub(super) fn view(&self) -> ReplicationView {
         let me = self.replica.origin();
-        let (keys, hits) = self.facts.key_and_request_counts();
+        let (keys, requests) = self.merged.key_and_request_counts();
         let log = |(origin, log): (&Origin, &limewing_replication::Log)| LogView {
             name: origin.name.clone(),
-            start: origin.incarnation,
-            upto: log.contiguous_through(),
-            live: log.live_entries(),
-            given_up: log.evicted_entries(),
+            incarnation: origin.incarnation,
+            contiguous_through: log.contiguous_through(),
+            live_entries: log.live_entries(),
+            evicted_entries: log.evicted_entries(),
         };
-        StateView {
+        ReplicationView {
             name: me.name.clone(),
-            start: me.incarnation,
+            incarnation: me.incarnation,
             caught_up: self.replica.caught_up(),
             bytes_sent: self.replica.bytes_sent(),
             keys,
-            hits,
-            left_out: self.facts.dropped_records(),
+            requests,
+            dropped_records: self.merged.dropped_records(),
             logs: self.replica.logs().map(log).collect(),
             stages: self
-                .facts
+                .merged
                 .stages()
                 .map(|(name, stage)| format!("{name}: {stage}"))
                 .collect(),
-            stage: self.own.stage().map(ToString::to_string),
+            stage: self.local.stage().map(ToString::to_string),
         }
     }
 }
--- a/crates/http-proxy/src/service/upstream.rs
+++ b/crates/http-proxy/src/service/upstream.rs
@@ -71,8 +71,8 @@
         let spent = open.attempts.len() > self.terms.max_forwards;
         // A body that was passed on is gone: nothing is left for another forward.
         let gone = !open.protocol_state.whole && open.protocol_state.carrier.is_some();
-        if let (Some(tag), Some(copies)) = (open.protocol_state.once, &mut self.copies) {
-            copies.sent(self.now, hit, tag);
+        if let (Some(tag), Some(replication)) = (open.protocol_state.once, &mut self.replication) {
+            replication.attempt_started(self.now, hit, tag);
         }
         if open.completed
             || open.protocol_state.passing.is_some()
@@ -488,13 +488,13 @@
             return;
         };
         ended.timer.map(|timer| self.timers.cancel(timer));
-        if let Some(copies) = &mut self.copies {
+        if let Some(replication) = &mut self.replication {
             let key = ended
                 .completed_request
                 .as_ref()
                 .or(self.requests.get(hit).map(|open| &open.protocol_state))
                 .and_then(|of| of.key);
-            copies.ended(self.now, &ended.result, key);
+            replication.attempt_ended(self.now, &ended.result, key);
         }
         self.events.push(Event::AttemptFinished(ended.result));
     }
--- a/crates/http-proxy/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -4,7 +4,9 @@
 
 use limewing_http_proxy::endpoint_list::{parse_endpoint_list, EndpointRecord};
 use limewing_http_proxy::endpoint_list_file;
-use limewing_http_proxy::service::{Asked, Said, StateView, View, WorkView};
+use limewing_http_proxy::service::{
+    MaintenanceRequest, MaintenanceView, MembershipView, ReplicationView, WorkReport,
+};
 use limewing_http_proxy::stage_updates::{
     StageEventReader, StageMessage, StagePhase, VoteMessage, VoteReply, VoteStatus, VoteVerdict,
 };
@@ -189,18 +191,18 @@
     let list = serde_json::from_value(serde_json::json!({
         "name": "kernel", "takes": 60.0, "stalls_after": 300.0, "limits": {"out": 6, "ready_part": 0.5}
     }));
-    let report = |said| Asked::Report { grant: 77, said };
+    let report = |report| MaintenanceRequest::ReportWork { grant: 77, report };
     let asked = [
-        Asked::Ask(list.unwrap()),
-        Asked::Hold(5),
-        Asked::GoOn(6),
-        Asked::Withdraw(u64::MAX),
-        Asked::Gone("sidecar-2".into()),
-        Asked::Vote("sidecar-3".into()),
-        Asked::Unvote("sidecar-4".into()),
-        report(Said::Began),
-        report(Said::Worked),
-        report(Said::Failed),
+        MaintenanceRequest::CreateList(list.unwrap()),
+        MaintenanceRequest::PauseList(5),
+        MaintenanceRequest::ResumeList(6),
+        MaintenanceRequest::WithdrawList(u64::MAX),
+        MaintenanceRequest::SidecarGone("sidecar-2".into()),
+        MaintenanceRequest::AddVoter("sidecar-3".into()),
+        MaintenanceRequest::RemoveVoter("sidecar-4".into()),
+        report(WorkReport::Began),
+        report(WorkReport::Succeeded),
+        report(WorkReport::Failed),
     ];
     let written: Vec<String> = asked
         .iter()
@@ -209,7 +211,7 @@
     let file = std::fs::read_to_string(golden("asked.jsonl")).unwrap();
     assert_eq!(written.join("\n") + "\n", file);
     for line in file.lines() {
-        let read: Asked = serde_json::from_str(line).unwrap();
+        let read: MaintenanceRequest = serde_json::from_str(line).unwrap();
         assert_eq!(serde_json::to_string(&read).unwrap(), line);
     }
 }
@@ -219,10 +221,10 @@
 }
 
 #[rstest]
-#[case::fleet("fleet.json", again::<View>)]
-#[case::fleet_without_choices("fleet-without-choices.json", again::<View>)]
-#[case::state("state-page.json", again::<StateView>)]
-#[case::work("work.json", again::<WorkView>)]
+#[case::fleet("fleet.json", again::<MembershipView>)]
+#[case::fleet_without_choices("fleet-without-choices.json", again::<MembershipView>)]
+#[case::state("state-page.json", again::<ReplicationView>)]
+#[case::work("work.json", again::<MaintenanceView>)]
 fn pages_are_as_before(#[case] name: &str, #[case] again: fn(&str) -> String) {
     let page = std::fs::read_to_string(golden(name)).unwrap();
     assert_eq!(again(&page), page);
--- a/crates/http-proxy/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -4,7 +4,7 @@
 
 use limewing_http_proxy::endpoint_list::EndpointRecord;
 use limewing_http_proxy::endpoint_list_file;
-use limewing_http_proxy::service::{Service, StateView, View, WorkView};
+use limewing_http_proxy::service::{MaintenanceView, MembershipView, ReplicationView, Service};
 use limewing_membership::{Config, Key, MemberName, Membership};
 use limewing_settings::{read_text, SidecarSettings};
 use serde::de::DeserializeOwned;
@@ -105,15 +105,15 @@
     read
 }
 
-fn fleet(at: SocketAddr) -> View {
+fn fleet(at: SocketAddr) -> MembershipView {
     page(at, "/limewing/fleet")
 }
 
-fn state(at: SocketAddr) -> StateView {
+fn state(at: SocketAddr) -> ReplicationView {
     page(at, "/limewing/state")
 }
 
-fn work(at: SocketAddr) -> WorkView {
+fn work(at: SocketAddr) -> MaintenanceView {
     page(at, "/limewing/work")
 }
 
@@ -207,7 +207,7 @@
 fn the_fleet_is_told_as_before() {
     let folder = folder();
     let at = run(&settings(&folder, "sidecar-0", |_| ()));
-    let reached = fleet(at).at;
+    let reached = fleet(at).address;
     let (falls, leaves) = (Arc::new(AtomicU8::new(RUNS)), Arc::new(AtomicU8::new(RUNS)));
     member("sidecar-1", reached, falls.clone());
     member("sidecar-2", reached, leaves.clone());
@@ -216,11 +216,11 @@
             .members
             .into_iter()
             .find(|seen| seen.name == name)
-            .map(|seen| seen.standing)
+            .map(|seen| seen.status)
     };
     until("both are alive", || {
         let members = fleet(at).members;
-        let alive = members.iter().all(|member| member.standing == "alive");
+        let alive = members.iter().all(|member| member.status == "alive");
         (members.len() == 2 && alive).then_some(())
     });
     leaves.store(LEAVES, Ordering::Relaxed);
@@ -237,7 +237,7 @@
         noise.send_to(&datagram, reached).unwrap();
     }
     let view = until("both are refused", || {
-        Some(fleet(at)).filter(|view| view.refused.len() == 2)
+        Some(fleet(at)).filter(|view| view.rejected.len() == 2)
     });
     let differs = [
         "/at",
@@ -337,11 +337,11 @@
         settings["state_file"] = json!(state_file(&folder, cold_until));
         settings["work"] = json!({"voters": ["sidecar-0"], "folder": folder.join("promises")});
     }));
-    until("it leads", || (work(at).standing == "leads").then_some(()));
+    until("it leads", || (work(at).role == "leads").then_some(()));
     // From then on a machine that is granted waits for the grace of what was sent to it.
     until("all machines are open", || {
         let view = work(at);
-        (view.lease && view.closed.is_empty()).then_some(())
+        (view.has_lease && view.closed_machines.is_empty()).then_some(())
     });
     let list = json!({"ask": {
         "name": "kernel", "machines": ["node-0", "node-1", "node-2"], "takes": 60, "stalls_after": 300,
@@ -356,10 +356,10 @@
         let list = work(at)
             .lists
             .into_iter()
-            .find(|list| list.list == number)?;
+            .find(|list| list.id == number)?;
         list.machines.into_iter().nth(place)
     };
-    let step = |place: usize| machine(place).map(|machine| machine.step);
+    let step = |place: usize| machine(place).map(|machine| machine.phase);
     let report = |place: usize, said: &str| {
         let grant = until("a grant", || {
             machine(place).and_then(|machine| machine.grant)
@@ -390,7 +390,7 @@
     });
     report(1, "failed");
     let view = until("it is over", || {
-        Some(work(at)).filter(|view| view.lists[0].over && view.closed.is_empty())
+        Some(work(at)).filter(|view| view.lists[0].finished && view.closed_machines.is_empty())
     });
     let differs = [
         "/settled",
@@ -413,19 +413,19 @@
     };
     let promises = [folder(), folder(), folder()];
     let first = start("sidecar-0", Some(&promises[0]), &[]);
-    assert_eq!(work(first).standing, "free");
-    let join = [fleet(first).at];
+    assert_eq!(work(first).role, "free");
+    let join = [fleet(first).address];
     let second = start("sidecar-1", Some(&promises[1]), &join);
     let third = start("sidecar-2", Some(&promises[2]), &join);
     let fourth = start("sidecar-3", None, &join);
-    assert_eq!(work(fourth).standing, "asks");
+    assert_eq!(work(fourth).role, "asks");
 
     let mut standings = until("one leads", || {
-        let standings = [first, second, third].map(|at| work(at).standing);
+        let standings = [first, second, third].map(|at| work(at).role);
         standings.contains(&"leads".to_owned()).then_some(standings)
     });
     until("the others follow", || {
-        standings = [first, second, third].map(|at| work(at).standing);
+        standings = [first, second, third].map(|at| work(at).role);
         standings.sort();
         (standings == ["follows", "follows", "leads"]).then_some(())
     });
@@ -435,7 +435,7 @@
     std::fs::copy(promises[1].join("agree.log"), alone.join("agree.log")).unwrap();
     let alone = start("sidecar-1", Some(&alone), &[]);
     assert_eq!(
-        words_until("tries", || Some(work(alone).standing))
+        words_until("tries", || Some(work(alone).role))
             .last()
             .unwrap(),
         "tries"
