--- /dev/null
+++ b/crates/http-proxy/src/service/clients/mod.rs
@@ -0,0 +1,234 @@
+//! The clients' side: their connections, and what is kept of their requests.
+//!
+//! - [`requests`] reads requests and starts them
+//! - [`request_bodies`] streams bodies that are too large for memory
+//! - [`responses`] writes the responses of pods
+//! - [`own_responses`] writes the responses that are this sidecar's own
+//! - [`pages`] serves this sidecar's own pages
+//! - [`wrong_answers`] takes reports of wrong answers
+
+mod own_responses;
+mod pages;
+mod request_bodies;
+mod requests;
+mod responses;
+mod wrong_answers;
+
+use super::attempt_token::AttemptId;
+use super::{ConnectionRole, Service, TimerEvent};
+use bytes::Bytes;
+use limewing_decision::interface::{AttemptIndex, ClassId, Event, RequestId, RoutingKey};
+use limewing_net::body::BodyReader;
+use limewing_net::http::RequestHead;
+use limewing_net::message_reader::RequestReader;
+use limewing_net::sockets::SocketId;
+use limewing_net::timer_wheel::TimerKey;
+use limewing_proxy_core::shutdown::ClientListener;
+pub(super) use responses::{streamed_framing, StreamEnd};
+use wrong_answers::ResponseOrigins;
+
+/// Output that may wait for a peer before the other side of the request is read no further, in bytes.
+pub(super) const MAX_UNSENT_BYTES: usize = 64 * 1024;
+/// The chunk that ends a chunked body.
+const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
+const HEAD_METHOD: &str = "HEAD";
+
+/// The clients of one sidecar.
+pub(super) struct Clients {
+    /// Where they are accepted.
+    pub(super) listener: ClientListener,
+    /// How many are connected.
+    pub(super) connected: usize,
+    /// Where responses came from.
+    response_origins: ResponseOrigins,
+}
+
+impl Clients {
+    /// No client yet.
+    pub(super) fn new(listener: ClientListener) -> Self {
+        Self {
+            listener,
+            connected: 0,
+            response_origins: ResponseOrigins::default(),
+        }
+    }
+}
+
+/// A client's connection.
+pub(super) struct Client {
+    reader: RequestReader,
+    /// The request in flight; requests that are pipelined behind it wait.
+    request: Option<RequestId>,
+    /// Reads the rest of a body that is streamed.
+    body_rest: Option<BodyReader>,
+    /// The connection closes after the present response.
+    close_after_response: bool,
+    request_timer: Option<TimerKey>,
+    stall_timer: Option<TimerKey>,
+}
+
+impl Client {
+    fn new(max_buffered_request: usize) -> Self {
+        Self {
+            reader: RequestReader::new(max_buffered_request),
+            request: None,
+            body_rest: None,
+            close_after_response: false,
+            request_timer: None,
+            stall_timer: None,
+        }
+    }
+
+    /// Whether no request is in flight.
+    pub(super) fn is_idle(&self) -> bool {
+        self.request.is_none()
+    }
+
+    /// Whether a part of its request's body has not been read.
+    pub(super) fn has_body_rest(&self) -> bool {
+        self.body_rest.is_some()
+    }
+}
+
+/// What is kept of a request in flight.
+pub(super) struct ClientRequest {
+    /// Its head.
+    pub(super) head: RequestHead,
+    /// Its body, or as much of it as was buffered.
+    pub(super) body: Bytes,
+    /// Whether the body is complete; the rest of an incomplete one is streamed, so that only one attempt can have it.
+    pub(super) is_body_complete: bool,
+    /// The attempt that the rest of the body is streamed to.
+    pub(super) body_attempt: Option<AttemptIndex>,
+    /// Its class.
+    pub(super) class: ClassId,
+    /// The hash of its routing key.
+    pub(super) routing_key: Option<RoutingKey>,
+    /// The hash of its idempotency key, if it may not run twice.
+    pub(super) idempotency_hash: Option<u64>,
+    /// The attempt whose response is streamed to the client.
+    pub(super) streamed_attempt: Option<AttemptIndex>,
+}
+
+impl ClientRequest {
+    /// Whether its responses have no body.
+    pub(super) fn is_head(&self) -> bool {
+        self.head.method == HEAD_METHOD
+    }
+}
+
+impl Service {
+    /// Takes up a client, or rejects it where there are too many.
+    pub(super) fn accept_client(&mut self, id: SocketId) {
+        if self.clients.connected >= self.settings.max_clients || self.shutdown.has_begun() {
+            return self.reject_client(id);
+        }
+        self.clients.connected += 1;
+        let client = Client::new(self.settings.max_buffered_request);
+        self.connections
+            .insert(id, ConnectionRole::Client(Box::new(client)));
+    }
+
+    fn client_mut(&mut self, id: SocketId) -> Option<&mut Client> {
+        match self.connections.get_mut(&id) {
+            Some(ConnectionRole::Client(client)) => Some(client),
+            _ => None,
+        }
+    }
+
+    /// All that waited for a client is with the system: what waited for that goes on.
+    pub(super) fn client_flushed(&mut self, id: SocketId) {
+        self.stop_stall_timer(id);
+        let Some(client) = self.client_mut(id) else {
+            return;
+        };
+        let request = client.request;
+        let Some(request) = request.and_then(|request| self.requests.get(request)) else {
+            return self.read_client(id);
+        };
+        let streamed = request
+            .protocol_state
+            .streamed_attempt
+            .and_then(|index| request.attempts.get(usize::from(index.0)));
+        if let Some(connection) = streamed.and_then(|attempt| attempt.connection) {
+            self.read_upstream(connection);
+        }
+    }
+
+    fn start_stall_timer(&mut self, id: SocketId) {
+        let stalled_at = self.now + self.settings.client_stall_timeout;
+        let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if client.stall_timer.is_none() {
+            let timer = self
+                .timers
+                .schedule(stalled_at, TimerEvent::ClientStalled(id));
+            client.stall_timer = Some(timer);
+        }
+    }
+
+    fn stop_stall_timer(&mut self, id: SocketId) {
+        let timer = self
+            .client_mut(id)
+            .and_then(|client| client.stall_timer.take());
+        if let Some(timer) = timer {
+            self.timers.cancel(timer);
+        }
+    }
+
+    /// The client has not read its response for too long.
+    pub(super) fn client_stalled(&mut self, id: SocketId) {
+        if let Some(client) = self.client_mut(id) {
+            client.stall_timer = None;
+            self.client_disconnected(id);
+        }
+    }
+
+    /// The client is gone, and with it its request, if it has one without its final response.
+    pub(super) fn client_disconnected(&mut self, id: SocketId) {
+        let request = self.client_mut(id).and_then(|client| client.request.take());
+        self.remove_client(id);
+        self.sockets.close(id);
+        if let Some(request) = request {
+            self.abandon_request(request);
+        }
+    }
+
+    fn abandon_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.client = None;
+        if request.completed {
+            return;
+        }
+        request.completed = true;
+        let streamed_attempt = request.protocol_state.streamed_attempt;
+        self.peers.request_finished(id);
+        self.events.push(Event::ClientDisconnected(id));
+        if let Some(index) = streamed_attempt {
+            self.abort_streamed_attempt(AttemptId { request: id, index });
+        }
+        self.requests.remove_if_complete(id);
+    }
+
+    /// Closes a client's connection once all that was written to it is sent.
+    pub(super) fn close_client(&mut self, id: SocketId) {
+        self.remove_client(id);
+        self.sockets.close_when_sent(id);
+    }
+
+    fn remove_client(&mut self, id: SocketId) {
+        let Some(ConnectionRole::Client(client)) = self.connections.remove(&id) else {
+            return;
+        };
+        self.clients.connected -= 1;
+        for timer in [client.request_timer, client.stall_timer]
+            .into_iter()
+            .flatten()
+        {
+            self.timers.cancel(timer);
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/clients/own_responses.rs
@@ -0,0 +1,166 @@
+//! Responses that are this sidecar's own: rejections, failures, its pages.
+
+use crate::service::Service;
+use bytes::BytesMut;
+use limewing_decision::interface::RequestId;
+use limewing_net::body::Framing;
+use limewing_net::http::{self, HttpError};
+use limewing_net::sockets::SocketId;
+use limewing_replication::Refusal;
+use std::time::Duration;
+
+const REQUEST_TIMEOUT: u16 = 408;
+const CONFLICT: u16 = 409;
+const BAD_GATEWAY: u16 = 502;
+const SERVICE_UNAVAILABLE: u16 = 503;
+const GATEWAY_TIMEOUT: u16 = 504;
+
+const PROXY_STATUS: &str = "proxy-status";
+const RETRY_AFTER: &str = "retry-after";
+/// `Retry-After` where there is no better figure, in seconds.
+const SHORT_RETRY_AFTER: &str = "1";
+
+/// A field's name and value.
+type Field<'a> = (&'a str, &'a str);
+
+/// What a response of this sidecar's own says of the request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Effect {
+    /// It did not run, and will not.
+    None,
+    /// It may have run.
+    Unknown,
+}
+
+impl Service {
+    /// Completes a request that had no effect; a `retry_after` of zero gives no advice.
+    pub(in crate::service) fn reject_request(&mut self, id: RequestId, retry_after: Duration) {
+        // Whole seconds are all that the field can say.
+        let seconds = retry_after.as_secs_f64().ceil().to_string();
+        let status = self.proxy_status(Effect::None);
+        let mut fields = vec![(PROXY_STATUS, status.as_str())];
+        if !retry_after.is_zero() {
+            fields.push((RETRY_AFTER, &seconds));
+        }
+        self.complete_request(id, SERVICE_UNAVAILABLE, &fields);
+    }
+
+    /// Completes a request that may have had an effect.
+    pub(in crate::service) fn fail_request(&mut self, id: RequestId) {
+        let request = self.requests.get(id);
+        let is_late = request.is_some_and(|request| self.now >= request.deadline);
+        let code = if is_late {
+            GATEWAY_TIMEOUT
+        } else {
+            BAD_GATEWAY
+        };
+        let status = self.proxy_status(Effect::Unknown);
+        self.complete_request(id, code, &[(PROXY_STATUS, &status)]);
+    }
+
+    fn complete_request(&mut self, id: RequestId, status: u16, fields: &[Field]) {
+        self.peers.request_finished(id);
+        let Some(request) = self.requests.pending_mut(id) else {
+            return;
+        };
+        request.completed = true;
+        if let Some(client) = request.client.take() {
+            self.respond(client, status, fields, b"");
+            self.end_request(client);
+        }
+        self.requests.remove_if_complete(id);
+    }
+
+    /// Responds to a client that is not taken up.
+    pub(super) fn reject_client(&mut self, id: SocketId) {
+        let status = self.proxy_status(Effect::None);
+        let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
+        self.write_own_response(id, SERVICE_UNAVAILABLE, &fields, b"", false);
+        self.sockets.close_when_sent(id);
+    }
+
+    /// Responds to a request that has arrived during the shutdown.
+    pub(super) fn reject_during_shutdown(&mut self, id: SocketId) {
+        let status = self.proxy_status(Effect::None);
+        let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
+        self.respond(id, SERVICE_UNAVAILABLE, &fields, b"");
+    }
+
+    /// Responds to a request that replicated state forbids to send.
+    pub(super) fn respond_to_refusal(
+        &mut self,
+        id: SocketId,
+        refusal: Refusal,
+        is_non_idempotent: bool,
+    ) {
+        let (code, effect) = match refusal {
+            // Whether it ran by way of another sidecar is not known here yet.
+            Refusal::NotCaughtUp if is_non_idempotent => (BAD_GATEWAY, Effect::Unknown),
+            Refusal::NotCaughtUp => (SERVICE_UNAVAILABLE, Effect::None),
+            Refusal::MayHaveRun => (CONFLICT, Effect::Unknown),
+        };
+        let status = self.proxy_status(effect);
+        self.respond(id, code, &[(PROXY_STATUS, &status)], b"");
+    }
+
+    /// Responds to a request that is not HTTP/1.1, and closes the connection.
+    pub(super) fn refuse_request(&mut self, id: SocketId, error: HttpError) {
+        tracing::debug!(why = %error, "a request was refused");
+        let text = format!("{error}\n");
+        self.write_own_response(id, error.status(), &[], text.as_bytes(), false);
+        self.close_client(id);
+    }
+
+    /// The request has not arrived in time.
+    pub(in crate::service) fn request_timed_out(&mut self, id: SocketId) {
+        let Some(client) = self.client_mut(id) else {
+            return;
+        };
+        client.request_timer = None;
+        let text = b"the request did not come whole in time\n";
+        self.write_own_response(id, REQUEST_TIMEOUT, &[], text, false);
+        self.close_client(id);
+    }
+
+    /// Responds to a client's present request, and closes the connection if that was its last.
+    pub(super) fn respond(&mut self, id: SocketId, status: u16, fields: &[Field], body: &[u8]) {
+        let keep_alive = self
+            .client_mut(id)
+            .is_some_and(|client| !client.close_after_response);
+        self.write_own_response(id, status, fields, body, keep_alive);
+        if !keep_alive {
+            self.close_client(id);
+        }
+    }
+
+    fn write_own_response(
+        &mut self,
+        id: SocketId,
+        status: u16,
+        fields: &[Field],
+        body: &[u8],
+        keep_alive: bool,
+    ) {
+        let fields = fields
+            .iter()
+            .map(|(name, value)| (name.as_bytes(), value.as_bytes()));
+        let framing = Framing::Length(body.len() as u64);
+        let mut out = BytesMut::new();
+        http::write_response(&mut out, status, fields, framing, keep_alive);
+        out.extend_from_slice(body);
+        self.sockets.send(id, &out);
+    }
+
+    /// The value of `Proxy-Status` (RFC 9209).
+    fn proxy_status(&self, effect: Effect) -> String {
+        let name = &self.settings.name;
+        match effect {
+            Effect::None => format!(
+                "{name}; error=destination_unavailable; details=\"bounced: a retry is harmless\""
+            ),
+            Effect::Unknown => format!(
+                "{name}; error=http_response_incomplete; details=\"errored: it may have run\""
+            ),
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/clients/request_bodies.rs
@@ -0,0 +1,74 @@
+//! Streams request bodies that are too large for memory to the pods.
+
+use super::{ClientRequest, LAST_CHUNK, MAX_UNSENT_BYTES};
+use crate::service::{ConnectionRole, Service};
+use bytes::BytesMut;
+use limewing_decision::interface::RequestId;
+use limewing_net::body::{write_chunk, Framing};
+use limewing_net::sockets::SocketId;
+use limewing_proxy_core::in_flight::InFlightRequests;
+
+/// Where the rest of a body is streamed to.
+struct BodyTarget {
+    connection: SocketId,
+    framing: Framing,
+}
+
+impl Service {
+    /// Streams what has arrived of a client's body, as fast as the pod takes it.
+    pub(in crate::service) fn stream_request_body(&mut self, id: SocketId) {
+        let ended = self.sockets.has_ended(id);
+        let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let (Some(request), Some(reader)) = (client.request, client.body_rest.as_mut()) else {
+            return;
+        };
+        // Before a pod has the request, or while it takes no more, the client is read no further.
+        let Some(target) = body_target(&self.requests, request) else {
+            if ended {
+                self.client_disconnected(id);
+            }
+            return;
+        };
+        let mut out = BytesMut::new();
+        while self.sockets.unsent_bytes(target.connection) + out.len() <= MAX_UNSENT_BYTES {
+            let Some(input) = self.sockets.input(id) else {
+                return;
+            };
+            match reader.next(input) {
+                Ok(Some(piece)) if target.framing == Framing::Chunked => {
+                    write_chunk(&mut out, &piece);
+                }
+                Ok(Some(piece)) => out.extend_from_slice(&piece),
+                Ok(None) => break,
+                // The rest can't be read: the pod must not take what it has for the complete body.
+                Err(_) => return self.client_disconnected(id),
+            }
+        }
+        if reader.ended() {
+            client.body_rest = None;
+            if target.framing == Framing::Chunked {
+                out.extend_from_slice(LAST_CHUNK);
+            }
+        }
+        if !out.is_empty() {
+            self.sockets.send(target.connection, &out);
+        }
+        if ended {
+            self.client_disconnected(id);
+        } else {
+            self.sockets.resume_reading(id);
+        }
+    }
+}
+
+fn body_target(requests: &InFlightRequests<ClientRequest>, id: RequestId) -> Option<BodyTarget> {
+    let request = requests.get(id).filter(|request| !request.completed)?;
+    let index = request.protocol_state.body_attempt?;
+    let attempt = request.attempts.get(usize::from(index.0))?;
+    Some(BodyTarget {
+        connection: attempt.connection?,
+        framing: request.protocol_state.head.framing,
+    })
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/clients/requests.rs
@@ -0,0 +1,172 @@
+//! Reads requests and starts them.
+
+use super::{ClientRequest, MAX_UNSENT_BYTES};
+use crate::request_classifier::RequestTraits;
+use crate::service::{ConnectionRole, Service, TimerEvent};
+use bytes::Bytes;
+use limewing_decision::interface::{Event, Request};
+use limewing_net::http::{HttpError, RequestHead};
+use limewing_net::sockets::SocketId;
+
+/// The response that asks a client for its body.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+impl Service {
+    /// Reads what a client has sent.
+    pub(in crate::service) fn read_client(&mut self, id: SocketId) {
+        loop {
+            let ended = self.sockets.has_ended(id);
+            let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
+                return;
+            };
+            if client.request.is_some() {
+                return self.read_during_request(id);
+            }
+            // Nothing more is read from a client that does not read its responses, and it is not waited for forever.
+            if self.sockets.unsent_bytes(id) > MAX_UNSENT_BYTES {
+                return self.start_stall_timer(id);
+            }
+            let Some(input) = self.sockets.input(id) else {
+                return;
+            };
+            let taken = client.reader.take(input, ended);
+            let has_partial_input = client.reader.is_mid_message() || !input.is_empty();
+            match taken {
+                Ok(Some((head, body))) => self.handle_request(id, head, body.freeze()),
+                Ok(None) if ended => return self.client_disconnected(id),
+                Ok(None) => return self.wait_for_request(id, has_partial_input),
+                Err(HttpError::UnexpectedEnd) => return self.client_disconnected(id),
+                Err(HttpError::BodyTooLarge) => self.handle_large_request(id),
+                Err(error) => return self.refuse_request(id, error),
+            }
+        }
+    }
+
+    /// The rest of a request's body is streamed. What is pipelined behind a request waits its turn; a client that closed
+    /// its side is gone, whatever it left unread.
+    fn read_during_request(&mut self, id: SocketId) {
+        let has_body_rest = self
+            .client_mut(id)
+            .is_some_and(|client| client.has_body_rest());
+        if has_body_rest {
+            self.stream_request_body(id);
+        } else if self.sockets.has_peer_closed(id) {
+            self.client_disconnected(id);
+        }
+    }
+
+    fn wait_for_request(&mut self, id: SocketId, has_partial_input: bool) {
+        let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
+            return;
+        };
+        if has_partial_input && client.request_timer.is_none() {
+            let late_at = self.now + self.settings.request_timeout;
+            let timer = self
+                .timers
+                .schedule(late_at, TimerEvent::RequestTimeout(id));
+            client.request_timer = Some(timer);
+        }
+        if client.reader.wants_continue() {
+            self.sockets.send(id, CONTINUE);
+        }
+        self.sockets.resume_reading(id);
+    }
+
+    /// The body is larger than what is buffered: its rest is streamed.
+    fn handle_large_request(&mut self, id: SocketId) {
+        let Some(client) = self.client_mut(id) else {
+            return;
+        };
+        let Some((head, body, reader)) = client.reader.take_incomplete() else {
+            return;
+        };
+        if !reader.ended() {
+            client.body_rest = Some(reader);
+        }
+        self.handle_request(id, head, body.freeze());
+    }
+
+    fn handle_request(&mut self, id: SocketId, head: RequestHead, body: Bytes) {
+        self.stop_request_timer(id);
+        let keep_alive = head.keep_alive && !self.shutdown.has_begun();
+        let Some(client) = self.client_mut(id) else {
+            return;
+        };
+        // Unless all of its body was read, what follows can't be told from it.
+        client.close_after_response = !keep_alive || client.has_body_rest();
+        if self.serve_own_page(id, &head, &body) {
+            return;
+        }
+        if self.shutdown.has_begun() {
+            return self.reject_during_shutdown(id);
+        }
+        match self.classifier.classify(&head, self.now) {
+            Ok(traits) => self.start_request(id, head, body, traits),
+            Err(error) => {
+                let text = format!("{error}\n");
+                self.respond(id, error.status(), &[], text.as_bytes());
+            }
+        }
+    }
+
+    fn start_request(
+        &mut self,
+        client_id: SocketId,
+        head: RequestHead,
+        body: Bytes,
+        traits: RequestTraits,
+    ) {
+        let refusal = self.peers.refusal(
+            self.now,
+            traits.idempotency_hash,
+            traits.routing_key.is_some(),
+        );
+        if let Some(refusal) = refusal {
+            let is_non_idempotent = traits.idempotency_hash.is_some();
+            return self.respond_to_refusal(client_id, refusal, is_non_idempotent);
+        }
+        let has_body_rest = self
+            .client_mut(client_id)
+            .is_some_and(|client| client.has_body_rest());
+        let request = ClientRequest {
+            head,
+            body,
+            is_body_complete: !has_body_rest,
+            body_attempt: None,
+            class: traits.class,
+            routing_key: traits.routing_key,
+            idempotency_hash: traits.idempotency_hash,
+            streamed_attempt: None,
+        };
+        let id = self.requests.insert(client_id, traits.deadline, request);
+        self.events.push(Event::RequestArrived(Request {
+            id,
+            class: traits.class,
+            tenant: traits.tenant,
+            routing_key: traits.routing_key,
+            deadline: traits.deadline,
+        }));
+        if let Some(client) = self.client_mut(client_id) {
+            client.request = Some(id);
+        }
+    }
+
+    /// The response is written, or the request ended without one: the next request is read.
+    pub(super) fn end_request(&mut self, id: SocketId) {
+        let Some(client) = self.client_mut(id) else {
+            return;
+        };
+        client.request = None;
+        self.stop_stall_timer(id);
+        self.read_client(id);
+    }
+
+    fn stop_request_timer(&mut self, id: SocketId) {
+        let timer = self
+            .client_mut(id)
+            .and_then(|client| client.request_timer.take());
+        if let Some(timer) = timer {
+            self.timers.cancel(timer);
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/clients/responses.rs
@@ -0,0 +1,182 @@
+//! Writes the responses of pods to clients, whole or as they arrive.
+
+use super::{ClientRequest, LAST_CHUNK, MAX_UNSENT_BYTES};
+use crate::service::attempt_token::{AttemptId, ATTEMPT_FIELD};
+use crate::service::Service;
+use bytes::BytesMut;
+use limewing_decision::interface::RequestId;
+use limewing_net::body::{write_chunk, Framing};
+use limewing_net::http::{self, ResponseHead};
+use limewing_net::sockets::SocketId;
+use limewing_proxy_core::in_flight::InFlightRequest;
+
+/// Bytes to allocate for a response's head.
+const HEAD_CAPACITY: usize = 1024;
+/// Bytes that a chunk's size and line ends may take.
+const CHUNK_OVERHEAD: usize = 16;
+
+/// How a streamed response ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::service) enum StreamEnd {
+    /// All of it has arrived.
+    Complete,
+    /// The pod broke it off.
+    Broken,
+}
+
+/// The framing of a streamed response: its length is kept; where the pod told none, chunks tell the end.
+pub(in crate::service) fn streamed_framing(head: &ResponseHead) -> Framing {
+    match head.framing {
+        Framing::Length(length) => Framing::Length(length),
+        Framing::Chunked | Framing::UntilClose => Framing::Chunked,
+    }
+}
+
+/// Whether no response was given or begun.
+fn accepts_response(request: &InFlightRequest<ClientRequest>) -> bool {
+    !request.completed && request.protocol_state.streamed_attempt.is_none()
+}
+
+/// The length of a response to HEAD is that of the body which GET would have had.
+fn buffered_framing(head: &ResponseHead, body: &[u8], is_head: bool) -> Framing {
+    let told = if is_head {
+        head.fields
+            .text("content-length")
+            .and_then(|text| text.parse().ok())
+    } else {
+        None
+    };
+    Framing::Length(told.unwrap_or(body.len() as u64))
+}
+
+impl Service {
+    /// Completes a request with a buffered response, unless another one is the client's already.
+    pub(in crate::service) fn deliver_response(
+        &mut self,
+        attempt: AttemptId,
+        head: &ResponseHead,
+        body: &[u8],
+    ) {
+        let request = self.requests.get_mut(attempt.request);
+        let Some(request) = request.filter(|request| accepts_response(request)) else {
+            return;
+        };
+        request.completed = true;
+        let client = request.client.take();
+        let is_head = request.protocol_state.is_head();
+        self.record_response_origin(attempt);
+        let Some(client) = client else { return };
+        let framing = buffered_framing(head, body, is_head);
+        let mut out = self.response_head(client, attempt, head, framing);
+        if !is_head {
+            out.extend_from_slice(body);
+        }
+        // Head and body at once: calls to the system are the dearest part of a request.
+        self.sockets.send(client, &out);
+        self.finish_response(client);
+    }
+
+    /// Begins to stream a response.
+    pub(in crate::service) fn begin_streaming(&mut self, attempt: AttemptId, head: &ResponseHead) {
+        let Some(request) = self.requests.get_mut(attempt.request) else {
+            return;
+        };
+        request.protocol_state.streamed_attempt = Some(attempt.index);
+        let Some(client) = request.client else { return };
+        self.record_response_origin(attempt);
+        let out = self.response_head(client, attempt, head, streamed_framing(head));
+        self.sockets.send(client, &out);
+    }
+
+    /// Streams a piece of a response's body.
+    pub(in crate::service) fn stream_response_piece(
+        &mut self,
+        request: RequestId,
+        framing: Framing,
+        piece: &[u8],
+    ) {
+        let Some(client) = self.client_of(request) else {
+            return;
+        };
+        if framing == Framing::Chunked {
+            let mut out = BytesMut::with_capacity(piece.len() + CHUNK_OVERHEAD);
+            write_chunk(&mut out, piece);
+            self.sockets.send(client, &out);
+        } else {
+            self.sockets.send(client, piece);
+        }
+        if self.sockets.unsent_bytes(client) > MAX_UNSENT_BYTES {
+            self.start_stall_timer(client);
+        }
+    }
+
+    /// Ends a streamed response. The connection of a broken one is closed, so that the client sees it.
+    pub(in crate::service) fn end_streaming(
+        &mut self,
+        id: RequestId,
+        head: &ResponseHead,
+        end: StreamEnd,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.completed = true;
+        let Some(client_id) = request.client.take() else {
+            return;
+        };
+        if end == StreamEnd::Broken {
+            if let Some(client) = self.client_mut(client_id) {
+                client.request = None;
+            }
+            return self.client_disconnected(client_id);
+        }
+        if streamed_framing(head) == Framing::Chunked {
+            self.sockets.send(client_id, LAST_CHUNK);
+        }
+        self.finish_response(client_id);
+    }
+
+    /// Whether the client of a request takes no more for now.
+    pub(in crate::service) fn is_client_full(&mut self, request: RequestId) -> bool {
+        match self.client_of(request) {
+            Some(client) => self.sockets.unsent_bytes(client) > MAX_UNSENT_BYTES,
+            None => false,
+        }
+    }
+
+    fn client_of(&self, request: RequestId) -> Option<SocketId> {
+        self.requests.get(request)?.client
+    }
+
+    fn response_head(
+        &mut self,
+        client: SocketId,
+        attempt: AttemptId,
+        head: &ResponseHead,
+        framing: Framing,
+    ) -> BytesMut {
+        let keep_alive = self
+            .client_mut(client)
+            .is_some_and(|client| !client.close_after_response);
+        let token = self.upstream.tokens.encode(attempt);
+        let own = [
+            (ATTEMPT_FIELD.as_bytes(), token.as_bytes()),
+            (&b"via"[..], self.settings.via.as_bytes()),
+        ];
+        let fields = head.fields.end_to_end().chain(own);
+        let mut out = BytesMut::with_capacity(HEAD_CAPACITY);
+        http::write_response(&mut out, head.status, fields, framing, keep_alive);
+        out
+    }
+
+    fn finish_response(&mut self, id: SocketId) {
+        let closes = self
+            .client_mut(id)
+            .is_some_and(|client| client.close_after_response);
+        if closes {
+            self.close_client(id);
+        } else {
+            self.end_request(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -0,0 +1,255 @@
+//! The watch of the rollout's stages by a stream of server-sent events.
+
+use crate::service::{ConnectionRole, Service, TimerEvent};
+use crate::stage_updates::{StageEventReader, StageMessage, StageStreamError, StageUpdateFilter};
+use limewing_coordination::Service as ControlService;
+use limewing_decision::interface::{Event, StageUpdate};
+use limewing_net::body::{BodyReader, Framing};
+use limewing_net::http::{self, HeadLimits, HttpError};
+use limewing_net::sockets::SocketId;
+use limewing_net::timer_wheel::TimerKey;
+use limewing_proxy_core::backoff::Backoff;
+use std::time::Duration;
+
+/// Where the rollout service serves the stream.
+const STAGES_PATH: &str = "/v1/stages";
+/// Status of a response that has the stream.
+const OK: u16 = 200;
+
+/// A connection that carries the stream.
+pub(in crate::service) struct StageStreamConnection {
+    /// Reads the response's body, once its head was read.
+    body: Option<BodyReader>,
+    events: StageEventReader,
+    /// Fires if the stream is silent for too long.
+    timer: TimerKey,
+}
+
+/// The state of the watch that outlives a connection.
+pub(in crate::service) struct StageWatch {
+    filter: StageUpdateFilter,
+    backoff: Backoff,
+}
+
+/// Why the stream was lost.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub(in crate::service) enum StageStreamLoss {
+    /// The system refuses a connection.
+    #[error("no connection")]
+    Connect,
+    /// The connection was lost.
+    #[error("the connection was lost")]
+    ConnectionLost,
+    /// The response is not a stream of events.
+    #[error("no stream of events")]
+    NoStream,
+    /// The stream was silent for too long.
+    #[error("the stream says nothing")]
+    Silent,
+    /// The service ended the stream.
+    #[error("the stream ended")]
+    Ended,
+    /// The response's body is not HTTP.
+    #[error("{0}")]
+    Body(HttpError),
+    /// An event can't be read.
+    #[error("{0}")]
+    Event(#[from] StageStreamError),
+}
+
+impl StageWatch {
+    /// A watch whose backoff's jitter is drawn from `seed`.
+    pub(in crate::service) fn new(seed: u64) -> Self {
+        Self {
+            filter: StageUpdateFilter::default(),
+            backoff: Backoff::new(seed),
+        }
+    }
+
+    /// The update of a message; `None` if the message is older than one before.
+    pub(in crate::service) fn accept(&mut self, message: StageMessage) -> Option<StageUpdate> {
+        let update = self.filter.accept(message);
+        if update.is_none() {
+            tracing::warn!(number = message.number, "old stage news left out");
+        }
+        update
+    }
+}
+
+impl Service {
+    /// Opens the stream, unless it is other sidecars' turn to find the service back.
+    pub(in crate::service) fn open_stage_stream(&mut self) {
+        if self.shutdown.has_begun() {
+            return;
+        }
+        let Some(service) = &self.settings.rollout_service else {
+            return;
+        };
+        let address = service.address;
+        let silent_at = self.now + Duration::from(service.quiet_at_most);
+        let deferred = self
+            .peers
+            .deferred_poll(self.now, ControlService::Installer);
+        if let Some(at) = deferred {
+            self.timers.schedule(at, TimerEvent::OpenStageStream);
+            return;
+        }
+        let Ok(socket) = self.sockets.connect(address) else {
+            return self.retry_stage_stream(&StageStreamLoss::Connect);
+        };
+        let timer = self
+            .timers
+            .schedule(silent_at, TimerEvent::StageStreamTimeout(socket));
+        let connection = StageStreamConnection {
+            body: None,
+            events: StageEventReader::default(),
+            timer,
+        };
+        self.connections
+            .insert(socket, ConnectionRole::StageStream(Box::new(connection)));
+    }
+
+    /// Asks for the stream on a connection that is up.
+    pub(in crate::service) fn stage_stream_connected(&mut self, socket: SocketId) {
+        let Some(service) = &self.settings.rollout_service else {
+            return;
+        };
+        let request = self.control_request("GET", STAGES_PATH, service.address, Framing::Length(0));
+        self.sockets.send(socket, &request);
+    }
+
+    /// Reads what has arrived of the stream.
+    pub(in crate::service) fn read_stage_stream(&mut self, socket: SocketId) {
+        let ended = self.sockets.has_ended(socket);
+        if !self.restart_silence_timer(socket) {
+            return;
+        }
+        match self.read_stage_stream_head(socket, ended) {
+            Ok(true) => {}
+            Ok(false) => return,
+            Err(loss) => return self.stage_stream_lost(socket, &loss),
+        }
+        loop {
+            match self.read_stage_messages(socket) {
+                Ok(Some(messages)) => self.handle_stage_messages(&messages),
+                Ok(None) => break,
+                Err(loss) => return self.stage_stream_lost(socket, &loss),
+            }
+        }
+        if ended || self.has_stage_stream_ended(socket) {
+            return self.stage_stream_lost(socket, &StageStreamLoss::Ended);
+        }
+        self.sockets.resume_reading(socket);
+    }
+
+    fn restart_silence_timer(&mut self, socket: SocketId) -> bool {
+        let Some(service) = &self.settings.rollout_service else {
+            return false;
+        };
+        let Some(ConnectionRole::StageStream(connection)) = self.connections.get_mut(&socket)
+        else {
+            return false;
+        };
+        let silent_at = self.now + Duration::from(service.quiet_at_most);
+        let timer = self
+            .timers
+            .schedule(silent_at, TimerEvent::StageStreamTimeout(socket));
+        let old_timer = std::mem::replace(&mut connection.timer, timer);
+        self.timers.cancel(old_timer);
+        true
+    }
+
+    /// Whether the response's head was read, now or before.
+    fn read_stage_stream_head(
+        &mut self,
+        socket: SocketId,
+        ended: bool,
+    ) -> Result<bool, StageStreamLoss> {
+        let Some(ConnectionRole::StageStream(connection)) = self.connections.get_mut(&socket)
+        else {
+            return Ok(false);
+        };
+        let Some(input) = self.sockets.input(socket) else {
+            return Ok(false);
+        };
+        if connection.body.is_some() {
+            return Ok(true);
+        }
+        match http::parse_response(input, false, HeadLimits::default()) {
+            Ok(Some(head)) if head.status == OK => {
+                connection.body = Some(BodyReader::new(head.framing));
+                Ok(true)
+            }
+            Ok(None) if !ended => Ok(false),
+            _ => Err(StageStreamLoss::NoStream),
+        }
+    }
+
+    /// The messages in the next piece of the stream; `None` if no piece has arrived.
+    fn read_stage_messages(
+        &mut self,
+        socket: SocketId,
+    ) -> Result<Option<Vec<StageMessage>>, StageStreamLoss> {
+        let Some(ConnectionRole::StageStream(connection)) = self.connections.get_mut(&socket)
+        else {
+            return Ok(None);
+        };
+        let (Some(body), Some(input)) = (&mut connection.body, self.sockets.input(socket)) else {
+            return Ok(None);
+        };
+        let Some(piece) = body.next(input).map_err(StageStreamLoss::Body)? else {
+            return Ok(None);
+        };
+        Ok(Some(connection.events.read(&piece)?))
+    }
+
+    fn handle_stage_messages(&mut self, messages: &[StageMessage]) {
+        if !messages.is_empty() {
+            self.stages.backoff.reset();
+            self.peers
+                .record_poll(self.now, ControlService::Installer, true);
+        }
+        for message in messages {
+            let Some(update) = self.stages.accept(*message) else {
+                continue;
+            };
+            self.peers.stage_announced(self.now, message);
+            self.events.push(Event::Stage {
+                update: Some(update),
+                vote_answer: None,
+            });
+        }
+    }
+
+    fn has_stage_stream_ended(&self, socket: SocketId) -> bool {
+        match self.connections.get(&socket) {
+            Some(ConnectionRole::StageStream(connection)) => {
+                connection.body.as_ref().is_some_and(BodyReader::ended)
+            }
+            _ => false,
+        }
+    }
+
+    /// Closes a stream that was lost, and opens it again after a backoff.
+    pub(in crate::service) fn stage_stream_lost(
+        &mut self,
+        socket: SocketId,
+        loss: &StageStreamLoss,
+    ) {
+        let Some(ConnectionRole::StageStream(connection)) = self.connections.remove(&socket) else {
+            return;
+        };
+        self.timers.cancel(connection.timer);
+        self.sockets.close(socket);
+        self.retry_stage_stream(loss);
+    }
+
+    fn retry_stage_stream(&mut self, loss: &StageStreamLoss) {
+        self.peers
+            .record_poll(self.now, ControlService::Installer, false);
+        tracing::warn!(why = %loss, "no stage news; asked for again");
+        let delay = self.stages.backoff.next_delay();
+        self.timers
+            .schedule(self.now + delay, TimerEvent::OpenStageStream);
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/shutdown.rs
@@ -0,0 +1,101 @@
+//! The sidecar's graceful shutdown.
+
+use super::{ConnectionRole, Service};
+use limewing_decision::interface::Event;
+use limewing_net::sockets::SocketId;
+use limewing_proxy_core::shutdown::{GracefulShutdown, PendingWork, Shutdown, ShutdownTimeouts};
+use std::time::Duration;
+
+/// How long a response may take to reach its client after the last deadline.
+const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(500);
+
+/// The times of a shutdown: the longest client timeout is waited out, then the way of its responses. No connection is
+/// accepted from the beginning on.
+pub(super) fn shutdown_timeouts(max_client_timeout: Duration) -> ShutdownTimeouts {
+    ShutdownTimeouts {
+        stop_accepting: Duration::ZERO,
+        respond_to_all: max_client_timeout + RESPONSE_ALLOWANCE,
+        exit: max_client_timeout + 2 * RESPONSE_ALLOWANCE,
+    }
+}
+
+impl Service {
+    /// Accepts no more connections, settles what is in flight and exits in bounded time.
+    pub(super) fn begin_shutdown(&mut self, signal: i32) {
+        if !self.shutdown.begin(self.now) {
+            return;
+        }
+        tracing::info!(
+            signal,
+            open_hits = self.requests.len(),
+            "leaving: no new hits are taken"
+        );
+        self.peers.leave_at_shutdown(self.now, &mut self.sockets);
+    }
+
+    fn idle_clients(&self) -> Vec<SocketId> {
+        let mut idle = Vec::new();
+        for (id, role) in &self.connections {
+            if matches!(role, ConnectionRole::Client(client) if client.is_idle()) {
+                idle.push(*id);
+            }
+        }
+        idle.sort_unstable();
+        idle
+    }
+}
+
+impl GracefulShutdown for Service {
+    fn shutdown(&mut self) -> &mut Shutdown {
+        &mut self.shutdown
+    }
+
+    fn now(&self) -> Duration {
+        self.now
+    }
+
+    fn pending_work(&self) -> PendingWork {
+        PendingWork {
+            backlog: self.clients.listener.has_backlog(),
+            requests: self.requests.has_pending(),
+            clients: self.clients.connected > 0,
+            // Attempts of completed requests are waited for, too: their outcomes are to be known.
+            unsent: !self.requests.is_empty()
+                || self.sockets.total_unsent_bytes() > 0
+                || self.sockets.has_lingering(),
+        }
+    }
+
+    fn accept_backlog(&mut self) {
+        self.clients.listener.accept_backlog(&mut self.sockets);
+    }
+
+    /// Connections that wait are accepted and answered; those that carry nothing are closed.
+    fn stop_accepting(&mut self) {
+        self.clients.listener.close(&mut self.sockets);
+        let mut idle = self.idle_clients();
+        // A request that the system holds, or that has begun to arrive, is answered first.
+        idle.retain(|id| self.sockets.is_silent(*id));
+        for id in idle {
+            self.close_client(id);
+        }
+    }
+
+    fn respond_to_all(&mut self) {
+        for id in self.requests.pending_ids() {
+            tracing::warn!(hit = id.0, "not answered before the end");
+            let Some(request) = self.requests.get(id) else {
+                continue;
+            };
+            let is_streamed = request.protocol_state.streamed_attempt.is_some();
+            match request.client {
+                // The client sees by the connection's end that its response is not complete.
+                Some(client) if is_streamed => self.client_disconnected(client),
+                _ => {
+                    self.events.push(Event::ClientDisconnected(id));
+                    self.fail_request(id);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/startup.rs
@@ -0,0 +1,122 @@
+//! Builds a sidecar from its settings.
+
+use super::attempt_token::AttemptTokens;
+use super::clients::{Clients, MAX_UNSENT_BYTES};
+use super::control::endpoint_watch::EndpointWatch;
+use super::control::stage_watch::StageWatch;
+use super::peers::Peers;
+use super::settings::ServiceSettings;
+use super::shutdown::shutdown_timeouts;
+use super::upstream::Upstream;
+use super::{Decisions, Service, StartError};
+use crate::endpoint_list::EndpointRecord;
+use crate::endpoint_list_file;
+use crate::request_classifier::RequestClassifier;
+use crate::state_store::StateStore;
+use limewing_decision::interface::SidecarConfig;
+use limewing_decision::DecisionEngine;
+use limewing_net::sockets::{resource_limits, Sockets, MAX_INPUT};
+use limewing_net::timer_wheel::TimerWheel;
+use limewing_proxy_core::clock::Clock;
+use limewing_proxy_core::descriptor_budget::DescriptorBudget;
+use limewing_proxy_core::in_flight::InFlightRequests;
+use limewing_proxy_core::shutdown::{ClientListener, Shutdown};
+use limewing_proxy_core::signals;
+use limewing_settings::SidecarSettings;
+use rustc_hash::FxHashMap;
+use std::io;
+use std::time::Duration;
+
+/// Address space that the system's allocator reserves for each thread that allocates, in bytes.
+const ALLOCATOR_RESERVE: usize = 64 << 20;
+
+impl Service {
+    /// Listens, takes up the endpoint list that was saved last, and begins to query the present one.
+    ///
+    /// # Errors
+    /// The address is taken, the settings can't be used, or the system refuses.
+    pub fn start(settings: &SidecarSettings) -> Result<Self, StartError> {
+        Self::start_with(settings, |now, config| {
+            Box::new(DecisionEngine::new(now, config))
+        })
+    }
+
+    /// As [`Service::start`], with decisions that the caller makes from the time and the configuration.
+    ///
+    /// # Errors
+    /// As [`Service::start`].
+    pub fn start_with(
+        settings: &SidecarSettings,
+        decisions: impl FnOnce(Duration, SidecarConfig) -> Box<dyn Decisions + Send>,
+    ) -> Result<Self, StartError> {
+        let classifier = RequestClassifier::new(settings).map_err(StartError::Settings)?;
+        let mut sockets = Sockets::new()?;
+        sockets.watch_signals(&signals::WATCHED)?;
+        let at = settings.listen;
+        let listener =
+            ClientListener::bind(&mut sockets, at).map_err(|why| StartError::Listen { at, why })?;
+        let budget = descriptor_budget(settings);
+        sockets.limit_connections(budget.max_accepted, budget.max_connections);
+        let clock = Clock::default();
+        let now = clock.now();
+        let seed = settings.seed.unwrap_or_else(rand::random);
+        let max_client_timeout = max_client_timeout(settings);
+        let peers = Peers::start(settings, now, seed, max_client_timeout, &mut sockets)?;
+        let state_store = start_state_store(settings)?;
+        let tokens = AttemptTokens::new(&settings.name, rand::random());
+        let mut service = Self {
+            sockets,
+            clock,
+            now,
+            timers: TimerWheel::default(),
+            connections: FxHashMap::default(),
+            decisions: decisions(now, settings.start_terms(seed)),
+            wake_at: now,
+            events: Vec::new(),
+            settings: ServiceSettings::new(settings),
+            classifier,
+            requests: InFlightRequests::default(),
+            clients: Clients::new(listener),
+            upstream: Upstream::new(budget, tokens),
+            endpoints: EndpointWatch::new(&settings.fleet.zones, state_store),
+            stages: StageWatch::new(seed),
+            peers,
+            shutdown: Shutdown::new(shutdown_timeouts(max_client_timeout)),
+        };
+        service.announce_cached_list(settings.state_file.as_deref());
+        service.open_stage_stream();
+        Ok(service)
+    }
+}
+
+fn descriptor_budget(settings: &SidecarSettings) -> DescriptorBudget {
+    let limits = &settings.limits;
+    let client_memory = limits.body_kept + limits.answer_gathered + MAX_INPUT + MAX_UNSENT_BYTES;
+    let (descriptors, memory) = resource_limits();
+    // Each thread beside the loop has an allocator's reserve of its own, which counts as address space.
+    let threads =
+        1 + usize::from(settings.state_file.is_some()) + usize::from(settings.work.is_some());
+    let reserved = (threads * ALLOCATOR_RESERVE).min(memory / 4 * 3);
+    DescriptorBudget::new(descriptors, memory - reserved, client_memory)
+}
+
+fn max_client_timeout(settings: &SidecarSettings) -> Duration {
+    settings
+        .path_groups
+        .iter()
+        .map(|class| Duration::from(class.client_timeout))
+        .max()
+        .unwrap_or_default()
+}
+
+fn start_state_store(
+    settings: &SidecarSettings,
+) -> io::Result<Option<StateStore<Vec<EndpointRecord>>>> {
+    let Some(path) = settings.state_file.clone() else {
+        return Ok(None);
+    };
+    let store = StateStore::start(move |endpoints: &Vec<EndpointRecord>| {
+        endpoint_list_file::save(&path, endpoints)
+    })?;
+    Ok(Some(store))
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/upstream/responses.rs
@@ -0,0 +1,178 @@
+//! Passes the responses of pods on to clients.
+
+use super::exchange::{BodyRead, Exchange, ResponseProgress, StreamingRules};
+use crate::service::clients::{streamed_framing, StreamEnd};
+use crate::service::{ConnectionRole, Service};
+use limewing_decision::interface::{AttemptOutcome, Event};
+use limewing_net::sockets::SocketId;
+use limewing_proxy_core::eviction::IdleConnectionOwner;
+
+impl Service {
+    /// Reads what a pod has sent.
+    pub(in crate::service) fn read_upstream(&mut self, socket: SocketId) {
+        let Some(ConnectionRole::Upstream(connection)) = self.connections.get(&socket) else {
+            return;
+        };
+        // Bytes that no request asked for, or the end of an idle connection: it is of no more use.
+        let Some(exchange) = &connection.exchange else {
+            return self.close_idle_connection(socket);
+        };
+        let attempt = exchange.attempt;
+        // What a client does not read stays with its pod.
+        if exchange.is_streamed && self.is_client_full(attempt.request) {
+            return;
+        }
+        match self.read_response(socket) {
+            ResponseProgress::Incomplete => self.sockets.resume_reading(socket),
+            ResponseProgress::Complete => self.response_complete(socket),
+            ResponseProgress::Broken => self.response_broken(socket),
+            ResponseProgress::Unneeded => {
+                self.detach_exchange(Some(socket));
+                self.end_attempt(attempt, AttemptOutcome::Cancelled);
+            }
+        }
+    }
+
+    fn read_response(&mut self, socket: SocketId) -> ResponseProgress {
+        let ended = self.sockets.has_ended(socket);
+        let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
+            return ResponseProgress::Incomplete;
+        };
+        let Some(exchange) = &mut connection.exchange else {
+            return ResponseProgress::Incomplete;
+        };
+        let Some(request) = self.requests.get(exchange.attempt.request) else {
+            return ResponseProgress::Broken;
+        };
+        let state = &request.protocol_state;
+        let Some(input) = self.sockets.input(socket) else {
+            return ResponseProgress::Broken;
+        };
+        match exchange.read_head(input, state.is_head()) {
+            Ok(true) => {}
+            Ok(false) if !ended => return ResponseProgress::Incomplete,
+            Ok(false) | Err(_) => return ResponseProgress::Broken,
+        }
+        let rules = StreamingRules {
+            class_is_streamed: self.settings.is_streamed(state.class),
+            client_is_free: !request.completed && state.streamed_attempt.is_none(),
+            max_buffered: self.settings.max_buffered_response,
+        };
+        let Ok(read) = exchange.read_body(input, rules) else {
+            return ResponseProgress::Broken;
+        };
+        if read.is_too_large {
+            return exchange.progress_when_too_large();
+        }
+        let progress = exchange.progress(ended);
+        let has_surplus = progress == ResponseProgress::Complete && !input.is_empty();
+        self.stream_response(socket, &read);
+        if has_surplus {
+            self.discard_surplus(socket);
+        }
+        progress
+    }
+
+    fn stream_response(&mut self, socket: SocketId, read: &BodyRead) {
+        let Some(exchange) = self
+            .exchange(socket)
+            .filter(|exchange| exchange.is_streamed)
+        else {
+            return;
+        };
+        let Some(response) = &exchange.response else {
+            return;
+        };
+        let attempt = exchange.attempt;
+        let framing = streamed_framing(&response.head);
+        if read.starts_streaming {
+            let head = response.head.clone();
+            self.begin_streaming(attempt, &head);
+            self.events.push(Event::StreamStarted {
+                request: attempt.request,
+            });
+            self.stop_attempt_timer(attempt);
+        }
+        for piece in &read.pieces {
+            if !piece.is_empty() {
+                self.stream_response_piece(attempt.request, framing, piece);
+            }
+        }
+    }
+
+    /// More bytes have come than the response has: what is complete is good, the connection is not.
+    fn discard_surplus(&mut self, socket: SocketId) {
+        if let Some(input) = self.sockets.input(socket) {
+            input.clear();
+        }
+        let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
+            return;
+        };
+        let exchange = connection.exchange.as_mut();
+        if let Some(response) = exchange.and_then(|exchange| exchange.response.as_mut()) {
+            response.head.keep_alive = false;
+        }
+    }
+
+    fn response_complete(&mut self, socket: SocketId) {
+        // A response may come before all of the request was sent: the rest of it must not be taken for another one.
+        let is_request_sent =
+            self.sockets.unsent_bytes(socket) == 0 && !self.has_request_body_rest(socket);
+        let is_clean = !self.sockets.has_peer_closed(socket) && is_request_sent;
+        let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
+            return;
+        };
+        let pod = connection.pod;
+        let Some(exchange) = connection.exchange.take() else {
+            return;
+        };
+        let Some(response) = &exchange.response else {
+            return;
+        };
+        if is_clean && response.head.keep_alive && !self.shutdown.has_begun() {
+            self.return_to_pool(socket, pod);
+        } else {
+            self.connections.remove(&socket);
+            self.sockets.close(socket);
+        }
+        if exchange.is_streamed {
+            return self.end_streamed_attempt(&exchange, StreamEnd::Complete);
+        }
+        let outcome = response.outcome();
+        if outcome == AttemptOutcome::Succeeded {
+            self.deliver_response(exchange.attempt, &response.head, &exchange.buffered);
+        }
+        self.end_attempt(exchange.attempt, outcome);
+    }
+
+    /// A part of a response, none at all, or one that can't be read: the request may have run.
+    fn response_broken(&mut self, socket: SocketId) {
+        self.sockets.close(socket);
+        let Some(ConnectionRole::Upstream(connection)) = self.connections.remove(&socket) else {
+            return;
+        };
+        if let Some(exchange) = connection.exchange {
+            self.end_broken_attempt(&exchange, AttemptOutcome::ConnectionReset);
+        }
+    }
+
+    /// Ends an attempt whose connection is gone. A streamed response is broken off; else the outcome is `outcome`.
+    pub(super) fn end_broken_attempt(&mut self, exchange: &Exchange, outcome: AttemptOutcome) {
+        if exchange.is_streamed {
+            self.end_streamed_attempt(exchange, StreamEnd::Broken);
+        } else {
+            self.end_attempt(exchange.attempt, outcome);
+        }
+    }
+
+    fn end_streamed_attempt(&mut self, exchange: &Exchange, end: StreamEnd) {
+        if let Some(response) = &exchange.response {
+            self.end_streaming(exchange.attempt.request, &response.head, end);
+        }
+        let outcome = match end {
+            StreamEnd::Complete => AttemptOutcome::Succeeded,
+            StreamEnd::Broken => AttemptOutcome::ConnectionReset,
+        };
+        self.end_attempt(exchange.attempt, outcome);
+    }
+}
--- a/crates/http-proxy/tests/sockets/main.rs
+++ b/crates/http-proxy/tests/sockets/main.rs
@@ -6,3 +6,4 @@
 mod on_trial;
 mod second_tries;
 mod wants;
+mod wrong_answer_reports;
