--- a/crates/cli/tests/command/days.rs
+++ b/crates/cli/tests/command/days.rs
@@ -370,7 +370,7 @@
         });
         day.must_be_well();
         let logs: String = (0..12).map(|number| day.log(number)).collect();
-        ["the node list was not had", "no stage news; asked"].map(|what| logs.matches(what).count())
+        ["endpoint watch lost", "stage stream lost"].map(|what| logs.matches(what).count())
     };
     let counted = [true, false].map(plays);
     println!(
--- a/crates/http-proxy/src/endpoint_list.rs
+++ b/crates/http-proxy/src/endpoint_list.rs
@@ -46,10 +46,10 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EndpointListError {
     /// The whole response; the text is the JSON parser's.
-    #[error("the list is not a JSON array of health entries: {0}")]
+    #[error("expected a JSON array of health entries: {0}")]
     Malformed(String),
     /// More entries than are read.
-    #[error("the list is not a JSON array of health entries: {0} entries, at most {MAX_ENTRIES}")]
+    #[error("expected {MAX_ENTRIES} entries at most, found {0}")]
     TooManyEntries(usize),
     /// One entry.
     #[error("service {id}: {cause}")]
@@ -68,10 +68,10 @@
     #[error("{0}")]
     Malformed(String),
     /// The address is no IP address.
-    #[error("{0:?} is not an IP address")]
+    #[error("expected an IP address, found {0:?}")]
     Address(String),
     /// A field of `Service.Meta` is no number that fits.
-    #[error("Meta.{field} {text:?} is no number below 65536")]
+    #[error("Meta.{field}: expected a number below 65536, found {text:?}")]
     Number {
         /// The field's name.
         field: &'static str,
@@ -79,18 +79,13 @@
         text: String,
     },
     /// The start time is no finite number.
-    #[error("Meta.started {0:?} is no time in seconds")]
+    #[error("Meta.started: expected seconds since 1970, found {0:?}")]
     Started(String),
     /// The weight is not a finite number over 0.
-    #[error("{service}: Weights.Passing {weight} is not over 0")]
-    Weight {
-        /// `Service.ID`.
-        service: String,
-        /// The weight.
-        weight: f64,
-    },
+    #[error("Weights.Passing: expected a finite number over 0, found {0}")]
+    Weight(f64),
     /// The build is not given.
-    #[error("Meta.build is missing")]
+    #[error("Meta.build: expected a number below 65536, found none")]
     NoBuild,
     /// An earlier entry has the same address.
     #[error("{0} is listed twice")]
@@ -130,8 +125,9 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Service {
+    /// An entry without it is rejected, as it could not be named.
     #[serde(rename = "ID")]
-    id: String,
+    _id: String,
     #[serde(default)]
     address: String,
     port: u16,
@@ -170,10 +166,7 @@
         if weight.is_finite() && weight > 0.0 {
             return Ok(weight);
         }
-        Err(EntryError::Weight {
-            service: self.id.clone(),
-            weight,
-        })
+        Err(EntryError::Weight(weight))
     }
 }
 
--- a/crates/http-proxy/src/endpoint_list_file.rs
+++ b/crates/http-proxy/src/endpoint_list_file.rs
@@ -35,7 +35,7 @@
         cause: serde_json::Error,
     },
     /// Another version wrote it.
-    #[error("{}: version {version} is not {VERSION}", path.display())]
+    #[error("{}: expected version {VERSION}, found {version}", path.display())]
     Version {
         /// The file.
         path: PathBuf,
--- a/crates/http-proxy/src/service/clients/own_responses.rs
+++ b/crates/http-proxy/src/service/clients/own_responses.rs
@@ -105,7 +105,7 @@
 
     /// Responds to a request that is not HTTP/1.1, and closes the connection.
     pub(super) fn refuse_request(&mut self, id: SocketId, error: HttpError) {
-        tracing::debug!(why = %error, "a request was refused");
+        tracing::debug!(%error, "request refused");
         let text = format!("{error}\n");
         self.write_own_response(id, error.status(), &[], text.as_bytes(), false);
         self.close_client(id);
--- a/crates/http-proxy/src/service/control/endpoint_watch.rs
+++ b/crates/http-proxy/src/service/control/endpoint_watch.rs
@@ -56,22 +56,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(in crate::service) enum EndpointPollError {
     /// The system refuses a connection.
-    #[error("no connection")]
+    #[error("cannot open a connection")]
     Connect,
     /// The connection was lost.
-    #[error("the connection was lost")]
+    #[error("connection lost")]
     ConnectionLost,
     /// The response did not arrive in time.
-    #[error("no answer in time")]
+    #[error("no response in time")]
     Timeout,
     /// The response is incomplete, or is not HTTP.
-    #[error("half an answer, or one that can't be read")]
+    #[error("the response is incomplete, or is not HTTP/1.1")]
     Unreadable,
     /// The response has no list.
-    #[error("a status other than 200, or no X-Consul-Index")]
+    #[error("expected status 200 and a number in X-Consul-Index")]
     NoList,
     /// The response's body is no list.
-    #[error("an answer that can't be used")]
+    #[error("the response has no endpoint list that can be used")]
     MalformedList,
 }
 
@@ -174,9 +174,9 @@
         if announced != self.announced {
             self.announced = announced;
             tracing::info!(
-                pods = self.announced.len(),
+                endpoints = self.announced.len(),
                 index = self.index,
-                "a new list"
+                "endpoint list applied"
             );
             if let Some(store) = &self.state_store {
                 store.store(self.announced.clone());
@@ -202,7 +202,7 @@
             None => Ok(None),
         };
         let list = loaded.unwrap_or_else(|error| {
-            tracing::warn!(trouble = %error, "the state file is of no use; started without a list");
+            tracing::warn!(%error, "cannot read the state file, starting without an endpoint list");
             None
         });
         let list = list.unwrap_or_default();
@@ -298,13 +298,13 @@
             return Ok(());
         }
         let list = parse_endpoint_list(body).map_err(|error| {
-            tracing::warn!(trouble = %error, "the list can't be used");
+            tracing::warn!(%error, "endpoint list cannot be used");
             // Asked for at once again: the next response may have the same list, and well.
             self.endpoints.index = 0;
             EndpointPollError::MalformedList
         })?;
         for error in &list.rejected {
-            tracing::warn!(trouble = %error, "an entry of the list is not used");
+            tracing::warn!(%error, "endpoint cannot be used, it gets no further requests");
         }
         let update = self
             .endpoints
@@ -332,7 +332,7 @@
 
     /// Tells the decisions that the watch is lost; they say when to query again.
     pub(in crate::service) fn endpoint_poll_failed(&mut self, error: EndpointPollError) {
-        tracing::warn!(why = %error, "the node list was not had; the old one stays");
+        tracing::warn!(%error, "endpoint watch lost, keeping the known list");
         self.peers
             .record_poll(self.now, ControlService::EndpointList, false);
         self.close_endpoint_list_connection();
--- a/crates/http-proxy/src/service/control/stage_watch.rs
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -35,19 +35,19 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(in crate::service) enum StageStreamLoss {
     /// The system refuses a connection.
-    #[error("no connection")]
+    #[error("cannot open a connection")]
     Connect,
     /// The connection was lost.
-    #[error("the connection was lost")]
+    #[error("connection lost")]
     ConnectionLost,
     /// The response is not a stream of events.
-    #[error("no stream of events")]
+    #[error("expected status 200 and a stream of events")]
     NoStream,
     /// The stream was silent for too long.
-    #[error("the stream says nothing")]
+    #[error("the stream was silent for too long")]
     Silent,
     /// The service ended the stream.
-    #[error("the stream ended")]
+    #[error("the service ended the stream")]
     Ended,
     /// The response's body is not HTTP.
     #[error("{0}")]
@@ -70,7 +70,7 @@
     pub(in crate::service) fn accept(&mut self, message: StageMessage) -> Option<StageUpdate> {
         let update = self.filter.accept(message);
         if update.is_none() {
-            tracing::warn!(number = message.number, "old stage news left out");
+            tracing::warn!(number = message.number, "outdated stage update dropped");
         }
         update
     }
@@ -247,7 +247,7 @@
     fn retry_stage_stream(&mut self, loss: &StageStreamLoss) {
         self.peers
             .record_poll(self.now, ControlService::Installer, false);
-        tracing::warn!(why = %loss, "no stage news; asked for again");
+        tracing::warn!(error = %loss, "stage stream lost, retrying");
         let delay = self.stages.backoff.next_delay();
         self.timers
             .schedule(self.now + delay, TimerEvent::OpenStageStream);
--- a/crates/http-proxy/src/service/control/votes.rs
+++ b/crates/http-proxy/src/service/control/votes.rs
@@ -19,7 +19,7 @@
         build: BuildId,
         stage: StageIndex,
     ) {
-        tracing::info!(?verdict, build = build.0, stage = stage.0, "votes");
+        tracing::info!(?verdict, build = build.0, stage = stage.0, "vote sent");
         let Some(service) = &self.settings.rollout_service else {
             return self.vote_failed();
         };
@@ -75,7 +75,7 @@
         };
         call.close(socket, &mut self.sockets, &mut self.timers);
         let answer = reply.answer;
-        tracing::debug!(?answer, "a vote was answered");
+        tracing::debug!(?answer, "vote answered");
         let mut update = None;
         if let Some(message) = reply.state {
             update = self.stages.accept(message);
--- a/crates/http-proxy/src/service/event_loop.rs
+++ b/crates/http-proxy/src/service/event_loop.rs
@@ -75,11 +75,11 @@
         }
         let millis = |span: Duration| span.as_secs_f64() * 1e3;
         tracing::warn!(
-            read = millis(read_at - self.now),
-            decide = millis(decided_at - read_at),
-            act = millis(done_at - decided_at),
-            open_hits = self.requests.len(),
-            "a turn of the loop took long, in ms"
+            read_ms = millis(read_at - self.now),
+            decide_ms = millis(decided_at - read_at),
+            act_ms = millis(done_at - decided_at),
+            open_requests = self.requests.len(),
+            "slow turn of the event loop"
         );
     }
 
@@ -133,7 +133,7 @@
             } => self.handle_connection_lost(socket, written),
             SocketEvent::AcceptFailed { error, .. } => {
                 let open = self.sockets.open_count();
-                tracing::warn!(why = %error, open, "can't accept; tried again in 100 ms");
+                tracing::warn!(%error, open, "can't accept; tried again in 100 ms");
                 self.evict_for_clients();
             }
             SocketEvent::Datagram { bytes, .. } => self.peers.receive_datagram(self.now, &bytes),
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -131,7 +131,9 @@
         }
         self.peers.leave_at_exit(self.now, &mut self.sockets);
         if !self.endpoints.flush_state_file(STATE_FILE_TIMEOUT) {
-            tracing::warn!("the newest list is not on disk; a start begins with an older one");
+            tracing::warn!(
+                "state file not written before the exit, the next start begins with an older list"
+            );
         }
         Ok(())
     }
--- a/crates/http-proxy/src/service/shutdown.rs
+++ b/crates/http-proxy/src/service/shutdown.rs
@@ -25,11 +25,8 @@
         if !self.shutdown.begin(self.now) {
             return;
         }
-        tracing::info!(
-            signal,
-            open_hits = self.requests.len(),
-            "leaving: no new hits are taken"
-        );
+        let open_requests = self.requests.len();
+        tracing::info!(signal, open_requests, "shutdown started");
         self.peers.leave_at_shutdown(self.now, &mut self.sockets);
     }
 
@@ -83,7 +80,10 @@
 
     fn respond_to_all(&mut self) {
         for id in self.requests.pending_ids() {
-            tracing::warn!(hit = id.0, "not answered before the end");
+            tracing::warn!(
+                request_id = id.0,
+                "request not answered before the shutdown deadline"
+            );
             let Some(request) = self.requests.get(id) else {
                 continue;
             };
--- a/crates/http-proxy/src/service/upstream/attempts.rs
+++ b/crates/http-proxy/src/service/upstream/attempts.rs
@@ -14,10 +14,10 @@
 /// Logs that an attempt was withdrawn before its first byte.
 pub(super) fn log_withdrawal(attempt: AttemptId, pod: PodId) {
     tracing::debug!(
-        hit = attempt.request.0,
-        no = attempt.index.0,
-        pod = pod.0,
-        "withdrawn before it was written"
+        request_id = attempt.request.0,
+        attempt = attempt.index.0,
+        endpoint = pod.0,
+        "attempt withdrawn before it was sent"
     );
 }
 
@@ -100,14 +100,14 @@
             return Err(AttemptOutcome::NeverSent);
         }
         let Some(address) = self.endpoints.directory.address(pod) else {
-            return Err(connect_failure(None));
+            return Err(connect_failure(pod, None));
         };
         match self.sockets.connect(address) {
             Ok(socket) => {
                 self.add_connection(socket, pod);
                 Ok(socket)
             }
-            Err(error) => Err(connect_failure(Some(error))),
+            Err(error) => Err(connect_failure(pod, Some(error))),
         }
     }
 
@@ -237,10 +237,10 @@
 
 /// The outcome where no connection could be opened. A lack of this machine's own is no sign of the pod, which must not be
 /// ejected for it.
-fn connect_failure(error: Option<io::Error>) -> AttemptOutcome {
-    let own = error.as_ref().is_some_and(is_resource_exhaustion);
-    tracing::warn!(trouble = ?error, own, "no way to a pod");
-    if own {
+fn connect_failure(pod: PodId, error: Option<io::Error>) -> AttemptOutcome {
+    let local = error.as_ref().is_some_and(is_resource_exhaustion);
+    tracing::warn!(?error, local, endpoint = pod.0, "cannot connect to pod");
+    if local {
         AttemptOutcome::NeverSent
     } else {
         AttemptOutcome::ConnectFailed
--- a/crates/http-proxy/src/stage_updates.rs
+++ b/crates/http-proxy/src/stage_updates.rs
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StageStreamError {
     /// An event's data is no stage message.
-    #[error("stage news {data:?}: {cause}")]
+    #[error("not a stage message: {data:?}: {cause}")]
     Malformed {
         /// The event's data.
         data: String,
@@ -109,7 +109,7 @@
         cause: String,
     },
     /// A line or an event exceeds the bound.
-    #[error("an event of over {MAX_EVENT_BYTES} bytes")]
+    #[error("an event of more than {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
--- a/crates/http-proxy/tests/endpoint_list.rs
+++ b/crates/http-proxy/tests/endpoint_list.rs
@@ -49,8 +49,8 @@
     assert_eq!(
         texts[..3],
         [
-            "service web-3: \"nowhere\" is not an IP address",
-            "service web-4: Meta.build \"70000\" is no number below 65536",
+            "service web-3: expected an IP address, found \"nowhere\"",
+            "service web-4: Meta.build: expected a number below 65536, found \"70000\"",
             "service web-1: 127.0.0.1:1 is listed twice"
         ]
     );
