--- /dev/null
+++ b/crates/http-proxy/src/service/membership/mod.rs
@@ -0,0 +1,196 @@
+//! The other sidecars of the fleet: passes datagrams between the socket and `limewing_membership`, which decides who is
+//! there, and delivers direct messages between sidecars.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `key_file` | the keys that seal datagrams, read again on SIGHUP |
+//! | `coordination` | which pods this sidecar uses and health-checks beside the others |
+//! | `view` | `GET /limewing/fleet` |
+
+mod coordination;
+mod key_file;
+mod view;
+
+use super::direct_message::DirectMessage;
+use super::StartError;
+use coordination::EndpointCoordination;
+use key_file::KeyFile;
+use limewing_coordination::Service;
+use limewing_decision::interface::{Event, PodId};
+use limewing_membership::{Config, MemberName, Membership};
+use limewing_net::sockets::{SocketId, Sockets};
+use limewing_proxy_core::clock::wall_clock_now;
+use limewing_settings::{ConfigError, Peers};
+use std::net::SocketAddr;
+use std::time::{Duration, SystemTime};
+pub use view::{EndpointSelectionView, MemberView, MembershipView};
+
+/// The sidecar that joins the fleet.
+pub(super) struct LocalMember<'a> {
+    /// Its name, by which the others know it.
+    pub(super) name: &'a str,
+    /// Number of its zone.
+    pub(super) zone: u16,
+    /// Seed of membership's random number generator.
+    pub(super) seed: u64,
+}
+
+/// A message that another sidecar sent to this one.
+pub(super) struct ReceivedMessage {
+    /// Name of the sender.
+    pub(super) from: String,
+    /// The protocol's byte and the encoded message.
+    pub(super) bytes: Vec<u8>,
+}
+
+/// Membership of the fleet, and its socket.
+pub(super) struct FleetMembership {
+    membership: Membership,
+    socket: SocketId,
+    listen_address: SocketAddr,
+    keys: KeyFile,
+    /// `None`: this sidecar chooses its pods alone.
+    coordination: Option<EndpointCoordination>,
+}
+
+impl FleetMembership {
+    /// Listens for datagrams, and begins to join the fleet.
+    ///
+    /// # Errors
+    /// The keys, the address or the name cannot be used.
+    pub(super) fn start(
+        now: Duration,
+        local: &LocalMember,
+        settings: &Peers,
+        sockets: &mut Sockets,
+    ) -> Result<Self, StartError> {
+        let (key_file, keys) = KeyFile::open(&settings.key_file).map_err(StartError::Keys)?;
+        let at = settings.listen;
+        let (socket, listen_address) = sockets
+            .bind_datagrams(at)
+            .map_err(|why| StartError::Datagrams { at, why })?;
+        let started_at = wall_clock_now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        let name = MemberName::try_from(local.name.to_owned()).map_err(|expected| {
+            StartError::Settings(ConfigError::new("/name", expected.to_string()))
+        })?;
+        let config = Config {
+            name,
+            started_at_ms: started_at.as_millis() as u64,
+            started_at: now,
+            address: settings.advertise.unwrap_or(listen_address),
+            seed_addresses: settings.join.clone(),
+            keys,
+            probe_interval: settings.period.into(),
+            bytes_per_second: settings.bytes_per_s,
+            seed: local.seed,
+        };
+        let membership = Membership::new(now, config).map_err(StartError::Membership)?;
+        tracing::info!(address = %listen_address, "membership listens for datagrams");
+        let coordination = settings
+            .choices
+            .then(|| EndpointCoordination::new(now, local.name, local.zone));
+        Ok(Self {
+            membership,
+            socket,
+            listen_address,
+            keys: key_file,
+            coordination,
+        })
+    }
+
+    /// When [`Self::turn`] or [`Self::observe_events`] is due.
+    pub(super) fn next_deadline(&self) -> Duration {
+        let next = self.membership.next_deadline();
+        match &self.coordination {
+            Some(coordination) => coordination.next_deadline().min(next),
+            None => next,
+        }
+    }
+
+    /// Takes in the events that the decisions are about to get; `address` is where a pod is reached. Returns the event that
+    /// follows from the other sidecars' load reports.
+    pub(super) fn observe_events(
+        &mut self,
+        now: Duration,
+        events: &[Event],
+        address: impl Fn(PodId) -> Option<SocketAddr>,
+    ) -> Option<Event> {
+        let coordination = self.coordination.as_mut()?;
+        for event in events {
+            coordination.observe_event(now, event, &address);
+        }
+        let view = coordination.update(now, &mut self.membership)?;
+        Some(Event::Fleet(view))
+    }
+
+    /// Whether a service answered its last poll, or its watch stands.
+    pub(super) fn record_poll(&mut self, now: Duration, service: Service, answered: bool) {
+        if let Some(coordination) = &mut self.coordination {
+            coordination.record_poll(now, service, answered);
+        }
+    }
+
+    /// When a service may be polled: now, or the time at which this is to be called again.
+    pub(super) fn next_poll(&self, now: Duration, service: Service) -> Duration {
+        match &self.coordination {
+            Some(coordination) => coordination.next_poll(now, service),
+            None => now,
+        }
+    }
+
+    /// Takes in a datagram.
+    pub(super) fn receive(&mut self, now: Duration, bytes: &[u8]) {
+        if let Err(error) = self.membership.receive(now, bytes) {
+            tracing::debug!(%error, "datagram rejected");
+        }
+    }
+
+    /// Does what is due, and sends the datagrams that follow.
+    pub(super) fn turn(&mut self, now: Duration, sockets: &mut Sockets) {
+        if now >= self.membership.next_deadline() {
+            self.membership.tick(now);
+        }
+        while let Some((to, bytes)) = self.membership.take_datagram() {
+            sockets.send_datagram(self.socket, to, &bytes);
+        }
+        while let Some(event) = self.membership.take_event() {
+            tracing::info!(?event, "membership event");
+        }
+    }
+
+    /// Sends a message to another sidecar; nothing, if that is not known.
+    pub(super) fn send_direct(&mut self, now: Duration, message: DirectMessage) {
+        if let Ok(name) = MemberName::try_from(message.to) {
+            self.membership.send_direct(now, &name, message.bytes);
+        }
+    }
+
+    /// The next message that another sidecar sent to this one.
+    pub(super) fn take_direct_message(&mut self) -> Option<ReceivedMessage> {
+        let (from, bytes) = self.membership.take_direct_message()?;
+        Some(ReceivedMessage {
+            from: from.to_string(),
+            bytes,
+        })
+    }
+
+    /// Names of the other members that are alive or suspect.
+    pub(super) fn active_names(&self) -> impl Iterator<Item = String> + '_ {
+        self.membership
+            .active_members()
+            .map(|member| member.update.name.to_string())
+    }
+
+    /// Leaves the fleet: notifies some members.
+    pub(super) fn leave(&mut self, now: Duration, sockets: &mut Sockets) {
+        self.membership.leave(now);
+        self.turn(now, sockets);
+    }
+
+    /// Reads the key file again. Keys that cannot be used change nothing.
+    pub(super) fn reload_keys(&mut self) {
+        self.keys.reload(&mut self.membership);
+    }
+}
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -36,8 +36,8 @@
 use limewing_settings::{ConfigError, SidecarSettings};
 use maintenance::{EndpointContext, Maintenance};
 pub use maintenance::{ListView, MachineView, MaintenanceRequest, MaintenanceView, WorkReport};
-use membership::FleetMembership;
 pub use membership::{EndpointSelectionView, MemberView, MembershipView};
+use membership::{FleetMembership, LocalMember, ReceivedMessage};
 use replication::Replication;
 pub use replication::{LogView, ReplicationView};
 use rustc_hash::FxHashMap;
@@ -221,11 +221,13 @@
         let now = clock.now();
         let seed = settings.seed.unwrap_or_else(rand::random);
         let of_peers = settings.peers.as_ref();
-        let zone = settings.start_terms(seed).zone.0;
+        let local = LocalMember {
+            name: &settings.name,
+            zone: settings.start_terms(seed).zone.0,
+            seed,
+        };
         let membership = of_peers
-            .map(|peers| {
-                FleetMembership::start(&settings.name, peers, zone, &mut sockets, now, seed)
-            })
+            .map(|peers| FleetMembership::start(now, &local, peers, &mut sockets))
             .transpose()?;
         let keep = |file: PathBuf| {
             StateStore::start(move |rows: &Vec<EndpointRecord>| {
@@ -475,7 +477,7 @@
         let Some(membership) = &mut self.membership else {
             return;
         };
-        while let Some((from, bytes)) = membership.take_direct_message() {
+        while let Some(ReceivedMessage { from, bytes }) = membership.take_direct_message() {
             match (
                 bytes.split_first(),
                 &mut self.replication,
@@ -503,10 +505,11 @@
         self.events
             .iter()
             .for_each(|event| replication.observe_event(event));
-        let (events, stage) = replication.turn(self.now, membership);
-        self.events.extend(events);
-        if let Some(news) =
-            stage.and_then(|message| control::accept_stage_message(&mut self.latest, message))
+        let update = replication.turn(self.now, membership);
+        self.events.extend(update.events);
+        if let Some(news) = update
+            .stage
+            .and_then(|message| control::accept_stage_message(&mut self.latest, message))
         {
             self.events.push(Event::Stage {
                 update: Some(news),
--- a/crates/http-proxy/src/service/replication.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -1,131 +1,79 @@
-//! State that matters, kept by the others too: what this sidecar does is shown to `limewing_replication`, what the others put up goes to
-//! the decision module as keys that met a build and as stage news that only closes, and says which hits are not sent again.
+//! State that other sidecars replicate: publishes what this sidecar does through `limewing_replication`, and turns what
+//! others publish into events of the decisions and into refusals of requests that may have run already.
+
+mod stage_format;
+mod view;
 
 use super::direct_message::{DirectMessage, REPLICATION};
 use super::membership::FleetMembership;
-use crate::stage_updates::{StageMessage, StagePhase};
+use crate::stage_updates::StageMessage;
 use limewing_decision::interface::{
-    AttemptOutcome, AttemptResult, BuildId, EndpointUpdate, Event, PodId, PodState, RequestId,
-    RoutingKey,
+    AttemptOutcome, AttemptResult, BuildId, Endpoint, EndpointUpdate, Event, PodId, PodState,
+    RequestId, RoutingKey,
 };
 use limewing_proxy_core::clock::wall_clock_now;
 use limewing_replication::{
-    LocalState, MergedState, Origin, Packet, Phase, Record, Refusal, Replica, ReplicaConfig, Stage,
+    LocalState, MergedState, Origin, Packet, Record, Refusal, Replica, ReplicaConfig,
     EXECUTION_TIME_TO_LIVE, KEY_TIME_TO_LIVE, STAGE_TIME_TO_LIVE,
 };
 use limewing_settings::{Peers, SidecarSettings};
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
+pub use view::{LogView, ReplicationView};
 
+/// Between two rounds of gossip.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
-/// New entries go to so many others.
+/// New entries go to so many other sidecars a round.
 const GOSSIP_FANOUT: usize = 4;
-/// The others are looked for so often.
+/// Between two updates of the peers, and of what has expired.
 const MEMBERSHIP_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// Pods whose build is remembered, at most: beyond, the next lists tell anew.
+/// Pods whose build is remembered at most; beyond, the next endpoint updates tell them anew.
 const MAX_KNOWN_BUILDS: usize = 10_000;
+/// Replication may use this part of the bytes a second that the sidecar may send to others; the rest is for membership.
+const BANDWIDTH_DIVISOR: u32 = 2;
 
-pub struct Replication {
+/// This sidecar's replicas, and what it publishes itself.
+pub(super) struct Replication {
     replica: Replica,
     merged: MergedState,
     local: LocalState,
+    /// Which build each pod runs, by the endpoint list.
     builds: BTreeMap<PodId, BuildId>,
     next_refresh: Duration,
 }
 
-/// One sidecar's copies.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReplicationView {
-    pub name: String,
-    #[serde(rename = "start")]
-    pub incarnation: u64,
-    pub caught_up: bool,
-    pub bytes_sent: u64,
-    pub keys: usize,
-    #[serde(rename = "hits")]
-    pub requests: usize,
-    /// Facts that were left out for want of room.
-    #[serde(rename = "left_out")]
-    pub dropped_records: u64,
-    /// By origin: up to where its copy is whole, entries that live, and entries given up for want of room.
-    pub logs: Vec<LogView>,
-    pub stages: Vec<String>,
-    /// What it goes by.
-    pub stage: Option<String>,
-}
-
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LogView {
-    pub name: String,
-    #[serde(rename = "start")]
-    pub incarnation: u64,
-    #[serde(rename = "upto")]
-    pub contiguous_through: u64,
-    #[serde(rename = "live")]
-    pub live_entries: usize,
-    #[serde(rename = "given_up")]
-    pub evicted_entries: u64,
-}
-
-fn to_record(message: &StageMessage) -> Stage {
-    Stage {
-        number: message.number,
-        build: message.build,
-        stage: message.stage,
-        phase: match message.phase {
-            StagePhase::OnTrial => Phase::OnTrial,
-            StagePhase::RollingBack => Phase::RollingBack,
-            StagePhase::Released => Phase::Released,
-            StagePhase::RolledBack => Phase::RolledBack,
-        },
-        cap: message.cap.clamp(0.0, 1.0),
-    }
-}
-
-fn to_message(stage: &Stage) -> StageMessage {
-    StageMessage {
-        number: stage.number,
-        build: stage.build,
-        stage: stage.stage,
-        phase: match stage.phase {
-            Phase::OnTrial => StagePhase::OnTrial,
-            Phase::RollingBack => StagePhase::RollingBack,
-            Phase::Released => StagePhase::Released,
-            Phase::RolledBack => StagePhase::RolledBack,
-        },
-        cap: stage.cap,
-        // Since when it stands so nobody tells: its clocks begin anew.
-        age_ms: 0.0,
-    }
+/// What a turn brought from other sidecars.
+#[derive(Default)]
+pub(super) struct ReplicationUpdate {
+    /// Events for the decisions.
+    pub(super) events: Vec<Event>,
+    /// A rollout stage, to be handled as if the installer had announced it.
+    pub(super) stage: Option<StageMessage>,
 }
 
 impl Replication {
+    /// Starts without replicas; `seed` makes the choice of peers repeatable.
     pub(super) fn start(
         now: Duration,
         settings: &SidecarSettings,
         peers: &Peers,
         seed: u64,
     ) -> Self {
-        let start = wall_clock_now()
+        let incarnation = wall_clock_now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis() as u64;
-        let me = Origin {
+        let origin = Origin {
             name: settings.name.clone(),
-            incarnation: start,
+            incarnation,
         };
-        let first_cap = settings
-            .releases
-            .stages
-            .first()
-            .map_or(0.0, |stage| stage.cap);
-        // The rest is for knowing who is there.
+        let first_stage = settings.releases.stages.first();
+        let first_cap = first_stage.map_or(0.0, |stage| stage.cap);
         let config = ReplicaConfig {
-            origin: me,
+            origin,
             gossip_interval: GOSSIP_INTERVAL,
             gossip_fanout: GOSSIP_FANOUT,
-            bytes_per_second: peers.bytes_per_s / 2,
+            bytes_per_second: peers.bytes_per_s / BANDWIDTH_DIVISOR,
             seed,
         };
         Self {
@@ -137,10 +85,12 @@
         }
     }
 
+    /// When [`Self::turn`] is due.
     pub(super) fn next_deadline(&self) -> Duration {
         self.replica.next_tick().min(self.next_refresh)
     }
 
+    /// Takes in a packet of another sidecar, without the protocol's byte.
     pub(super) fn receive(&mut self, now: Duration, from: &str, bytes: &[u8]) {
         match Packet::decode(bytes) {
             Ok(packet) => self.replica.receive(now, from, packet),
@@ -148,13 +98,14 @@
         }
     }
 
-    fn publish(&mut self, now: Duration, record: &Record, life: Duration) {
-        let no = self.replica.publish(now, record, life);
-        let me = self.replica.origin().clone();
-        self.merged.apply(&me, no, now + life, record);
+    fn publish(&mut self, now: Duration, record: &Record, time_to_live: Duration) {
+        let sequence = self.replica.publish(now, record, time_to_live);
+        let origin = self.replica.origin().clone();
+        self.merged
+            .apply(&origin, sequence, now + time_to_live, record);
     }
 
-    /// A forward of a hit that may not run twice is about to leave.
+    /// An attempt of a request with a non-idempotent key is about to be sent. `idempotency_key` is the key's hash.
     pub(super) fn attempt_started(
         &mut self,
         now: Duration,
@@ -166,82 +117,86 @@
         }
     }
 
-    /// Which build a pod runs is told by the list.
+    /// Learns from an endpoint update which build each pod runs.
     pub(super) fn observe_event(&mut self, event: &Event) {
-        let Event::Endpoints(news) = event else {
+        let Event::Endpoints(update) = event else {
             return;
         };
-        let (EndpointUpdate::Delta(rows)
-        | EndpointUpdate::Snapshot(rows)
-        | EndpointUpdate::Cached(rows)) = news
-        else {
+        let Some(endpoints) = endpoints_of(update) else {
             return;
         };
         if self.builds.len() > MAX_KNOWN_BUILDS {
             self.builds.clear();
         }
-        let here = rows.iter().filter(|row| row.state != PodState::Gone);
-        self.builds.extend(here.map(|row| (row.pod, row.build)));
+        for endpoint in endpoints {
+            if endpoint.state != PodState::Gone {
+                self.builds.insert(endpoint.pod, endpoint.build);
+            }
+        }
     }
 
+    /// An attempt ended; `key` is the request's routing key.
     pub(super) fn attempt_ended(
         &mut self,
         now: Duration,
-        outcome: &AttemptResult,
+        result: &AttemptResult,
         key: Option<RoutingKey>,
     ) {
-        let build = self.builds.get(&outcome.pod).copied();
-        if let Some(record) = self.local.attempt_ended(
-            outcome.request.0,
-            outcome.outcome.never_ran(),
-            outcome.request_over,
-        ) {
+        let record = self.local.attempt_ended(
+            result.request.0,
+            result.outcome.never_ran(),
+            result.request_over,
+        );
+        if let Some(record) = record {
             self.publish(now, &record, EXECUTION_TIME_TO_LIVE);
         }
-        let met = key
-            .zip(build)
-            .filter(|_| outcome.outcome == AttemptOutcome::Succeeded);
-        if let Some(record) =
-            met.and_then(|(key, build)| self.local.key_served(now, key.0, build.0))
-        {
+        if result.outcome != AttemptOutcome::Succeeded {
+            return;
+        }
+        let Some((key, build)) = key.zip(self.builds.get(&result.pod).copied()) else {
+            return;
+        };
+        if let Some(record) = self.local.key_served(now, key.0, build.0) {
             self.publish(now, &record, KEY_TIME_TO_LIVE);
         }
     }
 
-    /// Nothing more is sent of a hit.
+    /// No further attempt of a request is sent.
     pub(super) fn request_finished(&mut self, request: RequestId) {
         self.local.request_finished(request.0);
     }
 
-    /// Whether a hit is not to be sent now.
+    /// Why a request must not be sent now; `None`: it may. `idempotency_key` is the hash of a non-idempotent request's key.
     pub(super) fn refusal(
         &self,
         now: Duration,
         idempotency_key: Option<u64>,
         has_routing_key: bool,
     ) -> Option<Refusal> {
+        let caught_up = self.replica.caught_up();
         self.local.refusal(
             now,
             &self.merged,
-            self.replica.caught_up(),
+            caught_up,
             idempotency_key,
             has_routing_key,
         )
     }
 
-    /// The installer's word: the others are told.
+    /// The installer announced a stage: publishes it.
     pub(super) fn stage_announced(&mut self, now: Duration, message: &StageMessage) {
-        if let Some(record) = self.local.stage_announced(to_record(message)) {
+        let stage = stage_format::to_record(message);
+        if let Some(record) = self.local.stage_announced(stage) {
             self.publish(now, &record, STAGE_TIME_TO_LIVE);
         }
     }
 
-    /// Does what is due; what the module is to be told, and stage news that is to pass as any other.
+    /// Does what is due, and sends packets through membership. Returns what other sidecars' entries brought.
     pub(super) fn turn(
         &mut self,
         now: Duration,
         membership: &mut FleetMembership,
-    ) -> (Vec<Event>, Option<StageMessage>) {
+    ) -> ReplicationUpdate {
         if now >= self.next_refresh {
             self.next_refresh = now + MEMBERSHIP_REFRESH_INTERVAL;
             self.replica.set_peers(membership.active_names());
@@ -250,62 +205,80 @@
         if now >= self.replica.next_tick() {
             self.replica.tick(now);
         }
-        let (mut events, mut stages) = (Vec::new(), false);
+        let mut update = ReplicationUpdate::default();
+        let stages_changed = self.apply_entries(now, &mut update.events);
+        while let Some((to, packet)) = self.replica.take_packet() {
+            let message = DirectMessage::new(to, REPLICATION, &packet.encode());
+            membership.send_direct(now, message);
+        }
+        if stages_changed {
+            update.stage = self.merge_stages();
+        }
+        update
+    }
+
+    /// Applies other sidecars' entries, and adds the events that follow. Returns whether a stage was among the entries.
+    fn apply_entries(&mut self, now: Duration, events: &mut Vec<Event>) -> bool {
+        let mut stages_changed = false;
         while let Some((origin, entry)) = self.replica.take_applied() {
             let Some(record) = Record::decode(entry.kind, &entry.body) else {
                 continue;
             };
-            let until = now + Duration::from_millis(entry.time_to_live_ms.into());
-            let fresh = self.merged.apply(&origin, entry.sequence, until, &record);
+            let expires_at = now + Duration::from_millis(entry.time_to_live_ms.into());
+            let is_new = self
+                .merged
+                .apply(&origin, entry.sequence, expires_at, &record);
             match record {
-                Record::KeyServed { key, build } if fresh => {
-                    events.push(Event::KeyServed(RoutingKey(key), BuildId(build)))
+                Record::KeyServed { key, build } if is_new => {
+                    events.push(Event::KeyServed(RoutingKey(key), BuildId(build)));
                 }
-                Record::Stage(_) => stages = true,
+                Record::Stage(_) => stages_changed = true,
                 _ => {}
             }
         }
-        while let Some((to, packet)) = self.replica.take_packet() {
-            let message = DirectMessage::new(to, REPLICATION, &packet.encode());
-            membership.send_direct(now, message);
-        }
-        let stage = stages
-            .then(|| {
-                self.local
-                    .merge_stages(&self.replica.origin().name, &self.merged)
-            })
-            .flatten();
-        if let Some(stage) = &stage {
-            tracing::info!(%stage, "stage update from other sidecars");
-        }
-        (events, stage.as_ref().map(to_message))
+        stages_changed
+    }
+
+    fn merge_stages(&mut self) -> Option<StageMessage> {
+        let name = &self.replica.origin().name;
+        let stage = self.local.merge_stages(name, &self.merged)?;
+        tracing::info!(%stage, "stage update from other sidecars");
+        Some(stage_format::to_message(&stage))
     }
 
+    /// What `GET /limewing/state` tells.
     pub(super) fn view(&self) -> ReplicationView {
-        let me = self.replica.origin();
+        let origin = self.replica.origin();
         let (keys, requests) = self.merged.key_and_request_counts();
-        let log = |(origin, log): (&Origin, &limewing_replication::Log)| LogView {
+        let logs = self.replica.logs();
+        let stages = self.merged.stages();
+        ReplicationView {
             name: origin.name.clone(),
             incarnation: origin.incarnation,
-            contiguous_through: log.contiguous_through(),
-            live_entries: log.live_entries(),
-            evicted_entries: log.evicted_entries(),
-        };
-        ReplicationView {
-            name: me.name.clone(),
-            incarnation: me.incarnation,
             caught_up: self.replica.caught_up(),
             bytes_sent: self.replica.bytes_sent(),
             keys,
             requests,
             dropped_records: self.merged.dropped_records(),
-            logs: self.replica.logs().map(log).collect(),
-            stages: self
-                .merged
-                .stages()
+            logs: logs
+                .map(|(origin, log)| LogView::new(origin, log))
+                .collect(),
+            stages: stages
                 .map(|(name, stage)| format!("{name}: {stage}"))
                 .collect(),
             stage: self.local.stage().map(ToString::to_string),
         }
     }
 }
+
+fn endpoints_of(update: &EndpointUpdate) -> Option<&[Endpoint]> {
+    match update {
+        EndpointUpdate::Delta(endpoints)
+        | EndpointUpdate::Snapshot(endpoints)
+        | EndpointUpdate::Cached(endpoints) => Some(endpoints),
+        EndpointUpdate::WatchLost(_) => None,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/http-proxy/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -353,10 +353,7 @@
     assert_eq!(answer, json!({"list": number}));
 
     let machine = |place: usize| {
-        let list = work(at)
-            .lists
-            .into_iter()
-            .find(|list| list.id == number)?;
+        let list = work(at).lists.into_iter().find(|list| list.id == number)?;
         list.machines.into_iter().nth(place)
     };
     let step = |place: usize| machine(place).map(|machine| machine.phase);
