--- a/crates/http-proxy/src/service/clients.rs
+++ b/crates/http-proxy/src/service/clients.rs
@@ -675,8 +675,11 @@
             return self.tell_work(id);
         };
         let asked = serde_json::from_slice(body).map_err(|e| e.to_string());
-        match asked.and_then(|request| maintenance.handle_request(self.now, &request, &self.listed))
-        {
+        let result = asked.and_then(|request| {
+            let result = maintenance.handle_request(self.now, &request, &self.listed);
+            result.map_err(|error| error.to_string())
+        });
+        match result {
             Ok(list) => {
                 let said = serde_json::json!({ "list": list }).to_string();
                 self.reply(
--- /dev/null
+++ b/crates/http-proxy/src/service/maintenance/drain.rs
@@ -0,0 +1,109 @@
+//! Which machines this sidecar must not send to, and which of them it is drained from.
+
+use super::applied_log::AppliedLog;
+use super::EndpointContext;
+use limewing_maintenance::{DrainTracker, Identifier, Lease, MaintenanceSchedule};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// What the closed machines follow from, apart from the schedule itself.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct ClosedInputs {
+    applied_index: u64,
+    lease_held: bool,
+    awaits_first_grant: bool,
+}
+
+/// The closed machines, and how far this sidecar is drained from them.
+pub(super) struct DrainState {
+    /// `None`: all machines are closed.
+    closed: Option<BTreeSet<String>>,
+    computed_from: Option<ClosedInputs>,
+    tracker: DrainTracker,
+    /// Grants whose machines this sidecar is drained from.
+    drained: Vec<Identifier>,
+}
+
+impl DrainState {
+    /// All machines are closed until [`Self::update_closed`] was called. `grace` is the time in which the last requests may
+    /// still be sent to a closed machine.
+    pub(super) fn new(grace: Duration) -> Self {
+        Self {
+            closed: None,
+            computed_from: None,
+            tracker: DrainTracker::new(grace),
+            drained: Vec::new(),
+        }
+    }
+
+    /// Whether the decisions have to see a machine's pods as draining.
+    pub(super) fn is_closed(&self, machine: &str) -> bool {
+        match &self.closed {
+            Some(closed) => closed.contains(machine),
+            None => true,
+        }
+    }
+
+    /// Names of the closed machines; empty if all are closed.
+    pub(super) fn closed_names(&self) -> Vec<String> {
+        self.closed.iter().flatten().cloned().collect()
+    }
+
+    /// Grants whose machines this sidecar is drained from.
+    pub(super) fn drained(&self) -> &[Identifier] {
+        &self.drained
+    }
+
+    /// Computes anew which machines are closed. Returns whether that has changed.
+    pub(super) fn update_closed(
+        &mut self,
+        now: Duration,
+        lease: &Lease,
+        applied: &AppliedLog,
+    ) -> bool {
+        let inputs = ClosedInputs {
+            applied_index: applied.index,
+            lease_held: lease.is_held(now, applied.index),
+            awaits_first_grant: lease.awaits_first_grant(now),
+        };
+        if self.computed_from == Some(inputs) {
+            return false;
+        }
+        self.computed_from = Some(inputs);
+        let closed = lease.closed_machines(now, applied.index, &applied.schedule);
+        match &closed {
+            Some(names) => self.tracker.set_closed(now, names),
+            None => self.tracker.set_closed(now, &BTreeSet::new()),
+        }
+        let has_changed = closed != self.closed;
+        self.closed = closed;
+        has_changed
+    }
+
+    /// Computes anew which machines this sidecar is drained from: the decisions know that they drain, the grace period is
+    /// over, and no request is in flight there. Returns whether there is something new to report.
+    pub(super) fn update_drained(
+        &mut self,
+        now: Duration,
+        schedule: &MaintenanceSchedule,
+        context: &EndpointContext,
+    ) -> bool {
+        let past_grace: Vec<(&str, Identifier)> = self.tracker.past_grace(now, schedule).collect();
+        let is_drained = |grant: &Identifier| self.drained.contains(grant);
+        if past_grace.iter().all(|(_, grant)| is_drained(grant)) {
+            // Only grants that ended are left out: no need to look at the requests in flight.
+            self.drained
+                .retain(|grant| past_grace.iter().any(|(_, other)| other == grant));
+            return false;
+        }
+        let busy_machines = context.busy_machines();
+        let drained: Vec<Identifier> = past_grace
+            .iter()
+            .filter(|(machine, _)| !busy_machines.contains(machine))
+            .map(|(_, grant)| *grant)
+            .collect();
+        let has_changed = drained != self.drained;
+        self.drained = drained;
+        has_changed
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/maintenance/leadership.rs
@@ -0,0 +1,196 @@
+//! What this sidecar does while it leads: grants leases and proposes the next command (`limewing_maintenance::Scheduler`).
+
+use super::applied_log::AppliedLog;
+use super::consensus_role::ConsensusRole;
+use super::unix_ms;
+use crate::endpoint_list::EndpointRecord;
+use limewing_maintenance::{
+    Command, FleetObservation, Identifier, LeaseGrantor, MaintenanceList, Pod, Scheduler,
+    ZoneTracker,
+};
+use limewing_proxy_core::clock::wall_clock_now;
+use std::time::{Duration, SystemTime};
+
+/// How long leases hold, and what a new leader has to wait for.
+#[derive(Clone, Copy)]
+pub(super) struct LeaseTimings {
+    /// A lease holds for this long.
+    pub(super) duration: Duration,
+    /// How long a predecessor may have led beside a new leader.
+    pub(super) leader_overlap: Duration,
+    /// How long a request in flight may last after the lease under which it was sent has expired.
+    pub(super) completion: Duration,
+}
+
+/// A sidecar requests its lease.
+pub(super) struct LeaseRequest<'a> {
+    /// Its name.
+    pub(super) name: &'a str,
+    /// Number of its process.
+    pub(super) incarnation: u64,
+    /// Index through which it has applied the log.
+    pub(super) applied_index: u64,
+    /// Grants whose machines it is drained from.
+    pub(super) drained: &'a [Identifier],
+    /// Of a thousand of its recent requests, how many it rejected.
+    pub(super) rejected_per_mille: u16,
+}
+
+/// What a leader decides on a request for a lease.
+pub(super) enum LeaseDecision {
+    /// The lease holds once the sidecar has applied the log through this index.
+    Granted { commit_index: u64 },
+    /// Not before the log names the sidecar: this command is to be proposed.
+    Register(Command),
+    /// This sidecar does not lead, or waits for its own commands.
+    Denied,
+}
+
+/// The leader's side, idle at sidecars that do not lead.
+pub(super) struct Leadership {
+    /// `None`: this sidecar does not lead.
+    scheduler: Option<Scheduler>,
+    timings: LeaseTimings,
+    zones: ZoneTracker,
+    warm_up: Duration,
+    release_on_trial: bool,
+}
+
+impl Leadership {
+    /// A sidecar that does not lead; `warm_up` is how long a started pod counts as cold.
+    pub(super) fn new(timings: LeaseTimings, warm_up: Duration) -> Self {
+        Self {
+            scheduler: None,
+            timings,
+            zones: ZoneTracker::default(),
+            warm_up,
+            release_on_trial: false,
+        }
+    }
+
+    /// The leases that this sidecar has granted, if it leads.
+    pub(super) fn grantor(&self) -> Option<&LeaseGrantor> {
+        self.scheduler.as_ref().map(|scheduler| &scheduler.grantor)
+    }
+
+    /// Whether a build is on trial or is being rolled back.
+    pub(super) fn set_release_on_trial(&mut self, on_trial: bool) {
+        self.release_on_trial = on_trial;
+    }
+
+    /// Takes in which zones serve now.
+    pub(super) fn observe_zones(&mut self, endpoints: &[EndpointRecord]) {
+        let serving = endpoints.iter().filter(|endpoint| !endpoint.draining);
+        self.zones
+            .observe_serving(serving.map(|endpoint| endpoint.zone.as_str()));
+    }
+
+    /// A command of this leader is in the log at this index.
+    pub(super) fn command_proposed(&mut self, index: u64) {
+        if let Some(scheduler) = &mut self.scheduler {
+            scheduler.command_proposed(index);
+        }
+    }
+
+    /// Begins or ends the leadership of a term, as the consensus has it. Returns the command to propose now.
+    pub(super) fn next_command(
+        &mut self,
+        now: Duration,
+        role: &ConsensusRole,
+        applied: &AppliedLog,
+        endpoints: &[EndpointRecord],
+    ) -> Option<Command> {
+        self.follow_term(now, role);
+        let mut lists = applied.schedule.lists().values();
+        if lists.all(MaintenanceList::is_finished) || role.established_leader().is_none() {
+            return None;
+        }
+        let scheduler = self.scheduler.as_mut()?;
+        let wall_clock = wall_clock_now();
+        let pods: Vec<Pod> = endpoints
+            .iter()
+            .map(|endpoint| to_pod(endpoint, wall_clock))
+            .collect();
+        let observation = FleetObservation {
+            pods: &pods,
+            warm_up_seconds: self.warm_up.as_secs_f64(),
+            release_on_trial: self.release_on_trial,
+        };
+        scheduler.next_command(
+            now,
+            unix_ms(wall_clock),
+            (&applied.schedule, applied.index),
+            &self.zones,
+            &observation,
+        )
+    }
+
+    fn follow_term(&mut self, now: Duration, role: &ConsensusRole) {
+        let term = role.leader().map(|voter| voter.node().term());
+        let current = self.scheduler.as_ref().map(|scheduler| scheduler.term);
+        if current == term {
+            return;
+        }
+        let timings = self.timings;
+        self.scheduler = term.map(|term| {
+            let grantor = LeaseGrantor::new(
+                now,
+                timings.duration,
+                timings.leader_overlap,
+                timings.completion,
+            );
+            Scheduler::new(now, term, grantor)
+        });
+    }
+
+    /// Decides on a request for a lease.
+    pub(super) fn decide_lease(
+        &mut self,
+        now: Duration,
+        role: &ConsensusRole,
+        applied: &AppliedLog,
+        request: &LeaseRequest,
+    ) -> LeaseDecision {
+        // A leader that doesn't know yet what its predecessors committed would grant a lease too early.
+        let Some(voter) = role.established_leader() else {
+            return LeaseDecision::Denied;
+        };
+        let Some(scheduler) = &mut self.scheduler else {
+            return LeaseDecision::Denied;
+        };
+        let granted = scheduler.grantor.lease_requested(
+            now,
+            &applied.schedule,
+            (request.name, request.incarnation),
+            (
+                request.applied_index,
+                request.drained,
+                request.rejected_per_mille,
+            ),
+        );
+        if granted {
+            let commit_index = voter.node().commit_index();
+            return LeaseDecision::Granted { commit_index };
+        }
+        let known = applied.schedule.sidecars().get(request.name);
+        let is_new = known.is_none_or(|known| *known < request.incarnation);
+        if scheduler.has_applied_own(applied.index) && is_new {
+            return LeaseDecision::Register(Command::SidecarStarted {
+                name: request.name.to_owned(),
+                incarnation: request.incarnation,
+            });
+        }
+        LeaseDecision::Denied
+    }
+}
+
+fn to_pod(endpoint: &EndpointRecord, wall_clock: SystemTime) -> Pod {
+    let now_seconds = unix_ms(wall_clock) as f64 / 1e3;
+    Pod {
+        machine: endpoint.machine.clone(),
+        zone: endpoint.zone.clone(),
+        capacity: endpoint.weight,
+        draining: endpoint.draining,
+        uptime_seconds: endpoint.started.map(|started| now_seconds - started),
+    }
+}
--- /dev/null
+++ b/crates/http-proxy/src/service/maintenance/view.rs
@@ -0,0 +1,226 @@
+//! What `GET /limewing/work` tells about maintenance.
+
+use super::consensus_role::ConsensusRole;
+use super::Maintenance;
+use limewing_consensus::Role;
+use limewing_maintenance::{
+    Identifier, LeaseGrantor, MachinePhase, MachineState, MaintenanceList, MaintenanceSchedule,
+};
+use serde::{Deserialize, Serialize};
+use std::time::Duration;
+
+/// The page's word for a learner's role.
+const LEARNER_TEXT: &str = "asks";
+
+/// One sidecar's view of the maintenance.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct MaintenanceView {
+    /// Name of the sidecar.
+    pub name: String,
+    /// Its role in the consensus: `free`, `follows`, `tries`, `stands` or `leads` for a voter, `asks` for a learner.
+    #[serde(rename = "standing")]
+    pub role: String,
+    /// Name of the sidecar that leads, as far as this one knows.
+    pub leader: Option<String>,
+    /// The consensus's term; 0 at a learner.
+    pub term: u64,
+    /// Index through which the log is applied.
+    #[serde(rename = "settled")]
+    pub applied_index: u64,
+    /// Names of the voters; empty at a learner.
+    #[serde(rename = "members")]
+    pub voters: Vec<String>,
+    /// Name of the sidecar that becomes a voter once it has caught up.
+    #[serde(default, rename = "awaited")]
+    pub pending_voter: Option<String>,
+    /// Whether it holds a lease; without one it sends to no machine on a list.
+    #[serde(rename = "lease")]
+    pub has_lease: bool,
+    /// Names of the running sidecars, as the log has them.
+    pub sidecars: Vec<String>,
+    /// Names of the machines that it must not send to.
+    #[serde(rename = "closed")]
+    pub closed_machines: Vec<String>,
+    /// The lists, by their numbers.
+    pub lists: Vec<ListView>,
+}
+
+/// One list of machines.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct ListView {
+    /// Its number.
+    #[serde(rename = "list")]
+    pub id: u64,
+    /// Its name.
+    pub name: String,
+    /// Whether no more machines are taken out until it is resumed.
+    #[serde(rename = "held")]
+    pub paused: bool,
+    /// Whether no more machines are taken out at all.
+    pub withdrawn: bool,
+    /// Whether there is nothing left to do.
+    #[serde(rename = "over")]
+    pub finished: bool,
+    /// Sidecars that do not know the list yet, as far as the leader knows; empty elsewhere.
+    #[serde(rename = "unknown_to")]
+    pub sidecars_behind: Vec<String>,
+    /// Its machines.
+    pub machines: Vec<MachineView>,
+}
+
+/// One machine on a list.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct MachineView {
+    /// Its name.
+    pub machine: String,
+    /// `waits`, `granted`, `out`, `back`, `done` or `failed`.
+    #[serde(rename = "step")]
+    pub phase: String,
+    /// Its grant, if it has one.
+    pub grant: Option<u64>,
+    /// Whether it has been in maintenance for longer than expected.
+    pub stalled: bool,
+    /// Sidecars that may still send to it, as far as the leader knows; empty elsewhere.
+    #[serde(rename = "not_clear")]
+    pub sidecars_not_drained: Vec<String>,
+    /// Why a waiting machine may not be taken out now.
+    #[serde(rename = "why")]
+    pub blocked_reason: Option<String>,
+}
+
+impl Maintenance {
+    /// What `GET /limewing/work` tells.
+    pub(in crate::service) fn view(&self, now: Duration) -> MaintenanceView {
+        let lists = ListsView {
+            now,
+            schedule: &self.applied.schedule,
+            grantor: self.leadership.grantor(),
+        };
+        let consensus = ConsensusView::new(&self.role, self.lease.leader());
+        MaintenanceView {
+            name: self.name.clone(),
+            role: consensus.role.to_owned(),
+            leader: consensus.leader,
+            term: consensus.term,
+            applied_index: self.applied.index,
+            voters: consensus.voters,
+            pending_voter: consensus.pending_voter,
+            has_lease: self.lease.lease().is_held(now, self.applied.index),
+            sidecars: self.applied.schedule.sidecars().keys().cloned().collect(),
+            closed_machines: self.drain.closed_names(),
+            lists: lists.lists(),
+        }
+    }
+}
+
+/// The consensus's part of the page.
+struct ConsensusView {
+    role: &'static str,
+    leader: Option<String>,
+    term: u64,
+    voters: Vec<String>,
+    pending_voter: Option<String>,
+}
+
+impl ConsensusView {
+    /// `granted_by` is the sidecar that granted the lease last: a learner knows the leader by it.
+    fn new(role: &ConsensusRole, granted_by: Option<&str>) -> Self {
+        let Some(voter) = role.voter() else {
+            return Self {
+                role: LEARNER_TEXT,
+                leader: granted_by.map(str::to_owned),
+                term: 0,
+                voters: Vec::new(),
+                pending_voter: None,
+            };
+        };
+        let node = voter.node();
+        Self {
+            role: role_text(node.role()),
+            leader: node.leader().map(|id| id.name.clone()),
+            term: node.term(),
+            voters: role.voter_names(),
+            pending_voter: node.pending_voter().map(str::to_owned),
+        }
+    }
+}
+
+/// The page's word for a voter's role; its readers match on it.
+const fn role_text(role: Role) -> &'static str {
+    match role {
+        Role::Unjoined => "free",
+        Role::Follower => "follows",
+        Role::PreCandidate => "tries",
+        Role::Candidate => "stands",
+        Role::Leader => "leads",
+    }
+}
+
+/// What the lists' part of the page is made from.
+struct ListsView<'a> {
+    now: Duration,
+    schedule: &'a MaintenanceSchedule,
+    /// The leases that this sidecar has granted, if it leads.
+    grantor: Option<&'a LeaseGrantor>,
+}
+
+impl ListsView<'_> {
+    fn lists(&self) -> Vec<ListView> {
+        let lists = self.schedule.lists().iter();
+        lists.map(|(id, list)| self.list(*id, list)).collect()
+    }
+
+    fn list(&self, id: Identifier, list: &MaintenanceList) -> ListView {
+        let machines = list.machines.iter();
+        ListView {
+            id: id.0,
+            name: list.config.name.clone(),
+            paused: list.paused,
+            withdrawn: list.withdrawn,
+            finished: list.is_finished(),
+            sidecars_behind: self.sidecars_behind(list),
+            machines: machines.map(|state| self.machine(id, state)).collect(),
+        }
+    }
+
+    fn sidecars_behind(&self, list: &MaintenanceList) -> Vec<String> {
+        match self.grantor {
+            Some(grantor) if !list.known => {
+                to_owned(&grantor.sidecars_behind(self.schedule, list.completed_index))
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    fn machine(&self, list: Identifier, state: &MachineState) -> MachineView {
+        MachineView {
+            machine: state.machine.name.clone(),
+            phase: state.phase.to_string(),
+            grant: state.grant.map(|grant| grant.0),
+            stalled: state.stalled,
+            sidecars_not_drained: self.sidecars_not_drained(state),
+            blocked_reason: self.blocked_reason(list, state),
+        }
+    }
+
+    fn sidecars_not_drained(&self, state: &MachineState) -> Vec<String> {
+        match (state.phase, state.grant, self.grantor) {
+            (MachinePhase::Granted, Some(grant), Some(grantor)) => {
+                to_owned(&grantor.sidecars_not_drained(self.now, self.schedule, grant))
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    fn blocked_reason(&self, list: Identifier, state: &MachineState) -> Option<String> {
+        if state.phase != MachinePhase::Waiting {
+            return None;
+        }
+        let check = self.schedule.check_grant(list, &state.machine.name);
+        check.err().map(|reason| reason.to_string())
+    }
+}
+
+fn to_owned(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
+}
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -34,7 +34,7 @@
 use limewing_proxy_core::send_permit::SendAuthority;
 use limewing_proxy_core::shutdown::{PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts};
 use limewing_settings::{ConfigError, SidecarSettings};
-use maintenance::{EndpointContext, Maintenance};
+use maintenance::{EndpointContext, Maintenance, TrafficTimings};
 pub use maintenance::{ListView, MachineView, MaintenanceRequest, MaintenanceView, WorkReport};
 pub use membership::{EndpointSelectionView, MemberView, MembershipView};
 use membership::{FleetMembership, LocalMember, ReceivedMessage};
@@ -242,11 +242,15 @@
             .map(|group| Duration::from(group.client_timeout))
             .max();
         let longest_hit = longest.unwrap_or_default();
-        let spans = (rules.drain_grace.into(), longest_hit, rules.cold_for.into());
+        let traffic = TrafficTimings {
+            drain_grace: rules.drain_grace.into(),
+            longest_request: longest_hit,
+            warm_up: rules.cold_for.into(),
+        };
         let maintenance = settings
             .work
             .as_ref()
-            .map(|work| Maintenance::start(&settings.name, work, now, seed, spans));
+            .map(|work| Maintenance::start(now, &settings.name, work, &traffic, seed));
         let maintenance = maintenance.transpose().map_err(StartError::Work)?;
         let replicas = settings.peers.as_ref().filter(|peers| peers.replicas);
         let replication = replicas.map(|told| Replication::start(now, settings, told, seed));
@@ -550,11 +554,11 @@
                 .filter_map(|pod| directory.address(pod))
                 .collect()
         };
-        let site = EndpointContext {
-            rows: &self.listed,
-            busy: &busy,
+        let context = EndpointContext {
+            endpoints: &self.listed,
+            busy_addresses: &busy,
         };
-        if maintenance.turn(self.now, membership, &site) {
+        if maintenance.turn(self.now, membership, &context) {
             let rows = self.told(self.listed.clone());
             let news = self
                 .directory
