--- a/crates/http-proxy/src/service/peers.rs
+++ b/crates/http-proxy/src/service/peers.rs
@@ -2,8 +2,8 @@
 //! where the settings ask for it.
 
 use super::direct_message;
-use super::maintenance::{EndpointContext, Maintenance, MaintenanceRequest};
-use super::membership::FleetMembership;
+use super::maintenance::{EndpointContext, Maintenance, MaintenanceRequest, TrafficTimings};
+use super::membership::{FleetMembership, LocalMember, ReceivedMessage};
 use super::replication::Replication;
 use super::{Service, StartError};
 use crate::endpoint_list::EndpointRecord;
@@ -41,23 +41,24 @@
         max_client_timeout: Duration,
         sockets: &mut Sockets,
     ) -> Result<Self, StartError> {
-        let name = &settings.name;
-        let zone = settings.start_terms(seed).zone.0;
+        let local = LocalMember {
+            name: &settings.name,
+            zone: settings.start_terms(seed).zone.0,
+            seed,
+        };
         let membership = match &settings.peers {
-            Some(peers) => Some(FleetMembership::start(
-                name, peers, zone, sockets, now, seed,
-            )?),
+            Some(peers) => Some(FleetMembership::start(now, &local, peers, sockets)?),
             None => None,
         };
-        let rules = &settings.rules;
-        let spans = (
-            rules.drain_grace.into(),
-            max_client_timeout,
-            rules.cold_for.into(),
-        );
+        let traffic = TrafficTimings {
+            drain_grace: settings.rules.drain_grace.into(),
+            longest_request: max_client_timeout,
+            warm_up: settings.rules.cold_for.into(),
+        };
         let maintenance = match &settings.work {
             Some(work) => {
-                Some(Maintenance::start(name, work, now, seed, spans).map_err(StartError::Work)?)
+                let started = Maintenance::start(now, &settings.name, work, &traffic, seed);
+                Some(started.map_err(StartError::Work)?)
             }
             None => None,
         };
@@ -242,7 +243,9 @@
         let maintenance = self.maintenance.as_mut()?;
         let request = serde_json::from_slice::<MaintenanceRequest>(body);
         Some(match request {
-            Ok(request) => maintenance.handle_request(now, &request, endpoints),
+            Ok(request) => maintenance
+                .handle_request(now, &request, endpoints)
+                .map_err(|error| error.to_string()),
             Err(error) => Err(error.to_string()),
         })
     }
@@ -281,7 +284,7 @@
         let Some(membership) = &mut peers.membership else {
             return;
         };
-        while let Some((from, bytes)) = membership.take_direct_message() {
+        while let Some(ReceivedMessage { from, bytes }) = membership.take_direct_message() {
             match bytes.split_first() {
                 Some((&direct_message::REPLICATION, rest)) => {
                     if let Some(replication) = &mut peers.replication {
@@ -308,11 +311,12 @@
         for event in &self.events {
             replication.observe_event(event);
         }
-        let (events, stage) = replication.turn(self.now, membership);
-        self.events.extend(events);
-        if let Some(update) = stage.and_then(|message| self.stages.accept(message)) {
+        let update = replication.turn(self.now, membership);
+        self.events.extend(update.events);
+        let stage = update.stage.and_then(|message| self.stages.accept(message));
+        if let Some(stage) = stage {
             self.events.push(Event::Stage {
-                update: Some(update),
+                update: Some(stage),
                 vote_answer: None,
             });
         }
@@ -340,8 +344,8 @@
                 .collect()
         };
         let context = EndpointContext {
-            rows: &self.endpoints.listed,
-            busy: &busy,
+            endpoints: &self.endpoints.listed,
+            busy_addresses: &busy,
         };
         if maintenance.turn(self.now, membership, &context) {
             self.announce_closed_machines();
