--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -1,17 +1,13 @@
-//! The sidecar: sockets become events of the decision module, its actions become bytes on sockets.
+//! The sidecar for HTTP/1.1: events of sockets become events of the decision engine, its actions become bytes on sockets.
 //!
-//! `routes`, `pods`, `stages` and `memory` turn bytes into the module's words and back and are free of
-//! sockets; `service` drives them, `state_store` has a thread of its own for the disk. Which pod gets a hit, and when one is given up, is the module's alone.
-
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+//! Which pod gets a request, and when one is given up, the decision engine alone decides.
+//!
+//! - [`service`]: one sidecar, driven by its event loop
+//! - [`request_classifier`]: class, tenant, routing key and deadline of a request
+//! - [`endpoint_list`], [`endpoint_directory`]: the list as the service sends it, and as the decision engine knows it
+//! - [`endpoint_list_file`], [`state_store`]: the list on disk, and the thread that writes it
+//! - [`stage_updates`], [`votes`]: the messages of the rollout service
+//! - [`vote_log`]: a consensus voter's log on disk
 
 pub mod endpoint_directory;
 pub mod endpoint_list;
--- a/crates/http-proxy/src/service/clients/mod.rs
+++ b/crates/http-proxy/src/service/clients/mod.rs
@@ -1,11 +1,11 @@
 //! The clients' side: their connections, and what is kept of their requests.
 //!
-//! - [`requests`] reads requests and starts them
-//! - [`request_bodies`] streams bodies that are too large for memory
-//! - [`responses`] writes the responses of pods
-//! - [`own_responses`] writes the responses that are this sidecar's own
-//! - [`pages`] serves this sidecar's own pages
-//! - [`wrong_answers`] takes reports of wrong answers
+//! - `requests` reads requests and starts them
+//! - `request_bodies` streams bodies that are too large for memory
+//! - `responses` writes the responses of pods
+//! - `own_responses` writes the responses that are this sidecar's own
+//! - `pages` serves this sidecar's own pages
+//! - `wrong_answers` takes reports of wrong answers
 
 mod own_responses;
 mod pages;
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -1,12 +1,12 @@
 //! One HTTP sidecar: the state that its event loop owns, and its parts.
 //!
-//! - [`startup`] builds a sidecar from its settings
-//! - [`event_loop`] waits for sockets and timers, and dispatches to the other parts
-//! - [`clients`] reads requests and writes responses
-//! - [`upstream`] sends attempts to pods and reads their responses
-//! - [`control`] polls the endpoint list, watches stages and votes
-//! - [`peers`] connects the loop with what the sidecars of a fleet share
-//! - [`shutdown`] settles what is in flight before the process exits
+//! - `startup` builds a sidecar from its settings
+//! - `event_loop` waits for sockets and timers, and dispatches to the other parts
+//! - `clients` reads requests and writes responses
+//! - `upstream` sends attempts to pods and reads their responses
+//! - `control` polls the endpoint list, watches stages and votes
+//! - `peers` connects the loop with what the sidecars of a fleet share
+//! - `shutdown` settles what is in flight before the process exits
 
 mod attempt_token;
 mod clients;
--- a/crates/http-proxy/src/service/upstream/mod.rs
+++ b/crates/http-proxy/src/service/upstream/mod.rs
@@ -3,11 +3,11 @@
 //! What proves that an attempt never ran: no connection was established, not one byte of it was written, or the pod says
 //! so. A pod that closes an idle connection just as a request is written to it proves nothing: the bytes may have arrived.
 //!
-//! - [`attempts`] starts and ends attempts
-//! - [`request_writer`] writes a request to a pod
-//! - [`connections`] is the life of a connection, in use and idle
-//! - [`exchange`] reads one response off a connection's bytes
-//! - [`responses`] passes responses on to clients
+//! - `attempts` starts and ends attempts
+//! - `request_writer` writes a request to a pod
+//! - `connections` is the life of a connection, in use and idle
+//! - `exchange` reads one response off a connection's bytes
+//! - `responses` passes responses on to clients
 
 mod attempts;
 mod connections;
