--- a/crates/http-proxy/tests/sockets/crossings.rs
+++ b/crates/http-proxy/tests/sockets/draining.rs
@@ -1,7 +1,9 @@
-//! A pod is told to drain while an attempt is on its way to it: over its connection's coming up, or in the same round of
-//! the loop. The loop is held by its decisions, as a process that is stopped.
+//! A pod starts draining while an attempt is on its way to it: its connection is being established, or both happen in the same
+//! turn of the loop. The loop is held by its decisions, as a process that is stopped.
 
-use crate::help::{run, settings, state_file, Client, Does, Pod, CHARGE, DONE, QUOTE};
+use crate::support::{
+    run, settings, state_file, Client, Pod, PodAction, CHARGE, OK_RESPONSE, QUOTE,
+};
 use limewing_decision::interface::{Action, AttemptIndex, Event, RequestId};
 use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
@@ -16,53 +18,53 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const SOON: Duration = Duration::from_secs(10);
-/// So many requests that are served earn a second attempt.
-const EARNS: usize = 40;
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// So many served requests earn the retry budget for one attempt more.
+const REQUESTS_FOR_ONE_RETRY: usize = 40;
 
-/// What a loop under test tells, and waits for.
+/// What the event loop under test signals.
 #[derive(Debug, PartialEq)]
-enum Told {
-    Forwards,
-    Held,
+enum LoopSignal {
+    AttemptStarted,
+    LoopHeld,
 }
 
-/// The real decisions. They say when an attempt is decided on; and hold the loop, once it is asked for, before the actions
-/// of a call are carried out.
-struct Holding {
+/// The decision engine. Signals when an attempt is started; on request it holds the loop before the actions of a call are
+/// carried out.
+struct HoldableDecisions {
     real: DecisionEngine,
-    tell: Sender<Told>,
+    tell: Sender<LoopSignal>,
     hold: Arc<AtomicBool>,
     hold_at_attempt: Arc<AtomicBool>,
     forbids: Arc<AtomicBool>,
-    go_on: Receiver<()>,
+    resume: Receiver<()>,
 }
 
-impl Holding {
+impl HoldableDecisions {
     fn passes(&self, actions: Vec<Action>) -> Vec<Action> {
-        // Looked at first: whoever asks for a hold when it hears of an attempt means the next call.
+        // Read first: a test that asks for a hold when it is signalled an attempt means the next call.
         let holds = self.hold.swap(false, Ordering::SeqCst);
         let attempts = actions
             .iter()
             .any(|action| matches!(action, Action::StartAttempt { .. }));
         if attempts {
-            let _ = self.tell.send(Told::Forwards);
+            let _ = self.tell.send(LoopSignal::AttemptStarted);
         }
         if holds || attempts && self.hold_at_attempt.swap(false, Ordering::SeqCst) {
-            let _ = self.tell.send(Told::Held);
-            let _ = self.go_on.recv();
+            let _ = self.tell.send(LoopSignal::LoopHeld);
+            let _ = self.resume.recv();
         }
         actions
     }
 }
 
-impl SendAuthority for Holding {
+impl SendAuthority for HoldableDecisions {
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         !self.forbids.load(Ordering::SeqCst) && self.real.may_begin(now, hit, no)
     }
 }
 
-impl Decisions for Holding {
+impl Decisions for HoldableDecisions {
     fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         let actions = self.real.apply_events(now, events);
         self.passes(actions)
@@ -75,18 +77,18 @@
 }
 
 /// A sidecar with such decisions.
-struct Watched {
+struct HoldableSidecar {
     at: SocketAddr,
-    told: Receiver<Told>,
+    told: Receiver<LoopSignal>,
     hold: Arc<AtomicBool>,
     hold_at_attempt: Arc<AtomicBool>,
     forbids: Arc<AtomicBool>,
-    go_on: Sender<()>,
+    resume: Sender<()>,
 }
 
-impl Watched {
+impl HoldableSidecar {
     fn start(settings: &SidecarSettings) -> Self {
-        let ((tell, told), (go_on, word)) = (channel(), channel());
+        let ((tell, told), (resume, word)) = (channel(), channel());
         let hold = Arc::new(AtomicBool::new(false));
         let hold_at_attempt = Arc::new(AtomicBool::new(false));
         let forbids = Arc::new(AtomicBool::new(false));
@@ -94,13 +96,13 @@
             (hold.clone(), hold_at_attempt.clone(), forbids.clone());
         let service = Service::start_with(settings, move |now, terms| {
             let real = DecisionEngine::new(now, terms);
-            Box::new(Holding {
+            Box::new(HoldableDecisions {
                 real,
                 tell,
                 hold: held,
                 hold_at_attempt: at_attempt,
                 forbids: forbidden,
-                go_on: word,
+                resume: word,
             })
         });
         Self {
@@ -109,22 +111,22 @@
             hold,
             hold_at_attempt,
             forbids,
-            go_on,
+            resume,
         }
     }
 
-    fn tells(&self, what: &Told) {
-        while self.told.recv_timeout(SOON).expect("a word of the loop") != *what {}
+    fn wait_for(&self, what: &LoopSignal) {
+        while self.told.recv_timeout(TIMEOUT).expect("a word of the loop") != *what {}
     }
 }
 
-/// The list service: each answer goes out at the test's word.
-struct List {
+/// The list service: each response is sent when the test says so.
+struct EndpointListService {
     listener: TcpListener,
     link: Option<TcpStream>,
 }
 
-impl List {
+impl EndpointListService {
     fn new() -> Self {
         Self {
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
@@ -133,10 +135,10 @@
     }
 
     /// Waits until it is asked. What it told before is known to the sidecar then.
-    fn is_asked(&mut self) {
+    fn wait_for_query(&mut self) {
         loop {
             if self.link.is_none() {
-                self.link = Some(accepts(&self.listener));
+                self.link = Some(accept_within_timeout(&self.listener));
             }
             let mut asked = [0; 1000];
             let length = self
@@ -151,9 +153,9 @@
     }
 
     /// Tells these pods, each whether it drains.
-    fn says(&mut self, index: u64, pods: &[(SocketAddr, bool)]) {
-        let entry = |(at, drains): &(SocketAddr, bool)| {
-            let status = if *drains { "critical" } else { "passing" };
+    fn send(&mut self, index: u64, pods: &[(SocketAddr, bool)]) {
+        let entry = |(at, drain): &(SocketAddr, bool)| {
+            let status = if *drain { "critical" } else { "passing" };
             format!(
                 r#"{{"Service":{{"ID":"{at}","Address":"{}","Port":{},"Meta":{{"build":"1"}}}},"Checks":[{{"Status":"{status}"}}]}}"#,
                 at.ip(),
@@ -173,13 +175,13 @@
     }
 }
 
-/// A pod to which no connection comes up, as its backlog is full: until it lets one in.
-struct Full {
+/// A pod to which no connection is established, as its backlog is full, until it accepts one.
+struct UnacceptingPod {
     listener: TcpListener,
     at: SocketAddr,
 }
 
-impl Full {
+impl UnacceptingPod {
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
@@ -192,21 +194,21 @@
     }
 
     /// Lets the connection of a sidecar come up: the system dials again, a second or some after the first time.
-    fn lets_in(&self) -> TcpStream {
-        drop(accepts(&self.listener));
-        accepts(&self.listener)
+    fn accept_sidecar(&self) -> TcpStream {
+        drop(accept_within_timeout(&self.listener));
+        accept_within_timeout(&self.listener)
     }
 }
 
 /// The next connection; none for long is a failure, not a wait without end.
-fn accepts(listener: &TcpListener) -> TcpStream {
-    let end = Instant::now() + 2 * SOON;
+fn accept_within_timeout(listener: &TcpListener) -> TcpStream {
+    let end = Instant::now() + 2 * TIMEOUT;
     listener.set_nonblocking(true).unwrap();
     loop {
         match listener.accept() {
             Ok((link, _)) => {
                 link.set_nonblocking(false).unwrap();
-                link.set_read_timeout(Some(SOON)).unwrap();
+                link.set_read_timeout(Some(TIMEOUT)).unwrap();
                 return link;
             }
             Err(_) => assert!(Instant::now() < end, "no connection came"),
@@ -215,14 +217,14 @@
     }
 }
 
-/// All that comes on a connection until the sidecar closes it.
-fn all_of(link: &mut TcpStream) -> String {
+/// All that arrives on a connection until the sidecar closes it.
+fn read_to_end_of(link: &mut TcpStream) -> String {
     let mut text = String::new();
     link.read_to_string(&mut text).unwrap();
     text
 }
 
-fn patient(list: &List, grace: f64) -> SidecarSettings {
+fn settings_with_long_connect_timeout(list: &EndpointListService, grace: f64) -> SidecarSettings {
     let seconds = |s| Seconds::try_from(s).unwrap();
     let mut settings = settings();
     settings.list.address = list.listener.local_addr().unwrap();
@@ -233,37 +235,37 @@
     settings
 }
 
-/// A sidecar that knows one pod, to which an attempt dials in vain, and that may afford a second attempt.
-struct Dialling {
-    leaving: Full,
+/// A sidecar that knows one pod, to which an attempt is connecting in vain, and whose retry budget allows another attempt.
+struct ConnectingAttempt {
+    leaving: UnacceptingPod,
     other: Pod,
-    list: List,
-    sidecar: Watched,
+    list: EndpointListService,
+    sidecar: HoldableSidecar,
     client: Client,
 }
 
-impl Dialling {
+impl ConnectingAttempt {
     fn start(grace: f64) -> Self {
         let (earlier, other) = (
-            Pod::new(vec![Does::Says(DONE)]),
-            Pod::new(vec![Does::Says(DONE)]),
+            Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
+            Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
         );
-        let (leaving, mut list) = (Full::new(), List::new());
-        let sidecar = Watched::start(&patient(&list, grace));
-        list.is_asked();
-        list.says(1, &[(earlier.at, false)]);
-        list.is_asked();
+        let (leaving, mut list) = (UnacceptingPod::new(), EndpointListService::new());
+        let sidecar = HoldableSidecar::start(&settings_with_long_connect_timeout(&list, grace));
+        list.wait_for_query();
+        list.send(1, &[(earlier.at, false)]);
+        list.wait_for_query();
         let mut client = Client::new(sidecar.at);
-        // Attempts after the first are earned.
-        for _ in 0..EARNS {
-            client.says(QUOTE);
-            assert!(client.hears().0.starts_with("HTTP/1.1 200"));
+        // Fills the retry budget.
+        for _ in 0..REQUESTS_FOR_ONE_RETRY {
+            client.send(QUOTE);
+            assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
         }
-        list.says(2, &[(leaving.at, false)]);
-        list.is_asked();
+        list.send(2, &[(leaving.at, false)]);
+        list.wait_for_query();
         sidecar.told.try_iter().for_each(drop);
-        client.says(QUOTE);
-        sidecar.tells(&Told::Forwards);
+        client.send(QUOTE);
+        sidecar.wait_for(&LoopSignal::AttemptStarted);
         Self {
             leaving,
             other,
@@ -274,29 +276,29 @@
     }
 
     /// The pod on which it dials drains, and there is another.
-    fn drains(&mut self) {
+    fn drain(&mut self) {
         self.list
-            .says(3, &[(self.leaving.at, true), (self.other.at, false)]);
+            .send(3, &[(self.leaving.at, true), (self.other.at, false)]);
     }
 
-    fn is_served_by_the_other(&mut self) {
-        let (head, _) = self.client.hears();
+    fn expect_response_of_other_pod(&mut self) {
+        let (head, _) = self.client.read_response();
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         assert_eq!(self.other.count(), 1);
     }
 }
 
-/// What has not gone out to a pod when the list tells that it drains goes out to another: no byte of it goes to the
-/// draining one when its connection comes up, neither after the grace nor within it.
+/// An attempt that is not written when the list says that its pod drains goes to another pod: no byte of it goes to the
+/// draining one when its connection is established, neither after the grace period nor within it.
 #[rstest]
 #[case::after_the_grace(0.1)]
 #[case::within_the_grace(60.0)]
-fn an_attempt_that_still_dials_does_not_go_to_a_pod_that_drains(#[case] grace: f64) {
-    let mut run = Dialling::start(grace);
-    run.drains();
-    run.list.is_asked();
+fn an_attempt_that_is_connecting_is_not_sent_to_a_draining_pod(#[case] grace: f64) {
+    let mut run = ConnectingAttempt::start(grace);
+    run.drain();
+    run.list.wait_for_query();
     if grace < 1.0 {
-        // From here on the sidecar has been told; what is waited for is the grace itself.
+        // The sidecar knows of the draining from here on; the sleep is the grace period itself.
         std::thread::sleep(Duration::from_secs_f64(grace));
     }
     // It does not wait for the connection.
@@ -306,84 +308,84 @@
         .set_read_timeout(Some(Duration::from_secs(3)))
         .is_ok()
         && matches!(run.client.0.peek(&mut [0]), Ok(1));
-    let came = all_of(&mut run.leaving.lets_in());
+    let came = read_to_end_of(&mut run.leaving.accept_sidecar());
     assert_eq!((answered, came.as_str()), (true, ""));
-    run.is_served_by_the_other();
+    run.expect_response_of_other_pod();
 }
 
-/// After a standstill the list's word and the connection's coming up are found in one round of the loop.
+/// After a standstill the list and the established connection are found in one turn of the loop.
 #[test]
-fn a_connection_that_comes_up_with_the_word_to_drain_carries_nothing() {
-    let mut run = Dialling::start(60.0);
+fn a_connection_established_in_the_turn_of_the_drain_carries_nothing() {
+    let mut run = ConnectingAttempt::start(60.0);
     run.sidecar.hold.store(true, Ordering::SeqCst);
-    run.sidecar.tells(&Told::Held);
-    run.drains();
-    let mut link = run.leaving.lets_in();
-    run.sidecar.go_on.send(()).unwrap();
-    assert_eq!(all_of(&mut link), "");
-    run.is_served_by_the_other();
+    run.sidecar.wait_for(&LoopSignal::LoopHeld);
+    run.drain();
+    let mut link = run.leaving.accept_sidecar();
+    run.sidecar.resume.send(()).unwrap();
+    assert_eq!(read_to_end_of(&mut link), "");
+    run.expect_response_of_other_pod();
 }
 
-/// Permission is asked when the connection has come up, too. An attempt without it never runs, and its connection is kept:
-/// the next request goes on it.
+/// A permit is requested when the connection is established, too. An attempt without it never runs, and the connection stays
+/// open for the next request.
 #[test]
-fn nothing_is_written_without_permission() {
+fn nothing_is_written_without_a_permit() {
     let pod = TcpListener::bind("127.0.0.1:0").unwrap();
-    // It is asked and does not answer: no word of a list has attempts looked at.
-    let mut list = List::new();
-    let mut settings = patient(&list, 60.0);
+    // It gets a query and does not respond: no list has the attempts checked.
+    let mut list = EndpointListService::new();
+    let mut settings = settings_with_long_connect_timeout(&list, 60.0);
     settings.limits.idle_close = Seconds::try_from(30.0).unwrap();
     settings.state_file = Some(state_file(&[pod.local_addr().unwrap()]));
-    let sidecar = Watched::start(&settings);
-    list.is_asked();
+    let sidecar = HoldableSidecar::start(&settings);
+    list.wait_for_query();
     sidecar.forbids.store(true, Ordering::SeqCst);
     let mut client = Client::new(sidecar.at);
-    client.says(CHARGE);
-    let mut link = accepts(&pod);
-    let (head, _) = client.hears();
+    client.send(CHARGE);
+    let mut link = accept_within_timeout(&pod);
+    let (head, _) = client.read_response();
     assert!(
         head.starts_with("HTTP/1.1 503") && head.contains("a retry is harmless"),
         "{head}"
     );
     sidecar.forbids.store(false, Ordering::SeqCst);
-    client.says(CHARGE);
-    serves(&mut link);
-    assert!(client.hears().0.starts_with("HTTP/1.1 200"));
+    client.send(CHARGE);
+    serve(&mut link);
+    assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
 }
 
-/// A pod closes a kept connection after the sidecar has looked at its sockets and before it writes to it: the request goes
-/// on a new connection. On the old one it may have run for all that would be known.
+/// A pod closes an idle connection after the sidecar has polled its sockets and before it writes to it: the request goes on a
+/// new connection. On the old one it may have run for all that would be known.
 #[test]
-fn a_kept_connection_that_closes_in_the_same_round_is_not_used() {
+fn an_idle_connection_that_closes_in_the_same_turn_is_not_used() {
     let pod = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = settings();
     settings.state_file = Some(state_file(&[pod.local_addr().unwrap()]));
-    let sidecar = Watched::start(&settings);
+    let sidecar = HoldableSidecar::start(&settings);
     let mut client = Client::new(sidecar.at);
-    client.says(CHARGE);
-    let first = serves_one(&pod);
-    assert!(client.hears().0.starts_with("HTTP/1.1 200"));
+    client.send(CHARGE);
+    let first = accept_and_serve(&pod);
+    assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
     sidecar.told.try_iter().for_each(drop);
-    // Held at the call that decides on the second request.
+    // Held at the call that starts the second request's attempt.
     sidecar.hold_at_attempt.store(true, Ordering::SeqCst);
-    client.says(CHARGE);
-    sidecar.tells(&Told::Held);
+    client.send(CHARGE);
+    sidecar.wait_for(&LoopSignal::LoopHeld);
     drop(first);
-    sidecar.go_on.send(()).unwrap();
-    let _second = serves_one(&pod);
-    let (head, _) = client.hears();
+    sidecar.resume.send(()).unwrap();
+    let _second = accept_and_serve(&pod);
+    let (head, _) = client.read_response();
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
 }
 
 /// Accepts a connection, answers the request on it, and hands it on.
-fn serves_one(pod: &TcpListener) -> TcpStream {
-    let mut link = accepts(pod);
-    serves(&mut link);
+fn accept_and_serve(pod: &TcpListener) -> TcpStream {
+    let mut link = accept_within_timeout(pod);
+    serve(&mut link);
     link
 }
 
 /// Reads one request, and answers it.
-fn serves(link: &mut TcpStream) {
+fn serve(link: &mut TcpStream) {
     let mut asked = Vec::new();
     while !asked.ends_with(b"\r\n\r\nhi") {
         let mut bytes = [0; 1000];
@@ -391,5 +393,5 @@
         assert!(length > 0, "the connection ended within a request");
         asked.extend_from_slice(&bytes[..length]);
     }
-    link.write_all(DONE.as_bytes()).unwrap();
+    link.write_all(OK_RESPONSE.as_bytes()).unwrap();
 }
--- a/crates/http-proxy/tests/sockets/main.rs
+++ b/crates/http-proxy/tests/sockets/main.rs
@@ -1,9 +1,13 @@
-//! A sidecar on sockets, with pods, list and installer that do as they are told.
+//! A sidecar on sockets, with scripted pods, list service and rollout service.
 
-mod crossings;
-mod hard_cases;
-mod help;
-mod on_trial;
-mod second_tries;
-mod wants;
+mod attempt_outcomes;
+mod canary;
+mod client_connections;
+mod draining;
+mod endpoint_watch;
+mod request_bodies;
+mod resource_limits;
+mod retries;
+mod streamed_responses;
+mod support;
 mod wrong_answer_reports;
--- a/crates/http-proxy/tests/sockets/wants.rs
+++ b/crates/http-proxy/tests/sockets/resource_limits.rs
@@ -1,6 +1,8 @@
-//! What a sidecar lacks is its own trouble: descriptors, disk, memory. And how it comes back.
+//! A lack of descriptors, disk or memory is the sidecar's own and no failure of its pods; and how it recovers.
 
-use crate::help::{listing, run, settings, state_file, Client, Does, Pod, DONE, QUOTE};
+use crate::support::{
+    listing, run, settings, state_file, Client, Pod, PodAction, OK_RESPONSE, QUOTE,
+};
 use limewing_decision::interface::{Action, AttemptIndex, AttemptOutcome, Event, RequestId};
 use limewing_decision::DecisionEngine;
 use limewing_http_proxy::service::{Decisions, Service};
@@ -13,10 +15,10 @@
 use std::sync::mpsc::{channel, Sender};
 use std::time::Duration;
 
-/// The real decisions, and a word of each outcome that they are told.
-struct Overheard(DecisionEngine, Sender<AttemptOutcome>);
+/// The decision engine; passes on each outcome that it is told.
+struct ObservedDecisions(DecisionEngine, Sender<AttemptOutcome>);
 
-impl Overheard {
+impl ObservedDecisions {
     fn tell(&self, events: &[Event]) {
         for event in events {
             if let Event::AttemptFinished(outcome) = event {
@@ -26,13 +28,13 @@
     }
 }
 
-impl SendAuthority for Overheard {
+impl SendAuthority for ObservedDecisions {
     fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
         self.0.may_begin(now, hit, no)
     }
 }
 
-impl Decisions for Overheard {
+impl Decisions for ObservedDecisions {
     fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.tell(&events);
         self.0.apply_events(now, events)
@@ -44,14 +46,14 @@
     }
 }
 
-/// Plays a test of this program in a process of its own, within limits that a shell sets.
-fn within(limits: &str, name: &str, body: impl FnOnce()) {
+/// Runs a test of this program in a process of its own, within limits that a shell sets.
+fn run_in_limited_process(limits: &str, name: &str, body: impl FnOnce()) {
     if std::env::var_os("LIMEWING_WITHIN").is_some() {
         return body();
     }
     let exe = std::env::current_exe().unwrap();
     let run = format!(
-        "{limits} exec {} wants::{name} --exact --nocapture",
+        "{limits} exec {} resource_limits::{name} --exact --nocapture",
         exe.display()
     );
     let out = Command::new("sh")
@@ -65,50 +67,53 @@
 }
 
 #[test]
-fn no_descriptor_for_a_forward_says_nothing_of_its_pod() {
-    within(
+fn a_lack_of_descriptors_is_no_failure_of_the_pod() {
+    run_in_limited_process(
         "ulimit -n 60;",
-        "no_descriptor_for_a_forward_says_nothing_of_its_pod",
+        "a_lack_of_descriptors_is_no_failure_of_the_pod",
         || {
             let pods = [
-                Pod::new(vec![Does::Says(DONE)]),
-                Pod::new(vec![Does::Says(DONE)]),
+                Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
+                Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
             ];
             let mut settings = settings();
             settings.state_file = Some(state_file(&[pods[0].at, pods[1].at]));
             let (tell, told) = channel();
             let service = Service::start_with(&settings, |now, terms| {
-                Box::new(Overheard(DecisionEngine::new(now, terms), tell))
+                Box::new(ObservedDecisions(DecisionEngine::new(now, terms), tell))
                     as Box<dyn Decisions + Send>
             });
             let at = run(service.unwrap());
             let mut client = Client::new(at);
-            // A first answer: from here on the connection is the sidecar's.
-            client.says("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
-            assert!(client.hears().0.starts_with("HTTP/1.1 200"));
+            // After a first response the sidecar has accepted the connection.
+            client.send("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
+            assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
             let held: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
-            client.says(QUOTE);
-            let (head, _) = client.hears();
+            client.send(QUOTE);
+            let (head, _) = client.read_response();
             assert!(
                 head.starts_with("HTTP/1.1 503") && head.contains("a retry is harmless"),
                 "{head}"
             );
-            let fates: Vec<AttemptOutcome> = told.try_iter().collect();
+            let outcomes: Vec<AttemptOutcome> = told.try_iter().collect();
             assert!(
-                !fates.is_empty() && fates.iter().all(|fate| *fate == AttemptOutcome::NeverSent),
-                "{fates:?}"
+                !outcomes.is_empty()
+                    && outcomes
+                        .iter()
+                        .all(|outcome| *outcome == AttemptOutcome::NeverSent),
+                "{outcomes:?}"
             );
             drop(held);
-            client.says(QUOTE);
-            assert_eq!(client.hears().1, "done");
+            client.send(QUOTE);
+            assert_eq!(client.read_response().1, "done");
         },
     );
 }
 
 #[test]
-fn a_list_that_could_not_be_kept_is_kept_once_it_can_be() {
+fn a_list_is_saved_once_its_folder_exists() {
     let folder = tempfile::tempdir().unwrap();
-    let pod = Pod::new(vec![Does::Says(DONE)]);
+    let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = settings();
     settings.list.address = list.local_addr().unwrap();
@@ -118,8 +123,8 @@
     let (mut link, _) = list.accept().unwrap();
     let _ = link.read(&mut [0; 500]).unwrap();
     link.write_all(listing(7, &[pod.at]).as_bytes()).unwrap();
-    client.says(QUOTE);
-    assert_eq!(client.hears().1, "done");
+    client.send(QUOTE);
+    assert_eq!(client.read_response().1, "done");
     std::fs::create_dir_all(file.parent().unwrap()).unwrap();
     // The list does not change any more.
     let kept = (0..500).any(|_| {
@@ -130,13 +135,13 @@
     assert!(kept);
 }
 
-/// Answers that a client does not read are not heaped up without an end.
+/// Responses that a client does not read are not buffered without bound.
 #[rstest]
 #[case::no_hits("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n")]
 #[case::status("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n")]
 #[case::hits(QUOTE)]
-fn a_client_that_asks_and_never_reads_is_not_answered_without_an_end(#[case] request: &str) {
-    let pod = Pod::new(vec![Does::Says(DONE)]);
+fn a_client_that_never_reads_gets_bounded_output(#[case] request: &str) {
+    let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let at = run(Service::start(&{
         let mut settings = settings();
         settings.state_file = Some(state_file(&[pod.at]));
@@ -154,8 +159,8 @@
         .take_while(|_| (&client.0).write_all(text.as_bytes()).is_ok())
         .count();
     let mut other = Client::new(at);
-    other.says("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
-    let (_, body) = other.hears();
+    other.send("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
+    let (_, body) = other.read_response();
     let unsent = body
         .split("\"unsent\":")
         .nth(1)
@@ -167,12 +172,12 @@
 }
 
 #[test]
-fn a_client_that_is_refused_and_sends_on_holds_nobody_up() {
+fn a_refused_client_that_keeps_sending_delays_no_other() {
     let at = run(Service::start(&settings()).unwrap());
     for _ in 0..3 {
         std::thread::spawn(move || {
             let mut client = Client::new(at);
-            client.says("no request\r\n\r\n");
+            client.send("no request\r\n\r\n");
             while client.0.write_all(&[b'x'; 1 << 20]).is_ok() {}
         });
     }
@@ -180,20 +185,20 @@
     for _ in 0..40 {
         let began = std::time::Instant::now();
         let mut client = Client::new(at);
-        client.says("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
-        assert!(client.hears().0.starts_with("HTTP/1.1 200"));
+        client.send("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
+        assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
         slowest = slowest.max(began.elapsed());
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(slowest < Duration::from_millis(500), "{slowest:?}");
 }
 
-/// A fleet that starts as a whole, beside a sidecar that has no figures: nothing tells what its pods bear, and each of
-/// hundreds of sidecars that sent a little would push them over.
+/// All pods were just started, and the sidecar has no statistics: nothing tells what they bear, and hundreds of sidecars that
+/// each sent a little would overload them.
 #[test]
 #[should_panic(expected = "finding 18")]
 fn a_fleet_that_is_cold_as_a_whole_is_used_before_it_is_warm() {
-    let pod = Pod::new(vec![Does::Says(DONE)]);
+    let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let file = state_file(&[pod.at]);
     let today = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -209,8 +214,8 @@
     settings.state_file = Some(file);
     let mut client = Client::new(run(Service::start(&settings).unwrap()));
     let well = (0..10).filter(|_| {
-        client.says("GET /quotes/1 HTTP/1.1\r\nHost: a\r\nWait-Ms: 200\r\n\r\n");
-        client.hears().0.starts_with("HTTP/1.1 200")
+        client.send("GET /quotes/1 HTTP/1.1\r\nHost: a\r\nWait-Ms: 200\r\n\r\n");
+        client.read_response().0.starts_with("HTTP/1.1 200")
     });
     let well = well.count();
     assert!(
--- a/crates/http-proxy/tests/sockets/second_tries.rs
+++ b/crates/http-proxy/tests/sockets/retries.rs
@@ -1,6 +1,6 @@
-//! Second tries over all layers: what a slow-down of all pods does to the traffic at them.
+//! Retries over all layers: what a slowdown of all pods does to their traffic.
 
-use crate::help::{run, settings, state_file, Client};
+use crate::support::{run, settings, state_file, Client};
 use limewing_http_proxy::service::Service;
 use limewing_settings::Seconds;
 use std::io::{Read, Write};
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Each client asks so often, and each of its hits has so many tries.
-const ORDERS: usize = 3;
-const TRIES: usize = 4;
+/// Requests of each client, and tries of each request.
+const REQUESTS_PER_CLIENT: usize = 3;
+const MAX_TRIES: usize = 4;
 const CLIENTS: usize = 30;
 
-/// A pod that answers each hit after a while, beside all others; forwards and connections are counted.
+/// A pod that responds to each request after a while; attempts and connections are counted.
 fn slow_pod(takes: Duration, forwards: &Arc<AtomicUsize>, links: &Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_slow_down_of_all_pods_brings_no_more_forwards_than_are_paid_for() {
+fn a_slowdown_of_all_pods_brings_no_more_attempts_than_the_retry_budget() {
     let (forwards, links) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let pods: Vec<SocketAddr> = (0..4)
         .map(|_| slow_pod(Duration::from_millis(450), &forwards, &links))
@@ -53,12 +53,12 @@
         .map(|_| {
             std::thread::spawn(move || {
                 let mut tries = 0;
-                for _ in 0..ORDERS {
-                    for _ in 0..TRIES {
+                for _ in 0..REQUESTS_PER_CLIENT {
+                    for _ in 0..MAX_TRIES {
                         let mut client = Client::new(at);
-                        client.says("GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n");
+                        client.send("GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n");
                         tries += 1;
-                        if client.hears().0.starts_with("HTTP/1.1 200") {
+                        if client.read_response().0.starts_with("HTTP/1.1 200") {
                             break;
                         }
                     }
@@ -72,7 +72,7 @@
         .map(|client| client.join().unwrap())
         .sum();
     let (forwards, links) = (forwards.load(Relaxed), links.load(Relaxed));
-    assert!(tries <= CLIENTS * ORDERS * TRIES);
+    assert!(tries <= CLIENTS * REQUESTS_PER_CLIENT * MAX_TRIES);
     assert!(
         forwards as f64 <= 1.15 * tries as f64 + 20.0,
         "{forwards} forwards of {tries} tries"
@@ -83,6 +83,6 @@
     );
     println!(
         "{} hits, {tries} tries, {forwards} forwards, {links} connections",
-        CLIENTS * ORDERS
+        CLIENTS * REQUESTS_PER_CLIENT
     );
 }
--- a/crates/http-proxy/tests/sockets/help.rs
+++ b/crates/http-proxy/tests/sockets/support.rs
@@ -1,4 +1,4 @@
-//! A sidecar on a thread, pods that do as they are told, and a client that reads answer by answer.
+//! A sidecar on a thread, scripted pods and rollout service, and a client that reads response by response.
 
 use limewing_decision::interface::{Action, AttemptIndex, Event, PodId, RequestId};
 use limewing_http_proxy::endpoint_directory::EndpointDirectory;
@@ -36,7 +36,7 @@
     "step_after": 4, "vote_life": 4, "vote_answer_within": 1, "back_votes": 1}
 }"#;
 
-pub(crate) const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
+pub(crate) const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
 pub(crate) const QUOTE: &str = "GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n";
 pub(crate) const CHARGE: &str = "POST /charges HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
 
@@ -69,7 +69,7 @@
     file
 }
 
-/// An answer of the list service that names these pods.
+/// A response of the list service with these pods.
 pub(crate) fn listing(index: u64, pods: &[SocketAddr]) -> String {
     let entry = |at: &SocketAddr| {
         format!(
@@ -95,16 +95,16 @@
     read_text("settings", SETTINGS).unwrap()
 }
 
-/// Sends each hit to all of these pods at once, and decides nothing else.
-struct ToAll(Vec<SocketAddr>);
+/// Starts an attempt of each request at all of these pods at once, and decides nothing else.
+struct SendToAll(Vec<SocketAddr>);
 
-impl SendAuthority for ToAll {
+impl SendAuthority for SendToAll {
     fn may_begin(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
         true
     }
 }
 
-impl Decisions for ToAll {
+impl Decisions for SendToAll {
     fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.handle(now, events)
     }
@@ -130,10 +130,10 @@
     }
 }
 
-/// A sidecar that sends each hit to all pods at once.
-pub(crate) fn sidecar_to_all(pods: &[SocketAddr]) -> SocketAddr {
+/// A sidecar that sends each request to all pods at once.
+pub(crate) fn sidecar_that_sends_to_all(pods: &[SocketAddr]) -> SocketAddr {
     let pods = pods.to_vec();
-    run(Service::start_with(&settings(), |_, _| Box::new(ToAll(pods))).unwrap())
+    run(Service::start_with(&settings(), |_, _| Box::new(SendToAll(pods))).unwrap())
 }
 
 pub(crate) fn run(service: Service) -> SocketAddr {
@@ -144,42 +144,43 @@
 
 /// What a pod does on each connection after it has read a request's head.
 #[derive(Clone, Debug)]
-pub(crate) enum Does {
-    Says(&'static str),
-    SaysAndCloses(&'static str),
+pub(crate) enum PodAction {
+    Respond(&'static str),
+    RespondAndClose(&'static str),
     /// Says nothing until the peer closes.
-    Waits,
+    StaySilent,
     /// Says the first part, waits for a word of the test, and says the second.
-    SaysInTwo(&'static str, &'static str),
+    RespondInTwoParts(&'static str, &'static str),
     /// Sends without an end.
-    Floods,
+    SendForever,
     /// Says how long the body was, which may come in chunks.
-    Counts,
+    RespondWithBodyLength,
 }
 
 pub(crate) struct Pod {
     pub at: SocketAddr,
     /// The head of each request that came, and `gone` when a connection ended.
-    pub seen: Receiver<String>,
-    pub go_on: Sender<()>,
+    pub received: Receiver<String>,
+    pub resume: Sender<()>,
     heads: Arc<AtomicUsize>,
 }
 
 impl Pod {
     /// A pod that does these in turn, one for each request, and the last of them ever after.
-    pub(crate) fn new(script: Vec<Does>) -> Self {
+    pub(crate) fn new(script: Vec<PodAction>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let ((tell, seen), (go_on, word)) = (channel(), channel());
+        let ((tell, received), (resume, word)) = (channel(), channel());
         let heads = Arc::new(AtomicUsize::new(0));
         let count = heads.clone();
         std::thread::spawn(move || {
             let mut script = script.into_iter().peekable();
             for stream in listener.incoming() {
                 let Ok(mut stream) = stream else { continue };
-                while let Some(head) =
-                    read_head(&mut stream, matches!(script.peek(), Some(Does::Counts)))
-                {
+                while let Some(head) = read_head(
+                    &mut stream,
+                    matches!(script.peek(), Some(PodAction::RespondWithBodyLength)),
+                ) {
                     let does = if script.len() > 1 {
                         script.next()
                     } else {
@@ -187,7 +188,7 @@
                     };
                     count.fetch_add(1, Ordering::Relaxed);
                     let _ = tell.send(head);
-                    if !act(&mut stream, does.unwrap(), &word) {
+                    if !perform(&mut stream, does.unwrap(), &word) {
                         break;
                     }
                 }
@@ -196,14 +197,14 @@
         });
         Self {
             at,
-            seen,
-            go_on,
+            received,
+            resume,
             heads,
         }
     }
 
-    pub(crate) fn hears(&self) -> String {
-        self.seen
+    pub(crate) fn read_response(&self) -> String {
+        self.received
             .recv_timeout(Duration::from_secs(10))
             .expect("the pod hears something")
     }
@@ -213,29 +214,29 @@
         self.heads.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn heard_nothing(&self) -> bool {
-        self.seen.try_recv().is_err()
+    pub(crate) fn received_nothing(&self) -> bool {
+        self.received.try_recv().is_err()
     }
 }
 
-fn act(stream: &mut TcpStream, does: Does, word: &Receiver<()>) -> bool {
+fn perform(stream: &mut TcpStream, does: PodAction, word: &Receiver<()>) -> bool {
     match does {
-        Does::Says(text) => stream.write_all(text.as_bytes()).is_ok(),
-        Does::SaysAndCloses(text) => {
+        PodAction::Respond(text) => stream.write_all(text.as_bytes()).is_ok(),
+        PodAction::RespondAndClose(text) => {
             let _ = stream.write_all(text.as_bytes());
             false
         }
-        Does::Waits => {
+        PodAction::StaySilent => {
             let _ = stream.read(&mut [0; 100]);
             false
         }
-        Does::SaysInTwo(first, second) => {
+        PodAction::RespondInTwoParts(first, second) => {
             let _ = stream.write_all(first.as_bytes());
             let _ = word.recv();
             stream.write_all(second.as_bytes()).is_ok()
         }
-        Does::Counts => unreachable!("answered as it was read"),
-        Does::Floods => {
+        PodAction::RespondWithBodyLength => unreachable!("answered as it was read"),
+        PodAction::SendForever => {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n");
             while stream.write_all(&[b'x'; 65_536]).is_ok() {}
             false
@@ -309,13 +310,13 @@
         Self(stream)
     }
 
-    pub(crate) fn says(&mut self, text: &str) {
+    pub(crate) fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).unwrap();
     }
 
     /// The next answer: its head and its body, which must have a length.
-    pub(crate) fn hears(&mut self) -> (String, String) {
-        let mut head = self.reads_until("\r\n\r\n");
+    pub(crate) fn read_response(&mut self) -> (String, String) {
+        let mut head = self.read_until("\r\n\r\n");
         let length = head.split("content-length: ").nth(1).map_or(0, |rest| {
             rest.split("\r\n").next().unwrap().parse().unwrap()
         });
@@ -325,7 +326,7 @@
         (head, String::from_utf8(body).unwrap())
     }
 
-    pub(crate) fn reads_until(&mut self, end: &str) -> String {
+    pub(crate) fn read_until(&mut self, end: &str) -> String {
         let (mut text, mut byte) = (Vec::new(), [0]);
         while !text.ends_with(end.as_bytes()) {
             match self.0.read(&mut byte) {
@@ -337,37 +338,37 @@
     }
 
     /// Whether nothing more comes and the other side has closed.
-    pub(crate) fn hears_the_end(&mut self) -> bool {
+    pub(crate) fn is_closed_by_sidecar(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-/// What an installer does with a vote.
+/// What the rollout service does with a vote.
 #[derive(Clone, Debug)]
-pub(crate) enum Vote {
+pub(crate) enum VoteAction {
     Counted,
     Moot,
-    Closes,
-    Says(&'static str),
-    SaysAndCloses(&'static str),
-    Waits,
+    Close,
+    Respond(&'static str),
+    RespondAndClose(&'static str),
+    StaySilent,
     /// Counts it, and says so at a word of the test.
-    WhenTold,
+    CountOnSignal,
 }
 
-pub(crate) struct Installer {
+pub(crate) struct RolloutService {
     at: SocketAddr,
     votes: Receiver<(Instant, String)>,
-    pub go_on: Sender<()>,
+    pub resume: Sender<()>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Installer {
+impl RolloutService {
     /// Says this state on each stream; does these with votes in turn, and the last of them ever after.
-    pub(crate) fn new(state: &'static str, script: Vec<Vote>) -> Self {
+    pub(crate) fn new(state: &'static str, script: Vec<VoteAction>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let ((tell_vote, votes), (go_on, word)) = (channel(), channel());
+        let ((tell_vote, votes), (resume, word)) = (channel(), channel());
         let word = Arc::new(Mutex::new(word));
         let streams = Arc::new(Mutex::new(Vec::new()));
         let kept = streams.clone();
@@ -389,14 +390,14 @@
                         script.peek().cloned()
                     };
                     let word = word.clone();
-                    std::thread::spawn(move || votes_on(link, does.unwrap(), &word));
+                    std::thread::spawn(move || reply_to_vote(link, does.unwrap(), &word));
                 }
             }
         });
         Self {
             at,
             votes,
-            go_on,
+            resume,
             streams,
         }
     }
@@ -410,23 +411,23 @@
     }
 
     /// Waits until stage news have been read: the first vote on them comes.
-    pub(crate) fn is_heard(&self) {
+    pub(crate) fn wait_for_first_vote(&self) {
         self.vote(Duration::from_secs(10)).expect("a vote");
     }
 
-    pub(crate) fn says(&self, state: &str) {
+    pub(crate) fn send(&self, state: &str) {
         for link in self.streams.lock().unwrap().iter_mut() {
             let _ = write!(link, "data: {state}\n\n");
         }
     }
 
-    pub(crate) fn vote(&self, within: Duration) -> Option<(Instant, String)> {
-        self.votes.recv_timeout(within).ok()
+    pub(crate) fn vote(&self, timeout: Duration) -> Option<(Instant, String)> {
+        self.votes.recv_timeout(timeout).ok()
     }
 }
 
-fn votes_on(mut link: TcpStream, does: Vote, word: &Mutex<Receiver<()>>) {
-    let says = |link: &mut TcpStream, what: &str| {
+fn reply_to_vote(mut link: TcpStream, does: VoteAction, word: &Mutex<Receiver<()>>) {
+    let send = |link: &mut TcpStream, what: &str| {
         let body = format!(r#"{{"answer":"{what}"}}"#);
         write!(
             link,
@@ -435,15 +436,15 @@
         )
     };
     let _ = match does {
-        Vote::Counted => says(&mut link, "counted"),
-        Vote::Moot => says(&mut link, "moot"),
-        Vote::Closes => return,
-        Vote::Says(text) => link.write_all(text.as_bytes()),
-        Vote::SaysAndCloses(text) => return drop(link.write_all(text.as_bytes())),
-        Vote::Waits => Ok(()),
-        Vote::WhenTold => {
+        VoteAction::Counted => send(&mut link, "counted"),
+        VoteAction::Moot => send(&mut link, "moot"),
+        VoteAction::Close => return,
+        VoteAction::Respond(text) => link.write_all(text.as_bytes()),
+        VoteAction::RespondAndClose(text) => return drop(link.write_all(text.as_bytes())),
+        VoteAction::StaySilent => Ok(()),
+        VoteAction::CountOnSignal => {
             let _ = word.lock().unwrap().recv();
-            says(&mut link, "counted")
+            send(&mut link, "counted")
         }
     };
     let _ = link.read(&mut [0; 100]);
--- a/crates/http-proxy/tests/sockets/wrong_answer_reports.rs
+++ b/crates/http-proxy/tests/sockets/wrong_answer_reports.rs
@@ -1,6 +1,6 @@
 //! Reports of wrong answers, by the token that came with the response.
 
-use crate::help::{run, settings, Client, Does, Pod, DONE, QUOTE};
+use crate::support::{run, settings, Client, Pod, PodAction, OK_RESPONSE, QUOTE};
 use limewing_decision::interface::{Action, AttemptIndex, Event, RequestId, SidecarConfig};
 use limewing_http_proxy::endpoint_directory::EndpointDirectory;
 use limewing_http_proxy::service::{Decisions, Service};
@@ -60,20 +60,20 @@
 
 fn report(to: SocketAddr, body: &str) -> String {
     let mut client = Client::new(to);
-    client.says(&format!(
+    client.send(&format!(
         "POST /limewing/reports HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ));
-    client.hears().0
+    client.read_response().0
 }
 
 #[test]
 fn a_reported_response_flags_its_pod_once() {
-    let pod = Pod::new(vec![Does::Says(DONE)]);
+    let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let (to, flagged) = sidecar(pod.at);
     let mut client = Client::new(to);
-    client.says(QUOTE);
-    let (head, _) = client.hears();
+    client.send(QUOTE);
+    let (head, _) = client.read_response();
     let token = head
         .lines()
         .find_map(|line| line.strip_prefix("limewing-forward: "))
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_report_that_names_no_response_is_refused() {
-    let pod = Pod::new(vec![Does::Says(DONE)]);
+    let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let (to, _flagged) = sidecar(pod.at);
     let unknown = report(to, r#"{"forward": "other.1.0.0"}"#);
     assert!(unknown.starts_with("HTTP/1.1 404"), "{unknown}");
