--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod endpoint_directory;
 pub mod endpoint_list;
 pub mod endpoint_list_file;
+mod http_status;
 pub mod request_classifier;
 pub mod service;
 pub mod stage_updates;
--- a/crates/http-proxy/src/request_classifier.rs
+++ b/crates/http-proxy/src/request_classifier.rs
@@ -1,5 +1,6 @@
 //! Classification of requests: class by method and path; tenant, routing key and deadline by header.
 
+use crate::http_status;
 use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
 use limewing_net::http::RequestHead;
 use limewing_settings::{ConfigError, Headers, Repeat, Router, SidecarSettings};
@@ -10,9 +11,6 @@
 /// The field that carries a request's idempotency key.
 pub const IDEMPOTENCY_KEY_FIELD: &str = "idempotency-key";
 
-const NOT_FOUND: u16 = 404;
-const BAD_REQUEST: u16 = 400;
-
 /// Classifies requests by the settings.
 pub struct RequestClassifier {
     router: Router,
@@ -64,8 +62,8 @@
     #[must_use]
     pub const fn status(self) -> u16 {
         match self {
-            Self::UnknownClass => NOT_FOUND,
-            Self::NoIdempotencyKey | Self::Deadline => BAD_REQUEST,
+            Self::UnknownClass => http_status::NOT_FOUND,
+            Self::NoIdempotencyKey | Self::Deadline => http_status::BAD_REQUEST,
         }
     }
 }
--- a/crates/http-proxy/src/service/clients/own_responses.rs
+++ b/crates/http-proxy/src/service/clients/own_responses.rs
@@ -1,5 +1,6 @@
 //! Responses that are this sidecar's own: rejections, failures, its pages.
 
+use crate::http_status;
 use crate::service::Service;
 use bytes::BytesMut;
 use limewing_decision::interface::RequestId;
@@ -9,12 +10,6 @@
 use limewing_replication::Refusal;
 use std::time::Duration;
 
-const REQUEST_TIMEOUT: u16 = 408;
-const CONFLICT: u16 = 409;
-const BAD_GATEWAY: u16 = 502;
-const SERVICE_UNAVAILABLE: u16 = 503;
-const GATEWAY_TIMEOUT: u16 = 504;
-
 const PROXY_STATUS: &str = "proxy-status";
 const RETRY_AFTER: &str = "retry-after";
 /// `Retry-After` where there is no better figure, in seconds.
@@ -42,7 +37,7 @@
         if !retry_after.is_zero() {
             fields.push((RETRY_AFTER, &seconds));
         }
-        self.complete_request(id, SERVICE_UNAVAILABLE, &fields);
+        self.complete_request(id, http_status::SERVICE_UNAVAILABLE, &fields);
     }
 
     /// Completes a request that may have had an effect.
@@ -50,9 +45,9 @@
         let request = self.requests.get(id);
         let is_late = request.is_some_and(|request| self.now >= request.deadline);
         let code = if is_late {
-            GATEWAY_TIMEOUT
+            http_status::GATEWAY_TIMEOUT
         } else {
-            BAD_GATEWAY
+            http_status::BAD_GATEWAY
         };
         let status = self.proxy_status(Effect::Unknown);
         self.complete_request(id, code, &[(PROXY_STATUS, &status)]);
@@ -75,7 +70,7 @@
     pub(super) fn reject_client(&mut self, id: SocketId) {
         let status = self.proxy_status(Effect::None);
         let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
-        self.write_own_response(id, SERVICE_UNAVAILABLE, &fields, b"", false);
+        self.write_own_response(id, http_status::SERVICE_UNAVAILABLE, &fields, b"", false);
         self.sockets.close_when_sent(id);
     }
 
@@ -83,7 +78,7 @@
     pub(super) fn reject_during_shutdown(&mut self, id: SocketId) {
         let status = self.proxy_status(Effect::None);
         let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
-        self.respond(id, SERVICE_UNAVAILABLE, &fields, b"");
+        self.respond(id, http_status::SERVICE_UNAVAILABLE, &fields, b"");
     }
 
     /// Responds to a request that replicated state forbids to send.
@@ -95,9 +90,11 @@
     ) {
         let (code, effect) = match refusal {
             // Whether it ran by way of another sidecar is not known here yet.
-            Refusal::NotCaughtUp if is_non_idempotent => (BAD_GATEWAY, Effect::Unknown),
-            Refusal::NotCaughtUp => (SERVICE_UNAVAILABLE, Effect::None),
-            Refusal::MayHaveRun => (CONFLICT, Effect::Unknown),
+            Refusal::NotCaughtUp if is_non_idempotent => {
+                (http_status::BAD_GATEWAY, Effect::Unknown)
+            }
+            Refusal::NotCaughtUp => (http_status::SERVICE_UNAVAILABLE, Effect::None),
+            Refusal::MayHaveRun => (http_status::CONFLICT, Effect::Unknown),
         };
         let status = self.proxy_status(effect);
         self.respond(id, code, &[(PROXY_STATUS, &status)], b"");
@@ -118,7 +115,7 @@
         };
         client.request_timer = None;
         let text = b"the request did not come whole in time\n";
-        self.write_own_response(id, REQUEST_TIMEOUT, &[], text, false);
+        self.write_own_response(id, http_status::REQUEST_TIMEOUT, &[], text, false);
         self.close_client(id);
     }
 
--- a/crates/http-proxy/src/service/clients/pages.rs
+++ b/crates/http-proxy/src/service/clients/pages.rs
@@ -1,6 +1,8 @@
 //! This sidecar's own pages: its state for operators, maintenance requests, reports of wrong answers.
 
+use crate::http_status;
 use crate::request_classifier::path_of;
+use crate::service::peers::MaintenanceResponse;
 use crate::service::Service;
 use limewing_net::http::RequestHead;
 use limewing_net::sockets::SocketId;
@@ -12,10 +14,6 @@
 const MAINTENANCE_PATH: &str = "/limewing/work";
 const REPLICATION_PATH: &str = "/limewing/state";
 
-const OK: u16 = 200;
-const ACCEPTED: u16 = 202;
-const BAD_REQUEST: u16 = 400;
-const NOT_FOUND: u16 = 404;
 const JSON_TYPE: (&str, &str) = ("content-type", "application/json");
 
 /// What the pages say where the settings don't ask for what they are about.
@@ -44,8 +42,8 @@
 
     fn serve_page(&mut self, id: SocketId, page: Option<Vec<u8>>, otherwise: &[u8]) {
         match page {
-            Some(body) => self.respond(id, OK, &[JSON_TYPE], &body),
-            None => self.respond(id, NOT_FOUND, &[], otherwise),
+            Some(body) => self.respond(id, http_status::OK, &[JSON_TYPE], &body),
+            None => self.respond(id, http_status::NOT_FOUND, &[], otherwise),
         }
     }
 
@@ -64,18 +62,18 @@
 
     fn handle_maintenance_request(&mut self, id: SocketId, body: &[u8]) {
         let endpoints = &self.endpoints.listed;
-        let handled = self
+        let response = self
             .peers
             .handle_maintenance_request(self.now, body, endpoints);
-        match handled {
-            None => self.serve_maintenance(id),
-            Some(Ok(list)) => {
+        match response {
+            MaintenanceResponse::NotConfigured => self.serve_maintenance(id),
+            MaintenanceResponse::Accepted { list } => {
                 let text = serde_json::json!({ "list": list }).to_string();
-                self.respond(id, ACCEPTED, &[JSON_TYPE], text.as_bytes());
+                self.respond(id, http_status::ACCEPTED, &[JSON_TYPE], text.as_bytes());
             }
-            Some(Err(error)) => {
+            MaintenanceResponse::Rejected(error) => {
                 let text = format!("{error}\n");
-                self.respond(id, BAD_REQUEST, &[], text.as_bytes());
+                self.respond(id, http_status::BAD_REQUEST, &[], text.as_bytes());
             }
         }
     }
@@ -92,6 +90,11 @@
             "hits": self.requests.total_accepted(),
             "unsent": self.sockets.total_unsent_bytes(),
         });
-        self.respond(id, OK, &[JSON_TYPE], status.to_string().as_bytes());
+        self.respond(
+            id,
+            http_status::OK,
+            &[JSON_TYPE],
+            status.to_string().as_bytes(),
+        );
     }
 }
--- a/crates/http-proxy/src/service/clients/wrong_answers.rs
+++ b/crates/http-proxy/src/service/clients/wrong_answers.rs
@@ -1,5 +1,6 @@
 //! Reports of wrong answers: which pod a response came from, by its attempt's token.
 
+use crate::http_status;
 use crate::service::attempt_token::AttemptId;
 use crate::service::Service;
 use limewing_decision::interface::{ClassId, Event, PodId};
@@ -10,10 +11,6 @@
 /// How many responses are remembered; the oldest requests are forgotten first.
 const MAX_ORIGINS: usize = 50_000;
 
-const ACCEPTED: u16 = 202;
-const BAD_REQUEST: u16 = 400;
-const NOT_FOUND: u16 = 404;
-
 /// Where a response came from.
 #[derive(Clone, Copy, Debug)]
 struct ResponseOrigin {
@@ -62,7 +59,12 @@
     /// Tells the decisions of a wrong answer; each response can be reported once.
     pub(super) fn handle_wrong_answer_report(&mut self, id: SocketId, body: &[u8]) {
         let Ok(report) = serde_json::from_slice::<WrongAnswerReport>(body) else {
-            return self.respond(id, BAD_REQUEST, &[], b"expected {\"forward\": mark}\n");
+            return self.respond(
+                id,
+                http_status::BAD_REQUEST,
+                &[],
+                b"expected {\"forward\": mark}\n",
+            );
         };
         let origin = self
             .upstream
@@ -73,12 +75,12 @@
                 origins.by_attempt.remove(&attempt)
             });
         let Some(origin) = origin else {
-            return self.respond(id, NOT_FOUND, &[], b"no such forward\n");
+            return self.respond(id, http_status::NOT_FOUND, &[], b"no such forward\n");
         };
         self.events.push(Event::Flagged {
             pod: origin.pod,
             class: origin.class,
         });
-        self.respond(id, ACCEPTED, &[], b"");
+        self.respond(id, http_status::ACCEPTED, &[], b"");
     }
 }
--- a/crates/http-proxy/src/service/control/endpoint_watch.rs
+++ b/crates/http-proxy/src/service/control/endpoint_watch.rs
@@ -3,6 +3,7 @@
 use crate::endpoint_directory::EndpointDirectory;
 use crate::endpoint_list::{parse_endpoint_list, EndpointRecord};
 use crate::endpoint_list_file;
+use crate::http_status;
 use crate::service::peers::Peers;
 use crate::service::{ConnectionRole, Service, TimerEvent};
 use crate::state_store::StateStore;
@@ -26,8 +27,6 @@
 const WAIT_JITTER_DIVISOR: u32 = 16;
 /// How long a response may take beyond the wait of its blocking query.
 const RESPONSE_ALLOWANCE: Duration = Duration::from_secs(2);
-/// Status of a response that has a list.
-const OK: u16 = 200;
 
 /// A connection to the service that serves the list.
 pub(in crate::service) struct EndpointListConnection {
@@ -289,7 +288,7 @@
             .fields
             .text("x-consul-index")
             .and_then(|text| text.parse::<u64>().ok());
-        let Some(index) = index.filter(|_| head.status == OK) else {
+        let Some(index) = index.filter(|_| head.status == http_status::OK) else {
             return Err(EndpointPollError::NoList);
         };
         self.peers
--- a/crates/http-proxy/src/service/control/stage_watch.rs
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -1,5 +1,6 @@
 //! The watch of the rollout's stages by a stream of server-sent events.
 
+use crate::http_status;
 use crate::service::{ConnectionRole, Service, TimerEvent};
 use crate::stage_updates::{StageEventReader, StageMessage, StageStreamError, StageUpdateFilter};
 use limewing_coordination::Service as ControlService;
@@ -13,8 +14,6 @@
 
 /// Where the rollout service serves the stream.
 const STAGES_PATH: &str = "/v1/stages";
-/// Status of a response that has the stream.
-const OK: u16 = 200;
 
 /// A connection that carries the stream.
 pub(in crate::service) struct StageStreamConnection {
@@ -176,7 +175,7 @@
             return Ok(true);
         }
         match http::parse_response(input, false, HeadLimits::default()) {
-            Ok(Some(head)) if head.status == OK => {
+            Ok(Some(head)) if head.status == http_status::OK => {
                 connection.body = Some(BodyReader::new(head.framing));
                 Ok(true)
             }
--- a/crates/http-proxy/src/service/membership/mod.rs
+++ b/crates/http-proxy/src/service/membership/mod.rs
@@ -68,7 +68,7 @@
         let at = settings.listen;
         let (socket, listen_address) = sockets
             .bind_datagrams(at)
-            .map_err(|why| StartError::Datagrams { at, why })?;
+            .map_err(|error| StartError::Datagrams { address: at, error })?;
         let started_at = wall_clock_now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
--- a/crates/http-proxy/src/service/peers.rs
+++ b/crates/http-proxy/src/service/peers/mod.rs
@@ -1,22 +1,20 @@
 //! What the sidecars of a fleet share, as the event loop uses it: membership, replicated state and maintenance, each only
 //! where the settings ask for it.
 
-use super::direct_message;
-use super::maintenance::{EndpointContext, Maintenance, MaintenanceRequest, TrafficTimings};
-use super::membership::{FleetMembership, LocalMember, ReceivedMessage};
+mod turn;
+
+use super::maintenance::{Maintenance, MaintenanceRequest, TrafficTimings};
+use super::membership::{FleetMembership, LocalMember};
 use super::replication::Replication;
-use super::{Service, StartError};
+use super::StartError;
 use crate::endpoint_list::EndpointRecord;
 use crate::stage_updates::StageMessage;
 use limewing_coordination::Service as ControlService;
-use limewing_decision::interface::{
-    AttemptResult, EndpointUpdate, Event, Phase, PodId, RequestId, RoutingKey,
-};
+use limewing_decision::interface::{AttemptResult, PodId, RequestId, RoutingKey};
 use limewing_net::sockets::Sockets;
 use limewing_proxy_core::clock::Clock;
 use limewing_replication::Refusal;
 use limewing_settings::SidecarSettings;
-use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -29,6 +27,19 @@
     maintenance_message_received: bool,
 }
 
+/// What became of a maintenance request.
+pub(super) enum MaintenanceResponse {
+    /// The settings ask for no maintenance.
+    NotConfigured,
+    /// It is carried out.
+    Accepted {
+        /// The number of the maintenance list that it creates, if it does.
+        list: Option<u64>,
+    },
+    /// It can't be carried out, for this cause.
+    Rejected(String),
+}
+
 impl Peers {
     /// Starts what the settings ask for. `max_client_timeout` is the longest that a request may be in flight.
     ///
@@ -232,145 +243,23 @@
         serde_json::to_vec(&view).ok()
     }
 
-    /// Handles a request of an operator or of a machine's agent, as JSON. Returns the number of the maintenance list that
-    /// it created, if it did; `None` without maintenance.
+    /// Handles a request of an operator or of a machine's agent, as JSON.
     pub(super) fn handle_maintenance_request(
         &mut self,
         now: Duration,
         body: &[u8],
         endpoints: &[EndpointRecord],
-    ) -> Option<Result<Option<u64>, String>> {
-        let maintenance = self.maintenance.as_mut()?;
-        let request = serde_json::from_slice::<MaintenanceRequest>(body);
-        Some(match request {
-            Ok(request) => maintenance
-                .handle_request(now, &request, endpoints)
-                .map_err(|error| error.to_string()),
-            Err(error) => Err(error.to_string()),
-        })
-    }
-}
-
-impl Service {
-    /// Brings endpoint and stage updates, also those of other sidecars, to the decisions, and ends the attempts that are no
-    /// longer allowed. Each event is shown to replication, maintenance and membership once: here, or later in the turn.
-    pub(super) fn apply_control_events(&mut self) {
-        self.receive_direct_messages();
-        self.run_replication();
-        self.run_maintenance();
-        if self.events.is_empty() {
-            return;
-        }
-        self.notify_coordination();
-        let events = std::mem::take(&mut self.events);
-        let actions = self.decisions.apply_events(self.now, events);
-        self.carry_out_all(actions);
-        self.withdraw_forbidden_attempts();
-    }
-
-    /// Shows coordination what the decisions are about to be told, and adds the fleet's view if that changed.
-    pub(super) fn notify_coordination(&mut self) {
-        let Some(membership) = &mut self.peers.membership else {
-            return;
+    ) -> MaintenanceResponse {
+        let Some(maintenance) = &mut self.maintenance else {
+            return MaintenanceResponse::NotConfigured;
         };
-        let directory = &self.endpoints.directory;
-        let view = membership.observe_events(self.now, &self.events, |pod| directory.address(pod));
-        self.events.extend(view);
-    }
-
-    /// Hands the messages of other sidecars to the parts that they are for.
-    pub(super) fn receive_direct_messages(&mut self) {
-        let peers = &mut self.peers;
-        let Some(membership) = &mut peers.membership else {
-            return;
+        let request = match serde_json::from_slice::<MaintenanceRequest>(body) {
+            Ok(request) => request,
+            Err(error) => return MaintenanceResponse::Rejected(error.to_string()),
         };
-        while let Some(ReceivedMessage { from, bytes }) = membership.take_direct_message() {
-            match bytes.split_first() {
-                Some((&direct_message::REPLICATION, rest)) => {
-                    if let Some(replication) = &mut peers.replication {
-                        replication.receive(self.now, &from, rest);
-                    }
-                }
-                _ => {
-                    if let Some(maintenance) = &mut peers.maintenance {
-                        peers.maintenance_message_received = true;
-                        maintenance.receive(self.now, &from, &bytes);
-                    }
-                }
-            }
-        }
-    }
-
-    /// Exchanges replicated state with other sidecars, and takes up what is news to the decisions.
-    pub(super) fn run_replication(&mut self) {
-        let peers = &mut self.peers;
-        let (Some(replication), Some(membership)) = (&mut peers.replication, &mut peers.membership)
-        else {
-            return;
-        };
-        for event in &self.events {
-            replication.observe_event(event);
-        }
-        let update = replication.turn(self.now, membership);
-        self.events.extend(update.events);
-        let stage = update.stage.and_then(|message| self.stages.accept(message));
-        if let Some(stage) = stage {
-            self.events.push(Event::Stage {
-                update: Some(stage),
-                vote_answer: None,
-            });
-        }
-    }
-
-    /// Advances maintenance if it has messages or something due, and announces the machines that it closed or opened.
-    pub(super) fn run_maintenance(&mut self) {
-        let peers = &mut self.peers;
-        let (Some(maintenance), Some(membership)) = (&mut peers.maintenance, &mut peers.membership)
-        else {
-            return;
-        };
-        for event in &self.events {
-            observe_for_maintenance(maintenance, self.now, event);
-        }
-        let has_message = std::mem::take(&mut peers.maintenance_message_received);
-        if !has_message && self.now < maintenance.next_deadline() {
-            return;
-        }
-        let (requests, directory) = (&self.requests, &self.endpoints.directory);
-        let busy = || -> BTreeSet<SocketAddr> {
-            requests
-                .pods_with_attempts()
-                .filter_map(|pod| directory.address(pod))
-                .collect()
-        };
-        let context = EndpointContext {
-            endpoints: &self.endpoints.listed,
-            busy_addresses: &busy,
-        };
-        if maintenance.turn(self.now, membership, &context) {
-            self.announce_closed_machines();
-        }
-    }
-
-    fn announce_closed_machines(&mut self) {
-        let delta = self.endpoints.remark_closed_machines(&self.peers, self.now);
-        if !delta.is_empty() {
-            self.events
-                .push(Event::Endpoints(EndpointUpdate::Delta(delta)));
-        }
-    }
-}
-
-fn observe_for_maintenance(maintenance: &mut Maintenance, now: Duration, event: &Event) {
-    match event {
-        Event::Stage {
-            update: Some(update),
-            ..
-        } => {
-            let on_trial = matches!(update.phase, Phase::OnTrial | Phase::RollingBack);
-            maintenance.set_release_on_trial(on_trial);
+        match maintenance.handle_request(now, &request, endpoints) {
+            Ok(list) => MaintenanceResponse::Accepted { list },
+            Err(error) => MaintenanceResponse::Rejected(error.to_string()),
         }
-        Event::RequestArrived { .. } => maintenance.record_requests(now, 1, 0),
-        _ => {}
     }
 }
--- a/crates/http-proxy/src/service/start_error.rs
+++ b/crates/http-proxy/src/service/start_error.rs
@@ -9,12 +9,12 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address for clients can't be used.
-    #[error("can't listen on {at}: {why}")]
+    #[error("can't listen on {address}: {error}")]
     Listen {
         /// The address.
-        at: SocketAddr,
+        address: SocketAddr,
         /// What the system says.
-        why: io::Error,
+        error: io::Error,
     },
     /// The system refuses what the event loop, or a thread beside it, needs.
     #[error("the system gives no poll or signals: {0}")]
@@ -23,12 +23,12 @@
     #[error("at {}: {}", .0.path, .0.expected)]
     Settings(ConfigError),
     /// The address for datagrams of other sidecars can't be used.
-    #[error("can't take datagrams at {at}: {why}")]
+    #[error("can't take datagrams at {address}: {error}")]
     Datagrams {
         /// The address.
-        at: SocketAddr,
+        address: SocketAddr,
         /// What the system says.
-        why: io::Error,
+        error: io::Error,
     },
     /// The fleet's keys can't be used.
     #[error("at /peers/key_file: {0}")]
--- a/crates/http-proxy/src/service/startup.rs
+++ b/crates/http-proxy/src/service/startup.rs
@@ -52,9 +52,9 @@
         let classifier = RequestClassifier::new(settings).map_err(StartError::Settings)?;
         let mut sockets = Sockets::new()?;
         sockets.watch_signals(&signals::WATCHED)?;
-        let at = settings.listen;
-        let listener =
-            ClientListener::bind(&mut sockets, at).map_err(|why| StartError::Listen { at, why })?;
+        let address = settings.listen;
+        let listener = ClientListener::bind(&mut sockets, address)
+            .map_err(|error| StartError::Listen { address, error })?;
         let budget = descriptor_budget(settings);
         sockets.limit_connections(budget.max_accepted, budget.max_connections);
         let clock = Clock::default();
--- a/crates/http-proxy/src/service/upstream/exchange.rs
+++ b/crates/http-proxy/src/service/upstream/exchange.rs
@@ -1,5 +1,6 @@
 //! One attempt on a connection: reads its response off the connection's bytes.
 
+use crate::http_status;
 use crate::service::attempt_token::AttemptId;
 use bytes::{Bytes, BytesMut};
 use limewing_decision::interface::AttemptOutcome;
@@ -8,9 +9,6 @@
 
 /// A pod says with this field that it has not begun a request.
 const NOT_STARTED_FIELD: &str = "limewing-not-begun";
-const SERVICE_UNAVAILABLE: u16 = 503;
-/// The least status that is a server's error.
-const FIRST_SERVER_ERROR: u16 = 500;
 
 /// One attempt on a connection.
 pub(super) struct Exchange {
@@ -70,13 +68,13 @@
 
 impl Response {
     fn is_server_error(&self) -> bool {
-        self.head.status >= FIRST_SERVER_ERROR
+        self.head.status >= http_status::FIRST_SERVER_ERROR
     }
 
     /// What a complete response says of its attempt.
     pub(super) fn outcome(&self) -> AttemptOutcome {
         let says_not_started = self.head.fields.get(NOT_STARTED_FIELD).is_some();
-        if self.head.status == SERVICE_UNAVAILABLE && says_not_started {
+        if self.head.status == http_status::SERVICE_UNAVAILABLE && says_not_started {
             AttemptOutcome::Rejected
         } else if self.is_server_error() {
             AttemptOutcome::Failed
--- a/crates/http-proxy/src/votes.rs
+++ b/crates/http-proxy/src/votes.rs
@@ -1,15 +1,11 @@
 //! Votes on the build on trial and the rollout service's replies, as JSON; `docs/protocol.md` has both.
 
+use crate::http_status;
 use crate::stage_updates::StageMessage;
 use limewing_decision::interface::{BuildId, StageIndex, Verdict, VoteAnswer};
 use limewing_proxy_core::vote_call::VoteReply;
 use serde::{Deserialize, Serialize};
 
-/// Status of a reply to a vote that was read.
-const OK: u16 = 200;
-/// Status of a reply by which the rollout service takes no votes for now.
-const TOO_MANY_REQUESTS: u16 = 429;
-
 /// A verdict as messages have it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -87,11 +83,11 @@
 /// Reads a reply to a vote; one that can't be read counts as a failed vote.
 #[must_use]
 pub fn parse_vote_response(status: u16, body: &[u8]) -> VoteReply<StageMessage> {
-    if status == TOO_MANY_REQUESTS {
+    if status == http_status::TOO_MANY_REQUESTS {
         return VoteReply::without_state(VoteAnswer::Full);
     }
     let reply = serde_json::from_slice::<VoteReplyMessage>(body);
-    let Some(reply) = reply.ok().filter(|_| status == OK) else {
+    let Some(reply) = reply.ok().filter(|_| status == http_status::OK) else {
         return VoteReply::without_state(VoteAnswer::Failed);
     };
     let answer = match reply.answer {
