--- a/crates/proxy-core/src/backoff/tests.rs
+++ b/crates/proxy-core/src/backoff/tests.rs
@@ -1,29 +1,33 @@
+//! Delays grow up to their bound, differ by seed, and start over.
+
 use super::Backoff;
-use rstest::rstest;
 use std::time::Duration;
 
-#[rstest]
-fn waits_for_a_lost_service_grow_to_a_bound_and_differ() {
-    let waits = |seed| {
-        let mut again = Backoff::new(seed);
-        (0..8).map(|_| again.next_delay()).collect::<Vec<_>>()
-    };
-    let (one, other) = (waits(1), waits(2));
-    let (least, most) = (Duration::from_millis(250), Duration::from_secs(4));
-    assert!(
-        one.iter().all(|wait| (least..=most).contains(wait)),
-        "{one:?}"
-    );
+fn delays(seed: u64) -> Vec<Duration> {
+    let mut backoff = Backoff::new(seed);
+    (0..8).map(|_| backoff.next_delay()).collect()
+}
+
+#[test]
+fn delays_grow_to_a_bound_and_differ_by_seed() {
+    let first = delays(1);
+    let second = delays(2);
+    let bounds = Duration::from_millis(250)..=Duration::from_secs(4);
     assert!(
-        one[7] >= Duration::from_secs(2) && one != other && one == waits(1),
-        "{one:?} {other:?}"
+        first.iter().all(|delay| bounds.contains(delay)),
+        "{first:?}"
     );
+    assert!(first[7] >= Duration::from_secs(2), "{first:?}");
+    assert_ne!(first, second);
+    assert_eq!(first, delays(1));
 }
 
-#[rstest]
-fn a_service_that_answered_is_soon_asked_again() {
-    let mut again = Backoff::new(7);
-    (0..8).for_each(|_| assert!(again.next_delay() > Duration::ZERO));
-    again.reset();
-    assert!(again.next_delay() <= Duration::from_millis(500));
+#[test]
+fn delay_is_short_again_after_a_reset() {
+    let mut backoff = Backoff::new(7);
+    for _ in 0..8 {
+        assert!(backoff.next_delay() > Duration::ZERO);
+    }
+    backoff.reset();
+    assert!(backoff.next_delay() <= Duration::from_millis(500));
 }
