--- a/crates/http-proxy/src/service/clients/pages.rs
+++ b/crates/http-proxy/src/service/clients/pages.rs
@@ -85,8 +85,8 @@
             "clients": self.clients.connected,
             "sockets": self.sockets.open_count(),
             "pods": self.endpoints.endpoint_count(),
-            "list_index": self.endpoints.index(),
-            "list_watched": self.endpoints.is_connected(),
+            "list_index": self.endpoint_watch.index(),
+            "list_watched": self.endpoint_watch.is_connected(),
             "hits": self.requests.total_accepted(),
             "unsent": self.sockets.total_unsent_bytes(),
         });
--- a/crates/http-proxy/src/service/control/endpoint_watch.rs
+++ b/crates/http-proxy/src/service/control/endpoint_watch.rs
@@ -1,21 +1,17 @@
 //! The watch of the endpoint list by blocking queries.
 
-use crate::endpoint_directory::EndpointDirectory;
-use crate::endpoint_list::{parse_endpoint_list, EndpointRecord};
+use crate::endpoint_list::parse_endpoint_list;
 use crate::endpoint_list_file;
 use crate::http_status;
-use crate::service::peers::Peers;
 use crate::service::{ConnectionRole, Service, TimerEvent};
-use crate::state_store::StateStore;
 use bytes::BytesMut;
 use limewing_coordination::Service as ControlService;
-use limewing_decision::interface::{Endpoint, EndpointUpdate, Event, WatchLoss};
+use limewing_decision::interface::{EndpointUpdate, Event, WatchLoss};
 use limewing_net::body::Framing;
 use limewing_net::http::ResponseHead;
 use limewing_net::message_reader::ResponseReader;
 use limewing_net::sockets::SocketId;
 use limewing_net::timer_wheel::TimerKey;
-use limewing_proxy_core::clock::wall_clock_now;
 use std::path::Path;
 use std::time::Duration;
 
@@ -34,21 +30,13 @@
     timer: TimerKey,
 }
 
-/// The endpoint list as this sidecar knows it, and the state of its watch.
+/// The state of the watch.
+#[derive(Default)]
 pub(in crate::service) struct EndpointWatch {
-    /// The numbers by which the decisions know the endpoints.
-    pub(in crate::service) directory: EndpointDirectory,
-    /// The list as the service has it.
-    pub(in crate::service) listed: Vec<EndpointRecord>,
-    /// The list as the decisions know it: endpoints on machines that are closed for maintenance drain.
-    announced: Vec<EndpointRecord>,
     /// The service's index of the list; 0 asks for the list at once.
     index: u64,
-    /// Whether a list was received since the start.
-    received: bool,
     connection: Option<SocketId>,
     queried_at: Duration,
-    state_store: Option<StateStore<Vec<EndpointRecord>>>,
 }
 
 /// Why a query has failed.
@@ -75,28 +63,6 @@
 }
 
 impl EndpointWatch {
-    /// A watch without a list; received lists are saved by `state_store`.
-    pub(in crate::service) fn new(
-        zones: &[String],
-        state_store: Option<StateStore<Vec<EndpointRecord>>>,
-    ) -> Self {
-        Self {
-            directory: EndpointDirectory::new(zones),
-            listed: Vec::new(),
-            announced: Vec::new(),
-            index: 0,
-            received: false,
-            connection: None,
-            queried_at: Duration::ZERO,
-            state_store,
-        }
-    }
-
-    /// How many endpoints the decisions know.
-    pub(in crate::service) fn endpoint_count(&self) -> usize {
-        self.announced.len()
-    }
-
     /// The service's index of the list.
     pub(in crate::service) fn index(&self) -> u64 {
         self.index
@@ -107,83 +73,6 @@
         self.connection.is_some()
     }
 
-    /// Waits until the newest list is saved, for `timeout` at most; returns whether it is.
-    pub(in crate::service) fn flush_state_file(&self, timeout: Duration) -> bool {
-        match &self.state_store {
-            Some(store) => store.flush(timeout),
-            None => true,
-        }
-    }
-
-    /// Marks the endpoints on closed machines anew, and returns what changed.
-    pub(in crate::service) fn remark_closed_machines(
-        &mut self,
-        peers: &Peers,
-        now: Duration,
-    ) -> Vec<Endpoint> {
-        let announced = self.with_closed_machines(peers);
-        let delta = self
-            .directory
-            .delta(&self.announced, &announced, now, wall_clock_now());
-        self.announced = announced;
-        delta
-    }
-
-    fn with_closed_machines(&self, peers: &Peers) -> Vec<EndpointRecord> {
-        let mut announced = self.listed.clone();
-        peers.mark_closed_machines(&mut announced);
-        announced
-    }
-
-    /// Takes up a list that was saved by an earlier process.
-    fn take_cached(
-        &mut self,
-        list: Vec<EndpointRecord>,
-        peers: &Peers,
-        now: Duration,
-    ) -> EndpointUpdate {
-        self.listed = list;
-        self.announced = self.with_closed_machines(peers);
-        let endpoints = self
-            .directory
-            .snapshot(&self.announced, now, wall_clock_now());
-        EndpointUpdate::Cached(endpoints)
-    }
-
-    /// Takes up a received list. The first one is a snapshot, as it tells what of the cached list is gone; later ones are
-    /// deltas.
-    fn take_received(
-        &mut self,
-        list: Vec<EndpointRecord>,
-        peers: &Peers,
-        now: Duration,
-    ) -> EndpointUpdate {
-        self.listed = list;
-        let announced = self.with_closed_machines(peers);
-        let wall_clock = wall_clock_now();
-        let update = if self.received {
-            let delta = self
-                .directory
-                .delta(&self.announced, &announced, now, wall_clock);
-            EndpointUpdate::Delta(delta)
-        } else {
-            self.received = true;
-            EndpointUpdate::Snapshot(self.directory.snapshot(&announced, now, wall_clock))
-        };
-        if announced != self.announced {
-            self.announced = announced;
-            tracing::info!(
-                endpoints = self.announced.len(),
-                index = self.index,
-                "endpoint list applied"
-            );
-            if let Some(store) = &self.state_store {
-                store.store(self.announced.clone());
-            }
-        }
-        update
-    }
-
     /// Takes up a response's index and returns whether the list may have changed. An index that goes back means that the
     /// service was started anew: the next query asks for the list at once.
     fn take_index(&mut self, index: u64) -> bool {
@@ -211,7 +100,7 @@
 
     /// Opens a connection for a query, unless there is one or it is other sidecars' turn to find the service back.
     pub(in crate::service) fn poll_endpoint_list(&mut self) {
-        if self.endpoints.connection.is_some() || self.shutdown.has_begun() {
+        if self.endpoint_watch.connection.is_some() || self.shutdown.has_begun() {
             return;
         }
         let deferred = self
@@ -232,7 +121,7 @@
         let connection = Box::new(EndpointListConnection { reader, timer });
         self.connections
             .insert(socket, ConnectionRole::EndpointList(connection));
-        self.endpoints.connection = Some(socket);
+        self.endpoint_watch.connection = Some(socket);
     }
 
     /// Sends a blocking query on a connection that is up.
@@ -242,7 +131,7 @@
         let target = format!(
             "/v1/health/service/{}?index={}&wait={}ms",
             service.service,
-            self.endpoints.index,
+            self.endpoint_watch.index,
             wait.as_millis()
         );
         let request = self.control_request("GET", &target, service.address, Framing::Length(0));
@@ -254,7 +143,7 @@
             let old_timer = std::mem::replace(&mut connection.timer, timer);
             self.timers.cancel(old_timer);
         }
-        self.endpoints.queried_at = self.now;
+        self.endpoint_watch.queried_at = self.now;
         self.sockets.send(socket, &request);
     }
 
@@ -293,27 +182,30 @@
         };
         self.peers
             .record_poll(self.now, ControlService::EndpointList, true);
-        if !self.endpoints.take_index(index) {
+        if !self.endpoint_watch.take_index(index) {
             return Ok(());
         }
         let list = parse_endpoint_list(body).map_err(|error| {
             tracing::warn!(%error, "endpoint list cannot be used");
             // Asked for at once again: the next response may have the same list, and well.
-            self.endpoints.index = 0;
+            self.endpoint_watch.index = 0;
             EndpointPollError::MalformedList
         })?;
         for error in &list.rejected {
             tracing::warn!(%error, "endpoint cannot be used, it gets no further requests");
         }
-        let update = self
-            .endpoints
-            .take_received(list.endpoints, &self.peers, self.now);
+        let update = self.endpoints.take_received(
+            list.endpoints,
+            self.endpoint_watch.index,
+            &self.peers,
+            self.now,
+        );
         self.events.push(Event::Endpoints(update));
         Ok(())
     }
 
     fn query_endpoint_list_again(&mut self, socket: SocketId, is_reusable: bool) {
-        let earliest = self.endpoints.queried_at + MIN_POLL_INTERVAL;
+        let earliest = self.endpoint_watch.queried_at + MIN_POLL_INTERVAL;
         if is_reusable && self.now >= earliest {
             return self.send_endpoint_list_query(socket);
         }
@@ -324,7 +216,7 @@
 
     /// The query's timer has fired; it may be of a connection that is gone.
     pub(in crate::service) fn endpoint_poll_timed_out(&mut self, socket: SocketId) {
-        if self.endpoints.connection == Some(socket) {
+        if self.endpoint_watch.connection == Some(socket) {
             self.endpoint_poll_failed(EndpointPollError::Timeout);
         }
     }
@@ -340,7 +232,7 @@
     }
 
     fn close_endpoint_list_connection(&mut self) {
-        let Some(socket) = self.endpoints.connection.take() else {
+        let Some(socket) = self.endpoint_watch.connection.take() else {
             return;
         };
         if let Some(ConnectionRole::EndpointList(connection)) = self.connections.remove(&socket) {
--- a/crates/http-proxy/src/service/control/mod.rs
+++ b/crates/http-proxy/src/service/control/mod.rs
@@ -3,6 +3,7 @@
 //! Either may be lost for long: the sidecar goes on with what it knows and tries again.
 
 pub(super) mod endpoint_watch;
+pub(super) mod known_endpoints;
 pub(super) mod stage_watch;
 mod votes;
 
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -28,6 +28,7 @@
 use attempt_token::AttemptId;
 use clients::{Client, ClientRequest, Clients};
 use control::endpoint_watch::{EndpointListConnection, EndpointWatch};
+use control::known_endpoints::KnownEndpoints;
 use control::stage_watch::{StageStreamConnection, StageWatch};
 pub use decisions::Decisions;
 use limewing_decision::interface::Event;
@@ -108,7 +109,8 @@
     requests: InFlightRequests<ClientRequest>,
     clients: Clients,
     upstream: Upstream,
-    endpoints: EndpointWatch,
+    endpoints: KnownEndpoints,
+    endpoint_watch: EndpointWatch,
     stages: StageWatch,
     peers: Peers,
     shutdown: Shutdown,
--- a/crates/http-proxy/src/service/startup.rs
+++ b/crates/http-proxy/src/service/startup.rs
@@ -3,6 +3,7 @@
 use super::attempt_token::AttemptTokens;
 use super::clients::{Clients, MAX_UNSENT_BYTES};
 use super::control::endpoint_watch::EndpointWatch;
+use super::control::known_endpoints::KnownEndpoints;
 use super::control::stage_watch::StageWatch;
 use super::peers::Peers;
 use super::settings::ServiceSettings;
@@ -78,7 +79,8 @@
             requests: InFlightRequests::default(),
             clients: Clients::new(listener),
             upstream: Upstream::new(budget, tokens),
-            endpoints: EndpointWatch::new(&settings.fleet.zones, state_store),
+            endpoints: KnownEndpoints::new(&settings.fleet.zones, state_store),
+            endpoint_watch: EndpointWatch::default(),
             stages: StageWatch::new(seed),
             peers,
             shutdown: Shutdown::new(shutdown_timeouts(max_client_timeout)),
