--- a/crates/cli/tests/command/days.rs
+++ b/crates/cli/tests/command/days.rs
@@ -299,7 +299,7 @@
     let logs: Vec<String> = (0..12).map(|number| day.log(number)).collect();
     let words = |log: &String| {
         log.lines()
-            .filter(|line| line.contains("the fleet's word"))
+            .filter(|line| line.contains("endpoint selection of the fleet changed"))
             .count()
     };
     assert!(
@@ -307,7 +307,9 @@
         "{:?}",
         logs.iter().map(words).collect::<Vec<_>>()
     );
-    let leaves = |log: &&String| log.contains("\"held\":1") || log.contains("\"held\":2");
+    let leaves = |log: &&String| {
+        log.contains("\"probed_by_peers\":1") || log.contains("\"probed_by_peers\":2")
+    };
     assert!(logs.iter().filter(leaves).count() >= 3, "{}", logs.concat());
 }
 
@@ -336,11 +338,14 @@
     let count = |log: &String, what: &str| log.matches(what).count();
     assert!(
         logs.iter()
-            .all(|log| count(log, "keys of the fleet were read again") == 3),
+            .all(|log| count(log, "membership keys reloaded") == 3),
         "{}",
         logs.concat()
     );
-    assert!(logs.iter().all(|log| count(log, "can't be used") == 0));
+    // Neither keys nor lists were refused.
+    for refused in ["cannot reload the membership keys", "cannot be used"] {
+        assert!(logs.iter().all(|log| count(log, refused) == 0));
+    }
     // The three that stayed saw all others come, the one whose clock is ahead among them.
     let came = |log: &String| {
         (0..12)
