--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -4,7 +4,7 @@
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
 use limewing_emulators::fleet::{self, Crowd, CrowdPlan, Member, Plan};
-use limewing_fault_injection::{Fault, Script, World};
+use limewing_fault_injection::{Fault, Script, Simulation};
 use limewing_http_proxy::service::{MembershipView, ReplicationView};
 use limewing_settings::{Checked, ConfigError, SidecarSettings};
 use serde::{Deserialize, Serialize};
@@ -194,24 +194,24 @@
 
 /// Plays a script in simulated time.
 pub fn simulate(script: &Script, members: usize) -> Result<(), Stop> {
-    let mut world = World::<Member>::new(script, members);
+    let mut world = Simulation::<Member>::new(script, members);
     let began = std::time::Instant::now();
-    world.run_to(script.length());
+    world.run_until(script.duration());
     let spent = script.seconds * members as f64;
     let (views, deaths) = (fleet::views(&world), fleet::deaths(&world));
     let runs = |name: &str| {
         let number = name.strip_prefix('s').and_then(|n| n.parse::<usize>().ok());
-        number.is_some_and(|number| world.core(number).is_some())
+        number.is_some_and(|number| world.member(number).is_some())
     };
     let mut rows = table(&["what", "figure"]);
     rows.add_row(["members".to_owned(), members.to_string()]);
     rows.add_row([
         "datagrams a second and member".to_owned(),
-        format!("{:.1}", world.sent.0 as f64 / spent),
+        format!("{:.1}", world.traffic().datagrams as f64 / spent),
     ]);
     rows.add_row([
         "bytes a second and member".to_owned(),
-        format!("{:.0}", world.sent.1 as f64 / spent),
+        format!("{:.0}", world.traffic().bytes as f64 / spent),
     ]);
     rows.add_row([
         "members said to be dead by somebody".to_owned(),
@@ -224,13 +224,13 @@
     // Of those killed for good: from then until all that run hold them to be dead.
     let mut known: Vec<f64> = Vec::new();
     for step in &script.steps {
-        let Fault::Kill(who) = &step.does else {
+        let Fault::Kill(who) = &step.fault else {
             continue;
         };
         for number in who
-            .numbers(members)
+            .resolve(members)
             .into_iter()
-            .filter(|number| world.core(*number).is_none())
+            .filter(|number| world.member(*number).is_none())
         {
             let said = deaths.get(&format!("s{number}")).into_iter().flatten();
             let since = said
@@ -238,11 +238,11 @@
                 .filter(|(_, wait)| *wait >= 0.0);
             let first: BTreeMap<usize, f64> = since
                 .rev()
-                .filter(|(by, _)| world.core(*by).is_some())
+                .filter(|(by, _)| world.member(*by).is_some())
                 .collect();
             let all = first.len()
                 == (0..members)
-                    .filter(|other| world.core(*other).is_some())
+                    .filter(|other| world.member(*other).is_some())
                     .count();
             known.push(if all {
                 first.into_values().fold(0.0, f64::max)
--- a/crates/consensus/tests/consensus.rs
+++ b/crates/consensus/tests/consensus.rs
@@ -8,7 +8,7 @@
 use helpers::node::PlantedFault;
 use helpers::{seconds, ELECTION_TIMEOUT};
 use limewing_consensus::{Members, NodeId, ProposeError, RaftNode, Role};
-use limewing_fault_injection::{Fault, Script, Step, Who};
+use limewing_fault_injection::{Fault, Script, ScriptStep, Selector};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 fn run(script: &Script, voters: usize, seed: u64, fault: PlantedFault) -> Cluster {
     let mut cluster = Cluster::new(script, voters, 0, seed, fault);
-    cluster.run_to(script.length());
+    cluster.run_to(script.duration());
     cluster
 }
 
@@ -28,8 +28,8 @@
     Cluster::new(script, voters, learners, seed, PlantedFault::None)
 }
 
-fn step(at: f64, does: Fault) -> Step {
-    Step { at, does }
+fn step(at: f64, does: Fault) -> ScriptStep {
+    ScriptStep { at, fault: does }
 }
 
 fn assert_no_violation(cluster: &Cluster, case: &str) {
@@ -135,7 +135,7 @@
 /// A node that lost its disk gets no vote before it has caught up, and then takes its old incarnation's place.
 #[test]
 fn a_lost_disk_makes_a_new_member() {
-    let one = || Who::Numbers(vec![1]);
+    let one = || Selector::Numbers(vec![1]);
     let steps = vec![
         step(4.0, Fault::Kill(one())),
         step(4.0, Fault::LoseDisk(one())),
@@ -163,7 +163,7 @@
 /// Where a majority has lost its disks no node makes a second group or commits: an operator has to decide.
 #[test]
 fn no_group_commits_after_a_majority_lost_its_disks() {
-    let two = || Who::Numbers(vec![0, 1]);
+    let two = || Selector::Numbers(vec![0, 1]);
     let steps = vec![
         step(4.0, Fault::Kill(two())),
         step(4.0, Fault::LoseDisk(two())),
@@ -187,12 +187,12 @@
     let mut undisturbed = cluster_with(5, 0, 9, &script(60.0, 0.0, vec![]));
     undisturbed.run_to(seconds(3.0));
     let old = undisturbed.leader().expect("one leads by now");
-    let cut = Fault::Cut {
-        from: Who::Numbers(vec![old]),
-        to: Who::All,
+    let cut = Fault::Partition {
+        from: Selector::Numbers(vec![old]),
+        to: Selector::All,
         one_way: false,
     };
-    let steps = vec![step(3.0, cut), step(8.0, Fault::Mend)];
+    let steps = vec![step(3.0, cut), step(8.0, Fault::HealPartitions)];
     let mut cluster = cluster_with(5, 0, 9, &script(60.0, 0.0, steps));
     cluster.run_to(seconds(3.0) + ELECTION_TIMEOUT * 3);
     let old_role = cluster.voter(old).map(RaftNode::role);
@@ -217,10 +217,10 @@
 #[test]
 fn hundreds_of_learners_converge() {
     let steps = vec![
-        step(3.0, Fault::Kill(Who::Numbers(vec![0]))),
-        step(4.0, Fault::Kill(Who::Part(0.5, 0.7))),
-        step(5.0, Fault::Start(Who::Part(0.5, 0.7))),
-        step(6.0, Fault::Start(Who::Numbers(vec![0]))),
+        step(3.0, Fault::Kill(Selector::Numbers(vec![0]))),
+        step(4.0, Fault::Kill(Selector::Fraction(0.5, 0.7))),
+        step(5.0, Fault::Start(Selector::Fraction(0.5, 0.7))),
+        step(6.0, Fault::Start(Selector::Numbers(vec![0]))),
     ];
     let mut cluster = cluster_with(5, 300, 4, &script(60.0, 0.05, steps));
     cluster.run_to(seconds(7.0));
@@ -300,7 +300,7 @@
         // Five voters may lose disks at a rate that three can't bear.
         script
             .steps
-            .retain(|step| !matches!(step.does, Fault::LoseDisk(_)));
+            .retain(|step| !matches!(step.fault, Fault::LoseDisk(_)));
         let mut cluster = Cluster::growing(&script, (3, 5), 2, seed, PlantedFault::None);
         let mut at = 4.0;
         while at < 58.0 {
@@ -308,7 +308,7 @@
             at += 0.3;
             request_next_change(&mut cluster);
         }
-        cluster.run_to(script.length());
+        cluster.run_to(script.duration());
         let limit = cluster.now + seconds(30.0);
         while member_names(&cluster) != REPLACED_MEMBERS {
             assert_no_violation(&cluster, &format!("seed {seed}"));
--- a/crates/consensus/tests/digest.rs
+++ b/crates/consensus/tests/digest.rs
@@ -33,7 +33,7 @@
             durable: seed.is_multiple_of(4),
         });
     }
-    cluster.run_to(script.length());
+    cluster.run_to(script.duration());
     cluster
 }
 
@@ -43,16 +43,16 @@
     // Five voters may lose disks at a rate that three can't bear.
     script
         .steps
-        .retain(|step| !matches!(step.does, Fault::LoseDisk(_)));
+        .retain(|step| !matches!(step.fault, Fault::LoseDisk(_)));
     let mut cluster = Cluster::growing(&script, (3, 5), LEARNERS, seed, PlantedFault::None);
     cluster.digest = OutputDigest::resume(digest);
     let mut at = seconds(3.0);
-    while at < script.length() {
+    while at < script.duration() {
         cluster.run_to(at);
         at += seconds(0.3);
         ask_for_next_member_change(&mut cluster);
     }
-    cluster.run_to(script.length());
+    cluster.run_to(script.duration());
     cluster
 }
 
--- a/crates/consensus/tests/helpers/cluster.rs
+++ b/crates/consensus/tests/helpers/cluster.rs
@@ -7,7 +7,7 @@
 use limewing_consensus::{
     Members, Packet, ProposeError, RaftNode, Record, Role, WriteBatch, MAX_PACKET_BYTES,
 };
-use limewing_fault_injection::{Act, Links, Script};
+use limewing_fault_injection::{FaultAction, FaultyNetwork, Script};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     voters: usize,
     /// The first so many voters have a vote by the settings.
     configured_voters: usize,
-    network: Links,
+    network: FaultyNetwork,
     nodes: Vec<SimulatedNode>,
     events: BTreeMap<(Duration, u64), (usize, Event)>,
     scheduled_events: u64,
@@ -83,7 +83,7 @@
             now: Duration::ZERO,
             voters,
             configured_voters,
-            network: Links::new(script, hosts),
+            network: FaultyNetwork::new(script, hosts),
             nodes: (0..hosts).map(|_| SimulatedNode::default()).collect(),
             events: BTreeMap::new(),
             scheduled_events: 0,
@@ -126,28 +126,28 @@
         self.nodes[number].kill(tear);
     }
 
-    fn act(&mut self, act: Act) {
+    fn act(&mut self, act: FaultAction) {
         match act {
-            Act::Kill(number) | Act::Leave(number) => self.kill(number),
-            Act::Start(number) => {
+            FaultAction::Kill(number) | FaultAction::Leave(number) => self.kill(number),
+            FaultAction::Start(number) => {
                 self.kill(number);
                 self.start(number);
             }
-            Act::LoseDisk(number) => {
+            FaultAction::LoseDisk(number) => {
                 if self.nodes[number].voter().is_none() {
                     self.nodes[number].disk.clear();
                 }
             }
-            Act::Stop(number) => self.nodes[number].stopped = true,
-            Act::GoOn(number) => self.resume(number),
-            Act::FillDisk(number) => {
+            FaultAction::Suspend(number) => self.nodes[number].stopped = true,
+            FaultAction::Resume(number) => self.resume(number),
+            FaultAction::FillDisk(number) => {
                 self.nodes[number].disk_full = self.nodes[number].voter().is_some();
             }
-            Act::FreeDisk(number) => {
+            FaultAction::FreeDisk(number) => {
                 self.nodes[number].disk_full = false;
                 self.complete_all_writes(number);
             }
-            Act::Keys { .. } | Act::Noise { .. } => {}
+            FaultAction::ReplaceKeys { .. } | FaultAction::SendNoise { .. } => {}
         }
     }
 
@@ -280,7 +280,7 @@
         self.digest.observe(&bytes);
         let length = bytes.len();
         assert!(length <= MAX_PACKET_BYTES, "{length} bytes: {packet:?}");
-        for arrival in self.network.pass(self.now, from, to, &bytes) {
+        for arrival in self.network.transmit(self.now, from, to, &bytes) {
             if let Ok(packet) = Packet::decode(&arrival.bytes) {
                 let at = arrival.at.max(self.now);
                 self.schedule(at, to, Event::PacketArrives(packet));
@@ -332,14 +332,14 @@
     pub(crate) fn run_to(&mut self, until: Duration) {
         loop {
             let next_event = self.events.first_key_value().map(|((at, _), _)| *at);
-            let next_fault = self.network.due();
+            let next_fault = self.network.next_deadline();
             let next = [next_event, next_fault].into_iter().flatten().min();
             let Some(at) = next.filter(|at| *at <= until) else {
                 break;
             };
             self.now = self.now.max(at);
             if next_fault.is_some_and(|fault_at| fault_at <= self.now) {
-                for act in self.network.turn(self.now) {
+                for act in self.network.advance(self.now) {
                     self.act(act);
                 }
                 continue;
--- a/crates/consensus/tests/helpers/faults.rs
+++ b/crates/consensus/tests/helpers/faults.rs
@@ -1,6 +1,6 @@
 //! Scripts of faults: drawn at random, and cut down to those steps that matter.
 
-use limewing_fault_injection::{Fault, Line, Script, Step, Who};
+use limewing_fault_injection::{Fault, LinkConditions, Script, ScriptStep, Selector};
 use nanorand::{Rng, WyRand};
 
 /// No faults are drawn in the last seconds of a script.
@@ -10,28 +10,28 @@
 /// A disk is lost at most so often, in seconds: the cluster needs time to take the new node in.
 const LOST_DISK_INTERVAL: f64 = 12.0;
 
-fn good_line() -> Line {
-    Line {
+fn good_conditions() -> LinkConditions {
+    LinkConditions {
         delay_ms: 1.0,
         jitter_ms: 8.0,
-        ..Line::default()
+        ..LinkConditions::default()
     }
 }
 
 /// A script over lines that lose this share of the packets.
-pub(crate) fn script(seconds: f64, loss: f64, steps: Vec<Step>) -> Script {
-    let line = Line {
+pub(crate) fn script(seconds: f64, loss: f64, steps: Vec<ScriptStep>) -> Script {
+    let conditions = LinkConditions {
         loss,
         duplicate: 0.02,
-        ..good_line()
+        ..good_conditions()
     };
     Script {
         name: "drawn".into(),
         seed: 5,
         seconds,
-        line,
+        conditions,
         steps,
-        clocks: Vec::new(),
+        clock_offsets: Vec::new(),
     }
 }
 
@@ -57,7 +57,7 @@
 struct FaultDraw {
     rng: WyRand,
     voters: f64,
-    steps: Vec<Step>,
+    steps: Vec<ScriptStep>,
     last_lost_disk: f64,
     /// A majority has to keep its disks.
     disks_to_lose: usize,
@@ -68,16 +68,16 @@
         (self.rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn one_voter(&mut self) -> Who {
-        Who::Numbers(vec![(self.fraction() * self.voters) as usize])
+    fn one_voter(&mut self) -> Selector {
+        Selector::Numbers(vec![(self.fraction() * self.voters) as usize])
     }
 
-    fn some_voters(&mut self) -> Who {
-        Who::Part(0.0, (self.fraction() * self.voters).round() / self.voters)
+    fn some_voters(&mut self) -> Selector {
+        Selector::Fraction(0.0, (self.fraction() * self.voters).round() / self.voters)
     }
 
     fn add(&mut self, at: f64, does: Fault) {
-        self.steps.push(Step { at, does });
+        self.steps.push(ScriptStep { at, fault: does });
     }
 
     fn add_fault(&mut self, at: f64) {
@@ -86,22 +86,22 @@
             2 => {
                 let from = self.some_voters();
                 let one_way = self.fraction() < 0.4;
-                let to = Who::All;
-                self.add(at, Fault::Cut { from, to, one_way });
+                let to = Selector::All;
+                self.add(at, Fault::Partition { from, to, one_way });
             }
-            3 => self.add(at, Fault::Mend),
+            3 => self.add(at, Fault::HealPartitions),
             4 => {
                 let who = self.one_voter();
-                self.add(at, Fault::Stop(who.clone()));
+                self.add(at, Fault::Suspend(who.clone()));
                 let end = at + self.fraction() * 1.5;
-                self.add(end, Fault::GoOn(who));
+                self.add(end, Fault::Resume(who));
             }
-            5 => self.add_bad_line(at),
+            5 => self.add_bad_link(at),
             6 => {
                 let from = self.one_voter();
                 let to = self.one_voter();
                 let one_way = false;
-                self.add(at, Fault::Cut { from, to, one_way });
+                self.add(at, Fault::Partition { from, to, one_way });
             }
             7 => {
                 let who = self.one_voter();
@@ -116,8 +116,8 @@
                 self.add(end, Fault::FreeDisk(who));
             }
             _ => {
-                self.add(at, Fault::Kill(Who::All));
-                self.add(at + 0.3, Fault::Start(Who::All));
+                self.add(at, Fault::Kill(Selector::All));
+                self.add(at + 0.3, Fault::Start(Selector::All));
             }
         }
     }
@@ -137,30 +137,37 @@
         self.add(end, Fault::Start(who));
     }
 
-    fn add_bad_line(&mut self, at: f64) {
-        let line = Line {
+    fn add_bad_link(&mut self, at: f64) {
+        let conditions = LinkConditions {
             loss: 0.3,
             delay_ms: 1.0,
             jitter_ms: 80.0 * self.fraction(),
             duplicate: 0.2,
-            ..Line::default()
+            ..LinkConditions::default()
         };
         let from = self.one_voter();
-        let to = Who::All;
-        self.add(at, Fault::Change { from, to, line });
+        let to = Selector::All;
+        self.add(
+            at,
+            Fault::ChangeLinks {
+                from,
+                to,
+                conditions,
+            },
+        );
     }
 
     fn end_all_faults(&mut self, at: f64) {
-        self.add(at, Fault::Mend);
-        let change = Fault::Change {
-            from: Who::All,
-            to: Who::All,
-            line: good_line(),
+        self.add(at, Fault::HealPartitions);
+        let change = Fault::ChangeLinks {
+            from: Selector::All,
+            to: Selector::All,
+            conditions: good_conditions(),
         };
         self.add(at, change);
-        self.add(at, Fault::GoOn(Who::All));
-        self.add(at, Fault::FreeDisk(Who::All));
-        self.add(at + 0.2, Fault::Start(Who::All));
+        self.add(at, Fault::Resume(Selector::All));
+        self.add(at, Fault::FreeDisk(Selector::All));
+        self.add(at + 0.2, Fault::Start(Selector::All));
     }
 }
 
--- a/crates/emulators/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -11,7 +11,7 @@
 use crate::marks::Marks;
 use crate::script::{DayScript, Trouble, FIRST_BUILD};
 use clients::{ClientLink, Clients};
-use limewing_fault_injection::Links;
+use limewing_fault_injection::FaultyNetwork;
 use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use limewing_net::timer_wheel::TimerWheel;
 use limewing_rule_checker::record::{Entry, OrderId, PodNo, Recorder, SidecarNo};
@@ -199,7 +199,10 @@
             for number in 0..members {
                 write_keys(&key_file(&day.folder, number), &FIRST_KEYS)?;
             }
-            day.relay = Some(Relay::start(Links::new(&peers.faults, members), members)?);
+            day.relay = Some(Relay::start(
+                FaultyNetwork::new(&peers.faults, members),
+                members,
+            )?);
         }
         for place in 0..script.fleet.pods {
             day.start_pod(PlaceNo(place), FIRST_BUILD, false)?;
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -3,7 +3,7 @@
 use super::services::SERVICE;
 use super::{Day, DayTrouble};
 use crate::fleet::{key_file, listens, write_keys, Relay, CLOCK};
-use limewing_fault_injection::Act;
+use limewing_fault_injection::FaultAction;
 use limewing_rule_checker::record::{Entry, SidecarNo};
 use limewing_settings::{
     Customer, Fleet, Headers, Installer, ListService, Seconds, SidecarSettings,
@@ -155,25 +155,28 @@
                 text: format!("{act:?}"),
             });
             match act {
-                Act::Kill(number) => self.kill_sidecar(number),
-                Act::Start(number) => self.start_again(number)?,
-                Act::Leave(number) => self.bid_leave(number),
-                Act::Stop(number) => self.stop_sidecar(number),
-                Act::GoOn(number) => self.let_go_on(number),
-                Act::LoseDisk(number) if self.processes[number].gone => {
+                FaultAction::Kill(number) => self.kill_sidecar(number),
+                FaultAction::Start(number) => self.start_again(number)?,
+                FaultAction::Leave(number) => self.bid_leave(number),
+                FaultAction::Suspend(number) => self.stop_sidecar(number),
+                FaultAction::Resume(number) => self.let_go_on(number),
+                FaultAction::LoseDisk(number) if self.processes[number].gone => {
                     let file = self.folder.join(format!("sidecar-{number}.state.json"));
                     // There may be none yet.
                     let _ = std::fs::remove_file(file);
                     let _ = std::fs::remove_dir_all(self.work_folder(number));
                 }
-                Act::LoseDisk(_) => {}
-                Act::FillDisk(number) => self.processes[number].fill_disk(true),
-                Act::FreeDisk(number) => self.processes[number].fill_disk(false),
-                Act::Keys { to, ids } => {
+                FaultAction::LoseDisk(_) => {}
+                FaultAction::FillDisk(number) => self.processes[number].fill_disk(true),
+                FaultAction::FreeDisk(number) => self.processes[number].fill_disk(false),
+                FaultAction::ReplaceKeys { member: to, ids } => {
                     write_keys(&key_file(&self.folder, to), &ids)?;
                     self.processes[to].signal(Signal::HUP);
                 }
-                Act::Noise { to, datagrams } => self
+                FaultAction::SendNoise {
+                    member: to,
+                    datagrams,
+                } => self
                     .relay
                     .iter()
                     .try_for_each(|relay| relay.noise(to, datagrams))?,
@@ -243,7 +246,7 @@
                 CLOCK,
                 peers
                     .faults
-                    .ahead(number, self.script.sidecars.len())
+                    .clock_offset(number, self.script.sidecars.len())
                     .to_string(),
             );
         }
--- a/crates/emulators/src/fleet/mod.rs
+++ b/crates/emulators/src/fleet/mod.rs
@@ -12,7 +12,7 @@
     FIRST_KEYS,
 };
 
-use limewing_fault_injection::{Core, World};
+use limewing_fault_injection::{SimulatedMember, Simulation};
 use limewing_membership::{Config, Key, MemberName, MemberStatus, Membership, MembershipEvent};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     }
 }
 
-impl Core for Member {
+impl SimulatedMember for Member {
     fn start(number: usize, start: u32, now: Duration, ahead: f64) -> Self {
         // Clocks differ by up to a second and a half, beside what the script says.
         let skew = ((number as u64 * 7919) % 1500)
@@ -86,7 +86,7 @@
         }
     }
 
-    fn hear(&mut self, now: Duration, datagram: &[u8]) {
+    fn receive(&mut self, now: Duration, datagram: &[u8]) {
         // What is refused is counted there.
         let _ = self.peers.receive(now, datagram);
         self.gather(now);
@@ -97,11 +97,11 @@
         self.gather(now);
     }
 
-    fn next(&self) -> Duration {
+    fn next_deadline(&self) -> Duration {
         self.peers.next_deadline()
     }
 
-    fn take(&mut self) -> Option<(usize, Vec<u8>)> {
+    fn take_datagram(&mut self) -> Option<(usize, Vec<u8>)> {
         let (to, bytes) = self.peers.take_datagram()?;
         Some((usize::from(to.port().wrapping_sub(FIRST_PORT)), bytes))
     }
@@ -110,7 +110,7 @@
         self.peers.leave(now);
     }
 
-    fn keys(&mut self, ids: &[u8]) {
+    fn replace_keys(&mut self, ids: &[u8]) {
         self.peers
             .replace_keys(keys(ids))
             .expect("keys that can be used");
@@ -126,13 +126,13 @@
     pub ghosts: usize,
 }
 
-pub fn views(world: &World<Member>) -> Views {
+pub fn views(world: &Simulation<Member>) -> Views {
     let mut found = Views::default();
-    let runs: Vec<usize> = (0..world.members())
-        .filter(|n| world.core(*n).is_some())
+    let runs: Vec<usize> = (0..world.member_count())
+        .filter(|n| world.member(*n).is_some())
         .collect();
     for number in &runs {
-        let Some(member) = world.core(*number) else {
+        let Some(member) = world.member(*number) else {
             continue;
         };
         let here = member.here();
@@ -149,11 +149,11 @@
 }
 
 /// Times at which members were held to be dead, by number.
-pub fn deaths(world: &World<Member>) -> BTreeMap<String, Vec<(usize, Duration)>> {
+pub fn deaths(world: &Simulation<Member>) -> BTreeMap<String, Vec<(usize, Duration)>> {
     let mut found: BTreeMap<String, Vec<(usize, Duration)>> = BTreeMap::new();
-    for number in 0..world.members() {
+    for number in 0..world.member_count() {
         for (when, news) in world
-            .core(number)
+            .member(number)
             .into_iter()
             .flat_map(|member| &member.news)
         {
--- a/crates/emulators/src/fleet/relay.rs
+++ b/crates/emulators/src/fleet/relay.rs
@@ -1,7 +1,7 @@
 //! Leads datagrams between processes through links of the script: each member is reached at an address of the relay's,
 //! which knows the sender by where it sends from.
 
-use limewing_fault_injection::{Act, Links};
+use limewing_fault_injection::{FaultAction, FaultyNetwork};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -20,7 +20,7 @@
 
 struct Shared {
     start: Instant,
-    links: Mutex<Links>,
+    links: Mutex<FaultyNetwork>,
     under_way: Mutex<(UnderWay, u64)>,
     more: Condvar,
     /// What each member had lately.
@@ -42,7 +42,7 @@
 
 impl Relay {
     /// Between so many members, none of which runs yet.
-    pub fn start(links: Links, members: usize) -> io::Result<Self> {
+    pub fn start(links: FaultyNetwork, members: usize) -> io::Result<Self> {
         let sockets: Vec<UdpSocket> = (0..members)
             .map(|_| UdpSocket::bind("127.0.0.1:0"))
             .collect::<io::Result<_>>()?;
@@ -95,15 +95,15 @@
     }
 
     /// Takes the steps of the script that are due.
-    pub fn turn(&self) -> Vec<Act> {
+    pub fn turn(&self) -> Vec<FaultAction> {
         let now = self
             .now()
             .saturating_sub(*self.shared.began.lock().unwrap());
-        self.shared.links.lock().unwrap().turn(now)
+        self.shared.links.lock().unwrap().advance(now)
     }
 
     pub fn due(&self) -> Option<Duration> {
-        self.shared.links.lock().unwrap().due()
+        self.shared.links.lock().unwrap().next_deadline()
     }
 
     /// Datagrams and bytes that members sent so far.
@@ -153,11 +153,12 @@
                 let mut passed = self.passed.lock().unwrap();
                 *passed = (passed.0 + 1, passed.1 + length as u64);
             }
-            let arrivals =
-                self.links
-                    .lock()
-                    .unwrap()
-                    .pass(self.start.elapsed(), from, to, &bytes[..length]);
+            let arrivals = self.links.lock().unwrap().transmit(
+                self.start.elapsed(),
+                from,
+                to,
+                &bytes[..length],
+            );
             let mut under_way = self.under_way.lock().unwrap();
             for arrival in arrivals {
                 if under_way.0.len() < MOST_UNDER_WAY {
--- a/crates/emulators/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -2,7 +2,7 @@
 //! between them; what each holds of the others is asked for all along.
 
 use super::relay::Relay;
-use limewing_fault_injection::{Act, Links, Script};
+use limewing_fault_injection::{FaultAction, FaultyNetwork, Script};
 use limewing_settings as settings;
 use rustix::process::{kill_process, Pid, Signal};
 use serde::{Deserialize, Serialize};
@@ -74,7 +74,7 @@
     for number in 0..plan.members {
         write_keys(&key_file(plan.folder, number), &FIRST_KEYS)?;
     }
-    let relay = Relay::start(Links::new(plan.script, plan.members), plan.members)?;
+    let relay = Relay::start(FaultyNetwork::new(plan.script, plan.members), plan.members)?;
     let mut rig = Rig {
         plan,
         processes: (0..plan.members).map(|_| None).collect(),
@@ -125,7 +125,7 @@
 
 impl Rig<'_> {
     fn run(&mut self) -> Result<(), RigTrouble> {
-        let end = self.plan.script.length();
+        let end = self.plan.script.duration();
         let mut sample_at = Duration::ZERO;
         loop {
             let now = self.relay.now();
@@ -163,14 +163,14 @@
         Ok(())
     }
 
-    fn act(&mut self, act: Act) -> Result<(), RigTrouble> {
+    fn act(&mut self, act: FaultAction) -> Result<(), RigTrouble> {
         match act {
-            Act::Kill(number) => self.end(number),
-            Act::Start(number) => {
+            FaultAction::Kill(number) => self.end(number),
+            FaultAction::Start(number) => {
                 self.end(number);
                 self.start(number)?;
             }
-            Act::Leave(number) => {
+            FaultAction::Leave(number) => {
                 let now = self.relay.now();
                 if let Some(mut process) = self.processes[number].take() {
                     signal(&process.child, Signal::TERM);
@@ -178,8 +178,8 @@
                     self.played.lives[number].push((process.since, now));
                 }
             }
-            Act::Stop(number) | Act::GoOn(number) => {
-                let stop = matches!(act, Act::Stop(_));
+            FaultAction::Suspend(number) | FaultAction::Resume(number) => {
+                let stop = matches!(act, FaultAction::Suspend(_));
                 if let Some(process) = &mut self.processes[number] {
                     process.stopped = stop;
                     signal(
@@ -189,14 +189,17 @@
                 }
             }
             // These are started without a state file.
-            Act::LoseDisk(_) | Act::FillDisk(_) | Act::FreeDisk(_) => {}
-            Act::Keys { to, ids } => {
+            FaultAction::LoseDisk(_) | FaultAction::FillDisk(_) | FaultAction::FreeDisk(_) => {}
+            FaultAction::ReplaceKeys { member: to, ids } => {
                 write_keys(&key_file(self.plan.folder, to), &ids)?;
                 if let Some(process) = &self.processes[to] {
                     signal(&process.child, Signal::HUP);
                 }
             }
-            Act::Noise { to, datagrams } => self.relay.noise(to, datagrams)?,
+            FaultAction::SendNoise {
+                member: to,
+                datagrams,
+            } => self.relay.noise(to, datagrams)?,
         }
         Ok(())
     }
@@ -254,7 +257,7 @@
             CLOCK,
             self.plan
                 .script
-                .ahead(number, self.plan.members)
+                .clock_offset(number, self.plan.members)
                 .to_string(),
         );
         let mut child = command.spawn()?;
--- a/crates/emulators/tests/fleet.rs
+++ b/crates/emulators/tests/fleet.rs
@@ -2,7 +2,9 @@
 //! again.
 
 use limewing_emulators::fleet::{deaths, views, Member, Views};
-use limewing_fault_injection::{Ahead, Core, Fault, Line, Script, Step, Who, World};
+use limewing_fault_injection::{
+    ClockOffset, Fault, LinkConditions, Script, ScriptStep, Selector, SimulatedMember, Simulation,
+};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -11,37 +13,37 @@
 }
 
 fn script(loss: f64, seconds: f64, steps: Vec<(f64, Fault)>) -> Script {
-    let line = Line {
+    let conditions = LinkConditions {
         loss,
         delay_ms: 1.0,
         jitter_ms: 20.0,
-        ..Line::default()
+        ..LinkConditions::default()
     };
     let steps = steps
         .into_iter()
-        .map(|(at, does)| Step { at, does })
+        .map(|(at, does)| ScriptStep { at, fault: does })
         .collect();
     Script {
         name: "drawn".into(),
         seed: 11,
         seconds,
-        line,
+        conditions,
         steps,
-        clocks: Vec::new(),
+        clock_offsets: Vec::new(),
     }
 }
 
 fn cut(from: (f64, f64), to: (f64, f64), one_way: bool) -> Fault {
-    Fault::Cut {
-        from: Who::Part(from.0, from.1),
-        to: Who::Part(to.0, to.1),
+    Fault::Partition {
+        from: Selector::Fraction(from.0, from.1),
+        to: Selector::Fraction(to.0, to.1),
         one_way,
     }
 }
 
-fn world(members: usize, script: &Script) -> World<Member> {
+fn world(members: usize, script: &Script) -> Simulation<Member> {
     assert_eq!(script.config_errors(), []);
-    World::new(script, members)
+    Simulation::new(script, members)
 }
 
 const AGREED: Views = Views {
@@ -50,7 +52,7 @@
 };
 
 /// How long it takes until all that run hold each other to be here and nobody else; at most so long.
-fn agrees(world: &mut World<Member>, most: f64) -> Duration {
+fn agrees(world: &mut Simulation<Member>, most: f64) -> Duration {
     let from = world.now();
     while views(world) != AGREED {
         assert!(
@@ -58,7 +60,7 @@
             "{:?} after {most} s",
             views(world)
         );
-        world.run_to(world.now() + s(0.5));
+        world.run_until(world.now() + s(0.5));
     }
     world.now() - from
 }
@@ -77,43 +79,43 @@
 #[case::sixty(60)]
 fn loss_alone_kills_nobody(#[case] members: usize) {
     let mut world = world(members, &script(0.05, 600.0, vec![]));
-    world.run_to(s(600.0));
+    world.run_until(s(600.0));
     assert_eq!(deaths(&world).len(), 0);
     assert_eq!(views(&world), AGREED);
 }
 
 /// Faults, when the last of them is over, and how soon all agree again.
 #[rstest]
-#[case::a_half_cut_off(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (40.0, Fault::Mend)], 40.0)]
-#[case::a_half_cut_off_for_long(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (150.0, Fault::Mend)], 150.0)]
-#[case::one_way(vec![(30.0, cut((0.0, 0.2), (0.2, 1.0), true)), (60.0, Fault::Mend)], 60.0)]
-#[case::one_alone(vec![(30.0, cut((0.0, 0.05), (0.05, 1.0), false)), (150.0, Fault::Mend)], 150.0)]
-#[case::seven_in_ten_killed(vec![(30.0, Fault::Kill(Who::Part(0.3, 1.0)))], 30.0)]
+#[case::a_half_cut_off(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (40.0, Fault::HealPartitions)], 40.0)]
+#[case::a_half_cut_off_for_long(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (150.0, Fault::HealPartitions)], 150.0)]
+#[case::one_way(vec![(30.0, cut((0.0, 0.2), (0.2, 1.0), true)), (60.0, Fault::HealPartitions)], 60.0)]
+#[case::one_alone(vec![(30.0, cut((0.0, 0.05), (0.05, 1.0), false)), (150.0, Fault::HealPartitions)], 150.0)]
+#[case::seven_in_ten_killed(vec![(30.0, Fault::Kill(Selector::Fraction(0.3, 1.0)))], 30.0)]
 #[case::killed_and_back(
-    vec![(30.0, Fault::Kill(Who::Part(0.3, 1.0))), (33.0, Fault::Start(Who::Part(0.3, 1.0)))], 33.0
+    vec![(30.0, Fault::Kill(Selector::Fraction(0.3, 1.0))), (33.0, Fault::Start(Selector::Fraction(0.3, 1.0)))], 33.0
 )]
 #[case::rolled_by_tenths(
     (0..10).flat_map(|n| {
-        let who = || Who::Part(n as f64 / 10.0, (n + 1) as f64 / 10.0);
+        let who = || Selector::Fraction(n as f64 / 10.0, (n + 1) as f64 / 10.0);
         [(30.0 + 3.0 * n as f64, Fault::Leave(who())), (32.0 + 3.0 * n as f64, Fault::Start(who()))]
     }).collect(),
     60.0
 )]
-#[case::noise(vec![(30.0, Fault::Noise { to: Who::All, datagrams: 500 })], 30.0)]
+#[case::noise(vec![(30.0, Fault::SendNoise { to: Selector::All, datagrams: 500 })], 30.0)]
 #[case::corrupted_doubled_and_slow(
     vec![
-        (10.0, Fault::Change {
-            from: Who::All, to: Who::All,
-            line: Line { loss: 0.05, delay_ms: 50.0, jitter_ms: 150.0, duplicate: 0.2, corrupt: 0.05, bytes_per_s: 0.0 },
+        (10.0, Fault::ChangeLinks {
+            from: Selector::All, to: Selector::All,
+            conditions: LinkConditions { loss: 0.05, delay_ms: 50.0, jitter_ms: 150.0, duplicate: 0.2, corrupt: 0.05, bytes_per_second: 0.0 },
         }),
-        (60.0, Fault::Change { from: Who::All, to: Who::All, line: Line::default() }),
+        (60.0, Fault::ChangeLinks { from: Selector::All, to: Selector::All, conditions: LinkConditions::default() }),
     ],
     60.0
 )]
 fn all_agree_again(#[case] steps: Vec<(f64, Fault)>, #[case] over: f64) {
     for members in [6, 40] {
         let mut world = world(members, &script(0.01, 400.0, steps.clone()));
-        world.run_to(s(over));
+        world.run_until(s(over));
         agrees(&mut world, 90.0);
     }
 }
@@ -122,14 +124,14 @@
 #[test]
 fn one_that_stood_still_blames_nobody() {
     let stands = vec![
-        (30.0, Fault::Stop(Who::Numbers(vec![4]))),
-        (33.0, Fault::GoOn(Who::Numbers(vec![4]))),
+        (30.0, Fault::Suspend(Selector::Numbers(vec![4]))),
+        (33.0, Fault::Resume(Selector::Numbers(vec![4]))),
     ];
     let mut world = world(12, &script(0.0, 100.0, stands));
-    world.run_to(s(80.0));
+    world.run_until(s(80.0));
     assert_eq!(deaths(&world).len(), 0);
     let said = world
-        .core(4)
+        .member(4)
         .map(|member| member.news.iter().filter(|(at, _)| *at > s(30.0)).count());
     assert_eq!(said, Some(0));
 }
@@ -137,32 +139,32 @@
 /// Growing from three to twelve and back, under loss.
 #[test]
 fn a_fleet_grows_and_shrinks() {
-    let late = || Who::Part(0.25, 1.0);
+    let late = || Selector::Fraction(0.25, 1.0);
     let steps = vec![
         (0.0, Fault::Kill(late())),
         (20.0, Fault::Start(late())),
         (60.0, Fault::Leave(late())),
     ];
     let mut world = world(12, &script(0.02, 200.0, steps));
-    world.run_to(s(19.0));
+    world.run_until(s(19.0));
     agrees(&mut world, 30.0);
-    world.run_to(s(59.0));
+    world.run_until(s(59.0));
     assert_eq!(views(&world), AGREED);
-    world.run_to(s(60.1));
+    world.run_until(s(60.1));
     agrees(&mut world, 30.0);
 }
 
 /// Keys are changed in turn, half of the members after the other half, under loss and with clocks ten seconds apart.
 #[test]
 fn keys_are_changed_in_turn() {
-    let half = |n: usize| Who::Part(n as f64 / 2.0, (n + 1) as f64 / 2.0);
+    let half = |n: usize| Selector::Fraction(n as f64 / 2.0, (n + 1) as f64 / 2.0);
     let step = |turn: usize, ids: &[u8]| {
         let at = 20.0 + 10.0 * turn as f64;
         [0, 1].map(|n| {
             (
                 at + 3.0 * n as f64,
-                Fault::Keys {
-                    who: half(n),
+                Fault::ReplaceKeys {
+                    members: half(n),
                     ids: ids.to_vec(),
                 },
             )
@@ -170,18 +172,18 @@
     };
     let steps = [step(0, &[1, 2]), step(1, &[2, 1]), step(2, &[2])].concat();
     let mut script = script(0.05, 200.0, steps);
-    script.clocks = vec![
-        Ahead {
-            who: Who::Numbers(vec![3, 9]),
+    script.clock_offsets = vec![
+        ClockOffset {
+            members: Selector::Numbers(vec![3, 9]),
             seconds: 10.0,
         },
-        Ahead {
-            who: Who::Numbers(vec![5]),
+        ClockOffset {
+            members: Selector::Numbers(vec![5]),
             seconds: -10.0,
         },
     ];
     let mut world = world(24, &script);
-    world.run_to(s(120.0));
+    world.run_until(s(120.0));
     assert_eq!(deaths(&world).len(), 0);
     assert_eq!(views(&world), AGREED);
 }
@@ -190,12 +192,12 @@
 #[test]
 fn a_clock_that_is_far_off_is_alone() {
     let mut script = script(0.0, 200.0, vec![]);
-    script.clocks = vec![Ahead {
-        who: Who::Numbers(vec![3]),
+    script.clock_offsets = vec![ClockOffset {
+        members: Selector::Numbers(vec![3]),
         seconds: 40.0,
     }];
     let mut world = world(6, &script);
-    world.run_to(s(60.0));
+    world.run_until(s(60.0));
     assert_eq!(views(&world).missing, 10);
 }
 
@@ -205,10 +207,14 @@
     let run = || {
         let mut world = world(
             20,
-            &script(0.2, 100.0, vec![(20.0, Fault::Kill(Who::Part(0.5, 1.0)))]),
+            &script(
+                0.2,
+                100.0,
+                vec![(20.0, Fault::Kill(Selector::Fraction(0.5, 1.0)))],
+            ),
         );
-        world.run_to(s(60.0));
-        (world.sent, deaths(&world))
+        world.run_until(s(60.0));
+        (world.traffic(), deaths(&world))
     };
     assert_eq!(run(), run());
 }
@@ -220,7 +226,7 @@
         12,
         &script(0.0, 200.0, vec![(20.0, cut((0.0, 0.5), (0.5, 1.0), false))]),
     );
-    world.run_to(s(120.0));
+    world.run_until(s(120.0));
     assert_eq!(deaths(&world).len(), 12);
     assert_eq!(views(&world).missing, 2 * 6 * 6);
 }
@@ -228,7 +234,7 @@
 /// A member that puts up its number and how often it was started.
 struct Posting(Member, u8);
 
-impl Core for Posting {
+impl SimulatedMember for Posting {
     fn start(number: usize, start: u32, now: Duration, ahead: f64) -> Self {
         let mut member = Member::start(number, start, now, ahead);
         assert!(
@@ -239,20 +245,20 @@
         Self(member, start as u8)
     }
 
-    fn hear(&mut self, now: Duration, datagram: &[u8]) {
-        self.0.hear(now, datagram);
+    fn receive(&mut self, now: Duration, datagram: &[u8]) {
+        self.0.receive(now, datagram);
     }
 
     fn tick(&mut self, now: Duration) {
         self.0.tick(now);
     }
 
-    fn next(&self) -> Duration {
-        self.0.next()
+    fn next_deadline(&self) -> Duration {
+        self.0.next_deadline()
     }
 
-    fn take(&mut self) -> Option<(usize, Vec<u8>)> {
-        self.0.take()
+    fn take_datagram(&mut self) -> Option<(usize, Vec<u8>)> {
+        self.0.take_datagram()
     }
 
     fn leave(&mut self, now: Duration) {
@@ -264,30 +270,30 @@
 #[rstest]
 #[case::at_once(vec![], 30.0)]
 #[case::some_started_anew(
-    vec![(20.0, Fault::Kill(Who::Part(0.5, 1.0))), (22.0, Fault::Start(Who::Part(0.5, 1.0)))], 60.0
+    vec![(20.0, Fault::Kill(Selector::Fraction(0.5, 1.0))), (22.0, Fault::Start(Selector::Fraction(0.5, 1.0)))], 60.0
 )]
 #[case::started_in_a_cut(
     vec![
         (20.0, cut((0.0, 0.5), (0.5, 1.0), false)),
-        (25.0, Fault::Kill(Who::Numbers(vec![1]))),
-        (26.0, Fault::Start(Who::Numbers(vec![1]))),
-        (60.0, Fault::Mend),
+        (25.0, Fault::Kill(Selector::Numbers(vec![1]))),
+        (26.0, Fault::Start(Selector::Numbers(vec![1]))),
+        (60.0, Fault::HealPartitions),
     ],
     130.0
 )]
-#[case::one_is_gone(vec![(20.0, Fault::Kill(Who::Numbers(vec![3])))], 90.0)]
+#[case::one_is_gone(vec![(20.0, Fault::Kill(Selector::Numbers(vec![3])))], 90.0)]
 fn what_is_put_up_reaches_all(#[case] steps: Vec<(f64, Fault)>, #[case] by: f64) {
     let script = script(0.05, 200.0, steps);
-    let mut world: World<Posting> = World::new(&script, 24);
-    world.run_to(s(by));
-    for reader in (0..24).filter(|n| world.core(*n).is_some()) {
+    let mut world: Simulation<Posting> = Simulation::new(&script, 24);
+    world.run_until(s(by));
+    for reader in (0..24).filter(|n| world.member(*n).is_some()) {
         for other in (0..24).filter(|n| *n != reader) {
             let name = format!("s{other}").try_into().unwrap();
             let read = world
-                .core(reader)
+                .member(reader)
                 .and_then(|core| core.0.peers.published_by(&name));
             let found = read.map(|(bytes, _)| bytes.to_vec());
-            let expected = world.core(other).map(|core| vec![other as u8, core.1]);
+            let expected = world.member(other).map(|core| vec![other as u8, core.1]);
             assert_eq!(found, expected, "s{other} as read by s{reader}");
         }
     }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,25 +1,31 @@
-//! Faults between the members of a fleet, by one script that drives simulated members and processes alike; without
-//! I/O and without a clock.
+//! Faults between the members of a fleet, by one script that drives simulated members and processes alike; without I/O and
+//! without a clock.
 //!
-//! How data flows: a `Script` says what happens when. `Links` takes each datagram on its way from one member to another
-//! and tells which copies of it arrive when (`pass`); it changes with the script's time (`turn`), and hands out what is to be
-//! done to members (`Act`), which only their host can do. `World` is such a host for members without I/O (`Core`): it
-//! steps up to a thousand of them through simulated time. The rig of processes is another (crates/emulators).
-
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+//! Data flow: a [`Script`] says which [`Fault`] happens when. A [`FaultyNetwork`] takes each datagram on its way from one member
+//! to another and returns which copies of it arrive when ([`FaultyNetwork::transmit`]); it follows the script's time
+//! ([`FaultyNetwork::advance`]) and returns the [`FaultAction`]s that only the members' host can carry out. A [`Simulation`] is
+//! such a host for members without I/O ([`SimulatedMember`]): it steps up to a thousand of them through simulated time. The rig
+//! of processes in `crates/emulators` is another.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `script` | the script's format |
+//! | `selector` | which members a fault concerns |
+//! | `validation` | what of a script cannot be used |
+//! | `action` | what a fault asks of the members' host |
+//! | `network` | links between members: loss, delay, partitions |
+//! | `simulation` | members in simulated time |
 
-mod links;
+mod action;
+mod network;
 mod script;
-mod world;
+mod selector;
+mod simulation;
+mod validation;
 
-pub use links::{Arrival, Links};
-pub use script::{Act, Ahead, ConfigError, Fault, Line, Script, Step, Who};
-pub use world::{Core, World};
+pub use action::FaultAction;
+pub use network::{Arrival, FaultyNetwork};
+pub use script::{ClockOffset, Fault, LinkConditions, Script, ScriptStep};
+pub use selector::Selector;
+pub use simulation::{SimulatedMember, Simulation, Traffic};
+pub use validation::ConfigError;
--- /dev/null
+++ b/crates/fault-injection/src/selector.rs
@@ -0,0 +1,62 @@
+//! Which members a fault concerns.
+
+use schemars::{JsonSchema, Schema};
+use serde::{Deserialize, Serialize};
+
+/// Some of the members.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+#[serde(rename_all = "snake_case")]
+#[schemars(rename = "Who", transform = words_as_enum)]
+pub enum Selector {
+    /// All members.
+    #[schemars(description = "")]
+    All,
+    /// Those from one part of the fleet up to another: 0 to 0.5 is the first half.
+    #[serde(rename = "part")]
+    Fraction(f64, f64),
+    /// These numbers, from 0.
+    Numbers(Vec<usize>),
+}
+
+/// Writes the word `all` as an `enum` of one word, as the schema's readers know it; a variant with a comment becomes a `const`.
+fn words_as_enum(schema: &mut Schema) {
+    let Some(variants) = schema
+        .get_mut("oneOf")
+        .and_then(|value| value.as_array_mut())
+    else {
+        return;
+    };
+    for variant in variants
+        .iter_mut()
+        .filter_map(|value| value.as_object_mut())
+    {
+        if let Some(word) = variant.remove("const") {
+            variant.insert("enum".into(), vec![word].into());
+        }
+    }
+}
+
+impl Selector {
+    /// Numbers of the selected members in a fleet of `member_count`.
+    pub fn resolve(&self, member_count: usize) -> Vec<usize> {
+        match self {
+            Self::All => (0..member_count).collect(),
+            Self::Fraction(from, to) => {
+                let bound = |fraction: f64| (fraction * member_count as f64).round() as usize;
+                (bound(*from)..bound(*to)).collect()
+            }
+            Self::Numbers(numbers) => numbers
+                .iter()
+                .copied()
+                .filter(|number| *number < member_count)
+                .collect(),
+        }
+    }
+
+    pub(crate) fn is_valid(&self) -> bool {
+        match self {
+            Self::Fraction(from, to) => 0.0 <= *from && from <= to && *to <= 1.0,
+            Self::All | Self::Numbers(_) => true,
+        }
+    }
+}
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -2,7 +2,10 @@
 //! events, direct messages, refusals and the member tables. A refactoring that keeps the behaviour
 //! keeps the digest.
 
-use limewing_fault_injection::{Ahead, Core, Fault, Line, Script, Step, Who, World};
+use limewing_fault_injection::{
+    ClockOffset, Fault, LinkConditions, Script, ScriptStep, Selector, SimulatedMember, Simulation,
+    Traffic,
+};
 use limewing_membership::{
     Config, DatagramError, Key, MemberName, MemberStatus, Membership, MembershipEvent,
 };
@@ -176,7 +179,7 @@
     }
 }
 
-impl Core for Node {
+impl SimulatedMember for Node {
     fn start(number: usize, start: u32, now: Duration, ahead: f64) -> Self {
         let seed =
             SEED.with(|seed| *seed.borrow()) << 32 | (number as u64) << 16 | u64::from(start);
@@ -203,7 +206,7 @@
         }
     }
 
-    fn hear(&mut self, now: Duration, datagram: &[u8]) {
+    fn receive(&mut self, now: Duration, datagram: &[u8]) {
         let code = self
             .membership
             .receive(now, datagram)
@@ -221,11 +224,11 @@
         self.observe_events();
     }
 
-    fn next(&self) -> Duration {
+    fn next_deadline(&self) -> Duration {
         self.membership.next_deadline().min(self.next_action)
     }
 
-    fn take(&mut self) -> Option<(usize, Vec<u8>)> {
+    fn take_datagram(&mut self) -> Option<(usize, Vec<u8>)> {
         let (to, bytes) = self.membership.take_datagram()?;
         observe(|digest| {
             digest.number(self.number as u64);
@@ -240,7 +243,7 @@
         self.observe_events();
     }
 
-    fn keys(&mut self, ids: &[u8]) {
+    fn replace_keys(&mut self, ids: &[u8]) {
         self.membership
             .replace_keys(ids.iter().copied().map(key).collect())
             .expect("valid keys");
@@ -251,17 +254,17 @@
     (rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn some_members(rng: &mut WyRand) -> Who {
+fn some_members(rng: &mut WyRand) -> Selector {
     let from = share(rng) * 0.7;
-    Who::Part(from, (from + 0.1 + 0.3 * share(rng)).min(1.0))
+    Selector::Fraction(from, (from + 0.1 + 0.3 * share(rng)).min(1.0))
 }
 
-fn step(at: f64, does: Fault) -> Step {
-    Step { at, does }
+fn step(at: f64, does: Fault) -> ScriptStep {
+    ScriptStep { at, fault: does }
 }
 
 /// A fault and, for those that do not last, the step that ends it.
-fn draw_fault(rng: &mut WyRand, at: f64) -> Vec<Step> {
+fn draw_fault(rng: &mut WyRand, at: f64) -> Vec<ScriptStep> {
     let who = some_members(rng);
     let end = at + 0.2 + share(rng) * 8.0;
     match rng.generate_range(0..9u32) {
@@ -274,15 +277,15 @@
             step(end, Fault::Start(who)),
         ],
         2 => vec![
-            step(at, Fault::Stop(who.clone())),
-            step(end, Fault::GoOn(who)),
+            step(at, Fault::Suspend(who.clone())),
+            step(end, Fault::Resume(who)),
         ],
         3 => {
             let one_way = share(rng) < 0.4;
-            partition(at, end, who, Who::All, one_way)
+            partition(at, end, who, Selector::All, one_way)
         }
         4 => {
-            let (first, second) = (Who::Part(0.0, 0.5), Who::Part(0.5, 1.0));
+            let (first, second) = (Selector::Fraction(0.0, 0.5), Selector::Fraction(0.5, 1.0));
             partition(at, at + 9.0, first, second, false)
         }
         5 => {
@@ -292,11 +295,11 @@
         6 => vec![step(at, slow_and_corrupting(who))],
         7 => {
             let ids = [vec![2, 1], vec![1, 2], vec![2]][rng.generate_range(0..3usize)].clone();
-            vec![step(at, Fault::Keys { who, ids })]
+            vec![step(at, Fault::ReplaceKeys { members: who, ids })]
         }
         _ => vec![step(
             at,
-            Fault::Noise {
+            Fault::SendNoise {
                 to: who,
                 datagrams: 40,
             },
@@ -304,34 +307,34 @@
     }
 }
 
-fn partition(at: f64, end: f64, from: Who, to: Who, one_way: bool) -> Vec<Step> {
+fn partition(at: f64, end: f64, from: Selector, to: Selector, one_way: bool) -> Vec<ScriptStep> {
     vec![
-        step(at, Fault::Cut { from, to, one_way }),
-        step(end, Fault::Mend),
+        step(at, Fault::Partition { from, to, one_way }),
+        step(end, Fault::HealPartitions),
     ]
 }
 
-fn lossy_and_late(from: Who, jitter_ms: f64) -> Fault {
-    Fault::Change {
+fn lossy_and_late(from: Selector, jitter_ms: f64) -> Fault {
+    Fault::ChangeLinks {
         from,
-        to: Who::All,
-        line: Line {
+        to: Selector::All,
+        conditions: LinkConditions {
             loss: 0.4,
             delay_ms: 5.0,
             jitter_ms,
-            ..Line::default()
+            ..LinkConditions::default()
         },
     }
 }
 
-fn slow_and_corrupting(to: Who) -> Fault {
-    Fault::Change {
-        from: Who::All,
+fn slow_and_corrupting(to: Selector) -> Fault {
+    Fault::ChangeLinks {
+        from: Selector::All,
         to,
-        line: Line {
-            bytes_per_s: 2_000.0,
+        conditions: LinkConditions {
+            bytes_per_second: 2_000.0,
             corrupt: 0.1,
-            ..Line::default()
+            ..LinkConditions::default()
         },
     }
 }
@@ -344,40 +347,40 @@
         steps.extend(draw_fault(&mut rng, at));
         at += 0.5 + share(&mut rng) * 3.0;
     }
-    let sound = Line {
+    let sound = LinkConditions {
         delay_ms: 1.0,
         jitter_ms: 5.0,
-        ..Line::default()
+        ..LinkConditions::default()
     };
     let last = [
-        Fault::Mend,
-        Fault::Change {
-            from: Who::All,
-            to: Who::All,
-            line: sound,
+        Fault::HealPartitions,
+        Fault::ChangeLinks {
+            from: Selector::All,
+            to: Selector::All,
+            conditions: sound,
         },
-        Fault::GoOn(Who::All),
+        Fault::Resume(Selector::All),
     ];
-    steps.extend(last.map(|does| Step {
+    steps.extend(last.map(|does| ScriptStep {
         at: SECONDS - QUIET_SECONDS,
-        does,
+        fault: does,
     }));
     steps.sort_by(|a, b| a.at.total_cmp(&b.at));
-    let line = Line {
+    let conditions = LinkConditions {
         loss: 0.05,
         delay_ms: 1.0,
         jitter_ms: 40.0,
         duplicate: 0.03,
         corrupt: 0.01,
-        ..Line::default()
+        ..LinkConditions::default()
     };
-    let clocks = vec![
-        Ahead {
-            who: Who::Numbers(vec![5]),
+    let clock_offsets = vec![
+        ClockOffset {
+            members: Selector::Numbers(vec![5]),
             seconds: 20.0,
         },
-        Ahead {
-            who: Who::Numbers(vec![6]),
+        ClockOffset {
+            members: Selector::Numbers(vec![6]),
             seconds: -45.0,
         },
     ];
@@ -385,9 +388,9 @@
         name: "drawn".into(),
         seed,
         seconds: SECONDS,
-        line,
+        conditions,
         steps,
-        clocks,
+        clock_offsets,
     }
 }
 
@@ -398,13 +401,13 @@
         SEED.with(|current| *current.borrow_mut() = seed);
         let script = drawn_script(seed);
         assert_eq!(script.config_errors(), []);
-        let mut world: World<Node> = World::new(&script, MEMBERS);
+        let mut simulation: Simulation<Node> = Simulation::new(&script, MEMBERS);
         for second in (5..=SECONDS as u64).step_by(5) {
-            world.run_to(Duration::from_secs(second));
-            let running = (0..MEMBERS).filter_map(|number| world.core(number));
+            simulation.run_until(Duration::from_secs(second));
+            let running = (0..MEMBERS).filter_map(|number| simulation.member(number));
             running.for_each(|node| observe(|digest| node.observe_table(digest)));
         }
-        let (datagrams, bytes) = world.sent;
+        let Traffic { datagrams, bytes } = simulation.traffic();
         observe(|digest| digest.number(datagrams));
         observe(|digest| digest.number(bytes));
     }
--- a/crates/replication/tests/digest.rs
+++ b/crates/replication/tests/digest.rs
@@ -5,7 +5,7 @@
 mod helpers;
 
 use helpers::{drawn, replica_config, s, TIME_TO_LIVE};
-use limewing_fault_injection::{Core, World};
+use limewing_fault_injection::{SimulatedMember, Simulation, Traffic};
 use limewing_replication::{
     ExecutionMark, LocalState, MergedState, Origin, Packet, PacketError, Phase, Record, Refusal,
     Replica, Stage,
@@ -308,7 +308,7 @@
     }
 }
 
-impl Core for Node {
+impl SimulatedMember for Node {
     fn start(number: usize, start: u32, now: Duration, _ahead: f64) -> Self {
         let mut replica = Replica::new(
             now,
@@ -329,7 +329,7 @@
         }
     }
 
-    fn hear(&mut self, now: Duration, datagram: &[u8]) {
+    fn receive(&mut self, now: Duration, datagram: &[u8]) {
         let Some((from, rest)) = datagram.split_at_checked(2) else {
             return;
         };
@@ -351,7 +351,7 @@
         self.apply(now);
     }
 
-    fn next(&self) -> Duration {
+    fn next_deadline(&self) -> Duration {
         let acts = self.next_action < s(FAULT_SECONDS);
         let action = if acts {
             self.next_action
@@ -361,7 +361,7 @@
         self.replica.next_tick().min(action)
     }
 
-    fn take(&mut self) -> Option<(usize, Vec<u8>)> {
+    fn take_datagram(&mut self) -> Option<(usize, Vec<u8>)> {
         let (to, packet) = self.replica.take_packet()?;
         let bytes = packet.encode();
         observe(|digest| {
@@ -386,16 +386,19 @@
         SEED.with(|current| *current.borrow_mut() = seed);
         let mut script = drawn(seed, FAULT_SECONDS);
         script.seed = seed;
-        script.line.corrupt = 0.005;
+        script.conditions.corrupt = 0.005;
         assert_eq!(script.config_errors(), []);
-        let mut world: World<Node> = World::new(&script, MEMBERS);
+        let mut simulation: Simulation<Node> = Simulation::new(&script, MEMBERS);
         for second in (5..=SECONDS).step_by(5) {
-            world.run_to(Duration::from_secs(second));
-            let now = world.now();
-            let running = (0..MEMBERS).filter_map(|number| world.core(number));
+            simulation.run_until(Duration::from_secs(second));
+            let now = simulation.now();
+            let running = (0..MEMBERS).filter_map(|number| simulation.member(number));
             running.for_each(|node| observe(|digest| node.observe_state(now, digest)));
         }
-        let (packets, bytes) = world.sent;
+        let Traffic {
+            datagrams: packets,
+            bytes,
+        } = simulation.traffic();
         observe(|digest| digest.number(packets));
         observe(|digest| digest.number(bytes));
     }
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -4,17 +4,17 @@
 mod helpers;
 
 use helpers::{drawn, s, script, step, Node, FLEET, PUBLISHED, TIME_TO_LIVE};
-use limewing_fault_injection::{Fault, Script, Who, World};
+use limewing_fault_injection::{Fault, Script, Selector, Simulation};
 use limewing_replication::Origin;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn world(script: &Script, members: usize, publish_until: f64, every: f64) -> World<Node> {
+fn simulation(script: &Script, members: usize, publish_until: f64, every: f64) -> Simulation<Node> {
     assert_eq!(script.config_errors(), []);
     FLEET.with(|fleet| *fleet.borrow_mut() = (members, s(publish_until), s(every)));
     PUBLISHED.with(|published| published.borrow_mut().clear());
-    World::new(script, members)
+    Simulation::new(script, members)
 }
 
 /// The entries of a replica that have not expired, by origin.
@@ -31,8 +31,8 @@
     logs.filter(|(_, all)| !all.is_empty()).collect()
 }
 
-fn have_converged(world: &World<Node>) -> bool {
-    let mut nodes = (0..world.members()).filter_map(|n| world.core(n));
+fn have_converged(simulation: &Simulation<Node>) -> bool {
+    let mut nodes = (0..simulation.member_count()).filter_map(|n| simulation.member(n));
     let Some(first) = nodes.next() else {
         return true;
     };
@@ -49,22 +49,26 @@
 }
 
 /// How long after `from` all replicas have the same positions.
-fn convergence_time(world: &mut World<Node>, from: Duration, most: Duration) -> Option<Duration> {
-    world.run_to(from);
-    while world.now() < from + most {
-        if have_converged(world) {
-            return Some(world.now() - from);
+fn convergence_time(
+    simulation: &mut Simulation<Node>,
+    from: Duration,
+    most: Duration,
+) -> Option<Duration> {
+    simulation.run_until(from);
+    while simulation.now() < from + most {
+        if have_converged(simulation) {
+            return Some(simulation.now() - from);
         }
-        let next = world.now() + s(0.02);
-        world.run_to(next);
+        let next = simulation.now() + s(0.02);
+        simulation.run_until(next);
     }
     None
 }
 
-fn assert_no_expired_entries(world: &World<Node>) {
-    let now = world.now();
-    for number in 0..world.members() {
-        let Some(node) = world.core(number) else {
+fn assert_no_expired_entries(simulation: &Simulation<Node>) {
+    let now = simulation.now();
+    for number in 0..simulation.member_count() {
+        let Some(node) = simulation.member(number) else {
             continue;
         };
         assert!(!node.applied_twice, "m{number} applied an entry twice");
@@ -92,22 +96,22 @@
     let mut worst = Duration::ZERO;
     for seed in 0..seeds {
         let script = drawn(seed, 40.0);
-        let mut world = world(&script, members, 34.0, 0.4);
+        let mut simulation = simulation(&script, members, 34.0, 0.4);
         for at in 1..35 {
-            world.run_to(s(f64::from(at)));
-            assert_no_expired_entries(&world);
+            simulation.run_until(s(f64::from(at)));
+            assert_no_expired_entries(&simulation);
         }
-        let took = convergence_time(&mut world, s(35.0), s(20.0));
-        assert_no_expired_entries(&world);
+        let took = convergence_time(&mut simulation, s(35.0), s(20.0));
+        assert_no_expired_entries(&simulation);
         let took =
             took.unwrap_or_else(|| panic!("seed {seed}: not alike 20 s after the last fault"));
         worst = worst.max(took);
         // Once all entries have expired none is stored, and none comes back.
-        world.run_to(s(34.0) + TIME_TO_LIVE + s(8.0));
+        simulation.run_until(s(34.0) + TIME_TO_LIVE + s(8.0));
         for number in 0..members {
-            let held = world
-                .core(number)
-                .map_or(0, |node| live_entries(node, world.now()).len());
+            let held = simulation
+                .member(number)
+                .map_or(0, |node| live_entries(node, simulation.now()).len());
             assert_eq!(held, 0, "seed {seed}: m{number} holds expired entries");
         }
     }
@@ -121,12 +125,12 @@
     for seed in 0..40u64 {
         let (one, other) = ((seed % 12) as usize, ((seed / 3 + 5) % 12) as usize);
         let at = 2.0 + seed as f64 * 0.07;
-        let steps = vec![step(at, Fault::Kill(Who::Numbers(vec![one, other])))];
-        let mut world = world(&script(30.0, 0.1, steps), 12, 6.0, 0.3);
-        world.run_to(s(at - 0.001));
+        let steps = vec![step(at, Fault::Kill(Selector::Numbers(vec![one, other])))];
+        let mut simulation = simulation(&script(30.0, 0.1, steps), 12, 6.0, 0.3);
+        simulation.run_until(s(at - 0.001));
         let acknowledged: Vec<(Origin, u64)> = [one, other]
             .iter()
-            .filter_map(|n| world.core(*n))
+            .filter_map(|n| simulation.member(*n))
             .flat_map(|node| {
                 let me = node.replica.origin().clone();
                 let contiguous_through = node
@@ -140,10 +144,10 @@
                     .collect::<Vec<_>>()
             })
             .collect();
-        world.run_to(s(at + 3.0));
+        simulation.run_until(s(at + 3.0));
         for (origin, sequence) in &acknowledged {
             for number in (0..12).filter(|n| *n != one && *n != other) {
-                let received = world.core(number).is_some_and(|node| {
+                let received = simulation.member(number).is_some_and(|node| {
                     node.received
                         .get(origin)
                         .is_some_and(|received| received.contains(sequence))
@@ -163,7 +167,7 @@
 /// While restarted members catch up, new entries still reach all in time, also where the first packet is lost.
 #[test]
 fn new_entries_spread_in_time_while_others_catch_up() {
-    let one = |n: usize| Who::Numbers(vec![n]);
+    let one = |n: usize| Selector::Numbers(vec![n]);
     let steps = (0..6).flat_map(|n| {
         let at = 10.0 + 2.0 * n as f64;
         [
@@ -171,14 +175,14 @@
             step(at + 0.7, Fault::Start(one(n))),
         ]
     });
-    let mut world = world(&script(30.0, 0.01, steps.collect()), 6, 23.0, 0.025);
+    let mut simulation = simulation(&script(30.0, 0.01, steps.collect()), 6, 23.0, 0.025);
     let mut known: BTreeMap<(usize, Origin, u64), Duration> = BTreeMap::new();
     let mut late: Vec<Duration> = Vec::new();
-    while world.now() < s(23.0) {
-        let next = world.now() + s(0.01);
-        world.run_to(next);
+    while simulation.now() < s(23.0) {
+        let next = simulation.now() + s(0.01);
+        simulation.run_until(next);
         for number in 0..6 {
-            let Some(node) = world.core(number) else {
+            let Some(node) = simulation.member(number) else {
                 continue;
             };
             // Entries published before it had caught up come by the catch-up.
@@ -194,7 +198,7 @@
                     }
                     known
                         .entry((number, origin.clone(), *sequence))
-                        .or_insert_with(|| world.now());
+                        .or_insert_with(|| simulation.now());
                 }
             }
         }
@@ -220,23 +224,23 @@
 fn halves_converge_soon_after_a_partition() {
     let mut took = Vec::new();
     for seed in 0..25 {
-        let half = || Who::Part(0.0, 0.5);
+        let half = || Selector::Fraction(0.0, 0.5);
         let steps = vec![
             step(
                 3.0,
-                Fault::Cut {
+                Fault::Partition {
                     from: half(),
-                    to: Who::Part(0.5, 1.0),
+                    to: Selector::Fraction(0.5, 1.0),
                     one_way: seed % 4 == 3,
                 },
             ),
-            step(13.0, Fault::Mend),
+            step(13.0, Fault::HealPartitions),
         ];
         let mut script = script(40.0, 0.02, steps);
         script.seed = seed;
-        let mut world = world(&script, 12, 12.9, 0.2);
-        took.push(convergence_time(&mut world, s(13.0), s(20.0)).expect("alike"));
-        assert_no_expired_entries(&world);
+        let mut simulation = simulation(&script, 12, 12.9, 0.2);
+        took.push(convergence_time(&mut simulation, s(13.0), s(20.0)).expect("alike"));
+        assert_no_expired_entries(&simulation);
     }
     took.sort();
     println!(
@@ -253,25 +257,27 @@
 #[case::thirty(30)]
 #[case::three_hundred(300)]
 fn most_of_a_fleet_catches_up_after_a_restart(#[case] members: usize) {
-    let most = || Who::Part(0.0, 0.7);
+    let most = || Selector::Fraction(0.0, 0.7);
     let steps = vec![
         step(8.0, Fault::Kill(most())),
         step(9.0, Fault::Start(most())),
     ];
     let every = if members > 100 { 4.0 } else { 0.5 };
-    let mut world = world(&script(40.0, 0.01, steps), members, 36.0, every);
-    world.run_to(s(7.9));
+    let mut simulation = simulation(&script(40.0, 0.01, steps), members, 36.0, every);
+    simulation.run_until(s(7.9));
     let sent: Vec<u64> = (0..members)
-        .filter_map(|n| world.core(n))
+        .filter_map(|n| simulation.member(n))
         .map(|n| n.replica.bytes_sent())
         .collect();
     let before = sent.iter().sum::<u64>() as f64 / members as f64 / 7.9;
     let last = members - 1;
-    let at_8 = world.core(last).map_or(0, |node| node.replica.bytes_sent());
+    let at_8 = simulation
+        .member(last)
+        .map_or(0, |node| node.replica.bytes_sent());
     // What all that keep running had received before; what only some had may come later.
     let mut all: std::collections::BTreeSet<(Origin, u64)> = Default::default();
     for number in members * 7 / 10..members {
-        let Some(node) = world.core(number) else {
+        let Some(node) = simulation.member(number) else {
             continue;
         };
         let received = node
@@ -289,17 +295,21 @@
         };
     }
     let mut looked_at = std::collections::BTreeSet::new();
-    let caught = |world: &World<Node>| {
+    let caught = |simulation: &Simulation<Node>| {
         (0..members)
-            .filter(|n| world.core(*n).is_some_and(|n| n.caught_up.is_some()))
+            .filter(|n| simulation.member(*n).is_some_and(|n| n.caught_up.is_some()))
             .count()
     };
-    while world.now() < s(39.0) && (world.now() < s(9.1) || caught(&world) < members) {
-        let next = world.now() + s(0.05);
-        world.run_to(next);
+    while simulation.now() < s(39.0) && (simulation.now() < s(9.1) || caught(&simulation) < members)
+    {
+        let next = simulation.now() + s(0.05);
+        simulation.run_until(next);
         // A replica that reports to have caught up has all that those that kept running had.
-        for number in (0..members * 7 / 10).filter(|_| world.now() > s(9.0)) {
-            let Some(node) = world.core(number).filter(|node| node.caught_up.is_some()) else {
+        for number in (0..members * 7 / 10).filter(|_| simulation.now() > s(9.0)) {
+            let Some(node) = simulation
+                .member(number)
+                .filter(|node| node.caught_up.is_some())
+            else {
                 continue;
             };
             if looked_at.insert(number) {
@@ -318,13 +328,13 @@
             }
         }
     }
-    assert_eq!(caught(&world), members);
-    let took = world.now() - s(9.0);
-    let rate = world
-        .core(last)
+    assert_eq!(caught(&simulation), members);
+    let took = simulation.now() - s(9.0);
+    let rate = simulation
+        .member(last)
         .map_or(0, |n| n.replica.bytes_sent() - at_8) as f64
-        / (world.now() - s(7.9)).as_secs_f64();
-    let most_held = world.core(last).map_or(0, |n| {
+        / (simulation.now() - s(7.9)).as_secs_f64();
+    let most_held = simulation.member(last).map_or(0, |n| {
         n.replica
             .logs()
             .map(|(_, log)| log.live_entries())
@@ -332,5 +342,5 @@
     });
     println!("{members} members, a fact each {every} s: {before:.0} bytes/s each before; all caught up {took:?} after the return, {most_held} entries; one that stayed sent {rate:.0} bytes/s");
     assert!(rate <= 66_000.0 && took < s(20.0));
-    assert_no_expired_entries(&world);
+    assert_no_expired_entries(&simulation);
 }
--- a/crates/replication/tests/helpers/mod.rs
+++ b/crates/replication/tests/helpers/mod.rs
@@ -2,7 +2,9 @@
 
 #![allow(dead_code, reason = "each test file uses a part of the helpers")]
 
-use limewing_fault_injection::{Core, Fault, Line, Script, Step, Who};
+use limewing_fault_injection::{
+    Fault, LinkConditions, Script, ScriptStep, Selector, SimulatedMember,
+};
 use limewing_replication::{
     MergedState, Origin, Packet, Record, Replica, ReplicaConfig, MAX_PACKET_BYTES,
 };
@@ -72,7 +74,7 @@
     }
 }
 
-impl Core for Node {
+impl SimulatedMember for Node {
     fn start(number: usize, start: u32, now: Duration, _ahead: f64) -> Self {
         let (members, _, every) = FLEET.with(|fleet| *fleet.borrow());
         let mut replica = Replica::new(
@@ -96,7 +98,7 @@
         }
     }
 
-    fn hear(&mut self, now: Duration, datagram: &[u8]) {
+    fn receive(&mut self, now: Duration, datagram: &[u8]) {
         let Some((from, rest)) = datagram.split_at_checked(2) else {
             return;
         };
@@ -126,7 +128,7 @@
         self.take_applied(now);
     }
 
-    fn next(&self) -> Duration {
+    fn next_deadline(&self) -> Duration {
         let until = FLEET.with(|fleet| fleet.borrow().1);
         let next_publish = if self.next_publish < until {
             self.next_publish
@@ -136,7 +138,7 @@
         self.replica.next_tick().min(next_publish)
     }
 
-    fn take(&mut self) -> Option<(usize, Vec<u8>)> {
+    fn take_datagram(&mut self) -> Option<(usize, Vec<u8>)> {
         let (to, packet) = self.replica.take_packet()?;
         let to = to.strip_prefix('m')?.parse().ok()?;
         let bytes = packet.encode();
@@ -150,25 +152,25 @@
     fn leave(&mut self, _now: Duration) {}
 }
 
-pub(crate) fn step(at: f64, does: Fault) -> Step {
-    Step { at, does }
+pub(crate) fn step(at: f64, does: Fault) -> ScriptStep {
+    ScriptStep { at, fault: does }
 }
 
-pub(crate) fn script(seconds: f64, loss: f64, steps: Vec<Step>) -> Script {
-    let line = Line {
+pub(crate) fn script(seconds: f64, loss: f64, steps: Vec<ScriptStep>) -> Script {
+    let conditions = LinkConditions {
         loss,
         delay_ms: 1.0,
         jitter_ms: 5.0,
         duplicate: 0.02,
-        ..Line::default()
+        ..LinkConditions::default()
     };
     Script {
         name: "drawn".into(),
         seed: 11,
         seconds,
-        line,
+        conditions,
         steps,
-        clocks: Vec::new(),
+        clock_offsets: Vec::new(),
     }
 }
 
@@ -179,7 +181,7 @@
     let (mut steps, mut at) = (Vec::new(), 1.0);
     while at < seconds - 6.0 {
         let from = fraction();
-        let some = Who::Part(from * 0.7, (from * 0.7 + 0.05 + 0.3 * fraction()).min(1.0));
+        let some = Selector::Fraction(from * 0.7, (from * 0.7 + 0.05 + 0.3 * fraction()).min(1.0));
         match (fraction() * 6.0) as usize {
             0 | 1 => {
                 steps.push(step(at, Fault::Kill(some.clone())));
@@ -187,30 +189,30 @@
             }
             2 => steps.push(step(
                 at,
-                Fault::Cut {
+                Fault::Partition {
                     from: some,
-                    to: Who::All,
+                    to: Selector::All,
                     one_way: fraction() < 0.4,
                 },
             )),
-            3 => steps.push(step(at, Fault::Mend)),
+            3 => steps.push(step(at, Fault::HealPartitions)),
             4 => {
-                steps.push(step(at, Fault::Stop(some.clone())));
-                steps.push(step(at + fraction() * 3.0, Fault::GoOn(some)));
+                steps.push(step(at, Fault::Suspend(some.clone())));
+                steps.push(step(at + fraction() * 3.0, Fault::Resume(some)));
             }
             _ => {
-                let line = Line {
+                let conditions = LinkConditions {
                     loss: 0.4,
                     delay_ms: 5.0,
                     jitter_ms: 300.0 * fraction(),
-                    ..Line::default()
+                    ..LinkConditions::default()
                 };
                 steps.push(step(
                     at,
-                    Fault::Change {
+                    Fault::ChangeLinks {
                         from: some,
-                        to: Who::All,
-                        line,
+                        to: Selector::All,
+                        conditions,
                     },
                 ));
             }
@@ -223,20 +225,20 @@
 }
 
 /// Steps that end all faults.
-fn recovery(at: f64) -> Vec<Step> {
-    let line = Line {
+fn recovery(at: f64) -> Vec<ScriptStep> {
+    let conditions = LinkConditions {
         delay_ms: 1.0,
         jitter_ms: 5.0,
-        ..Line::default()
+        ..LinkConditions::default()
     };
-    let restore_lines = Fault::Change {
-        from: Who::All,
-        to: Who::All,
-        line,
+    let restore_lines = Fault::ChangeLinks {
+        from: Selector::All,
+        to: Selector::All,
+        conditions,
     };
     vec![
-        step(at, Fault::Mend),
+        step(at, Fault::HealPartitions),
         step(at, restore_lines),
-        step(at, Fault::GoOn(Who::All)),
+        step(at, Fault::Resume(Selector::All)),
     ]
 }
