--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -4,7 +4,7 @@
 use limewing_emulators::platform::{
     listing, Answer, Client, Config, Discovery, Does, Faults, Listed, Pod, World,
 };
-use limewing_postgres_proxy::bounds::{SPEAKS_WITHIN, STILL_FOUND};
+use limewing_postgres_proxy::timeouts::{CLIENT_MESSAGE_TIMEOUT, STOP_ACCEPTING_TIMEOUT};
 use limewing_rule_checker::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
 use limewing_rule_checker::rules::{check, Rule};
 use rstest::rstest;
@@ -82,7 +82,7 @@
             break;
         }
     }
-    sidecar.signal(Signal::STOP);
+    sidecar.stop();
     sleep(DOOR_CLOSES);
     if new {
         client = Client::silent(sidecar.at);
@@ -107,8 +107,8 @@
 #[test]
 fn a_first_statement_that_comes_as_silence_is_over_is_answered() {
     let (_pod, sidecar, mut client) = with_pod(vec![Does::Serves("red")]);
-    sidecar.signal(Signal::STOP);
-    sleep(SPEAKS_WITHIN + MOMENT);
+    sidecar.stop();
+    sleep(CLIENT_MESSAGE_TIMEOUT + MOMENT);
     client.asks(&ask("look", 1));
     sidecar.signal(Signal::CONT);
     assert_eq!(client.hears(), Answer::Row("red".into()));
@@ -136,7 +136,7 @@
     let mut client = Client::new(sidecar.at);
     client.asks(&ask("look", 1));
     assert_eq!(pod.hears(), "came");
-    sidecar.signal(Signal::STOP);
+    sidecar.stop();
     pod.go_on.send(()).unwrap();
     assert_eq!(pod.hears(), "welcomed");
     discovery.says(&listing(
@@ -153,7 +153,7 @@
 }
 
 /// Longer than connections go on coming to a sidecar that was told to leave.
-const DOOR_CLOSES: Duration = STILL_FOUND.saturating_add(MOMENT);
+const DOOR_CLOSES: Duration = STOP_ACCEPTING_TIMEOUT.saturating_add(MOMENT);
 const MOMENT: Duration = Duration::from_millis(100);
 
 /// A request may bring a longer time than the settings have: it is answered before the process has to be gone. Without
@@ -362,7 +362,7 @@
     world.note(Entry::SidecarStopped {
         sidecar: sidecar(2),
     });
-    all[2].signal(Signal::STOP);
+    all[2].stop();
     pause(400);
     all[2].signal(Signal::CONT);
     world.note(Entry::SidecarGoesOn {
--- a/crates/http-proxy/src/service/control/stage_watch.rs
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -1,5 +1,6 @@
 //! The watch of the rollout's stages by a stream of server-sent events.
 
+use crate::http_status;
 use crate::service::{ConnectionRole, Service, TimerEvent};
 use crate::stage_updates::{StageEventReader, StageMessage, StageStreamError, StageUpdateFilter};
 use limewing_coordination::Service as ControlService;
@@ -13,8 +14,6 @@
 
 /// Where the rollout service serves the stream.
 const STAGES_PATH: &str = "/v1/stages";
-/// Status of a response that has the stream.
-const OK: u16 = 200;
 
 /// A connection that carries the stream.
 pub(in crate::service) struct StageStreamConnection {
@@ -35,19 +34,19 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(in crate::service) enum StageStreamLoss {
     /// The system refuses a connection.
-    #[error("no connection")]
+    #[error("cannot open a connection")]
     Connect,
     /// The connection was lost.
-    #[error("the connection was lost")]
+    #[error("connection lost")]
     ConnectionLost,
     /// The response is not a stream of events.
-    #[error("no stream of events")]
+    #[error("expected status 200 and a stream of events")]
     NoStream,
     /// The stream was silent for too long.
-    #[error("the stream says nothing")]
+    #[error("the stream was silent for too long")]
     Silent,
     /// The service ended the stream.
-    #[error("the stream ended")]
+    #[error("the service ended the stream")]
     Ended,
     /// The response's body is not HTTP.
     #[error("{0}")]
@@ -70,7 +69,7 @@
     pub(in crate::service) fn accept(&mut self, message: StageMessage) -> Option<StageUpdate> {
         let update = self.filter.accept(message);
         if update.is_none() {
-            tracing::warn!(number = message.number, "old stage news left out");
+            tracing::warn!(number = message.number, "outdated stage update dropped");
         }
         update
     }
@@ -176,7 +175,7 @@
             return Ok(true);
         }
         match http::parse_response(input, false, HeadLimits::default()) {
-            Ok(Some(head)) if head.status == OK => {
+            Ok(Some(head)) if head.status == http_status::OK => {
                 connection.body = Some(BodyReader::new(head.framing));
                 Ok(true)
             }
@@ -247,7 +246,7 @@
     fn retry_stage_stream(&mut self, loss: &StageStreamLoss) {
         self.peers
             .record_poll(self.now, ControlService::Installer, false);
-        tracing::warn!(why = %loss, "no stage news; asked for again");
+        tracing::warn!(error = %loss, "stage stream lost, retrying");
         let delay = self.stages.backoff.next_delay();
         self.timers
             .schedule(self.now + delay, TimerEvent::OpenStageStream);
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -1,12 +1,12 @@
 //! One HTTP sidecar: the state that its event loop owns, and its parts.
 //!
-//! - [`startup`] builds a sidecar from its settings
-//! - [`event_loop`] waits for sockets and timers, and dispatches to the other parts
-//! - [`clients`] reads requests and writes responses
-//! - [`upstream`] sends attempts to pods and reads their responses
-//! - [`control`] polls the endpoint list, watches stages and votes
-//! - [`peers`] connects the loop with what the sidecars of a fleet share
-//! - [`shutdown`] settles what is in flight before the process exits
+//! - `startup` builds a sidecar from its settings
+//! - `event_loop` waits for sockets and timers, and dispatches to the other parts
+//! - `clients` reads requests and writes responses
+//! - `upstream` sends attempts to pods and reads their responses
+//! - `control` polls the endpoint list, watches stages and votes
+//! - `peers` connects the loop with what the sidecars of a fleet share
+//! - `shutdown` settles what is in flight before the process exits
 
 mod attempt_token;
 mod clients;
@@ -28,6 +28,7 @@
 use attempt_token::AttemptId;
 use clients::{Client, ClientRequest, Clients};
 use control::endpoint_watch::{EndpointListConnection, EndpointWatch};
+use control::known_endpoints::KnownEndpoints;
 use control::stage_watch::{StageStreamConnection, StageWatch};
 pub use decisions::Decisions;
 use limewing_decision::interface::Event;
@@ -108,7 +109,8 @@
     requests: InFlightRequests<ClientRequest>,
     clients: Clients,
     upstream: Upstream,
-    endpoints: EndpointWatch,
+    endpoints: KnownEndpoints,
+    endpoint_watch: EndpointWatch,
     stages: StageWatch,
     peers: Peers,
     shutdown: Shutdown,
@@ -131,7 +133,9 @@
         }
         self.peers.leave_at_exit(self.now, &mut self.sockets);
         if !self.endpoints.flush_state_file(STATE_FILE_TIMEOUT) {
-            tracing::warn!("the newest list is not on disk; a start begins with an older one");
+            tracing::warn!(
+                "state file not written before the exit, the next start begins with an older list"
+            );
         }
         Ok(())
     }
--- a/crates/http-proxy/src/service/startup.rs
+++ b/crates/http-proxy/src/service/startup.rs
@@ -3,6 +3,7 @@
 use super::attempt_token::AttemptTokens;
 use super::clients::{Clients, MAX_UNSENT_BYTES};
 use super::control::endpoint_watch::EndpointWatch;
+use super::control::known_endpoints::KnownEndpoints;
 use super::control::stage_watch::StageWatch;
 use super::peers::Peers;
 use super::settings::ServiceSettings;
@@ -52,9 +53,9 @@
         let classifier = RequestClassifier::new(settings).map_err(StartError::Settings)?;
         let mut sockets = Sockets::new()?;
         sockets.watch_signals(&signals::WATCHED)?;
-        let at = settings.listen;
-        let listener =
-            ClientListener::bind(&mut sockets, at).map_err(|why| StartError::Listen { at, why })?;
+        let address = settings.listen;
+        let listener = ClientListener::bind(&mut sockets, address)
+            .map_err(|error| StartError::Listen { address, error })?;
         let budget = descriptor_budget(settings);
         sockets.limit_connections(budget.max_accepted, budget.max_connections);
         let clock = Clock::default();
@@ -78,7 +79,8 @@
             requests: InFlightRequests::default(),
             clients: Clients::new(listener),
             upstream: Upstream::new(budget, tokens),
-            endpoints: EndpointWatch::new(&settings.fleet.zones, state_store),
+            endpoints: KnownEndpoints::new(&settings.fleet.zones, state_store),
+            endpoint_watch: EndpointWatch::default(),
             stages: StageWatch::new(seed),
             peers,
             shutdown: Shutdown::new(shutdown_timeouts(max_client_timeout)),
