--- a/crates/http-proxy/src/service/event_loop.rs
+++ b/crates/http-proxy/src/service/event_loop.rs
@@ -3,6 +3,8 @@
 //! Events of one turn reach the decisions in the order in which the system reported them. Timers come after what was
 //! read in the same turn, so that a response that arrived while the process stood still beats its timeout.
 
+use super::control::endpoint_watch::EndpointPollError;
+use super::control::stage_watch::StageStreamLoss;
 use super::{ConnectionRole, Service, TimerEvent};
 use limewing_decision::interface::{Action, Event, VoteAnswer};
 use limewing_net::sockets::{SocketEvent, SocketId};
@@ -14,9 +16,6 @@
 use std::io;
 use std::time::Duration;
 
-use super::control::endpoint_watch::EndpointPollError;
-use super::control::stage_watch::StageStreamLoss;
-
 impl Service {
     /// One turn of the loop.
     pub(super) fn turn(&mut self) -> io::Result<()> {
--- a/crates/http-proxy/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -18,10 +18,10 @@
 use std::time::{Duration, Instant, SystemTime};
 
 const SECRET: &str = "000102030405060708090a0b0c0d0e0f";
-const WITHIN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// A time of day in seconds since 1970.
 const LONG_AGO: f64 = 1000.0;
-const PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const PROBE_PERIOD: Duration = Duration::from_millis(50);
 
 /// A folder for a test's files; it stays, as sidecars run until the process ends.
@@ -57,7 +57,7 @@
     read_text("settings", &value.to_string()).unwrap()
 }
 
-fn run(settings: &SidecarSettings) -> SocketAddr {
+fn start(settings: &SidecarSettings) -> SocketAddr {
     let service = Service::start(settings).unwrap();
     let address = service.address();
     std::thread::spawn(move || service.run());
@@ -82,7 +82,7 @@
     file
 }
 
-fn request(at: SocketAddr, line: &str, body: &str) -> String {
+fn send_request(at: SocketAddr, line: &str, body: &str) -> String {
     let mut client = TcpStream::connect(at).unwrap();
     let length = body.len();
     write!(
@@ -98,41 +98,41 @@
 }
 
 /// A page; what is read of it and written again is the same bytes.
-fn page<T: Serialize + DeserializeOwned>(at: SocketAddr, path: &str) -> T {
-    let text = request(at, &format!("GET {path}"), "");
+fn get_page<T: Serialize + DeserializeOwned>(at: SocketAddr, path: &str) -> T {
+    let text = send_request(at, &format!("GET {path}"), "");
     let read: T = serde_json::from_str(&text).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), text);
     read
 }
 
-fn fleet(at: SocketAddr) -> MembershipView {
-    page(at, "/limewing/fleet")
+fn get_membership(at: SocketAddr) -> MembershipView {
+    get_page(at, "/limewing/fleet")
 }
 
-fn state(at: SocketAddr) -> ReplicationView {
-    page(at, "/limewing/state")
+fn get_replication(at: SocketAddr) -> ReplicationView {
+    get_page(at, "/limewing/state")
 }
 
-fn work(at: SocketAddr) -> MaintenanceView {
-    page(at, "/limewing/work")
+fn get_maintenance(at: SocketAddr) -> MaintenanceView {
+    get_page(at, "/limewing/work")
 }
 
 /// Looks until something is there.
-fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+fn wait_until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let from = Instant::now();
-    while from.elapsed() < WITHIN {
+    while from.elapsed() < TIMEOUT {
         if let Some(found) = look() {
             return found;
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
     panic!("waited in vain: {what}");
 }
 
 /// Each word that a look gives, as it comes anew, until the last one that is waited for.
-fn words_until(last: &str, mut look: impl FnMut() -> Option<String>) -> Vec<String> {
+fn collect_states_until(last: &str, mut look: impl FnMut() -> Option<String>) -> Vec<String> {
     let mut seen: Vec<String> = Vec::new();
-    until(last, || {
+    wait_until(last, || {
         if let Some(word) = look() {
             if seen.last() != Some(&word) {
                 seen.push(word);
@@ -143,7 +143,7 @@
     seen
 }
 
-fn is_as_before(page: impl Serialize, differs: &[&str], file: &str) {
+fn assert_matches_golden(page: impl Serialize, differs: &[&str], file: &str) {
     let mut page = serde_json::to_value(page).unwrap();
     for path in differs {
         *page.pointer_mut(path).unwrap_or_else(|| panic!("{path}")) = 0.into();
@@ -204,29 +204,29 @@
 }
 
 #[test]
-fn the_fleet_is_told_as_before() {
+fn the_membership_page_is_unchanged() {
     let folder = folder();
-    let at = run(&settings(&folder, "sidecar-0", |_| ()));
-    let reached = fleet(at).address;
+    let at = start(&settings(&folder, "sidecar-0", |_| ()));
+    let reached = get_membership(at).address;
     let (falls, leaves) = (Arc::new(AtomicU8::new(RUNS)), Arc::new(AtomicU8::new(RUNS)));
     member("sidecar-1", reached, falls.clone());
     member("sidecar-2", reached, leaves.clone());
     let standing = |name: &str| {
-        fleet(at)
+        get_membership(at)
             .members
             .into_iter()
             .find(|seen| seen.name == name)
             .map(|seen| seen.status)
     };
-    until("both are alive", || {
-        let members = fleet(at).members;
+    wait_until("both are alive", || {
+        let members = get_membership(at).members;
         let alive = members.iter().all(|member| member.status == "alive");
         (members.len() == 2 && alive).then_some(())
     });
     leaves.store(LEAVES, Ordering::Relaxed);
-    words_until("left", || standing("sidecar-2"));
+    collect_states_until("left", || standing("sidecar-2"));
     falls.store(FALLS_SILENT, Ordering::Relaxed);
-    let standings = words_until("dead", || standing("sidecar-1"));
+    let standings = collect_states_until("dead", || standing("sidecar-1"));
     assert!(
         standings.ends_with(&["suspect".into(), "dead".into()]),
         "{standings:?}"
@@ -236,8 +236,8 @@
     for datagram in [vec![0; 3], vec![250; 200]] {
         noise.send_to(&datagram, reached).unwrap();
     }
-    let view = until("both are refused", || {
-        Some(fleet(at)).filter(|view| view.rejected.len() == 2)
+    let view = wait_until("both are refused", || {
+        Some(get_membership(at)).filter(|view| view.rejected.len() == 2)
     });
     let differs = [
         "/at",
@@ -255,7 +255,7 @@
         "/members/1/incarnation",
         "/members/1/for_s",
     ];
-    is_as_before(view, &differs, include_str!("golden/pages/fleet.json"));
+    assert_matches_golden(view, &differs, include_str!("golden/pages/fleet.json"));
 }
 
 /// An installer that says these on its stream, one after another as it is told.
@@ -279,10 +279,10 @@
 }
 
 #[test]
-fn kept_state_is_told_as_before() {
+fn the_replication_page_is_unchanged() {
     let folder = folder();
     let (installer, say) = installer();
-    let at = run(&settings(&folder, "sidecar-0", |settings| {
+    let at = start(&settings(&folder, "sidecar-0", |settings| {
         settings["state_file"] = json!(state_file(&folder, LONG_AGO));
         settings["peers"]["replicas"] = true.into();
         settings["installer"] = json!({"address": installer});
@@ -312,13 +312,13 @@
     for (number, (phase, cap, told)) in (1..).zip(stages) {
         let news = json!({"number": number, "build": 3, "stage": 1, "phase": phase, "cap": cap, "age_ms": 0.0});
         say.send(news.to_string()).unwrap();
-        let view = until(told, || {
-            Some(state(at)).filter(|view| view.stage.as_deref() == Some(told))
+        let view = wait_until(told, || {
+            Some(get_replication(at)).filter(|view| view.stage.as_deref() == Some(told))
         });
         assert_eq!(view.stages, [format!("sidecar-0: {told}")]);
     }
-    let view = state(at);
-    is_as_before(
+    let view = get_replication(at);
+    assert_matches_golden(
         view,
         &["/start", "/bytes_sent", "/logs/0/start"],
         include_str!("golden/pages/state.json"),
@@ -326,21 +326,23 @@
 }
 
 #[test]
-fn work_on_machines_is_told_as_before() {
+fn the_maintenance_page_is_unchanged() {
     let folder = folder();
     // The first is cold for so long that its way back can't be missed.
     let today = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap();
     let cold_until = (today + Duration::from_secs(4)).as_secs_f64();
-    let at = run(&settings(&folder, "sidecar-0", |settings| {
+    let at = start(&settings(&folder, "sidecar-0", |settings| {
         settings["state_file"] = json!(state_file(&folder, cold_until));
         settings["work"] = json!({"voters": ["sidecar-0"], "folder": folder.join("promises")});
     }));
-    until("it leads", || (work(at).role == "leads").then_some(()));
+    wait_until("it leads", || {
+        (get_maintenance(at).role == "leads").then_some(())
+    });
     // From then on a machine that is granted waits for the grace of what was sent to it.
-    until("all machines are open", || {
-        let view = work(at);
+    wait_until("all machines are open", || {
+        let view = get_maintenance(at);
         (view.has_lease && view.closed_machines.is_empty()).then_some(())
     });
     let list = json!({"ask": {
@@ -348,46 +350,50 @@
         "limits": {"out": 1, "ready_part": 0.0}
     }});
     let answer: Value =
-        serde_json::from_str(&request(at, "POST /limewing/work", &list.to_string())).unwrap();
+        serde_json::from_str(&send_request(at, "POST /limewing/work", &list.to_string())).unwrap();
     let number = answer["list"].as_u64().unwrap();
     assert_eq!(answer, json!({"list": number}));
 
     let machine = |place: usize| {
-        let list = work(at).lists.into_iter().find(|list| list.id == number)?;
+        let list = get_maintenance(at)
+            .lists
+            .into_iter()
+            .find(|list| list.id == number)?;
         list.machines.into_iter().nth(place)
     };
     let step = |place: usize| machine(place).map(|machine| machine.phase);
     let report = |place: usize, said: &str| {
-        let grant = until("a grant", || {
+        let grant = wait_until("a grant", || {
             machine(place).and_then(|machine| machine.grant)
         });
         let report = json!({"report": {"grant": grant, "said": said}});
-        let answer = request(at, "POST /limewing/work", &report.to_string());
+        let answer = send_request(at, "POST /limewing/work", &report.to_string());
         assert_eq!(answer, r#"{"list":null}"#);
     };
-    let steps = words_until("out", || step(0));
+    let steps = collect_states_until("out", || step(0));
     assert!(
         steps.ends_with(&["granted".into(), "out".into()]),
         "{steps:?}"
     );
     report(0, "began");
     report(0, "worked");
-    let steps = words_until("done", || step(0));
+    let steps = collect_states_until("done", || step(0));
     assert!(
         steps.ends_with(&["back".into(), "done".into()]),
         "{steps:?}"
     );
-    until("the second is out", || (step(1)? == "out").then_some(()));
+    wait_until("the second is out", || (step(1)? == "out").then_some(()));
     // Withdrawn before the second ends, so that the third never goes out.
     let withdraw = json!({"withdraw": number});
-    let answer = request(at, "POST /limewing/work", &withdraw.to_string());
+    let answer = send_request(at, "POST /limewing/work", &withdraw.to_string());
     assert_eq!(answer, r#"{"list":null}"#);
-    until("it is withdrawn", || {
-        work(at).lists[0].withdrawn.then_some(())
+    wait_until("it is withdrawn", || {
+        get_maintenance(at).lists[0].withdrawn.then_some(())
     });
     report(1, "failed");
-    let view = until("it is over", || {
-        Some(work(at)).filter(|view| view.lists[0].finished && view.closed_machines.is_empty())
+    let view = wait_until("it is over", || {
+        Some(get_maintenance(at))
+            .filter(|view| view.lists[0].finished && view.closed_machines.is_empty())
     });
     let differs = [
         "/settled",
@@ -395,34 +401,34 @@
         "/lists/0/machines/0/grant",
         "/lists/0/machines/1/grant",
     ];
-    is_as_before(view, &differs, include_str!("golden/pages/work.json"));
+    assert_matches_golden(view, &differs, include_str!("golden/pages/work.json"));
 }
 
 /// What voters and others are to each other: `stands` passes too soon to be seen here.
 #[test]
-fn the_standing_of_voters_is_told_as_before() {
+fn the_roles_of_voters_on_the_maintenance_page_are_unchanged() {
     let voters = ["sidecar-0", "sidecar-1", "sidecar-2"];
     let start = |name: &str, promises: Option<&Path>, join: &[SocketAddr]| {
-        run(&settings(&folder(), name, |settings| {
+        start(&settings(&folder(), name, |settings| {
             settings["peers"]["join"] = json!(join);
             settings["work"] = json!({"voters": voters, "folder": promises});
         }))
     };
     let promises = [folder(), folder(), folder()];
     let first = start("sidecar-0", Some(&promises[0]), &[]);
-    assert_eq!(work(first).role, "free");
-    let join = [fleet(first).address];
+    assert_eq!(get_maintenance(first).role, "free");
+    let join = [get_membership(first).address];
     let second = start("sidecar-1", Some(&promises[1]), &join);
     let third = start("sidecar-2", Some(&promises[2]), &join);
     let fourth = start("sidecar-3", None, &join);
-    assert_eq!(work(fourth).role, "asks");
+    assert_eq!(get_maintenance(fourth).role, "asks");
 
-    let mut standings = until("one leads", || {
-        let standings = [first, second, third].map(|at| work(at).role);
+    let mut standings = wait_until("one leads", || {
+        let standings = [first, second, third].map(|at| get_maintenance(at).role);
         standings.contains(&"leads".to_owned()).then_some(standings)
     });
-    until("the others follow", || {
-        standings = [first, second, third].map(|at| work(at).role);
+    wait_until("the others follow", || {
+        standings = [first, second, third].map(|at| get_maintenance(at).role);
         standings.sort();
         (standings == ["follows", "follows", "leads"]).then_some(())
     });
@@ -432,7 +438,7 @@
     std::fs::copy(promises[1].join("agree.log"), alone.join("agree.log")).unwrap();
     let alone = start("sidecar-1", Some(&alone), &[]);
     assert_eq!(
-        words_until("tries", || Some(work(alone).role))
+        collect_states_until("tries", || Some(get_maintenance(alone).role))
             .last()
             .unwrap(),
         "tries"
