--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -4,8 +4,8 @@
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
 use limewing_emulators::fleet::{self, Crowd, CrowdPlan, Member, Plan};
-use limewing_fault_injection::{Fault, Script, World};
-use limewing_http_proxy::service::{StateView, View};
+use limewing_fault_injection::{Fault, Script, Simulation};
+use limewing_http_proxy::service::{MembershipView, ReplicationView};
 use limewing_settings::{Checked, ConfigError, SidecarSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -39,19 +39,19 @@
 pub fn state(at: SocketAddr) -> Result<(), Stop> {
     let text = fleet::call(at, "GET", "/limewing/state", "")
         .map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    let view: StateView =
+    let view: ReplicationView =
         serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
     println!(
         "{}, started {}: {}; {} keys that met a build, {} hits that may have run, {} bytes sent",
         view.name,
-        view.start,
+        view.incarnation,
         if view.caught_up {
             "has caught up"
         } else {
             "has NOT caught up"
         },
         view.keys,
-        view.hits,
+        view.requests,
         view.bytes_sent
     );
     println!(
@@ -62,11 +62,11 @@
     let mut rows = table(&["of", "start", "whole up to", "live", "given up"]);
     for log in view.logs {
         let (start, upto, live) = (
-            log.start.to_string(),
-            log.upto.to_string(),
-            log.live.to_string(),
+            log.incarnation.to_string(),
+            log.contiguous_through.to_string(),
+            log.live_entries.to_string(),
         );
-        rows.add_row([log.name, start, upto, live, log.given_up.to_string()]);
+        rows.add_row([log.name, start, upto, live, log.evicted_entries.to_string()]);
     }
     println!("{rows}");
     Ok(())
@@ -74,33 +74,37 @@
 
 pub fn show(at: SocketAddr) -> Result<(), Stop> {
     let text = fleet::ask(at).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    let view: View = serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
+    let view: MembershipView =
+        serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
     println!(
         "{} at {}, started {}, incarnation {}, slowness {} of 8",
-        view.name, view.at, view.start, view.incarnation, view.slowness
+        view.name, view.address, view.started_at_ms, view.incarnation, view.local_health
     );
     let mut rows = table(&["member", "at", "standing", "start", "incarnation", "for s"]);
     for seen in view.members {
-        let spans = format!("{:.1}", seen.for_s);
+        let spans = format!("{:.1}", seen.seconds_in_status);
         rows.add_row([
             seen.name,
-            seen.at.to_string(),
-            seen.standing,
-            seen.start.to_string(),
+            seen.address.to_string(),
+            seen.status,
+            seen.started_at_ms.to_string(),
             seen.incarnation.to_string(),
             spans,
         ]);
     }
     println!("{rows}");
-    if let Some(chosen) = &view.chosen {
-        println!("uses {}", chosen.uses.join(", "));
-        println!("leaves to others to prove: {}", chosen.held.join(", "));
+    if let Some(chosen) = &view.selection {
+        println!("uses {}", chosen.used.join(", "));
+        println!(
+            "leaves to others to prove: {}",
+            chosen.probed_by_peers.join(", ")
+        );
     }
     println!(
         "{} bytes sent; keys {:?}, {} key files could not be used",
         view.bytes_sent, view.keys, view.keys_unusable
     );
-    for (why, count) in view.refused {
+    for (why, count) in view.rejected {
         println!("{count} datagrams refused: {why}");
     }
     Ok(())
@@ -190,24 +194,24 @@
 
 /// Plays a script in simulated time.
 pub fn simulate(script: &Script, members: usize) -> Result<(), Stop> {
-    let mut world = World::<Member>::new(script, members);
+    let mut world = Simulation::<Member>::new(script, members);
     let began = std::time::Instant::now();
-    world.run_to(script.length());
+    world.run_until(script.duration());
     let spent = script.seconds * members as f64;
     let (views, deaths) = (fleet::views(&world), fleet::deaths(&world));
     let runs = |name: &str| {
         let number = name.strip_prefix('s').and_then(|n| n.parse::<usize>().ok());
-        number.is_some_and(|number| world.core(number).is_some())
+        number.is_some_and(|number| world.member(number).is_some())
     };
     let mut rows = table(&["what", "figure"]);
     rows.add_row(["members".to_owned(), members.to_string()]);
     rows.add_row([
         "datagrams a second and member".to_owned(),
-        format!("{:.1}", world.sent.0 as f64 / spent),
+        format!("{:.1}", world.traffic().datagrams as f64 / spent),
     ]);
     rows.add_row([
         "bytes a second and member".to_owned(),
-        format!("{:.0}", world.sent.1 as f64 / spent),
+        format!("{:.0}", world.traffic().bytes as f64 / spent),
     ]);
     rows.add_row([
         "members said to be dead by somebody".to_owned(),
@@ -220,13 +224,13 @@
     // Of those killed for good: from then until all that run hold them to be dead.
     let mut known: Vec<f64> = Vec::new();
     for step in &script.steps {
-        let Fault::Kill(who) = &step.does else {
+        let Fault::Kill(who) = &step.fault else {
             continue;
         };
         for number in who
-            .numbers(members)
+            .resolve(members)
             .into_iter()
-            .filter(|number| world.core(*number).is_none())
+            .filter(|number| world.member(*number).is_none())
         {
             let said = deaths.get(&format!("s{number}")).into_iter().flatten();
             let since = said
@@ -234,11 +238,11 @@
                 .filter(|(_, wait)| *wait >= 0.0);
             let first: BTreeMap<usize, f64> = since
                 .rev()
-                .filter(|(by, _)| world.core(*by).is_some())
+                .filter(|(by, _)| world.member(*by).is_some())
                 .collect();
             let all = first.len()
                 == (0..members)
-                    .filter(|other| world.core(*other).is_some())
+                    .filter(|other| world.member(*other).is_some())
                     .count();
             known.push(if all {
                 first.into_values().fold(0.0, f64::max)
--- a/crates/http-proxy/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -2,12 +2,13 @@
 //! ask of the work on machines, and the pages that tell of fleet, state and work. Each file was written by the program; it is
 //! read, and what is written again is the same bytes.
 
-use limewing_http_proxy::memory;
-use limewing_http_proxy::pods::{rows, Row};
-use limewing_http_proxy::service::{Asked, Said, StateView, View, WorkView};
-use limewing_http_proxy::stages::{
-    CountName, EventReader, PhaseName, StageMessage, VerdictName, VoteMessage, VoteReply,
+use limewing_http_proxy::endpoint_list::{parse_endpoint_list, EndpointRecord};
+use limewing_http_proxy::endpoint_list_file;
+use limewing_http_proxy::service::{
+    MaintenanceRequest, MaintenanceView, MembershipView, ReplicationView, WorkReport,
 };
+use limewing_http_proxy::stage_updates::{StageEventReader, StageMessage, StagePhase};
+use limewing_http_proxy::votes::{VoteMessage, VoteReplyMessage, VoteStatus, VoteVerdict};
 use rstest::rstest;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -19,27 +20,27 @@
         .join(name)
 }
 
-fn listed() -> Vec<Row> {
-    let first = Row {
+fn listed() -> Vec<EndpointRecord> {
+    let first = EndpointRecord {
         address: "127.0.0.1:9000".parse().unwrap(),
-        drains: false,
+        draining: false,
         build: 2,
-        size: 4.0,
+        weight: 4.0,
         started: Some(1_785_880_000.25),
         zone: "east".into(),
         cell: 3,
-        kind: "plain".into(),
+        machine_type: "plain".into(),
         machine: "node-0".into(),
     };
-    let second = Row {
+    let second = EndpointRecord {
         address: "[::1]:9001".parse().unwrap(),
-        drains: true,
+        draining: true,
         build: 65_535,
-        size: 0.5,
+        weight: 0.5,
         started: None,
         zone: "west \"2\"".into(),
         cell: 0,
-        kind: String::new(),
+        machine_type: String::new(),
         machine: "::1:9001".into(),
     };
     vec![first, second]
@@ -49,7 +50,7 @@
 fn the_state_file_is_written_as_before() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("state.json");
-    memory::keep(&file, &listed()).unwrap();
+    endpoint_list_file::save(&file, &listed()).unwrap();
     let written = std::fs::read_to_string(&file).unwrap();
     assert_eq!(
         written,
@@ -59,40 +60,43 @@
 
 #[test]
 fn the_state_file_is_read_as_before() {
-    assert_eq!(memory::recall(&golden("state.json")), Ok(Some(listed())));
+    assert_eq!(
+        endpoint_list_file::load(&golden("state.json")).unwrap(),
+        Some(listed())
+    );
 }
 
 /// Files from before rows named their machine.
 #[test]
 fn a_state_file_without_machines_is_read() {
-    let without = listed().into_iter().map(|row| Row {
+    let without = listed().into_iter().map(|row| EndpointRecord {
         machine: String::new(),
         ..row
     });
     assert_eq!(
-        memory::recall(&golden("state-without-machines.json")),
-        Ok(Some(without.collect()))
+        endpoint_list_file::load(&golden("state-without-machines.json")).unwrap(),
+        Some(without.collect())
     );
 }
 
 /// What the list service answers; `size`, `zone` and `machine` also by their defaults.
 #[test]
 fn the_node_list_is_read_as_before() {
-    let (found, troubles) = rows(&std::fs::read(golden("node-list.json")).unwrap()).unwrap();
-    let by_default = Row {
+    let list = parse_endpoint_list(&std::fs::read(golden("node-list.json")).unwrap()).unwrap();
+    let by_default = EndpointRecord {
         address: "127.0.0.2:9002".parse().unwrap(),
-        drains: false,
+        draining: false,
         build: 1,
-        size: 1.0,
+        weight: 1.0,
         started: None,
         zone: "north".into(),
         cell: 0,
-        kind: String::new(),
+        machine_type: String::new(),
         machine: "127.0.0.2:9002".into(),
     };
     let mut expected = listed();
     expected.insert(1, by_default);
-    assert_eq!((found, troubles), (expected, Vec::new()));
+    assert_eq!((list.endpoints, list.rejected), (expected, Vec::new()));
 }
 
 /// One line of JSON for each value, as it is written; each line is read as its value.
@@ -113,7 +117,7 @@
     assert_eq!(found, values);
 }
 
-fn stage(number: u64, phase: PhaseName, cap: f64, age_ms: f64) -> StageMessage {
+fn stage(number: u64, phase: StagePhase, cap: f64, age_ms: f64) -> StageMessage {
     StageMessage {
         number,
         build: 3,
@@ -126,10 +130,10 @@
 
 fn stages() -> Vec<StageMessage> {
     vec![
-        stage(0, PhaseName::OnTrial, 0.14, 0.0),
-        stage(7, PhaseName::GoingBack, 0.0, 12.5),
-        stage(8, PhaseName::Released, 1.0, 250.0),
-        stage(u64::MAX, PhaseName::Withdrawn, 0.5, 1.0),
+        stage(0, StagePhase::OnTrial, 0.14, 0.0),
+        stage(7, StagePhase::RollingBack, 0.0, 12.5),
+        stage(8, StagePhase::Released, 1.0, 250.0),
+        stage(u64::MAX, StagePhase::RolledBack, 0.5, 1.0),
     ]
 }
 
@@ -141,7 +145,10 @@
         .lines()
         .map(|line| format!("event: stage\ndata: {line}\n\n"))
         .collect();
-    assert_eq!(EventReader::default().take(stream.as_bytes()), Ok(stages()));
+    assert_eq!(
+        StageEventReader::default().read(stream.as_bytes()),
+        Ok(stages())
+    );
 }
 
 #[test]
@@ -153,10 +160,10 @@
         verdict,
     };
     let verdicts = [
-        VerdictName::Withhold,
-        VerdictName::On,
-        VerdictName::Hold,
-        VerdictName::Back,
+        VoteVerdict::Abstain,
+        VoteVerdict::Promote,
+        VoteVerdict::Hold,
+        VoteVerdict::RollBack,
     ];
     lines_are_as_before("votes.jsonl", &verdicts.map(vote));
 }
@@ -164,12 +171,12 @@
 #[test]
 fn answers_to_votes_are_as_before() {
     let replies = [
-        VoteReply {
-            answer: CountName::Counted,
+        VoteReplyMessage {
+            answer: VoteStatus::Counted,
             stage: None,
         },
-        VoteReply {
-            answer: CountName::Moot,
+        VoteReplyMessage {
+            answer: VoteStatus::Moot,
             stage: Some(stages()[1]),
         },
     ];
@@ -182,18 +189,18 @@
     let list = serde_json::from_value(serde_json::json!({
         "name": "kernel", "takes": 60.0, "stalls_after": 300.0, "limits": {"out": 6, "ready_part": 0.5}
     }));
-    let report = |said| Asked::Report { grant: 77, said };
+    let report = |report| MaintenanceRequest::ReportWork { grant: 77, report };
     let asked = [
-        Asked::Ask(list.unwrap()),
-        Asked::Hold(5),
-        Asked::GoOn(6),
-        Asked::Withdraw(u64::MAX),
-        Asked::Gone("sidecar-2".into()),
-        Asked::Vote("sidecar-3".into()),
-        Asked::Unvote("sidecar-4".into()),
-        report(Said::Began),
-        report(Said::Worked),
-        report(Said::Failed),
+        MaintenanceRequest::CreateList(list.unwrap()),
+        MaintenanceRequest::PauseList(5),
+        MaintenanceRequest::ResumeList(6),
+        MaintenanceRequest::WithdrawList(u64::MAX),
+        MaintenanceRequest::SidecarGone("sidecar-2".into()),
+        MaintenanceRequest::AddVoter("sidecar-3".into()),
+        MaintenanceRequest::RemoveVoter("sidecar-4".into()),
+        report(WorkReport::Began),
+        report(WorkReport::Succeeded),
+        report(WorkReport::Failed),
     ];
     let written: Vec<String> = asked
         .iter()
@@ -202,7 +209,7 @@
     let file = std::fs::read_to_string(golden("asked.jsonl")).unwrap();
     assert_eq!(written.join("\n") + "\n", file);
     for line in file.lines() {
-        let read: Asked = serde_json::from_str(line).unwrap();
+        let read: MaintenanceRequest = serde_json::from_str(line).unwrap();
         assert_eq!(serde_json::to_string(&read).unwrap(), line);
     }
 }
@@ -212,10 +219,10 @@
 }
 
 #[rstest]
-#[case::fleet("fleet.json", again::<View>)]
-#[case::fleet_without_choices("fleet-without-choices.json", again::<View>)]
-#[case::state("state-page.json", again::<StateView>)]
-#[case::work("work.json", again::<WorkView>)]
+#[case::fleet("fleet.json", again::<MembershipView>)]
+#[case::fleet_without_choices("fleet-without-choices.json", again::<MembershipView>)]
+#[case::state("state-page.json", again::<ReplicationView>)]
+#[case::work("work.json", again::<MaintenanceView>)]
 fn pages_are_as_before(#[case] name: &str, #[case] again: fn(&str) -> String) {
     let page = std::fs::read_to_string(golden(name)).unwrap();
     assert_eq!(again(&page), page);
