--- /dev/null
+++ b/crates/reference-model/src/rules/endpoint_lease.rs
@@ -0,0 +1,162 @@
+//! Rule 3 while the endpoint list is unavailable: once nothing has been heard of it for lease and grace, nothing begins at
+//! a pod that in truth has drained for that long, as long as another pod of its build that served within the lease could
+//! take the attempt. A pod that drains and serves all the same is excepted, as it can't be told apart.
+
+use super::draining::FirstByte;
+use crate::coverage::Coverage;
+use crate::history::{AttemptHistory, ExpiredLease, ProposedAttempt, SidecarHistory, TrueList};
+use crate::violation::{Rule, RuleBroken};
+use limewing_decision::interface::{AttemptOutcome, Endpoint, PodId, PodState};
+use std::time::Duration;
+
+/// How long news may take to cross a link, or to wait for the next step.
+const LINK_DELAY: Duration = Duration::from_millis(50);
+/// A pod with an attempt in flight for longer may be taken for silent.
+const SILENCE_AFTER: Duration = Duration::from_millis(150);
+
+/// What speaks for the pod of a decision; none while the lease holds.
+pub(crate) fn assess(attempt: &ProposedAttempt<'_>) -> Option<ExpiredLease> {
+    let sidecar = attempt.sidecar;
+    let now = attempt.now;
+    let lease = sidecar.config.endpoint_lease?;
+    if now <= sidecar.list_heard_at + lease {
+        return None;
+    }
+    let since = now.saturating_sub(lease);
+    let better = sidecar
+        .latest_endpoints()
+        .filter(|other| other.pod != attempt.endpoint.pod)
+        .filter(|other| could_take(attempt, other))
+        .find(|other| {
+            served_since(sidecar, other, since + LINK_DELAY, sidecar.turn - 1)
+                && is_sound(sidecar, other, since, now)
+        })
+        .map(|other| other.pod);
+    Some(ExpiredLease {
+        served: served_since(sidecar, attempt.endpoint, since, sidecar.turn),
+        better,
+    })
+}
+
+/// Nothing begins on a stale decision, nor at a pod that has left while a better one is known.
+pub(super) fn check_first_byte(
+    first_byte: &FirstByte<'_>,
+    true_list: &TrueList,
+    coverage: &mut Coverage,
+) -> Result<(), RuleBroken> {
+    let sidecar = first_byte.sidecar;
+    let now = first_byte.now;
+    let index = first_byte.index;
+    let request = first_byte.request;
+    let pod = first_byte.attempt.endpoint.pod;
+    let grace = sidecar.config.safety.drain_grace;
+    let Some(lease) = sidecar.config.endpoint_lease else {
+        return Ok(());
+    };
+    let lease_and_grace = lease + grace;
+    if now <= sidecar.list_heard_at + lease_and_grace {
+        return Ok(());
+    }
+    if now > first_byte.attempt.decided_at + grace {
+        return Err(RuleBroken::new(
+            Rule::Design,
+            format!(
+                "{index:?} of {request:?} begins at {pod:?} on an expired list and a decision older than the grace"
+            ),
+        ));
+    }
+    let Some(ExpiredLease {
+        served,
+        better: Some(better),
+    }) = first_byte.attempt.expired_lease
+    else {
+        return Ok(());
+    };
+    coverage.begun_on_expired_list += 1;
+    let has_left = |pod: PodId| {
+        true_list
+            .not_ready_since(pod)
+            .is_some_and(|since| now > since + lease_and_grace + LINK_DELAY)
+    };
+    if has_left(pod) && !served {
+        return Err(RuleBroken::new(
+            Rule::Draining,
+            format!(
+                "{index:?} of {request:?} begins at {pod:?} on an expired list, though {better:?} serves"
+            ),
+        ));
+    }
+    let is_one_stale = sidecar
+        .latest_endpoints()
+        .filter(|endpoint| endpoint.state == PodState::Ready)
+        .any(|endpoint| has_left(endpoint.pod));
+    coverage.begun_beside_stale_pod += usize::from(is_one_stale);
+    Ok(())
+}
+
+/// Whether another pod could take an attempt in place of the chosen one.
+fn could_take(attempt: &ProposedAttempt<'_>, other: &Endpoint) -> bool {
+    let chosen = attempt.endpoint;
+    let earlier = &attempt.request.attempts;
+    let slow_start = attempt.sidecar.config.safety.slow_start_duration;
+    let is_same_ready_build = other.state == PodState::Ready && other.build == chosen.build;
+    let was_tried = earlier
+        .iter()
+        .any(|attempt| attempt.endpoint.pod == other.pod);
+    let is_warm = other
+        .started_at
+        .is_some_and(|started_at| attempt.now > started_at + slow_start);
+    let shares_location = other.zone == chosen.zone && other.cell == chosen.cell;
+    is_same_ready_build && !was_tried && is_warm && (shares_location || earlier.is_empty())
+}
+
+/// The attempts of a sidecar at a pod as it is listed: another start of it is another pod.
+fn attempts_at<'a>(
+    sidecar: &'a SidecarHistory,
+    endpoint: &'a Endpoint,
+) -> impl Iterator<Item = &'a AttemptHistory> {
+    sidecar
+        .requests
+        .values()
+        .flat_map(|request| &request.attempts)
+        .filter(|attempt| {
+            attempt.endpoint.pod == endpoint.pod
+                && attempt.endpoint.started_at == endpoint.started_at
+        })
+}
+
+/// Whether a pod served a request sent since then, as far as the sidecar knew in a turn, and has rejected none after it.
+fn served_since(
+    sidecar: &SidecarHistory,
+    endpoint: &Endpoint,
+    since: Duration,
+    turn: usize,
+) -> bool {
+    let known: Vec<&AttemptHistory> = attempts_at(sidecar, endpoint)
+        .filter(|attempt| attempt.outcome_turn <= turn)
+        .collect();
+    let last_rejection = known
+        .iter()
+        .filter(|attempt| attempt.outcome == Some(AttemptOutcome::Rejected))
+        .map(|attempt| attempt.outcome_turn)
+        .max()
+        .unwrap_or(0);
+    known
+        .iter()
+        .filter(|attempt| attempt.outcome == Some(AttemptOutcome::Succeeded))
+        .any(|attempt| attempt.decided_at >= since && attempt.outcome_turn >= last_rejection)
+}
+
+/// Whether nothing that the sidecar knows speaks against a pod: all that was sent lately was served, and nothing has been
+/// in flight for long.
+fn is_sound(sidecar: &SidecarHistory, endpoint: &Endpoint, since: Duration, now: Duration) -> bool {
+    attempts_at(sidecar, endpoint)
+        .filter(|attempt| attempt.decided_at >= since)
+        .all(|attempt| match attempt.outcome {
+            None => now <= attempt.decided_at + SILENCE_AFTER,
+            Some(outcome) => matches!(
+                outcome,
+                AttemptOutcome::Succeeded | AttemptOutcome::NeverSent | AttemptOutcome::Cancelled
+            ),
+        })
+}
--- /dev/null
+++ b/crates/reference-model/src/rules/exposure.rs
@@ -0,0 +1,206 @@
+//! Rule 5: a build on trial gets no more than its share, nothing that is not idempotent in guarded stages, and keeps the
+//! routing keys that it has served.
+
+use crate::coverage::Coverage;
+use crate::history::{ProposedAttempt, RequestHistory, SidecarHistory, StageRecord};
+use crate::violation::{Rule, RuleBroken};
+use limewing_decision::interface::{
+    AttemptOutcome, BuildId, ClassId, Idempotency, Phase, PodState, RolloutConfig, RoutingKey,
+    StageUpdate,
+};
+use std::time::Duration;
+
+/// For the rounding of sums of floats.
+const ROUNDING: f64 = 1e-9;
+
+/// What a build on trial may get.
+struct TrialTerms {
+    cap: f64,
+    stage: u8,
+}
+
+/// The cap that binds a build now.
+pub(crate) struct BindingCap {
+    pub(crate) cap: f64,
+    /// Attempts count from then on.
+    counted_from: Duration,
+}
+
+/// Checks all of the rule. It does not bind before the sidecar knows a stage.
+pub(crate) fn check_attempt(
+    attempt: &ProposedAttempt<'_>,
+    coverage: &mut Coverage,
+) -> Result<(), RuleBroken> {
+    let Some(latest) = attempt.sidecar.stages.last() else {
+        return Ok(());
+    };
+    check_guarded_stage(attempt, latest)?;
+    check_cap(attempt, coverage)?;
+    check_sticky_key(attempt, &latest.update, coverage)
+}
+
+/// Whether a request of this class may not reach the build on trial in guarded stages.
+pub(crate) fn is_guarded(sidecar: &SidecarHistory, class: ClassId) -> bool {
+    sidecar.config.classes[usize::from(class.0)].idempotency != Idempotency::Idempotent
+}
+
+fn check_guarded_stage(
+    attempt: &ProposedAttempt<'_>,
+    latest: &StageRecord,
+) -> Result<(), RuleBroken> {
+    let rollout = &attempt.sidecar.config.rollout;
+    let request = &attempt.request.request;
+    let build = attempt.endpoint.build;
+    let Some(TrialTerms { stage, .. }) = trial_terms(rollout, build, &latest.update) else {
+        return Ok(());
+    };
+    if is_guarded(attempt.sidecar, request.class) && stage < rollout.guarded_stages {
+        return Err(broken(format!(
+            "{:?} is attempted at {build:?} in guarded stage {stage}, known since {:?}",
+            request.id, latest.learned_at
+        )));
+    }
+    Ok(())
+}
+
+fn check_cap(attempt: &ProposedAttempt<'_>, coverage: &mut Coverage) -> Result<(), RuleBroken> {
+    let sidecar = attempt.sidecar;
+    let now = attempt.now;
+    let build = attempt.endpoint.build;
+    let Some(BindingCap { cap, counted_from }) = binding_cap(sidecar, build, now) else {
+        return Ok(());
+    };
+    let rollout = &sidecar.config.rollout;
+    let window = rollout.exposure_window;
+    let is_counted =
+        |class: ClassId| !rollout.exposure_per_class || class == attempt.request.request.class;
+    let arrivals = sidecar
+        .arrivals
+        .iter()
+        .filter(|arrival| arrival.at + window >= now && is_counted(arrival.class))
+        .count();
+    let earlier_attempts = sidecar
+        .attempt_starts
+        .iter()
+        .filter(|start| {
+            start.at + window > now
+                && start.at >= counted_from
+                && start.build == build
+                && is_counted(start.class)
+        })
+        .count();
+    let attempts = earlier_attempts + 1;
+    let allowed = rollout.exposure_free + cap * arrivals as f64;
+    if attempts as f64 > allowed + ROUNDING || cap <= 0.0 {
+        return Err(broken(format!(
+            "{attempts} attempts at {build:?}, {allowed:.2} allowed by cap {cap}"
+        )));
+    }
+    coverage.attempts_on_trial += 1;
+    Ok(())
+}
+
+/// A routing key that the newest build has served does not go back to an older one.
+fn check_sticky_key(
+    attempt: &ProposedAttempt<'_>,
+    update: &StageUpdate,
+    coverage: &mut Coverage,
+) -> Result<(), RuleBroken> {
+    let sidecar = attempt.sidecar;
+    let newest = update.build;
+    let build = attempt.endpoint.build;
+    let is_sticky = sidecar.config.rollout.sticky_keys
+        && matches!(update.phase, Phase::OnTrial | Phase::Released);
+    let Some(key) = attempt.request.request.routing_key else {
+        return Ok(());
+    };
+    let is_known_served = |request: &RequestHistory| was_served(request, key, newest, sidecar.turn);
+    if !is_sticky || !sidecar.requests.values().any(is_known_served) {
+        return Ok(());
+    }
+    let runs_older_build = sidecar
+        .latest_endpoints()
+        .any(|endpoint| endpoint.build < newest && endpoint.state == PodState::Ready);
+    coverage.sticky_attempts += usize::from(runs_older_build);
+    if build < newest {
+        return Err(broken(format!(
+            "{key:?} was served by {newest:?} and goes back to {build:?}"
+        )));
+    }
+    Ok(())
+}
+
+/// Whether the sidecar knew before this turn that a build served a request of that key.
+fn was_served(request: &RequestHistory, key: RoutingKey, build: BuildId, turn: usize) -> bool {
+    request.request.routing_key == Some(key)
+        && request.attempts.iter().any(|attempt| {
+            attempt.outcome == Some(AttemptOutcome::Succeeded)
+                && attempt.outcome_turn < turn
+                && attempt.endpoint.build == build
+        })
+}
+
+/// The terms of a build in one state of the rollout; none for a build that is not on trial. A build newer than the
+/// announced one counts as in its first stage.
+fn trial_terms(
+    rollout: &RolloutConfig,
+    build: BuildId,
+    update: &StageUpdate,
+) -> Option<TrialTerms> {
+    if build < update.build || (build == update.build && update.phase == Phase::Released) {
+        return None;
+    }
+    if build == update.build {
+        return Some(TrialTerms {
+            cap: update.cap,
+            stage: update.stage.0,
+        });
+    }
+    Some(TrialTerms {
+        cap: rollout.exposure_caps[0],
+        stage: 0,
+    })
+}
+
+/// The cap that binds a build now; none if it is not on trial. A lower cap binds after the grace, and attempts are counted
+/// anew from then on.
+pub(crate) fn binding_cap(
+    sidecar: &SidecarHistory,
+    build: BuildId,
+    now: Duration,
+) -> Option<BindingCap> {
+    let grace = sidecar.config.safety.drain_grace;
+    let caps: Vec<(Duration, f64)> = sidecar
+        .stages
+        .iter()
+        .map(|record| {
+            let terms = trial_terms(&sidecar.config.rollout, build, &record.update);
+            (
+                record.learned_at,
+                terms.map_or(f64::INFINITY, |terms| terms.cap),
+            )
+        })
+        .collect();
+    let (_, mut cap) = *caps.last()?;
+    let mut counted_from = Duration::ZERO;
+    for change in caps.windows(2) {
+        let (_, before) = change[0];
+        let (at, after) = change[1];
+        if after >= before {
+            continue;
+        }
+        if at + grace >= now {
+            cap = cap.max(before);
+        } else {
+            counted_from = counted_from.max(at + grace);
+        }
+    }
+    if cap.is_infinite() {
+        return None;
+    }
+    Some(BindingCap { cap, counted_from })
+}
+
+fn broken(description: String) -> RuleBroken {
+    RuleBroken::new(Rule::Exposure, description)
+}
--- /dev/null
+++ b/crates/reference-model/src/rules/repeated_effect.rs
@@ -0,0 +1,94 @@
+//! Rule 2: no request that is not idempotent takes effect twice.
+
+use crate::coverage::Coverage;
+use crate::history::{AttemptHistory, ProposedAttempt, RequestHistory};
+use crate::violation::{Rule, RuleBroken};
+use limewing_decision::interface::{DeduplicationScope, Endpoint, Idempotency, SidecarConfig};
+
+/// A request that may have run is only attempted again where a repeat does no harm.
+pub(crate) fn check_attempt(
+    attempt: &ProposedAttempt<'_>,
+    coverage: &mut Coverage,
+) -> Result<(), RuleBroken> {
+    let config = &attempt.sidecar.config;
+    let request = attempt.request;
+    let id = request.request.id;
+    let is_one_in_flight = request
+        .attempts
+        .iter()
+        .any(|earlier| earlier.outcome.is_none());
+    if !config.hedging && is_one_in_flight {
+        return Err(broken(format!("{id:?} is in flight twice without hedging")));
+    }
+    let may_have_run: Vec<&AttemptHistory> = request.attempts_that_may_have_run().collect();
+    let idempotency = idempotency_of(request, config);
+    match idempotency {
+        Idempotency::Idempotent => {}
+        Idempotency::NonIdempotent if may_have_run.is_empty() => {}
+        Idempotency::NonIdempotent => {
+            return Err(broken(format!(
+                "{id:?} is attempted again though it may have run"
+            )))
+        }
+        Idempotency::Keyed {
+            deduplicated_by,
+            window,
+        } => {
+            let is_deduplicated = may_have_run.iter().all(|earlier| {
+                shares_memory(deduplicated_by, &earlier.endpoint, attempt.endpoint)
+                    && attempt.now <= earlier.decided_at + window
+            });
+            if !is_deduplicated {
+                return Err(broken(format!(
+                    "{id:?} is attempted at {:?}, which may not know its idempotency key",
+                    attempt.endpoint.pod
+                )));
+            }
+        }
+    }
+    let is_proven_retry = idempotency == Idempotency::NonIdempotent
+        && may_have_run.is_empty()
+        && !request.attempts.is_empty();
+    coverage.repeats += usize::from(!may_have_run.is_empty());
+    coverage.proven_retries += usize::from(is_proven_retry);
+    Ok(())
+}
+
+/// A request is only rejected, which promises that it took no effect, if it did not run or a repeat does no harm.
+pub(crate) fn check_rejection(
+    request: &RequestHistory,
+    config: &SidecarConfig,
+) -> Result<(), RuleBroken> {
+    let is_repeat_harmless = matches!(
+        idempotency_of(request, config),
+        Idempotency::Idempotent
+            | Idempotency::Keyed {
+                deduplicated_by: DeduplicationScope::All,
+                ..
+            }
+    );
+    if is_repeat_harmless || request.attempts_that_may_have_run().next().is_none() {
+        return Ok(());
+    }
+    Err(broken(format!(
+        "{:?} is rejected though it may have run",
+        request.request.id
+    )))
+}
+
+fn idempotency_of(request: &RequestHistory, config: &SidecarConfig) -> Idempotency {
+    config.classes[usize::from(request.request.class.0)].idempotency
+}
+
+/// Whether two pods share the memory of idempotency keys.
+fn shares_memory(scope: DeduplicationScope, one: &Endpoint, other: &Endpoint) -> bool {
+    match scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => one.zone == other.zone,
+        DeduplicationScope::Cell => one.cell == other.cell,
+    }
+}
+
+fn broken(description: String) -> RuleBroken {
+    RuleBroken::new(Rule::NoRepeatedEffect, description)
+}
--- /dev/null
+++ b/crates/reference-model/src/rules/slow_start.rs
@@ -0,0 +1,49 @@
+//! Rule 4: pods that are warming up get no more than they can bear, counted over all sidecars.
+
+use crate::coverage::Coverage;
+use crate::history::{AttemptAtPod, PodStart, ProposedAttempt};
+use crate::violation::{Rule, RuleBroken};
+
+/// Records an attempt at a pod, and checks the load since its start. The rule only binds if at least two thirds of the
+/// attempts come from sidecars that know of the start, and allows one standard deviation for chance.
+pub(crate) fn check_attempt(
+    attempt: &ProposedAttempt<'_>,
+    start: &mut PodStart,
+    coverage: &mut Coverage,
+) -> Result<(), RuleBroken> {
+    let safety = &attempt.sidecar.config.safety;
+    let now = attempt.now;
+    let was_informed = attempt.endpoint.started_at == Some(start.at);
+    start.attempts.push(AttemptAtPod {
+        at: now,
+        was_informed,
+    });
+    let age = now.saturating_sub(start.at);
+    let warmth = (age.as_secs_f64() / safety.slow_start_duration.as_secs_f64()).min(1.0);
+    if warmth >= 1.0 {
+        return Ok(());
+    }
+    let capacity_share = safety.slow_start_from + (1.0 - safety.slow_start_from) * warmth;
+    let window = safety.overload_window;
+    let expected =
+        safety.overload_multiple * start.capacity * capacity_share * window.as_secs_f64();
+    let allowed = expected + expected.sqrt();
+    let recent: Vec<&AttemptAtPod> = start
+        .attempts
+        .iter()
+        .filter(|attempt| attempt.at + window > now)
+        .collect();
+    let informed_count = recent.iter().filter(|attempt| attempt.was_informed).count();
+    if recent.len() as f64 > allowed && informed_count * 3 >= recent.len() * 2 {
+        return Err(RuleBroken::new(
+            Rule::SlowStart,
+            format!(
+                "{} attempts at cold {:?}, {allowed:.1} allowed",
+                recent.len(),
+                attempt.endpoint.pod
+            ),
+        ));
+    }
+    coverage.attempts_at_cold_pods += usize::from(was_informed);
+    Ok(())
+}
--- a/crates/reference-model/src/world.rs
+++ b/crates/reference-model/src/world.rs
@@ -1,8 +1,10 @@
 //! A fleet drawn from a seed, with its troubles, in steps of 5 ms: pods, list service, installer, clients and
 //! links are stand-ins; the decisions are the real ones.
 
-use crate::crooked::{asks_to_begin, crook, Crook};
-use crate::rules::{Breach, Referee, Tested};
+use crate::coverage::Coverage;
+use crate::model::ReferenceModel;
+use crate::mutation::{Mutation, MutationContext, RequestKind};
+use crate::violation::Violation;
 use limewing_decision::interface::*;
 use limewing_decision::DecisionEngine;
 use rand::rngs::StdRng;
@@ -32,7 +34,7 @@
 pub struct Broken {
     pub seed: u64,
     pub step: usize,
-    pub breach: Breach,
+    pub breach: Violation,
 }
 
 enum Happens {
@@ -167,8 +169,8 @@
     /// The extra lag of the list and of the news.
     lag: Duration,
     news_late: Duration,
-    referee: Referee,
-    crook: Crook,
+    model: ReferenceModel,
+    mutation: Mutation,
     turns: u64,
 }
 
@@ -176,11 +178,11 @@
 ///
 /// # Errors
 /// The first step at which a rule broke.
-pub fn play(seed: u64, crook: Crook, tested: &mut Tested) -> Result<(), Box<Broken>> {
-    let mut world = World::draw(seed, crook);
-    world.referee.tested = *tested;
+pub fn play(seed: u64, mutation: Mutation, coverage: &mut Coverage) -> Result<(), Box<Broken>> {
+    let mut world = World::draw(seed, mutation);
+    world.model.coverage = *coverage;
     let done = world.run();
-    *tested = world.referee.tested;
+    *coverage = world.model.coverage;
     done.map_err(|breach| {
         Box::new(Broken {
             seed,
@@ -202,7 +204,7 @@
 }
 
 impl World {
-    fn draw(seed: u64, crook: Crook) -> Self {
+    fn draw(seed: u64, mutation: Mutation) -> Self {
         let mut chance = StdRng::seed_from_u64(seed);
         let mut links = StdRng::seed_from_u64(!seed);
         let reach = [
@@ -316,8 +318,8 @@
             cores,
             lag: Duration::ZERO,
             news_late: Duration::ZERO,
-            referee: Referee::default(),
-            crook,
+            model: ReferenceModel::default(),
+            mutation,
             turns: 0,
         };
         // Most pods have run for long; some are as new as the fleet.
@@ -336,7 +338,9 @@
         }
         let rows: Vec<Endpoint> = world.pods.iter().map(|pod| pod.entry.clone()).collect();
         world.log.push((START - ms(60_000), rows));
-        world.referee.list_is(START - ms(60_000), world.list_at(1));
+        world
+            .model
+            .list_changed(START - ms(60_000), world.list_at(1));
         for _ in 0..sidecars {
             let (lag, news_lag) = (
                 ms(world.chance.random_range(50..1500)),
@@ -486,7 +490,7 @@
         self.later(wait, Happens::Tell(sidecar, life, event));
     }
 
-    fn run(&mut self) -> Result<(), Breach> {
+    fn run(&mut self) -> Result<(), Violation> {
         while self.now < START + LASTS {
             self.step += 1;
             while let Some(entry) = self
@@ -504,14 +508,14 @@
                 self.turn(sidecar)?;
             }
             let hosts = &self.hosts;
-            self.referee
-                .settled(self.now, |sidecar| hosts[sidecar].stalled)?;
+            self.model
+                .check_deadlines(self.now, |sidecar| hosts[sidecar].stalled)?;
             self.now += STEP;
         }
         Ok(())
     }
 
-    fn turn(&mut self, sidecar: usize) -> Result<(), Breach> {
+    fn turn(&mut self, sidecar: usize) -> Result<(), Violation> {
         let host = &mut self.hosts[sidecar];
         if host.stalled || host.module.is_none() {
             return Ok(());
@@ -541,30 +545,37 @@
         sidecar: usize,
         events: Vec<Event>,
         to: fn(&mut DecisionEngine, Duration, Vec<Event>) -> Vec<Action>,
-    ) -> Result<(), Breach> {
+    ) -> Result<(), Violation> {
         let host = &mut self.hosts[sidecar];
         let Some(module) = host.module.as_mut() else {
             return Ok(());
         };
-        self.referee.told(sidecar, self.now, &events);
+        self.model.record_events(sidecar, self.now, &events);
         let actions = to(module, self.now, events);
         self.turns += 1;
         let held: Vec<Endpoint> = host.held.values().cloned().collect();
-        let groups: BTreeMap<RequestId, (ClassId, Option<RoutingKey>)> = host
+        let groups: BTreeMap<RequestId, RequestKind> = host
             .open
             .iter()
-            .map(|(hit, open)| (*hit, (open.group, open.key)))
+            .map(|(hit, open)| {
+                (
+                    *hit,
+                    RequestKind {
+                        class: open.group,
+                        routing_key: open.key,
+                    },
+                )
+            })
             .collect();
-        let actions = crook(
-            self.crook,
-            self.turns,
-            actions,
-            &held,
-            &groups,
-            &self.terms,
-            self.now,
-        );
-        self.referee.did(sidecar, self.now, &actions)?;
+        let context = MutationContext {
+            turn: self.turns,
+            now: self.now,
+            config: &self.terms,
+            endpoints: &held,
+            requests: &groups,
+        };
+        let actions = self.mutation.apply(actions, &context);
+        self.model.check_actions(sidecar, self.now, &actions)?;
         actions
             .into_iter()
             .for_each(|action| self.carry_out(sidecar, action));
@@ -572,7 +583,7 @@
     }
 
     /// Writes the attempts whose connections stand.
-    fn write(&mut self, sidecar: usize) -> Result<(), Breach> {
+    fn write(&mut self, sidecar: usize) -> Result<(), Violation> {
         let standing = std::mem::take(&mut self.hosts[sidecar].standing);
         standing
             .into_iter()
@@ -580,7 +591,7 @@
     }
 
     /// Writes an attempt on a connection that stands, if the decisions still allow it. The connection may break unused.
-    fn begin(&mut self, job: Job, broken: u8) -> Result<(), Breach> {
+    fn begin(&mut self, job: Job, broken: u8) -> Result<(), Violation> {
         let host = &self.hosts[job.sidecar];
         let (Some(module), Some(open)) = (&host.module, host.open.get(&job.hit)) else {
             return Ok(());
@@ -605,8 +616,10 @@
             );
             return Ok(());
         };
-        if asks_to_begin(self.crook, broken) && !module.may_begin(self.now, job.hit, job.no) {
-            self.referee.withheld(job.sidecar, self.now, job.pod);
+        if self.mutation.asks_before_first_byte(broken)
+            && !module.may_begin(self.now, job.hit, job.no)
+        {
+            self.model.attempt_withheld(job.sidecar, self.now, job.pod);
             self.returns(&job, AttemptOutcome::NeverSent);
             return Ok(());
         }
@@ -614,8 +627,8 @@
             self.dial(job, broken + 1);
             return Ok(());
         }
-        self.referee
-            .first_byte(job.sidecar, self.now, (job.hit, job.no), broken > 0)?;
+        self.model
+            .check_first_byte(job.sidecar, self.now, job.hit, job.no, broken > 0)?;
         let wait = ms(self.chance.random_range(1..5));
         self.later(wait, Happens::Arrives(place, job));
         Ok(())
@@ -856,7 +869,7 @@
                 if !rows.is_empty() {
                     self.log.push((self.now, rows));
                     let whole = self.list_at(self.log.len());
-                    self.referee.list_is(self.now, whole);
+                    self.model.list_changed(self.now, whole);
                 }
             }
             Happens::Hangs(place, hangs) => self.pods[place].hung = hangs,
@@ -885,7 +898,7 @@
             Happens::Stalls(sidecar, stalls) => {
                 self.hosts[sidecar].stalled = stalls;
                 if !stalls {
-                    self.referee.goes_on(sidecar, self.now);
+                    self.model.sidecar_resumed(sidecar, self.now);
                 }
             }
             Happens::Dies(sidecar) => {
@@ -896,7 +909,7 @@
                 host.standing.clear();
                 host.open.clear();
                 host.told = None;
-                self.referee.stop(sidecar);
+                self.model.sidecar_stopped(sidecar);
             }
             Happens::Starts(sidecar) => self.start_sidecar(sidecar),
             Happens::Lag(lag) => self.lag = lag,
@@ -1062,7 +1075,7 @@
         let (runs, hung, slow, loses) = (true, false, 1.0, false);
         let (waiting, working) = (VecDeque::new(), Vec::new());
         let began = began.unwrap_or(self.now);
-        self.referee
+        self.model
             .pod_started(id, began, self.cores as f64 / self.work);
         self.pods.push(PodNow {
             entry,
@@ -1078,7 +1091,7 @@
 
     /// A process begins at a place, under an old id or a new one.
     fn start_at(&mut self, place: usize, id: PodId, build: u16) {
-        self.referee
+        self.model
             .pod_started(id, self.now, self.cores as f64 / self.work);
         let now = self.now;
         let pod = &mut self.pods[place];
@@ -1146,7 +1159,7 @@
         let speaks = self.discovery == Discovery::Answers;
         if speaks && !host.stalled {
             host.heard = self.now;
-            self.referee.heard(sidecar, self.now);
+            self.model.list_heard(sidecar, self.now);
         }
         if !speaks && self.now >= host.heard + LIST_QUIET {
             self.lose_list(sidecar, WatchLossCause::Ended);
@@ -1216,12 +1229,12 @@
             zone,
             ..self.terms.clone()
         };
-        self.referee.start(sidecar, self.now, terms.clone());
+        self.model.sidecar_started(sidecar, self.now, terms.clone());
         let remembered: Vec<Endpoint> = self.hosts[sidecar].held.values().cloned().collect();
         let news = self.hosts[sidecar].told.unwrap_or(self.news);
         let list_lease = terms
             .endpoint_lease
-            .filter(|_| self.crook != Crook::ForgetsLease);
+            .filter(|_| self.mutation != Mutation::IgnoresEndpointLease);
         let host = &mut self.hosts[sidecar];
         host.module = Some(DecisionEngine::new(
             self.now,
--- a/crates/reference-model/tests/digest.rs
+++ b/crates/reference-model/tests/digest.rs
@@ -7,8 +7,8 @@
 
 use limewing_decision::interface::*;
 use limewing_decision::DecisionEngine;
-use limewing_reference_model::crooked::Crook;
-use limewing_reference_model::rules::Tested;
+use limewing_reference_model::coverage::Coverage;
+use limewing_reference_model::mutation::Mutation;
 use limewing_reference_model::world::play;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -971,69 +971,69 @@
 }
 
 /// Breaks that the reference model catches, each at a step that depends on every action before it.
-const BREAKS: [Crook; 16] = [
-    Crook::Silent,
-    Crook::Twice,
-    Crook::AfterTheEnd,
-    Crook::Resends,
-    Crook::BouncesAll,
-    Crook::OutOfReach,
-    Crook::Drained,
-    Crook::Cold,
-    Crook::Cap,
-    Crook::Guarded,
-    Crook::Keys,
-    Crook::Doubles,
-    Crook::AsksNoMore,
-    Crook::NeverAsks,
-    Crook::RedialsUnasked,
-    Crook::ForgetsLease,
+const BREAKS: [Mutation; 16] = [
+    Mutation::DropsAnswers,
+    Mutation::AnswersTwice,
+    Mutation::StartsAfterAnswer,
+    Mutation::RepeatsNonIdempotent,
+    Mutation::RejectsAll,
+    Mutation::LeavesDeduplicationScope,
+    Mutation::UsesRemovedPods,
+    Mutation::FloodsColdPods,
+    Mutation::ExceedsCap,
+    Mutation::IgnoresGuardedStages,
+    Mutation::IgnoresStickyKeys,
+    Mutation::DoublesAttempts,
+    Mutation::NeverWatches,
+    Mutation::SkipsPermission,
+    Mutation::SkipsPermissionOnRedial,
+    Mutation::IgnoresEndpointLease,
 ];
 
 #[test]
 #[ignore = "prints a digest; run by tools/digests.sh"]
 fn reference_model() {
     let mut digest = Digest::new();
-    let mut tested = Tested::default();
+    let mut coverage = Coverage::default();
     for seed in 0..SEEDS {
-        let kept = play(seed, Crook::Honest, &mut tested).is_ok();
+        let kept = play(seed, Mutation::None, &mut coverage).is_ok();
         digest.number(u64::from(kept));
-        hash_tested(&mut digest, &tested);
+        hash_coverage(&mut digest, &coverage);
     }
     for (number, broken) in BREAKS.into_iter().enumerate() {
         for seed in [number as u64, number as u64 + 100] {
-            let mut tested = Tested::default();
-            if let Err(caught) = play(seed, broken, &mut tested) {
+            let mut coverage = Coverage::default();
+            if let Err(caught) = play(seed, broken, &mut coverage) {
                 digest.number(caught.step as u64);
-                digest.number(caught.breach.rule.into());
+                digest.number(caught.breach.rule.number().into());
                 digest.number(caught.breach.sidecar as u64);
                 digest.span(caught.breach.at);
             }
-            hash_tested(&mut digest, &tested);
+            hash_coverage(&mut digest, &coverage);
         }
     }
     println!("digest reference-model {:016x}", digest.0);
 }
 
-fn hash_tested(digest: &mut Digest, tested: &Tested) {
+fn hash_coverage(digest: &mut Digest, coverage: &Coverage) {
     let counts = [
-        tested.hits,
-        tested.answers,
-        tested.streams,
-        tested.repeats,
-        tested.proofs,
-        tested.after_run,
-        tested.drained_beside,
-        tested.dialled_again,
-        tested.withheld,
-        tested.withheld_past_grace,
-        tested.begun_unheard,
-        tested.left_aside,
-        tested.cold,
-        tested.on_trial,
-        tested.lowered,
-        tested.guarded,
-        tested.met,
+        coverage.requests,
+        coverage.answers,
+        coverage.streams,
+        coverage.repeats,
+        coverage.proven_retries,
+        coverage.answers_after_run,
+        coverage.attempts_beside_drained_pod,
+        coverage.redials,
+        coverage.withheld,
+        coverage.withheld_past_grace,
+        coverage.begun_on_expired_list,
+        coverage.begun_beside_stale_pod,
+        coverage.attempts_at_cold_pods,
+        coverage.attempts_on_trial,
+        coverage.lowered_caps,
+        coverage.guarded_requests,
+        coverage.sticky_attempts,
     ];
     for count in counts {
         digest.number(count as u64);
