--- /dev/null
+++ b/crates/mutants/src/mutated_decisions.rs
@@ -0,0 +1,245 @@
+//! The real decisions, with a rule broken in the actions that they put out.
+
+use crate::mutation::Mutation;
+use limewing_decision::interface::{
+    Action, AttemptIndex, BuildId, ClassId, Endpoint, EndpointUpdate, Event, Idempotency, Phase,
+    PodId, PodState, RequestId, SidecarConfig, StageUpdate,
+};
+use limewing_decision::DecisionEngine;
+use limewing_http_proxy::service::Decisions;
+use limewing_proxy_core::send_permit::SendAuthority;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// One in so many attempts is dropped by [`Mutation::DropsRequests`].
+const DROP_INTERVAL: u64 = 40;
+/// One in so many attempts is rejected by [`Mutation::RejectsInFlight`].
+const REJECT_INTERVAL: u64 = 5;
+/// One in so many attempts goes to the build on trial by [`Mutation::ExceedsCap`].
+const TRIAL_INTERVAL: u64 = 3;
+/// How long after the grace a drained pod is used by [`Mutation::UsesDrainedPods`]: longer than the checker tolerates.
+const PAST_GRACE: Duration = Duration::from_millis(300);
+/// A pod younger than this counts as cold for [`Mutation::FloodsColdPods`].
+const COLD_FOR: Duration = Duration::from_secs(2);
+
+/// The decisions of a sidecar that breaks a rule.
+pub(crate) struct MutatedDecisions {
+    engine: DecisionEngine,
+    mutation: Mutation,
+    drain_grace: Duration,
+    /// For each class of requests.
+    is_non_idempotent: Vec<bool>,
+    classes: BTreeMap<RequestId, ClassId>,
+    endpoints: BTreeMap<PodId, Endpoint>,
+    /// Since when a pod is known to drain.
+    draining_since: BTreeMap<PodId, Duration>,
+    stage: Option<StageUpdate>,
+    /// Requests of which an attempt was started.
+    attempted: BTreeSet<RequestId>,
+    attempt_count: u64,
+}
+
+/// An attempt that the decisions want to start.
+#[derive(Clone, Copy)]
+struct Attempt {
+    request: RequestId,
+    pod: PodId,
+    timeout: Duration,
+}
+
+impl Attempt {
+    fn at(self, pod: PodId) -> Self {
+        Self { pod, ..self }
+    }
+
+    fn start(self) -> Action {
+        Action::StartAttempt {
+            request: self.request,
+            pod: self.pod,
+            timeout: self.timeout,
+        }
+    }
+}
+
+impl MutatedDecisions {
+    pub(crate) fn new(now: Duration, config: SidecarConfig, mutation: Mutation) -> Self {
+        let is_non_idempotent = config
+            .classes
+            .iter()
+            .map(|class| class.idempotency == Idempotency::NonIdempotent)
+            .collect();
+        Self {
+            mutation,
+            drain_grace: config.safety.drain_grace,
+            is_non_idempotent,
+            engine: DecisionEngine::new(now, config),
+            classes: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
+            stage: None,
+            attempted: BTreeSet::new(),
+            attempt_count: 0,
+        }
+    }
+
+    /// Remembers what the mutations need to know.
+    fn observe(&mut self, now: Duration, events: &[Event]) {
+        for event in events {
+            match event {
+                Event::RequestArrived(request) => {
+                    self.classes.insert(request.id, request.class);
+                }
+                Event::Endpoints(
+                    EndpointUpdate::Snapshot(endpoints)
+                    | EndpointUpdate::Delta(endpoints)
+                    | EndpointUpdate::Cached(endpoints),
+                ) => self.observe_endpoints(now, endpoints),
+                Event::Stage {
+                    update: Some(update),
+                    ..
+                } => self.stage = Some(*update),
+                _ => {}
+            }
+        }
+    }
+
+    fn observe_endpoints(&mut self, now: Duration, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            if endpoint.state == PodState::Draining {
+                self.draining_since.entry(endpoint.pod).or_insert(now);
+            }
+            self.endpoints.insert(endpoint.pod, endpoint.clone());
+        }
+    }
+
+    /// Breaks the rule in what the real decisions put out.
+    fn mutate(&mut self, now: Duration, actions: Vec<Action>) -> Vec<Action> {
+        let mut mutated = Vec::new();
+        for action in actions {
+            match action {
+                Action::StartAttempt {
+                    request,
+                    pod,
+                    timeout,
+                } => {
+                    let attempt = Attempt {
+                        request,
+                        pod,
+                        timeout,
+                    };
+                    mutated.extend(self.mutate_attempt(now, attempt));
+                }
+                _ => mutated.push(action),
+            }
+        }
+        mutated
+    }
+
+    fn mutate_attempt(&mut self, now: Duration, attempt: Attempt) -> Vec<Action> {
+        self.attempt_count += 1;
+        if self.mutation == Mutation::DropsRequests && self.is_one_in(DROP_INTERVAL) {
+            return Vec::new();
+        }
+        let request = attempt.request;
+        let pod = self.replacement_pod(now, request).unwrap_or(attempt.pod);
+        let attempt = attempt.at(pod);
+        let is_first = self.attempted.insert(request);
+        let mut actions = vec![attempt.start()];
+        match self.mutation {
+            Mutation::RepeatsNonIdempotent if is_first && self.is_non_idempotent(request) => {
+                let other = self.ready_endpoints().find(|other| other.pod != pod);
+                actions.extend(other.map(|other| attempt.at(other.pod).start()));
+            }
+            Mutation::RejectsInFlight
+                if self.is_non_idempotent(request) && self.is_one_in(REJECT_INTERVAL) =>
+            {
+                actions.push(Action::Reject {
+                    request,
+                    retry_after: Duration::ZERO,
+                });
+            }
+            _ => {}
+        }
+        actions
+    }
+
+    /// The pod that an attempt is sent to instead of the chosen one.
+    fn replacement_pod(&self, now: Duration, request: RequestId) -> Option<PodId> {
+        match self.mutation {
+            Mutation::ExceedsCap
+                if !self.is_non_idempotent(request) && self.is_one_in(TRIAL_INTERVAL) =>
+            {
+                self.pod_on_trial()
+            }
+            Mutation::UsesDrainedPods => self.drained_pod(now),
+            Mutation::FloodsColdPods => self.cold_pod(now),
+            _ => None,
+        }
+    }
+
+    fn pod_on_trial(&self) -> Option<PodId> {
+        let build = self.build_on_trial()?;
+        self.ready_endpoints()
+            .find(|endpoint| endpoint.build == build)
+            .map(|endpoint| endpoint.pod)
+    }
+
+    fn build_on_trial(&self) -> Option<BuildId> {
+        self.stage
+            .filter(|stage| stage.phase == Phase::OnTrial)
+            .map(|stage| stage.build)
+    }
+
+    fn drained_pod(&self, now: Duration) -> Option<PodId> {
+        self.draining_since
+            .iter()
+            .find(|(_, since)| now > **since + self.drain_grace + PAST_GRACE)
+            .map(|(pod, _)| *pod)
+    }
+
+    fn cold_pod(&self, now: Duration) -> Option<PodId> {
+        self.ready_endpoints()
+            .find(|endpoint| {
+                endpoint
+                    .started_at
+                    .is_some_and(|started_at| now < started_at + COLD_FOR)
+            })
+            .map(|endpoint| endpoint.pod)
+    }
+
+    fn ready_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints
+            .values()
+            .filter(|endpoint| endpoint.state == PodState::Ready)
+    }
+
+    fn is_non_idempotent(&self, request: RequestId) -> bool {
+        self.classes
+            .get(&request)
+            .is_some_and(|class| self.is_non_idempotent[usize::from(class.0)])
+    }
+
+    fn is_one_in(&self, interval: u64) -> bool {
+        self.attempt_count.is_multiple_of(interval)
+    }
+}
+
+impl SendAuthority for MutatedDecisions {
+    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
+        self.mutation.changes_attempts() || self.engine.may_begin(now, request, attempt)
+    }
+}
+
+impl Decisions for MutatedDecisions {
+    fn learn(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
+        self.observe(now, &events);
+        let actions = self.engine.apply_events(now, events);
+        self.mutate(now, actions)
+    }
+
+    fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
+        self.observe(now, &events);
+        let actions = self.engine.handle(now, events);
+        self.mutate(now, actions)
+    }
+}
--- a/crates/mutants/tests/named.rs
+++ b/crates/mutants/tests/violations_are_found.rs
@@ -1,4 +1,4 @@
-//! Sidecars that really break a rule, on sockets, through a day: the account names the rule.
+//! Sidecars that break a rule on sockets, through a day: the rule checker finds it.
 
 use limewing_emulators::day;
 use limewing_emulators::script::DayScript;
@@ -10,16 +10,16 @@
 use std::path::Path;
 
 #[rstest]
-#[case("swallow", Rule::OneAnswer)]
-#[case("twice", Rule::OneAnswer)]
-#[case("resend", Rule::NoEffectTwice)]
-#[case("bounce", Rule::NoEffectTwice)]
-#[case("drained", Rule::Drains)]
-#[case("cold", Rule::Cold)]
-#[case("cap", Rule::Exposure)]
-fn the_account_names_the_rule_that_was_broken(#[case] way: &str, #[case] rule: Rule) {
+#[case::swallow("swallow", Rule::OneAnswer)]
+#[case::twice("twice", Rule::OneAnswer)]
+#[case::resend("resend", Rule::NoEffectTwice)]
+#[case::bounce("bounce", Rule::NoEffectTwice)]
+#[case::drained("drained", Rule::Drains)]
+#[case::cold("cold", Rule::Cold)]
+#[case::cap("cap", Rule::Exposure)]
+fn the_rule_that_a_mutant_breaks_is_found(#[case] mutation: &str, #[case] rule: Rule) {
     let folder = tempfile::tempdir().unwrap();
-    let program = folder.path().join(format!("crooked-{way}"));
+    let program = folder.path().join(format!("mutant-{mutation}"));
     std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_limewing-mutants"), &program).unwrap();
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short-quiet.json");
     let script: DayScript = limewing_settings::read(&file).unwrap();
@@ -30,7 +30,7 @@
         .findings
         .iter()
         .filter(|finding| !finding.breaches.is_empty())
-        .map(|f| f.rule)
+        .map(|finding| finding.rule)
         .collect();
     assert!(broken.contains(&rule), "{broken:?}");
 }
