--- a/crates/emulators/src/platform/pod.rs
+++ b/crates/emulators/src/platform/pod.rs
@@ -1,6 +1,7 @@
 use super::Link;
 use bytes::{BufMut, BytesMut};
-use limewing_postgres_protocol::{read, write};
+use limewing_postgres_protocol::encode::{ErrorResponse, Severity};
+use limewing_postgres_protocol::{decode, encode};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -36,7 +37,7 @@
     ClosesEarly,
     /// Says nothing from the first bytes on.
     WaitsEarly,
-    /// Welcomes a connection, of which it tells `came`, only after a word of the test; then tells `welcomed`.
+    /// Tells `came` once a connection's startup message is here, and welcomes it only after a word of the test; then tells `welcomed`.
     WelcomesLater,
     /// Welcomes a connection with half a message behind it, in one piece, and then says nothing.
     WelcomesWithMore,
@@ -108,17 +109,20 @@
     let first = script.lock().unwrap().first().cloned();
     if matches!(first, Some(Does::WelcomesWithMore)) {
         script.lock().unwrap().remove(0);
-        let mut link = welcome_with(stream, &[b'T', 0])?;
+        let mut link = read_startup(stream)?;
+        write_welcome(&mut link, &[b'T', 0])?;
         while link.hear().is_some() {}
         return None;
     }
+    // Only with the sidecar's first message here can it be welcomed while the sidecar stands still.
+    let mut link = read_startup(stream)?;
     let later = matches!(first, Some(Does::WelcomesLater));
     if later {
         script.lock().unwrap().remove(0);
         let _ = tell.send("came".into());
         let _ = word.lock().unwrap().recv_timeout(Duration::from_secs(20));
     }
-    let mut link = welcome(stream)?;
+    write_welcome(&mut link, &[])?;
     if later {
         let _ = tell.send("welcomed".into());
     }
@@ -126,7 +130,7 @@
     let mut last = BytesMut::new();
     loop {
         let frame = link.hear()?;
-        let text = read::text(&frame.body)?.to_owned();
+        let text = decode::string(&frame.body)?.to_owned();
         link.stream.write_all(std::mem::take(&mut rest)).ok()?;
         if text.is_empty() {
             // What is done early is done to the empty query before the statement.
@@ -153,8 +157,8 @@
                 None => {}
             }
             let mut out = BytesMut::new();
-            write::empty_query(&mut out);
-            write::ready(&mut out);
+            encode::empty_query_response(&mut out);
+            encode::ready_for_query(&mut out);
             link.stream.write_all(&out).ok()?;
             continue;
         }
@@ -194,7 +198,7 @@
                 link.stream.write_all(&out).ok()?;
                 out.clear();
                 let _ = word.lock().unwrap().recv_timeout(Duration::from_secs(20));
-                write::ready(&mut out);
+                encode::ready_for_query(&mut out);
             }
             Does::ServesLater(value) => {
                 let _ = word.lock().unwrap().recv_timeout(Duration::from_secs(20));
@@ -209,8 +213,16 @@
                 out = rest;
             }
             Does::Errs(code) => {
-                write::error(&mut out, "ERROR", code, "as told", None);
-                write::ready(&mut out);
+                encode::error_response(
+                    &mut out,
+                    &ErrorResponse {
+                        severity: Severity::Error,
+                        sqlstate: code,
+                        message: "as told",
+                        detail: None,
+                    },
+                );
+                encode::ready_for_query(&mut out);
             }
             Does::Says(bytes) => out.put_slice(&bytes),
             Does::SaysAndCloses(bytes) => {
@@ -231,33 +243,39 @@
 
 /// A connection that is welcomed.
 pub(super) fn welcome(stream: TcpStream) -> Option<Link> {
-    welcome_with(stream, &[])
+    let mut link = read_startup(stream)?;
+    write_welcome(&mut link, &[])?;
+    Some(link)
 }
 
-/// Welcomes a connection, with these bytes right behind.
-fn welcome_with(stream: TcpStream, more: &[u8]) -> Option<Link> {
+/// A connection whose startup message has come.
+fn read_startup(stream: TcpStream) -> Option<Link> {
     let mut link = Link::new(stream).ok()?;
-    while read::startup(&mut link.input).ok()?.is_none() {
+    while decode::startup_packet(&mut link.input).ok()?.is_none() {
         link.fill()?;
     }
+    Some(link)
+}
+
+/// Welcomes a connection, with these bytes right behind.
+fn write_welcome(link: &mut Link, more: &[u8]) -> Option<()> {
     let mut out = BytesMut::new();
-    write::welcome(&mut out, &[("server_version", "16.0")]);
+    encode::session_start(&mut out, &[("server_version", "16.0")]);
     out.extend_from_slice(more);
-    link.stream.write_all(&out).ok()?;
-    Some(link)
+    link.stream.write_all(&out).ok()
 }
 
 /// The next statement; empty queries before it are answered.
 pub(super) fn read_statement(link: &mut Link) -> Option<String> {
     loop {
         let frame = link.hear()?;
-        let text = read::text(&frame.body)?;
+        let text = decode::string(&frame.body)?;
         if !text.is_empty() {
             return Some(text.to_owned());
         }
         let mut out = BytesMut::new();
-        write::empty_query(&mut out);
-        write::ready(&mut out);
+        encode::empty_query_response(&mut out);
+        encode::ready_for_query(&mut out);
         link.stream.write_all(&out).ok()?;
     }
 }
@@ -265,18 +283,26 @@
 /// The bytes of an error.
 pub(super) fn error(code: &str) -> Vec<u8> {
     let mut out = BytesMut::new();
-    write::error(&mut out, "ERROR", code, "as told", None);
-    write::ready(&mut out);
+    encode::error_response(
+        &mut out,
+        &ErrorResponse {
+            severity: Severity::Error,
+            sqlstate: code,
+            message: "as told",
+            detail: None,
+        },
+    );
+    encode::ready_for_query(&mut out);
     out.to_vec()
 }
 
 /// An answer with a row, and the word that the next statement may come.
 fn write_answer(out: &mut BytesMut, value: &str) {
-    write::one_column(out, "blob");
-    write::one_value(out, value.as_bytes());
-    write::complete(out, "SELECT 1");
-    write::parameter(out, "load", "inflight=1");
-    write::ready(out);
+    encode::row_description(out, "blob");
+    encode::data_row(out, value.as_bytes());
+    encode::command_complete(out, "SELECT 1");
+    encode::parameter_status(out, "load", "inflight=1");
+    encode::ready_for_query(out);
 }
 
 /// The bytes of an answer.
