--- a/crates/reference-model/tests/digest/hash.rs
+++ b/crates/reference-model/tests/digest/hash.rs
@@ -1,79 +1,54 @@
-//! The hash that a digest is.
+//! How actions are hashed.
 
 use limewing_decision::interface::{Action, Verdict};
-use std::time::Duration;
-
-/// 64-bit FNV-1a.
-pub(super) struct Digest(u64);
-
-impl Digest {
-    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0000_0100_0000_01b3;
-
-    pub(super) fn new() -> Self {
-        Self(Self::OFFSET_BASIS)
-    }
-
-    pub(super) fn number(&mut self, value: u64) {
-        for byte in value.to_le_bytes() {
-            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(Self::PRIME);
+use limewing_test_support::digest::Digest;
+
+/// Adds an action: a number for its kind, and those that it carries.
+pub(super) fn hash_action(digest: &mut Digest, action: &Action) {
+    match action {
+        Action::StartAttempt {
+            request,
+            pod,
+            timeout,
+        } => {
+            digest.number(0);
+            digest.number(request.0);
+            digest.number(pod.0);
+            digest.time(*timeout);
         }
-    }
-
-    pub(super) fn span(&mut self, span: Duration) {
-        self.number(span.as_nanos() as u64);
-    }
-
-    pub(super) fn action(&mut self, action: &Action) {
-        match action {
-            Action::StartAttempt {
-                request,
-                pod,
-                timeout,
-            } => {
-                self.number(0);
-                self.number(request.0);
-                self.number(pod.0);
-                self.span(*timeout);
-            }
-            Action::CancelAttempt { request, attempt } => {
-                self.number(1);
-                self.number(request.0);
-                self.number(attempt.0.into());
-            }
-            Action::Reject {
-                request,
-                retry_after,
-            } => {
-                self.number(2);
-                self.number(request.0);
-                self.span(*retry_after);
-            }
-            Action::Fail { request } => {
-                self.number(3);
-                self.number(request.0);
-            }
-            Action::Vote {
-                verdict,
-                build,
-                stage,
-            } => {
-                self.number(4);
-                self.number(verdict_number(*verdict) as u64);
-                self.number(build.0.into());
-                self.number(stage.0.into());
-            }
-            Action::WatchEndpoints => self.number(5),
-            Action::WakeAt { at } => {
-                self.number(6);
-                self.span(*at);
-            }
-            Action::Log(_) => self.number(7),
+        Action::CancelAttempt { request, attempt } => {
+            digest.number(1);
+            digest.number(request.0);
+            digest.number(attempt.0.into());
         }
-    }
-
-    pub(super) fn value(&self) -> u64 {
-        self.0
+        Action::Reject {
+            request,
+            retry_after,
+        } => {
+            digest.number(2);
+            digest.number(request.0);
+            digest.time(*retry_after);
+        }
+        Action::Fail { request } => {
+            digest.number(3);
+            digest.number(request.0);
+        }
+        Action::Vote {
+            verdict,
+            build,
+            stage,
+        } => {
+            digest.number(4);
+            digest.number(verdict_number(*verdict) as u64);
+            digest.number(build.0.into());
+            digest.number(stage.0.into());
+        }
+        Action::WatchEndpoints => digest.number(5),
+        Action::WakeAt { at } => {
+            digest.number(6);
+            digest.time(*at);
+        }
+        Action::Log(_) => digest.number(7),
     }
 }
 
--- a/crates/reference-model/tests/digest/main.rs
+++ b/crates/reference-model/tests/digest/main.rs
@@ -10,10 +10,10 @@
 mod simulation;
 
 use action_counts::ActionCounts;
-use hash::Digest;
 use limewing_reference_model::coverage::Coverage;
 use limewing_reference_model::mutation::Mutation;
 use limewing_reference_model::simulation::play;
+use limewing_test_support::digest::Digest;
 use simulation::Simulation;
 
 /// Runs of each digest.
@@ -86,7 +86,7 @@
                 digest.number(failure.step as u64);
                 digest.number(failure.violation.rule.number().into());
                 digest.number(failure.violation.sidecar as u64);
-                digest.span(failure.violation.at);
+                digest.time(failure.violation.at);
             }
             hash_coverage(&mut digest, &coverage);
         }
--- a/crates/reference-model/tests/digest/simulation/mod.rs
+++ b/crates/reference-model/tests/digest/simulation/mod.rs
@@ -8,7 +8,7 @@
 mod servers;
 
 use super::action_counts::ActionCounts;
-use super::hash::Digest;
+use super::hash::hash_action;
 use config::draw_config;
 use limewing_decision::interface::{
     Action, AttemptIndex, AttemptOutcome, BuildId, ClassId, Endpoint, EndpointUpdate, Event, Phase,
@@ -16,6 +16,7 @@
 };
 use limewing_decision::DecisionEngine;
 use limewing_reference_model::event_queue::EventQueue;
+use limewing_test_support::digest::Digest;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use servers::Server;
@@ -185,9 +186,9 @@
             rest = then;
         }
         actions.extend(self.sidecar.handle(self.now, rest));
-        digest.span(self.now);
+        digest.time(self.now);
         for action in actions {
-            digest.action(&action);
+            hash_action(digest, &action);
             counts.count(&action);
             self.carry_out(action);
         }
--- a/crates/reference-model/tests/digest/simulation/requests.rs
+++ b/crates/reference-model/tests/digest/simulation/requests.rs
@@ -2,11 +2,11 @@
 
 use super::{ms, Attempt, OpenRequest, ScheduledEvent, Simulation, RATE, STEP};
 use crate::action_counts::ActionCounts;
-use crate::hash::Digest;
 use limewing_decision::interface::{
     AttemptIndex, AttemptOutcome, AttemptResult, ClassId, Event, PodId, Request, RequestId,
     RoutingKey, TenantId,
 };
+use limewing_test_support::digest::Digest;
 use rand::RngExt;
 use std::time::Duration;
 
