--- /dev/null
+++ b/crates/reference-model/tests/digest/hash.rs
@@ -0,0 +1,63 @@
+//! How actions are hashed.
+
+use limewing_decision::interface::{Action, Verdict};
+use limewing_test_support::digest::Digest;
+
+/// Adds an action: a number for its kind, and those that it carries.
+pub(super) fn hash_action(digest: &mut Digest, action: &Action) {
+    match action {
+        Action::StartAttempt {
+            request,
+            pod,
+            timeout,
+        } => {
+            digest.number(0);
+            digest.number(request.0);
+            digest.number(pod.0);
+            digest.time(*timeout);
+        }
+        Action::CancelAttempt { request, attempt } => {
+            digest.number(1);
+            digest.number(request.0);
+            digest.number(attempt.0.into());
+        }
+        Action::Reject {
+            request,
+            retry_after,
+        } => {
+            digest.number(2);
+            digest.number(request.0);
+            digest.time(*retry_after);
+        }
+        Action::Fail { request } => {
+            digest.number(3);
+            digest.number(request.0);
+        }
+        Action::Vote {
+            verdict,
+            build,
+            stage,
+        } => {
+            digest.number(4);
+            digest.number(verdict_number(*verdict) as u64);
+            digest.number(build.0.into());
+            digest.number(stage.0.into());
+        }
+        Action::WatchEndpoints => digest.number(5),
+        Action::WakeAt { at } => {
+            digest.number(6);
+            digest.time(*at);
+        }
+        Action::Log(_) => digest.number(7),
+    }
+}
+
+/// A number for each verdict, which its name and order in the code do not change.
+pub(super) fn verdict_number(verdict: Verdict) -> usize {
+    match verdict {
+        Verdict::Abstain => 0,
+        Verdict::Promote => 1,
+        Verdict::Hold => 2,
+        Verdict::RollBack => 3,
+    }
+}
