--- a/crates/http-proxy/src/service/maintenance/leadership.rs
+++ b/crates/http-proxy/src/service/maintenance/leadership.rs
@@ -2,8 +2,8 @@
 
 use super::applied_log::AppliedLog;
 use super::consensus_role::ConsensusRole;
-use super::unix_ms;
 use crate::endpoint_list::EndpointRecord;
+use crate::service::unix_time::unix_ms;
 use limewing_maintenance::{
     Command, FleetObservation, Identifier, LeaseGrantor, MaintenanceList, Pod, Scheduler,
     ZoneTracker,
--- a/crates/http-proxy/src/service/maintenance/mod.rs
+++ b/crates/http-proxy/src/service/maintenance/mod.rs
@@ -31,6 +31,7 @@
 mod voter;
 
 use super::membership::FleetMembership;
+use super::unix_time::unix_ms;
 use crate::endpoint_list::EndpointRecord;
 use applied_log::AppliedLog;
 use consensus_role::ConsensusRole;
@@ -46,7 +47,7 @@
 use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 
 pub(super) use request::RequestError;
 pub use request::{MaintenanceRequest, WorkReport};
@@ -69,7 +70,7 @@
 
 /// The endpoints and the requests in flight, as a turn sees them.
 pub(super) struct EndpointContext<'a> {
-    /// The endpoint list, as the list service told it.
+    /// The endpoint list, as the list service has it.
     pub(super) endpoints: &'a [EndpointRecord],
     /// Addresses of endpoints with attempts in flight.
     pub(super) busy_addresses: &'a dyn Fn() -> BTreeSet<SocketAddr>,
@@ -104,12 +105,6 @@
     outbox: Outbox,
 }
 
-fn unix_ms(time: SystemTime) -> u64 {
-    time.duration_since(SystemTime::UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis() as u64
-}
-
 impl Maintenance {
     /// Starts without a lease; `seed` makes elections repeatable.
     ///
--- a/crates/http-proxy/src/service/maintenance/view.rs
+++ b/crates/http-proxy/src/service/maintenance/view.rs
@@ -1,4 +1,4 @@
-//! What `GET /limewing/work` tells about maintenance.
+//! The answer to `GET /limewing/work`.
 
 use super::consensus_role::ConsensusRole;
 use super::Maintenance;
@@ -89,7 +89,7 @@
 }
 
 impl Maintenance {
-    /// What `GET /limewing/work` tells.
+    /// The answer to `GET /limewing/work`.
     pub(in crate::service) fn view(&self, now: Duration) -> MaintenanceView {
         let lists = ListsView {
             now,
--- a/crates/http-proxy/src/service/maintenance/voter.rs
+++ b/crates/http-proxy/src/service/maintenance/voter.rs
@@ -135,7 +135,7 @@
         Ok(position.index)
     }
 
-    /// Proposes an encoded command, or passes it on to the leader. Nothing tells whether it is committed.
+    /// Proposes an encoded command, or passes it on to the leader. Whether it is committed shows in the log alone.
     pub(super) fn submit(&mut self, now: Duration, command: Vec<u8>) {
         if self.is_leader() {
             // One that is too long is never committed, which its sender sees.
--- a/crates/http-proxy/src/service/membership/coordination.rs
+++ b/crates/http-proxy/src/service/membership/coordination.rs
@@ -175,7 +175,7 @@
         );
     }
 
-    /// What the page of the fleet tells; `address` is where a pod is reached.
+    /// The selection as `GET /limewing/fleet` has it; `address` is where a pod is reached.
     pub(super) fn selection(
         &self,
         address: impl Fn(PodId) -> Option<SocketAddr>,
@@ -190,7 +190,7 @@
     }
 }
 
-/// What an attempt tells about its pod; `None`: nothing.
+/// What an attempt says about its pod; `None`: nothing.
 fn observation_of(result: &AttemptResult) -> Option<OutlierObservation> {
     let seconds = result.duration.as_secs_f64();
     match result.outcome {
--- a/crates/http-proxy/src/service/membership/mod.rs
+++ b/crates/http-proxy/src/service/membership/mod.rs
@@ -12,6 +12,7 @@
 mod view;
 
 use super::direct_message::DirectMessage;
+use super::unix_time::unix_ms;
 use super::StartError;
 use coordination::EndpointCoordination;
 use key_file::KeyFile;
@@ -22,7 +23,7 @@
 use limewing_proxy_core::clock::wall_clock_now;
 use limewing_settings::{ConfigError, Peers};
 use std::net::SocketAddr;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 pub use view::{EndpointSelectionView, MemberView, MembershipView};
 
 /// The sidecar that joins the fleet.
@@ -69,15 +70,12 @@
         let (socket, listen_address) = sockets
             .bind_datagrams(at)
             .map_err(|error| StartError::Datagrams { address: at, error })?;
-        let started_at = wall_clock_now()
-            .duration_since(SystemTime::UNIX_EPOCH)
-            .unwrap_or_default();
         let name = MemberName::try_from(local.name.to_owned()).map_err(|expected| {
             StartError::Settings(ConfigError::new("/name", expected.to_string()))
         })?;
         let config = Config {
             name,
-            started_at_ms: started_at.as_millis() as u64,
+            started_at_ms: unix_ms(wall_clock_now()),
             started_at: now,
             address: settings.advertise.unwrap_or(listen_address),
             seed_addresses: settings.join.clone(),
--- a/crates/http-proxy/src/service/membership/view.rs
+++ b/crates/http-proxy/src/service/membership/view.rs
@@ -1,4 +1,4 @@
-//! What `GET /limewing/fleet` tells about the members of the fleet.
+//! The answer to `GET /limewing/fleet`.
 
 use super::FleetMembership;
 use limewing_decision::interface::PodId;
@@ -88,7 +88,7 @@
 }
 
 impl FleetMembership {
-    /// What `GET /limewing/fleet` tells; `address` is where a pod is reached.
+    /// The answer to `GET /limewing/fleet`; `address` is where a pod is reached.
     pub(in crate::service) fn view(
         &self,
         now: Duration,
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -22,6 +22,7 @@
 mod shutdown;
 mod start_error;
 mod startup;
+mod unix_time;
 mod upstream;
 
 use crate::request_classifier::RequestClassifier;
--- a/crates/http-proxy/src/service/replication.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -6,6 +6,7 @@
 
 use super::direct_message::{DirectMessage, REPLICATION};
 use super::membership::FleetMembership;
+use super::unix_time::unix_ms;
 use crate::stage_updates::StageMessage;
 use limewing_decision::interface::{
     AttemptOutcome, AttemptResult, BuildId, Endpoint, EndpointUpdate, Event, PodId, PodState,
@@ -18,7 +19,7 @@
 };
 use limewing_settings::{Peers, SidecarSettings};
 use std::collections::BTreeMap;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 pub use view::{LogView, ReplicationView};
 
 /// Between two rounds of gossip.
@@ -59,13 +60,9 @@
         peers: &Peers,
         seed: u64,
     ) -> Self {
-        let incarnation = wall_clock_now()
-            .duration_since(SystemTime::UNIX_EPOCH)
-            .unwrap_or_default()
-            .as_millis() as u64;
         let origin = Origin {
             name: settings.name.clone(),
-            incarnation,
+            incarnation: unix_ms(wall_clock_now()),
         };
         let first_stage = settings.releases.stages.first();
         let first_cap = first_stage.map_or(0.0, |stage| stage.cap);
@@ -246,7 +243,7 @@
         Some(stage_format::to_message(&stage))
     }
 
-    /// What `GET /limewing/state` tells.
+    /// The answer to `GET /limewing/state`.
     pub(super) fn view(&self) -> ReplicationView {
         let origin = self.replica.origin();
         let (keys, requests) = self.merged.key_and_request_counts();
--- a/crates/http-proxy/src/service/replication/view.rs
+++ b/crates/http-proxy/src/service/replication/view.rs
@@ -1,4 +1,4 @@
-//! What `GET /limewing/state` tells about the replicated state.
+//! The answer to `GET /limewing/state`.
 
 use limewing_replication::{Log, Origin};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
     pub dropped_records: u64,
     /// The replicas, one for each process of each sidecar.
     pub logs: Vec<LogView>,
-    /// The rollout stage that each sidecar was told, as text.
+    /// The rollout stage that each sidecar has announced, as text.
     pub stages: Vec<String>,
     /// The rollout stage that this sidecar applies, as text.
     pub stage: Option<String>,
--- a/crates/http-proxy/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -335,7 +335,7 @@
     let cold_until = (today + Duration::from_secs(4)).as_secs_f64();
     let at = run(&settings(&folder, "sidecar-0", |settings| {
         settings["state_file"] = json!(state_file(&folder, cold_until));
-        settings["work"] = json!({"voters": ["sidecar-0"], "folder": folder.join("promises")});
+        settings["work"] = json!({"voters": ["sidecar-0"], "folder": folder.join("vote-log")});
     }));
     until("it leads", || (work(at).role == "leads").then_some(()));
     // From then on a machine that is granted waits for the grace of what was sent to it.
@@ -402,18 +402,18 @@
 #[test]
 fn the_standing_of_voters_is_told_as_before() {
     let voters = ["sidecar-0", "sidecar-1", "sidecar-2"];
-    let start = |name: &str, promises: Option<&Path>, join: &[SocketAddr]| {
+    let start = |name: &str, vote_log: Option<&Path>, join: &[SocketAddr]| {
         run(&settings(&folder(), name, |settings| {
             settings["peers"]["join"] = json!(join);
-            settings["work"] = json!({"voters": voters, "folder": promises});
+            settings["work"] = json!({"voters": voters, "folder": vote_log});
         }))
     };
-    let promises = [folder(), folder(), folder()];
-    let first = start("sidecar-0", Some(&promises[0]), &[]);
+    let vote_logs = [folder(), folder(), folder()];
+    let first = start("sidecar-0", Some(&vote_logs[0]), &[]);
     assert_eq!(work(first).role, "free");
     let join = [fleet(first).address];
-    let second = start("sidecar-1", Some(&promises[1]), &join);
-    let third = start("sidecar-2", Some(&promises[2]), &join);
+    let second = start("sidecar-1", Some(&vote_logs[1]), &join);
+    let third = start("sidecar-2", Some(&vote_logs[2]), &join);
     let fourth = start("sidecar-3", None, &join);
     assert_eq!(work(fourth).role, "asks");
 
@@ -427,9 +427,9 @@
         (standings == ["follows", "follows", "leads"]).then_some(())
     });
 
-    // One that comes back with its promises and hears nobody.
+    // One that comes back with its vote log and hears nobody.
     let alone = folder();
-    std::fs::copy(promises[1].join("agree.log"), alone.join("agree.log")).unwrap();
+    std::fs::copy(vote_logs[1].join("agree.log"), alone.join("agree.log")).unwrap();
     let alone = start("sidecar-1", Some(&alone), &[]);
     assert_eq!(
         words_until("tries", || Some(work(alone).role))
