--- a/crates/http-proxy/tests/sockets/resource_limits.rs
+++ b/crates/http-proxy/tests/sockets/resource_limits.rs
@@ -76,7 +76,11 @@
                 Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
                 Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
             ];
+            // A list service that accepts and does not answer: a poll that it refused would give its descriptor back while
+            // all others are held.
+            let list = TcpListener::bind("127.0.0.1:0").unwrap();
             let mut settings = settings();
+            settings.list.address = list.local_addr().unwrap();
             settings.state_file = Some(state_file(&[pods[0].at, pods[1].at]));
             let (tell, told) = channel();
             let service = Service::start_with(&settings, |now, terms| {
@@ -84,6 +88,7 @@
                     as Box<dyn Decisions + Send>
             });
             let at = run(service.unwrap());
+            let (_poll, _) = list.accept().unwrap();
             let mut client = Client::new(at);
             // After a first response the sidecar has accepted the connection.
             client.send("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
