--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -70,7 +70,7 @@
         .ok_or_else(|| Stop::input(format!("{}: no day's terms", file.display())))
 }
 
-fn lines(file: &Path) -> Result<Vec<record::Line>, Stop> {
+fn lines(file: &Path) -> Result<Vec<record::RecordLine>, Stop> {
     let name = file.display();
     let open = File::open(file).map_err(|e| Stop::input(format!("{name}: {e}")))?;
     record::read(BufReader::new(open)).map_err(|e| Stop::input(format!("{name}: {e}")))
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -29,7 +29,7 @@
             now.asked, now.delivered, now.bounced, now.errored
         );
         let release = format!(
-            "build {} stage {} {:?}, {} pods",
+            "build {} stage {} {}, {} pods",
             now.build, now.stage, now.phase, now.pods
         );
         let troubles = if now.troubles.is_empty() {
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -5,7 +5,7 @@
     listing, Answer, Client, Config, Discovery, Does, Faults, Listed, Pod, World,
 };
 use limewing_postgres_proxy::timeouts::{CLIENT_MESSAGE_TIMEOUT, STOP_ACCEPTING_TIMEOUT};
-use limewing_rule_checker::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
+use limewing_rule_checker::record::{AttemptKey, Event, PodId, RecordLine, RequestId, SidecarId};
 use limewing_rule_checker::rules::{check, Rule};
 use rstest::rstest;
 use rustix::process::Signal;
@@ -288,9 +288,9 @@
 
 /// A day of four sidecars: pods that fail in every way, a sidecar killed, one told to leave, one stopped; a build on
 /// trial on cold pods, a drain, the build taken back. Plays it and gives the record.
-fn rough_day() -> Vec<Line> {
+fn rough_day() -> Vec<RecordLine> {
     const ALL: usize = 4;
-    let mut world = World::new(ALL, World::terms(vec![0.5]), 7);
+    let mut world = World::new(ALL, World::limits(vec![0.5]), 7);
     let mut list: Vec<(usize, &'static str, u64)> = Vec::new();
     list.extend((0..4).map(|_| (world.pod(1, false, Faults::default()), READY, 0)));
     let config = |world: &World, own: usize, listen| Config {
@@ -302,9 +302,9 @@
         listen,
         ..Config::new(Vec::new())
     };
-    let sidecar = |own: usize| SidecarNo(own as u32);
+    let sidecar = |own: usize| SidecarId(own as u32);
     let start = |world: &World, own: usize, listen: SocketAddr| {
-        world.note(Entry::SidecarUp {
+        world.note(Event::SidecarStarted {
             sidecar: sidecar(own),
         });
         world.knows(
@@ -339,7 +339,7 @@
     (0..4).for_each(|pod| world.fail(pod, rough));
     pause(500);
 
-    world.note(Entry::SidecarDown {
+    world.note(Event::SidecarExited {
         sidecar: sidecar(0),
     });
     all[0].signal(Signal::KILL);
@@ -348,24 +348,24 @@
     pause(300);
     all[0] = start(&world, 0, all[0].at);
 
-    world.note(Entry::SidecarLeaves {
+    world.note(Event::SidecarDraining {
         sidecar: sidecar(1),
     });
     all[1].signal(Signal::TERM);
     assert!(all[1].ends());
     pause(300);
-    world.note(Entry::SidecarDown {
+    world.note(Event::SidecarExited {
         sidecar: sidecar(1),
     });
     all[1] = start(&world, 1, all[1].at);
 
-    world.note(Entry::SidecarStopped {
+    world.note(Event::SidecarSuspended {
         sidecar: sidecar(2),
     });
     all[2].stop();
     pause(400);
     all[2].signal(Signal::CONT);
-    world.note(Entry::SidecarGoesOn {
+    world.note(Event::SidecarResumed {
         sidecar: sidecar(2),
     });
     pause(300);
@@ -392,7 +392,7 @@
     world.lines()
 }
 
-fn broken(lines: &[Line]) -> Vec<Rule> {
+fn broken(lines: &[RecordLine]) -> Vec<Rule> {
     let account = check(lines).unwrap();
     let of = account
         .findings
@@ -403,11 +403,11 @@
 
 /// Puts something in right behind the first line that fits.
 fn plant(
-    lines: &[Line],
-    after: impl Fn(&Line) -> bool,
+    lines: &[RecordLine],
+    after: impl Fn(&RecordLine) -> bool,
     later: f64,
-    what: impl Fn(&Line) -> Vec<Entry>,
-) -> Vec<Line> {
+    what: impl Fn(&RecordLine) -> Vec<Event>,
+) -> Vec<RecordLine> {
     let mut lines = lines.to_vec();
     let first = lines
         .iter()
@@ -418,7 +418,9 @@
     let place = lines.partition_point(|line| line.at <= at);
     lines.splice(
         place..place,
-        what(&first).into_iter().map(|entry| Line { at, entry }),
+        what(&first)
+            .into_iter()
+            .map(|entry| RecordLine { at, event: entry }),
     );
     lines
 }
@@ -432,45 +434,45 @@
         assert!(finding.counted > 0, "nothing was held to rule {rule}");
     }
 
-    let nobody = |n: usize| Try(OrderId(u64::MAX - n as u64), 0);
+    let nobody = |n: usize| AttemptKey::new(RequestId(u64::MAX - n as u64), 0);
     let work = Duration::from_millis(10);
     let sent = move |pod: u32, n: usize| {
-        let (pod, sidecar) = (PodNo(pod), SidecarNo(3));
-        Entry::Arrived {
+        let (pod, sidecar) = (PodId(pod), SidecarId(3));
+        Event::ForwardArrived {
             pod,
             sidecar,
-            of: nobody(n),
-            group: 0,
+            attempt: nobody(n),
+            class: 0,
             work,
         }
     };
-    let answered = |line: &Line| matches!(line.entry, Entry::Answered { .. });
-    let twice = plant(&lines, answered, 0.0, |line| vec![line.entry.clone()]);
+    let answered = |line: &RecordLine| matches!(line.event, Event::Answered { .. });
+    let twice = plant(&lines, answered, 0.0, |line| vec![line.event.clone()]);
     assert_eq!(broken(&twice), [Rule::OneAnswer]);
 
-    let pay = |line: &Line| {
+    let pay = |line: &RecordLine| {
         matches!(
-            line.entry,
-            Entry::Arrived {
-                group: 2,
-                pod: PodNo(1),
+            line.event,
+            Event::ForwardArrived {
+                class: 2,
+                pod: PodId(1),
                 ..
             }
         )
     };
-    let again = |line: &Line| match &line.entry {
-        Entry::Arrived {
+    let again = |line: &RecordLine| match &line.event {
+        Event::ForwardArrived {
             sidecar,
-            of,
-            group,
+            attempt: of,
+            class: group,
             work,
             ..
         } => {
-            vec![Entry::Arrived {
-                pod: PodNo(2),
+            vec![Event::ForwardArrived {
+                pod: PodId(2),
                 sidecar: *sidecar,
-                of: *of,
-                group: *group,
+                attempt: *of,
+                class: *group,
                 work: *work,
             }]
         }
@@ -481,18 +483,18 @@
         [Rule::NoEffectTwice]
     );
 
-    let drained = |line: &Line| matches!(&line.entry, Entry::ListTold { sidecar: SidecarNo(3), draining, .. } if !draining.is_empty());
+    let drained = |line: &RecordLine| matches!(&line.event, Event::EndpointsNotified { sidecar: SidecarId(3), draining, .. } if !draining.is_empty());
     assert_eq!(
         broken(&plant(&lines, drained, 1.0, |_| vec![sent(0, 0)])),
         [Rule::Drains]
     );
 
-    let cold = |line: &Line| matches!(line.entry, Entry::PodUp { pod: PodNo(4), .. });
+    let cold = |line: &RecordLine| matches!(line.event, Event::PodStarted { pod: PodId(4), .. });
     // Before the news the sidecar's exposure counts as in the first stage: many sidecars share the sends.
-    let crowd = |_: &Line| (0..900).map(|n| sent(4, n)).collect();
+    let crowd = |_: &RecordLine| (0..900).map(|n| sent(4, n)).collect();
     assert!(broken(&plant(&lines, cold, 0.05, crowd)).contains(&Rule::Cold));
 
-    let trial = |line: &Line| matches!(line.entry, Entry::StageTold { sidecar: SidecarNo(3), build: 2, cap, .. } if cap > 0.0);
-    let over = |_: &Line| (0..200).map(|n| sent(5, n)).collect();
+    let trial = |line: &RecordLine| matches!(line.event, Event::StageNotified { sidecar: SidecarId(3), build: 2, cap, .. } if cap > 0.0);
+    let over = |_: &RecordLine| (0..200).map(|n| sent(5, n)).collect();
     assert!(broken(&plant(&lines, trial, 1.1, over)).contains(&Rule::Exposure));
 }
--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -9,7 +9,7 @@
 use limewing_net::message_reader::ResponseReader;
 use limewing_net::sockets::SocketId;
 use limewing_net::timer_wheel::TimerKey;
-use limewing_rule_checker::record::{Entry, Final, OrderId, SidecarNo, Try};
+use limewing_rule_checker::record::{AttemptKey, Event, FinalAnswer, RequestId, SidecarId};
 use limewing_settings::{Reach, Repeat};
 use rand::RngExt;
 use rand_distr::weighted::WeightedIndex;
@@ -21,8 +21,8 @@
 pub struct Clients {
     next: u64,
     pub until: Duration,
-    orders: HashMap<OrderId, Order>,
-    idle: BTreeMap<SidecarNo, Vec<SocketId>>,
+    orders: HashMap<RequestId, Order>,
+    idle: BTreeMap<SidecarId, Vec<SocketId>>,
     pub asked: u64,
     pub delivered: u64,
     pub bounced: u64,
@@ -40,9 +40,9 @@
 }
 
 pub struct ClientLink {
-    sidecar: SidecarNo,
+    sidecar: SidecarId,
     responses: ResponseReader,
-    of: Option<Try>,
+    of: Option<AttemptKey>,
     /// The head of its answer has come.
     begun: bool,
     request: BytesMut,
@@ -109,7 +109,7 @@
             .draw(script.groups.iter().map(|group| group.share))
             .unwrap_or(0);
         let drawn = self.draw(script.customers.iter().map(|customer| customer.share));
-        let id = OrderId(self.clients.next);
+        let id = RequestId(self.clients.next);
         self.clients.next += 1;
         let timeout = Duration::from(self.script.groups[group].group.client_timeout);
         let customer = worthless_of.or(drawn);
@@ -139,10 +139,10 @@
     }
 
     /// Sends the next try of a hit to one of the sidecars.
-    pub(super) fn ask(&mut self, id: OrderId) {
+    pub(super) fn ask(&mut self, id: RequestId) {
         let sidecar = match WeightedIndex::new(&self.script.traffic) {
-            Ok(places) => SidecarNo(places.sample(&mut self.chance) as u32),
-            Err(_) => SidecarNo(
+            Ok(places) => SidecarId(places.sample(&mut self.chance) as u32),
+            Err(_) => SidecarId(
                 self.chance
                     .random_range(0..self.script.sidecars.len() as u32),
             ),
@@ -154,7 +154,7 @@
         let Some(order) = self.clients.orders.get_mut(&id) else {
             return;
         };
-        let of = Try(id, order.tries);
+        let of = AttemptKey::new(id, order.tries);
         order.tries += 1;
         let group = &self.script.groups[order.group].group;
         let waits = Duration::from(group.client_timeout).mul_f64(patience);
@@ -167,7 +167,7 @@
         }
         let route = &group.routes[0];
         let (mark, ms, key) = (
-            format!("{}-{}", of.0 .0, of.1),
+            format!("{}-{}", of.request.0, of.number),
             waits.as_millis().to_string(),
             order.key.to_string(),
         );
@@ -286,21 +286,21 @@
     }
 
     /// A hit counts as asked when the last of it is written: no sidecar can take it before.
-    fn write_all(&mut self, link: SocketId, of: Try, sidecar: SidecarNo, waits: Duration) {
+    fn write_all(&mut self, link: SocketId, of: AttemptKey, sidecar: SidecarId, waits: Duration) {
         let Some(End::Client(client)) = self.ends.get_mut(&link) else {
             return;
         };
         let request = std::mem::take(&mut client.request);
-        let Some(order) = self.clients.orders.get(&of.0) else {
+        let Some(order) = self.clients.orders.get(&of.request) else {
             return;
         };
         let (group, key) = (order.group, Some(order.key));
-        self.note(Entry::Asked {
+        self.note(Event::RequestSent {
             sidecar,
-            of,
-            group,
-            waits,
-            key,
+            attempt: of,
+            class: group,
+            timeout: waits,
+            routing_key: key,
         });
         self.sockets.send(link, &request);
     }
@@ -325,7 +325,10 @@
         };
         if of.is_none() {
             if !input.is_empty() {
-                self.note(Entry::Unasked { sidecar, of: None });
+                self.note(Event::UnexpectedAnswer {
+                    sidecar,
+                    attempt: None,
+                });
             }
             return self.close_client(link);
         }
@@ -334,7 +337,10 @@
                 let more = !input.is_empty();
                 self.answered(link, &head);
                 if more {
-                    self.note(Entry::Unasked { sidecar, of });
+                    self.note(Event::UnexpectedAnswer {
+                        sidecar,
+                        attempt: of,
+                    });
                 }
                 if more || ended || !head.keep_alive {
                     self.close_client(link);
@@ -345,11 +351,14 @@
             Ok(None) if !ended => {
                 let begun = client.responses.is_mid_message()
                     && !std::mem::replace(&mut client.begun, true);
-                let order = of.and_then(|of| self.clients.orders.get(&of.0));
+                let order = of.and_then(|of| self.clients.orders.get(&of.request));
                 let streamed =
                     order.is_some_and(|order| self.script.groups[order.group].group.streamed);
                 if let Some(of) = of.filter(|_| begun && streamed) {
-                    self.note(Entry::AnswerBegun { sidecar, of });
+                    self.note(Event::AnswerStarted {
+                        sidecar,
+                        attempt: of,
+                    });
                 }
                 self.sockets.resume_reading(link)
             }
@@ -381,21 +390,21 @@
         let sidecar = client.sidecar;
         let own = head.fields.text("proxy-status");
         let ended = match own {
-            None => Final::Delivered,
-            Some(status) if status.contains("a retry is harmless") => Final::Bounced,
-            Some(_) => Final::Errored,
+            None => FinalAnswer::Delivered,
+            Some(status) if status.contains("a retry is harmless") => FinalAnswer::Rejected,
+            Some(_) => FinalAnswer::Failed,
         };
         let build = head.fields.text(BUILD).and_then(|build| build.parse().ok());
-        self.note(Entry::Answered {
+        self.note(Event::Answered {
             sidecar,
-            of,
-            ended,
+            attempt: of,
+            answer: ended,
             status: head.status,
             build,
         });
         match ended {
-            Final::Delivered => {
-                self.clients.orders.remove(&of.0);
+            FinalAnswer::Delivered => {
+                self.clients.orders.remove(&of.request);
                 self.clients.delivered += 1;
                 let wrong = head.fields.get(WRONG).is_some()
                     && self.chance.random_bool(self.script.clients.reports);
@@ -405,19 +414,19 @@
                         .schedule(self.now + after, Due::Report(sidecar, mark.to_owned()));
                 }
             }
-            Final::Bounced => {
+            FinalAnswer::Rejected => {
                 self.clients.bounced += 1;
-                self.try_again(of.0, true, false);
+                self.try_again(of.request, true, false);
             }
-            Final::Errored => {
+            FinalAnswer::Failed => {
                 self.clients.errored += 1;
-                self.try_again(of.0, false, false);
+                self.try_again(of.request, false, false);
             }
         }
     }
 
     /// Tries again after a wait, where that does no harm: `harmless` by what is known, else by path group.
-    fn try_again(&mut self, id: OrderId, harmless: bool, soon: bool) {
+    fn try_again(&mut self, id: RequestId, harmless: bool, soon: bool) {
         let wait = f64::from(self.script.clients.wait) * self.chance.random_range(0.5..1.5);
         let Some(order) = self.clients.orders.get(&id) else {
             return;
@@ -451,20 +460,23 @@
         if client.request.is_empty() {
             // A process that ends may be seen by its sockets before the loop looks at it.
             self.look_after(client.sidecar);
-            self.note(Entry::Lost { of, reached });
+            self.note(Event::ConnectionLost {
+                attempt: of,
+                written: reached,
+            });
         }
-        self.try_again(of.0, !reached, !reached);
+        self.try_again(of.request, !reached, !reached);
     }
 
     pub(super) fn give_up(&mut self, link: SocketId) {
-        self.gone(link, |of| Entry::GaveUp { of });
+        self.gone(link, |of| Event::ClientTimedOut { attempt: of });
     }
 
     pub(super) fn leave(&mut self, link: SocketId) {
-        self.gone(link, |of| Entry::Left { of });
+        self.gone(link, |of| Event::ClientDisconnected { attempt: of });
     }
 
-    fn gone(&mut self, link: SocketId, entry: impl Fn(Try) -> Entry) {
+    fn gone(&mut self, link: SocketId, entry: impl Fn(AttemptKey) -> Event) {
         let Some(End::Client(client)) = self.ends.get(&link) else {
             return;
         };
@@ -472,12 +484,12 @@
             if client.request.is_empty() {
                 self.note(entry(of));
             }
-            self.clients.orders.remove(&of.0);
+            self.clients.orders.remove(&of.request);
         }
         self.close_client(link);
     }
 
-    pub(super) fn report(&mut self, sidecar: SidecarNo, mark: &str) {
+    pub(super) fn report(&mut self, sidecar: SidecarId, mark: &str) {
         let body = serde_json::json!({ "forward": mark }).to_string();
         let Ok(link) = self
             .sockets
--- a/crates/emulators/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -14,7 +14,7 @@
 use limewing_fault_injection::Links;
 use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use limewing_net::timer_wheel::TimerWheel;
-use limewing_rule_checker::record::{Entry, OrderId, PodNo, Recorder, SidecarNo};
+use limewing_rule_checker::record::{Event, PodId, Recorder, RequestId, SidecarId};
 use limewing_settings::Seconds;
 use pods::{Pod, PodLink};
 use processes::Process;
@@ -55,7 +55,7 @@
 }
 
 enum End {
-    PodListener(PodNo),
+    PodListener(PodId),
     ListListener,
     InstallerListener,
     Pod(Box<PodLink>),
@@ -68,13 +68,13 @@
 enum Due {
     Hit,
     Worthless(usize),
-    Retry(OrderId),
+    Retry(RequestId),
     GiveUp(SocketId),
     Leave(SocketId),
-    Report(SidecarNo, String),
-    Done(PodNo, u64),
-    PodUp(PodNo),
-    PodDown(PodNo),
+    Report(SidecarId, String),
+    Done(PodId, u64),
+    PodUp(PodId),
+    PodDown(PodId),
     Publish(Box<Published>),
     ListAnswer(SocketId, u64),
     Tick,
@@ -112,7 +112,7 @@
     chance: StdRng,
     record: Recorder<BufWriter<File>>,
     trouble: Option<io::Error>,
-    pods: BTreeMap<PodNo, Pod>,
+    pods: BTreeMap<PodId, Pod>,
     next_pod: u32,
     jobs: pods::Jobs,
     marks: Marks,
@@ -190,9 +190,9 @@
             on: false,
             over: false,
         };
-        day.note(Entry::Begin {
+        day.note(Event::Begin {
             day: script.name.clone(),
-            terms: script.terms(),
+            limits: script.rule_limits(),
         });
         if let Some(peers) = &script.peers {
             let members = script.sidecars.len();
@@ -211,8 +211,8 @@
         Ok(day)
     }
 
-    fn note(&mut self, entry: Entry) {
-        if let Err(trouble) = self.record.note(self.now, entry) {
+    fn note(&mut self, event: Event) {
+        if let Err(trouble) = self.record.append(self.now, event) {
             self.trouble.get_or_insert(trouble);
         }
     }
@@ -234,7 +234,7 @@
             }
         }
         self.processes.iter_mut().for_each(Process::end);
-        self.note(Entry::End {});
+        self.note(Event::End {});
         self.record.flush()?;
         self.trouble
             .take()
@@ -283,7 +283,7 @@
         // How much later than it was to come back at the latest: nothing was read meanwhile.
         let late = began.saturating_sub(before + wait);
         if self.on && late > LONG_TURN {
-            self.note(Entry::Stood { span: late });
+            self.note(Event::RecorderStalled { duration: late });
         }
         for what in happened {
             self.happened(what)?;
@@ -294,7 +294,7 @@
         let span = self.start.elapsed() - began;
         if self.on && span > LONG_TURN {
             self.now = self.start.elapsed();
-            self.note(Entry::Stood { span });
+            self.note(Event::RecorderStalled { duration: span });
         }
         Ok(())
     }
@@ -390,7 +390,7 @@
 
     fn trouble_begins(&mut self, number: usize) -> Result<(), DayTrouble> {
         let trouble = &self.script.troubles[number];
-        self.note(Entry::Trouble {
+        self.note(Event::Fault {
             text: format!("begins: {:?}", trouble.what),
         });
         self.present.insert(number, trouble.what.clone());
@@ -423,7 +423,7 @@
         let Some(trouble) = self.present.remove(&number) else {
             return Ok(());
         };
-        self.note(Entry::Trouble {
+        self.note(Event::Fault {
             text: format!("ends: {trouble:?}"),
         });
         match &trouble {
@@ -458,7 +458,7 @@
             && self.is_present(|t| matches!(t, Trouble::ZoneCut(cut) if cut == one || cut == other))
     }
 
-    fn zone_of(&self, sidecar: SidecarNo) -> &'a str {
+    fn zone_of(&self, sidecar: SidecarId) -> &'a str {
         self.script
             .sidecars
             .get(sidecar.0 as usize)
@@ -466,7 +466,7 @@
     }
 
     /// Whether a sidecar is cut off from list and installer.
-    fn is_cut_off(&self, sidecar: SidecarNo) -> bool {
+    fn is_cut_off(&self, sidecar: SidecarId) -> bool {
         self.is_cut(self.zone_of(sidecar), &self.script.fleet.zones[0])
     }
 
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -10,7 +10,7 @@
 use limewing_net::http::{write_response, RequestHead};
 use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
-use limewing_rule_checker::record::{Entry, OrderId, PodNo, SidecarNo, Try};
+use limewing_rule_checker::record::{AttemptKey, Event, PodId, RequestId, SidecarId};
 use limewing_settings::Reach;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -45,8 +45,8 @@
 }
 
 pub struct PodLink {
-    pub pod: PodNo,
-    sidecar: Option<SidecarNo>,
+    pub pod: PodId,
+    sidecar: Option<SidecarId>,
     requests: RequestReader,
     busy: bool,
     /// The connection is not yet of use.
@@ -54,7 +54,7 @@
 }
 
 impl PodLink {
-    pub fn new(pod: PodNo) -> Self {
+    pub fn new(pod: PodId) -> Self {
         Self {
             pod,
             sidecar: None,
@@ -74,7 +74,7 @@
 
 struct Job {
     link: SocketId,
-    of: Try,
+    of: AttemptKey,
     group: usize,
     worthless: bool,
     mark: Option<marks::Key>,
@@ -88,7 +88,7 @@
 
 impl Day<'_> {
     /// A new connection to a pod, if it takes one.
-    pub(super) fn pod_link(&mut self, pod: PodNo, socket: SocketId) -> Option<PodLink> {
+    pub(super) fn pod_link(&mut self, pod: PodId, socket: SocketId) -> Option<PodLink> {
         let mut link = PodLink::new(pod);
         for trouble in self.present.values() {
             match trouble {
@@ -136,7 +136,7 @@
         let (listener, address) = self
             .sockets
             .listen("127.0.0.1:0".parse().expect("an address"))?;
-        let number = PodNo(self.next_pod);
+        let number = PodId(self.next_pod);
         self.next_pod += 1;
         let (zone, cell) = (
             place.0 % self.script.fleet.zones.len(),
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    pub(super) fn pod_up(&mut self, number: PodNo) {
+    pub(super) fn pod_up(&mut self, number: PodId) {
         let (machine, now) = (self.machine(), self.now);
         let Some(pod) = self.pods.get_mut(&number) else {
             return;
@@ -188,13 +188,13 @@
         pod.model = PodModel::new(machine, now, pod.cold);
         pod.model.slow = self.script.slow_of(pod.build);
         let (zone, capacity) = (pod.zone as u16, machine.cores as f64);
-        let entry = Entry::PodUp {
+        let entry = Event::PodStarted {
             pod: number,
             build: pod.build,
             zone,
             cell: pod.cell,
             capacity,
-            cold: pod.cold,
+            warming_up: pod.cold,
         };
         self.note(entry);
         self.apply_lasting();
@@ -237,7 +237,7 @@
             .pods
             .iter()
             .filter(|(_, pod)| pod.place == place && pod.up);
-        let here: Vec<PodNo> = here.map(|(number, _)| *number).collect();
+        let here: Vec<PodId> = here.map(|(number, _)| *number).collect();
         here.into_iter().for_each(|number| self.pod_down(number));
     }
 
@@ -253,11 +253,11 @@
         self.jobs.held.values().filter(here).count()
     }
 
-    pub(super) fn pod_down(&mut self, number: PodNo) {
+    pub(super) fn pod_down(&mut self, number: PodId) {
         let Some(pod) = self.pods.remove(&number) else {
             return;
         };
-        self.note(Entry::PodDown { pod: number });
+        self.note(Event::PodExited { pod: number });
         let listener = pod.listener.into_iter();
         let links = self
             .ends
@@ -274,7 +274,7 @@
             .pods
             .iter_mut()
             .filter(|(_, pod)| places.contains(&pod.place.0));
-        let here: Vec<PodNo> = here
+        let here: Vec<PodId> = here
             .map(|(number, pod)| {
                 pod.model.hung = hung;
                 *number
@@ -339,14 +339,15 @@
         };
         let mean = f64::from(self.script.groups[group].work);
         // The same hit is as much work wherever it runs.
-        let mut own = StdRng::seed_from_u64(self.script.seed ^ of.0 .0.wrapping_mul(0x9e37_79b9));
+        let mut own =
+            StdRng::seed_from_u64(self.script.seed ^ of.request.0.wrapping_mul(0x9e37_79b9));
         let spread = LogNormal::new(0.0, 0.25).map_or(1.0, |spread| spread.sample(&mut own));
         let work = Duration::from_secs_f64(mean * spread);
-        self.note(Entry::Arrived {
+        self.note(Event::ForwardArrived {
             pod: number,
             sidecar,
-            of,
-            group,
+            attempt: of,
+            class: group,
             work,
         });
         if self.is_present(|t| matches!(t, Trouble::PodsSilent(places) if places.contains(&place)))
@@ -387,7 +388,10 @@
             Arrival::Waits => {}
             Arrival::TurnedAway(job) => {
                 self.jobs.held.remove(&job);
-                self.note(Entry::TurnedAway { pod: number, of });
+                self.note(Event::ForwardRejected {
+                    pod: number,
+                    attempt: of,
+                });
                 self.answer(id, number, 503, &[("limewing-not-begun", "1")], false);
             }
         }
@@ -403,7 +407,7 @@
             .position(|group| group.group.routes.iter().any(fits))
     }
 
-    pub(super) fn done(&mut self, number: PodNo, job: u64) {
+    pub(super) fn done(&mut self, number: PodId, job: u64) {
         let Some(job) = self.jobs.held.remove(&job) else {
             return;
         };
@@ -453,9 +457,9 @@
         if worthless && self.chance.random_bool(HOPELESS) {
             status = 500;
         }
-        self.note(Entry::Ran {
+        self.note(Event::Executed {
             pod: number,
-            of,
+            attempt: of,
             effect,
         });
         let build = build.to_string();
@@ -480,7 +484,7 @@
     }
 
     /// A hit is in work, and done by `until`: from here on its mark is known.
-    fn begun(&mut self, number: PodNo, job: u64, until: Duration) {
+    fn begun(&mut self, number: PodId, job: u64, until: Duration) {
         if let Some(held) = self.jobs.held.get_mut(&job) {
             let marked = held.mark.clone().zip(self.script.memory(held.group));
             held.effect =
@@ -489,7 +493,7 @@
         self.wheel.schedule(until, Due::Done(number, job));
     }
 
-    fn work_on(&mut self, number: PodNo) {
+    fn work_on(&mut self, number: PodId) {
         let now = self.now;
         while let Some(next) = self
             .pods
@@ -519,7 +523,7 @@
     fn answer(
         &mut self,
         id: SocketId,
-        number: PodNo,
+        number: PodId,
         status: u16,
         fields: &[(&str, &str)],
         streams: bool,
@@ -565,14 +569,17 @@
     }
 }
 
-fn try_of(head: &RequestHead) -> Option<Try> {
+fn try_of(head: &RequestHead) -> Option<AttemptKey> {
     let (order, number) = head.fields.text(TRY)?.split_once('-')?;
-    Some(Try(OrderId(order.parse().ok()?), number.parse().ok()?))
+    Some(AttemptKey::new(
+        RequestId(order.parse().ok()?),
+        number.parse().ok()?,
+    ))
 }
 
 /// The number of a sidecar in `... sidecar-N`.
-pub fn sidecar_of(text: Option<&str>) -> Option<SidecarNo> {
+pub fn sidecar_of(text: Option<&str>) -> Option<SidecarId> {
     let number = text?.split("sidecar-").nth(1)?;
     let digits: String = number.chars().take_while(char::is_ascii_digit).collect();
-    digits.parse().ok().map(SidecarNo)
+    digits.parse().ok().map(SidecarId)
 }
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -4,7 +4,7 @@
 use super::{Day, DayTrouble};
 use crate::fleet::{key_file, listens, write_keys, Relay, CLOCK};
 use limewing_fault_injection::Act;
-use limewing_rule_checker::record::{Entry, SidecarNo};
+use limewing_rule_checker::record::{Event, SidecarId};
 use limewing_settings::{
     Customer, Fleet, Headers, Installer, ListService, Seconds, SidecarSettings,
 };
@@ -151,7 +151,7 @@
     /// What the script of faults does to links and sidecars by now.
     pub(super) fn faults(&mut self) -> Result<(), DayTrouble> {
         for act in self.relay.as_ref().map(Relay::turn).unwrap_or_default() {
-            self.note(Entry::Trouble {
+            self.note(Event::Fault {
                 text: format!("{act:?}"),
             });
             match act {
@@ -183,22 +183,22 @@
     }
 
     pub(super) fn bid_leave(&mut self, number: usize) {
-        self.note(Entry::SidecarLeaves {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarDraining {
+            sidecar: SidecarId(number as u32),
         });
         self.processes[number].leave();
     }
 
     pub(super) fn stop_sidecar(&mut self, number: usize) {
         self.processes[number].stop(true);
-        self.note(Entry::SidecarStopped {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarSuspended {
+            sidecar: SidecarId(number as u32),
         });
     }
 
     pub(super) fn let_go_on(&mut self, number: usize) {
-        self.note(Entry::SidecarGoesOn {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarResumed {
+            sidecar: SidecarId(number as u32),
         });
         self.processes[number].stop(false);
     }
@@ -247,8 +247,8 @@
                     .to_string(),
             );
         }
-        self.note(Entry::SidecarUp {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarStarted {
+            sidecar: SidecarId(number as u32),
         });
         let mut child = command.spawn()?;
         let mut line = String::new();
@@ -281,9 +281,9 @@
     }
 
     pub(super) fn kill_sidecar(&mut self, number: usize) {
-        let sidecar = SidecarNo(number as u32);
+        let sidecar = SidecarId(number as u32);
         // Told first: what its end cuts off is seen afterwards.
-        self.note(Entry::SidecarDown { sidecar });
+        self.note(Event::SidecarExited { sidecar });
         self.relay
             .iter()
             .for_each(|relay| relay.stands(number, None));
@@ -293,8 +293,8 @@
     pub(super) fn start_again(&mut self, number: usize) -> Result<(), DayTrouble> {
         let address = self.processes[number].address;
         if !self.processes[number].gone {
-            self.note(Entry::SidecarDown {
-                sidecar: SidecarNo(number as u32),
+            self.note(Event::SidecarExited {
+                sidecar: SidecarId(number as u32),
             });
             self.processes[number].end();
         }
@@ -303,11 +303,11 @@
     }
 
     /// Notes a sidecar that has ended by itself.
-    pub(super) fn look_after(&mut self, sidecar: SidecarNo) {
+    pub(super) fn look_after(&mut self, sidecar: SidecarId) {
         let process = &mut self.processes[sidecar.0 as usize];
         if !process.gone && matches!(process.child.try_wait(), Ok(Some(_))) {
             process.gone = true;
-            self.note(Entry::SidecarDown { sidecar });
+            self.note(Event::SidecarExited { sidecar });
         }
     }
 }
--- a/crates/emulators/src/day/services.rs
+++ b/crates/emulators/src/day/services.rs
@@ -9,7 +9,7 @@
 use limewing_net::http::{write_response, RequestHead};
 use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
-use limewing_rule_checker::record::{Entry, Phase, PodNo, SidecarNo};
+use limewing_rule_checker::record::{Event, Phase, PodId, SidecarId};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -24,10 +24,10 @@
     pub installer_at: SocketAddr,
     index: u64,
     body: Vec<u8>,
-    ready: Vec<PodNo>,
-    draining: Vec<PodNo>,
+    ready: Vec<PodId>,
+    draining: Vec<PodId>,
     /// Sidecars that were told a list with pods in it.
-    pub told: BTreeSet<SidecarNo>,
+    pub told: BTreeSet<SidecarId>,
     pub show: bool,
     made: u64,
     newest: u64,
@@ -40,13 +40,13 @@
 pub struct Published {
     number: u64,
     body: Vec<u8>,
-    ready: Vec<PodNo>,
-    draining: Vec<PodNo>,
+    ready: Vec<PodId>,
+    draining: Vec<PodId>,
 }
 
 pub struct ListLink {
     requests: RequestReader,
-    sidecar: Option<SidecarNo>,
+    sidecar: Option<SidecarId>,
     /// Waits for an index other than this; with the number of the query.
     waits: Option<u64>,
     asked: u64,
@@ -74,13 +74,13 @@
 /// What is still to be said to a vote.
 pub struct LateAnswer {
     id: SocketId,
-    sidecar: SidecarNo,
+    sidecar: SidecarId,
     state: State,
     reply: String,
 }
 
 pub struct NewsLink {
-    sidecar: SidecarNo,
+    sidecar: SidecarId,
 }
 
 #[derive(Deserialize)]
@@ -264,7 +264,7 @@
         if !ready.is_empty() {
             self.list.told.insert(sidecar);
         }
-        self.note(Entry::ListTold {
+        self.note(Event::EndpointsNotified {
             sidecar,
             ready,
             draining,
@@ -363,7 +363,7 @@
         }
     }
 
-    fn open_news(&mut self, id: SocketId, sidecar: SidecarNo, _: &RequestHead) {
+    fn open_news(&mut self, id: SocketId, sidecar: SidecarId, _: &RequestHead) {
         let mut out = BytesMut::new();
         let fields = [(&b"content-type"[..], &b"text/event-stream"[..])];
         write_response(&mut out, 200, fields.into_iter(), Framing::Chunked, true);
@@ -376,9 +376,9 @@
         let state = self.installer.state();
         let phase = match state.phase {
             Phase::OnTrial => "on_trial",
-            Phase::GoingBack => "going_back",
+            Phase::RollingBack => "going_back",
             Phase::Released => "released",
-            Phase::Withdrawn => "withdrawn",
+            Phase::RolledBack => "withdrawn",
         };
         let State {
             number,
@@ -392,14 +392,14 @@
         })
     }
 
-    fn note_stage_told(&mut self, sidecar: SidecarNo) {
+    fn note_stage_told(&mut self, sidecar: SidecarId) {
         let state = self.installer.state();
         self.note_told(sidecar, state);
     }
 
     fn note_told(
         &mut self,
-        sidecar: SidecarNo,
+        sidecar: SidecarId,
         State {
             number,
             build,
@@ -409,7 +409,7 @@
             ..
         }: State,
     ) {
-        self.note(Entry::StageTold {
+        self.note(Event::StageNotified {
             sidecar,
             number,
             build,
@@ -462,7 +462,7 @@
         self.wheel.schedule(self.now + every, Due::TellAll);
     }
 
-    fn vote(&mut self, id: SocketId, sidecar: SidecarNo, body: &[u8]) {
+    fn vote(&mut self, id: SocketId, sidecar: SidecarId, body: &[u8]) {
         let Ok(vote) = serde_json::from_slice::<Vote>(body) else {
             return self.plain(id, 400, b"");
         };
@@ -498,7 +498,7 @@
             .vote(sidecar, vote.build, vote.stage, verdict, self.now);
         let answer = if counted { "counted" } else { "moot" };
         let (build, stage, verdict) = (vote.build, vote.stage, vote.verdict);
-        self.note(Entry::Voted {
+        self.note(Event::Voted {
             sidecar,
             build,
             stage,
@@ -563,7 +563,7 @@
                 Step::DrainOthers { place, build } => self.drain_others(place, build),
                 Step::Tell => {
                     let state = self.installer.state();
-                    self.note(Entry::Stage {
+                    self.note(Event::StageChanged {
                         build: state.build,
                         stage: state.stage,
                         phase: state.phase,
--- a/crates/emulators/src/day/work.rs
+++ b/crates/emulators/src/day/work.rs
@@ -6,7 +6,7 @@
 use crate::installer::PlaceNo;
 use crate::script::{WorkDoes, WorkScript};
 use limewing_http_proxy::service::{Asked, Said, WorkView};
-use limewing_rule_checker::record::Entry;
+use limewing_rule_checker::record::Event;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -164,7 +164,10 @@
         agents.post(Post::Does(does.clone()));
         if let WorkDoes::Ask(list) = does {
             let (out, out_in_zone) = (list.limits.out, list.limits.out_in_zone.unwrap_or(u16::MAX));
-            self.note(Entry::WorkAsked { out, out_in_zone });
+            self.note(Event::MaintenanceRequested {
+                max_out: out,
+                max_out_in_zone: out_in_zone,
+            });
         }
     }
 
@@ -209,8 +212,8 @@
                 .map(|(no, _)| *no)
                 .collect();
             pods.into_iter().for_each(|pod| {
-                self.note(Entry::WorkOut {
-                    place: place.0,
+                self.note(Event::MachineOut {
+                    machine: place.0,
                     pod,
                 })
             });
@@ -240,10 +243,10 @@
             .map(|place| self.open_at(PlaceNo(*place)))
             .sum();
         let zone = place.0 % self.script.fleet.zones.len();
-        self.note(Entry::WorkBegins {
-            place: place.0,
+        self.note(Event::MaintenanceStarted {
+            machine: place.0,
             zone: zone as u16,
-            open,
+            in_flight: open,
         });
         places
             .into_iter()
@@ -264,9 +267,9 @@
         if work.twice.contains(&place.0) {
             agents.post(Post::Report(grant, said));
         }
-        self.note(Entry::WorkEnds {
-            place: place.0,
-            well: !fails,
+        self.note(Event::MaintenanceEnded {
+            machine: place.0,
+            succeeded: !fails,
         });
         self.script
             .places_of(place.0)
--- a/crates/emulators/src/installer.rs
+++ b/crates/emulators/src/installer.rs
@@ -1,6 +1,6 @@
 //! The installer as a model: brings a build in by stages, place by place, and takes votes.
 
-use limewing_rule_checker::record::{Phase, SidecarNo};
+use limewing_rule_checker::record::{Phase, SidecarId};
 use limewing_settings::{Control, Releases};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     state: State,
     before: u16,
     places: Vec<(u16, At)>,
-    votes: BTreeMap<SidecarNo, Vote>,
+    votes: BTreeMap<SidecarId, Vote>,
     ran: Duration,
     last: Duration,
     next: Option<u16>,
@@ -96,7 +96,7 @@
     pub fn offer(&mut self, build: u16, now: Duration) {
         self.next = Some(build);
         if self.state.phase == Phase::OnTrial {
-            self.enter(Phase::GoingBack, self.state.stage, now);
+            self.enter(Phase::RollingBack, self.state.stage, now);
         }
     }
 
@@ -104,7 +104,7 @@
         let cap = match phase {
             Phase::OnTrial => self.terms.stages[usize::from(stage)].cap,
             Phase::Released => 1.0,
-            Phase::GoingBack | Phase::Withdrawn => 0.0,
+            Phase::RollingBack | Phase::RolledBack => 0.0,
         };
         (self.ran, self.last) = (Duration::ZERO, now);
         let number = self.state.number + 1;
@@ -120,7 +120,7 @@
     /// Takes a vote; none if it counts for nothing now.
     pub fn vote(
         &mut self,
-        of: SidecarNo,
+        of: SidecarId,
         build: u16,
         stage: u8,
         verdict: Verdict,
@@ -187,13 +187,13 @@
         if matches!(phase, Phase::OnTrial | Phase::Released) && build != self.before {
             let back = self.count(Verdict::Back, now) >= self.terms.back_votes as usize;
             if back {
-                self.enter(Phase::GoingBack, stage, now);
+                self.enter(Phase::RollingBack, stage, now);
                 steps.push(Step::Tell);
                 return steps;
             }
         }
         match phase {
-            Phase::Released | Phase::Withdrawn => {
+            Phase::Released | Phase::RolledBack => {
                 if let Some(next) = self.next.take() {
                     self.before = if phase == Phase::Released {
                         build
@@ -205,10 +205,10 @@
                     steps.push(Step::Tell);
                 }
             }
-            Phase::GoingBack => {
+            Phase::RollingBack => {
                 self.replace(self.before, 1.0, &mut steps);
                 if settled && self.places.iter().all(|(build, _)| *build == self.before) {
-                    self.enter(Phase::Withdrawn, stage, now);
+                    self.enter(Phase::RolledBack, stage, now);
                     steps.push(Step::Tell);
                 }
             }
--- a/crates/emulators/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -4,9 +4,9 @@
 
 use super::pod::{answer, read_statement};
 use super::{listing, state, Answer, Client, Discovery, Listed, Rollouts, Vote};
-use limewing_rule_checker::record::Terms;
 use limewing_rule_checker::record::{
-    Entry, Final, Group, Line, OrderId, Phase, PodNo, Reach, Repeat, SidecarNo, Try,
+    AttemptKey, DeduplicationScope, Event, FinalAnswer, Idempotency, Phase, PodId, RecordLine,
+    RequestClass, RequestId, RuleLimits, SidecarId,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -23,7 +23,7 @@
 /// A pod's cores.
 const CAPACITY: f64 = 4.0;
 
-type Lines = Arc<Mutex<Vec<Line>>>;
+type Lines = Arc<Mutex<Vec<RecordLine>>>;
 
 #[derive(Clone)]
 struct Record {
@@ -32,12 +32,12 @@
 }
 
 impl Record {
-    fn note(&self, entry: Entry) {
+    fn note(&self, event: Event) {
         let mut lines = self.lines.lock().unwrap();
         // The time is taken under the lock, so that the record's times never go back.
-        lines.push(Line {
+        lines.push(RecordLine {
             at: self.start.elapsed(),
-            entry,
+            event,
         });
     }
 }
@@ -77,14 +77,14 @@
 
 impl World {
     /// For so many sidecars; none of them is up yet.
-    pub fn new(sidecars: usize, terms: Terms, seed: u64) -> Self {
+    pub fn new(sidecars: usize, limits: RuleLimits, seed: u64) -> Self {
         let record = Record {
             start: Instant::now(),
             lines: Lines::default(),
         };
-        record.note(Entry::Begin {
+        record.note(Event::Begin {
             day: "platform".into(),
-            terms,
+            limits,
         });
         // Silence until something is told: `since` is what the sidecar knows.
         let discovery = (0..sidecars)
@@ -111,35 +111,35 @@
         }
     }
 
-    pub fn terms(caps: Vec<f64>) -> Terms {
-        let group = |repeat| Group {
+    pub fn limits(caps: Vec<f64>) -> RuleLimits {
+        let group = |repeat| RequestClass {
             name: String::new(),
-            repeat,
-            target_latency: Duration::from_secs(1),
-            benefit: 1.0,
+            idempotency: repeat,
+            latency_objective: Duration::from_secs(1),
+            priority_weight: 1.0,
         };
-        let tagged = Repeat::Tagged {
-            reach: Reach::All,
-            memory: Duration::from_secs(3),
+        let tagged = Idempotency::Keyed {
+            deduplicated_by: DeduplicationScope::All,
+            window: Duration::from_secs(3),
         };
-        Terms {
-            groups: vec![
-                group(Repeat::Repeatable),
+        RuleLimits {
+            classes: vec![
+                group(Idempotency::Idempotent),
                 group(tagged),
-                group(Repeat::Mutating),
+                group(Idempotency::NonIdempotent),
             ],
             answer_slack: Duration::from_millis(100),
             drain_grace: Duration::from_millis(500),
-            cold_from: 0.5,
-            cold_for: Duration::from_secs(1),
-            fall_multiple: 2.0,
-            fall_within: Duration::from_secs(1),
-            caps,
-            cap_window: Duration::from_secs(2),
-            cap_free: 1.0,
-            cap_by_group: false,
+            slow_start_from: 0.5,
+            slow_start_duration: Duration::from_secs(1),
+            overload_multiple: 2.0,
+            overload_window: Duration::from_secs(1),
+            exposure_caps: caps,
+            exposure_window: Duration::from_secs(2),
+            exposure_free: 1.0,
+            exposure_per_class: false,
             guarded_stages: 0,
-            keys_stay: false,
+            sticky_keys: false,
         }
     }
 
@@ -156,18 +156,18 @@
             ran,
             chance,
         });
-        self.record.note(Entry::PodUp {
-            pod: PodNo(number),
+        self.record.note(Event::PodStarted {
+            pod: PodId(number),
             build,
             zone: 0,
             cell: 0,
             capacity: CAPACITY,
-            cold,
+            warming_up: cold,
         });
         let addresses = (0..self.discovery.len()).map(|sidecar| {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let at = listener.local_addr().unwrap();
-            let (pod, sidecar) = (pod.clone(), SidecarNo(sidecar as u32));
+            let (pod, sidecar) = (pod.clone(), SidecarId(sidecar as u32));
             std::thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
                     let pod = pod.clone();
@@ -206,11 +206,11 @@
     pub fn knows(&self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
         let of = |wanted: &str| {
             let some = pods.iter().filter(|(_, health, _)| *health == wanted);
-            some.map(|(pod, ..)| PodNo(*pod as u32)).collect()
+            some.map(|(pod, ..)| PodId(*pod as u32)).collect()
         };
         let (ready, draining) = (of("in_service"), of("terminating"));
-        self.record.note(Entry::ListTold {
-            sidecar: SidecarNo(sidecar as u32),
+        self.record.note(Event::EndpointsNotified {
+            sidecar: SidecarId(sidecar as u32),
             ready,
             draining,
         });
@@ -231,12 +231,12 @@
     pub fn knows_news(&self, sidecar: usize, build: u16, stage: u8, name: &str, cap: f64) {
         let phase = match name {
             "Progressing" => Phase::OnTrial,
-            "Aborting" => Phase::GoingBack,
+            "Aborting" => Phase::RollingBack,
             "Healthy" => Phase::Released,
-            _ => Phase::Withdrawn,
+            _ => Phase::RolledBack,
         };
-        let (sidecar, number) = (SidecarNo(sidecar as u32), self.news);
-        self.record.note(Entry::StageTold {
+        let (sidecar, number) = (SidecarId(sidecar as u32), self.news);
+        self.record.note(Event::StageNotified {
             sidecar,
             number,
             build,
@@ -246,8 +246,8 @@
         });
     }
 
-    pub fn note(&self, entry: Entry) {
-        self.record.note(entry);
+    pub fn note(&self, event: Event) {
+        self.record.note(event);
     }
 
     pub fn fail(&self, pod: usize, faults: Faults) {
@@ -263,7 +263,7 @@
         waits: Duration,
         stop: Arc<std::sync::atomic::AtomicBool>,
     ) -> std::thread::JoinHandle<usize> {
-        let (record, sidecar) = (self.record.clone(), SidecarNo(sidecar as u32));
+        let (record, sidecar) = (self.record.clone(), SidecarId(sidecar as u32));
         let mut chance = StdRng::seed_from_u64(self.seed ^ name);
         std::thread::spawn(move || {
             let (mut delivered, mut next, mut link) = (0, 0u64, None);
@@ -273,15 +273,18 @@
                     std::thread::sleep(Duration::from_millis(if link.is_some() { 0 } else { 20 }));
                     continue;
                 };
-                let order = OrderId(name << 32 | next);
+                let order = RequestId(name << 32 | next);
                 next += 1;
-                let (of, group) = (Try(order, 0), chance.random_range(0..GROUPS.len()));
-                record.note(Entry::Asked {
+                let (of, group) = (
+                    AttemptKey::new(order, 0),
+                    chance.random_range(0..GROUPS.len()),
+                );
+                record.note(Event::RequestSent {
                     sidecar,
-                    of,
-                    group,
-                    waits,
-                    key: None,
+                    attempt: of,
+                    class: group,
+                    timeout: waits,
+                    routing_key: None,
                 });
                 let asked = format!(
                     "SELECT blob FROM rows WHERE handle = '7f3a' /* id={:016x},c={},t=acme,d={},k={:x} */",
@@ -292,10 +295,10 @@
                 );
                 let reached = client.asks(&asked);
                 let heard = if reached { client.hears() } else { Answer::End };
-                let told = |ended, build| Entry::Answered {
+                let told = |ended, build| Event::Answered {
                     sidecar,
-                    of,
-                    ended,
+                    attempt: of,
+                    answer: ended,
                     status: 0,
                     build,
                 };
@@ -306,28 +309,31 @@
                         delivered += usize::from(own);
                         // What no pod made for this hit is no answer to it.
                         record.note(match own {
-                            true => told(Final::Delivered, build.parse().ok()),
-                            false => Entry::Unasked {
+                            true => told(FinalAnswer::Delivered, build.parse().ok()),
+                            false => Event::UnexpectedAnswer {
                                 sidecar,
-                                of: Some(of),
+                                attempt: Some(of),
                             },
                         });
                     }
                     Answer::Error(code, _) if matches!(code.as_str(), "53300" | "57P03") => {
-                        record.note(told(Final::Bounced, None));
+                        record.note(told(FinalAnswer::Rejected, None));
                         std::thread::sleep(Duration::from_millis(20));
                     }
-                    Answer::Error(..) => record.note(told(Final::Errored, None)),
-                    Answer::Empty | Answer::Done(_) => record.note(Entry::Unasked {
+                    Answer::Error(..) => record.note(told(FinalAnswer::Failed, None)),
+                    Answer::Empty | Answer::Done(_) => record.note(Event::UnexpectedAnswer {
                         sidecar,
-                        of: Some(of),
+                        attempt: Some(of),
                     }),
                     Answer::End => {
                         let late = client.waited_out();
                         record.note(if late {
-                            Entry::GaveUp { of }
+                            Event::ClientTimedOut { attempt: of }
                         } else {
-                            Entry::Lost { of, reached }
+                            Event::ConnectionLost {
+                                attempt: of,
+                                written: reached,
+                            }
                         });
                         link = None;
                     }
@@ -339,14 +345,14 @@
     }
 
     /// The record so far, ended.
-    pub fn lines(&self) -> Vec<Line> {
-        self.record.note(Entry::End {});
+    pub fn lines(&self) -> Vec<RecordLine> {
+        self.record.note(Event::End {});
         self.record.lines.lock().unwrap().clone()
     }
 }
 
 impl Standing {
-    fn serve(&self, stream: TcpStream, sidecar: SidecarNo) -> Option<()> {
+    fn serve(&self, stream: TcpStream, sidecar: SidecarId) -> Option<()> {
         let mut link = super::pod::welcome(stream)?;
         loop {
             let text = read_statement(&mut link)?;
@@ -355,14 +361,14 @@
                 text[at..].split([',', ' ']).next()
             };
             let (id, group) = (field("id")?.to_owned(), field(",c")?.to_owned());
-            let of = Try(OrderId(u64::from_str_radix(&id, 16).ok()?), 0);
+            let of = AttemptKey::new(RequestId(u64::from_str_radix(&id, 16).ok()?), 0);
             let group = GROUPS.iter().position(|name| *name == group)?;
-            let pod = PodNo(self.number);
-            self.record.note(Entry::Arrived {
+            let pod = PodId(self.number);
+            self.record.note(Event::ForwardArrived {
                 pod,
                 sidecar,
-                of,
-                group,
+                attempt: of,
+                class: group,
                 work: WORK,
             });
             let faults = *self.faults.lock().unwrap();
@@ -383,16 +389,17 @@
                 draw < sum
             });
             if fault == Some(0) {
-                self.record.note(Entry::TurnedAway { pod, of });
+                self.record
+                    .note(Event::ForwardRejected { pod, attempt: of });
                 link.stream.write_all(&super::pod::error("53300")).ok()?;
                 continue;
             }
             std::thread::sleep(Duration::from_millis(span));
             // A repeat of a mark is dropped: it has no second effect.
             let fresh = GROUPS[group] != "order" || self.ran.lock().unwrap().insert(id.clone());
-            self.record.note(Entry::Ran {
+            self.record.note(Event::Executed {
                 pod,
-                of,
+                attempt: of,
                 effect: fresh,
             });
             match fault {
--- a/crates/emulators/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -1,7 +1,7 @@
 //! A day as its file says: the fleet, the hits, the releases, and what goes wrong when. JSON; spans in seconds.
 
 use limewing_fault_injection::Script;
-use limewing_rule_checker::record;
+use limewing_rule_checker::record::{DeduplicationScope, Idempotency, RequestClass, RuleLimits};
 use limewing_settings::{
     Checked, ConfigError, Limits, PathGroup, Reach, Releases, Repeat, Rules, Seconds, WorkList,
 };
@@ -280,44 +280,29 @@
 }
 
 impl DayScript {
-    pub fn terms(&self) -> record::Terms {
-        let groups = self
-            .groups
-            .iter()
-            .map(|GroupScript { group, .. }| record::Group {
-                name: group.name.clone(),
-                repeat: match group.repeat {
-                    Repeat::Repeatable => record::Repeat::Repeatable,
-                    Repeat::Mutating => record::Repeat::Mutating,
-                    Repeat::Tagged { reach, memory } => {
-                        let reach = match reach {
-                            Reach::All => record::Reach::All,
-                            Reach::Zone => record::Reach::Zone,
-                            Reach::Cell => record::Reach::Cell,
-                        };
-                        record::Repeat::Tagged {
-                            reach,
-                            memory: memory.into(),
-                        }
-                    }
-                },
-                target_latency: group.target_latency.into(),
-                benefit: group.benefit,
-            });
-        record::Terms {
-            groups: groups.collect(),
+    /// What the rules are held to on this day.
+    #[must_use]
+    pub fn rule_limits(&self) -> RuleLimits {
+        let classes = self.groups.iter().map(|class| RequestClass {
+            name: class.group.name.clone(),
+            idempotency: idempotency_of(class.group.repeat),
+            latency_objective: class.group.target_latency.into(),
+            priority_weight: class.group.benefit,
+        });
+        RuleLimits {
+            classes: classes.collect(),
             answer_slack: self.rules.answer_slack.into(),
             drain_grace: self.rules.drain_grace.into(),
-            cold_from: self.rules.cold_from,
-            cold_for: self.rules.cold_for.into(),
-            fall_multiple: self.rules.fall_multiple,
-            fall_within: self.rules.fall_within.into(),
-            caps: self.releases.stages.iter().map(|stage| stage.cap).collect(),
-            cap_window: self.releases.cap_window.into(),
-            cap_free: self.releases.cap_free,
-            cap_by_group: self.releases.cap_by_group,
+            slow_start_from: self.rules.cold_from,
+            slow_start_duration: self.rules.cold_for.into(),
+            overload_multiple: self.rules.fall_multiple,
+            overload_window: self.rules.fall_within.into(),
+            exposure_caps: self.releases.stages.iter().map(|stage| stage.cap).collect(),
+            exposure_window: self.releases.cap_window.into(),
+            exposure_free: self.releases.cap_free,
+            exposure_per_class: self.releases.cap_by_group,
             guarded_stages: self.releases.guarded_stages,
-            keys_stay: self.releases.keys_stay,
+            sticky_keys: self.releases.keys_stay,
         }
     }
 
@@ -346,6 +331,21 @@
     }
 }
 
+fn idempotency_of(repeat: Repeat) -> Idempotency {
+    match repeat {
+        Repeat::Repeatable => Idempotency::Idempotent,
+        Repeat::Mutating => Idempotency::NonIdempotent,
+        Repeat::Tagged { reach, memory } => Idempotency::Keyed {
+            deduplicated_by: match reach {
+                Reach::All => DeduplicationScope::All,
+                Reach::Zone => DeduplicationScope::Zone,
+                Reach::Cell => DeduplicationScope::Cell,
+            },
+            window: memory.into(),
+        },
+    }
+}
+
 impl Checked for DayScript {
     fn config_errors(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
--- a/crates/rule-checker/src/across.rs
+++ b/crates/rule-checker/src/across.rs
@@ -1,7 +1,7 @@
 //! What no sidecar alone can keep, counted from the record: routing keys that went back to an older build at another sidecar, or at a
 //! later life of one, and hits that may not run twice and did, through whichever sidecars.
 
-use crate::record::{Entry, Final, Line, Phase, Repeat, SidecarNo, Terms};
+use crate::record::{Event, FinalAnswer, Idempotency, Phase, RecordLine, RuleLimits, SidecarId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -20,35 +20,40 @@
     pub first: Vec<(Duration, String)>,
 }
 
-pub fn across(lines: &[Line]) -> Option<Across> {
-    let terms: &Terms = lines.iter().find_map(|line| match &line.entry {
-        Entry::Begin { terms, .. } => Some(terms),
+pub fn across(lines: &[RecordLine]) -> Option<Across> {
+    let terms: &RuleLimits = lines.iter().find_map(|line| match &line.event {
+        Event::Begin { limits: terms, .. } => Some(terms),
         _ => None,
     })?;
     let mut found = Across::default();
     let (mut keys, mut groups, mut builds) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     // By key: the newest build that answered it, and when it first did.
     let mut met: BTreeMap<u64, (u16, Duration)> = BTreeMap::new();
-    let mut news: BTreeMap<SidecarNo, (u16, Phase)> = BTreeMap::new();
+    let mut news: BTreeMap<SidecarId, (u16, Phase)> = BTreeMap::new();
     let mut effects: BTreeMap<_, usize> = BTreeMap::new();
     for line in lines {
         let at = line.at;
-        match &line.entry {
-            Entry::PodUp { pod, build, .. } => drop(builds.insert(*pod, *build)),
-            Entry::SidecarUp { sidecar } => drop(news.remove(sidecar)),
-            Entry::StageTold {
+        match &line.event {
+            Event::PodStarted { pod, build, .. } => drop(builds.insert(*pod, *build)),
+            Event::SidecarStarted { sidecar } => drop(news.remove(sidecar)),
+            Event::StageNotified {
                 sidecar,
                 build,
                 phase,
                 ..
             } => drop(news.insert(*sidecar, (*build, *phase))),
-            Entry::Asked { of, group, key, .. } => {
+            Event::RequestSent {
+                attempt: of,
+                class: group,
+                routing_key: key,
+                ..
+            } => {
                 groups.insert(*of, *group);
                 keys.extend(key.map(|key| (*of, key)));
             }
-            Entry::Answered {
-                of,
-                ended: Final::Delivered,
+            Event::Answered {
+                attempt: of,
+                answer: FinalAnswer::Delivered,
                 build: Some(build),
                 ..
             } => {
@@ -59,9 +64,12 @@
                     }
                 }
             }
-            Entry::Arrived {
-                pod, sidecar, of, ..
-            } if terms.keys_stay => {
+            Event::ForwardArrived {
+                pod,
+                sidecar,
+                attempt: of,
+                ..
+            } if terms.sticky_keys => {
                 let (Some(build), Some(key)) = (builds.get(pod), keys.get(of)) else {
                     continue;
                 };
@@ -81,27 +89,29 @@
                     if found.keys_back == 1 {
                         let met = since.as_secs_f64();
                         let text = format!(
-                            "{sidecar:?} sent key {key} to build {build}, which had met {newest} at {met:.3} s"
+                            "{sidecar} sent key {key} to build {build}, which had met {newest} at {met:.3} s"
                         );
                         found.first.push((at, text));
                     }
                 }
             }
-            Entry::Ran {
-                of, effect: true, ..
+            Event::Executed {
+                attempt: of,
+                effect: true,
+                ..
             } => {
-                let mutating = groups
-                    .get(of)
-                    .is_some_and(|group| terms.groups[*group].repeat == Repeat::Mutating);
+                let mutating = groups.get(of).is_some_and(|group| {
+                    terms.classes[*group].idempotency == Idempotency::NonIdempotent
+                });
                 if mutating {
-                    let many = effects.entry(of.0).or_insert(0);
+                    let many = effects.entry(of.request).or_insert(0);
                     *many += 1;
                     found.once += usize::from(*many == 1);
                     found.twice += usize::from(*many == 2);
                     if *many == 2 && found.twice == 1 {
                         found
                             .first
-                            .push((at, format!("{:?} had an effect twice", of.0)));
+                            .push((at, format!("{} had an effect twice", of.request)));
                     }
                 }
             }
--- a/crates/rule-checker/src/balance.rs
+++ b/crates/rule-checker/src/balance.rs
@@ -1,6 +1,6 @@
 //! How a day's load was spread over its pods, from the record alone.
 
-use crate::record::{Entry, Line, PodNo, SidecarNo};
+use crate::record::{Event, PodId, RecordLine, SidecarId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -25,15 +25,15 @@
     since: Duration,
     ran: Duration,
     came: usize,
-    users: BTreeMap<u128, BTreeSet<SidecarNo>>,
+    users: BTreeMap<u128, BTreeSet<SidecarId>>,
 }
 
-pub fn balance(lines: &[Line]) -> Balance {
-    let mut pods: BTreeMap<PodNo, Pod> = BTreeMap::new();
+pub fn balance(lines: &[RecordLine]) -> Balance {
+    let mut pods: BTreeMap<PodId, Pod> = BTreeMap::new();
     let end = lines.last().map_or(Duration::ZERO, |line| line.at);
     for line in lines {
-        match &line.entry {
-            Entry::PodUp { pod, capacity, .. } => {
+        match &line.event {
+            Event::PodStarted { pod, capacity, .. } => {
                 pods.insert(
                     *pod,
                     Pod {
@@ -43,11 +43,11 @@
                     },
                 );
             }
-            Entry::PodDown { pod } => {
+            Event::PodExited { pod } => {
                 pods.entry(*pod)
                     .and_modify(|pod| pod.ran = line.at.saturating_sub(pod.since));
             }
-            Entry::Arrived { pod, sidecar, .. } => {
+            Event::ForwardArrived { pod, sidecar, .. } => {
                 if let Some(pod) = pods.get_mut(pod) {
                     pod.came += 1;
                     let span = line.at.as_millis() / SPAN.as_millis();
@@ -88,9 +88,9 @@
 }
 
 /// Forwards that each pod got in each second of its life, over its strength: (second, forwards).
-pub fn by_second(lines: &[Line]) -> BTreeMap<PodNo, Vec<(f64, f64)>> {
-    let mut up: BTreeMap<PodNo, f64> = BTreeMap::new();
-    let mut courses: BTreeMap<PodNo, Vec<(f64, f64)>> = BTreeMap::new();
+pub fn by_second(lines: &[RecordLine]) -> BTreeMap<PodId, Vec<(f64, f64)>> {
+    let mut up: BTreeMap<PodId, f64> = BTreeMap::new();
+    let mut courses: BTreeMap<PodId, Vec<(f64, f64)>> = BTreeMap::new();
     let fill = |course: &mut Vec<(f64, f64)>, to: Duration| {
         while course
             .last()
@@ -101,12 +101,12 @@
         }
     };
     for line in lines {
-        match &line.entry {
-            Entry::PodUp { pod, capacity, .. } => {
+        match &line.event {
+            Event::PodStarted { pod, capacity, .. } => {
                 up.insert(*pod, *capacity);
                 courses.insert(*pod, vec![(line.at.as_secs() as f64, 0.0)]);
             }
-            Entry::Arrived { pod, .. } => {
+            Event::ForwardArrived { pod, .. } => {
                 let Some((course, capacity)) = courses.get_mut(pod).zip(up.get(pod)) else {
                     continue;
                 };
@@ -117,15 +117,15 @@
                     .into_iter()
                     .for_each(|point| point.1 += 1.0 / capacity.max(1e-9));
             }
-            Entry::PodDown { pod } => {
+            Event::PodExited { pod } => {
                 up.remove(pod);
                 courses
                     .get_mut(pod)
                     .into_iter()
                     .for_each(|course| fill(course, line.at));
             }
-            Entry::End {} => {
-                let left = |(pod, course): (&PodNo, _)| up.contains_key(pod).then_some(course);
+            Event::End {} => {
+                let left = |(pod, course): (&PodId, _)| up.contains_key(pod).then_some(course);
                 courses
                     .iter_mut()
                     .filter_map(left)
--- /dev/null
+++ b/crates/rule-checker/src/record/ids.rs
@@ -0,0 +1,72 @@
+//! Numbers by which a record names requests, pods and sidecars. Their `Display` is what violations print.
+
+use serde::{Deserialize, Serialize};
+use std::fmt::{self, Display, Formatter};
+
+/// A request as its client sees it; the client's attempts share the number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct RequestId(pub u64);
+
+/// One process of a pod: a pod that starts again gets a new number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct PodId(pub u32);
+
+/// A sidecar by its place in the fleet; it keeps the number over restarts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct SidecarId(pub u32);
+
+/// One attempt of a client: it is a request of its own for the sidecar that gets it. Written as the pair `[request, number]`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(from = "(RequestId, u16)", into = "(RequestId, u16)")]
+pub struct AttemptKey {
+    /// The request that the client wants answered.
+    pub request: RequestId,
+    /// 0 for the client's first attempt, counted up by its retries.
+    pub number: u16,
+}
+
+impl AttemptKey {
+    /// The attempt `number` of `request`.
+    #[must_use]
+    pub const fn new(request: RequestId, number: u16) -> Self {
+        Self { request, number }
+    }
+}
+
+impl From<(RequestId, u16)> for AttemptKey {
+    fn from((request, number): (RequestId, u16)) -> Self {
+        Self::new(request, number)
+    }
+}
+
+impl From<AttemptKey> for (RequestId, u16) {
+    fn from(key: AttemptKey) -> Self {
+        (key.request, key.number)
+    }
+}
+
+// Operators search the printed violations by these words, so they stay as they were first printed.
+
+impl Display for RequestId {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "OrderId({})", self.0)
+    }
+}
+
+impl Display for PodId {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "PodNo({})", self.0)
+    }
+}
+
+impl Display for SidecarId {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "SidecarNo({})", self.0)
+    }
+}
+
+impl Display for AttemptKey {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "Try({}, {})", self.request, self.number)
+    }
+}
--- a/crates/rule-checker/src/rules.rs
+++ b/crates/rule-checker/src/rules.rs
@@ -89,9 +89,9 @@
 }
 
 /// Checks a whole record; `read` makes sure that it has a begin and an end.
-pub fn check(lines: &[Line]) -> Option<Account> {
-    let Some(Line {
-        entry: Entry::Begin { day, terms },
+pub fn check(lines: &[RecordLine]) -> Option<Account> {
+    let Some(RecordLine {
+        event: Event::Begin { day, limits: terms },
         ..
     }) = lines.first()
     else {
@@ -118,7 +118,7 @@
 }
 
 struct Open {
-    sidecar: SidecarNo,
+    sidecar: SidecarId,
     /// Written while the sidecar did not run: taken, at the earliest, when it goes on, and nobody can tell it how
     /// long the client has waited by then.
     unseen: bool,
@@ -132,8 +132,8 @@
     forwarded: bool,
 }
 
-fn one_answer(lines: &[Line], terms: &Terms, stalls: &Stalls) -> Finding {
-    let mut tries: BTreeMap<Try, Open> = BTreeMap::new();
+fn one_answer(lines: &[RecordLine], terms: &RuleLimits, stalls: &Stalls) -> Finding {
+    let mut tries: BTreeMap<AttemptKey, Open> = BTreeMap::new();
     let mut breaches = Vec::new();
     let mut least: Option<Duration> = None;
     let mut breach = |at: Duration, text: String| {
@@ -144,13 +144,16 @@
         })
     };
     // Sidecars that do not run now. What falls due meanwhile is owed once they do.
-    let mut stopped: BTreeSet<SidecarNo> = BTreeSet::new();
+    let mut stopped: BTreeSet<SidecarId> = BTreeSet::new();
     let (mut down, mut leaving) = (BTreeSet::new(), BTreeSet::new());
     for line in lines {
         let at = line.at;
-        match &line.entry {
-            Entry::Asked {
-                sidecar, of, waits, ..
+        match &line.event {
+            Event::RequestSent {
+                sidecar,
+                attempt: of,
+                timeout: waits,
+                ..
             } => {
                 // Written to a process that is dead already: nobody took it.
                 let ended = down.contains(sidecar).then_some(at);
@@ -170,7 +173,7 @@
                 tries.insert(*of, open);
             }
             // A stream that has begun is in time: what follows is the client's and the pod's.
-            Entry::Answered { of, .. }
+            Event::Answered { attempt: of, .. }
                 if tries
                     .get(of)
                     .is_some_and(|open| open.begun.is_some() && open.answers == 1) =>
@@ -179,27 +182,27 @@
                     .entry(*of)
                     .and_modify(|open| (open.answers, open.ended) = (2, Some(at)));
             }
-            Entry::GaveUp { of } | Entry::Lost { of, .. }
+            Event::ClientTimedOut { attempt: of } | Event::ConnectionLost { attempt: of, .. }
                 if tries.get(of).is_some_and(|open| open.begun.is_some()) =>
             {
                 tries
                     .entry(*of)
                     .and_modify(|open| open.ended = open.ended.or(Some(at)));
             }
-            Entry::Answered { of, .. } | Entry::AnswerBegun { of, .. } => {
+            Event::Answered { attempt: of, .. } | Event::AnswerStarted { attempt: of, .. } => {
                 let Some(open) = tries.get_mut(of) else {
-                    breach(at, format!("{of:?} was answered and never asked"));
+                    breach(at, format!("{of} was answered and never asked"));
                     continue;
                 };
                 open.answers += 1;
                 if open.answers > 1 {
-                    breach(at, format!("{of:?} was answered {} times", open.answers));
+                    breach(at, format!("{of} was answered {} times", open.answers));
                 }
-                let begins = matches!(line.entry, Entry::AnswerBegun { .. });
+                let begins = matches!(line.event, Event::AnswerStarted { .. });
                 open.begun = begins.then_some(at);
                 let last = open.due + terms.answer_slack + stalls.blur(at);
                 if at > last {
-                    breach(at, format!("{of:?} was answered {} late", ms(at - last)));
+                    breach(at, format!("{of} was answered {} late", ms(at - last)));
                 }
                 least =
                     Some(least.map_or(last.saturating_sub(at), |l| l.min(last.saturating_sub(at))));
@@ -207,12 +210,18 @@
                     open.ended = open.ended.or(Some(at));
                 }
             }
-            Entry::Unasked { sidecar, of } => breach(
+            Event::UnexpectedAnswer {
+                sidecar,
+                attempt: of,
+            } => breach(
                 at,
-                format!("{sidecar:?} sent words that nobody waited for, after {of:?}"),
+                format!(
+                    "{sidecar} sent words that nobody waited for, after {}",
+                    last_attempt(of.as_ref())
+                ),
             ),
-            Entry::SidecarStopped { sidecar } => drop(stopped.replace(*sidecar)),
-            Entry::SidecarGoesOn { sidecar } => {
+            Event::SidecarSuspended { sidecar } => drop(stopped.replace(*sidecar)),
+            Event::SidecarResumed { sidecar } => {
                 stopped.remove(sidecar);
                 let held = tries
                     .values_mut()
@@ -228,7 +237,7 @@
             }
             // The client's time was up before the sidecar's, which did not run for a part of it; in the very moment in which it
             // goes on, it could not have answered yet.
-            Entry::GaveUp { of }
+            Event::ClientTimedOut { attempt: of }
                 if tries.get(of).is_some_and(|open| {
                     let last = open.due + terms.answer_slack + stalls.blur(at);
                     stopped.contains(&open.sidecar) || at <= last
@@ -236,13 +245,16 @@
             {
                 tries.entry(*of).and_modify(|open| open.ended = Some(at));
             }
-            Entry::GaveUp { of } => {
+            Event::ClientTimedOut { attempt: of } => {
                 if let Some(open) = tries.get_mut(of).filter(|open| open.ended.is_none()) {
-                    breach(at, format!("{of:?} had no answer within its time"));
+                    breach(at, format!("{of} had no answer within its time"));
                     open.ended = Some(at);
                 }
             }
-            Entry::Lost { of, reached: true } => {
+            Event::ConnectionLost {
+                attempt: of,
+                written: true,
+            } => {
                 // What reaches one that leaves as it closes a kept connection was not taken, unless it went on.
                 let untaken = |open: &Open| leaving.contains(&open.sidecar) && !open.forwarded;
                 if let Some(open) = tries
@@ -251,31 +263,37 @@
                 {
                     breach(
                         at,
-                        format!("{of:?}: a running sidecar dropped it without an answer"),
+                        format!("{of}: a running sidecar dropped it without an answer"),
                     );
                     open.ended = Some(at);
                 }
             }
             // The sidecar never had it, or the client went: nobody is owed anything.
-            Entry::Lost { of, reached: false } => drop(tries.remove(of)),
-            Entry::Left { of } => {
+            Event::ConnectionLost {
+                attempt: of,
+                written: false,
+            } => drop(tries.remove(of)),
+            Event::ClientDisconnected { attempt: of } => {
                 if let Some(open) = tries.get_mut(of) {
                     open.ended = open.ended.or(Some(at));
                 }
             }
             // What a dead sidecar held is no longer its duty.
-            Entry::SidecarLeaves { sidecar } => drop(leaving.replace(*sidecar)),
-            Entry::SidecarUp { sidecar } => {
+            Event::SidecarDraining { sidecar } => drop(leaving.replace(*sidecar)),
+            Event::SidecarStarted { sidecar } => {
                 down.remove(sidecar);
                 leaving.remove(sidecar);
             }
-            Entry::SidecarDown { sidecar } => {
+            Event::SidecarExited { sidecar } => {
                 down.insert(*sidecar);
                 let held = tries.values_mut().filter(|open| open.sidecar == *sidecar);
                 held.for_each(|open| open.ended = open.ended.or(Some(at)));
             }
-            Entry::Arrived {
-                of, sidecar, pod, ..
+            Event::ForwardArrived {
+                attempt: of,
+                sidecar,
+                pod,
+                ..
             } => {
                 tries.entry(*of).and_modify(|open| open.forwarded = true);
                 let ended = tries.get(of).and_then(|open| open.begun.or(open.ended));
@@ -283,16 +301,16 @@
                     let late = ms(at - ended);
                     breach(
                         at,
-                        format!("{sidecar:?} sent {of:?} to {pod:?} {late} after its end"),
+                        format!("{sidecar} sent {of} to {pod} {late} after its end"),
                     );
                 }
             }
-            Entry::End {} => {
+            Event::End {} => {
                 let unsettled = |open: &Open| open.ended.is_none() && open.begun.is_none();
                 for (of, open) in tries.iter().filter(|(_, open)| unsettled(open)) {
                     let untaken = leaving.contains(&open.sidecar) && !open.forwarded;
                     if at > open.due + terms.answer_slack + stalls.blur(at) && !untaken {
-                        breach(at, format!("{of:?} never had an answer"));
+                        breach(at, format!("{of} never had an answer"));
                     }
                 }
             }
@@ -311,17 +329,17 @@
 
 #[derive(Clone, Copy)]
 struct Seen {
-    pod: PodNo,
-    of: Try,
+    pod: PodId,
+    of: AttemptKey,
     at: Duration,
     turned_away: bool,
 }
 
-fn no_effect_twice(lines: &[Line], terms: &Terms) -> Finding {
-    let mut groups: BTreeMap<OrderId, usize> = BTreeMap::new();
-    let mut seen: BTreeMap<OrderId, Vec<Seen>> = BTreeMap::new();
-    let mut effects: BTreeMap<OrderId, usize> = BTreeMap::new();
-    let mut places: BTreeMap<PodNo, (u16, u16)> = BTreeMap::new();
+fn no_effect_twice(lines: &[RecordLine], terms: &RuleLimits) -> Finding {
+    let mut groups: BTreeMap<RequestId, usize> = BTreeMap::new();
+    let mut seen: BTreeMap<RequestId, Vec<Seen>> = BTreeMap::new();
+    let mut effects: BTreeMap<RequestId, usize> = BTreeMap::new();
+    let mut places: BTreeMap<PodId, (u16, u16)> = BTreeMap::new();
     let mut breaches = Vec::new();
     let mut breach = |at: Duration, text: String| {
         breaches.push(Breach {
@@ -333,54 +351,60 @@
     let mut slimmest: Option<Duration> = None;
     for line in lines {
         let at = line.at;
-        match &line.entry {
-            Entry::PodUp {
+        match &line.event {
+            Event::PodStarted {
                 pod, zone, cell, ..
             } => drop(places.insert(*pod, (*zone, *cell))),
-            Entry::Asked { of, group, .. } => drop(groups.insert(of.0, *group)),
-            Entry::Arrived { pod, of, .. } => {
-                let Some(repeat) = groups.get(&of.0).map(|group| terms.groups[*group].repeat)
+            Event::RequestSent {
+                attempt: of,
+                class: group,
+                ..
+            } => drop(groups.insert(of.request, *group)),
+            Event::ForwardArrived {
+                pod, attempt: of, ..
+            } => {
+                let Some(repeat) = groups
+                    .get(&of.request)
+                    .map(|group| terms.classes[*group].idempotency)
                 else {
                     continue;
                 };
-                let before = seen.entry(of.0).or_default();
+                let before = seen.entry(of.request).or_default();
                 let mut ran = before.iter().filter(|seen| !seen.turned_away);
                 match repeat {
-                    Repeat::Repeatable => {}
-                    Repeat::Mutating => {
+                    Idempotency::Idempotent => {}
+                    Idempotency::NonIdempotent => {
                         if let Some(first) = ran.next() {
                             breach(
                                 at,
-                                format!(
-                                    "{of:?} went to {pod:?} though {:?} may have run it",
-                                    first.pod
-                                ),
+                                format!("{of} went to {pod} though {} may have run it", first.pod),
                             );
                         }
                     }
                     // Between tries of a client the sidecars know nothing of each other: their own forwards
                     // of one try are held to the rule.
-                    Repeat::Tagged { reach, memory } => {
+                    Idempotency::Keyed {
+                        deduplicated_by: reach,
+                        window: memory,
+                    } => {
                         let own = ran.filter(|seen| seen.of == *of);
                         for first in own {
                             let (old, new) = (places.get(&first.pod), places.get(pod));
                             let within = match reach {
-                                Reach::All => true,
-                                Reach::Zone => old.map(|p| p.0) == new.map(|p| p.0),
-                                Reach::Cell => old.map(|p| p.1) == new.map(|p| p.1),
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => old.map(|p| p.0) == new.map(|p| p.0),
+                                DeduplicationScope::Cell => old.map(|p| p.1) == new.map(|p| p.1),
                             };
                             if !within {
                                 breach(
                                     at,
-                                    format!(
-                                        "{of:?} left the pods that drop its repeat, for {pod:?}"
-                                    ),
+                                    format!("{of} left the pods that drop its repeat, for {pod}"),
                                 );
                             }
                             if at > first.at + memory {
                                 breach(
                                     at,
-                                    format!("{of:?} went out again after its mark was forgotten"),
+                                    format!("{of} went out again after its mark was forgotten"),
                                 );
                             }
                             let left = (first.at + memory).saturating_sub(at);
@@ -395,48 +419,49 @@
                     turned_away: false,
                 });
             }
-            Entry::TurnedAway { pod, of } => {
-                let held = seen.entry(of.0).or_default().iter_mut();
+            Event::ForwardRejected { pod, attempt: of } => {
+                let held = seen.entry(of.request).or_default().iter_mut();
                 let last = held.rev().find(|seen| seen.pod == *pod && seen.of == *of);
                 last.into_iter().for_each(|seen| seen.turned_away = true);
             }
-            Entry::Ran {
+            Event::Executed {
                 pod,
-                of,
+                attempt: of,
                 effect: true,
             } => {
-                let Some(group) = groups.get(&of.0).map(|group| &terms.groups[*group]) else {
+                let Some(group) = groups.get(&of.request).map(|group| &terms.classes[*group])
+                else {
                     continue;
                 };
-                let count = effects.entry(of.0).or_default();
+                let count = effects.entry(of.request).or_default();
                 *count += 1;
-                if *count > 1 && group.repeat != Repeat::Repeatable {
-                    breach(
-                        at,
-                        format!("{of:?} took effect {count} times, last at {pod:?}"),
-                    );
+                if *count > 1 && group.idempotency != Idempotency::Idempotent {
+                    breach(at, format!("{of} took effect {count} times, last at {pod}"));
                 }
             }
-            Entry::Answered {
-                of,
-                ended: Final::Bounced,
+            Event::Answered {
+                attempt: of,
+                answer: FinalAnswer::Rejected,
                 ..
             } => {
-                let Some(repeat) = groups.get(&of.0).map(|group| terms.groups[*group].repeat)
+                let Some(repeat) = groups
+                    .get(&of.request)
+                    .map(|group| terms.classes[*group].idempotency)
                 else {
                     continue;
                 };
                 let harmless = match repeat {
-                    Repeat::Repeatable
-                    | Repeat::Tagged {
-                        reach: Reach::All, ..
+                    Idempotency::Idempotent
+                    | Idempotency::Keyed {
+                        deduplicated_by: DeduplicationScope::All,
+                        ..
                     } => true,
                     _ => seen
-                        .get(&of.0)
+                        .get(&of.request)
                         .is_none_or(|seen| seen.iter().all(|seen| seen.turned_away)),
                 };
                 if !harmless {
-                    breach(at, format!("{of:?} was bounced though it may have run"));
+                    breach(at, format!("{of} was bounced though it may have run"));
                 }
             }
             _ => {}
@@ -445,7 +470,7 @@
     let counted = effects.keys().filter(|id| {
         groups
             .get(id)
-            .is_some_and(|group| terms.groups[*group].repeat != Repeat::Repeatable)
+            .is_some_and(|group| terms.classes[*group].idempotency != Idempotency::Idempotent)
     });
     let counted = counted.count();
     let margin = slimmest.map_or("no resend".into(), |left| {
@@ -460,21 +485,21 @@
     }
 }
 
-fn drains(lines: &[Line], terms: &Terms, stalls: &Stalls) -> Finding {
-    let mut listed: BTreeMap<SidecarNo, BTreeSet<PodNo>> = BTreeMap::new();
-    let mut told: BTreeMap<(SidecarNo, PodNo), Duration> = BTreeMap::new();
+fn drains(lines: &[RecordLine], terms: &RuleLimits, stalls: &Stalls) -> Finding {
+    let mut listed: BTreeMap<SidecarId, BTreeSet<PodId>> = BTreeMap::new();
+    let mut told: BTreeMap<(SidecarId, PodId), Duration> = BTreeMap::new();
     let (mut breaches, mut counted) = (Vec::new(), 0);
     let mut latest: Option<Duration> = None;
     for line in lines {
         let at = line.at;
-        match &line.entry {
-            Entry::ListTold {
+        match &line.event {
+            Event::EndpointsNotified {
                 sidecar,
                 ready,
                 draining,
             } => {
                 let held = listed.entry(*sidecar).or_default();
-                let gone: Vec<PodNo> = held
+                let gone: Vec<PodId> = held
                     .iter()
                     .filter(|pod| !ready.contains(pod))
                     .copied()
@@ -490,12 +515,15 @@
                 held.retain(|pod| !gone.contains(pod));
             }
             // A new process knows only what it is told anew.
-            Entry::SidecarUp { sidecar } => {
+            Event::SidecarStarted { sidecar } => {
                 listed.remove(sidecar);
                 told.retain(|(of, _), _| of != sidecar);
             }
-            Entry::Arrived {
-                pod, sidecar, of, ..
+            Event::ForwardArrived {
+                pod,
+                sidecar,
+                attempt: of,
+                ..
             } => {
                 let Some(since) = told.get(&(*sidecar, *pod)) else {
                     continue;
@@ -504,9 +532,8 @@
                 latest = Some(latest.map_or(after, |l| l.max(after)));
                 if after > terms.drain_grace + stalls.blur(at) {
                     let late = ms(after - terms.drain_grace);
-                    let text = format!(
-                        "{sidecar:?} sent {of:?} to {pod:?} {late} past the grace of its drain"
-                    );
+                    let text =
+                        format!("{sidecar} sent {of} to {pod} {late} past the grace of its drain");
                     breaches.push(Breach {
                         rule: Rule::Drains,
                         at,
@@ -537,23 +564,26 @@
 }
 
 /// The work that a pod can do from its start until `age`, in seconds of a core's work over its capacity.
-fn done_by(age: f64, terms: &Terms) -> f64 {
-    let (from, whole) = (terms.cold_from, terms.cold_for.as_secs_f64().max(1e-9));
+fn done_by(age: f64, terms: &RuleLimits) -> f64 {
+    let (from, whole) = (
+        terms.slow_start_from,
+        terms.slow_start_duration.as_secs_f64().max(1e-9),
+    );
     let cold = age.min(whole);
     from * cold + (1.0 - from) * cold * cold / (2.0 * whole) + (age - cold)
 }
 
-fn cold(lines: &[Line], terms: &Terms, stalls: &Stalls) -> Finding {
-    let mut pods: BTreeMap<PodNo, ColdPod> = BTreeMap::new();
+fn cold(lines: &[RecordLine], terms: &RuleLimits, stalls: &Stalls) -> Finding {
+    let mut pods: BTreeMap<PodId, ColdPod> = BTreeMap::new();
     let (mut breaches, mut worst, mut counted) = (Vec::new(), 0.0_f64, 0);
-    let span = terms.fall_within.as_secs_f64();
+    let span = terms.overload_window.as_secs_f64();
     for line in lines {
         let at = line.at;
-        match &line.entry {
-            Entry::PodUp {
+        match &line.event {
+            Event::PodStarted {
                 pod,
                 capacity,
-                cold: true,
+                warming_up: true,
                 ..
             } => {
                 counted += 1;
@@ -568,8 +598,13 @@
                     },
                 );
             }
-            Entry::PodDown { pod } => drop(pods.remove(pod)),
-            Entry::Arrived { pod, work, of, .. } => {
+            Event::PodExited { pod } => drop(pods.remove(pod)),
+            Event::ForwardArrived {
+                pod,
+                work,
+                attempt: of,
+                ..
+            } => {
                 let Some(cold) = pods.get_mut(pod) else {
                     continue;
                 };
@@ -584,22 +619,22 @@
                 {
                     cold.sum -= cold.sends.pop_front().map_or(0.0, |(_, work)| work);
                 }
-                if age > terms.cold_for.as_secs_f64() + span {
+                if age > terms.slow_start_duration.as_secs_f64() + span {
                     continue;
                 }
                 // The budget of a whole span, as if the pod had been as strong before its start as at it: what
                 // comes at once after the start may spend it before the span has passed.
                 let from = age - span;
-                let before = (-from).max(0.0) * terms.cold_from;
+                let before = (-from).max(0.0) * terms.slow_start_from;
                 let late = stalls.blur(at).as_secs_f64();
                 let able = cold.capacity
                     * (done_by(age, terms) - done_by(from.max(0.0), terms) + before + late);
                 // One hit is the least that can be sent.
-                let part = (cold.sum - work).max(0.0) / (terms.fall_multiple * able).max(1e-9);
+                let part = (cold.sum - work).max(0.0) / (terms.overload_multiple * able).max(1e-9);
                 worst = worst.max(part);
                 if part > 1.0 {
                     let text = format!(
-                        "{pod:?} got {part:.2} of its multiple with {of:?}, {age:.2} s after its start"
+                        "{pod} got {part:.2} of its multiple with {of}, {age:.2} s after its start"
                     );
                     breaches.push(Breach {
                         rule: Rule::Cold,
@@ -636,7 +671,7 @@
 
 impl Exposed {
     /// Cap and stage of a build by the news that held `ago` before: none if it is not on trial.
-    fn cap(&self, build: u16, until: Duration, terms: &Terms) -> Option<(f64, u8)> {
+    fn cap(&self, build: u16, until: Duration, terms: &RuleLimits) -> Option<(f64, u8)> {
         let last = self.news.iter().rev().find(|news| news.0 <= until);
         match last {
             None if self.lowest.is_none_or(|lowest| build <= lowest) => None,
@@ -646,12 +681,18 @@
                 None
             }
             Some((_, of, stage, _, cap)) if build == *of => Some((*cap, *stage)),
-            _ => Some((terms.caps[0], 0)),
+            _ => Some((terms.exposure_caps[0], 0)),
         }
     }
 
     /// The widest cap that may still be in force: news just told, or a higher one within the grace.
-    fn widest(&self, build: u16, at: Duration, back: Duration, terms: &Terms) -> Option<(f64, u8)> {
+    fn widest(
+        &self,
+        build: u16,
+        at: Duration,
+        back: Duration,
+        terms: &RuleLimits,
+    ) -> Option<(f64, u8)> {
         let from = at.saturating_sub(back);
         let told = self
             .news
@@ -667,7 +708,7 @@
     }
 
     /// When the cap was last lowered, by news before `until`.
-    fn lowered(&self, build: u16, until: Duration, terms: &Terms) -> Option<Duration> {
+    fn lowered(&self, build: u16, until: Duration, terms: &RuleLimits) -> Option<Duration> {
         let cap = |at: Duration| self.cap(build, at, terms).map_or(1.0, |(cap, _)| cap);
         let told = self
             .news
@@ -677,15 +718,15 @@
     }
 }
 
-fn exposure(lines: &[Line], terms: &Terms, stalls: &Stalls) -> Finding {
-    let mut sidecars: BTreeMap<SidecarNo, Exposed> = BTreeMap::new();
-    let mut builds: BTreeMap<PodNo, u16> = BTreeMap::new();
-    let mut keys: BTreeMap<Try, u64> = BTreeMap::new();
+fn exposure(lines: &[RecordLine], terms: &RuleLimits, stalls: &Stalls) -> Finding {
+    let mut sidecars: BTreeMap<SidecarId, Exposed> = BTreeMap::new();
+    let mut builds: BTreeMap<PodId, u16> = BTreeMap::new();
+    let mut keys: BTreeMap<AttemptKey, u64> = BTreeMap::new();
     let (mut breaches, mut counted) = (Vec::new(), 0);
     let mut worst: Option<f64> = None;
-    let counter = |group: usize| if terms.cap_by_group { group } else { 0 };
+    let counter = |group: usize| if terms.exposure_per_class { group } else { 0 };
     // Requests that were written to a stopped sidecar, by its counters: it takes them when it goes on.
-    let mut unread: BTreeMap<SidecarNo, Vec<usize>> = BTreeMap::new();
+    let mut unread: BTreeMap<SidecarId, Vec<usize>> = BTreeMap::new();
     for line in lines {
         let at = line.at;
         let mut breach = |text: String| {
@@ -695,8 +736,8 @@
                 text,
             })
         };
-        match &line.entry {
-            Entry::SidecarUp { sidecar } => {
+        match &line.event {
+            Event::SidecarStarted { sidecar } => {
                 let lowest = sidecars.remove(sidecar).and_then(|old| old.lowest);
                 sidecars.insert(
                     *sidecar,
@@ -707,17 +748,17 @@
                 );
                 unread.remove(sidecar);
             }
-            Entry::SidecarStopped { sidecar } => {
+            Event::SidecarSuspended { sidecar } => {
                 unread.entry(*sidecar).or_default();
             }
-            Entry::SidecarGoesOn { sidecar } => {
+            Event::SidecarResumed { sidecar } => {
                 let this = sidecars.entry(*sidecar).or_default();
                 for counter in unread.remove(sidecar).unwrap_or_default() {
                     this.taken.entry(counter).or_default().push_back(at);
                 }
             }
-            Entry::PodUp { pod, build, .. } => drop(builds.insert(*pod, *build)),
-            Entry::ListTold {
+            Event::PodStarted { pod, build, .. } => drop(builds.insert(*pod, *build)),
+            Event::EndpointsNotified {
                 sidecar,
                 ready,
                 draining,
@@ -730,7 +771,7 @@
                     .min();
                 of.lowest = here.copied();
             }
-            Entry::StageTold {
+            Event::StageNotified {
                 sidecar,
                 number,
                 build,
@@ -744,11 +785,11 @@
                     this.news.push((at, *build, *stage, *phase, *cap));
                 }
             }
-            Entry::Asked {
+            Event::RequestSent {
                 sidecar,
-                of,
-                group,
-                key,
+                attempt: of,
+                class: group,
+                routing_key: key,
                 ..
             } => {
                 match unread.get_mut(sidecar) {
@@ -762,10 +803,10 @@
                     keys.insert(*of, *key);
                 }
             }
-            Entry::Answered {
+            Event::Answered {
                 sidecar,
-                of,
-                ended: Final::Delivered,
+                attempt: of,
+                answer: FinalAnswer::Delivered,
                 build: Some(build),
                 ..
             } => {
@@ -778,11 +819,11 @@
                     .or_insert(*build);
                 *met = (*met).max(*build);
             }
-            Entry::Arrived {
+            Event::ForwardArrived {
                 pod,
                 sidecar,
-                of,
-                group,
+                attempt: of,
+                class: group,
                 ..
             } => {
                 let Some(build) = builds.get(pod).copied() else {
@@ -797,9 +838,9 @@
                 let stays = news.is_some_and(|n| {
                     build < n.1 && matches!(n.3, Phase::OnTrial | Phase::Released)
                 });
-                if terms.keys_stay && stays && met.is_some_and(|met| met > build) {
+                if terms.sticky_keys && stays && met.is_some_and(|met| met > build) {
                     breach(format!(
-                        "{sidecar:?} sent {of:?} back to build {build} from {met:?}"
+                        "{sidecar} sent {of} back to build {build} from {met:?}"
                     ));
                 }
                 let Some((cap, stage)) = this.widest(build, at, terms.drain_grace + blur, terms)
@@ -807,10 +848,10 @@
                     continue;
                 };
                 counted += 1;
-                let repeatable = terms.groups[*group].repeat == Repeat::Repeatable;
+                let repeatable = terms.classes[*group].idempotency == Idempotency::Idempotent;
                 if stage < terms.guarded_stages && !repeatable {
                     breach(format!(
-                        "{sidecar:?} sent {of:?} with an effect to build {build} in stage {stage}"
+                        "{sidecar} sent {of} with an effect to build {build} in stage {stage}"
                     ));
                 }
                 // Attempts are counted anew once a lower cap binds.
@@ -818,9 +859,9 @@
                 let anew = anew.map_or(Duration::ZERO, |told| told + terms.drain_grace);
                 // The window as the sidecar may have seen it: shorter for what it sent, longer for what it took.
                 let from = at
-                    .saturating_sub(terms.cap_window.saturating_sub(blur))
+                    .saturating_sub(terms.exposure_window.saturating_sub(blur))
                     .max(anew);
-                let took_from = at.saturating_sub(terms.cap_window + blur);
+                let took_from = at.saturating_sub(terms.exposure_window + blur);
                 let sent = &this.sent[&(build, counter(*group))];
                 let sent = sent.iter().rev().take_while(|t| **t >= from).count();
                 let taken = this.taken.get(&counter(*group));
@@ -828,7 +869,7 @@
                     taken.iter().rev().take_while(|t| **t >= took_from).count()
                 });
                 let allowed = if cap > 0.0 {
-                    terms.cap_free + cap * taken as f64
+                    terms.exposure_free + cap * taken as f64
                 } else {
                     0.0
                 };
@@ -836,7 +877,7 @@
                 worst = Some(worst.map_or(left, |w: f64| w.min(left)));
                 if left < 0.0 {
                     let text = format!(
-                        "{sidecar:?} sent {sent} forwards to build {build} where {allowed:.1} were free"
+                        "{sidecar} sent {sent} forwards to build {build} where {allowed:.1} were free"
                     );
                     breach(format!("{text} (stage {stage}, {taken} hits taken)"));
                 }
@@ -854,40 +895,56 @@
     }
 }
 
-fn service(lines: &[Line], terms: &Terms) -> Service {
-    let mut first: BTreeMap<OrderId, (Duration, usize)> = BTreeMap::new();
-    let mut last: BTreeMap<OrderId, (Duration, Final)> = BTreeMap::new();
+fn service(lines: &[RecordLine], terms: &RuleLimits) -> Service {
+    let mut first: BTreeMap<RequestId, (Duration, usize)> = BTreeMap::new();
+    let mut last: BTreeMap<RequestId, (Duration, FinalAnswer)> = BTreeMap::new();
     for line in lines {
-        match &line.entry {
-            Entry::Asked { of, group, .. } => drop(first.entry(of.0).or_insert((line.at, *group))),
-            Entry::Answered { of, ended, .. } => {
+        match &line.event {
+            Event::RequestSent {
+                attempt: of,
+                class: group,
+                ..
+            } => drop(first.entry(of.request).or_insert((line.at, *group))),
+            Event::Answered {
+                attempt: of,
+                answer: ended,
+                ..
+            } => {
                 let kept = last
-                    .get(&of.0)
-                    .is_some_and(|(_, ended)| *ended == Final::Delivered);
+                    .get(&of.request)
+                    .is_some_and(|(_, ended)| *ended == FinalAnswer::Delivered);
                 if !kept {
-                    last.insert(of.0, (line.at, *ended));
+                    last.insert(of.request, (line.at, *ended));
                 }
             }
             _ => {}
         }
     }
-    let count = |what: Final| last.values().filter(|(_, ended)| *ended == what).count();
+    let count = |what: FinalAnswer| last.values().filter(|(_, ended)| *ended == what).count();
     let mut service = Service {
         orders: first.len(),
-        delivered: count(Final::Delivered),
-        bounced: count(Final::Bounced),
-        errored: count(Final::Errored),
+        delivered: count(FinalAnswer::Delivered),
+        bounced: count(FinalAnswer::Rejected),
+        errored: count(FinalAnswer::Failed),
         figure: 0.0,
     };
     let (mut asked, mut earned) = (0.0, 0.0);
     for (id, (at, group)) in &first {
-        let group = &terms.groups[*group];
-        asked += group.benefit;
-        let timely = |(end, ended): &&(Duration, Final)| {
-            *ended == Final::Delivered && *end <= *at + group.target_latency
+        let group = &terms.classes[*group];
+        asked += group.priority_weight;
+        let timely = |(end, ended): &&(Duration, FinalAnswer)| {
+            *ended == FinalAnswer::Delivered && *end <= *at + group.latency_objective
         };
-        earned += last.get(id).filter(timely).map_or(0.0, |_| group.benefit);
+        earned += last
+            .get(id)
+            .filter(timely)
+            .map_or(0.0, |_| group.priority_weight);
     }
     service.figure = if asked > 0.0 { earned / asked } else { 0.0 };
     service
 }
+
+/// The words for the attempt that a connection carried last.
+fn last_attempt(key: Option<&AttemptKey>) -> String {
+    key.map_or("None".into(), |key| format!("Some({key})"))
+}
--- a/crates/rule-checker/src/stalls.rs
+++ b/crates/rule-checker/src/stalls.rs
@@ -1,6 +1,6 @@
 //! How far the record's times may be off: the loop that wrote it reads sockets in turn.
 
-use crate::record::{Entry, Line};
+use crate::record::{Event, RecordLine};
 use std::time::Duration;
 
 /// What the loop's turns may cost when it does not stand still.
@@ -11,9 +11,9 @@
 pub struct Stalls(Vec<(Duration, Duration)>);
 
 impl Stalls {
-    pub fn of(lines: &[Line]) -> Self {
-        let stood = lines.iter().filter_map(|line| match line.entry {
-            Entry::Stood { span } => Some((line.at, span)),
+    pub fn of(lines: &[RecordLine]) -> Self {
+        let stood = lines.iter().filter_map(|line| match line.event {
+            Event::RecorderStalled { duration: span } => Some((line.at, span)),
             _ => None,
         });
         Self(stood.collect())
--- a/crates/rule-checker/src/work.rs
+++ b/crates/rule-checker/src/work.rs
@@ -1,6 +1,6 @@
 //! Machines out for work, from the record alone: what must never be, and how much was done.
 
-use crate::record::{Entry, Line, PodNo};
+use crate::record::{Event, PodId, RecordLine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 /// None if no work was asked for.
-pub fn work(lines: &[Line]) -> Option<Work> {
+pub fn work(lines: &[RecordLine]) -> Option<Work> {
     let mut found = Work::default();
     let (mut asked, mut limits) = (None, (u16::MAX, u16::MAX));
     // Out, by place: whether the work has begun; pods that nothing is to arrive at; and who was worked on.
@@ -27,25 +27,38 @@
     let mut zones: BTreeMap<usize, u16> = BTreeMap::new();
     for line in lines {
         let mut breach = |text: String| found.breaches.push((line.at, text));
-        match &line.entry {
-            Entry::WorkAsked { out, out_in_zone } => {
+        match &line.event {
+            Event::MaintenanceRequested {
+                max_out: out,
+                max_out_in_zone: out_in_zone,
+            } => {
                 asked = asked.or(Some(line.at));
                 limits = (limits.0.min(*out), limits.1.min(*out_in_zone));
             }
-            Entry::WorkOut { place, pod } => {
+            Event::MachineOut {
+                machine: place,
+                pod,
+            } => {
                 out.insert(*place, false);
                 shut.insert(*pod, *place);
             }
-            Entry::Arrived {
-                pod, sidecar, of, ..
-            } if shut.contains_key::<PodNo>(pod) => {
+            Event::ForwardArrived {
+                pod,
+                sidecar,
+                attempt: of,
+                ..
+            } if shut.contains_key::<PodId>(pod) => {
                 breach(format!(
-                    "{sidecar:?} sent {of:?} to machine {}, which is out",
+                    "{sidecar} sent {of} to machine {}, which is out",
                     shut[pod]
                 ));
             }
-            Entry::PodDown { pod } => drop(shut.remove(pod)),
-            Entry::WorkBegins { place, zone, open } => {
+            Event::PodExited { pod } => drop(shut.remove(pod)),
+            Event::MaintenanceStarted {
+                machine: place,
+                zone,
+                in_flight: open,
+            } => {
                 if *open > 0 {
                     breach(format!(
                         "work on machine {place} began with {open} hits open on it"
@@ -57,7 +70,10 @@
                 zones.insert(*place, *zone);
                 out.insert(*place, true);
             }
-            Entry::WorkEnds { place, well } => {
+            Event::MaintenanceEnded {
+                machine: place,
+                succeeded: well,
+            } => {
                 out.remove(place);
                 found.done += usize::from(*well);
                 found.failed += usize::from(!*well);
--- a/crates/rule-checker/tests/balance.rs
+++ b/crates/rule-checker/tests/balance.rs
@@ -1,39 +1,39 @@
 //! How a small record's load was spread.
 
 use limewing_rule_checker::balance::{balance, by_second, Balance};
-use limewing_rule_checker::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
+use limewing_rule_checker::record::{AttemptKey, Event, PodId, RecordLine, RequestId, SidecarId};
 use std::time::Duration;
 
-fn line(at: f64, entry: Entry) -> Line {
-    Line {
+fn line(at: f64, entry: Event) -> RecordLine {
+    RecordLine {
         at: Duration::from_secs_f64(at),
-        entry,
+        event: entry,
     }
 }
 
-fn up(pod: u32, capacity: f64) -> Line {
+fn up(pod: u32, capacity: f64) -> RecordLine {
     line(
         0.0,
-        Entry::PodUp {
-            pod: PodNo(pod),
+        Event::PodStarted {
+            pod: PodId(pod),
             build: 1,
             zone: 0,
             cell: 0,
             capacity,
-            cold: false,
+            warming_up: false,
         },
     )
 }
 
-fn came(at: f64, pod: u32, sidecar: u32) -> Line {
-    let (pod, sidecar, work) = (PodNo(pod), SidecarNo(sidecar), Duration::ZERO);
+fn came(at: f64, pod: u32, sidecar: u32) -> RecordLine {
+    let (pod, sidecar, work) = (PodId(pod), SidecarId(sidecar), Duration::ZERO);
     line(
         at,
-        Entry::Arrived {
+        Event::ForwardArrived {
             pod,
             sidecar,
-            of: Try(OrderId(1), 0),
-            group: 0,
+            attempt: AttemptKey::new(RequestId(1), 0),
+            class: 0,
             work,
         },
     )
@@ -51,8 +51,8 @@
         came(2.5, 2, 1),
     ]);
     lines.extend([
-        line(3.0, Entry::PodDown { pod: PodNo(4) }),
-        line(8.0, Entry::End {}),
+        line(3.0, Event::PodExited { pod: PodId(4) }),
+        line(8.0, Event::End {}),
     ]);
     let Balance {
         most,
@@ -64,7 +64,7 @@
     assert_eq!((users, unused), ((4.0 / 3.0, 2), 1));
     let courses = by_second(&lines);
     let of = |pod: u32| {
-        courses[&PodNo(pod)]
+        courses[&PodId(pod)]
             .iter()
             .map(|point| point.1)
             .collect::<Vec<_>>()
--- a/crates/rule-checker/tests/golden.rs
+++ b/crates/rule-checker/tests/golden.rs
@@ -2,61 +2,61 @@
 //! with every value of the enumerations in it, as the program wrote them when the file was made.
 
 use limewing_rule_checker::record::{
-    read, Entry, Final, Group, Line, OrderId, Phase, PodNo, Reach, Recorder, Repeat, SidecarNo,
-    Terms, Try,
+    read, AttemptKey, DeduplicationScope, Event, FinalAnswer, Idempotency, Phase, PodId,
+    RecordLine, Recorder, RequestClass, RequestId, RuleLimits, SidecarId,
 };
 use std::time::Duration;
 
 const RECORD: &str = include_str!("golden/record.jsonl");
 
-const SIDECAR: SidecarNo = SidecarNo(2);
-const POD: PodNo = PodNo(31);
-const FIRST: Try = Try(OrderId(70), 0);
-const SECOND: Try = Try(OrderId(70), 1);
+const SIDECAR: SidecarId = SidecarId(2);
+const POD: PodId = PodId(31);
+const FIRST: AttemptKey = AttemptKey::new(RequestId(70), 0);
+const SECOND: AttemptKey = AttemptKey::new(RequestId(70), 1);
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-fn terms() -> Terms {
+fn terms() -> RuleLimits {
     let group = |name: &str, repeat, target_latency, benefit| {
         let name = name.to_owned();
-        Group {
+        RequestClass {
             name,
-            repeat,
-            target_latency: ms(target_latency),
-            benefit,
+            idempotency: repeat,
+            latency_objective: ms(target_latency),
+            priority_weight: benefit,
         }
     };
-    let tagged = |reach, memory| Repeat::Tagged {
-        reach,
-        memory: ms(memory),
+    let tagged = |reach, memory| Idempotency::Keyed {
+        deduplicated_by: reach,
+        window: ms(memory),
     };
-    Terms {
-        groups: vec![
-            group("quote", Repeat::Repeatable, 1000, 1.0),
-            group("order", tagged(Reach::All, 3000), 1250, 3.5),
-            group("basket", tagged(Reach::Zone, 2500), 800, 2.0),
-            group("search", tagged(Reach::Cell, 1), 300, 0.25),
-            group("charge", Repeat::Mutating, 600, 5.0),
+    RuleLimits {
+        classes: vec![
+            group("quote", Idempotency::Idempotent, 1000, 1.0),
+            group("order", tagged(DeduplicationScope::All, 3000), 1250, 3.5),
+            group("basket", tagged(DeduplicationScope::Zone, 2500), 800, 2.0),
+            group("search", tagged(DeduplicationScope::Cell, 1), 300, 0.25),
+            group("charge", Idempotency::NonIdempotent, 600, 5.0),
         ],
         answer_slack: ms(20),
         drain_grace: ms(1000),
-        cold_from: 0.35,
-        cold_for: ms(3000),
-        fall_multiple: 2.5,
-        fall_within: ms(3250),
-        caps: vec![0.14, 0.45, 1.0],
-        cap_window: ms(2000),
-        cap_free: 1.5,
-        cap_by_group: true,
+        slow_start_from: 0.35,
+        slow_start_duration: ms(3000),
+        overload_multiple: 2.5,
+        overload_window: ms(3250),
+        exposure_caps: vec![0.14, 0.45, 1.0],
+        exposure_window: ms(2000),
+        exposure_free: 1.5,
+        exposure_per_class: true,
         guarded_stages: 2,
-        keys_stay: false,
+        sticky_keys: false,
     }
 }
 
-fn stage_told(number: u64, phase: Phase, cap: f64) -> Entry {
-    Entry::StageTold {
+fn stage_told(number: u64, phase: Phase, cap: f64) -> Event {
+    Event::StageNotified {
         sidecar: SIDECAR,
         number,
         build: 3,
@@ -66,140 +66,140 @@
     }
 }
 
-fn answered(of: Try, ended: Final, status: u16, build: Option<u16>) -> Entry {
-    Entry::Answered {
+fn answered(of: AttemptKey, ended: FinalAnswer, status: u16, build: Option<u16>) -> Event {
+    Event::Answered {
         sidecar: SIDECAR,
-        of,
-        ended,
+        attempt: of,
+        answer: ended,
         status,
         build,
     }
 }
 
-fn stage(phase: Phase) -> Entry {
-    Entry::Stage {
+fn stage(phase: Phase) -> Event {
+    Event::StageChanged {
         build: 3,
         stage: 1,
         phase,
     }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<Event> {
     vec![
-        Entry::Begin {
+        Event::Begin {
             day: "a day \"of\" all".into(),
-            terms: terms(),
+            limits: terms(),
         },
-        Entry::SidecarUp { sidecar: SIDECAR },
-        Entry::SidecarDown { sidecar: SIDECAR },
-        Entry::SidecarLeaves { sidecar: SIDECAR },
-        Entry::SidecarStopped { sidecar: SIDECAR },
-        Entry::SidecarGoesOn { sidecar: SIDECAR },
-        Entry::Asked {
+        Event::SidecarStarted { sidecar: SIDECAR },
+        Event::SidecarExited { sidecar: SIDECAR },
+        Event::SidecarDraining { sidecar: SIDECAR },
+        Event::SidecarSuspended { sidecar: SIDECAR },
+        Event::SidecarResumed { sidecar: SIDECAR },
+        Event::RequestSent {
             sidecar: SIDECAR,
-            of: FIRST,
-            group: 1,
-            waits: ms(2750),
-            key: Some(u64::MAX),
+            attempt: FIRST,
+            class: 1,
+            timeout: ms(2750),
+            routing_key: Some(u64::MAX),
         },
-        Entry::Asked {
+        Event::RequestSent {
             sidecar: SIDECAR,
-            of: SECOND,
-            group: 0,
-            waits: ms(3000),
-            key: None,
+            attempt: SECOND,
+            class: 0,
+            timeout: ms(3000),
+            routing_key: None,
         },
-        answered(FIRST, Final::Delivered, 200, Some(2)),
-        answered(FIRST, Final::Bounced, 503, None),
-        answered(SECOND, Final::Errored, 500, Some(3)),
-        Entry::AnswerBegun {
+        answered(FIRST, FinalAnswer::Delivered, 200, Some(2)),
+        answered(FIRST, FinalAnswer::Rejected, 503, None),
+        answered(SECOND, FinalAnswer::Failed, 500, Some(3)),
+        Event::AnswerStarted {
             sidecar: SIDECAR,
-            of: SECOND,
+            attempt: SECOND,
         },
-        Entry::Unasked {
+        Event::UnexpectedAnswer {
             sidecar: SIDECAR,
-            of: Some(SECOND),
+            attempt: Some(SECOND),
         },
-        Entry::Unasked {
+        Event::UnexpectedAnswer {
             sidecar: SIDECAR,
-            of: None,
+            attempt: None,
         },
-        Entry::Left { of: FIRST },
-        Entry::GaveUp { of: SECOND },
-        Entry::Lost {
-            of: FIRST,
-            reached: true,
+        Event::ClientDisconnected { attempt: FIRST },
+        Event::ClientTimedOut { attempt: SECOND },
+        Event::ConnectionLost {
+            attempt: FIRST,
+            written: true,
         },
-        Entry::Lost {
-            of: SECOND,
-            reached: false,
+        Event::ConnectionLost {
+            attempt: SECOND,
+            written: false,
         },
-        Entry::PodUp {
+        Event::PodStarted {
             pod: POD,
             build: 2,
             zone: 1,
             cell: 4,
             capacity: 3.5,
-            cold: true,
+            warming_up: true,
         },
-        Entry::PodDown { pod: POD },
-        Entry::Arrived {
+        Event::PodExited { pod: POD },
+        Event::ForwardArrived {
             pod: POD,
             sidecar: SIDECAR,
-            of: FIRST,
-            group: 1,
+            attempt: FIRST,
+            class: 1,
             work: Duration::new(0, 12_345_678),
         },
-        Entry::WorkAsked {
-            out: 6,
-            out_in_zone: 2,
+        Event::MaintenanceRequested {
+            max_out: 6,
+            max_out_in_zone: 2,
         },
-        Entry::WorkOut {
-            place: 12,
+        Event::MachineOut {
+            machine: 12,
             pod: POD,
         },
-        Entry::WorkBegins {
-            place: 12,
+        Event::MaintenanceStarted {
+            machine: 12,
             zone: 1,
-            open: 3,
+            in_flight: 3,
         },
-        Entry::WorkEnds {
-            place: 12,
-            well: true,
+        Event::MaintenanceEnded {
+            machine: 12,
+            succeeded: true,
         },
-        Entry::WorkEnds {
-            place: 13,
-            well: false,
+        Event::MaintenanceEnded {
+            machine: 13,
+            succeeded: false,
         },
-        Entry::TurnedAway {
+        Event::ForwardRejected {
             pod: POD,
-            of: SECOND,
+            attempt: SECOND,
         },
-        Entry::Ran {
+        Event::Executed {
             pod: POD,
-            of: FIRST,
+            attempt: FIRST,
             effect: true,
         },
-        Entry::Ran {
+        Event::Executed {
             pod: POD,
-            of: SECOND,
+            attempt: SECOND,
             effect: false,
         },
-        Entry::ListTold {
+        Event::EndpointsNotified {
             sidecar: SIDECAR,
-            ready: vec![PodNo(1), POD],
-            draining: vec![PodNo(9)],
+            ready: vec![PodId(1), POD],
+            draining: vec![PodId(9)],
         },
-        Entry::ListTold {
+        Event::EndpointsNotified {
             sidecar: SIDECAR,
             ready: vec![],
             draining: vec![],
         },
         stage_told(0, Phase::OnTrial, 0.14),
-        stage_told(7, Phase::GoingBack, 0.0),
+        stage_told(7, Phase::RollingBack, 0.0),
         stage_told(8, Phase::Released, 1.0),
-        stage_told(9, Phase::Withdrawn, 0.5),
-        Entry::Voted {
+        stage_told(9, Phase::RolledBack, 0.5),
+        Event::Voted {
             sidecar: SIDECAR,
             build: 3,
             stage: 1,
@@ -207,34 +207,34 @@
             answer: "counted".into(),
         },
         stage(Phase::OnTrial),
-        stage(Phase::GoingBack),
+        stage(Phase::RollingBack),
         stage(Phase::Released),
-        stage(Phase::Withdrawn),
-        Entry::Trouble {
+        stage(Phase::RolledBack),
+        Event::Fault {
             text: "zone east cut".into(),
         },
-        Entry::Stood { span: ms(120) },
-        Entry::End {},
+        Event::RecorderStalled { duration: ms(120) },
+        Event::End {},
     ]
 }
 
-fn lines() -> Vec<Line> {
+fn lines() -> Vec<RecordLine> {
     let at = |place: usize| Duration::new(place as u64, 5_000_001);
     entries()
         .into_iter()
         .enumerate()
-        .map(|(place, entry)| Line {
+        .map(|(place, entry)| RecordLine {
             at: at(place),
-            entry,
+            event: entry,
         })
         .collect()
 }
 
-fn written(lines: &[Line]) -> String {
+fn written(lines: &[RecordLine]) -> String {
     let mut bytes = Vec::new();
     let mut recorder = Recorder::new(&mut bytes);
     for line in lines {
-        recorder.note(line.at, line.entry.clone()).unwrap();
+        recorder.append(line.at, line.event.clone()).unwrap();
     }
     recorder.flush().unwrap();
     String::from_utf8(bytes).unwrap()
@@ -256,6 +256,6 @@
 #[test]
 fn a_line_without_a_number_of_stage_news_is_read() {
     let text = r#"{"at":{"secs":1,"nanos":0},"what":"stage_told","sidecar":2,"build":3,"stage":1,"phase":"on_trial","cap":0.14}"#;
-    let line: Line = serde_json::from_str(text).unwrap();
-    assert_eq!(line.entry, stage_told(0, Phase::OnTrial, 0.14));
+    let line: RecordLine = serde_json::from_str(text).unwrap();
+    assert_eq!(line.event, stage_told(0, Phase::OnTrial, 0.14));
 }
