--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -4,8 +4,11 @@
 use crate::{plot, show};
 use limewing_emulators::day;
 use limewing_emulators::script::DayScript;
-use limewing_rule_checker::rules::{self, Account};
-use limewing_rule_checker::{across, balance, record, work};
+use limewing_rule_checker::balance::load_by_second;
+use limewing_rule_checker::checker::RuleChecker;
+use limewing_rule_checker::cross_sidecar::check_across_sidecars;
+use limewing_rule_checker::maintenance::check_maintenance;
+use limewing_rule_checker::record;
 use std::fs::File;
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
@@ -33,7 +36,15 @@
 /// Draws what each pod got over time.
 fn plot_load(record: &Path, to: &Path) -> Result<(), Stop> {
     let lines = lines(record)?;
-    let courses: Vec<plot::Course> = balance::by_second(&lines).into_values().collect();
+    let courses: Vec<plot::Course> = load_by_second(&lines)
+        .into_values()
+        .map(|points| {
+            points
+                .iter()
+                .map(|point| (point.second, point.load))
+                .collect()
+        })
+        .collect();
     plot::draw(
         to,
         "forwards a second and strength, by pod",
@@ -43,31 +54,31 @@
 }
 
 pub fn check(file: &Path) -> Result<(), Stop> {
-    let account = account(file)?;
-    println!("{}", show::table(&account));
-    let work = work::work(&lines(file)?);
-    let wrong = work.iter().map(|work| work.breaches.len()).sum::<usize>();
-    work.iter().for_each(show::work);
-    across::across(&lines(file)?).iter().for_each(show::across);
-    let broken = account
-        .findings
-        .iter()
-        .filter(|finding| !finding.breaches.is_empty())
-        .count();
-    match broken {
-        0 if wrong > 0 => Err(Stop::failed(format!(
-            "{wrong} times machines were out as they must not be"
-        ))),
-        0 => Ok(()),
-        broken => Err(Stop::failed(format!(
+    let lines = lines(file)?;
+    let checker = RuleChecker::new(&lines)
+        .ok_or_else(|| Stop::input(format!("{}: no day's terms", file.display())))?;
+    let report = checker.report();
+    println!("{}", show::table(&report));
+    let maintenance = check_maintenance(&lines);
+    if let Some(maintenance) = &maintenance {
+        show::maintenance(maintenance);
+    }
+    if let Some(counts) = check_across_sidecars(&lines) {
+        show::across_sidecars(&counts);
+    }
+    let broken = report.broken().count();
+    if broken > 0 {
+        return Err(Stop::failed(format!(
             "{broken} of the five rules were broken"
-        ))),
+        )));
     }
-}
-
-fn account(file: &Path) -> Result<Account, Stop> {
-    rules::check(&lines(file)?)
-        .ok_or_else(|| Stop::input(format!("{}: no day's terms", file.display())))
+    let wrong = maintenance.map_or(0, |report| report.violations.len());
+    if wrong > 0 {
+        return Err(Stop::failed(format!(
+            "{wrong} times machines were out as they must not be"
+        )));
+    }
+    Ok(())
 }
 
 fn lines(file: &Path) -> Result<Vec<record::RecordLine>, Stop> {
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -3,11 +3,11 @@
 use comfy_table::{presets, Table};
 use indicatif::{ProgressBar, ProgressStyle};
 use limewing_emulators::day::Progress;
-use limewing_rule_checker::across::Across;
-use limewing_rule_checker::rules::Account;
-use limewing_rule_checker::work::Work;
+use limewing_rule_checker::cross_sidecar::CrossSidecarReport;
+use limewing_rule_checker::maintenance::MaintenanceReport;
+use limewing_rule_checker::report::Report;
 
-/// Breaches shown for each rule.
+/// Violations shown for each rule.
 const SHOWN: usize = 5;
 
 pub struct View(ProgressBar);
@@ -46,69 +46,69 @@
     }
 }
 
-pub fn table(account: &Account) -> String {
+pub fn table(report: &Report) -> String {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
     table.set_header(["rule", "counted", "nearest to a breach", "verdict"]);
-    for finding in &account.findings {
-        let verdict = match finding.breaches.len() {
+    for result in &report.results {
+        let verdict = match result.violations.len() {
             0 => "kept".to_owned(),
             many => format!("BROKEN {many} times"),
         };
-        let counted = format!("{} {}", finding.counted, finding.of);
+        let checked = format!("{} {}", result.checked, result.case);
         table.add_row([
-            finding.rule.to_string(),
-            counted,
-            finding.margin.clone(),
+            result.rule.to_string(),
+            checked,
+            result.margin.clone(),
             verdict,
         ]);
     }
-    let of = &account.service;
+    let of = &report.service;
     let mut text = format!(
         "{table}\n{}: service {:.3}: {} hits, {} delivered, {} bounced, {} errored in the end",
-        account.day, of.figure, of.orders, of.delivered, of.bounced, of.errored
+        report.day, of.weighted_part_in_time, of.requests, of.delivered, of.rejected, of.failed
     );
-    let spread = &account.balance;
+    let spread = &report.balance;
     text += &format!(
         "\nload per pod {:.2} of the mean at most, {:.1} sidecars a pod (most {}), {} pods unused",
-        spread.most, spread.users.0, spread.users.1, spread.unused
+        spread.highest_over_mean, spread.mean_sidecars, spread.max_sidecars, spread.unused_pods
     );
-    for finding in account
-        .findings
-        .iter()
-        .filter(|finding| !finding.breaches.is_empty())
-    {
-        text += &format!("\n{}:", finding.rule);
-        for breach in finding.breaches.iter().take(SHOWN) {
-            text += &format!("\n  {:.3} s: {}", breach.at.as_secs_f64(), breach.text);
+    for result in report.broken() {
+        text += &format!("\n{}:", result.rule);
+        for violation in result.violations.iter().take(SHOWN) {
+            text += &format!(
+                "\n  {:.3} s: {}",
+                violation.at.as_secs_f64(),
+                violation.text
+            );
         }
-        if finding.breaches.len() > SHOWN {
-            text += &format!("\n  and {} more", finding.breaches.len() - SHOWN);
+        if result.violations.len() > SHOWN {
+            text += &format!("\n  and {} more", result.violations.len() - SHOWN);
         }
     }
     text
 }
 
-pub fn work(work: &Work) {
+pub fn maintenance(report: &MaintenanceReport) {
     println!(
         "machines: {} worked on, {} failed, {} out at once at most, {} still out, {:.1} s from the ask to the last",
-        work.done,
-        work.failed,
-        work.most,
-        work.left,
-        work.took.as_secs_f64()
+        report.completed,
+        report.failed,
+        report.max_out,
+        report.still_out,
+        report.duration.as_secs_f64()
     );
-    for (at, text) in work.breaches.iter().take(SHOWN) {
-        println!("  {:.3} s: {text}", at.as_secs_f64());
+    for violation in report.violations.iter().take(SHOWN) {
+        println!("  {:.3} s: {}", violation.at.as_secs_f64(), violation.text);
     }
 }
 
-pub fn across(across: &Across) {
+pub fn across_sidecars(counts: &CrossSidecarReport) {
     println!(
         "across sidecars: {} of {} forwards of keys that had met a newer build went back; {} of {} hits that may not run twice did",
-        across.keys_back, across.keys, across.twice, across.once
+        counts.sent_back, counts.sticky_attempts, counts.executed_twice, counts.non_idempotent
     );
-    for (at, text) in &across.first {
-        println!("  {:.3} s: {text}", at.as_secs_f64());
+    for example in &counts.examples {
+        println!("  {:.3} s: {}", example.at.as_secs_f64(), example.text);
     }
 }
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -5,8 +5,9 @@
     listing, Answer, Client, Config, Discovery, Does, Faults, Listed, Pod, World,
 };
 use limewing_postgres_proxy::timeouts::{CLIENT_MESSAGE_TIMEOUT, STOP_ACCEPTING_TIMEOUT};
+use limewing_rule_checker::checker::RuleChecker;
 use limewing_rule_checker::record::{AttemptKey, Event, PodId, RecordLine, RequestId, SidecarId};
-use limewing_rule_checker::rules::{check, Rule};
+use limewing_rule_checker::report::Rule;
 use rstest::rstest;
 use rustix::process::Signal;
 use std::net::{SocketAddr, TcpListener};
@@ -393,12 +394,8 @@
 }
 
 fn broken(lines: &[RecordLine]) -> Vec<Rule> {
-    let account = check(lines).unwrap();
-    let of = account
-        .findings
-        .iter()
-        .filter(|finding| !finding.breaches.is_empty());
-    of.map(|finding| finding.rule).collect()
+    let report = RuleChecker::new(lines).unwrap().report();
+    report.broken().map(|result| result.rule).collect()
 }
 
 /// Puts something in right behind the first line that fits.
@@ -420,7 +417,7 @@
         place..place,
         what(&first)
             .into_iter()
-            .map(|entry| RecordLine { at, event: entry }),
+            .map(|event| RecordLine { at, event }),
     );
     lines
 }
@@ -428,10 +425,10 @@
 #[test]
 fn a_rough_day_of_several_processes_keeps_the_five_rules() {
     let lines = rough_day();
-    let account = check(&lines).unwrap();
-    assert!(account.kept(), "{:#?}", account.findings);
-    for (rule, finding) in Rule::ALL.iter().zip(&account.findings) {
-        assert!(finding.counted > 0, "nothing was held to rule {rule}");
+    let report = RuleChecker::new(&lines).unwrap().report();
+    assert!(report.broken().next().is_none(), "{:#?}", report.results);
+    for (rule, result) in Rule::ALL.iter().zip(&report.results) {
+        assert!(result.checked > 0, "nothing was held to rule {rule}");
     }
 
     let nobody = |n: usize| AttemptKey::new(RequestId(u64::MAX - n as u64), 0);
@@ -486,13 +483,13 @@
     let drained = |line: &RecordLine| matches!(&line.event, Event::EndpointsNotified { sidecar: SidecarId(3), draining, .. } if !draining.is_empty());
     assert_eq!(
         broken(&plant(&lines, drained, 1.0, |_| vec![sent(0, 0)])),
-        [Rule::Drains]
+        [Rule::Draining]
     );
 
     let cold = |line: &RecordLine| matches!(line.event, Event::PodStarted { pod: PodId(4), .. });
     // Before the news the sidecar's exposure counts as in the first stage: many sidecars share the sends.
     let crowd = |_: &RecordLine| (0..900).map(|n| sent(4, n)).collect();
-    assert!(broken(&plant(&lines, cold, 0.05, crowd)).contains(&Rule::Cold));
+    assert!(broken(&plant(&lines, cold, 0.05, crowd)).contains(&Rule::SlowStart));
 
     let trial = |line: &RecordLine| matches!(line.event, Event::StageNotified { sidecar: SidecarId(3), build: 2, cap, .. } if cap > 0.0);
     let over = |_: &RecordLine| (0..200).map(|n| sent(5, n)).collect();
--- a/crates/mutants/tests/named.rs
+++ b/crates/mutants/tests/named.rs
@@ -2,8 +2,9 @@
 
 use limewing_emulators::day;
 use limewing_emulators::script::DayScript;
+use limewing_rule_checker::checker::RuleChecker;
 use limewing_rule_checker::record::read;
-use limewing_rule_checker::rules::{check, Rule};
+use limewing_rule_checker::report::Rule;
 use rstest::rstest;
 use std::fs::File;
 use std::io::BufReader;
@@ -14,8 +15,8 @@
 #[case("twice", Rule::OneAnswer)]
 #[case("resend", Rule::NoEffectTwice)]
 #[case("bounce", Rule::NoEffectTwice)]
-#[case("drained", Rule::Drains)]
-#[case("cold", Rule::Cold)]
+#[case("drained", Rule::Draining)]
+#[case("cold", Rule::SlowStart)]
 #[case("cap", Rule::Exposure)]
 fn the_account_names_the_rule_that_was_broken(#[case] way: &str, #[case] rule: Rule) {
     let folder = tempfile::tempdir().unwrap();
@@ -25,12 +26,7 @@
     let script: DayScript = limewing_settings::read(&file).unwrap();
     let record = day::play(&script, &program, folder.path(), &mut |_| ()).unwrap();
     let lines = read(BufReader::new(File::open(record).unwrap())).unwrap();
-    let account = check(&lines).unwrap();
-    let broken: Vec<Rule> = account
-        .findings
-        .iter()
-        .filter(|finding| !finding.breaches.is_empty())
-        .map(|f| f.rule)
-        .collect();
+    let report = RuleChecker::new(&lines).unwrap().report();
+    let broken: Vec<Rule> = report.broken().map(|result| result.rule).collect();
     assert!(broken.contains(&rule), "{broken:?}");
 }
--- a/crates/rule-checker/src/balance.rs
+++ b/crates/rule-checker/src/balance.rs
@@ -1,138 +1,185 @@
-//! How a day's load was spread over its pods, from the record alone.
+//! How a day's load was spread over its pods.
 
 use crate::record::{Event, PodId, RecordLine, SidecarId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Sidecars of a pod are counted over such spans.
-const SPAN: Duration = Duration::from_secs(2);
-/// A pod that ran for less is left out: it may have been cold throughout.
-const LEAST: Duration = Duration::from_secs(4);
+/// The sidecars that use a pod are counted over such spans.
+const USER_SPAN: Duration = Duration::from_secs(2);
+/// A pod that ran for less is left out: it may have been warming up throughout.
+const MIN_RUN: Duration = Duration::from_secs(4);
+/// Keeps divisors above 0 where nothing was sent or no pod ran.
+const MIN_DIVISOR: f64 = 1e-9;
 
+/// The spread of the load over the pods that ran long enough.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Balance {
-    /// Forwards per strength and second of a pod, most over mean.
-    pub most: f64,
-    /// Sidecars that sent a pod anything in a span: the mean, and the most.
-    pub users: (f64, usize),
+    /// Attempts per core and second: the highest of a pod over the mean of all.
+    pub highest_over_mean: f64,
+    /// Sidecars that sent a pod anything within a span: the mean.
+    pub mean_sidecars: f64,
+    /// Sidecars that sent a pod anything within a span: the most.
+    pub max_sidecars: usize,
     /// Pods that got nothing.
-    pub unused: usize,
+    pub unused_pods: usize,
 }
 
 #[derive(Default)]
-struct Pod {
+struct PodLoad {
+    /// In cores.
     capacity: f64,
-    since: Duration,
-    ran: Duration,
-    came: usize,
-    users: BTreeMap<u128, BTreeSet<SidecarId>>,
+    started_at: Duration,
+    /// Zero as long as it has not ended.
+    ran_for: Duration,
+    arrivals: usize,
+    /// By the index of the span.
+    sidecars: BTreeMap<u128, BTreeSet<SidecarId>>,
 }
 
+impl PodLoad {
+    fn ran_until(&self, end: Duration) -> Duration {
+        if self.ran_for.is_zero() {
+            end.saturating_sub(self.started_at)
+        } else {
+            self.ran_for
+        }
+    }
+
+    /// Seconds of a core that it had.
+    fn core_seconds(&self, end: Duration) -> f64 {
+        (self.capacity * self.ran_until(end).as_secs_f64()).max(MIN_DIVISOR)
+    }
+}
+
+/// Measures the spread of the load over a whole record.
+#[must_use]
 pub fn balance(lines: &[RecordLine]) -> Balance {
-    let mut pods: BTreeMap<PodId, Pod> = BTreeMap::new();
     let end = lines.last().map_or(Duration::ZERO, |line| line.at);
+    let pods = loads(lines);
+    let long: Vec<&PodLoad> = pods
+        .values()
+        .filter(|pod| pod.ran_until(end) >= MIN_RUN)
+        .collect();
+    let mut arrivals = 0;
+    let mut core_seconds = 0.0;
+    for pod in &long {
+        arrivals += pod.arrivals;
+        core_seconds += pod.core_seconds(end);
+    }
+    let mean = (arrivals as f64 / core_seconds.max(MIN_DIVISOR)).max(MIN_DIVISOR);
+    let over_mean = |pod: &&PodLoad| pod.arrivals as f64 / pod.core_seconds(end) / mean;
+    let sidecars: Vec<usize> = long
+        .iter()
+        .flat_map(|pod| pod.sidecars.values().map(BTreeSet::len))
+        .collect();
+    Balance {
+        highest_over_mean: long.iter().map(over_mean).fold(0.0, f64::max),
+        mean_sidecars: sidecars.iter().sum::<usize>() as f64 / sidecars.len().max(1) as f64,
+        max_sidecars: sidecars.iter().max().copied().unwrap_or(0),
+        unused_pods: long.iter().filter(|pod| pod.arrivals == 0).count(),
+    }
+}
+
+fn loads(lines: &[RecordLine]) -> BTreeMap<PodId, PodLoad> {
+    let mut pods: BTreeMap<PodId, PodLoad> = BTreeMap::new();
     for line in lines {
         match &line.event {
             Event::PodStarted { pod, capacity, .. } => {
-                pods.insert(
-                    *pod,
-                    Pod {
-                        capacity: *capacity,
-                        since: line.at,
-                        ..Pod::default()
-                    },
-                );
+                let load = PodLoad {
+                    capacity: *capacity,
+                    started_at: line.at,
+                    ..PodLoad::default()
+                };
+                pods.insert(*pod, load);
             }
             Event::PodExited { pod } => {
-                pods.entry(*pod)
-                    .and_modify(|pod| pod.ran = line.at.saturating_sub(pod.since));
+                if let Some(pod) = pods.get_mut(pod) {
+                    pod.ran_for = line.at.saturating_sub(pod.started_at);
+                }
             }
             Event::ForwardArrived { pod, sidecar, .. } => {
                 if let Some(pod) = pods.get_mut(pod) {
-                    pod.came += 1;
-                    let span = line.at.as_millis() / SPAN.as_millis();
-                    pod.users.entry(span).or_default().insert(*sidecar);
+                    pod.arrivals += 1;
+                    let span = line.at.as_millis() / USER_SPAN.as_millis();
+                    pod.sidecars.entry(span).or_default().insert(*sidecar);
                 }
             }
             _ => {}
         }
     }
-    let ran = |pod: &Pod| {
-        if pod.ran.is_zero() {
-            end.saturating_sub(pod.since)
-        } else {
-            pod.ran
+    pods
+}
+
+/// What a pod got in one second.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LoadPoint {
+    /// Since the start of the day.
+    pub second: f64,
+    /// Attempts per core.
+    pub load: f64,
+}
+
+#[derive(Default)]
+struct LoadCourse {
+    points: Vec<LoadPoint>,
+    /// In cores.
+    capacity: f64,
+    exited: bool,
+}
+
+impl LoadCourse {
+    /// Adds the seconds without an attempt up to a time.
+    fn extend(&mut self, to: Duration) {
+        while let Some(last) = self.points.last() {
+            if last.second >= to.as_secs() as f64 {
+                break;
+            }
+            let second = last.second + 1.0;
+            self.points.push(LoadPoint { second, load: 0.0 });
         }
-    };
-    let long: Vec<&Pod> = pods.values().filter(|pod| ran(pod) >= LEAST).collect();
-    let could = |pod: &Pod| (pod.capacity * ran(pod).as_secs_f64()).max(1e-9);
-    let (came, whole) = long.iter().fold((0, 0.0), |(came, whole), p| {
-        (came + p.came, whole + could(p))
-    });
-    let mean = (came as f64 / whole.max(1e-9)).max(1e-9);
-    let spans: Vec<usize> = long
-        .iter()
-        .flat_map(|pod| pod.users.values().map(BTreeSet::len))
-        .collect();
-    Balance {
-        most: long
-            .iter()
-            .map(|pod| pod.came as f64 / could(pod) / mean)
-            .fold(0.0, f64::max),
-        users: (
-            spans.iter().sum::<usize>() as f64 / spans.len().max(1) as f64,
-            spans.iter().max().copied().unwrap_or(0),
-        ),
-        unused: long.iter().filter(|pod| pod.came == 0).count(),
     }
 }
 
-/// Forwards that each pod got in each second of its life, over its strength: (second, forwards).
-pub fn by_second(lines: &[RecordLine]) -> BTreeMap<PodId, Vec<(f64, f64)>> {
-    let mut up: BTreeMap<PodId, f64> = BTreeMap::new();
-    let mut courses: BTreeMap<PodId, Vec<(f64, f64)>> = BTreeMap::new();
-    let fill = |course: &mut Vec<(f64, f64)>, to: Duration| {
-        while course
-            .last()
-            .is_some_and(|point| point.0 < to.as_secs() as f64)
-        {
-            let next = course[course.len() - 1].0 + 1.0;
-            course.push((next, 0.0));
-        }
-    };
+/// What each pod got in each second in which it ran.
+#[must_use]
+pub fn load_by_second(lines: &[RecordLine]) -> BTreeMap<PodId, Vec<LoadPoint>> {
+    let mut courses: BTreeMap<PodId, LoadCourse> = BTreeMap::new();
     for line in lines {
         match &line.event {
             Event::PodStarted { pod, capacity, .. } => {
-                up.insert(*pod, *capacity);
-                courses.insert(*pod, vec![(line.at.as_secs() as f64, 0.0)]);
+                let second = line.at.as_secs() as f64;
+                let course = LoadCourse {
+                    points: vec![LoadPoint { second, load: 0.0 }],
+                    capacity: *capacity,
+                    exited: false,
+                };
+                courses.insert(*pod, course);
             }
             Event::ForwardArrived { pod, .. } => {
-                let Some((course, capacity)) = courses.get_mut(pod).zip(up.get(pod)) else {
+                let Some(course) = courses.get_mut(pod).filter(|course| !course.exited) else {
                     continue;
                 };
-                fill(course, line.at);
-                course
-                    .iter_mut()
-                    .last()
-                    .into_iter()
-                    .for_each(|point| point.1 += 1.0 / capacity.max(1e-9));
+                course.extend(line.at);
+                if let Some(point) = course.points.last_mut() {
+                    point.load += 1.0 / course.capacity.max(MIN_DIVISOR);
+                }
             }
             Event::PodExited { pod } => {
-                up.remove(pod);
-                courses
-                    .get_mut(pod)
-                    .into_iter()
-                    .for_each(|course| fill(course, line.at));
+                if let Some(course) = courses.get_mut(pod) {
+                    course.exited = true;
+                    course.extend(line.at);
+                }
             }
             Event::End {} => {
-                let left = |(pod, course): (&PodId, _)| up.contains_key(pod).then_some(course);
-                courses
-                    .iter_mut()
-                    .filter_map(left)
-                    .for_each(|course| fill(course, line.at));
+                for course in courses.values_mut().filter(|course| !course.exited) {
+                    course.extend(line.at);
+                }
             }
             _ => {}
         }
     }
-    courses
+    let points = courses
+        .into_iter()
+        .map(|(pod, course)| (pod, course.points));
+    points.collect()
 }
--- a/crates/rule-checker/src/lib.rs
+++ b/crates/rule-checker/src/lib.rs
@@ -1,19 +1,12 @@
-//! The account of a day: what crossed the sockets, as the stand-ins at their far ends saw it (`record`), and
-//! whether the five rules were kept (`rules`). It shares no code and no view with the decision module.
+//! Checks from the record of a day whether the five rules were kept. The record ([`record`]) says what crossed the sockets, as the
+//! emulators at their far ends saw it; the checks share no code and no state with the decisions that they judge.
 
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
-
-pub mod across;
 pub mod balance;
+pub mod checker;
+pub mod cross_sidecar;
+pub mod maintenance;
 pub mod record;
-pub mod rules;
+pub mod report;
+mod rules;
+mod service;
 mod stalls;
-pub mod work;
--- a/crates/rule-checker/src/record/ids.rs
+++ b/crates/rule-checker/src/record/ids.rs
@@ -45,7 +45,7 @@
     }
 }
 
-// Operators search the printed violations by these words, so they stay as they were first printed.
+// Printed violations are read by these words (tests look the requests up by them), so they stay as they were first printed.
 
 impl Display for RequestId {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
--- a/crates/rule-checker/tests/golden.rs
+++ b/crates/rule-checker/tests/golden.rs
@@ -18,27 +18,27 @@
     Duration::from_millis(milliseconds)
 }
 
-fn terms() -> RuleLimits {
-    let group = |name: &str, repeat, target_latency, benefit| {
+fn limits() -> RuleLimits {
+    let class = |name: &str, idempotency, latency_objective, priority_weight| {
         let name = name.to_owned();
         RequestClass {
             name,
-            idempotency: repeat,
-            latency_objective: ms(target_latency),
-            priority_weight: benefit,
+            idempotency,
+            latency_objective: ms(latency_objective),
+            priority_weight,
         }
     };
-    let tagged = |reach, memory| Idempotency::Keyed {
-        deduplicated_by: reach,
-        window: ms(memory),
+    let keyed = |deduplicated_by, window| Idempotency::Keyed {
+        deduplicated_by,
+        window: ms(window),
     };
     RuleLimits {
         classes: vec![
-            group("quote", Idempotency::Idempotent, 1000, 1.0),
-            group("order", tagged(DeduplicationScope::All, 3000), 1250, 3.5),
-            group("basket", tagged(DeduplicationScope::Zone, 2500), 800, 2.0),
-            group("search", tagged(DeduplicationScope::Cell, 1), 300, 0.25),
-            group("charge", Idempotency::NonIdempotent, 600, 5.0),
+            class("quote", Idempotency::Idempotent, 1000, 1.0),
+            class("order", keyed(DeduplicationScope::All, 3000), 1250, 3.5),
+            class("basket", keyed(DeduplicationScope::Zone, 2500), 800, 2.0),
+            class("search", keyed(DeduplicationScope::Cell, 1), 300, 0.25),
+            class("charge", Idempotency::NonIdempotent, 600, 5.0),
         ],
         answer_slack: ms(20),
         drain_grace: ms(1000),
@@ -55,7 +55,7 @@
     }
 }
 
-fn stage_told(number: u64, phase: Phase, cap: f64) -> Event {
+fn stage_notified(number: u64, phase: Phase, cap: f64) -> Event {
     Event::StageNotified {
         sidecar: SIDECAR,
         number,
@@ -66,11 +66,11 @@
     }
 }
 
-fn answered(of: AttemptKey, ended: FinalAnswer, status: u16, build: Option<u16>) -> Event {
+fn answered(attempt: AttemptKey, answer: FinalAnswer, status: u16, build: Option<u16>) -> Event {
     Event::Answered {
         sidecar: SIDECAR,
-        attempt: of,
-        answer: ended,
+        attempt,
+        answer,
         status,
         build,
     }
@@ -84,11 +84,11 @@
     }
 }
 
-fn entries() -> Vec<Event> {
+fn events() -> Vec<Event> {
     vec![
         Event::Begin {
             day: "a day \"of\" all".into(),
-            limits: terms(),
+            limits: limits(),
         },
         Event::SidecarStarted { sidecar: SIDECAR },
         Event::SidecarExited { sidecar: SIDECAR },
@@ -195,10 +195,10 @@
             ready: vec![],
             draining: vec![],
         },
-        stage_told(0, Phase::OnTrial, 0.14),
-        stage_told(7, Phase::RollingBack, 0.0),
-        stage_told(8, Phase::Released, 1.0),
-        stage_told(9, Phase::RolledBack, 0.5),
+        stage_notified(0, Phase::OnTrial, 0.14),
+        stage_notified(7, Phase::RollingBack, 0.0),
+        stage_notified(8, Phase::Released, 1.0),
+        stage_notified(9, Phase::RolledBack, 0.5),
         Event::Voted {
             sidecar: SIDECAR,
             build: 3,
@@ -219,13 +219,13 @@
 }
 
 fn lines() -> Vec<RecordLine> {
-    let at = |place: usize| Duration::new(place as u64, 5_000_001);
-    entries()
+    let at = |index: usize| Duration::new(index as u64, 5_000_001);
+    events()
         .into_iter()
         .enumerate()
-        .map(|(place, entry)| RecordLine {
-            at: at(place),
-            event: entry,
+        .map(|(index, event)| RecordLine {
+            at: at(index),
+            event,
         })
         .collect()
 }
@@ -252,10 +252,10 @@
     assert_eq!(written(&found), RECORD);
 }
 
-/// Records from before stage news were numbered have no number.
+/// Records from before stage updates were numbered have no number.
 #[test]
-fn a_line_without_a_number_of_stage_news_is_read() {
+fn a_stage_update_without_a_number_is_read() {
     let text = r#"{"at":{"secs":1,"nanos":0},"what":"stage_told","sidecar":2,"build":3,"stage":1,"phase":"on_trial","cap":0.14}"#;
     let line: RecordLine = serde_json::from_str(text).unwrap();
-    assert_eq!(line.event, stage_told(0, Phase::OnTrial, 0.14));
+    assert_eq!(line.event, stage_notified(0, Phase::OnTrial, 0.14));
 }
