--- /dev/null
+++ b/crates/http-proxy/src/service/control/endpoint_watch.rs
@@ -0,0 +1,243 @@
+//! The watch of the endpoint list by blocking queries.
+
+use crate::endpoint_list::parse_endpoint_list;
+use crate::endpoint_list_file;
+use crate::http_status;
+use crate::service::{ConnectionRole, Service, TimerEvent};
+use bytes::BytesMut;
+use limewing_coordination::Service as ControlService;
+use limewing_decision::interface::{EndpointUpdate, Event, WatchLoss};
+use limewing_net::body::Framing;
+use limewing_net::http::ResponseHead;
+use limewing_net::message_reader::ResponseReader;
+use limewing_net::sockets::SocketId;
+use limewing_net::timer_wheel::TimerKey;
+use std::path::Path;
+use std::time::Duration;
+
+/// Bound of a response's body, in bytes.
+const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
+/// Queries are no closer together than this, however soon the service responds.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The service adds up to this part of a blocking query's wait, so that not all responses come at once.
+const WAIT_JITTER_DIVISOR: u32 = 16;
+/// How long a response may take beyond the wait of its blocking query.
+const RESPONSE_ALLOWANCE: Duration = Duration::from_secs(2);
+
+/// A connection to the service that serves the list.
+pub(in crate::service) struct EndpointListConnection {
+    reader: ResponseReader,
+    timer: TimerKey,
+}
+
+/// The state of the watch.
+#[derive(Default)]
+pub(in crate::service) struct EndpointWatch {
+    /// The service's index of the list; 0 asks for the list at once.
+    index: u64,
+    connection: Option<SocketId>,
+    queried_at: Duration,
+}
+
+/// Why a query has failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(in crate::service) enum EndpointPollError {
+    /// The system refuses a connection.
+    #[error("cannot open a connection")]
+    Connect,
+    /// The connection was lost.
+    #[error("connection lost")]
+    ConnectionLost,
+    /// The response did not arrive in time.
+    #[error("no response in time")]
+    Timeout,
+    /// The response is incomplete, or is not HTTP.
+    #[error("the response is incomplete, or is not HTTP/1.1")]
+    Unreadable,
+    /// The response has no list.
+    #[error("expected status 200 and a number in X-Consul-Index")]
+    NoList,
+    /// The response's body is no list.
+    #[error("the response has no endpoint list that can be used")]
+    MalformedList,
+}
+
+impl EndpointWatch {
+    /// The service's index of the list.
+    pub(in crate::service) fn index(&self) -> u64 {
+        self.index
+    }
+
+    /// Whether a query is under way.
+    pub(in crate::service) fn is_connected(&self) -> bool {
+        self.connection.is_some()
+    }
+
+    /// Takes up a response's index and returns whether the list may have changed. An index that goes back means that the
+    /// service was started anew: the next query asks for the list at once.
+    fn take_index(&mut self, index: u64) -> bool {
+        let changed = index != self.index;
+        self.index = if index < self.index { 0 } else { index };
+        changed
+    }
+}
+
+impl Service {
+    /// Tells the decisions of the list in the state file, or that there is none.
+    pub(in crate::service) fn announce_cached_list(&mut self, state_file: Option<&Path>) {
+        let loaded = match state_file {
+            Some(path) => endpoint_list_file::load(path),
+            None => Ok(None),
+        };
+        let list = loaded.unwrap_or_else(|error| {
+            tracing::warn!(%error, "cannot read the state file, starting without an endpoint list");
+            None
+        });
+        let list = list.unwrap_or_default();
+        let update = self.endpoints.take_cached(list, &self.peers, self.now);
+        self.events.push(Event::Endpoints(update));
+    }
+
+    /// Opens a connection for a query, unless there is one or it is other sidecars' turn to find the service back.
+    pub(in crate::service) fn poll_endpoint_list(&mut self) {
+        if self.endpoint_watch.connection.is_some() || self.shutdown.has_begun() {
+            return;
+        }
+        let deferred = self
+            .peers
+            .deferred_poll(self.now, ControlService::EndpointList);
+        if let Some(at) = deferred {
+            self.timers.schedule(at, TimerEvent::PollEndpointList);
+            return;
+        }
+        let Ok(socket) = self.sockets.connect(self.settings.endpoint_list.address) else {
+            return self.endpoint_poll_failed(EndpointPollError::Connect);
+        };
+        let timer = self.timers.schedule(
+            self.now + self.settings.connect_timeout,
+            TimerEvent::EndpointListTimeout(socket),
+        );
+        let reader = ResponseReader::new(MAX_LIST_BYTES);
+        let connection = Box::new(EndpointListConnection { reader, timer });
+        self.connections
+            .insert(socket, ConnectionRole::EndpointList(connection));
+        self.endpoint_watch.connection = Some(socket);
+    }
+
+    /// Sends a blocking query on a connection that is up.
+    pub(in crate::service) fn send_endpoint_list_query(&mut self, socket: SocketId) {
+        let service = &self.settings.endpoint_list;
+        let wait = Duration::from(service.wait);
+        let target = format!(
+            "/v1/health/service/{}?index={}&wait={}ms",
+            service.service,
+            self.endpoint_watch.index,
+            wait.as_millis()
+        );
+        let request = self.control_request("GET", &target, service.address, Framing::Length(0));
+        let timeout = wait + wait / WAIT_JITTER_DIVISOR + RESPONSE_ALLOWANCE;
+        let timer = self
+            .timers
+            .schedule(self.now + timeout, TimerEvent::EndpointListTimeout(socket));
+        if let Some(ConnectionRole::EndpointList(connection)) = self.connections.get_mut(&socket) {
+            let old_timer = std::mem::replace(&mut connection.timer, timer);
+            self.timers.cancel(old_timer);
+        }
+        self.endpoint_watch.queried_at = self.now;
+        self.sockets.send(socket, &request);
+    }
+
+    /// Reads a response, and queries again.
+    pub(in crate::service) fn read_endpoint_list(&mut self, socket: SocketId) {
+        let ended = self.sockets.has_ended(socket);
+        let Some(ConnectionRole::EndpointList(connection)) = self.connections.get_mut(&socket)
+        else {
+            return;
+        };
+        let Some(input) = self.sockets.input(socket) else {
+            return;
+        };
+        let (head, body) = match connection.reader.take(input, ended) {
+            Ok(Some(response)) => response,
+            Ok(None) if !ended => return self.sockets.resume_reading(socket),
+            _ => return self.endpoint_poll_failed(EndpointPollError::Unreadable),
+        };
+        if let Err(error) = self.handle_endpoint_list_response(&head, &body) {
+            return self.endpoint_poll_failed(error);
+        }
+        self.query_endpoint_list_again(socket, !ended && head.keep_alive);
+    }
+
+    fn handle_endpoint_list_response(
+        &mut self,
+        head: &ResponseHead,
+        body: &BytesMut,
+    ) -> Result<(), EndpointPollError> {
+        let index = head
+            .fields
+            .text("x-consul-index")
+            .and_then(|text| text.parse::<u64>().ok());
+        let Some(index) = index.filter(|_| head.status == http_status::OK) else {
+            return Err(EndpointPollError::NoList);
+        };
+        self.peers
+            .record_poll(self.now, ControlService::EndpointList, true);
+        if !self.endpoint_watch.take_index(index) {
+            return Ok(());
+        }
+        let list = parse_endpoint_list(body).map_err(|error| {
+            tracing::warn!(%error, "endpoint list cannot be used");
+            // Asked for at once again: the next response may have the same list, and well.
+            self.endpoint_watch.index = 0;
+            EndpointPollError::MalformedList
+        })?;
+        for error in &list.rejected {
+            tracing::warn!(%error, "endpoint cannot be used, it gets no further requests");
+        }
+        let update = self.endpoints.take_received(
+            list.endpoints,
+            self.endpoint_watch.index,
+            &self.peers,
+            self.now,
+        );
+        self.events.push(Event::Endpoints(update));
+        Ok(())
+    }
+
+    fn query_endpoint_list_again(&mut self, socket: SocketId, is_reusable: bool) {
+        let earliest = self.endpoint_watch.queried_at + MIN_POLL_INTERVAL;
+        if is_reusable && self.now >= earliest {
+            return self.send_endpoint_list_query(socket);
+        }
+        self.close_endpoint_list_connection();
+        self.timers
+            .schedule(earliest.max(self.now), TimerEvent::PollEndpointList);
+    }
+
+    /// The query's timer has fired; it may be of a connection that is gone.
+    pub(in crate::service) fn endpoint_poll_timed_out(&mut self, socket: SocketId) {
+        if self.endpoint_watch.connection == Some(socket) {
+            self.endpoint_poll_failed(EndpointPollError::Timeout);
+        }
+    }
+
+    /// Tells the decisions that the watch is lost; they say when to query again.
+    pub(in crate::service) fn endpoint_poll_failed(&mut self, error: EndpointPollError) {
+        tracing::warn!(%error, "endpoint watch lost, keeping the known list");
+        self.peers
+            .record_poll(self.now, ControlService::EndpointList, false);
+        self.close_endpoint_list_connection();
+        let lost = EndpointUpdate::WatchLost(WatchLoss::default());
+        self.events.push(Event::Endpoints(lost));
+    }
+
+    fn close_endpoint_list_connection(&mut self) {
+        let Some(socket) = self.endpoint_watch.connection.take() else {
+            return;
+        };
+        if let Some(ConnectionRole::EndpointList(connection)) = self.connections.remove(&socket) {
+            self.timers.cancel(connection.timer);
+        }
+        self.sockets.close(socket);
+    }
+}
