--- a/crates/http-proxy/src/service/maintenance/leadership.rs
+++ b/crates/http-proxy/src/service/maintenance/leadership.rs
@@ -6,7 +6,7 @@
 use crate::service::unix_time::unix_ms;
 use limewing_maintenance::{
     Command, FleetObservation, Identifier, LeaseGrantor, MaintenanceList, Pod, Scheduler,
-    ZoneTracker,
+    SidecarProcess, SidecarReport, ZoneTracker,
 };
 use limewing_proxy_core::clock::wall_clock_now;
 use std::time::{Duration, SystemTime};
@@ -119,7 +119,8 @@
         scheduler.next_command(
             now,
             unix_ms(wall_clock),
-            (&applied.schedule, applied.index),
+            &applied.schedule,
+            applied.index,
             &self.zones,
             &observation,
         )
@@ -158,16 +159,18 @@
         let Some(scheduler) = &mut self.scheduler else {
             return LeaseDecision::Denied;
         };
-        let granted = scheduler.grantor.lease_requested(
-            now,
-            &applied.schedule,
-            (request.name, request.incarnation),
-            (
-                request.applied_index,
-                request.drained,
-                request.rejected_per_mille,
-            ),
-        );
+        let process = SidecarProcess {
+            name: request.name,
+            incarnation: request.incarnation,
+        };
+        let report = SidecarReport {
+            applied_index: request.applied_index,
+            drained: request.drained,
+            rejected_per_mille: request.rejected_per_mille,
+        };
+        let granted = scheduler
+            .grantor
+            .lease_requested(now, &applied.schedule, process, report);
         if granted {
             let commit_index = voter.node().commit_index();
             return LeaseDecision::Granted { commit_index };
--- a/crates/maintenance/src/lease_grantor.rs
+++ b/crates/maintenance/src/lease_grantor.rs
@@ -23,6 +23,26 @@
 /// Stands in the list of sidecars for one that the log does not name any more.
 const GONE_SIDECAR: &str = "one that is gone";
 
+/// One process of a sidecar.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SidecarProcess<'a> {
+    /// The sidecar's name.
+    pub name: &'a str,
+    /// Told apart from the same sidecar's other processes; a later one has a higher number.
+    pub incarnation: u64,
+}
+
+/// What a sidecar reports with its request for a lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SidecarReport<'a> {
+    /// The index through which it has applied the log.
+    pub applied_index: u64,
+    /// The grants whose machines it is drained from.
+    pub drained: &'a [Identifier],
+    /// Its rejections per thousand requests.
+    pub rejected_per_mille: u16,
+}
+
 /// The last request of one process of a sidecar.
 #[derive(Clone, Debug)]
 struct Holder {
@@ -57,25 +77,25 @@
         }
     }
 
-    /// A sidecar, given by name and incarnation, requests its lease. With it come the index through which it has applied the log, the
-    /// grants whose machines it is drained from, and its rejections per thousand requests.
+    /// A sidecar requests its lease.
     ///
     /// Returns whether the lease is granted: not before the log names the sidecar.
     pub fn lease_requested(
         &mut self,
         now: Duration,
         schedule: &MaintenanceSchedule,
-        (name, incarnation): (&str, u64),
-        (applied_index, drained, rejected_per_mille): (u64, &[Identifier], u16),
+        process: SidecarProcess,
+        report: SidecarReport,
     ) -> bool {
+        let SidecarProcess { name, incarnation } = process;
         if schedule.sidecars().get(name) != Some(&incarnation) {
             return false;
         }
         let holder = Holder {
             requested_at: now,
-            applied_index,
-            drained: drained.iter().copied().collect(),
-            rejection_rate: f64::from(rejected_per_mille.min(1000)) / 1e3,
+            applied_index: report.applied_index,
+            drained: report.drained.iter().copied().collect(),
+            rejection_rate: f64::from(report.rejected_per_mille.min(1000)) / 1e3,
         };
         self.holders.insert((name.to_owned(), incarnation), holder);
         let hold_time = self.hold_time;
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -35,7 +35,7 @@
 pub use fleet_observation::{FleetObservation, Pod, ZoneTracker};
 pub use fleet_summary::FleetSummary;
 pub use lease::{Lease, MAX_START_WAIT};
-pub use lease_grantor::LeaseGrantor;
+pub use lease_grantor::{LeaseGrantor, SidecarProcess, SidecarReport};
 pub use limits::BlockedReason;
 pub use list::{MachinePhase, MachineState, MaintenanceList};
 pub use message::Message;
--- a/crates/maintenance/src/scheduler.rs
+++ b/crates/maintenance/src/scheduler.rs
@@ -51,13 +51,14 @@
 
     /// The command to propose now, for a leader that has committed a command of its own term.
     ///
-    /// `log_now_ms` is the leader's clock in milliseconds of the log's time; the schedule comes with the index through which the
-    /// log is applied to it.
+    /// `log_now_ms` is the leader's clock in milliseconds of the log's time; `applied_index` is the index through which the log
+    /// is applied to the schedule.
     pub fn next_command(
         &mut self,
         now: Duration,
         log_now_ms: u64,
-        (schedule, applied_index): (&MaintenanceSchedule, u64),
+        schedule: &MaintenanceSchedule,
+        applied_index: u64,
         zones: &ZoneTracker,
         observation: &FleetObservation,
     ) -> Option<Command> {
--- a/crates/maintenance/tests/digest.rs
+++ b/crates/maintenance/tests/digest.rs
@@ -7,8 +7,8 @@
 use limewing_maintenance::{
     ApplyError, BlockedReason, Command, DisruptionLimits, DrainTracker, FleetObservation,
     Identifier, Lease, LeaseGrantor, ListConfig, Machine, MachinePhase, MachineState,
-    MaintenanceList, MaintenanceSchedule, Message, Pod, RejectionRate, Scheduler, Window,
-    ZoneTracker,
+    MaintenanceList, MaintenanceSchedule, Message, Pod, RejectionRate, Scheduler, SidecarProcess,
+    SidecarReport, Window, ZoneTracker,
 };
 use limewing_test_support::digest::Digest;
 use nanorand::{Rng, WyRand};
@@ -401,8 +401,16 @@
             Some((old, until)) if by_deposed && now < *until => &mut old.grantor,
             _ => &mut self.leader.grantor,
         };
-        let heard = (read, clear.as_slice(), turned_away);
-        let granted = grantor.lease_requested(now, &self.schedule, (&name, start), heard);
+        let process = SidecarProcess {
+            name: &name,
+            incarnation: start,
+        };
+        let report = SidecarReport {
+            applied_index: read,
+            drained: &clear,
+            rejected_per_mille: turned_away,
+        };
+        let granted = grantor.lease_requested(now, &self.schedule, process, report);
         self.digest.number(u64::from(granted));
         if granted {
             self.send_lease(index, no);
@@ -522,10 +530,14 @@
                 release_on_trial: trial,
             };
             let read = (self.log.len() as u64).saturating_sub(lag);
-            let state = (&self.schedule, read);
-            let command =
-                self.leader
-                    .next_command(self.now, log_now, state, &self.zones, &observation);
+            let command = self.leader.next_command(
+                self.now,
+                log_now,
+                &self.schedule,
+                read,
+                &self.zones,
+                &observation,
+            );
             let Some(command) = command else {
                 return;
             };
--- a/crates/maintenance/tests/explore.rs
+++ b/crates/maintenance/tests/explore.rs
@@ -6,7 +6,8 @@
 
 use limewing_maintenance::{
     Command, DisruptionLimits, DrainTracker, FleetObservation, Identifier, Lease, LeaseGrantor,
-    ListConfig, Machine, MachinePhase, MaintenanceSchedule, Pod, Scheduler, ZoneTracker,
+    ListConfig, Machine, MachinePhase, MaintenanceSchedule, Pod, Scheduler, SidecarProcess,
+    SidecarReport, ZoneTracker,
 };
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -244,7 +245,11 @@
             of.lease.request(s(now)),
             schedule(&self.log, self.log.len()),
         );
-        let report = (of.applied as u64, &clear[..], 0);
+        let report = SidecarReport {
+            applied_index: of.applied as u64,
+            drained: &clear,
+            rejected_per_mille: 0,
+        };
         let known = schedule.sidecars().get(&name) == Some(&of.incarnation);
         let by_deposed = how == LeaseExchange::GrantedByDeposed;
         let leader = match &mut self.old {
@@ -256,10 +261,15 @@
             if self.planted == PlantedFault::EarlierProcessForgotten && !known {
                 leader.grantor = LeaseGrantor::new(s(0), s(LEASE_SECONDS), s(0), s(0));
             }
-            let given =
-                leader
-                    .grantor
-                    .lease_requested(s(now), &schedule, (&name, of.incarnation), report);
+            let given = leader.grantor.lease_requested(
+                s(now),
+                &schedule,
+                SidecarProcess {
+                    name: &name,
+                    incarnation: of.incarnation,
+                },
+                report,
+            );
             if !known && !by_deposed {
                 self.log.push(Command::SidecarStarted {
                     name,
@@ -365,7 +375,8 @@
             let command = self.leader.next_command(
                 s(self.now),
                 at,
-                (&schedule, applied),
+                &schedule,
+                applied,
                 &ZoneTracker::default(),
                 &sight,
             );
--- a/crates/maintenance/tests/leases.rs
+++ b/crates/maintenance/tests/leases.rs
@@ -4,7 +4,8 @@
 
 use helpers::{config, grant, schedule_with};
 use limewing_maintenance::{
-    ApplyError, Command, Identifier, Lease, LeaseGrantor, MaintenanceSchedule,
+    ApplyError, Command, Identifier, Lease, LeaseGrantor, MaintenanceSchedule, SidecarProcess,
+    SidecarReport,
 };
 use std::time::Duration;
 
@@ -17,6 +18,18 @@
     Duration::from_secs_f64(seconds)
 }
 
+fn process(name: &str, incarnation: u64) -> SidecarProcess<'_> {
+    SidecarProcess { name, incarnation }
+}
+
+fn report(applied_index: u64, drained: &[Identifier]) -> SidecarReport<'_> {
+    SidecarReport {
+        applied_index,
+        drained,
+        rejected_per_mille: 0,
+    }
+}
+
 /// Sidecar a is drained from the start, b from its ninth request on.
 fn b_is_waited_for_until_it_reports_to_be_drained(
     grantor: &mut LeaseGrantor,
@@ -25,12 +38,12 @@
 ) {
     for n in 0..10 {
         let now = at(11.0 + 0.5 * n as f64);
-        grantor.lease_requested(now, schedule, ("a", 1), (2, &[grant], 0));
+        grantor.lease_requested(now, schedule, process("a", 1), report(2, &[grant]));
         grantor.lease_requested(
             now,
             schedule,
-            ("b", 1),
-            (2, &[grant][..usize::from(n >= 8)], 0),
+            process("b", 1),
+            report(2, &[grant][..usize::from(n >= 8)]),
         );
         // A sidecar that is drained is not waited for.
         assert_eq!(
@@ -51,9 +64,9 @@
     schedule.apply(1, &started("a", 1)).unwrap();
     let mut grantor = LeaseGrantor::new(at(10.0), LEASE_DURATION, at(0.5), at(1.0));
     let grant = Identifier(7);
-    assert!(grantor.lease_requested(at(10.1), &schedule, ("a", 1), (1, &[], 0)));
+    assert!(grantor.lease_requested(at(10.1), &schedule, process("a", 1), report(1, &[])));
     assert!(
-        !grantor.lease_requested(at(10.1), &schedule, ("b", 1), (1, &[], 0)),
+        !grantor.lease_requested(at(10.1), &schedule, process("b", 1), report(1, &[])),
         "not known yet"
     );
     schedule.apply(2, &started("b", 1)).unwrap();
@@ -76,8 +89,8 @@
     );
     schedule.apply(4, &started("b", 2)).unwrap();
     assert_eq!(grantor.sidecars_behind(&schedule, 2), ["b"]);
-    assert!(!grantor.lease_requested(at(15.6), &schedule, ("b", 1), (4, &[grant], 0)));
-    assert!(grantor.lease_requested(at(15.6), &schedule, ("b", 2), (4, &[], 0)));
+    assert!(!grantor.lease_requested(at(15.6), &schedule, process("b", 1), report(4, &[grant])));
+    assert!(grantor.lease_requested(at(15.6), &schedule, process("b", 2), report(4, &[])));
     // The earlier process was drained by its last request.
     assert_eq!(
         grantor.sidecars_not_drained(at(15.6), &schedule, Identifier(8)),
@@ -141,7 +154,7 @@
             }
             requests.sort_by(|a: &(f64, u64), b| b.0.total_cmp(&a.0));
             while let Some((_, request)) = requests.pop_if(|item| item.0 <= now) {
-                grantor.lease_requested(at(now), &schedule, ("a", 1), (1, &[], 0));
+                grantor.lease_requested(at(now), &schedule, process("a", 1), report(1, &[]));
                 if fraction() < 0.7 {
                     responses.push((now + fraction(), request));
                 }
