--- a/crates/emulators/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -6,9 +6,9 @@
 mod services;
 mod work;
 
+use crate::deduplication::DeduplicationMemory;
 use crate::fleet::{key_file, write_keys, Relay, FIRST_KEYS};
-use crate::installer::{Installer, PlaceNo};
-use crate::marks::Marks;
+use crate::rollout::{RolloutController, SlotId};
 use crate::script::{DayScript, Trouble, FIRST_BUILD};
 use clients::{ClientLink, Clients};
 use limewing_fault_injection::FaultyNetwork;
@@ -115,8 +115,8 @@
     pods: BTreeMap<PodId, Pod>,
     next_pod: u32,
     jobs: pods::Jobs,
-    marks: Marks,
-    installer: Installer,
+    deduplication: DeduplicationMemory,
+    installer: RolloutController,
     list: services::ListState,
     /// Troubles that last, by their place in the script.
     present: BTreeMap<usize, Trouble>,
@@ -179,8 +179,12 @@
             pods: BTreeMap::new(),
             next_pod: 0,
             jobs: pods::Jobs::default(),
-            marks: Marks::default(),
-            installer: Installer::new(script.releases.clone(), script.fleet.pods, FIRST_BUILD),
+            deduplication: DeduplicationMemory::default(),
+            installer: RolloutController::new(
+                script.releases.clone(),
+                script.fleet.pods,
+                FIRST_BUILD,
+            ),
             list: services::ListState::new(list_at, installer_at),
             present: BTreeMap::new(),
             clients: Clients::default(),
@@ -205,7 +209,7 @@
             )?);
         }
         for place in 0..script.fleet.pods {
-            day.start_pod(PlaceNo(place), FIRST_BUILD, false)?;
+            day.start_pod(SlotId(place), FIRST_BUILD, false)?;
         }
         for number in 0..script.sidecars.len() {
             let process = day.spawn(number, None)?;
@@ -404,7 +408,7 @@
         match &trouble.what {
             Trouble::PodsKilled(places) => places
                 .iter()
-                .for_each(|place| self.kill_pods(PlaceNo(*place))),
+                .for_each(|place| self.kill_pods(SlotId(*place))),
             Trouble::PodsHung(places) => self.set_hung(places, true),
             Trouble::PodsSlow { places, factor } => self.set_slow(places, *factor),
             Trouble::SidecarKilled(number) => self.kill_sidecar(*number),
@@ -432,8 +436,8 @@
         match &trouble {
             Trouble::PodsKilled(places) => {
                 for place in places {
-                    let build = self.installer.build_at(PlaceNo(*place));
-                    self.start_pod(PlaceNo(*place), build, true)?;
+                    let build = self.installer.build_at(SlotId(*place));
+                    self.start_pod(SlotId(*place), build, true)?;
                 }
             }
             Trouble::PodsHung(places) => self.set_hung(places, false),
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -1,9 +1,9 @@
 //! The pods' sockets: forwards are read, worked off by the model, and answered.
 
 use super::{Day, DayTrouble, Due, End};
-use crate::installer::PlaceNo;
-use crate::marks;
-use crate::pod::{Arrival, Machine, Next, PodModel};
+use crate::deduplication::DeduplicationKey;
+use crate::pod_model::{Arrival, Dequeued, Machine, PodModel};
+use crate::rollout::SlotId;
 use crate::script::{Fault, Trouble};
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
@@ -28,7 +28,7 @@
 pub const BUILD: &str = "day-build";
 
 pub struct Pod {
-    pub place: PlaceNo,
+    pub place: SlotId,
     pub build: u16,
     pub listener: Option<SocketId>,
     pub address: SocketAddr,
@@ -77,7 +77,7 @@
     of: AttemptKey,
     group: usize,
     worthless: bool,
-    mark: Option<marks::Key>,
+    mark: Option<DeduplicationKey>,
     /// Whether it takes effect: known once it is in work.
     effect: bool,
 }
@@ -120,16 +120,16 @@
         let (fleet, rules) = (&self.script.fleet, &self.script.rules);
         Machine {
             cores: fleet.cores,
-            waiting: fleet.waiting,
-            cold_from: rules.cold_from,
-            cold_for: rules.cold_for.into(),
+            queue_limit: fleet.waiting,
+            slow_start_from: rules.cold_from,
+            slow_start_duration: rules.cold_for.into(),
         }
     }
 
     /// Begins a pod; a new one runs, and is cold, only after a while.
     pub(super) fn start_pod(
         &mut self,
-        place: PlaceNo,
+        place: SlotId,
         build: u16,
         fresh: bool,
     ) -> Result<(), DayTrouble> {
@@ -186,7 +186,7 @@
         // Those of the first fleet have run for long.
         pod.started = if pod.cold { today } else { today - 86_400.0 };
         pod.model = PodModel::new(machine, now, pod.cold);
-        pod.model.slow = self.script.slow_of(pod.build);
+        pod.model.slowdown = self.script.slow_of(pod.build);
         let (zone, capacity) = (pod.zone as u16, machine.cores as f64);
         let entry = Event::PodStarted {
             pod: number,
@@ -213,7 +213,7 @@
         }
     }
 
-    pub(super) fn drain_others(&mut self, place: PlaceNo, build: u16) {
+    pub(super) fn drain_others(&mut self, place: SlotId, build: u16) {
         let others = self
             .pods
             .iter_mut()
@@ -232,7 +232,7 @@
         self.publish_later();
     }
 
-    pub(super) fn kill_pods(&mut self, place: PlaceNo) {
+    pub(super) fn kill_pods(&mut self, place: SlotId) {
         let here = self
             .pods
             .iter()
@@ -242,7 +242,7 @@
     }
 
     /// Hits that are at a place's pods, waiting or in work.
-    pub(super) fn open_at(&self, place: PlaceNo) -> usize {
+    pub(super) fn open_at(&self, place: SlotId) -> usize {
         let here = |job: &&Job| match self.ends.get(&job.link) {
             Some(End::Pod(link)) => self
                 .pods
@@ -286,7 +286,7 @@
     pub(super) fn set_slow(&mut self, places: &[usize], factor: f64) {
         for pod in self.pods.values_mut() {
             if places.contains(&pod.place.0) {
-                pod.model.slow = self.script.slow_of(pod.build) * factor;
+                pod.model.slowdown = self.script.slow_of(pod.build) * factor;
             }
         }
     }
@@ -360,7 +360,11 @@
             Reach::Cell => at.1,
         });
         let mark = shared.zip(head.fields.text("idempotency-key"));
-        let mark = mark.map(|(shared, tag)| (group, shared, tag.to_owned()));
+        let mark = mark.map(|(scope, tag)| DeduplicationKey {
+            class: group,
+            scope,
+            idempotency_key: tag.to_owned(),
+        });
         let worthless = head.fields.get(WORTHLESS).is_some();
         let job = self.jobs.next;
         self.jobs.next += 1;
@@ -385,8 +389,8 @@
         };
         match pod.model.arrive(job, work, until, self.now) {
             Arrival::Begun(job, until) => self.begun(number, job, until),
-            Arrival::Waits => {}
-            Arrival::TurnedAway(job) => {
+            Arrival::Queued => {}
+            Arrival::Rejected(job) => {
                 self.jobs.held.remove(&job);
                 self.note(Event::ForwardRejected {
                     pod: number,
@@ -416,7 +420,7 @@
                 .mark
                 .iter()
                 .filter(|_| job.effect)
-                .for_each(|mark| self.marks.undone(mark));
+                .for_each(|mark| self.deduplication.forget(mark));
         };
         let Job {
             link,
@@ -487,8 +491,8 @@
     fn begun(&mut self, number: PodId, job: u64, until: Duration) {
         if let Some(held) = self.jobs.held.get_mut(&job) {
             let marked = held.mark.clone().zip(self.script.memory(held.group));
-            held.effect =
-                marked.is_none_or(|(mark, (_, memory))| self.marks.begin(mark, memory, self.now));
+            held.effect = marked
+                .is_none_or(|(mark, (_, memory))| self.deduplication.begin(mark, memory, self.now));
         }
         self.wheel.schedule(until, Due::Done(number, job));
     }
@@ -498,11 +502,11 @@
         while let Some(next) = self
             .pods
             .get_mut(&number)
-            .and_then(|pod| pod.model.next(now))
+            .and_then(|pod| pod.model.dequeue(now))
         {
             match next {
-                Next::Begun(job, until) => self.begun(number, job, until),
-                Next::Overdue(job) => drop(self.jobs.held.remove(&job)),
+                Dequeued::Begun(job, until) => self.begun(number, job, until),
+                Dequeued::Expired(job) => drop(self.jobs.held.remove(&job)),
             }
         }
     }
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -152,7 +152,7 @@
     pub(super) fn faults(&mut self) -> Result<(), DayTrouble> {
         for act in self.relay.as_ref().map(Relay::turn).unwrap_or_default() {
             self.note(Event::Fault {
-                text: format!("{act:?}"),
+                text: recorded_text(&act),
             });
             match act {
                 FaultAction::Kill(number) => self.kill_sidecar(number),
@@ -315,6 +315,21 @@
     }
 }
 
+/// The words by which the record names an action; a format.
+fn recorded_text(action: &FaultAction) -> String {
+    match action {
+        FaultAction::Suspend(number) => format!("Stop({number})"),
+        FaultAction::Resume(number) => format!("GoOn({number})"),
+        FaultAction::ReplaceKeys { member, ids } => {
+            format!("Keys {{ to: {member}, ids: {ids:?} }}")
+        }
+        FaultAction::SendNoise { member, datagrams } => {
+            format!("Noise {{ to: {member}, datagrams: {datagrams} }}")
+        }
+        other => format!("{other:?}"),
+    }
+}
+
 fn seconds(value: f64) -> Seconds {
     Seconds::try_from(value).expect("a span of seconds")
 }
--- a/crates/emulators/src/day/services.rs
+++ b/crates/emulators/src/day/services.rs
@@ -2,7 +2,7 @@
 
 use super::pods::sidecar_of;
 use super::{Day, DayTrouble, Due, End};
-use crate::installer::{State, Step, Verdict};
+use crate::rollout::{RolloutAction, RolloutState, Verdict};
 use crate::script::Trouble;
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
@@ -75,7 +75,7 @@
 pub struct LateAnswer {
     id: SocketId,
     sidecar: SidecarId,
-    state: State,
+    state: RolloutState,
     reply: String,
 }
 
@@ -380,7 +380,7 @@
             Phase::Released => "released",
             Phase::RolledBack => "withdrawn",
         };
-        let State {
+        let RolloutState {
             number,
             build,
             stage,
@@ -400,14 +400,14 @@
     fn note_told(
         &mut self,
         sidecar: SidecarId,
-        State {
+        RolloutState {
             number,
             build,
             stage,
             phase,
             cap,
             ..
-        }: State,
+        }: RolloutState,
     ) {
         self.note(Event::StageNotified {
             sidecar,
@@ -467,10 +467,10 @@
             return self.plain(id, 400, b"");
         };
         let verdict = match &vote.verdict[..] {
-            "on" => Verdict::On,
+            "on" => Verdict::Promote,
             "hold" => Verdict::Hold,
-            "back" => Verdict::Back,
-            "withhold" => Verdict::Withhold,
+            "back" => Verdict::RollBack,
+            "withhold" => Verdict::Abstain,
             _ => return self.plain(id, 400, b""),
         };
         self.list.votes += 1;
@@ -559,9 +559,13 @@
         };
         for step in self.installer.tick(self.now, runs) {
             match step {
-                Step::Start { place, build } => self.start_pod(place, build, true)?,
-                Step::DrainOthers { place, build } => self.drain_others(place, build),
-                Step::Tell => {
+                RolloutAction::StartPod { slot: place, build } => {
+                    self.start_pod(place, build, true)?
+                }
+                RolloutAction::DrainOthers { slot: place, build } => {
+                    self.drain_others(place, build)
+                }
+                RolloutAction::NotifyStage => {
                     let state = self.installer.state();
                     self.note(Event::StageChanged {
                         build: state.build,
--- a/crates/emulators/src/day/work.rs
+++ b/crates/emulators/src/day/work.rs
@@ -3,7 +3,7 @@
 
 use super::{Day, DayTrouble, Due};
 use crate::fleet::call;
-use crate::installer::PlaceNo;
+use crate::rollout::SlotId;
 use crate::script::{WorkDoes, WorkScript};
 use limewing_http_proxy::service::{MaintenanceRequest, MaintenanceView, WorkReport};
 use limewing_rule_checker::record::Event;
@@ -33,7 +33,7 @@
     views: Receiver<MaintenanceView>,
     thread: Option<std::thread::JoinHandle<()>>,
     /// Grants that are out, or were, by the place of their machine.
-    known: BTreeMap<u64, PlaceNo>,
+    known: BTreeMap<u64, SlotId>,
 }
 
 impl Agents {
@@ -201,8 +201,8 @@
                     .grant
                     .filter(|grant| machine.phase == "out" && !agents.known.contains_key(grant));
                 if let Some((grant, place)) = out.zip(place) {
-                    agents.known.insert(grant, PlaceNo(place));
-                    fresh.push((grant, PlaceNo(place)));
+                    agents.known.insert(grant, SlotId(place));
+                    fresh.push((grant, SlotId(place)));
                 }
             }
         }
@@ -216,7 +216,7 @@
             self.end_by(self.now + AFTER_ALL);
         }
         for (grant, place) in fresh {
-            let on = |place: PlaceNo| self.script.machine_of(place.0);
+            let on = |place: SlotId| self.script.machine_of(place.0);
             let pods: Vec<_> = self
                 .pods
                 .iter()
@@ -234,7 +234,7 @@
         }
     }
 
-    fn worked_at(&self, grant: u64) -> Option<(PlaceNo, &WorkScript, &Agents)> {
+    fn worked_at(&self, grant: u64) -> Option<(SlotId, &WorkScript, &Agents)> {
         let agents = self.agents.as_ref()?;
         Some((
             *agents.known.get(&grant)?,
@@ -252,7 +252,7 @@
         let places = self.script.places_of(place.0);
         let open = places
             .iter()
-            .map(|place| self.open_at(PlaceNo(*place)))
+            .map(|place| self.open_at(SlotId(*place)))
             .sum();
         let zone = place.0 % self.script.fleet.zones.len();
         self.note(Event::MaintenanceStarted {
@@ -262,7 +262,7 @@
         });
         places
             .into_iter()
-            .for_each(|place| self.kill_pods(PlaceNo(place)));
+            .for_each(|place| self.kill_pods(SlotId(place)));
         if !stalls {
             self.wheel
                 .schedule(self.now + lasts.into(), Due::WorkEnds(grant));
@@ -290,7 +290,7 @@
         self.script
             .places_of(place.0)
             .into_iter()
-            .map(PlaceNo)
+            .map(SlotId)
             .try_for_each(|place| {
                 let build = self.installer.build_at(place);
                 self.start_pod(place, build, true)
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for all that a sidecar speaks with, and the days that they play.
 //!
-//! `pod`, `marks` and `installer` are models without I/O; `script` is what a day's file says; `day` drives them
+//! `pod_model`, `deduplication` and `rollout` are models without I/O; `script` is what a day's file says; `day` drives them
 //! all on one loop, with the sidecars as processes of their own, and writes the record. `platform` holds the
 //! platform's parties, for tests.
 
@@ -15,9 +15,9 @@
 )]
 
 pub mod day;
+pub mod deduplication;
 pub mod fleet;
-pub mod installer;
-pub mod marks;
 pub mod platform;
-pub mod pod;
+pub mod pod_model;
+pub mod rollout;
 pub mod script;
