--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -2,7 +2,7 @@
 
 use super::pods::{BUILD, TRY, WORTHLESS, WRONG};
 use super::{Day, Due, End};
-use crate::script::Trouble;
+use crate::script::DayFault;
 use bytes::BytesMut;
 use limewing_net::body::Framing;
 use limewing_net::http::{write_request, ResponseHead};
@@ -73,10 +73,10 @@
 impl Day<'_> {
     pub(super) fn next_hit(&mut self) {
         let factor = self.present.values().map(|trouble| match trouble {
-            Trouble::Overload(factor) => *factor,
+            DayFault::Overload(factor) => *factor,
             _ => 1.0,
         });
-        let rate = self.script.hits_per_s * factor.product::<f64>();
+        let rate = self.script.requests_per_second * factor.product::<f64>();
         let wait = Exp::new(rate.max(1e-6)).map_or(1.0, |wait| wait.sample(&mut self.chance));
         let next = self.now + Duration::from_secs_f64(wait.min(3600.0));
         if next < self.clients.until {
@@ -86,12 +86,16 @@
     }
 
     pub(super) fn worthless(&mut self, trouble: usize) {
-        let Some(Trouble::Worthless { customer, per_s }) = self.present.get(&trouble) else {
+        let Some(DayFault::FailingTenant {
+            tenant: customer,
+            requests_per_second: per_s,
+        }) = self.present.get(&trouble)
+        else {
             return;
         };
         let of = self
             .script
-            .customers
+            .tenants
             .iter()
             .position(|known| known.name == *customer);
         let wait = Exp::new(per_s.max(1e-6)).map_or(1.0, |wait| wait.sample(&mut self.chance));
@@ -106,16 +110,16 @@
     fn new_order(&mut self, worthless_of: Option<usize>) {
         let script = self.script;
         let group = self
-            .draw(script.groups.iter().map(|group| group.share))
+            .draw(script.classes.iter().map(|group| group.share))
             .unwrap_or(0);
-        let drawn = self.draw(script.customers.iter().map(|customer| customer.share));
+        let drawn = self.draw(script.tenants.iter().map(|customer| customer.share));
         let id = RequestId(self.clients.next);
         self.clients.next += 1;
-        let timeout = Duration::from(self.script.groups[group].group.client_timeout);
+        let timeout = Duration::from(self.script.classes[group].class.client_timeout);
         let customer = worthless_of.or(drawn);
         // A tagged hit is asked for only while pods remember it, with a little left for the way there.
         let lasts = script
-            .memory(group)
+            .deduplication(group)
             .map_or(timeout, |(_, memory)| timeout.min(memory.mul_f64(0.9)));
         let (key, until) = (self.chance.random_range(0..5_000), self.now + lasts);
         let order = Order {
@@ -140,23 +144,25 @@
 
     /// Sends the next try of a hit to one of the sidecars.
     pub(super) fn ask(&mut self, id: RequestId) {
-        let sidecar = match WeightedIndex::new(&self.script.traffic) {
+        let sidecar = match WeightedIndex::new(&self.script.traffic_shares) {
             Ok(places) => SidecarId(places.sample(&mut self.chance) as u32),
             Err(_) => SidecarId(
                 self.chance
-                    .random_range(0..self.script.sidecars.len() as u32),
+                    .random_range(0..self.script.sidecar_zones.len() as u32),
             ),
         };
         let patience = self
             .chance
-            .random_range(self.script.clients.patience_from..=1.0);
-        let leaves = self.chance.random_bool(self.script.clients.leaves);
+            .random_range(self.script.clients.min_timeout_part..=1.0);
+        let leaves = self
+            .chance
+            .random_bool(self.script.clients.disconnecting_part);
         let Some(order) = self.clients.orders.get_mut(&id) else {
             return;
         };
         let of = AttemptKey::new(id, order.tries);
         order.tries += 1;
-        let group = &self.script.groups[order.group].group;
+        let group = &self.script.classes[order.group].class;
         let waits = Duration::from(group.client_timeout).mul_f64(patience);
         let waits = Duration::from_millis(
             waits.min(order.until.saturating_sub(self.now)).as_millis() as u64,
@@ -179,9 +185,10 @@
         ];
         fields.push(("routing-key", &key));
         if let Some(customer) = order.customer {
-            fields.push(("customer", &self.script.customers[customer].name));
+            fields.push(("customer", &self.script.tenants[customer].name));
         }
-        let careless = self.script.clients.careless && group.repeat == Repeat::Mutating;
+        let careless =
+            self.script.clients.retries_non_idempotent && group.repeat == Repeat::Mutating;
         if careless || matches!(group.repeat, Repeat::Tagged { .. }) {
             fields.push(("idempotency-key", &tag));
         }
@@ -263,7 +270,10 @@
         let (Some(of), sidecar, waits) = (client.of, client.sidecar, client.waits) else {
             return;
         };
-        if self.chance.random_bool(self.script.clients.slow) {
+        if self
+            .chance
+            .random_bool(self.script.clients.slow_sender_part)
+        {
             let first = client.request.split_to(client.request.len() / 2);
             self.sockets.send(link, &first);
             self.wheel.schedule(self.now + SLOW, Due::Rest(link));
@@ -353,7 +363,7 @@
                     && !std::mem::replace(&mut client.begun, true);
                 let order = of.and_then(|of| self.clients.orders.get(&of.request));
                 let streamed =
-                    order.is_some_and(|order| self.script.groups[order.group].group.streamed);
+                    order.is_some_and(|order| self.script.classes[order.group].class.streamed);
                 if let Some(of) = of.filter(|_| begun && streamed) {
                     self.note(Event::AnswerStarted {
                         sidecar,
@@ -407,7 +417,7 @@
                 self.clients.orders.remove(&of.request);
                 self.clients.delivered += 1;
                 let wrong = head.fields.get(WRONG).is_some()
-                    && self.chance.random_bool(self.script.clients.reports);
+                    && self.chance.random_bool(self.script.clients.reported_part);
                 if let Some(mark) = head.fields.text("limewing-forward").filter(|_| wrong) {
                     let after = Duration::from_secs_f64(self.chance.random_range(0.3..1.5));
                     self.wheel
@@ -427,17 +437,17 @@
 
     /// Tries again after a wait, where that does no harm: `harmless` by what is known, else by path group.
     fn try_again(&mut self, id: RequestId, harmless: bool, soon: bool) {
-        let wait = f64::from(self.script.clients.wait) * self.chance.random_range(0.5..1.5);
+        let wait = f64::from(self.script.clients.mean_backoff) * self.chance.random_range(0.5..1.5);
         let Some(order) = self.clients.orders.get(&id) else {
             return;
         };
-        let by_group = match self.script.groups[order.group].group.repeat {
+        let by_group = match self.script.classes[order.group].class.repeat {
             Repeat::Repeatable => true,
             Repeat::Tagged { reach, .. } => reach == Reach::All,
-            Repeat::Mutating => self.script.clients.careless,
+            Repeat::Mutating => self.script.clients.retries_non_idempotent,
         };
         let at = self.now + Duration::from_secs_f64(if soon { wait * 0.1 } else { wait });
-        let again = order.tries <= self.script.clients.retries
+        let again = order.tries <= self.script.clients.max_retries
             && at < order.until
             && (harmless || by_group);
         if again {
--- a/crates/emulators/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -9,7 +9,7 @@
 use crate::deduplication::DeduplicationMemory;
 use crate::fleet::{key_file, write_keys, Relay, FIRST_KEYS};
 use crate::rollout::{RolloutController, SlotId};
-use crate::script::{DayScript, Trouble, FIRST_BUILD};
+use crate::script::{DayFault, DayScript, FIRST_BUILD};
 use clients::{ClientLink, Clients};
 use limewing_fault_injection::FaultyNetwork;
 use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
@@ -85,7 +85,7 @@
     Rest(SocketId),
     VoteAnswer(Box<LateAnswer>),
     Offer(usize),
-    Trouble(usize),
+    DayFault(usize),
     TroubleEnds(usize),
     Work(usize),
     WorkBegins(u64),
@@ -119,7 +119,7 @@
     installer: RolloutController,
     list: services::ListState,
     /// Troubles that last, by their place in the script.
-    present: BTreeMap<usize, Trouble>,
+    present: BTreeMap<usize, DayFault>,
     clients: Clients,
     processes: Vec<Process>,
     /// Between the sidecars, if they know of each other.
@@ -199,7 +199,7 @@
             limits: script.rule_limits(),
         });
         if let Some(peers) = &script.peers {
-            let members = script.sidecars.len();
+            let members = script.sidecar_zones.len();
             for number in 0..members {
                 write_keys(&key_file(&day.folder, number), &FIRST_KEYS)?;
             }
@@ -211,7 +211,7 @@
         for place in 0..script.fleet.pods {
             day.start_pod(SlotId(place), FIRST_BUILD, false)?;
         }
-        for number in 0..script.sidecars.len() {
+        for number in 0..script.sidecar_zones.len() {
             let process = day.spawn(number, None)?;
             day.processes.push(process);
         }
@@ -227,7 +227,7 @@
     fn run(&mut self, view: &mut dyn FnMut(Progress)) -> Result<(), DayTrouble> {
         // The day begins once each sidecar has been told the list.
         let ready = Instant::now() + Duration::from_secs(10);
-        while self.list.told.len() < self.script.sidecars.len() {
+        while self.list.told.len() < self.script.sidecar_zones.len() {
             self.turn()?;
             if Instant::now() > ready {
                 return Err(DayTrouble::NotReady);
@@ -260,13 +260,13 @@
             self.wheel
                 .schedule(now + offer.at.into(), Due::Offer(number));
         }
-        for (number, trouble) in script.troubles.iter().enumerate() {
+        for (number, trouble) in script.faults.iter().enumerate() {
             self.wheel
-                .schedule(now + trouble.at.into(), Due::Trouble(number));
+                .schedule(now + trouble.at.into(), Due::DayFault(number));
         }
         self.begin_work();
         self.clients.until = Duration::MAX;
-        self.end_by(now + script.lasts.into());
+        self.end_by(now + script.duration.into());
     }
 
     /// No more hits after this, if it is before what was said before.
@@ -381,7 +381,7 @@
                 let build = self.script.offers[number].build;
                 self.installer.offer(build, self.now);
             }
-            Due::Trouble(number) => self.trouble_begins(number)?,
+            Due::DayFault(number) => self.trouble_begins(number)?,
             Due::TroubleEnds(number) => self.trouble_ends(number)?,
             Due::Work(number) => self.work_step(number),
             Due::WorkBegins(grant) => self.work_begins(grant),
@@ -396,31 +396,34 @@
     }
 
     fn trouble_begins(&mut self, number: usize) -> Result<(), DayTrouble> {
-        let trouble = &self.script.troubles[number];
+        let trouble = &self.script.faults[number];
         self.note(Event::Fault {
-            text: format!("begins: {:?}", trouble.what),
+            text: format!("begins: {}", trouble.fault),
         });
-        self.present.insert(number, trouble.what.clone());
-        if let Some(lasts) = trouble.lasts {
+        self.present.insert(number, trouble.fault.clone());
+        if let Some(lasts) = trouble.duration {
             self.wheel
                 .schedule(self.now + lasts.into(), Due::TroubleEnds(number));
         }
-        match &trouble.what {
-            Trouble::PodsKilled(places) => places
+        match &trouble.fault {
+            DayFault::PodsKilled(places) => places
                 .iter()
                 .for_each(|place| self.kill_pods(SlotId(*place))),
-            Trouble::PodsHung(places) => self.set_hung(places, true),
-            Trouble::PodsSlow { places, factor } => self.set_slow(places, *factor),
-            Trouble::SidecarKilled(number) => self.kill_sidecar(*number),
-            Trouble::SidecarLeaves(number) => {
+            DayFault::PodsHung(places) => self.set_hung(places, true),
+            DayFault::PodsSlow {
+                slots: places,
+                factor,
+            } => self.set_slow(places, *factor),
+            DayFault::SidecarKilled(number) => self.kill_sidecar(*number),
+            DayFault::SidecarTerminated(number) => {
                 self.bid_leave(*number);
             }
-            Trouble::SidecarStopped(number) => {
+            DayFault::SidecarSuspended(number) => {
                 self.stop_sidecar(*number);
             }
-            Trouble::ListDown => self.list_down(),
-            Trouble::InstallerDown => self.installer_down(),
-            Trouble::Worthless { .. } => self.worthless(number),
+            DayFault::ListDown => self.list_down(),
+            DayFault::RolloutsDown => self.installer_down(),
+            DayFault::FailingTenant { .. } => self.worthless(number),
             _ => {}
         }
         Ok(())
@@ -431,43 +434,45 @@
             return Ok(());
         };
         self.note(Event::Fault {
-            text: format!("ends: {trouble:?}"),
+            text: format!("ends: {trouble}"),
         });
         match &trouble {
-            Trouble::PodsKilled(places) => {
+            DayFault::PodsKilled(places) => {
                 for place in places {
                     let build = self.installer.build_at(SlotId(*place));
                     self.start_pod(SlotId(*place), build, true)?;
                 }
             }
-            Trouble::PodsHung(places) => self.set_hung(places, false),
-            Trouble::PodsSlow { places, .. } => self.set_slow(places, 1.0),
-            Trouble::SidecarKilled(number) | Trouble::SidecarLeaves(number) => {
+            DayFault::PodsHung(places) => self.set_hung(places, false),
+            DayFault::PodsSlow { slots: places, .. } => self.set_slow(places, 1.0),
+            DayFault::SidecarKilled(number) | DayFault::SidecarTerminated(number) => {
                 self.start_again(*number)?
             }
-            Trouble::SidecarStopped(number) => {
+            DayFault::SidecarSuspended(number) => {
                 self.let_go_on(*number);
             }
-            Trouble::ListDown => self.list_up()?,
-            Trouble::InstallerDown => self.installer_up()?,
+            DayFault::ListDown => self.list_up()?,
+            DayFault::RolloutsDown => self.installer_up()?,
             _ => {}
         }
         Ok(())
     }
 
-    fn is_present(&self, fits: impl Fn(&Trouble) -> bool) -> bool {
+    fn is_present(&self, fits: impl Fn(&DayFault) -> bool) -> bool {
         self.present.values().any(fits)
     }
 
     /// Whether nothing passes between two zones.
     fn is_cut(&self, one: &str, other: &str) -> bool {
         one != other
-            && self.is_present(|t| matches!(t, Trouble::ZoneCut(cut) if cut == one || cut == other))
+            && self.is_present(
+                |t| matches!(t, DayFault::ZonePartitioned(cut) if cut == one || cut == other),
+            )
     }
 
     fn zone_of(&self, sidecar: SidecarId) -> &'a str {
         self.script
-            .sidecars
+            .sidecar_zones
             .get(sidecar.0 as usize)
             .map_or("", String::as_str)
     }
@@ -493,7 +498,7 @@
             troubles: self
                 .present
                 .values()
-                .map(|trouble| format!("{trouble:?}"))
+                .map(|trouble| trouble.to_string())
                 .collect(),
         }
     }
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -4,7 +4,7 @@
 use crate::deduplication::DeduplicationKey;
 use crate::pod_model::{Arrival, Dequeued, Machine, PodModel};
 use crate::rollout::SlotId;
-use crate::script::{Fault, Trouble};
+use crate::script::{BuildFault, DayFault};
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
 use limewing_net::http::{write_response, RequestHead};
@@ -92,13 +92,13 @@
         let mut link = PodLink::new(pod);
         for trouble in self.present.values() {
             match trouble {
-                Trouble::ConnectionsScarce { most } => {
+                DayFault::ConnectionsLimited { max: most } => {
                     let here = |end: &&End| matches!(end, End::Pod(link) if link.pod == pod);
                     if self.ends.values().filter(here).count() >= *most {
                         return None;
                     }
                 }
-                Trouble::ConnectionsDear(wait) => {
+                DayFault::ConnectionsDelayed(wait) => {
                     link.opening = true;
                     self.wheel
                         .schedule(self.now + (*wait).into(), Due::PodRead(socket));
@@ -120,7 +120,7 @@
         let (fleet, rules) = (&self.script.fleet, &self.script.rules);
         Machine {
             cores: fleet.cores,
-            queue_limit: fleet.waiting,
+            queue_limit: fleet.queue_limit,
             slow_start_from: rules.cold_from,
             slow_start_duration: rules.cold_for.into(),
         }
@@ -140,7 +140,7 @@
         self.next_pod += 1;
         let (zone, cell) = (
             place.0 % self.script.fleet.zones.len(),
-            place.0 / self.script.fleet.cell,
+            place.0 / self.script.fleet.pods_per_cell,
         );
         let (model, up_at) = (PodModel::new(self.machine(), self.now, fresh), self.now);
         let (up, draining, listener) = (false, false, Some(listener));
@@ -166,7 +166,7 @@
         self.pods.insert(number, pod);
         if fresh {
             self.wheel.schedule(
-                self.now + self.script.fleet.starts_within.into(),
+                self.now + self.script.fleet.startup_time.into(),
                 Due::PodUp(number),
             );
         } else {
@@ -186,7 +186,7 @@
         // Those of the first fleet have run for long.
         pod.started = if pod.cold { today } else { today - 86_400.0 };
         pod.model = PodModel::new(machine, now, pod.cold);
-        pod.model.slowdown = self.script.slow_of(pod.build);
+        pod.model.slowdown = self.script.slowdown_of(pod.build);
         let (zone, capacity) = (pod.zone as u16, machine.cores as f64);
         let entry = Event::PodStarted {
             pod: number,
@@ -203,11 +203,14 @@
 
     /// Troubles that are present hold for pods that come during them too.
     fn apply_lasting(&mut self) {
-        let present: Vec<Trouble> = self.present.values().cloned().collect();
+        let present: Vec<DayFault> = self.present.values().cloned().collect();
         for trouble in present {
             match trouble {
-                Trouble::PodsHung(places) => self.set_hung(&places, true),
-                Trouble::PodsSlow { places, factor } => self.set_slow(&places, factor),
+                DayFault::PodsHung(places) => self.set_hung(&places, true),
+                DayFault::PodsSlow {
+                    slots: places,
+                    factor,
+                } => self.set_slow(&places, factor),
                 _ => {}
             }
         }
@@ -225,7 +228,7 @@
         }
         for number in leaving {
             self.wheel.schedule(
-                self.now + self.script.fleet.drains_for.into(),
+                self.now + self.script.fleet.drain_duration.into(),
                 Due::PodDown(number),
             );
         }
@@ -286,7 +289,7 @@
     pub(super) fn set_slow(&mut self, places: &[usize], factor: f64) {
         for pod in self.pods.values_mut() {
             if places.contains(&pod.place.0) {
-                pod.model.slowdown = self.script.slow_of(pod.build) * factor;
+                pod.model.slowdown = self.script.slowdown_of(pod.build) * factor;
             }
         }
     }
@@ -337,7 +340,7 @@
         let Some(group) = self.group_of(head) else {
             return self.drop_end(id);
         };
-        let mean = f64::from(self.script.groups[group].work);
+        let mean = f64::from(self.script.classes[group].mean_work);
         // The same hit is as much work wherever it runs.
         let mut own =
             StdRng::seed_from_u64(self.script.seed ^ of.request.0.wrapping_mul(0x9e37_79b9));
@@ -350,15 +353,18 @@
             class: group,
             work,
         });
-        if self.is_present(|t| matches!(t, Trouble::PodsSilent(places) if places.contains(&place)))
+        if self.is_present(|t| matches!(t, DayFault::PodsSilent(places) if places.contains(&place)))
         {
             return;
         }
-        let shared = self.script.memory(group).map(|(reach, _)| match reach {
-            Reach::All => 0,
-            Reach::Zone => at.0,
-            Reach::Cell => at.1,
-        });
+        let shared = self
+            .script
+            .deduplication(group)
+            .map(|(reach, _)| match reach {
+                Reach::All => 0,
+                Reach::Zone => at.0,
+                Reach::Cell => at.1,
+            });
         let mark = shared.zip(head.fields.text("idempotency-key"));
         let mark = mark.map(|(scope, tag)| DeduplicationKey {
             class: group,
@@ -406,9 +412,9 @@
             route.method == head.method && super::clients::target_of(&route.path) == head.target
         };
         self.script
-            .groups
+            .classes
             .iter()
-            .position(|group| group.group.routes.iter().any(fits))
+            .position(|group| group.class.routes.iter().any(fits))
     }
 
     pub(super) fn done(&mut self, number: PodId, job: u64) {
@@ -443,19 +449,19 @@
         let (mut status, mut wrong) = (200, false);
         for fault in faults {
             match fault {
-                Fault::Errors {
+                BuildFault::Errors {
                     share,
-                    group: only,
-                    after,
+                    class: only,
+                    min_age: after,
                 } => {
-                    let name = &self.script.groups[group].group.name;
+                    let name = &self.script.classes[group].class.name;
                     let here = only.as_ref().is_none_or(|only| only == name)
                         && age >= super::span(*after, 0.0);
                     if here && self.chance.random_bool(*share) {
                         status = 500;
                     }
                 }
-                Fault::Wrong { share } => wrong |= self.chance.random_bool(*share),
+                BuildFault::WrongAnswers { share } => wrong |= self.chance.random_bool(*share),
             }
         }
         if worthless && self.chance.random_bool(HOPELESS) {
@@ -472,7 +478,10 @@
             fields.push((WRONG, "1"));
         }
         let half = self.present.values().find_map(|trouble| match trouble {
-            Trouble::HalfAnswers { places, share } if places.contains(&place) => Some(*share),
+            DayFault::TruncatedAnswers {
+                slots: places,
+                share,
+            } if places.contains(&place) => Some(*share),
             _ => None,
         });
         if half.is_some_and(|share| self.chance.random_bool(share)) {
@@ -483,14 +492,14 @@
             self.ends.remove(&link);
             return self.sockets.close_when_sent(link);
         }
-        let streams = status == 200 && self.script.groups[group].group.streamed;
+        let streams = status == 200 && self.script.classes[group].class.streamed;
         self.answer(link, number, status, &fields, streams);
     }
 
     /// A hit is in work, and done by `until`: from here on its mark is known.
     fn begun(&mut self, number: PodId, job: u64, until: Duration) {
         if let Some(held) = self.jobs.held.get_mut(&job) {
-            let marked = held.mark.clone().zip(self.script.memory(held.group));
+            let marked = held.mark.clone().zip(self.script.deduplication(held.group));
             held.effect = marked
                 .is_none_or(|(mark, (_, memory))| self.deduplication.begin(mark, memory, self.now));
         }
@@ -565,7 +574,9 @@
         );
         out.extend_from_slice(body);
         self.sockets.send(id, &out);
-        if self.is_present(|t| matches!(t, Trouble::PodsClose(places) if places.contains(&place))) {
+        if self.is_present(
+            |t| matches!(t, DayFault::PodsCloseConnections(places) if places.contains(&place)),
+        ) {
             self.ends.remove(&id);
             return self.sockets.close_when_sent(id);
         }
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -87,10 +87,10 @@
                 quiet_at_most: seconds(10.0),
             }),
             fleet: Fleet {
-                sidecars: script.sidecars.len() as u32,
+                sidecars: script.sidecar_zones.len() as u32,
                 own_number: number as u32,
                 zones: script.fleet.zones.clone(),
-                zone: script.sidecars[number].clone(),
+                zone: script.sidecar_zones[number].clone(),
             },
             headers: Headers {
                 customer: name("customer"),
@@ -98,12 +98,12 @@
                 deadline_ms: name("request-timeout-ms"),
             },
             path_groups: script
-                .groups
+                .classes
                 .iter()
-                .map(|group| group.group.clone())
+                .map(|script| script.class.clone())
                 .collect(),
             customers: script
-                .customers
+                .tenants
                 .iter()
                 .map(|c| Customer {
                     name: c.name.clone(),
@@ -118,14 +118,14 @@
     }
 
     fn work(&self, number: usize) -> Option<limewing_settings::Work> {
-        let work = self.script.work.as_ref()?;
+        let work = self.script.maintenance.as_ref()?;
         Some(limewing_settings::Work {
             voters: (0..work.voters)
                 .map(|voter| format!("sidecar-{voter}"))
                 .collect(),
-            folder: (number < work.folders.unwrap_or(work.voters))
+            folder: (number < work.possible_voters.unwrap_or(work.voters))
                 .then(|| self.work_folder(number)),
-            patience: work.patience,
+            patience: work.election_timeout,
             lease: work.lease,
         })
     }
@@ -141,10 +141,10 @@
             advertise: Some(relay.fronts[number]),
             join: relay.fronts.iter().take(3).copied().collect(),
             key_file: key_file(&self.folder, number),
-            period: told.period,
+            period: told.probe_interval,
             bytes_per_s: 65_536,
-            choices: told.choices,
-            replicas: told.replicas,
+            choices: told.coordination,
+            replicas: told.replication,
         })
     }
 
@@ -246,7 +246,7 @@
                 CLOCK,
                 peers
                     .faults
-                    .clock_offset(number, self.script.sidecars.len())
+                    .clock_offset(number, self.script.sidecar_zones.len())
                     .to_string(),
             );
         }
--- a/crates/emulators/src/day/services.rs
+++ b/crates/emulators/src/day/services.rs
@@ -3,7 +3,7 @@
 use super::pods::sidecar_of;
 use super::{Day, DayTrouble, Due, End};
 use crate::rollout::{RolloutAction, RolloutState, Verdict};
-use crate::script::Trouble;
+use crate::script::DayFault;
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
 use limewing_net::http::{write_response, RequestHead};
@@ -154,10 +154,10 @@
             return self.publish(published);
         }
         let more = self.present.values().find_map(|trouble| match trouble {
-            Trouble::ListLags(more) => Some(Duration::from(*more)),
+            DayFault::ListDelayed(more) => Some(Duration::from(*more)),
             _ => None,
         });
-        let lag = Duration::from(self.script.fleet.list_lag) + more.unwrap_or_default();
+        let lag = Duration::from(self.script.fleet.list_delay) + more.unwrap_or_default();
         self.wheel
             .schedule(self.now + lag, Due::Publish(Box::new(published)));
     }
@@ -436,7 +436,7 @@
 
     pub(super) fn tell_all(&mut self) {
         let late = self.present.values().find_map(|trouble| match trouble {
-            Trouble::NewsLate(late) => Some(Duration::from(*late)),
+            DayFault::StageUpdatesDelayed(late) => Some(Duration::from(*late)),
             _ => None,
         });
         match late {
@@ -458,7 +458,8 @@
 
     pub(super) fn tell_all_again(&mut self) {
         self.tell_all();
-        let every = super::span(self.script.fleet.told_every, 2.0).max(Duration::from_millis(100));
+        let every = super::span(self.script.fleet.stage_update_interval, 2.0)
+            .max(Duration::from_millis(100));
         self.wheel.schedule(self.now + every, Due::TellAll);
     }
 
@@ -474,11 +475,14 @@
             _ => return self.plain(id, 400, b""),
         };
         self.list.votes += 1;
-        if self.is_present(|t| matches!(t, Trouble::VotesRefused)) {
+        if self.is_present(|t| matches!(t, DayFault::VotesRefused)) {
             return self.plain(id, 429, b"");
         }
         let allowance = self.present.values().find_map(|trouble| match trouble {
-            Trouble::VotesAllowed { most, within } => Some((*most, Duration::from(*within))),
+            DayFault::VotesRateLimited {
+                max: most,
+                window: within,
+            } => Some((*most, Duration::from(*within))),
             _ => None,
         });
         if let Some((most, within)) = allowance {
@@ -489,7 +493,7 @@
             }
             self.list.taken.push(self.now);
         }
-        let silent = self.is_present(|t| matches!(t, Trouble::VotesUnanswered));
+        let silent = self.is_present(|t| matches!(t, DayFault::VotesUnanswered));
         if silent && self.list.votes.is_multiple_of(2) {
             return;
         }
@@ -510,7 +514,7 @@
         }
         let reply = json!({"answer": answer, "stage": self.stage_json()}).to_string();
         let late = self.present.values().find_map(|trouble| match trouble {
-            Trouble::VotesLate(late) => Some(Duration::from(*late)),
+            DayFault::VoteAnswersDelayed(late) => Some(Duration::from(*late)),
             _ => None,
         });
         let answer = LateAnswer {
@@ -547,8 +551,7 @@
 
     pub(super) fn tick(&mut self) -> Result<(), DayTrouble> {
         self.wheel.schedule(self.now + super::TICK, Due::Tick);
-        let still =
-            |t: &Trouble| matches!(t, Trouble::InstallerDown | Trouble::InstallerStandsStill);
+        let still = |t: &DayFault| matches!(t, DayFault::RolloutsDown | DayFault::RolloutsPaused);
         if self.is_present(still) {
             return Ok(());
         }
--- a/crates/emulators/src/day/work.rs
+++ b/crates/emulators/src/day/work.rs
@@ -4,7 +4,7 @@
 use super::{Day, DayTrouble, Due};
 use crate::fleet::call;
 use crate::rollout::SlotId;
-use crate::script::{WorkDoes, WorkScript};
+use crate::script::{MaintenanceScript, OperatorAction};
 use limewing_http_proxy::service::{MaintenanceRequest, MaintenanceView, WorkReport};
 use limewing_rule_checker::record::Event;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 /// What the thread is to post, until it shows.
 enum Post {
-    Does(WorkDoes),
+    Does(OperatorAction),
     Report(u64, WorkReport),
     Over,
 }
@@ -71,13 +71,13 @@
             .map(|machine| machine.phase.as_str())
     };
     match post {
-        Post::Does(WorkDoes::Ask(_)) => of.is_some_and(|of| !of.machines.is_empty()),
-        Post::Does(WorkDoes::Hold) => of.is_some_and(|of| of.paused),
-        Post::Does(WorkDoes::GoOn) => of.is_some_and(|of| !of.paused),
-        Post::Does(WorkDoes::Withdraw) => of.is_some_and(|of| of.withdrawn),
-        Post::Does(WorkDoes::Gone(name)) => !view.sidecars.contains(name),
-        Post::Does(WorkDoes::Vote(name)) => view.voters.contains(name),
-        Post::Does(WorkDoes::Unvote(name)) => {
+        Post::Does(OperatorAction::Request(_)) => of.is_some_and(|of| !of.machines.is_empty()),
+        Post::Does(OperatorAction::Hold) => of.is_some_and(|of| of.paused),
+        Post::Does(OperatorAction::Resume) => of.is_some_and(|of| !of.paused),
+        Post::Does(OperatorAction::Withdraw) => of.is_some_and(|of| of.withdrawn),
+        Post::Does(OperatorAction::RemoveSidecar(name)) => !view.sidecars.contains(name),
+        Post::Does(OperatorAction::AddVoter(name)) => view.voters.contains(name),
+        Post::Does(OperatorAction::RemoveVoter(name)) => {
             !view.voters.is_empty() && !view.voters.contains(name)
         }
         // That it began does not show: it is told once.
@@ -113,24 +113,26 @@
                 }
                 let asked = match (&*post, list) {
                     // MaintenanceRequest for once: again it would be another list.
-                    (Post::Does(WorkDoes::Ask(_)), _) if posted.is_some() => continue,
-                    (Post::Does(WorkDoes::Ask(told)), _) => {
+                    (Post::Does(OperatorAction::Request(_)), _) if posted.is_some() => continue,
+                    (Post::Does(OperatorAction::Request(told)), _) => {
                         MaintenanceRequest::CreateList(told.clone())
                     }
-                    (Post::Does(WorkDoes::Hold), Some(list)) => MaintenanceRequest::PauseList(list),
-                    (Post::Does(WorkDoes::GoOn), Some(list)) => {
+                    (Post::Does(OperatorAction::Hold), Some(list)) => {
+                        MaintenanceRequest::PauseList(list)
+                    }
+                    (Post::Does(OperatorAction::Resume), Some(list)) => {
                         MaintenanceRequest::ResumeList(list)
                     }
-                    (Post::Does(WorkDoes::Withdraw), Some(list)) => {
+                    (Post::Does(OperatorAction::Withdraw), Some(list)) => {
                         MaintenanceRequest::WithdrawList(list)
                     }
-                    (Post::Does(WorkDoes::Gone(name)), _) => {
+                    (Post::Does(OperatorAction::RemoveSidecar(name)), _) => {
                         MaintenanceRequest::SidecarGone(name.clone())
                     }
-                    (Post::Does(WorkDoes::Vote(name)), _) => {
+                    (Post::Does(OperatorAction::AddVoter(name)), _) => {
                         MaintenanceRequest::AddVoter(name.clone())
                     }
-                    (Post::Does(WorkDoes::Unvote(name)), _) => {
+                    (Post::Does(OperatorAction::RemoveVoter(name)), _) => {
                         MaintenanceRequest::RemoveVoter(name.clone())
                     }
                     (Post::Report(grant, said), _) => MaintenanceRequest::ReportWork {
@@ -153,7 +155,7 @@
 
 impl Day<'_> {
     pub(super) fn begin_work(&mut self) {
-        let Some(work) = self.script.work.as_ref() else {
+        let Some(work) = self.script.maintenance.as_ref() else {
             return;
         };
         self.agents = Some(Agents::start(
@@ -169,12 +171,13 @@
     }
 
     pub(super) fn work_step(&mut self, number: usize) {
-        let Some((work, agents)) = self.script.work.as_ref().zip(self.agents.as_ref()) else {
+        let Some((work, agents)) = self.script.maintenance.as_ref().zip(self.agents.as_ref())
+        else {
             return;
         };
-        let does = work.steps[number].does.clone();
+        let does = work.steps[number].action.clone();
         agents.post(Post::Does(does.clone()));
-        if let WorkDoes::Ask(list) = does {
+        if let OperatorAction::Request(list) = does {
             let (out, out_in_zone) = (list.limits.out, list.limits.out_in_zone.unwrap_or(u16::MAX));
             self.note(Event::MaintenanceRequested {
                 max_out: out,
@@ -209,9 +212,9 @@
         if over
             && self
                 .script
-                .work
+                .maintenance
                 .as_ref()
-                .is_some_and(|work| work.ends_when_over)
+                .is_some_and(|work| work.ends_day_when_over)
         {
             self.end_by(self.now + AFTER_ALL);
         }
@@ -234,11 +237,11 @@
         }
     }
 
-    fn worked_at(&self, grant: u64) -> Option<(SlotId, &WorkScript, &Agents)> {
+    fn worked_at(&self, grant: u64) -> Option<(SlotId, &MaintenanceScript, &Agents)> {
         let agents = self.agents.as_ref()?;
         Some((
             *agents.known.get(&grant)?,
-            self.script.work.as_ref()?,
+            self.script.maintenance.as_ref()?,
             agents,
         ))
     }
@@ -248,8 +251,8 @@
             return;
         };
         agents.post(Post::Report(grant, WorkReport::Began));
-        let (lasts, stalls) = (work.works_for, work.stall.contains(&place.0));
-        let places = self.script.places_of(place.0);
+        let (lasts, stalls) = (work.duration, work.stalling.contains(&place.0));
+        let places = self.script.slots_of(place.0);
         let open = places
             .iter()
             .map(|place| self.open_at(SlotId(*place)))
@@ -273,14 +276,14 @@
         let Some((place, work, agents)) = self.worked_at(grant) else {
             return Ok(());
         };
-        let fails = work.fail.contains(&place.0);
+        let fails = work.failing.contains(&place.0);
         let said = if fails {
             WorkReport::Failed
         } else {
             WorkReport::Succeeded
         };
         agents.post(Post::Report(grant, said));
-        if work.twice.contains(&place.0) {
+        if work.reported_twice.contains(&place.0) {
             agents.post(Post::Report(grant, said));
         }
         self.note(Event::MaintenanceEnded {
@@ -288,7 +291,7 @@
             succeeded: !fails,
         });
         self.script
-            .places_of(place.0)
+            .slots_of(place.0)
             .into_iter()
             .map(SlotId)
             .try_for_each(|place| {
--- /dev/null
+++ b/crates/emulators/src/script/rule_limits.rs
@@ -0,0 +1,48 @@
+//! What the rules are held to on a day, as the record states it.
+
+use super::DayScript;
+use limewing_rule_checker::record::{DeduplicationScope, Idempotency, RequestClass, RuleLimits};
+use limewing_settings::{Reach, Repeat};
+
+impl DayScript {
+    /// What the rules are held to on this day.
+    #[must_use]
+    pub fn rule_limits(&self) -> RuleLimits {
+        let classes = self.classes.iter().map(|script| RequestClass {
+            name: script.class.name.clone(),
+            idempotency: idempotency_of(script.class.repeat),
+            latency_objective: script.class.target_latency.into(),
+            priority_weight: script.class.benefit,
+        });
+        RuleLimits {
+            classes: classes.collect(),
+            answer_slack: self.rules.answer_slack.into(),
+            drain_grace: self.rules.drain_grace.into(),
+            slow_start_from: self.rules.cold_from,
+            slow_start_duration: self.rules.cold_for.into(),
+            overload_multiple: self.rules.fall_multiple,
+            overload_window: self.rules.fall_within.into(),
+            exposure_caps: self.releases.stages.iter().map(|stage| stage.cap).collect(),
+            exposure_window: self.releases.cap_window.into(),
+            exposure_free: self.releases.cap_free,
+            exposure_per_class: self.releases.cap_by_group,
+            guarded_stages: self.releases.guarded_stages,
+            sticky_keys: self.releases.keys_stay,
+        }
+    }
+}
+
+fn idempotency_of(repeat: Repeat) -> Idempotency {
+    match repeat {
+        Repeat::Repeatable => Idempotency::Idempotent,
+        Repeat::Mutating => Idempotency::NonIdempotent,
+        Repeat::Tagged { reach, memory } => Idempotency::Keyed {
+            deduplicated_by: match reach {
+                Reach::All => DeduplicationScope::All,
+                Reach::Zone => DeduplicationScope::Zone,
+                Reach::Cell => DeduplicationScope::Cell,
+            },
+            window: memory.into(),
+        },
+    }
+}
--- a/crates/rule-checker/src/record/event.rs
+++ b/crates/rule-checker/src/record/event.rs
@@ -38,6 +38,7 @@
 
 /// The final answer to one attempt of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Final")]
 pub enum FinalAnswer {
     /// A pod's answer.
     #[serde(rename = "delivered")]
@@ -52,7 +53,7 @@
 
 /// One thing that happened. Classes are named by their index in [`RuleLimits::classes`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(tag = "what")]
+#[serde(rename = "Entry", tag = "what")]
 pub enum Event {
     /// The first line of a record.
     #[serde(rename = "begin")]
@@ -340,6 +341,7 @@
 
 /// An event with its time; one line of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Line")]
 pub struct RecordLine {
     /// Since the start of the day.
     pub at: Duration,
--- a/crates/rule-checker/src/record/ids.rs
+++ b/crates/rule-checker/src/record/ids.rs
@@ -5,14 +5,17 @@
 
 /// A request as its client sees it; the client's attempts share the number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename = "OrderId")]
 pub struct RequestId(pub u64);
 
 /// One process of a pod: a pod that starts again gets a new number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename = "PodNo")]
 pub struct PodId(pub u32);
 
 /// A sidecar by its place in the fleet; it keeps the number over restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename = "SidecarNo")]
 pub struct SidecarId(pub u32);
 
 /// One attempt of a client: it is a request of its own for the sidecar that gets it. Written as the pair `[request, number]`.
--- a/crates/rule-checker/src/record/limits.rs
+++ b/crates/rule-checker/src/record/limits.rs
@@ -1,10 +1,12 @@
-//! The limits that the five rules are held to, as the first line of a record states them.
+//! The limits that the five rules are held to, as the first line of a record states them. The names in `serde` attributes are the file
+//! format, and what its reader's errors say.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// What may happen when a request runs more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Repeat")]
 pub enum Idempotency {
     /// Running it again does no harm.
     #[serde(rename = "repeatable")]
@@ -26,7 +28,7 @@
 
 /// Which pods share the memory of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename = "Reach", rename_all = "snake_case")]
 pub enum DeduplicationScope {
     /// All pods of the fleet.
     All,
@@ -38,6 +40,7 @@
 
 /// Requests that share an idempotency, a latency objective and a priority weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Group")]
 pub struct RequestClass {
     /// The name in the day's settings.
     pub name: String,
@@ -54,6 +57,7 @@
 
 /// The limits of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename = "Terms")]
 pub struct RuleLimits {
     /// The request classes, in the order by which events name them.
     #[serde(rename = "groups")]
