--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -22,23 +22,23 @@
     }
 
     pub fn show(&self, now: &Progress) {
-        self.0.set_length(now.lasts.as_millis() as u64);
+        self.0.set_length(now.ends_at.as_millis() as u64);
         self.0.set_position(now.at.as_millis() as u64);
         let counts = format!(
             "hits {} delivered {} bounced {} errored {}",
-            now.asked, now.delivered, now.bounced, now.errored
+            now.requests, now.delivered, now.rejected, now.failed
         );
         let release = format!(
             "build {} stage {} {}, {} pods",
             now.build, now.stage, now.phase, now.pods
         );
-        let troubles = if now.troubles.is_empty() {
+        let faults = if now.faults.is_empty() {
             "-".into()
         } else {
-            now.troubles.join(", ")
+            now.faults.join(", ")
         };
         self.0
-            .set_message(format!("{counts} | {release} | {troubles}"));
+            .set_message(format!("{counts} | {release} | {faults}"));
     }
 
     pub fn end(&self) {
--- /dev/null
+++ b/crates/emulators/src/day/client_connections.rs
@@ -0,0 +1,387 @@
+//! The clients' connections to sidecars: one attempt at a time on each, and what becomes of it.
+
+use super::dispatch::{SocketOwner, TimerEvent};
+use super::event_loop::Day;
+use super::headers;
+use bytes::BytesMut;
+use limewing_net::body::Framing;
+use limewing_net::http::{write_request, ResponseHead};
+use limewing_net::message_reader::ResponseReader;
+use limewing_net::sockets::SocketId;
+use limewing_net::timer_wheel::TimerKey;
+use limewing_rule_checker::record::{AttemptKey, Event, FinalAnswer, SidecarId};
+use rand::RngExt;
+use std::time::Duration;
+
+/// The wait between the two pieces of a slow client's request.
+const SLOW_SENDER_PAUSE: Duration = Duration::from_millis(120);
+/// What a client waits past its timeout for an answer that may still be on its way.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(250);
+/// Longer answers are not the pods'.
+const MAX_ANSWER: usize = 1 << 20;
+/// A client that disconnects does so within this part of its timeout.
+const DISCONNECT_WITHIN_PART: f64 = 0.3;
+/// When a client finds an answer wrong, in seconds after it came.
+const REPORT_DELAY: std::ops::Range<f64> = 0.3..1.5;
+/// What a sidecar's own rejection says.
+const HARMLESS: &str = "a retry is harmless";
+
+/// A connection to a sidecar.
+pub(super) struct ClientConnection {
+    sidecar: SidecarId,
+    responses: ResponseReader,
+    attempt: Option<AttemptKey>,
+    /// The head of its answer has come.
+    answer_started: bool,
+    /// What is still to be written of the attempt.
+    unsent: BytesMut,
+    /// Bytes written on this connection before the present attempt.
+    written_before: u64,
+    timeout: Duration,
+    timers: Vec<TimerKey>,
+}
+
+impl ClientConnection {
+    fn new(sidecar: SidecarId) -> Self {
+        Self {
+            sidecar,
+            responses: ResponseReader::new(MAX_ANSWER),
+            attempt: None,
+            answer_started: false,
+            unsent: BytesMut::new(),
+            written_before: 0,
+            timeout: Duration::ZERO,
+            timers: Vec::new(),
+        }
+    }
+}
+
+impl Day<'_> {
+    fn client(&mut self, socket: SocketId) -> Option<&mut ClientConnection> {
+        match self.owners.get_mut(&socket) {
+            Some(SocketOwner::Client(client)) => Some(client),
+            _ => None,
+        }
+    }
+
+    /// Sends an attempt on an idle connection, or on a new one.
+    pub(super) fn send_to(
+        &mut self,
+        sidecar: SidecarId,
+        attempt: AttemptKey,
+        timeout: Duration,
+        bytes: BytesMut,
+        disconnects: bool,
+    ) {
+        let idle = self.clients.idle.get_mut(&sidecar).and_then(Vec::pop);
+        let Some(socket) = idle.or_else(|| self.connect_client(sidecar)) else {
+            return self.retry_or_drop(attempt.request, true, true);
+        };
+        let written_before = self.sockets.bytes_written(socket);
+        let last = self.now + timeout + LATE_ANSWER_WAIT + SLOW_SENDER_PAUSE;
+        let mut timers = vec![self
+            .timers
+            .schedule(last, TimerEvent::ClientTimeout(socket))];
+        if disconnects {
+            let part = self.rng.random_range(0.0..DISCONNECT_WITHIN_PART);
+            let at = self.now + timeout.mul_f64(part);
+            timers.push(
+                self.timers
+                    .schedule(at, TimerEvent::ClientDisconnect(socket)),
+            );
+        }
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        client.attempt = Some(attempt);
+        client.written_before = written_before;
+        client.unsent = bytes;
+        client.timeout = timeout;
+        client.answer_started = false;
+        client.timers = timers;
+        if idle.is_some() {
+            self.write_request(socket);
+        }
+    }
+
+    fn connect_client(&mut self, sidecar: SidecarId) -> Option<SocketId> {
+        let address = self.processes[sidecar.0 as usize].address;
+        let socket = self.sockets.connect(address).ok()?;
+        let connection = Box::new(ClientConnection::new(sidecar));
+        self.owners.insert(socket, SocketOwner::Client(connection));
+        Some(socket)
+    }
+
+    pub(super) fn client_connected(&mut self, socket: SocketId) {
+        self.write_request(socket);
+    }
+
+    fn write_request(&mut self, socket: SocketId) {
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        if client.attempt.is_none() {
+            return;
+        }
+        if self.rng.random_bool(self.script.clients.slow_sender_part) {
+            self.write_first_half(socket);
+        } else {
+            self.write_last_bytes(socket);
+        }
+    }
+
+    fn write_first_half(&mut self, socket: SocketId) {
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        let half = client.unsent.len() / 2;
+        let first = client.unsent.split_to(half);
+        self.sockets.send(socket, &first);
+        let next = self.now + SLOW_SENDER_PAUSE;
+        self.timers
+            .schedule(next, TimerEvent::FinishSlowRequest(socket));
+    }
+
+    /// The second piece of a slow client's request.
+    pub(super) fn finish_slow_request(&mut self, socket: SocketId) {
+        if self
+            .client(socket)
+            .is_some_and(|client| !client.unsent.is_empty())
+        {
+            self.write_last_bytes(socket);
+        }
+    }
+
+    /// A request counts as sent when the last of it is written: no sidecar can take it before.
+    fn write_last_bytes(&mut self, socket: SocketId) {
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        let Some(attempt) = client.attempt else {
+            return;
+        };
+        let sidecar = client.sidecar;
+        let timeout = client.timeout;
+        let bytes = std::mem::take(&mut client.unsent);
+        let Some(request) = self.clients.open.get(&attempt.request) else {
+            return;
+        };
+        let class = request.class;
+        let routing_key = Some(request.routing_key);
+        self.record(Event::RequestSent {
+            sidecar,
+            attempt,
+            class,
+            timeout,
+            routing_key,
+        });
+        self.sockets.send(socket, &bytes);
+    }
+
+    fn cancel_timers(&mut self, socket: SocketId) {
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        for timer in std::mem::take(&mut client.timers) {
+            self.timers.cancel(timer);
+        }
+    }
+
+    pub(super) fn read_answer(&mut self, socket: SocketId) {
+        let ended = self.sockets.has_ended(socket);
+        let Some(SocketOwner::Client(client)) = self.owners.get_mut(&socket) else {
+            return;
+        };
+        let sidecar = client.sidecar;
+        let attempt = client.attempt;
+        let Some(input) = self.sockets.input(socket) else {
+            return;
+        };
+        if attempt.is_none() {
+            if !input.is_empty() {
+                self.record(Event::UnexpectedAnswer { sidecar, attempt });
+            }
+            return self.close_client(socket);
+        }
+        match client.responses.take(input, ended) {
+            Ok(Some((head, _))) => {
+                let more = !input.is_empty();
+                self.answered(socket, &head);
+                if more {
+                    self.record(Event::UnexpectedAnswer { sidecar, attempt });
+                }
+                if more || ended || !head.keep_alive {
+                    self.close_client(socket);
+                } else {
+                    let idle = self.clients.idle.entry(sidecar).or_default();
+                    idle.push(socket);
+                }
+            }
+            Ok(None) if !ended => {
+                self.note_answer_start(socket);
+                self.sockets.resume_reading(socket);
+            }
+            _ => {
+                let written = self.sockets.bytes_written(socket);
+                self.sockets.close(socket);
+                self.client_connection_lost(socket, written);
+            }
+        }
+    }
+
+    /// Records the first bytes of a streamed answer.
+    fn note_answer_start(&mut self, socket: SocketId) {
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        if !client.responses.is_mid_message() || client.answer_started {
+            return;
+        }
+        client.answer_started = true;
+        let sidecar = client.sidecar;
+        let Some(attempt) = client.attempt else {
+            return;
+        };
+        let Some(request) = self.clients.open.get(&attempt.request) else {
+            return;
+        };
+        if self.script.classes[request.class].class.streamed {
+            self.record(Event::AnswerStarted { sidecar, attempt });
+        }
+    }
+
+    fn close_client(&mut self, socket: SocketId) {
+        self.cancel_timers(socket);
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        let sidecar = client.sidecar;
+        self.forget_idle(sidecar, socket);
+        self.close(socket);
+    }
+
+    fn forget_idle(&mut self, sidecar: SidecarId, socket: SocketId) {
+        if let Some(idle) = self.clients.idle.get_mut(&sidecar) {
+            idle.retain(|other| *other != socket);
+        }
+    }
+
+    fn answered(&mut self, socket: SocketId, head: &ResponseHead) {
+        self.cancel_timers(socket);
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        let sidecar = client.sidecar;
+        let Some(attempt) = client.attempt.take() else {
+            return;
+        };
+        // Only answers of the sidecar itself have that field.
+        let answer = match head.fields.text("proxy-status") {
+            None => FinalAnswer::Delivered,
+            Some(status) if status.contains(HARMLESS) => FinalAnswer::Rejected,
+            Some(_) => FinalAnswer::Failed,
+        };
+        let build = head.fields.text(headers::BUILD);
+        self.record(Event::Answered {
+            sidecar,
+            attempt,
+            answer,
+            status: head.status,
+            build: build.and_then(|build| build.parse().ok()),
+        });
+        match answer {
+            FinalAnswer::Delivered => {
+                self.clients.open.remove(&attempt.request);
+                self.clients.delivered += 1;
+                self.check_answer(sidecar, head);
+            }
+            FinalAnswer::Rejected => {
+                self.clients.rejected += 1;
+                self.retry_or_drop(attempt.request, true, false);
+            }
+            FinalAnswer::Failed => {
+                self.clients.failed += 1;
+                self.retry_or_drop(attempt.request, false, false);
+            }
+        }
+    }
+
+    /// Some clients find out that an answer was wrong, and report it.
+    fn check_answer(&mut self, sidecar: SidecarId, head: &ResponseHead) {
+        if head.fields.get(headers::WRONG_ANSWER).is_none() {
+            return;
+        }
+        if !self.rng.random_bool(self.script.clients.reported_part) {
+            return;
+        }
+        let Some(mark) = head.fields.text("limewing-forward") else {
+            return;
+        };
+        let delay = Duration::from_secs_f64(self.rng.random_range(REPORT_DELAY));
+        let report = TimerEvent::ReportWrongAnswer(sidecar, mark.to_owned());
+        self.timers.schedule(self.now + delay, report);
+    }
+
+    pub(super) fn client_connection_lost(&mut self, socket: SocketId, written: u64) {
+        self.cancel_timers(socket);
+        let Some(SocketOwner::Client(client)) = self.owners.remove(&socket) else {
+            return;
+        };
+        self.forget_idle(client.sidecar, socket);
+        let Some(attempt) = client.attempt else {
+            return;
+        };
+        let written = written > client.written_before;
+        if client.unsent.is_empty() {
+            // A process that ends may be seen by its sockets before the loop looks at it.
+            self.check_exit(client.sidecar);
+            self.record(Event::ConnectionLost { attempt, written });
+        }
+        self.retry_or_drop(attempt.request, !written, !written);
+    }
+
+    pub(super) fn client_timed_out(&mut self, socket: SocketId) {
+        self.abandon(socket, |attempt| Event::ClientTimedOut { attempt });
+    }
+
+    pub(super) fn client_disconnects(&mut self, socket: SocketId) {
+        self.abandon(socket, |attempt| Event::ClientDisconnected { attempt });
+    }
+
+    fn abandon(&mut self, socket: SocketId, event: impl Fn(AttemptKey) -> Event) {
+        let Some(client) = self.client(socket) else {
+            return;
+        };
+        let sent = client.unsent.is_empty();
+        if let Some(attempt) = client.attempt {
+            if sent {
+                self.record(event(attempt));
+            }
+            self.clients.open.remove(&attempt.request);
+        }
+        self.close_client(socket);
+    }
+
+    /// Tells a sidecar that an answer was wrong, on a connection of its own.
+    pub(super) fn report_wrong_answer(&mut self, sidecar: SidecarId, mark: &str) {
+        let body = serde_json::json!({ "forward": mark }).to_string();
+        let address = self.processes[sidecar.0 as usize].address;
+        let Ok(socket) = self.sockets.connect(address) else {
+            return;
+        };
+        let fields = [("host", "orders.example"), ("connection", "close")];
+        let mut request = BytesMut::new();
+        write_request(
+            &mut request,
+            "POST",
+            "/limewing/reports",
+            fields
+                .iter()
+                .map(|(name, value)| (name.as_bytes(), value.as_bytes())),
+            Framing::Length(body.len() as u64),
+        );
+        request.extend_from_slice(body.as_bytes());
+        self.sockets.send(socket, &request);
+        self.sockets.close_when_sent(socket);
+    }
+}
--- /dev/null
+++ b/crates/emulators/src/day/endpoint_service.rs
@@ -0,0 +1,289 @@
+//! The endpoint list: a subset of Consul's health API with blocking queries.
+
+use super::dispatch::{SocketOwner, TimerEvent};
+use super::event_loop::Day;
+use super::headers::sidecar_named_in;
+use super::DayError;
+use crate::script::DayFault;
+use bytes::BytesMut;
+use limewing_net::body::Framing;
+use limewing_net::http::{write_response, RequestHead};
+use limewing_net::message_reader::RequestReader;
+use limewing_net::sockets::SocketId;
+use limewing_rule_checker::record::{Event, PodId, SidecarId};
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// The service that the pods register as.
+pub(super) const SERVICE: &str = "order-node";
+/// Queries have no body; more is no query.
+const MAX_QUERY: usize = 1024;
+/// What a query waits that names no time, in milliseconds: Consul's default.
+const DEFAULT_WAIT_MS: u64 = 300_000;
+
+/// The list as it was published last.
+pub(super) struct EndpointService {
+    pub(super) address: SocketAddr,
+    /// Grows with each list.
+    index: u64,
+    body: Vec<u8>,
+    ready: Vec<PodId>,
+    draining: Vec<PodId>,
+    /// Sidecars that were notified of a list with pods in it.
+    pub(super) notified: BTreeSet<SidecarId>,
+    /// Lists that were made so far.
+    made: u64,
+    /// The number of the newest one that was published.
+    newest: u64,
+}
+
+impl EndpointService {
+    pub(super) fn new(address: SocketAddr) -> Self {
+        Self {
+            address,
+            index: 1,
+            body: b"[]".to_vec(),
+            ready: Vec::new(),
+            draining: Vec::new(),
+            notified: BTreeSet::new(),
+            made: 0,
+            newest: 0,
+        }
+    }
+}
+
+/// A list that is published once its delay is over; one that is older than the last published one never is.
+pub(super) struct PublishedList {
+    number: u64,
+    body: Vec<u8>,
+    ready: Vec<PodId>,
+    draining: Vec<PodId>,
+}
+
+/// A connection of a sidecar that watches the list.
+pub(super) struct EndpointWatch {
+    requests: RequestReader,
+    sidecar: Option<SidecarId>,
+    /// A query waits for a newer list.
+    waiting: bool,
+    /// Queries so far.
+    queries: u64,
+}
+
+impl Default for EndpointWatch {
+    fn default() -> Self {
+        Self {
+            requests: RequestReader::new(MAX_QUERY),
+            sidecar: None,
+            waiting: false,
+            queries: 0,
+        }
+    }
+}
+
+impl Day<'_> {
+    /// The fleet changed: the list says so after its delay.
+    pub(super) fn publish_fleet(&mut self) {
+        self.endpoints.made += 1;
+        let list = PublishedList {
+            number: self.endpoints.made,
+            body: serde_json::to_vec(&self.list_rows()).unwrap_or_default(),
+            ready: self.listed_pods(false),
+            draining: self.listed_pods(true),
+        };
+        if !self.begun {
+            return self.publish(list);
+        }
+        let further = self.find_fault(|fault| match fault {
+            DayFault::ListDelayed(delay) => Some(Duration::from(*delay)),
+            _ => None,
+        });
+        let delay = Duration::from(self.script.fleet.list_delay) + further.unwrap_or_default();
+        self.timers
+            .schedule(self.now + delay, TimerEvent::PublishList(Box::new(list)));
+    }
+
+    fn listed_pods(&self, draining: bool) -> Vec<PodId> {
+        let pods = self
+            .pods
+            .iter()
+            .filter(|(_, pod)| pod.running && pod.draining == draining);
+        pods.map(|(id, _)| *id).collect()
+    }
+
+    fn list_rows(&self) -> Vec<Value> {
+        let running = self.pods.iter().filter(|(_, pod)| pod.running);
+        let rows = running.map(|(id, pod)| {
+            let status = if pod.draining { "critical" } else { "passing" };
+            json!({
+                "Node": {
+                    "Node": format!("node-{}", self.script.machine_of(pod.slot.0)),
+                    "Datacenter": self.script.fleet.zones[pod.zone],
+                },
+                "Service": {
+                    "ID": format!("{SERVICE}-{}", id.0),
+                    "Service": SERVICE,
+                    "Address": pod.address.ip().to_string(),
+                    "Port": pod.address.port(),
+                    "Meta": {
+                        "build": pod.build.to_string(),
+                        "started": format!("{:.3}", pod.started_at_unix),
+                        "cell": pod.cell.to_string(),
+                        "kind": "plain",
+                    },
+                    "Weights": {"Passing": self.script.fleet.cores, "Warning": 1},
+                },
+                "Checks": [{
+                    "CheckID": format!("_service_maintenance:{SERVICE}-{}", id.0),
+                    "Status": status,
+                }],
+            })
+        });
+        rows.collect()
+    }
+
+    pub(super) fn publish(&mut self, list: PublishedList) {
+        if list.number < self.endpoints.newest {
+            return;
+        }
+        self.endpoints.newest = list.number;
+        self.endpoints.body = list.body;
+        self.endpoints.ready = list.ready;
+        self.endpoints.draining = list.draining;
+        self.endpoints.index += 1;
+        let waiting =
+            |owner: &SocketOwner| matches!(owner, SocketOwner::EndpointWatch(w) if w.waiting);
+        for socket in self.sockets_where(waiting) {
+            self.send_list(socket);
+        }
+    }
+
+    pub(super) fn read_endpoint_query(&mut self, socket: SocketId) {
+        if self.sockets.has_ended(socket) {
+            return self.close(socket);
+        }
+        let Some(SocketOwner::EndpointWatch(watch)) = self.owners.get_mut(&socket) else {
+            return;
+        };
+        if watch.waiting {
+            return;
+        }
+        let Some(input) = self.sockets.input(socket) else {
+            return;
+        };
+        let head = match watch.requests.take(input, false) {
+            Ok(Some((head, _))) => head,
+            Ok(None) => return self.sockets.resume_reading(socket),
+            Err(_) => return self.close(socket),
+        };
+        let sidecar = sidecar_named_in(head.fields.text("user-agent"));
+        watch.sidecar = sidecar;
+        if sidecar.is_some_and(|sidecar| self.is_cut_off(sidecar)) {
+            return;
+        }
+        self.answer_endpoint_query(socket, &head);
+    }
+
+    fn answer_endpoint_query(&mut self, socket: SocketId, head: &RequestHead) {
+        let path = format!("/v1/health/service/{SERVICE}?");
+        if !head.target.starts_with(&path) {
+            return self.send_plain(socket, 404, b"");
+        }
+        let known = query_parameter(head, "index").and_then(|index| index.parse::<u64>().ok());
+        let wait = query_parameter(head, "wait")
+            .and_then(|wait| wait.strip_suffix("ms")?.parse::<u64>().ok())
+            .unwrap_or(DEFAULT_WAIT_MS);
+        let Some(SocketOwner::EndpointWatch(watch)) = self.owners.get_mut(&socket) else {
+            return;
+        };
+        watch.waiting = true;
+        watch.queries += 1;
+        let query = watch.queries;
+        if known.unwrap_or(0) != self.endpoints.index {
+            self.send_list(socket);
+            return;
+        }
+        let at = self.now + Duration::from_millis(wait);
+        self.timers
+            .schedule(at, TimerEvent::WatchTimeout(socket, query));
+    }
+
+    /// A blocking query has waited as long as it may, and is answered with the list as it is.
+    pub(super) fn watch_timed_out(&mut self, socket: SocketId, query: u64) {
+        let Some(SocketOwner::EndpointWatch(watch)) = self.owners.get(&socket) else {
+            return;
+        };
+        if watch.waiting && watch.queries == query {
+            self.send_list(socket);
+        }
+    }
+
+    fn send_list(&mut self, socket: SocketId) {
+        let Some(SocketOwner::EndpointWatch(watch)) = self.owners.get_mut(&socket) else {
+            return;
+        };
+        let Some(sidecar) = watch.sidecar else {
+            return self.close(socket);
+        };
+        watch.waiting = false;
+        if self.is_cut_off(sidecar) {
+            return;
+        }
+        let ready = self.endpoints.ready.clone();
+        let draining = self.endpoints.draining.clone();
+        if !ready.is_empty() {
+            self.endpoints.notified.insert(sidecar);
+        }
+        self.record(Event::EndpointsNotified {
+            sidecar,
+            ready,
+            draining,
+        });
+        let index = self.endpoints.index.to_string();
+        let fields = [
+            ("x-consul-index", &index[..]),
+            ("content-type", "application/json"),
+        ];
+        let fields = fields
+            .iter()
+            .map(|(name, value)| (name.as_bytes(), value.as_bytes()));
+        let framing = Framing::Length(self.endpoints.body.len() as u64);
+        let mut out = BytesMut::new();
+        write_response(&mut out, 200, fields, framing, true);
+        out.extend_from_slice(&self.endpoints.body);
+        self.sockets.send(socket, &out);
+        self.read_endpoint_query(socket);
+    }
+
+    /// An answer without fields of its own.
+    pub(super) fn send_plain(&mut self, socket: SocketId, status: u16, body: &[u8]) {
+        let framing = Framing::Length(body.len() as u64);
+        let mut out = BytesMut::new();
+        write_response(&mut out, status, [].into_iter(), framing, true);
+        out.extend_from_slice(body);
+        self.sockets.send(socket, &out);
+    }
+
+    pub(super) fn stop_endpoint_service(&mut self) {
+        self.close_all(|owner| {
+            matches!(
+                owner,
+                SocketOwner::EndpointWatch(_) | SocketOwner::EndpointListener
+            )
+        });
+    }
+
+    pub(super) fn start_endpoint_service(&mut self) -> Result<(), DayError> {
+        let (listener, _) = self.sockets.listen(self.endpoints.address)?;
+        self.owners.insert(listener, SocketOwner::EndpointListener);
+        Ok(())
+    }
+}
+
+fn query_parameter<'a>(head: &'a RequestHead, name: &str) -> Option<&'a str> {
+    head.target
+        .split(['?', '&'])
+        .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
+}
--- /dev/null
+++ b/crates/emulators/src/day/faults.rs
@@ -0,0 +1,105 @@
+//! The scripted faults of a day: what begins and ends with them, and which of them are active.
+
+use super::dispatch::TimerEvent;
+use super::event_loop::Day;
+use super::DayError;
+use crate::rollout::SlotId;
+use crate::script::DayFault;
+use limewing_rule_checker::record::{Event, SidecarId};
+
+impl<'a> Day<'a> {
+    pub(super) fn fault_begins(&mut self, index: usize) {
+        let scheduled = &self.script.faults[index];
+        let fault = &scheduled.fault;
+        self.record(Event::Fault {
+            text: format!("begins: {fault}"),
+        });
+        self.active_faults.insert(index, fault.clone());
+        if let Some(duration) = scheduled.duration {
+            let end = self.now + duration.into();
+            self.timers.schedule(end, TimerEvent::FaultEnds(index));
+        }
+        match fault {
+            DayFault::PodsKilled(slots) => {
+                for slot in slots {
+                    self.kill_pods(SlotId(*slot));
+                }
+            }
+            DayFault::PodsHung(slots) => self.set_hung(slots, true),
+            DayFault::PodsSlow { slots, factor } => self.set_slowdown(slots, *factor),
+            DayFault::SidecarKilled(number) => self.kill_sidecar(*number),
+            DayFault::SidecarTerminated(number) => self.terminate_sidecar(*number),
+            DayFault::SidecarSuspended(number) => self.suspend_sidecar(*number),
+            DayFault::ListDown => self.stop_endpoint_service(),
+            DayFault::RolloutsDown => self.stop_rollout_service(),
+            DayFault::FailingTenant { .. } => self.next_failing_request(index),
+            _ => {}
+        }
+    }
+
+    pub(super) fn fault_ends(&mut self, index: usize) -> Result<(), DayError> {
+        let Some(fault) = self.active_faults.remove(&index) else {
+            return Ok(());
+        };
+        self.record(Event::Fault {
+            text: format!("ends: {fault}"),
+        });
+        match &fault {
+            DayFault::PodsKilled(slots) => {
+                for slot in slots {
+                    let slot = SlotId(*slot);
+                    self.start_pod(slot, self.rollout.build_at(slot), true)?;
+                }
+            }
+            DayFault::PodsHung(slots) => self.set_hung(slots, false),
+            DayFault::PodsSlow { slots, .. } => self.set_slowdown(slots, 1.0),
+            DayFault::SidecarKilled(number) | DayFault::SidecarTerminated(number) => {
+                self.restart_sidecar(*number)?;
+            }
+            DayFault::SidecarSuspended(number) => self.resume_sidecar(*number),
+            DayFault::ListDown => self.start_endpoint_service()?,
+            DayFault::RolloutsDown => self.start_rollout_service()?,
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Faults that are active hold for pods that start during them too.
+    pub(super) fn apply_pod_faults(&mut self) {
+        let active: Vec<DayFault> = self.active_faults.values().cloned().collect();
+        for fault in active {
+            match fault {
+                DayFault::PodsHung(slots) => self.set_hung(&slots, true),
+                DayFault::PodsSlow { slots, factor } => self.set_slowdown(&slots, factor),
+                _ => {}
+            }
+        }
+    }
+
+    pub(super) fn has_fault(&self, fits: impl Fn(&DayFault) -> bool) -> bool {
+        self.active_faults.values().any(fits)
+    }
+
+    /// What the first active fault that fits says.
+    pub(super) fn find_fault<T>(&self, pick: impl Fn(&DayFault) -> Option<T>) -> Option<T> {
+        self.active_faults.values().find_map(pick)
+    }
+
+    /// Whether nothing passes between two zones.
+    pub(super) fn is_partitioned(&self, one: &str, other: &str) -> bool {
+        let cuts = |fault: &DayFault| matches!(fault, DayFault::ZonePartitioned(cut) if cut == one || cut == other);
+        one != other && self.has_fault(cuts)
+    }
+
+    pub(super) fn zone_of(&self, sidecar: SidecarId) -> &'a str {
+        self.script
+            .sidecar_zones
+            .get(sidecar.0 as usize)
+            .map_or("", String::as_str)
+    }
+
+    /// Whether a sidecar reaches neither the endpoint list nor the rollout service, which are in the first zone.
+    pub(super) fn is_cut_off(&self, sidecar: SidecarId) -> bool {
+        self.is_partitioned(self.zone_of(sidecar), &self.script.fleet.zones[0])
+    }
+}
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -1,320 +1,260 @@
-//! The sidecars as processes: started, killed, told to leave, stopped and started again.
+//! The sidecars as processes: started, killed, terminated, suspended, resumed and started again.
 
-use super::services::SERVICE;
-use super::{Day, DayTrouble};
+use super::event_loop::{any_port, Day};
+use super::DayError;
 use crate::fleet::{key_file, listens, write_keys, Relay, CLOCK};
 use limewing_fault_injection::FaultAction;
 use limewing_rule_checker::record::{Event, SidecarId};
-use limewing_settings::{
-    Customer, Fleet, Headers, Installer, ListService, Seconds, SidecarSettings,
-};
+use limewing_settings::SidecarSettings;
 use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::fs::File;
-use std::io::{BufRead, BufReader};
+use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-pub struct Process {
+/// What a sidecar writes before its address once it listens.
+const LISTENING: &str = "listening ";
+
+/// A sidecar.
+pub(super) struct Process {
     child: Child,
-    pub address: SocketAddr,
-    gone: bool,
+    pub(super) address: SocketAddr,
+    /// It has ended.
+    exited: bool,
 }
 
 impl Process {
-    fn signal(&self, signal: Signal) {
-        if let Some(pid) = Pid::from_raw(self.child.id() as i32).filter(|_| !self.gone) {
-            // One that has ended by itself is not there any more: nothing to tell.
-            let _ = kill_process(pid, signal);
+    fn pid(&self) -> Option<Pid> {
+        if self.exited {
+            return None;
         }
+        Pid::from_raw(self.child.id() as i32)
     }
 
-    pub fn leave(&self) {
-        self.signal(Signal::TERM);
-    }
-
-    pub fn stop(&self, stop: bool) {
-        self.signal(if stop { Signal::STOP } else { Signal::CONT });
+    fn signal(&self, signal: Signal) {
+        if let Some(pid) = self.pid() {
+            // A process that has ended by itself takes no signals.
+            let _ = kill_process(pid, signal);
+        }
     }
 
-    /// Whatever it writes to any file from now on is refused, as on a full disk; its log too.
-    fn fill_disk(&self, full: bool) {
-        if let Some(pid) = Pid::from_raw(self.child.id() as i32).filter(|_| !self.gone) {
-            let most = getrlimit(Resource::Fsize).maximum;
-            let limit = Rlimit {
-                current: if full { Some(0) } else { most },
-                maximum: most,
-            };
-            // One that has ended by itself has no disk.
-            let _ = prlimit(Some(pid), Resource::Fsize, limit);
-        }
+    /// Whatever it writes to any file from now on fails, as on a full disk; its log too.
+    fn set_disk_full(&self, full: bool) {
+        let Some(pid) = self.pid() else {
+            return;
+        };
+        let maximum = getrlimit(Resource::Fsize).maximum;
+        let limit = Rlimit {
+            current: if full { Some(0) } else { maximum },
+            maximum,
+        };
+        // A process that has ended by itself has no limits.
+        let _ = prlimit(Some(pid), Resource::Fsize, limit);
     }
 
     /// Ends it whatever it does.
-    pub fn end(&mut self) {
+    pub(super) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.gone = true;
+        self.exited = true;
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.end();
+        self.kill();
     }
 }
 
 impl Day<'_> {
-    fn settings(&self, number: usize, listen: SocketAddr) -> SidecarSettings {
-        let script = self.script;
-        let name = |name: &str| Some(name.to_owned());
-        SidecarSettings {
-            name: format!("sidecar-{number}"),
-            listen,
-            state_file: Some(self.folder.join(format!("sidecar-{number}.state.json"))),
-            seed: Some(
-                script
-                    .seed
-                    .wrapping_mul(1_000_003)
-                    .wrapping_add(number as u64),
-            ),
-            list: ListService {
-                address: self.list.list_at,
-                service: SERVICE.to_owned(),
-                wait: seconds(10.0),
-            },
-            installer: Some(Installer {
-                address: self.list.installer_at,
-                quiet_at_most: seconds(10.0),
-            }),
-            fleet: Fleet {
-                sidecars: script.sidecar_zones.len() as u32,
-                own_number: number as u32,
-                zones: script.fleet.zones.clone(),
-                zone: script.sidecar_zones[number].clone(),
-            },
-            headers: Headers {
-                customer: name("customer"),
-                key: name("routing-key"),
-                deadline_ms: name("request-timeout-ms"),
-            },
-            path_groups: script
-                .classes
-                .iter()
-                .map(|script| script.class.clone())
-                .collect(),
-            customers: script
-                .tenants
-                .iter()
-                .map(|c| Customer {
-                    name: c.name.clone(),
-                })
-                .collect(),
-            limits: script.limits.clone(),
-            rules: script.rules.clone(),
-            releases: script.releases.clone(),
-            peers: self.peers(number),
-            work: self.work(number),
+    /// Applies what the script of faults between sidecars asks for by now.
+    pub(super) fn apply_fleet_faults(&mut self) -> Result<(), DayError> {
+        let actions = self.relay.as_ref().map(Relay::turn).unwrap_or_default();
+        for action in actions {
+            self.record(Event::Fault {
+                text: recorded_text(&action),
+            });
+            self.apply_fleet_fault(action)?;
         }
+        Ok(())
     }
 
-    fn work(&self, number: usize) -> Option<limewing_settings::Work> {
-        let work = self.script.maintenance.as_ref()?;
-        Some(limewing_settings::Work {
-            voters: (0..work.voters)
-                .map(|voter| format!("sidecar-{voter}"))
-                .collect(),
-            folder: (number < work.possible_voters.unwrap_or(work.voters))
-                .then(|| self.work_folder(number)),
-            patience: work.election_timeout,
-            lease: work.lease,
-        })
-    }
-
-    fn work_folder(&self, number: usize) -> std::path::PathBuf {
-        self.folder.join(format!("sidecar-{number}.work"))
-    }
-
-    fn peers(&self, number: usize) -> Option<limewing_settings::Peers> {
-        let (told, relay) = (self.script.peers.as_ref()?, self.relay.as_ref()?);
-        Some(limewing_settings::Peers {
-            listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            advertise: Some(relay.fronts[number]),
-            join: relay.fronts.iter().take(3).copied().collect(),
-            key_file: key_file(&self.folder, number),
-            period: told.probe_interval,
-            bytes_per_s: 65_536,
-            choices: told.coordination,
-            replicas: told.replication,
-        })
-    }
-
-    /// What the script of faults does to links and sidecars by now.
-    pub(super) fn faults(&mut self) -> Result<(), DayTrouble> {
-        for act in self.relay.as_ref().map(Relay::turn).unwrap_or_default() {
-            self.note(Event::Fault {
-                text: recorded_text(&act),
-            });
-            match act {
-                FaultAction::Kill(number) => self.kill_sidecar(number),
-                FaultAction::Start(number) => self.start_again(number)?,
-                FaultAction::Leave(number) => self.bid_leave(number),
-                FaultAction::Suspend(number) => self.stop_sidecar(number),
-                FaultAction::Resume(number) => self.let_go_on(number),
-                FaultAction::LoseDisk(number) if self.processes[number].gone => {
-                    let file = self.folder.join(format!("sidecar-{number}.state.json"));
-                    // There may be none yet.
-                    let _ = std::fs::remove_file(file);
-                    let _ = std::fs::remove_dir_all(self.work_folder(number));
+    fn apply_fleet_fault(&mut self, action: FaultAction) -> Result<(), DayError> {
+        match action {
+            FaultAction::Kill(number) => self.kill_sidecar(number),
+            FaultAction::Start(number) => self.restart_sidecar(number)?,
+            FaultAction::Leave(number) => self.terminate_sidecar(number),
+            FaultAction::Suspend(number) => self.suspend_sidecar(number),
+            FaultAction::Resume(number) => self.resume_sidecar(number),
+            FaultAction::LoseDisk(number) => {
+                if self.processes[number].exited {
+                    // There may be no files yet.
+                    let _ = std::fs::remove_file(self.state_file(number));
+                    let _ = std::fs::remove_dir_all(self.voter_folder(number));
                 }
-                FaultAction::LoseDisk(_) => {}
-                FaultAction::FillDisk(number) => self.processes[number].fill_disk(true),
-                FaultAction::FreeDisk(number) => self.processes[number].fill_disk(false),
-                FaultAction::ReplaceKeys { member: to, ids } => {
-                    write_keys(&key_file(&self.folder, to), &ids)?;
-                    self.processes[to].signal(Signal::HUP);
+            }
+            FaultAction::FillDisk(number) => self.processes[number].set_disk_full(true),
+            FaultAction::FreeDisk(number) => self.processes[number].set_disk_full(false),
+            FaultAction::ReplaceKeys { member, ids } => {
+                write_keys(&key_file(&self.folder, member), &ids)?;
+                self.processes[member].signal(Signal::HUP);
+            }
+            FaultAction::SendNoise { member, datagrams } => {
+                if let Some(relay) = &self.relay {
+                    relay.noise(member, datagrams)?;
                 }
-                FaultAction::SendNoise {
-                    member: to,
-                    datagrams,
-                } => self
-                    .relay
-                    .iter()
-                    .try_for_each(|relay| relay.noise(to, datagrams))?,
             }
         }
         Ok(())
     }
 
-    pub(super) fn bid_leave(&mut self, number: usize) {
-        self.note(Event::SidecarDraining {
+    pub(super) fn terminate_sidecar(&mut self, number: usize) {
+        self.record(Event::SidecarDraining {
             sidecar: SidecarId(number as u32),
         });
-        self.processes[number].leave();
+        self.processes[number].signal(Signal::TERM);
     }
 
-    pub(super) fn stop_sidecar(&mut self, number: usize) {
-        self.processes[number].stop(true);
-        self.note(Event::SidecarSuspended {
+    pub(super) fn suspend_sidecar(&mut self, number: usize) {
+        self.processes[number].signal(Signal::STOP);
+        self.record(Event::SidecarSuspended {
             sidecar: SidecarId(number as u32),
         });
     }
 
-    pub(super) fn let_go_on(&mut self, number: usize) {
-        self.note(Event::SidecarResumed {
+    pub(super) fn resume_sidecar(&mut self, number: usize) {
+        self.record(Event::SidecarResumed {
             sidecar: SidecarId(number as u32),
         });
-        self.processes[number].stop(false);
+        self.processes[number].signal(Signal::CONT);
     }
 
-    /// Starts a sidecar, at the address it had before if it had one; waits until it listens.
+    /// Starts a sidecar, at the address that it had before if it had one; waits until it listens.
     pub(super) fn spawn(
         &mut self,
         number: usize,
-        at: Option<SocketAddr>,
-    ) -> Result<Process, DayTrouble> {
-        let trouble = |why: String| DayTrouble::Sidecar { number, why };
-        let listen = at.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
-        let settings = self.settings(number, listen);
-        if at.is_none() {
-            // What an earlier day left in the folder is not this day's.
-            settings
-                .state_file
-                .iter()
-                .for_each(|file| drop(std::fs::remove_file(file)));
-            drop(std::fs::remove_dir_all(self.work_folder(number)));
+        address: Option<SocketAddr>,
+    ) -> Result<Process, DayError> {
+        let error = |why: String| DayError::Sidecar { number, why };
+        let settings = self.sidecar_settings(number, address.unwrap_or(any_port()));
+        let restarts = address.is_some();
+        if !restarts {
+            self.remove_old_files(&settings, number);
+        }
+        let file = self.write_settings(&settings, number)?;
+        let mut command = self.command(&file, number, restarts)?;
+        self.record(Event::SidecarStarted {
+            sidecar: SidecarId(number as u32),
+        });
+        let child = command.spawn()?;
+        let mut process = Process {
+            child,
+            address: settings.listen,
+            exited: false,
+        };
+        let Some(address) = process.read_address()? else {
+            return Err(error(format!(
+                "it does not listen; see sidecar-{number}.log"
+            )));
+        };
+        process.address = address;
+        if let Some(relay) = &self.relay {
+            relay.stands(number, Some(listens(address)?));
         }
+        Ok(process)
+    }
+
+    /// What an earlier day left in the folder is not this day's.
+    fn remove_old_files(&self, settings: &SidecarSettings, number: usize) {
+        if let Some(file) = &settings.state_file {
+            // There may be none.
+            let _ = std::fs::remove_file(file);
+        }
+        let _ = std::fs::remove_dir_all(self.voter_folder(number));
+    }
+
+    fn write_settings(
+        &self,
+        settings: &SidecarSettings,
+        number: usize,
+    ) -> Result<PathBuf, DayError> {
         let file = self.folder.join(format!("sidecar-{number}.json"));
-        let text = serde_json::to_string_pretty(&settings).map_err(|e| trouble(e.to_string()))?;
+        let text = serde_json::to_string_pretty(settings).map_err(|error| DayError::Sidecar {
+            number,
+            why: error.to_string(),
+        })?;
         std::fs::write(&file, text)?;
-        let name = self.folder.join(format!("sidecar-{number}.log"));
+        Ok(file)
+    }
+
+    fn command(&self, settings: &Path, number: usize, restarts: bool) -> io::Result<Command> {
         let log = File::options()
             .create(true)
-            .append(at.is_some())
-            .truncate(at.is_none())
+            .append(restarts)
+            .truncate(!restarts)
             .write(true)
-            .open(name)?;
+            .open(self.folder.join(format!("sidecar-{number}.log")))?;
         let mut command = Command::new(self.program);
         command
             .arg("sidecar")
-            .arg(&file)
+            .arg(settings)
             .arg("--with-parent")
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(log);
         if let Some(peers) = &self.script.peers {
-            command.env(
-                CLOCK,
-                peers
-                    .faults
-                    .clock_offset(number, self.script.sidecar_zones.len())
-                    .to_string(),
-            );
-        }
-        self.note(Event::SidecarStarted {
-            sidecar: SidecarId(number as u32),
-        });
-        let mut child = command.spawn()?;
-        let mut line = String::new();
-        if let Some(out) = child.stdout.take() {
-            BufReader::new(out).read_line(&mut line)?;
+            let sidecars = self.script.sidecar_zones.len();
+            let offset = peers.faults.clock_offset(number, sidecars);
+            command.env(CLOCK, offset.to_string());
         }
-        let told = line
-            .trim()
-            .strip_prefix("listening ")
-            .and_then(|address| address.parse().ok());
-        let mut process = Process {
-            child,
-            address: listen,
-            gone: false,
-        };
-        match told {
-            Some(address) => {
-                process.address = address;
-                if let Some(relay) = &self.relay {
-                    relay.stands(number, Some(listens(address)?));
-                }
-            }
-            None => {
-                return Err(trouble(format!(
-                    "it does not listen; see sidecar-{number}.log"
-                )))
-            }
-        }
-        Ok(process)
+        Ok(command)
     }
 
     pub(super) fn kill_sidecar(&mut self, number: usize) {
         let sidecar = SidecarId(number as u32);
-        // Told first: what its end cuts off is seen afterwards.
-        self.note(Event::SidecarExited { sidecar });
-        self.relay
-            .iter()
-            .for_each(|relay| relay.stands(number, None));
-        self.processes[number].end();
+        // Recorded first: what its end cuts off is seen afterwards.
+        self.record(Event::SidecarExited { sidecar });
+        if let Some(relay) = &self.relay {
+            relay.stands(number, None);
+        }
+        self.processes[number].kill();
     }
 
-    pub(super) fn start_again(&mut self, number: usize) -> Result<(), DayTrouble> {
+    pub(super) fn restart_sidecar(&mut self, number: usize) -> Result<(), DayError> {
         let address = self.processes[number].address;
-        if !self.processes[number].gone {
-            self.note(Event::SidecarExited {
+        if !self.processes[number].exited {
+            self.record(Event::SidecarExited {
                 sidecar: SidecarId(number as u32),
             });
-            self.processes[number].end();
+            self.processes[number].kill();
         }
         self.processes[number] = self.spawn(number, Some(address))?;
         Ok(())
     }
 
-    /// Notes a sidecar that has ended by itself.
-    pub(super) fn look_after(&mut self, sidecar: SidecarId) {
+    /// Records a sidecar that has ended by itself.
+    pub(super) fn check_exit(&mut self, sidecar: SidecarId) {
         let process = &mut self.processes[sidecar.0 as usize];
-        if !process.gone && matches!(process.child.try_wait(), Ok(Some(_))) {
-            process.gone = true;
-            self.note(Event::SidecarExited { sidecar });
+        if !process.exited && matches!(process.child.try_wait(), Ok(Some(_))) {
+            process.exited = true;
+            self.record(Event::SidecarExited { sidecar });
         }
     }
 }
 
+impl Process {
+    /// Waits for the line that says where it listens; none if another line comes, or its output ends.
+    fn read_address(&mut self) -> io::Result<Option<SocketAddr>> {
+        let mut line = String::new();
+        if let Some(out) = self.child.stdout.take() {
+            BufReader::new(out).read_line(&mut line)?;
+        }
+        let address = line.trim().strip_prefix(LISTENING);
+        Ok(address.and_then(|address| address.parse().ok()))
+    }
+}
+
 /// The words by which the record names an action; a format.
 fn recorded_text(action: &FaultAction) -> String {
     match action {
@@ -329,7 +269,3 @@
         other => format!("{other:?}"),
     }
 }
-
-fn seconds(value: f64) -> Seconds {
-    Seconds::try_from(value).expect("a span of seconds")
-}
--- /dev/null
+++ b/crates/emulators/src/day/rollout_service.rs
@@ -0,0 +1,337 @@
+//! The rollout service: streams of stage updates, and the sidecars' votes.
+
+use super::dispatch::{SocketOwner, TimerEvent};
+use super::event_loop::{Day, TICK_INTERVAL};
+use super::headers::sidecar_named_in;
+use super::DayError;
+use crate::rollout::{RolloutAction, RolloutState, Verdict};
+use crate::script::DayFault;
+use bytes::BytesMut;
+use limewing_net::body::{write_chunk, Framing};
+use limewing_net::http::write_response;
+use limewing_net::message_reader::RequestReader;
+use limewing_net::sockets::SocketId;
+use limewing_rule_checker::record::{Event, Phase, SidecarId};
+use serde::Deserialize;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Votes are shorter.
+const MAX_CALL: usize = 16 * 1024;
+/// Stage updates are repeated after this, if the script does not say.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(2);
+/// Stage updates are repeated after this at the least.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+
+/// What the service keeps of votes.
+pub(super) struct RolloutService {
+    address: SocketAddr,
+    /// Votes that came so far.
+    votes: u64,
+    /// When votes were taken, as long as their rate is limited.
+    taken_at: Vec<Duration>,
+}
+
+impl RolloutService {
+    pub(super) fn new(address: SocketAddr) -> Self {
+        Self {
+            address,
+            votes: 0,
+            taken_at: Vec::new(),
+        }
+    }
+
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+}
+
+/// A connection that a call may come on.
+pub(super) struct RolloutCall(RequestReader);
+
+impl Default for RolloutCall {
+    fn default() -> Self {
+        Self(RequestReader::new(MAX_CALL))
+    }
+}
+
+/// A connection that stage updates go out on.
+pub(super) struct StageStream {
+    sidecar: SidecarId,
+}
+
+/// What a vote is answered, maybe later.
+pub(super) struct VoteAnswer {
+    socket: SocketId,
+    sidecar: SidecarId,
+    /// As it was when the vote came.
+    state: RolloutState,
+    body: String,
+}
+
+/// A vote as it comes.
+#[derive(Deserialize)]
+struct Vote {
+    build: u16,
+    stage: u8,
+    verdict: String,
+}
+
+impl Vote {
+    fn parsed_verdict(&self) -> Option<Verdict> {
+        match &self.verdict[..] {
+            "on" => Some(Verdict::Promote),
+            "hold" => Some(Verdict::Hold),
+            "back" => Some(Verdict::RollBack),
+            "withhold" => Some(Verdict::Abstain),
+            _ => None,
+        }
+    }
+}
+
+impl Day<'_> {
+    pub(super) fn stop_rollout_service(&mut self) {
+        self.close_all(|owner| {
+            matches!(
+                owner,
+                SocketOwner::Rollout(_)
+                    | SocketOwner::StageStream(_)
+                    | SocketOwner::RolloutListener
+            )
+        });
+    }
+
+    pub(super) fn start_rollout_service(&mut self) -> Result<(), DayError> {
+        let (listener, _) = self.sockets.listen(self.rollout_service.address)?;
+        self.owners.insert(listener, SocketOwner::RolloutListener);
+        Ok(())
+    }
+
+    pub(super) fn read_rollout_call(&mut self, socket: SocketId) {
+        if self.sockets.has_ended(socket) {
+            return self.close(socket);
+        }
+        let Some(SocketOwner::Rollout(call)) = self.owners.get_mut(&socket) else {
+            return;
+        };
+        let Some(input) = self.sockets.input(socket) else {
+            return;
+        };
+        let (head, body) = match call.0.take(input, false) {
+            Ok(Some(request)) => request,
+            Ok(None) => return self.sockets.resume_reading(socket),
+            Err(_) => return self.close(socket),
+        };
+        let Some(sidecar) = sidecar_named_in(head.fields.text("user-agent")) else {
+            return self.send_plain(socket, 400, b"");
+        };
+        if self.is_cut_off(sidecar) {
+            return;
+        }
+        match (&head.method[..], &head.target[..]) {
+            ("GET", "/v1/stages") => self.open_stage_stream(socket, sidecar),
+            ("POST", "/v1/votes") => self.take_vote(socket, sidecar, &body),
+            _ => self.send_plain(socket, 404, b""),
+        }
+    }
+
+    fn open_stage_stream(&mut self, socket: SocketId, sidecar: SidecarId) {
+        let fields = [(&b"content-type"[..], &b"text/event-stream"[..])];
+        let mut out = BytesMut::new();
+        write_response(&mut out, 200, fields.into_iter(), Framing::Chunked, true);
+        self.sockets.send(socket, &out);
+        let stream = SocketOwner::StageStream(StageStream { sidecar });
+        self.owners.insert(socket, stream);
+        self.send_stage(socket);
+    }
+
+    fn stage_json(&self) -> Value {
+        let state = self.rollout.state();
+        let phase = match state.phase {
+            Phase::OnTrial => "on_trial",
+            Phase::RollingBack => "going_back",
+            Phase::Released => "released",
+            Phase::RolledBack => "withdrawn",
+        };
+        json!({
+            "number": state.number,
+            "build": state.build,
+            "stage": state.stage,
+            "phase": phase,
+            "cap": state.cap,
+        })
+    }
+
+    fn record_stage_notified(&mut self, sidecar: SidecarId, state: RolloutState) {
+        self.record(Event::StageNotified {
+            sidecar,
+            number: state.number,
+            build: state.build,
+            stage: state.stage,
+            phase: state.phase,
+            cap: state.cap,
+        });
+    }
+
+    fn send_stage(&mut self, socket: SocketId) {
+        let Some(SocketOwner::StageStream(stream)) = self.owners.get(&socket) else {
+            return;
+        };
+        let sidecar = stream.sidecar;
+        if self.is_cut_off(sidecar) {
+            return;
+        }
+        self.record_stage_notified(sidecar, self.rollout.state());
+        let event = format!("event: stage\ndata: {}\n\n", self.stage_json());
+        let mut out = BytesMut::new();
+        write_chunk(&mut out, event.as_bytes());
+        self.sockets.send(socket, &out);
+    }
+
+    fn stage_changed(&mut self) {
+        let delay = self.find_fault(|fault| match fault {
+            DayFault::StageUpdatesDelayed(delay) => Some(Duration::from(*delay)),
+            _ => None,
+        });
+        match delay {
+            // What goes out then says how it stands then: an update that is older would be no fault more.
+            Some(delay) => {
+                let at = self.now + delay;
+                self.timers.schedule(at, TimerEvent::SendStageUpdates);
+            }
+            None => self.send_stage_updates(),
+        }
+    }
+
+    pub(super) fn send_stage_updates(&mut self) {
+        for socket in self.sockets_where(|owner| matches!(owner, SocketOwner::StageStream(_))) {
+            self.send_stage(socket);
+        }
+    }
+
+    pub(super) fn repeat_stage_updates(&mut self) {
+        self.stage_changed();
+        let interval = self.script.fleet.stage_update_interval;
+        let interval = interval.map_or(UPDATE_INTERVAL, Duration::from);
+        let next = self.now + interval.max(MIN_UPDATE_INTERVAL);
+        self.timers.schedule(next, TimerEvent::RepeatStageUpdates);
+    }
+
+    fn take_vote(&mut self, socket: SocketId, sidecar: SidecarId, body: &[u8]) {
+        let Ok(vote) = serde_json::from_slice::<Vote>(body) else {
+            return self.send_plain(socket, 400, b"");
+        };
+        let Some(verdict) = vote.parsed_verdict() else {
+            return self.send_plain(socket, 400, b"");
+        };
+        self.rollout_service.votes += 1;
+        if self.refuses_vote() {
+            return self.send_plain(socket, 429, b"");
+        }
+        let unanswered = self.has_fault(|fault| matches!(fault, DayFault::VotesUnanswered));
+        // Of the votes that are not answered, every other one is lost.
+        if unanswered && self.rollout_service.votes.is_multiple_of(2) {
+            return;
+        }
+        let counted = self
+            .rollout
+            .vote(sidecar, vote.build, vote.stage, verdict, self.now);
+        let answer = if counted { "counted" } else { "moot" };
+        self.record(Event::Voted {
+            sidecar,
+            build: vote.build,
+            stage: vote.stage,
+            verdict: vote.verdict,
+            answer: answer.to_owned(),
+        });
+        if unanswered {
+            return;
+        }
+        let answer = VoteAnswer {
+            socket,
+            sidecar,
+            state: self.rollout.state(),
+            body: json!({"answer": answer, "stage": self.stage_json()}).to_string(),
+        };
+        self.schedule_vote_answer(answer);
+    }
+
+    /// Whether a vote is over the rate that is allowed; one that is not counts for it.
+    fn refuses_vote(&mut self) -> bool {
+        if self.has_fault(|fault| matches!(fault, DayFault::VotesRefused)) {
+            return true;
+        }
+        let limit = self.find_fault(|fault| match fault {
+            DayFault::VotesRateLimited { max, window } => Some((*max, Duration::from(*window))),
+            _ => None,
+        });
+        let Some((max, window)) = limit else {
+            return false;
+        };
+        let from = self.now.saturating_sub(window);
+        let taken_at = &mut self.rollout_service.taken_at;
+        taken_at.retain(|at| *at > from);
+        if taken_at.len() >= max {
+            return true;
+        }
+        taken_at.push(self.now);
+        false
+    }
+
+    fn schedule_vote_answer(&mut self, answer: VoteAnswer) {
+        let delay = self.find_fault(|fault| match fault {
+            DayFault::VoteAnswersDelayed(delay) => Some(Duration::from(*delay)),
+            _ => None,
+        });
+        match delay {
+            Some(delay) => {
+                let at = self.now + delay;
+                self.timers
+                    .schedule(at, TimerEvent::AnswerVote(Box::new(answer)));
+            }
+            None => self.answer_vote(answer),
+        }
+    }
+
+    /// Answers a vote with the stage as it was when the vote came.
+    pub(super) fn answer_vote(&mut self, answer: VoteAnswer) {
+        let socket = answer.socket;
+        // The sidecar may have closed, or wait no more.
+        if matches!(self.owners.get(&socket), Some(SocketOwner::Rollout(_))) {
+            self.record_stage_notified(answer.sidecar, answer.state);
+            self.send_plain(socket, 200, answer.body.as_bytes());
+        }
+    }
+
+    pub(super) fn tick_rollout(&mut self) -> Result<(), DayError> {
+        let next = self.now + TICK_INTERVAL;
+        self.timers.schedule(next, TimerEvent::Tick);
+        let paused =
+            |fault: &DayFault| matches!(fault, DayFault::RolloutsDown | DayFault::RolloutsPaused);
+        if self.has_fault(paused) {
+            return Ok(());
+        }
+        let pods = &self.pods;
+        let is_running = |slot, build| {
+            pods.values()
+                .any(|pod| pod.slot == slot && pod.build == build && pod.running)
+        };
+        for action in self.rollout.tick(self.now, is_running) {
+            match action {
+                RolloutAction::StartPod { slot, build } => self.start_pod(slot, build, true)?,
+                RolloutAction::DrainOthers { slot, build } => self.drain_others(slot, build),
+                RolloutAction::NotifyStage => {
+                    let state = self.rollout.state();
+                    self.record(Event::StageChanged {
+                        build: state.build,
+                        stage: state.stage,
+                        phase: state.phase,
+                    });
+                    self.stage_changed();
+                }
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/emulators/src/day/sidecar_settings.rs
@@ -0,0 +1,104 @@
+//! The settings that the sidecars of a day start with.
+
+use super::endpoint_service::SERVICE;
+use super::event_loop::{any_port, Day};
+use crate::fleet::key_file;
+use limewing_settings::{
+    Customer, Fleet, Headers, Installer, ListService, Peers, Seconds, SidecarSettings, Work,
+};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// What a query of the endpoint list may wait, in seconds.
+const WATCH_WAIT: f64 = 10.0;
+/// After this without a stage update, a sidecar holds the stream for lost; in seconds.
+const STREAM_SILENCE: f64 = 10.0;
+/// What a sidecar may send to its peers in a second.
+const BYTES_PER_SECOND: u32 = 65_536;
+/// Spreads the seeds of sidecars over the seeds of days.
+const SEED_FACTOR: u64 = 1_000_003;
+
+impl Day<'_> {
+    pub(super) fn sidecar_settings(&self, number: usize, listen: SocketAddr) -> SidecarSettings {
+        let script = self.script;
+        let header = |name: &str| Some(name.to_owned());
+        let seed = script.seed.wrapping_mul(SEED_FACTOR);
+        let classes = script.classes.iter().map(|script| script.class.clone());
+        let tenants = script.tenants.iter().map(|tenant| Customer {
+            name: tenant.name.clone(),
+        });
+        SidecarSettings {
+            name: format!("sidecar-{number}"),
+            listen,
+            state_file: Some(self.state_file(number)),
+            seed: Some(seed.wrapping_add(number as u64)),
+            list: ListService {
+                address: self.endpoints.address,
+                service: SERVICE.to_owned(),
+                wait: seconds(WATCH_WAIT),
+            },
+            installer: Some(Installer {
+                address: self.rollout_service.address(),
+                quiet_at_most: seconds(STREAM_SILENCE),
+            }),
+            fleet: Fleet {
+                sidecars: script.sidecar_zones.len() as u32,
+                own_number: number as u32,
+                zones: script.fleet.zones.clone(),
+                zone: script.sidecar_zones[number].clone(),
+            },
+            headers: Headers {
+                customer: header("customer"),
+                key: header("routing-key"),
+                deadline_ms: header("request-timeout-ms"),
+            },
+            path_groups: classes.collect(),
+            customers: tenants.collect(),
+            limits: script.limits.clone(),
+            rules: script.rules.clone(),
+            releases: script.releases.clone(),
+            peers: self.peer_settings(number),
+            work: self.maintenance_settings(number),
+        }
+    }
+
+    pub(super) fn state_file(&self, number: usize) -> PathBuf {
+        self.folder.join(format!("sidecar-{number}.state.json"))
+    }
+
+    /// Where a voter keeps its log.
+    pub(super) fn voter_folder(&self, number: usize) -> PathBuf {
+        self.folder.join(format!("sidecar-{number}.work"))
+    }
+
+    fn maintenance_settings(&self, number: usize) -> Option<Work> {
+        let maintenance = self.script.maintenance.as_ref()?;
+        let voters = (0..maintenance.voters).map(|voter| format!("sidecar-{voter}"));
+        let possible_voters = maintenance.possible_voters.unwrap_or(maintenance.voters);
+        Some(Work {
+            voters: voters.collect(),
+            folder: (number < possible_voters).then(|| self.voter_folder(number)),
+            patience: maintenance.election_timeout,
+            lease: maintenance.lease,
+        })
+    }
+
+    fn peer_settings(&self, number: usize) -> Option<Peers> {
+        let peers = self.script.peers.as_ref()?;
+        let relay = self.relay.as_ref()?;
+        Some(Peers {
+            listen: any_port(),
+            advertise: Some(relay.fronts[number]),
+            join: relay.fronts.iter().take(3).copied().collect(),
+            key_file: key_file(&self.folder, number),
+            period: peers.probe_interval,
+            bytes_per_s: BYTES_PER_SECOND,
+            choices: peers.coordination,
+            replicas: peers.replication,
+        })
+    }
+}
+
+fn seconds(value: f64) -> Seconds {
+    Seconds::try_from(value).expect("a span of seconds")
+}
