--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,22 +1,23 @@
-//! Stand-ins for all that a sidecar speaks with, and the days that they play.
+//! Emulators of all that a sidecar speaks with, and the days that they play.
 //!
-//! `pod_model`, `deduplication` and `rollout` are models without I/O; `script` is what a day's file says; `day` drives them
-//! all on one loop, with the sidecars as processes of their own, and writes the record. `platform` holds the
-//! platform's parties, for tests.
+//! `pod_model`, `deduplication` and `rollout` are models without I/O; `script` is what a day's file says; `day` drives them all on one
+//! loop, with the sidecars as processes of their own, and writes the record. `platform` holds the parties of the PostgreSQL platform,
+//! for tests; `fleet` plays scripts of faults between sidecars, with processes and in simulated time.
 
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
+pub mod day;
+pub mod deduplication;
+// Not done yet, see "Readable code" in docs/ROADMAP.md: names and documentation.
+#[allow(
     missing_docs,
-    unreachable_pub,
     clippy::missing_errors_doc,
     clippy::too_many_lines,
     clippy::unwrap_used,
     clippy::wildcard_imports
 )]
-
-pub mod day;
-pub mod deduplication;
 pub mod fleet;
+mod locks;
+// Not done yet, see "Readable code" in docs/ROADMAP.md: names and documentation.
+#[allow(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 pub mod platform;
 pub mod pod_model;
 pub mod rollout;
--- a/crates/emulators/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -2,12 +2,15 @@
 //! clients in PostgreSQL's protocol, discovery and rollouts over HTTP.
 
 mod client;
+mod messages;
 mod pod;
+mod pod_session;
 mod services;
 mod world;
 
 pub use client::{Answer, Client};
-pub use pod::{answer, Does, Pod};
+pub use messages::answer;
+pub use pod::{Does, Pod};
 pub use services::{Discovery, Rollouts, Vote};
 pub use world::{Faults, World};
 
--- a/crates/emulators/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -2,7 +2,8 @@
 //! `limewing_rule_checker` reads it. Each sidecar reaches every pod at an address of its own, so that the record says whose a
 //! forward is. Times in it are those of the far ends.
 
-use super::pod::{answer, read_statement};
+use super::messages::{answer, error};
+use super::pod_session::{accept_session, read_statement};
 use super::{listing, state, Answer, Client, Discovery, Listed, Rollouts, Vote};
 use limewing_rule_checker::record::{
     AttemptKey, DeduplicationScope, Event, FinalAnswer, Idempotency, Phase, PodId, RecordLine,
@@ -353,7 +354,7 @@
 
 impl Standing {
     fn serve(&self, stream: TcpStream, sidecar: SidecarId) -> Option<()> {
-        let mut link = super::pod::welcome(stream)?;
+        let mut link = accept_session(stream)?;
         loop {
             let text = read_statement(&mut link)?;
             let field = |name: &str| {
@@ -391,7 +392,7 @@
             if fault == Some(0) {
                 self.record
                     .note(Event::ForwardRejected { pod, attempt: of });
-                link.stream.write_all(&super::pod::error("53300")).ok()?;
+                link.stream.write_all(&error("53300")).ok()?;
                 continue;
             }
             std::thread::sleep(Duration::from_millis(span));
@@ -406,7 +407,7 @@
                 Some(1) => return None,
                 Some(2) => link.stream.write_all(b"\x00\xffnoise").ok()?,
                 Some(3) => continue,
-                Some(_) => link.stream.write_all(&super::pod::error("XX000")).ok()?,
+                Some(_) => link.stream.write_all(&error("XX000")).ok()?,
                 None => link
                     .stream
                     .write_all(&answer(&format!("{id}-{}", self.build)))
