--- a/crates/postgres-proxy/src/config.rs
+++ b/crates/postgres-proxy/src/config.rs
@@ -5,7 +5,9 @@
 use crate::stage_updates::RolloutState;
 use crate::timeouts::ENDPOINT_LEASE;
 use limewing_decision::interface::SidecarConfig;
-use limewing_simulator_protocol::SocketTerms;
+use limewing_simulator_protocol::{
+    sidecar_config, socket_settings, SocketSettings, StartSettingsError,
+};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -34,7 +36,10 @@
     },
     /// The settings can't be used; says which one, and what was expected.
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(#[from] StartSettingsError),
+    /// A request class has no name, which on sockets it needs.
+    #[error("settings: a class has no name")]
+    UnnamedClass,
 }
 
 /// A configuration file that can't be used.
@@ -104,7 +109,7 @@
     /// The settings of the decision engine.
     pub engine: SidecarConfig,
     /// The settings of this proxy, and the names that the engine knows by number.
-    pub sockets: SocketTerms,
+    pub sockets: SocketSettings,
     /// Hash of the settings' text, which distinguishes them from others; spaces count.
     pub settings_hash: u64,
 }
@@ -162,19 +167,17 @@
 }
 
 fn parse_engine(seed: u64, settings: &[u8]) -> Result<SidecarConfig, ConfigError> {
-    let mut engine =
-        limewing_simulator_protocol::start_terms(seed, settings).map_err(ConfigError::Settings)?;
+    let mut engine = sidecar_config(seed, settings)?;
     // On sockets a list comes by no other way than a watch.
     engine.watch_on_request = true;
     engine.endpoint_lease = Some(ENDPOINT_LEASE);
     Ok(engine)
 }
 
-fn parse_sockets(settings: &[u8]) -> Result<SocketTerms, ConfigError> {
-    let sockets =
-        limewing_simulator_protocol::socket_terms(settings).map_err(ConfigError::Settings)?;
-    if sockets.groups.iter().any(String::is_empty) {
-        return Err(ConfigError::Settings("a class has no name".into()));
+fn parse_sockets(settings: &[u8]) -> Result<SocketSettings, ConfigError> {
+    let sockets = socket_settings(settings)?;
+    if sockets.classes.iter().any(String::is_empty) {
+        return Err(ConfigError::UnnamedClass);
     }
     Ok(sockets)
 }
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -119,7 +119,7 @@
             listen: config.listen,
             settings_hash: config.settings_hash,
             connect_timeout: config.sockets.connect_timeout,
-            pod_idle_timeout: config.sockets.idle_close,
+            pod_idle_timeout: config.sockets.idle_timeout,
             max_attempts: config.engine.max_attempts.into(),
             vote_timeout: config.engine.rollout.vote_timeout,
         }
@@ -176,7 +176,7 @@
         let settings = Settings::new(&config);
         let parser = statement_parser(&config);
         let shutdown = Shutdown::new(shutdown_timeouts(longest_client_timeout(&config)));
-        let endpoints = EndpointList::new(&config.sockets.zones, &config.sockets.kinds);
+        let endpoints = EndpointList::new(&config.sockets.zones, &config.sockets.machine_types);
         let mut service = Self {
             settings,
             services: config.services,
@@ -192,7 +192,7 @@
             requests: InFlightRequests::default(),
             upstream: UpstreamState::new(budget),
             discovery: DiscoveryState::new(endpoints, now),
-            rollouts: RolloutTracker::new(config.sockets.groups, config.seed),
+            rollouts: RolloutTracker::new(config.sockets.classes, config.seed),
             config_reload: ConfigReload::new(file),
             shutdown,
         };
@@ -261,9 +261,9 @@
         .map(|class| matches!(class.idempotency, Idempotency::Keyed { .. }))
         .collect();
     StatementParser::new(
-        &config.sockets.groups,
+        &config.sockets.classes,
         &needs_idempotency_key,
-        &config.sockets.customers,
+        &config.sockets.tenants,
     )
 }
 
--- a/crates/postgres-proxy/tests/fleet_limits.rs
+++ b/crates/postgres-proxy/tests/fleet_limits.rs
@@ -126,7 +126,7 @@
     );
     let known = config.cached_endpoints.unwrap();
     assert_eq!(hosts(&known).len(), PODS);
-    let mut list = EndpointList::new(&config.sockets.zones, &config.sockets.kinds);
+    let mut list = EndpointList::new(&config.sockets.zones, &config.sockets.machine_types);
     let rows = recalled(&mut list, known);
     let numbers: BTreeSet<PodId> = rows.iter().map(|row| row.pod).collect();
     assert_eq!((list.len(), numbers.len()), (PODS, PODS));
@@ -184,7 +184,7 @@
 impl Started {
     fn new(sidecar_index: u32) -> Self {
         let config = config_of(sidecar_index);
-        let mut list = EndpointList::new(&config.sockets.zones, &config.sockets.kinds);
+        let mut list = EndpointList::new(&config.sockets.zones, &config.sockets.machine_types);
         let mut engine = DecisionEngine::new(NOW, config.engine);
         let known = list.load_cached(config.cached_endpoints.unwrap(), NOW, SystemTime::now());
         engine.handle(NOW, vec![Event::Endpoints(known)]);
--- a/crates/postgres-proxy/tests/golden.rs
+++ b/crates/postgres-proxy/tests/golden.rs
@@ -279,15 +279,15 @@
     line("list lease", format!("{:?}", terms.endpoint_lease));
     let by_clock = terms.rollout.control == Control::Clock;
     line("gate mode by clock", by_clock.to_string());
-    line("class names", told.sockets.groups.join(","));
-    line("realm names", told.sockets.customers.join(","));
+    line("class names", told.sockets.classes.join(","));
+    line("realm names", told.sockets.tenants.join(","));
     line("azs", told.sockets.zones.join(","));
-    line("shapes", told.sockets.kinds.join(","));
+    line("shapes", told.sockets.machine_types.join(","));
     line(
         "connect timeout",
         format!("{:?}", told.sockets.connect_timeout),
     );
-    line("idle close", format!("{:?}", told.sockets.idle_close));
+    line("idle close", format!("{:?}", told.sockets.idle_timeout));
     assert_golden("config_read.txt", &read);
 }
 
--- a/crates/simulator-protocol/src/lib.rs
+++ b/crates/simulator-protocol/src/lib.rs
@@ -1,22 +1,20 @@
-//! Codec of the simulator wire: batches of events in, replies of actions out.
+//! Codec of the simulator's wire: batches of records in, replies of actions out. All numbers are little-endian.
+//!
+//! - [`batch`]: one frame of input
+//! - [`record`]: the records of a frame
+//! - [`reply`]: one frame of output
+//! - [`start_settings`]: the JSON settings in a start record
+//! - [`error`]: what makes a frame or its settings unusable
 
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names, documentation and sizes of this package.
-#![allow(
-    missing_docs,
-    unreachable_pub,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
+pub mod batch;
+mod cursor;
+pub mod error;
+pub mod record;
+pub mod reply;
+pub mod start_settings;
 
-mod read;
-mod start;
-mod write;
-
-pub use read::{read_batch, Batch, ListHow, Record, Trouble};
-pub use start::{socket_terms, start_terms, SocketTerms};
-pub use write::Reply;
-
-/// The largest frame that is taken, in bytes.
-pub const LARGEST_FRAME: u32 = 256 << 20;
+pub use batch::{read_batch, Batch};
+pub use error::{FrameError, FrameErrorKind, StartSettingsError};
+pub use record::{EndpointUpdateKind, Record};
+pub use reply::Reply;
+pub use start_settings::{sidecar_config, socket_settings, SocketSettings};
--- a/crates/simulator-protocol/tests/golden.rs
+++ b/crates/simulator-protocol/tests/golden.rs
@@ -2,8 +2,14 @@
 //! JSON of a start record. The files in `golden/` were written by the program as it stood on 2026-12-02. Set
 //! `GOLDEN_WRITE` to write them anew after a wanted change of the wire.
 
-use limewing_decision::interface::*;
-use limewing_simulator_protocol::{read_batch, socket_terms, start_terms, ListHow, Record, Reply};
+use limewing_decision::interface::{
+    Action, AttemptIndex, AttemptOutcome, BuildId, Control, DeduplicationScope, Endpoint, Event,
+    Idempotency, Phase, PodId, PodState, RequestClass, RequestId, StageIndex, StageUpdate, Verdict,
+    VoteAnswer,
+};
+use limewing_simulator_protocol::{
+    read_batch, sidecar_config, socket_settings, EndpointUpdateKind, Record, Reply,
+};
 use std::fmt::Write;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -81,11 +87,11 @@
     }
 
     fn row(self, pod: u64, status: u8, started: f64) -> Self {
-        let (kind, build, size, cell, zone) = (7, 12.0, 0.75, 515, 2);
-        self.u8(kind)
+        let (machine_type, build, weight, cell, zone) = (7, 12.0, 0.75, 515, 2);
+        self.u8(machine_type)
             .u8(status)
             .f32(build)
-            .f32(size)
+            .f32(weight)
             .f64(started)
             .u16(cell)
             .pod(pod)
@@ -111,7 +117,7 @@
 
 /// Each kind of record that the simulator writes, under the name of its line in `golden/batches.hex`.
 fn batches() -> Vec<(&'static str, Vec<u8>)> {
-    let list = |how, table| Bytes::record(259).u8(how).u32(44).u16(table);
+    let list = |kind, table| Bytes::record(259).u8(kind).u32(44).u16(table);
     let stage = |phase, answer, asked| {
         let record = Bytes::record(258).f32(0.25).u8(phase).u16(9).f64(1.5);
         record.u8(2).u16(answer).u8(asked)
@@ -229,22 +235,22 @@
                 outcome.request_over
             )
         }
-        Event::StreamStarted { request: hit } => format!("stream of request {}", hit.0),
+        Event::StreamStarted { request } => format!("stream of request {}", request.0),
         Event::ClientDisconnected(request) => format!("left {}", request.0),
-        Event::Flagged { pod, class: group } => format!("flagged pod {} class {}", pod.0, group.0),
+        Event::Flagged { pod, class } => format!("flagged pod {} class {}", pod.0, class.0),
         Event::Stage {
-            update: news,
-            vote_answer: answer,
+            update,
+            vote_answer,
         } => {
-            let news = news.map_or("-".into(), |news| describe_stage(&news));
-            let answer = answer.map(|answer| match answer {
+            let update = update.map_or("-".into(), |update| describe_stage(&update));
+            let answer = vote_answer.map(|answer| match answer {
                 VoteAnswer::Counted => 0,
                 VoteAnswer::Unanswered => 4,
                 VoteAnswer::Full => 8,
                 VoteAnswer::Moot => 9,
                 VoteAnswer::Failed => 13,
             });
-            format!("stage {news} answer {answer:?}")
+            format!("stage {update} answer {answer:?}")
         }
         Event::Endpoints(_) | Event::Fleet(_) | Event::KeyServed(..) => {
             "no event of this wire".into()
@@ -252,8 +258,8 @@
     }
 }
 
-fn describe_stage(news: &StageUpdate) -> String {
-    let phase = match news.phase {
+fn describe_stage(update: &StageUpdate) -> String {
+    let phase = match update.phase {
         Phase::OnTrial => 0,
         Phase::RollingBack => 1,
         Phase::Released => 2,
@@ -261,36 +267,44 @@
     };
     format!(
         "(build {} stage {} phase {phase} cap {} age {})",
-        news.build.0,
-        news.stage.0,
-        news.cap,
-        micros(news.age)
+        update.build.0,
+        update.stage.0,
+        update.cap,
+        micros(update.age)
     )
 }
 
 fn describe_record(record: &Record) -> String {
     match record {
-        Record::SwitchTo(instance) => format!("instance {instance}"),
-        Record::Inventory { table, rows } => {
+        Record::SelectInstance(instance) => format!("instance {instance}"),
+        Record::EndpointTable { table, rows } => {
             let rows: Vec<String> = rows.iter().map(describe_row).collect();
             format!("table {table} {}", rows.join(" "))
         }
-        Record::PowerOn { seed, options, at } => {
-            let options = String::from_utf8_lossy(options);
-            format!("start seed {seed:016x} options {options} at byte {at}")
+        Record::Start {
+            seed,
+            settings,
+            offset,
+        } => {
+            let settings = String::from_utf8_lossy(settings);
+            format!("start seed {seed:016x} options {settings} at byte {offset}")
         }
-        Record::Halt => "halt".into(),
-        Record::BackendsChanged { how, table, at } => {
-            let how = match how {
-                ListHow::Change => 0,
-                ListHow::Whole => 1,
-                ListHow::Remembered => 2,
-                ListHow::Failed => 3,
+        Record::Stop => "halt".into(),
+        Record::EndpointUpdate {
+            kind,
+            table,
+            offset,
+        } => {
+            let kind = match kind {
+                EndpointUpdateKind::Delta => 0,
+                EndpointUpdateKind::Snapshot => 1,
+                EndpointUpdateKind::Cached => 2,
+                EndpointUpdateKind::WatchLost => 3,
             };
-            format!("list {how} table {table} at byte {at}")
+            format!("list {kind} table {table} at byte {offset}")
         }
-        Record::Plain(event) => describe_event(event),
-        Record::Unused => "unused".into(),
+        Record::Event(event) => describe_event(event),
+        Record::Ignored => "unused".into(),
     }
 }
 
@@ -361,7 +375,7 @@
 
 fn sent(mut reply: Reply) -> Vec<u8> {
     let mut out = Vec::new();
-    reply.send(12, &mut out).unwrap();
+    reply.write_to(12, &mut out).unwrap();
     out
 }
 
@@ -371,13 +385,13 @@
     let mut all = Reply::default();
     for (name, action) in actions() {
         let mut reply = Reply::default();
-        reply.act(&action);
+        reply.push_action(&action);
         writeln!(written, "{name} {}", hex_of(&sent(reply))).unwrap();
-        all.by(written.len() as u32);
-        all.act(&action);
+        all.select_instance(written.len() as u32);
+        all.push_action(&action);
     }
     let mut fault = Reply::default();
-    fault.fault("record is cut short at byte 3 of the frame");
+    fault.push_fault("record is cut short at byte 3 of the frame");
     writeln!(written, "fault {}", hex_of(&sent(fault))).unwrap();
     writeln!(written, "empty {}", hex_of(&sent(Reply::default()))).unwrap();
     writeln!(written, "many_instances {}", hex_of(&sent(all))).unwrap();
@@ -388,91 +402,94 @@
 #[test]
 fn a_long_line_is_cut() {
     let mut reply = Reply::default();
-    reply.act(&Action::Log("ü".repeat(40_000)));
+    reply.push_action(&Action::Log("ü".repeat(40_000)));
     let out = sent(reply);
     assert_eq!(out[12..16], [2, 1, 0xfe, 0xff]);
     assert_eq!(out.len(), 16 + 65_534);
 }
 
-fn describe_terms(json: &[u8]) -> String {
-    let terms = start_terms(0x8c1f_30d2_7a5b_e964, json).unwrap();
-    let sockets = socket_terms(json).unwrap();
+fn describe_settings(json: &[u8]) -> String {
+    let config = sidecar_config(0x8c1f_30d2_7a5b_e964, json).unwrap();
+    let sockets = socket_settings(json).unwrap();
     let mut text = String::new();
     let mut line = |name: &str, value: String| writeln!(text, "{name}: {value}").unwrap();
-    line("seed", format!("{:016x}", terms.seed));
-    line("balancers", terms.sidecar_count.to_string());
-    line("me", terms.sidecar_index.to_string());
-    line("zone", terms.zone.0.to_string());
-    for class in &terms.classes {
+    line("seed", format!("{:016x}", config.seed));
+    line("balancers", config.sidecar_count.to_string());
+    line("me", config.sidecar_index.to_string());
+    line("zone", config.zone.0.to_string());
+    for class in &config.classes {
         line("profile", describe_class(class));
     }
-    line("list on request", terms.watch_on_request.to_string());
-    line("list pushed", terms.endpoints_pushed.to_string());
+    line("list on request", config.watch_on_request.to_string());
+    line("list pushed", config.endpoints_pushed.to_string());
     line(
         "list lease",
-        format!("{:?}", terms.endpoint_lease.map(micros)),
+        format!("{:?}", config.endpoint_lease.map(micros)),
     );
-    line("cancel", terms.cancellation.to_string());
-    line("second copies", terms.hedging.to_string());
+    line("cancel", config.cancellation.to_string());
+    line("second copies", config.hedging.to_string());
     line(
         "retry after",
-        format!("{:?}", terms.retry_after.map(micros)),
+        format!("{:?}", config.retry_after.map(micros)),
+    );
+    line("max attempts", config.max_attempts.to_string());
+    let safety = &config.safety;
+    line(
+        "stop sending within",
+        micros(safety.drain_grace).to_string(),
     );
-    line("max attempts", terms.max_attempts.to_string());
-    let rules = &terms.safety;
-    line("stop sending within", micros(rules.drain_grace).to_string());
-    line("cold from", rules.slow_start_from.to_string());
-    line("cold", micros(rules.slow_start_duration).to_string());
-    line("fall multiple", rules.overload_multiple.to_string());
-    line("fall", micros(rules.overload_window).to_string());
-    let release = &terms.rollout;
+    line("cold from", safety.slow_start_from.to_string());
+    line("cold", micros(safety.slow_start_duration).to_string());
+    line("fall multiple", safety.overload_multiple.to_string());
+    line("fall", micros(safety.overload_window).to_string());
+    let rollout = &config.rollout;
     line(
         "gate mode by clock",
-        (release.control == Control::Clock).to_string(),
+        (rollout.control == Control::Clock).to_string(),
     );
-    line("stage share", format!("{:?}", release.stage_shares));
-    line("most shares", format!("{:?}", release.exposure_caps));
-    line("span", micros(release.exposure_window).to_string());
-    line("uncounted", release.exposure_free.to_string());
-    line("counted by class", release.exposure_per_class.to_string());
-    line("shielded", release.guarded_stages.to_string());
-    line("keys stay", release.sticky_keys.to_string());
-    line("vote ttl", micros(release.vote_ttl).to_string());
-    line("api timeout", micros(release.vote_timeout).to_string());
-    line("votes to revert", release.rollback_quorum.to_string());
-    line("votes to hold", release.hold_quorum.to_string());
-    line("ayes needed", release.promote_quorum.to_string());
-    line("vote allowance", format!("{:?}", release.vote_rate_limit));
-    line("class names", sockets.groups.join(","));
-    line("realm names", sockets.customers.join(","));
+    line("stage share", format!("{:?}", rollout.stage_shares));
+    line("most shares", format!("{:?}", rollout.exposure_caps));
+    line("span", micros(rollout.exposure_window).to_string());
+    line("uncounted", rollout.exposure_free.to_string());
+    line("counted by class", rollout.exposure_per_class.to_string());
+    line("shielded", rollout.guarded_stages.to_string());
+    line("keys stay", rollout.sticky_keys.to_string());
+    line("vote ttl", micros(rollout.vote_ttl).to_string());
+    line("api timeout", micros(rollout.vote_timeout).to_string());
+    line("votes to revert", rollout.rollback_quorum.to_string());
+    line("votes to hold", rollout.hold_quorum.to_string());
+    line("ayes needed", rollout.promote_quorum.to_string());
+    line("vote allowance", format!("{:?}", rollout.vote_rate_limit));
+    line("class names", sockets.classes.join(","));
+    line("realm names", sockets.tenants.join(","));
     line("azs", sockets.zones.join(","));
-    line("shapes", sockets.kinds.join(","));
+    line("shapes", sockets.machine_types.join(","));
     line(
         "connect timeout",
         micros(sockets.connect_timeout).to_string(),
     );
-    line("idle close", micros(sockets.idle_close).to_string());
+    line("idle close", micros(sockets.idle_timeout).to_string());
     text
 }
 
 fn describe_class(class: &RequestClass) -> String {
-    let repeat = match class.idempotency {
+    let idempotency = match class.idempotency {
         Idempotency::Idempotent => "free".to_owned(),
         Idempotency::NonIdempotent => "single_shot".to_owned(),
         Idempotency::Keyed {
-            deduplicated_by: drops_repeats,
-            window: memory,
+            deduplicated_by,
+            window,
         } => {
-            let group = match drops_repeats {
+            let scope = match deduplicated_by {
                 DeduplicationScope::All => "all",
                 DeduplicationScope::Zone => "zone",
                 DeduplicationScope::Cell => "cell",
             };
-            format!("guarded {group} {}", micros(memory))
+            format!("guarded {scope} {}", micros(window))
         }
     };
     format!(
-        "{repeat}, target {} deadline {} worth {} late worth {} streaming {}",
+        "{idempotency}, target {} deadline {} worth {} late worth {} streaming {}",
         micros(class.latency_objective),
         micros(class.client_timeout),
         class.priority_weight,
@@ -488,6 +505,6 @@
         ("start_defaults.json", "start_defaults.txt"),
     ] {
         let json = std::fs::read(golden_path(from)).unwrap();
-        assert_golden(to, &describe_terms(&json));
+        assert_golden(to, &describe_settings(&json));
     }
 }
