--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -10,7 +10,7 @@
 use limewing_net::sockets::SocketId;
 use limewing_net::timer_wheel::TimerKey;
 use limewing_rule_checker::record::{Entry, Final, OrderId, SidecarNo, Try};
-use limewing_settings::{Reach, Repeat};
+use limewing_settings::{DeduplicationScope as Reach, Idempotency as Repeat};
 use rand::RngExt;
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::{Distribution, Exp};
@@ -181,8 +181,8 @@
         if let Some(customer) = order.customer {
             fields.push(("customer", &self.script.customers[customer].name));
         }
-        let careless = self.script.clients.careless && group.repeat == Repeat::Mutating;
-        if careless || matches!(group.repeat, Repeat::Tagged { .. }) {
+        let careless = self.script.clients.careless && group.idempotency == Repeat::NonIdempotent;
+        if careless || matches!(group.idempotency, Repeat::Keyed { .. }) {
             fields.push(("idempotency-key", &tag));
         }
         if order.worthless {
@@ -347,7 +347,7 @@
                     && !std::mem::replace(&mut client.begun, true);
                 let order = of.and_then(|of| self.clients.orders.get(&of.0));
                 let streamed =
-                    order.is_some_and(|order| self.script.groups[order.group].group.streamed);
+                    order.is_some_and(|order| self.script.groups[order.group].group.streaming);
                 if let Some(of) = of.filter(|_| begun && streamed) {
                     self.note(Entry::AnswerBegun { sidecar, of });
                 }
@@ -422,10 +422,13 @@
         let Some(order) = self.clients.orders.get(&id) else {
             return;
         };
-        let by_group = match self.script.groups[order.group].group.repeat {
-            Repeat::Repeatable => true,
-            Repeat::Tagged { reach, .. } => reach == Reach::All,
-            Repeat::Mutating => self.script.clients.careless,
+        let by_group = match self.script.groups[order.group].group.idempotency {
+            Repeat::Idempotent => true,
+            Repeat::Keyed {
+                deduplicated_by: reach,
+                ..
+            } => reach == Reach::All,
+            Repeat::NonIdempotent => self.script.clients.careless,
         };
         let at = self.now + Duration::from_secs_f64(if soon { wait * 0.1 } else { wait });
         let again = order.tries <= self.script.clients.retries
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -11,7 +11,7 @@
 use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
 use limewing_rule_checker::record::{Entry, OrderId, PodNo, SidecarNo, Try};
-use limewing_settings::Reach;
+use limewing_settings::DeduplicationScope as Reach;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -475,7 +475,7 @@
             self.ends.remove(&link);
             return self.sockets.close_when_sent(link);
         }
-        let streams = status == 200 && self.script.groups[group].group.streamed;
+        let streams = status == 200 && self.script.groups[group].group.streaming;
         self.answer(link, number, status, &fields, streams);
     }
 
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -6,7 +6,7 @@
 use limewing_fault_injection::FaultAction;
 use limewing_rule_checker::record::{Entry, SidecarNo};
 use limewing_settings::{
-    Customer, Fleet, Headers, Installer, ListService, Seconds, SidecarSettings,
+    EndpointListService, Fleet, Headers, RolloutService, Seconds, SidecarSettings, Tenant,
 };
 use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::fs::File;
@@ -77,56 +77,56 @@
                     .wrapping_mul(1_000_003)
                     .wrapping_add(number as u64),
             ),
-            list: ListService {
+            endpoint_list: EndpointListService {
                 address: self.list.list_at,
                 service: SERVICE.to_owned(),
                 wait: seconds(10.0),
             },
-            installer: Some(Installer {
+            rollout_service: Some(RolloutService {
                 address: self.list.installer_at,
-                quiet_at_most: seconds(10.0),
+                silence_timeout: seconds(10.0),
             }),
             fleet: Fleet {
-                sidecars: script.sidecars.len() as u32,
-                own_number: number as u32,
+                sidecar_count: script.sidecars.len() as u32,
+                sidecar_index: number as u32,
                 zones: script.fleet.zones.clone(),
                 zone: script.sidecars[number].clone(),
             },
             headers: Headers {
-                customer: name("customer"),
-                key: name("routing-key"),
+                tenant: name("customer"),
+                routing_key: name("routing-key"),
                 deadline_ms: name("request-timeout-ms"),
             },
-            path_groups: script
+            classes: script
                 .groups
                 .iter()
                 .map(|group| group.group.clone())
                 .collect(),
-            customers: script
+            tenants: script
                 .customers
                 .iter()
-                .map(|c| Customer {
+                .map(|c| Tenant {
                     name: c.name.clone(),
                 })
                 .collect(),
             limits: script.limits.clone(),
-            rules: script.rules.clone(),
-            releases: script.releases.clone(),
+            safety: script.rules.clone(),
+            rollout: script.releases.clone(),
             peers: self.peers(number),
-            work: self.work(number),
+            maintenance: self.work(number),
         }
     }
 
-    fn work(&self, number: usize) -> Option<limewing_settings::Work> {
+    fn work(&self, number: usize) -> Option<limewing_settings::MaintenanceSettings> {
         let work = self.script.work.as_ref()?;
-        Some(limewing_settings::Work {
+        Some(limewing_settings::MaintenanceSettings {
             voters: (0..work.voters)
                 .map(|voter| format!("sidecar-{voter}"))
                 .collect(),
-            folder: (number < work.folders.unwrap_or(work.voters))
+            state_directory: (number < work.folders.unwrap_or(work.voters))
                 .then(|| self.work_folder(number)),
-            patience: work.patience,
-            lease: work.lease,
+            election_timeout: work.patience,
+            lease_duration: work.lease,
         })
     }
 
@@ -134,17 +134,17 @@
         self.folder.join(format!("sidecar-{number}.work"))
     }
 
-    fn peers(&self, number: usize) -> Option<limewing_settings::Peers> {
+    fn peers(&self, number: usize) -> Option<limewing_settings::PeerSettings> {
         let (told, relay) = (self.script.peers.as_ref()?, self.relay.as_ref()?);
-        Some(limewing_settings::Peers {
+        Some(limewing_settings::PeerSettings {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             advertise: Some(relay.fronts[number]),
             join: relay.fronts.iter().take(3).copied().collect(),
             key_file: key_file(&self.folder, number),
             period: told.period,
             bytes_per_s: 65_536,
-            choices: told.choices,
-            replicas: told.replicas,
+            coordination: told.choices,
+            replication: told.replicas,
         })
     }
 
--- a/crates/emulators/src/day/work.rs
+++ b/crates/emulators/src/day/work.rs
@@ -175,7 +175,10 @@
         let does = work.steps[number].does.clone();
         agents.post(Post::Does(does.clone()));
         if let WorkDoes::Ask(list) = does {
-            let (out, out_in_zone) = (list.limits.out, list.limits.out_in_zone.unwrap_or(u16::MAX));
+            let (out, out_in_zone) = (
+                list.limits.max_unavailable,
+                list.limits.max_unavailable_per_zone.unwrap_or(u16::MAX),
+            );
             self.note(Entry::WorkAsked { out, out_in_zone });
         }
     }
--- a/crates/emulators/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -220,23 +220,23 @@
 
     fn start(&mut self, number: usize) -> Result<(), RigTrouble> {
         let trouble = |why: String| RigTrouble::Sidecar { number, why };
-        let period =
-            settings::Seconds::try_from(self.plan.period.as_secs_f64()).map_err(trouble)?;
+        let period = settings::Seconds::try_from(self.plan.period.as_secs_f64())
+            .map_err(|e| trouble(e.to_string()))?;
         let mut told = self.plan.settings.clone();
         told.name = format!("s{number}");
         told.listen = SocketAddr::from(([127, 0, 0, 1], 0));
         told.state_file = None;
-        told.fleet.sidecars = self.plan.members as u32;
-        told.fleet.own_number = number as u32;
-        told.peers = Some(settings::Peers {
+        told.fleet.sidecar_count = self.plan.members as u32;
+        told.fleet.sidecar_index = number as u32;
+        told.peers = Some(settings::PeerSettings {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             advertise: Some(self.relay.fronts[number]),
             join: self.relay.fronts.iter().take(3).copied().collect(),
             key_file: key_file(self.plan.folder, number),
             period,
             bytes_per_s: 65_536,
-            replicas: told.peers.as_ref().is_some_and(|peers| peers.replicas),
-            choices: told.peers.as_ref().is_some_and(|peers| peers.choices),
+            replication: told.peers.as_ref().is_some_and(|peers| peers.replication),
+            coordination: told.peers.as_ref().is_some_and(|peers| peers.coordination),
         });
         let file = self.plan.folder.join(format!("s{number}.json"));
         std::fs::write(
--- a/crates/emulators/src/installer.rs
+++ b/crates/emulators/src/installer.rs
@@ -1,7 +1,7 @@
 //! The installer as a model: brings a build in by stages, place by place, and takes votes.
 
 use limewing_rule_checker::record::{Phase, SidecarNo};
-use limewing_settings::{Control, Releases};
+use limewing_settings::{Control, RolloutSettings as Releases};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/emulators/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -3,7 +3,9 @@
 use limewing_fault_injection::Script;
 use limewing_rule_checker::record;
 use limewing_settings::{
-    Checked, ConfigError, Limits, PathGroup, Reach, Releases, Repeat, Rules, Seconds, WorkList,
+    Checked, ConfigError, DeduplicationScope as Reach, Idempotency as Repeat, Limits,
+    RequestClass as PathGroup, RolloutSettings as Releases, SafetyLimits as Rules, Seconds,
+    WorkList,
 };
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -286,10 +288,13 @@
             .iter()
             .map(|GroupScript { group, .. }| record::Group {
                 name: group.name.clone(),
-                repeat: match group.repeat {
-                    Repeat::Repeatable => record::Repeat::Repeatable,
-                    Repeat::Mutating => record::Repeat::Mutating,
-                    Repeat::Tagged { reach, memory } => {
+                repeat: match group.idempotency {
+                    Repeat::Idempotent => record::Repeat::Repeatable,
+                    Repeat::NonIdempotent => record::Repeat::Mutating,
+                    Repeat::Keyed {
+                        deduplicated_by: reach,
+                        window: memory,
+                    } => {
                         let reach = match reach {
                             Reach::All => record::Reach::All,
                             Reach::Zone => record::Reach::Zone,
@@ -301,8 +306,8 @@
                         }
                     }
                 },
-                target_latency: group.target_latency.into(),
-                benefit: group.benefit,
+                target_latency: group.latency_objective.into(),
+                benefit: group.priority_weight,
             });
         record::Terms {
             groups: groups.collect(),
@@ -331,8 +336,11 @@
 
     /// Which pods share a memory of a tagged path group's marks, and how long they remember.
     pub fn memory(&self, group: usize) -> Option<(Reach, Duration)> {
-        match self.groups[group].group.repeat {
-            Repeat::Tagged { reach, memory } => Some((reach, memory.into())),
+        match self.groups[group].group.idempotency {
+            Repeat::Keyed {
+                deduplicated_by: reach,
+                window: memory,
+            } => Some((reach, memory.into())),
             _ => None,
         }
     }
--- a/crates/http-proxy/src/request_classifier.rs
+++ b/crates/http-proxy/src/request_classifier.rs
@@ -3,7 +3,7 @@
 use crate::http_status;
 use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
 use limewing_net::http::RequestHead;
-use limewing_settings::{ConfigError, Headers, Repeat, Router, SidecarSettings};
+use limewing_settings::{ConfigError, Headers, Idempotency, Router, SidecarSettings};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -74,14 +74,14 @@
     /// # Errors
     /// A path pattern can't be used, or two match the same paths.
     pub fn new(settings: &SidecarSettings) -> Result<Self, ConfigError> {
-        let router = Router::new(&settings.path_groups)?;
-        let classes = settings.path_groups.iter().map(|class| ClassSettings {
+        let router = Router::new(&settings.classes)?;
+        let classes = settings.classes.iter().map(|class| ClassSettings {
             client_timeout: class.client_timeout.into(),
-            keyed: matches!(class.repeat, Repeat::Tagged { .. }),
-            non_idempotent: class.repeat == Repeat::Mutating,
+            keyed: matches!(class.idempotency, Idempotency::Keyed { .. }),
+            non_idempotent: class.idempotency == Idempotency::NonIdempotent,
         });
         let tenants = (0u32..)
-            .zip(&settings.customers)
+            .zip(&settings.tenants)
             .map(|(number, tenant)| (tenant.name.clone(), TenantId(number)));
         Ok(Self {
             router,
@@ -124,9 +124,9 @@
         let idempotency_hash = idempotency_key
             .filter(|_| class.non_idempotent)
             .map(stable_hash);
-        let tenant = field_text(head, self.headers.customer.as_deref())
+        let tenant = field_text(head, self.headers.tenant.as_deref())
             .and_then(|name| self.tenants.get(name));
-        let routing_key = field_text(head, self.headers.key.as_deref())
+        let routing_key = field_text(head, self.headers.routing_key.as_deref())
             .map(|key| RoutingKey(stable_hash(key.as_bytes())));
         Ok(RequestTraits {
             class: id,
--- a/crates/http-proxy/src/service/control/stage_watch.rs
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -85,7 +85,7 @@
             return;
         };
         let address = service.address;
-        let silent_at = self.now + Duration::from(service.quiet_at_most);
+        let silent_at = self.now + Duration::from(service.silence_timeout);
         let deferred = self
             .peers
             .deferred_poll(self.now, ControlService::Installer);
@@ -149,7 +149,7 @@
         else {
             return false;
         };
-        let silent_at = self.now + Duration::from(service.quiet_at_most);
+        let silent_at = self.now + Duration::from(service.silence_timeout);
         let timer = self
             .timers
             .schedule(silent_at, TimerEvent::StageStreamTimeout(socket));
--- a/crates/http-proxy/src/service/maintenance/consensus_role.rs
+++ b/crates/http-proxy/src/service/maintenance/consensus_role.rs
@@ -4,7 +4,7 @@
 use super::outbox::Outbox;
 use super::voter::{Voter, VoterConfig};
 use limewing_consensus::{Committed, Learner, NodeId, Packet};
-use limewing_settings::Work;
+use limewing_settings::MaintenanceSettings;
 use std::io;
 use std::time::Duration;
 
@@ -24,11 +24,16 @@
     ///
     /// # Errors
     /// The folder cannot be used, or another process uses it.
-    pub(super) fn start(now: Duration, name: &str, settings: &Work, seed: u64) -> io::Result<Self> {
-        if let Some(folder) = settings.folder.as_deref() {
+    pub(super) fn start(
+        now: Duration,
+        name: &str,
+        settings: &MaintenanceSettings,
+        seed: u64,
+    ) -> io::Result<Self> {
+        if let Some(folder) = settings.state_directory.as_deref() {
             let config = VoterConfig {
                 voters: &settings.voters,
-                election_timeout: settings.patience.into(),
+                election_timeout: settings.election_timeout.into(),
                 seed,
             };
             return Ok(Self::Voter(Voter::open(now, name, folder, &config)?));
--- a/crates/http-proxy/src/service/maintenance/list_commands.rs
+++ b/crates/http-proxy/src/service/maintenance/list_commands.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_list::EndpointRecord;
 use limewing_consensus::MAX_COMMAND_BYTES;
 use limewing_maintenance::{Command, DisruptionLimits, Identifier, ListConfig, Machine, Window};
-use limewing_settings::{Seconds, Select, WorkLimits, WorkList, WorkWindow};
+use limewing_settings::{MachineSelector, Seconds, WorkLimits, WorkList, WorkWindow};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -79,9 +79,9 @@
     machines
 }
 
-fn is_selected(select: &Select, endpoint: &EndpointRecord) -> bool {
+fn is_selected(select: &MachineSelector, endpoint: &EndpointRecord) -> bool {
     let zone = select.zone.as_ref();
-    let kind = select.kind.as_ref();
+    let kind = select.machine_type.as_ref();
     zone.is_none_or(|zone| *zone == endpoint.zone)
         && kind.is_none_or(|kind| *kind == endpoint.machine_type)
         && select.build.is_none_or(|build| build == endpoint.build)
@@ -91,23 +91,23 @@
     ListConfig {
         name: settings.name.clone(),
         limits: disruption_limits(&settings.limits),
-        work_duration_ms: to_ms(settings.takes),
-        stall_timeout_ms: to_ms(settings.stalls_after),
+        work_duration_ms: to_ms(settings.work_duration),
+        stall_timeout_ms: to_ms(settings.stall_timeout),
         windows: settings.windows.iter().map(to_window).collect(),
         priority: settings.priority,
-        allowed_during_trials: settings.beside_trials,
+        allowed_during_trials: settings.allowed_during_trials,
     }
 }
 
 /// 0 stands for no limit in the log.
 fn disruption_limits(settings: &WorkLimits) -> DisruptionLimits {
     DisruptionLimits {
-        max_unavailable: settings.out,
-        max_unavailable_per_zone: settings.out_in_zone.unwrap_or(0),
-        max_unavailable_per_kind: settings.out_of_kind.unwrap_or(0),
-        min_ready_fraction: settings.ready_part,
-        exclusive_pairs: settings.apart.clone(),
-        max_rejection_rate: settings.turned_away,
+        max_unavailable: settings.max_unavailable,
+        max_unavailable_per_zone: settings.max_unavailable_per_zone.unwrap_or(0),
+        max_unavailable_per_kind: settings.max_unavailable_per_type.unwrap_or(0),
+        min_ready_fraction: settings.min_ready_fraction,
+        exclusive_pairs: settings.exclusive_pairs.clone(),
+        max_rejection_rate: settings.max_rejection_rate,
     }
 }
 
@@ -117,8 +117,8 @@
 
 fn to_window(window: &WorkWindow) -> Window {
     Window {
-        start_ms: (window.from * MS_PER_SECOND) as u64,
-        end_ms: (window.to * MS_PER_SECOND) as u64,
+        start_ms: (window.start * MS_PER_SECOND) as u64,
+        end_ms: (window.end * MS_PER_SECOND) as u64,
     }
 }
 
--- a/crates/http-proxy/src/service/maintenance/mod.rs
+++ b/crates/http-proxy/src/service/maintenance/mod.rs
@@ -39,7 +39,7 @@
 use lease_client::LeaseClient;
 use limewing_maintenance::{Command, Message, RejectionRate};
 use limewing_proxy_core::clock::wall_clock_now;
-use limewing_settings::Work;
+use limewing_settings::MaintenanceSettings;
 use outbox::Outbox;
 use pending::{PendingRequests, RetryContext};
 use request::Effect;
@@ -118,18 +118,18 @@
     pub(super) fn start(
         now: Duration,
         name: &str,
-        settings: &Work,
+        settings: &MaintenanceSettings,
         traffic: &TrafficTimings,
         seed: u64,
     ) -> io::Result<Self> {
         let role = ConsensusRole::start(now, name, settings, seed)?;
-        let lease_duration = Duration::from(settings.lease);
+        let lease_duration = Duration::from(settings.lease_duration);
         let lease = LeaseClient::new(now, lease_duration);
         // A sidecar closes its machines at the next request after its lease has expired, at the latest.
         let close_delay = lease.lease().request_interval();
         let timings = LeaseTimings {
             duration: lease_duration,
-            leader_overlap: Duration::from(settings.patience) * MAX_LEADER_OVERLAP,
+            leader_overlap: Duration::from(settings.election_timeout) * MAX_LEADER_OVERLAP,
             completion: traffic.drain_grace + traffic.longest_request + close_delay,
         };
         Ok(Self {
--- a/crates/http-proxy/src/service/maintenance/tests.rs
+++ b/crates/http-proxy/src/service/maintenance/tests.rs
@@ -9,7 +9,7 @@
 use crate::service::direct_message::{DirectMessage, MAINTENANCE};
 use limewing_consensus::{Learner, NodeId};
 use limewing_maintenance::{Command, Identifier, MaintenanceSchedule, Message};
-use limewing_settings::{Select, WorkList};
+use limewing_settings::{MachineSelector, WorkList};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -106,9 +106,9 @@
         other_build,
     ];
     let mut list = work_list(&[]);
-    list.select = Some(Select {
+    list.select = Some(MachineSelector {
         zone: Some("east".into()),
-        kind: Some("plain".into()),
+        machine_type: Some("plain".into()),
         build: Some(1),
     });
     let commands = create_list(LIST, &list, &endpoints).unwrap();
@@ -136,9 +136,9 @@
 #[test]
 fn a_list_that_selects_nothing_is_refused() {
     let mut list = work_list(&[]);
-    list.select = Some(Select {
+    list.select = Some(MachineSelector {
         zone: Some("north".into()),
-        ..Select::default()
+        ..MachineSelector::default()
     });
     let error = create_list(LIST, &list, &[endpoint("node-0", 9000)]).unwrap_err();
     assert_eq!(error, RequestError::NoMachineSelected);
--- a/crates/http-proxy/src/service/membership/mod.rs
+++ b/crates/http-proxy/src/service/membership/mod.rs
@@ -20,7 +20,7 @@
 use limewing_membership::{Config, MemberName, Membership};
 use limewing_net::sockets::{SocketId, Sockets};
 use limewing_proxy_core::clock::wall_clock_now;
-use limewing_settings::{ConfigError, Peers};
+use limewing_settings::{ConfigError, PeerSettings};
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 pub use view::{EndpointSelectionView, MemberView, MembershipView};
@@ -61,7 +61,7 @@
     pub(super) fn start(
         now: Duration,
         local: &LocalMember,
-        settings: &Peers,
+        settings: &PeerSettings,
         sockets: &mut Sockets,
     ) -> Result<Self, StartError> {
         let (key_file, keys) = KeyFile::open(&settings.key_file).map_err(StartError::Keys)?;
@@ -89,7 +89,7 @@
         let membership = Membership::new(now, config).map_err(StartError::Membership)?;
         tracing::info!(address = %listen_address, "membership listens for datagrams");
         let coordination = settings
-            .choices
+            .coordination
             .then(|| EndpointCoordination::new(now, local.name, local.zone));
         Ok(Self {
             membership,
--- a/crates/http-proxy/src/service/peers/mod.rs
+++ b/crates/http-proxy/src/service/peers/mod.rs
@@ -54,7 +54,7 @@
     ) -> Result<Self, StartError> {
         let local = LocalMember {
             name: &settings.name,
-            zone: settings.start_terms(seed).zone.0,
+            zone: settings.sidecar_config(seed).zone.0,
             seed,
         };
         let membership = match &settings.peers {
@@ -62,11 +62,11 @@
             None => None,
         };
         let traffic = TrafficTimings {
-            drain_grace: settings.rules.drain_grace.into(),
+            drain_grace: settings.safety.drain_grace.into(),
             longest_request: max_client_timeout,
-            warm_up: settings.rules.cold_for.into(),
+            warm_up: settings.safety.cold_for.into(),
         };
-        let maintenance = match &settings.work {
+        let maintenance = match &settings.maintenance {
             Some(work) => {
                 let started = Maintenance::start(now, &settings.name, work, &traffic, seed);
                 Some(started.map_err(StartError::Work)?)
@@ -74,7 +74,9 @@
             None => None,
         };
         let replication = match &settings.peers {
-            Some(peers) if peers.replicas => Some(Replication::start(now, settings, peers, seed)),
+            Some(peers) if peers.replication => {
+                Some(Replication::start(now, settings, peers, seed))
+            }
             _ => None,
         };
         Ok(Self {
--- a/crates/http-proxy/src/service/replication.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -16,7 +16,7 @@
     LocalState, MergedState, Origin, Packet, Record, Refusal, Replica, ReplicaConfig,
     EXECUTION_TIME_TO_LIVE, KEY_TIME_TO_LIVE, STAGE_TIME_TO_LIVE,
 };
-use limewing_settings::{Peers, SidecarSettings};
+use limewing_settings::{PeerSettings, SidecarSettings};
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
 pub use view::{LogView, ReplicationView};
@@ -56,7 +56,7 @@
     pub(super) fn start(
         now: Duration,
         settings: &SidecarSettings,
-        peers: &Peers,
+        peers: &PeerSettings,
         seed: u64,
     ) -> Self {
         let incarnation = wall_clock_now()
@@ -67,7 +67,7 @@
             name: settings.name.clone(),
             incarnation,
         };
-        let first_stage = settings.releases.stages.first();
+        let first_stage = settings.rollout.stages.first();
         let first_cap = first_stage.map_or(0.0, |stage| stage.cap);
         let config = ReplicaConfig {
             origin,
@@ -79,7 +79,7 @@
         Self {
             replica: Replica::new(now, config),
             merged: MergedState::default(),
-            local: LocalState::new(now, settings.releases.keys_stay, first_cap),
+            local: LocalState::new(now, settings.rollout.keys_stay, first_cap),
             builds: BTreeMap::new(),
             next_refresh: now,
         }
--- a/crates/http-proxy/src/service/settings.rs
+++ b/crates/http-proxy/src/service/settings.rs
@@ -1,7 +1,7 @@
 //! The settings as the event loop uses them.
 
 use limewing_decision::interface::ClassId;
-use limewing_settings::{Installer, ListService, SidecarSettings};
+use limewing_settings::{EndpointListService, RolloutService, SidecarSettings};
 use std::time::Duration;
 
 /// The settings as the event loop uses them.
@@ -11,9 +11,9 @@
     /// What `Via` says of this sidecar.
     pub(super) via: String,
     /// The service that serves the endpoint list.
-    pub(super) endpoint_list: ListService,
+    pub(super) endpoint_list: EndpointListService,
     /// The rollout service.
-    pub(super) rollout_service: Option<Installer>,
+    pub(super) rollout_service: Option<RolloutService>,
     /// How long a connection may take to be established.
     pub(super) connect_timeout: Duration,
     /// How long a connection to a pod may be idle.
@@ -40,22 +40,22 @@
     /// The event loop's part of the settings.
     pub(super) fn new(settings: &SidecarSettings) -> Self {
         let limits = &settings.limits;
-        let classes = settings.path_groups.iter();
+        let classes = settings.classes.iter();
         Self {
             name: settings.name.clone(),
             via: format!("1.1 {}", settings.name),
-            endpoint_list: settings.list.clone(),
-            rollout_service: settings.installer.clone(),
+            endpoint_list: settings.endpoint_list.clone(),
+            rollout_service: settings.rollout_service.clone(),
             connect_timeout: limits.connect_timeout.into(),
-            idle_timeout: limits.idle_close.into(),
-            max_buffered_request: limits.body_kept,
-            max_buffered_response: limits.answer_gathered,
-            client_stall_timeout: limits.stall.into(),
-            request_timeout: limits.request_within.into(),
-            max_clients: limits.clients,
-            max_attempts: limits.max_forwards.into(),
-            vote_timeout: settings.releases.vote_answer_within.into(),
-            streamed_classes: classes.map(|class| class.streamed).collect(),
+            idle_timeout: limits.idle_timeout.into(),
+            max_buffered_request: limits.max_buffered_request,
+            max_buffered_response: limits.max_buffered_response,
+            client_stall_timeout: limits.client_stall_timeout.into(),
+            request_timeout: limits.request_timeout.into(),
+            max_clients: limits.max_clients,
+            max_attempts: limits.max_attempts.into(),
+            vote_timeout: settings.rollout.vote_answer_within.into(),
+            streamed_classes: classes.map(|class| class.streaming).collect(),
         }
     }
 
--- a/crates/http-proxy/src/service/startup.rs
+++ b/crates/http-proxy/src/service/startup.rs
@@ -71,7 +71,7 @@
             now,
             timers: TimerWheel::default(),
             connections: FxHashMap::default(),
-            decisions: decisions(now, settings.start_terms(seed)),
+            decisions: decisions(now, settings.sidecar_config(seed)),
             wake_at: now,
             events: Vec::new(),
             settings: ServiceSettings::new(settings),
@@ -93,18 +93,20 @@
 
 fn descriptor_budget(settings: &SidecarSettings) -> DescriptorBudget {
     let limits = &settings.limits;
-    let client_memory = limits.body_kept + limits.answer_gathered + MAX_INPUT + MAX_UNSENT_BYTES;
+    let client_memory =
+        limits.max_buffered_request + limits.max_buffered_response + MAX_INPUT + MAX_UNSENT_BYTES;
     let (descriptors, memory) = resource_limits();
     // Each thread beside the loop has an allocator's reserve of its own, which counts as address space.
-    let threads =
-        1 + usize::from(settings.state_file.is_some()) + usize::from(settings.work.is_some());
+    let threads = 1
+        + usize::from(settings.state_file.is_some())
+        + usize::from(settings.maintenance.is_some());
     let reserved = (threads * ALLOCATOR_RESERVE).min(memory / 4 * 3);
     DescriptorBudget::new(descriptors, memory - reserved, client_memory)
 }
 
 fn max_client_timeout(settings: &SidecarSettings) -> Duration {
     settings
-        .path_groups
+        .classes
         .iter()
         .map(|class| Duration::from(class.client_timeout))
         .max()
--- a/crates/http-proxy/tests/sockets/canary.rs
+++ b/crates/http-proxy/tests/sockets/canary.rs
@@ -15,7 +15,7 @@
 fn sidecar(pods: &[(SocketAddr, u16)], installer: &RolloutService) -> SocketAddr {
     let mut settings = settings();
     settings.state_file = Some(state_file_of(pods));
-    settings.installer = Some(installer.settings());
+    settings.rollout_service = Some(installer.settings());
     run(Service::start(&settings).unwrap())
 }
 
--- a/crates/http-proxy/tests/sockets/draining.rs
+++ b/crates/http-proxy/tests/sockets/draining.rs
@@ -227,11 +227,11 @@
 fn settings_with_long_connect_timeout(list: &EndpointListService, grace: f64) -> SidecarSettings {
     let seconds = |s| Seconds::try_from(s).unwrap();
     let mut settings = settings();
-    settings.list.address = list.listener.local_addr().unwrap();
+    settings.endpoint_list.address = list.listener.local_addr().unwrap();
     settings.limits.connect_timeout = seconds(30.0);
     // A connection that carries nothing is closed: that nothing was written is known then.
-    settings.limits.idle_close = seconds(0.2);
-    settings.rules.drain_grace = seconds(grace);
+    settings.limits.idle_timeout = seconds(0.2);
+    settings.safety.drain_grace = seconds(grace);
     settings
 }
 
@@ -334,7 +334,7 @@
     // It gets a query and does not respond: no list has the attempts checked.
     let mut list = EndpointListService::new();
     let mut settings = settings_with_long_connect_timeout(&list, 60.0);
-    settings.limits.idle_close = Seconds::try_from(30.0).unwrap();
+    settings.limits.idle_timeout = Seconds::try_from(30.0).unwrap();
     settings.state_file = Some(state_file(&[pod.local_addr().unwrap()]));
     let sidecar = HoldableSidecar::start(&settings);
     list.wait_for_query();
--- a/crates/http-proxy/tests/sockets/endpoint_watch.rs
+++ b/crates/http-proxy/tests/sockets/endpoint_watch.rs
@@ -10,7 +10,7 @@
     let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = settings();
-    settings.list.address = list.local_addr().unwrap();
+    settings.endpoint_list.address = list.local_addr().unwrap();
     let entry = format!(
         r#"[{{"Service":{{"ID":"a","Address":"127.0.0.1","Port":{},"Meta":{{"build":"1"}}}}}}]"#,
         pod.at.port()
--- a/crates/http-proxy/tests/sockets/resource_limits.rs
+++ b/crates/http-proxy/tests/sockets/resource_limits.rs
@@ -116,7 +116,7 @@
     let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = settings();
-    settings.list.address = list.local_addr().unwrap();
+    settings.endpoint_list.address = list.local_addr().unwrap();
     let file = folder.path().join("not/yet/state.json");
     settings.state_file = Some(file.clone());
     let mut client = Client::new(run(Service::start(&settings).unwrap()));
--- a/crates/http-proxy/tests/sockets/retries.rs
+++ b/crates/http-proxy/tests/sockets/retries.rs
@@ -43,9 +43,9 @@
         .collect();
     let mut settings = settings();
     settings.state_file = Some(state_file(&pods));
-    settings.limits.second_copies = true;
-    for group in &mut settings.path_groups {
-        group.target_latency = Seconds::try_from(0.2).unwrap();
+    settings.limits.hedging = true;
+    for group in &mut settings.classes {
+        group.latency_objective = Seconds::try_from(0.2).unwrap();
         group.client_timeout = Seconds::try_from(0.4).unwrap();
     }
     let at = run(Service::start(&settings).unwrap());
--- a/crates/http-proxy/tests/sockets/support.rs
+++ b/crates/http-proxy/tests/sockets/support.rs
@@ -402,11 +402,11 @@
         }
     }
 
-    pub(crate) fn settings(&self) -> limewing_settings::Installer {
-        let quiet_at_most = limewing_settings::Seconds::try_from(30.0).unwrap();
-        limewing_settings::Installer {
+    pub(crate) fn settings(&self) -> limewing_settings::RolloutService {
+        let silence_timeout = limewing_settings::Seconds::try_from(30.0).unwrap();
+        limewing_settings::RolloutService {
             address: self.at,
-            quiet_at_most,
+            silence_timeout,
         }
     }
 
--- /dev/null
+++ b/crates/settings/src/sidecar_config.rs
@@ -0,0 +1,103 @@
+//! Turns the settings of a sidecar into the decision engine's configuration.
+
+use crate::request_class::{DeduplicationScope, Idempotency, RequestClass};
+use crate::rollout::{Control, RolloutSettings};
+use crate::safety_limits::SafetyLimits;
+use crate::sidecar::SidecarSettings;
+use limewing_decision::interface::{self as decision, RolloutConfig, SidecarConfig, ZoneId};
+
+impl SidecarSettings {
+    /// The decision engine's configuration. A list of endpoints comes by a watch, which the proxy opens when the engine says so.
+    #[must_use]
+    pub fn sidecar_config(&self, seed: u64) -> SidecarConfig {
+        let limits = &self.limits;
+        SidecarConfig {
+            seed,
+            sidecar_count: self.fleet.sidecar_count,
+            sidecar_index: self.fleet.sidecar_index,
+            zone: self.zone_id(),
+            classes: self.classes.iter().map(request_class).collect(),
+            watch_on_request: true,
+            endpoints_pushed: false,
+            endpoint_lease: None,
+            cancellation: limits.cancellation,
+            hedging: limits.hedging,
+            retry_after: limits.retry_after.map(Into::into),
+            max_attempts: limits.max_attempts,
+            safety: safety_limits(&self.safety),
+            rollout: rollout_config(&self.rollout),
+        }
+    }
+
+    /// The number of the sidecar's zone; that of the first for one that is not among the fleet's, which the checks refuse.
+    fn zone_id(&self) -> ZoneId {
+        let mut zones = self.fleet.zones.iter();
+        let index = zones.position(|zone| *zone == self.fleet.zone);
+        ZoneId(index.unwrap_or(0) as u16)
+    }
+}
+
+fn request_class(class: &RequestClass) -> decision::RequestClass {
+    decision::RequestClass {
+        idempotency: idempotency(class.idempotency),
+        latency_objective: class.latency_objective.into(),
+        client_timeout: class.client_timeout.into(),
+        priority_weight: class.priority_weight,
+        late_weight: class.late_weight,
+        streaming: class.streaming,
+    }
+}
+
+fn idempotency(idempotency: Idempotency) -> decision::Idempotency {
+    match idempotency {
+        Idempotency::Idempotent => decision::Idempotency::Idempotent,
+        Idempotency::NonIdempotent => decision::Idempotency::NonIdempotent,
+        Idempotency::Keyed {
+            deduplicated_by,
+            window,
+        } => decision::Idempotency::Keyed {
+            deduplicated_by: deduplication_scope(deduplicated_by),
+            window: window.into(),
+        },
+    }
+}
+
+fn deduplication_scope(scope: DeduplicationScope) -> decision::DeduplicationScope {
+    match scope {
+        DeduplicationScope::All => decision::DeduplicationScope::All,
+        DeduplicationScope::Zone => decision::DeduplicationScope::Zone,
+        DeduplicationScope::Cell => decision::DeduplicationScope::Cell,
+    }
+}
+
+fn safety_limits(limits: &SafetyLimits) -> decision::SafetyLimits {
+    decision::SafetyLimits {
+        drain_grace: limits.drain_grace.into(),
+        slow_start_from: limits.cold_from,
+        slow_start_duration: limits.cold_for.into(),
+        overload_multiple: limits.fall_multiple,
+        overload_window: limits.fall_within.into(),
+    }
+}
+
+fn rollout_config(rollout: &RolloutSettings) -> RolloutConfig {
+    RolloutConfig {
+        control: match rollout.control {
+            Control::Votes => decision::Control::Votes,
+            Control::Clock => decision::Control::Clock,
+        },
+        stage_shares: rollout.stages.iter().map(|stage| stage.share).collect(),
+        exposure_caps: rollout.stages.iter().map(|stage| stage.cap).collect(),
+        exposure_window: rollout.cap_window.into(),
+        exposure_free: rollout.cap_free,
+        exposure_per_class: rollout.cap_by_group,
+        guarded_stages: rollout.guarded_stages,
+        sticky_keys: rollout.keys_stay,
+        vote_ttl: rollout.vote_life.into(),
+        vote_timeout: rollout.vote_answer_within.into(),
+        rollback_quorum: rollout.back_votes,
+        hold_quorum: rollout.hold_votes,
+        promote_quorum: rollout.on_votes,
+        vote_rate_limit: rollout.vote_allowance,
+    }
+}
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -104,15 +104,51 @@
     assert!(wrong.expected.contains(expected), "{wrong}");
 }
 
+/// What a value of a wrong type should have been is named as in the schema.
+#[rstest]
+#[case::class("[5,", r#""path_groups": ["#, "struct PathGroup")]
+#[case::idempotency(r#"{"tagged": 5}"#, r#""repeatable""#, "struct variant Repeat::Tagged")]
+#[case::endpoint_list(
+    "5",
+    r#"{"address": "127.0.0.1:8500", "service": "web"}"#,
+    "struct ListService"
+)]
+#[case::rollout_service("5", r#""headers": {}, "installer": "#, "struct Installer")]
+#[case::tenant("[5]", r#""headers": {}, "customers": "#, "struct Customer")]
+#[case::peers("5", r#""headers": {}, "peers": "#, "struct Peers")]
+#[case::maintenance("5", r#""headers": {}, "work": "#, "struct Work")]
+#[case::stage("5", r#"{"share": 0.1, "cap": 0.2}"#, "struct Stage")]
+fn a_value_of_a_wrong_type_is_told_with_the_type_of_the_schema(
+    #[case] bad: &str,
+    #[case] good: &str,
+    #[case] expected: &str,
+) {
+    let text = if let Some(added) = good.strip_prefix(r#""headers": {}, "#) {
+        GOOD.replace(
+            r#""headers": {}"#,
+            &format!(r#""headers": {{}}, {added}{bad}"#),
+        )
+    } else if good.ends_with('[') {
+        GOOD.replace(good, &format!("{}{bad}", good.trim_end_matches('[')))
+    } else {
+        GOOD.replace(good, bad)
+    };
+    let wrong = read_text::<SidecarSettings>("a.json", &text).unwrap_err();
+    assert!(
+        wrong.expected.ends_with(&format!("expected {expected}")),
+        "{wrong}"
+    );
+}
+
 #[test]
-fn a_good_file_becomes_start_terms() {
+fn a_good_file_becomes_a_configuration() {
     let settings: SidecarSettings = read_text("a.json", GOOD).unwrap();
-    let terms = settings.start_terms(7);
+    let config = settings.sidecar_config(7);
     assert_eq!(
         (
-            terms.sidecar_count,
-            terms.classes.len(),
-            terms.rollout.exposure_caps
+            config.sidecar_count,
+            config.classes.len(),
+            config.rollout.exposure_caps
         ),
         (2, 1, vec![0.2, 1.0])
     );
