--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -1,7 +1,9 @@
-//! Days from the command line: played, checked, shown.
+//! `limewing day` and `limewing demo`: days played and checked.
 
-use crate::Stop;
-use crate::{plot, show};
+use crate::error::CommandError;
+use crate::plot::{self, Series};
+use crate::report::{self, ProgressLine};
+use clap::Subcommand;
 use limewing_emulators::day;
 use limewing_emulators::script::DayScript;
 use limewing_rule_checker::rules::{self, Account};
@@ -11,78 +13,123 @@
 use std::path::{Path, PathBuf};
 
 /// The day that `demo` plays.
-const DEMO: &str = include_str!("../../../days/demo.json");
+const DEMO_SCRIPT: &str = include_str!("../../../days/demo.json");
 
-pub fn play(script: &DayScript, folder: &Path) -> Result<(), Stop> {
-    let record = record_of(script, folder)?;
+/// File in a day's folder with the load of each pod over time.
+const LOAD_PLOT: &str = "load.svg";
+
+#[derive(Subcommand)]
+pub(crate) enum DayCommand {
+    /// Play a day; its record and the sidecars' logs go to a folder
+    Play {
+        script: PathBuf,
+        #[arg(long, default_value = "day-out")]
+        folder: PathBuf,
+    },
+    /// Check the five rules from a record alone
+    Check { record: PathBuf },
+}
+
+/// Runs the subcommand.
+///
+/// # Errors
+/// If a file cannot be used, the day cannot be played, or a rule was broken.
+pub(crate) fn run(command: DayCommand) -> Result<(), CommandError> {
+    match command {
+        DayCommand::Play { script, folder } => {
+            let script = limewing_settings::read(&script).map_err(CommandError::invalid_input)?;
+            play(&script, &folder)
+        }
+        DayCommand::Check { record } => check(&record),
+    }
+}
+
+/// Plays the demo's day, in a temporary folder if none is given.
+///
+/// # Errors
+/// If the day cannot be played, or a rule was broken.
+pub(crate) fn run_demo(folder: Option<PathBuf>) -> Result<(), CommandError> {
+    let script = limewing_settings::read_text("the demo's script", DEMO_SCRIPT)
+        .map_err(CommandError::failed)?;
+    if let Some(folder) = folder {
+        return play(&script, &folder);
+    }
+    let folder = tempfile::tempdir().map_err(CommandError::failed)?;
+    let record = play_and_record(&script, folder.path())?;
+    check(&record)
+}
+
+fn play(script: &DayScript, folder: &Path) -> Result<(), CommandError> {
+    let record = play_and_record(script, folder)?;
     println!("record: {}", record.display());
-    let drawn = plot_load(&record, &folder.join("load.svg"));
-    check(&record).and(drawn)
+    // The rules are checked also if the plot cannot be drawn, and a broken rule is the error that is told.
+    let plotted = plot_load(&record, &folder.join(LOAD_PLOT));
+    check(&record)?;
+    plotted
 }
 
-fn record_of(script: &DayScript, folder: &Path) -> Result<PathBuf, Stop> {
-    let program = std::env::current_exe().map_err(Stop::failed)?;
-    let view = show::View::new(&script.name);
+/// Plays a day with processes of this program, and returns the file of its record.
+fn play_and_record(script: &DayScript, folder: &Path) -> Result<PathBuf, CommandError> {
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
+    let progress_line = ProgressLine::new(&script.name);
     let record = day::play(script, &program, folder, &mut |progress| {
-        view.show(&progress)
+        progress_line.update(&progress);
     });
-    view.end();
-    record.map_err(Stop::failed)
+    progress_line.finish();
+    record.map_err(CommandError::failed)
 }
 
-/// Draws what each pod got over time.
-fn plot_load(record: &Path, to: &Path) -> Result<(), Stop> {
-    let lines = lines(record)?;
-    let courses: Vec<plot::Course> = balance::by_second(&lines).into_values().collect();
+/// Plots the load of each pod over time.
+fn plot_load(record: &Path, file: &Path) -> Result<(), CommandError> {
+    let lines = read_record(record)?;
+    let series: Vec<Series> = balance::by_second(&lines).into_values().collect();
     plot::draw(
-        to,
+        file,
         "forwards a second and strength, by pod",
         "forwards",
-        &courses,
+        &series,
     )
 }
 
-pub fn check(file: &Path) -> Result<(), Stop> {
-    let account = account(file)?;
-    println!("{}", show::table(&account));
-    let work = work::work(&lines(file)?);
-    let wrong = work.iter().map(|work| work.breaches.len()).sum::<usize>();
-    work.iter().for_each(show::work);
-    across::across(&lines(file)?).iter().for_each(show::across);
-    let broken = account
+fn check(file: &Path) -> Result<(), CommandError> {
+    let lines = read_record(file)?;
+    let account = rules::check(&lines)
+        .ok_or_else(|| CommandError::InvalidInput(format!("{}: no day's terms", file.display())))?;
+    println!("{}", report::rule_table(&account));
+    let work = work::work(&lines);
+    if let Some(work) = &work {
+        report::print_work(work);
+    }
+    if let Some(across) = across::across(&lines) {
+        report::print_across(&across);
+    }
+    let work_breaches = work.map_or(0, |work| work.breaches.len());
+    verdict(&account, work_breaches)
+}
+
+/// The outcome of a check, once all of it was printed.
+fn verdict(account: &Account, work_breaches: usize) -> Result<(), CommandError> {
+    let broken_rules = account
         .findings
         .iter()
         .filter(|finding| !finding.breaches.is_empty())
         .count();
-    match broken {
-        0 if wrong > 0 => Err(Stop::failed(format!(
-            "{wrong} times machines were out as they must not be"
-        ))),
-        0 => Ok(()),
-        broken => Err(Stop::failed(format!(
-            "{broken} of the five rules were broken"
-        ))),
+    if broken_rules > 0 {
+        return Err(CommandError::Failed(format!(
+            "{broken_rules} of the five rules were broken"
+        )));
     }
+    if work_breaches > 0 {
+        return Err(CommandError::Failed(format!(
+            "{work_breaches} times machines were out as they must not be"
+        )));
+    }
+    Ok(())
 }
 
-fn account(file: &Path) -> Result<Account, Stop> {
-    rules::check(&lines(file)?)
-        .ok_or_else(|| Stop::input(format!("{}: no day's terms", file.display())))
-}
-
-fn lines(file: &Path) -> Result<Vec<record::Line>, Stop> {
+fn read_record(file: &Path) -> Result<Vec<record::Line>, CommandError> {
     let name = file.display();
-    let open = File::open(file).map_err(|e| Stop::input(format!("{name}: {e}")))?;
-    record::read(BufReader::new(open)).map_err(|e| Stop::input(format!("{name}: {e}")))
-}
-
-pub fn demo(folder: Option<PathBuf>) -> Result<(), Stop> {
-    let script = limewing_settings::read_text("the demo's script", DEMO).map_err(Stop::failed)?;
-    match folder {
-        Some(folder) => play(&script, &folder),
-        None => {
-            let folder = tempfile::tempdir().map_err(Stop::failed)?;
-            check(&record_of(&script, folder.path())?)
-        }
-    }
+    let open = File::open(file).map_err(|e| CommandError::invalid_input(format!("{name}: {e}")))?;
+    record::read(BufReader::new(open))
+        .map_err(|e| CommandError::invalid_input(format!("{name}: {e}")))
 }
--- /dev/null
+++ b/crates/cli/src/fault_script.rs
@@ -0,0 +1,21 @@
+//! A script of faults between sidecars, as a file of settings.
+
+use limewing_fault_injection::Script;
+use limewing_settings::{Checked, ConfigError};
+use serde::{Deserialize, Serialize};
+
+/// A script as a file of settings.
+#[derive(Clone, Debug, Serialize, Deserialize, schemars::JsonSchema)]
+#[serde(transparent)]
+#[schemars(rename = "ScriptFile")]
+pub(crate) struct FaultScriptFile(pub(crate) Script);
+
+impl Checked for FaultScriptFile {
+    fn config_errors(&self) -> Vec<ConfigError> {
+        self.0
+            .config_errors()
+            .into_iter()
+            .map(|error| ConfigError::new(error.path, format!("expected {}", error.expected)))
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/cli/src/fleet/coordination.rs
@@ -0,0 +1,80 @@
+//! What the decisions of many sidecars add up to, with and without coordination between them.
+
+use super::CoordinationArguments;
+use crate::table;
+use limewing_emulators::fleet::{self, Crowd, CrowdPlan};
+use std::time::Duration;
+
+/// Part of the time after which the sidecars are split.
+const SPLIT_AFTER: f64 = 0.45;
+
+/// Part of the time at which the pod that was gone is back.
+const POD_BACK_AT: f64 = 0.8;
+
+/// Seconds after a pod's end from which attempts at it count: until then most sidecars cannot know.
+const DETECTION_SECONDS: usize = 5;
+
+/// A figure of one play, as the table has it.
+type Figure = fn(&Crowd) -> String;
+
+/// Plays many sidecars in simulated time with and without coordination, and prints both side by side. A pod starts cold at
+/// half of the time, another is gone from a fifth of it to four fifths.
+pub(super) fn run(arguments: &CoordinationArguments) {
+    let coordinated = fleet::crowd(&plan(arguments, true));
+    let independent = fleet::crowd(&plan(arguments, false));
+    let mut rows = table::with_headers(&["what", "with the fleet's word", "each alone"]);
+    let figures: [(&str, Figure); 6] = [
+        ("load per pod, most over mean", max_load),
+        (
+            "a cold pod's load over its strength's share, most",
+            cold_load,
+        ),
+        (
+            "forwards to a pod that is gone, a second, after 5 s",
+            late_attempts_at_dead_pod,
+        ),
+        ("from its return to its first answer, s", recovery_time),
+        ("delivered", |played| played.delivered.to_string()),
+        ("given up", |played| played.given_up.to_string()),
+    ];
+    for (name, figure) in figures {
+        rows.add_row([name.to_owned(), figure(&coordinated), figure(&independent)]);
+    }
+    println!("{rows}");
+}
+
+fn plan(arguments: &CoordinationArguments, coordinated: bool) -> CrowdPlan {
+    let duration = Duration::from_secs(arguments.seconds.into());
+    CrowdPlan {
+        sidecars: arguments.sidecars.into(),
+        pods: arguments.pods.into(),
+        seed: arguments.seed,
+        lasts: duration,
+        choices: coordinated,
+        parts: (duration.mul_f64(SPLIT_AFTER), arguments.parts.into()),
+        cold: Some((0, duration / 2)),
+        dead: Some((1, duration / 5, duration.mul_f64(POD_BACK_AT))),
+    }
+}
+
+fn max_load(played: &Crowd) -> String {
+    format!("{:.2}", played.most())
+}
+
+fn cold_load(played: &Crowd) -> String {
+    format!("{:.2}", played.cold)
+}
+
+fn late_attempts_at_dead_pod(played: &Crowd) -> String {
+    let late = played.to_dead.iter().skip(DETECTION_SECONDS);
+    let seconds = late.clone().count().max(1) as f64;
+    let attempts = late.sum::<usize>() as f64;
+    format!("{:.1}", attempts / seconds)
+}
+
+fn recovery_time(played: &Crowd) -> String {
+    match played.back_after {
+        Some(time) => format!("{:.1}", time.as_secs_f64()),
+        None => "none".to_owned(),
+    }
+}
--- /dev/null
+++ b/crates/cli/src/load.rs
@@ -0,0 +1,172 @@
+//! `limewing load`: load on a sidecar and on what stands beside it for comparison.
+
+use crate::error::CommandError;
+use clap::{Args, Subcommand};
+use limewing_load_generator::compare;
+use limewing_load_generator::generate::{self, Load};
+use limewing_load_generator::idle;
+use limewing_load_generator::{pods, relay};
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Requests a second that `load hits` takes.
+const REQUEST_RATES: RangeInclusive<f64> = 0.001..=10_000_000.0;
+
+#[derive(Subcommand)]
+pub(crate) enum LoadCommand {
+    /// Clients straight to a pod, through a bare relay and through a sidecar, in one run
+    Compare(CompareArguments),
+    /// What a sleeping connection costs a sidecar in memory and CPU
+    Idle(IdleArguments),
+    /// Hits on a schedule at one address
+    Hits(HitsArguments),
+    /// Settings of a sidecar that knows these pods, with no list service and no installer
+    Settings {
+        #[arg(long, default_value = ".")]
+        folder: PathBuf,
+        #[arg(required = true)]
+        pods: Vec<SocketAddr>,
+    },
+    /// Pods that answer at once, at addresses that are told on standard output
+    Pods { many: usize },
+    /// A relay that passes bytes on to the pods and decides nothing
+    Relay {
+        #[arg(required = true)]
+        pods: Vec<SocketAddr>,
+    },
+}
+
+#[derive(Args)]
+pub(crate) struct CompareArguments {
+    /// Pods of the fleet, one run for each number
+    #[arg(long, value_delimiter = ',', default_value = "14,91", value_parser = clap::value_parser!(u16).range(1..=1000))]
+    pods: Vec<u16>,
+    #[arg(long, default_value_t = 32, value_parser = clap::value_parser!(u16).range(1..=10_000))]
+    connections: u16,
+    /// Rounds in which each way is measured; the middle one counts
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=100))]
+    rounds: u16,
+    /// Seconds that each measurement lasts
+    #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=3600))]
+    seconds: u64,
+    #[arg(long, default_value_t = 7)]
+    seed: u64,
+}
+
+#[derive(Args)]
+pub(crate) struct IdleArguments {
+    #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u16).range(1..))]
+    few: u16,
+    #[arg(long, default_value_t = 15_000, value_parser = clap::value_parser!(u16).range(2..))]
+    many: u16,
+    /// Each connection has had one hit before it sleeps
+    #[arg(long)]
+    after_hit: bool,
+    /// Seconds of sleep that are watched
+    #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=3600))]
+    rests: u64,
+}
+
+#[derive(Args)]
+pub(crate) struct HitsArguments {
+    to: SocketAddr,
+    #[arg(long, default_value_t = 500.0, value_parser = parse_request_rate)]
+    hits_per_s: f64,
+    #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=3600))]
+    seconds: u64,
+    #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=10_000))]
+    connections: u16,
+    #[arg(long, default_value_t = 7)]
+    seed: u64,
+    #[arg(long, default_value = "/quotes/1")]
+    target: String,
+}
+
+/// Reads requests a second.
+fn parse_request_rate(text: &str) -> Result<f64, String> {
+    text.parse()
+        .ok()
+        .filter(|rate| REQUEST_RATES.contains(rate))
+        .ok_or_else(|| "expected 0.001 to 10000000 hits a second".to_owned())
+}
+
+/// Runs the subcommand.
+///
+/// # Errors
+/// If the arguments contradict each other, or a process or socket fails.
+pub(crate) fn run(command: LoadCommand) -> Result<(), CommandError> {
+    match command {
+        LoadCommand::Compare(arguments) => compare_paths(arguments),
+        LoadCommand::Idle(arguments) => measure_idle_connections(&arguments),
+        LoadCommand::Hits(arguments) => send_requests(arguments),
+        LoadCommand::Settings { folder, pods } => {
+            let settings = compare::settings(&folder, &pods).map_err(CommandError::failed)?;
+            println!("{settings}");
+            Ok(())
+        }
+        LoadCommand::Pods { many } => {
+            pods::serve(many, std::io::stdout()).map_err(CommandError::failed)
+        }
+        LoadCommand::Relay { pods } => {
+            relay::serve(&pods, std::io::stdout()).map_err(CommandError::failed)
+        }
+    }
+}
+
+fn compare_paths(arguments: CompareArguments) -> Result<(), CommandError> {
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
+    let folder = tempfile::tempdir().map_err(CommandError::failed)?;
+    let plan = compare::Plan {
+        pods: arguments.pods.into_iter().map(usize::from).collect(),
+        connections: arguments.connections.into(),
+        rounds: arguments.rounds.into(),
+        lasts: Duration::from_secs(arguments.seconds),
+        seed: arguments.seed,
+    };
+    let report = compare::compare(&program, folder.path(), &plan).map_err(CommandError::failed)?;
+    println!("{report}");
+    Ok(())
+}
+
+fn measure_idle_connections(arguments: &IdleArguments) -> Result<(), CommandError> {
+    let IdleArguments { few, many, .. } = *arguments;
+    if few >= many {
+        return Err(CommandError::InvalidInput(format!(
+            "--few {few}: expected fewer than --many {many}"
+        )));
+    }
+    let program = std::env::current_exe().map_err(CommandError::failed)?;
+    let folder = tempfile::tempdir().map_err(CommandError::failed)?;
+    let plan = idle::Plan {
+        few: few.into(),
+        many: many.into(),
+        after_hit: arguments.after_hit,
+        rests: Duration::from_secs(arguments.rests),
+    };
+    let report = idle::measure(&program, folder.path(), &plan).map_err(CommandError::failed)?;
+    println!("{report}");
+    Ok(())
+}
+
+fn send_requests(arguments: HitsArguments) -> Result<(), CommandError> {
+    let load = Load {
+        to: arguments.to,
+        hits_per_s: Some(arguments.hits_per_s),
+        connections: arguments.connections.into(),
+        warm_up: Duration::ZERO,
+        lasts: Duration::from_secs(arguments.seconds),
+        seed: arguments.seed,
+        target: arguments.target,
+    };
+    let outcome = generate::run(&load, || (), || ()).map_err(CommandError::failed)?;
+    let p50 = outcome.ms(0.5);
+    let p99 = outcome.ms(0.99);
+    let p999 = outcome.ms(0.999);
+    println!(
+        "{} hits, {} failed, p50 {p50:.3} ms, p99 {p99:.3} ms, p99.9 {p999:.3} ms",
+        outcome.answered, outcome.failed
+    );
+    Ok(())
+}
--- /dev/null
+++ b/crates/cli/src/platform.rs
@@ -0,0 +1,25 @@
+//! `limewing platform`: the sidecar for PostgreSQL's protocol.
+
+use crate::error::CommandError;
+use crate::logging;
+use clap::Args;
+use limewing_postgres_proxy::service::Service;
+use std::path::PathBuf;
+
+#[derive(Args)]
+pub(crate) struct PlatformArguments {
+    /// What the platform tells the sidecar
+    #[arg(env = "ROUTER_CONFIG")]
+    config: PathBuf,
+}
+
+/// Runs a sidecar until it is told to shut down.
+///
+/// # Errors
+/// If the configuration cannot be used, or the event loop fails.
+pub(crate) fn run(arguments: PlatformArguments) -> Result<(), CommandError> {
+    let _log_guard = logging::init()?;
+    let service = Service::start(arguments.config).map_err(CommandError::invalid_input)?;
+    tracing::info!(address = %service.address(), name = service.name(), "listening");
+    service.run().map_err(CommandError::failed)
+}
--- a/crates/cli/src/plot.rs
+++ b/crates/cli/src/plot.rs
@@ -1,35 +1,75 @@
 //! Plots of a play, as SVG files beside its record.
 
-use crate::Stop;
-use plotters::prelude::*;
+use crate::error::CommandError;
+use plotters::chart::ChartBuilder;
+use plotters::drawing::IntoDrawingArea;
+use plotters::prelude::SVGBackend;
+use plotters::series::LineSeries;
+use plotters::style::{Palette, Palette99, WHITE};
+use std::error::Error;
 use std::path::Path;
 
-/// A line of a plot: points by time in seconds.
-pub type Course = Vec<(f64, f64)>;
-
-/// Draws all courses into one picture; each has a colour of its own.
-pub fn draw(file: &Path, title: &str, of: &str, courses: &[Course]) -> Result<(), Stop> {
-    let points = || courses.iter().flatten();
-    let most = |pick: fn(&(f64, f64)) -> f64| points().map(pick).fold(0.0, f64::max).max(1e-9);
-    let (lasts, highest) = (most(|point| point.0), most(|point| point.1));
-    let area = SVGBackend::new(file, (960, 480)).into_drawing_area();
-    let drawn = || -> Result<(), Box<dyn std::error::Error + '_>> {
-        area.fill(&WHITE)?;
-        let mut chart = ChartBuilder::on(&area)
-            .caption(title, ("sans-serif", 18))
-            .margin(12)
-            .x_label_area_size(36)
-            .y_label_area_size(52)
-            .build_cartesian_2d(0.0..lasts, 0.0..highest * 1.05)?;
-        chart.configure_mesh().x_desc("seconds").y_desc(of).draw()?;
-        for (number, course) in courses.iter().enumerate() {
-            chart.draw_series(LineSeries::new(
-                course.iter().copied(),
-                &Palette99::pick(number),
-            ))?;
-        }
-        area.present()?;
-        Ok(())
-    };
-    drawn().map_err(|e| Stop::failed(format!("{}: {e}", file.display())))
+/// One line of a plot: values by time in seconds.
+pub(crate) type Series = Vec<(f64, f64)>;
+
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (960, 480);
+
+/// Room above the highest value, as a factor of it.
+const HEADROOM: f64 = 1.05;
+
+/// Least length of an axis: one without a length cannot be drawn.
+const MIN_AXIS: f64 = 1e-9;
+
+/// Draws all series into one plot; each has a colour of its own.
+///
+/// # Errors
+/// If the file cannot be written.
+pub(crate) fn draw(
+    file: &Path,
+    title: &str,
+    unit: &str,
+    series: &[Series],
+) -> Result<(), CommandError> {
+    draw_chart(file, title, unit, series)
+        .map_err(|e| CommandError::failed(format!("{}: {e}", file.display())))
+}
+
+fn draw_chart<'a>(
+    file: &'a Path,
+    title: &str,
+    unit: &str,
+    series: &[Series],
+) -> Result<(), Box<dyn Error + 'a>> {
+    let end_s = max_of(series, |point| point.0);
+    let highest = max_of(series, |point| point.1);
+    let area = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
+    area.fill(&WHITE)?;
+    let mut chart = ChartBuilder::on(&area)
+        .caption(title, ("sans-serif", 18))
+        .margin(12)
+        .x_label_area_size(36)
+        .y_label_area_size(52)
+        .build_cartesian_2d(0.0..end_s, 0.0..highest * HEADROOM)?;
+    chart
+        .configure_mesh()
+        .x_desc("seconds")
+        .y_desc(unit)
+        .draw()?;
+    for (index, points) in series.iter().enumerate() {
+        let colour = Palette99::pick(index);
+        chart.draw_series(LineSeries::new(points.iter().copied(), &colour))?;
+    }
+    area.present()?;
+    Ok(())
+}
+
+/// The highest coordinate of all points, and a little more than 0 at least.
+fn max_of(series: &[Series], coordinate: fn(&(f64, f64)) -> f64) -> f64 {
+    series
+        .iter()
+        .flatten()
+        .map(coordinate)
+        .fold(0.0, f64::max)
+        .max(MIN_AXIS)
 }
--- a/crates/cli/src/work.rs
+++ b/crates/cli/src/work.rs
@@ -1,192 +1,250 @@
-//! Machines out for work, from an operator's side.
+//! `limewing work`: machines out for maintenance, from an operator's side.
 
-use crate::Stop;
-use comfy_table::presets::ASCII_MARKDOWN;
-use comfy_table::Table;
+use crate::error::CommandError;
+use crate::settings::check_work_list;
+use crate::table;
+use clap::Subcommand;
 use limewing_emulators::fleet::call;
-use limewing_http_proxy::service::{MaintenanceRequest, MaintenanceView};
+use limewing_http_proxy::service::{ListView, MachineView, MaintenanceRequest, MaintenanceView};
 use limewing_settings::WorkList;
+use serde::Deserialize;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-const PAGE: &str = "/limewing/work";
-/// What was asked for shows within this, or the user is told that it does not yet.
-const SHOWS_WITHIN: Duration = Duration::from_secs(10);
+/// Page of a sidecar with its view of the maintenance; requests are posted to it.
+const MAINTENANCE_PAGE: &str = "/limewing/work";
 
-/// Tells all that is wrong with a list.
-pub fn check(file: &Path) -> Result<(), Stop> {
-    let found = limewing_settings::findings::<WorkList>(file);
-    if found.is_empty() {
-        println!("{}: can be used", file.display());
-        return Ok(());
+/// A request is to show on the page within this time, or the user learns that it does not yet.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Time between two looks at the page.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+#[derive(Subcommand)]
+pub(crate) enum WorkCommand {
+    /// Tell all that is wrong with a work list
+    Check { list: PathBuf },
+    /// Hand a work list to a sidecar
+    Ask { at: SocketAddr, list: PathBuf },
+    /// Print one sidecar's view: who leads, the lists, and how far each machine is
+    Show { at: SocketAddr },
+    /// Let nothing more go out for a list
+    Hold { at: SocketAddr, list: u64 },
+    /// Go on with a list that is held
+    GoOn { at: SocketAddr, list: u64 },
+    /// Let nothing more go out for a list, for good
+    Withdraw { at: SocketAddr, list: u64 },
+    /// Say that a sidecar runs no more, so that it is not waited for
+    Gone { at: SocketAddr, sidecar: String },
+    /// Give a sidecar that has a folder a vote; it gets it once it has caught up
+    Vote { at: SocketAddr, sidecar: String },
+    /// Take a sidecar's vote
+    Unvote { at: SocketAddr, sidecar: String },
+}
+
+/// What a sidecar replies to a request that it accepted.
+#[derive(Deserialize)]
+struct RequestAccepted {
+    /// Number of the list that the request created.
+    #[serde(default)]
+    list: Option<u64>,
+}
+
+/// Runs the subcommand.
+///
+/// # Errors
+/// If a list cannot be used, the sidecar does not answer or refuses, or a request does not show in time.
+pub(crate) fn run(command: WorkCommand) -> Result<(), CommandError> {
+    match command {
+        WorkCommand::Check { list } => check_work_list(&list),
+        WorkCommand::Ask { at, list } => create_list(at, &list),
+        WorkCommand::Show { at } => show(at),
+        WorkCommand::Hold { at, list } => pause_list(at, list),
+        WorkCommand::GoOn { at, list } => resume_list(at, list),
+        WorkCommand::Withdraw { at, list } => withdraw_list(at, list),
+        WorkCommand::Gone { at, sidecar } => forget_sidecar(at, &sidecar),
+        WorkCommand::Vote { at, sidecar } => add_voter(at, &sidecar),
+        WorkCommand::Unvote { at, sidecar } => remove_voter(at, &sidecar),
     }
-    let lines: Vec<String> = found.iter().map(ToString::to_string).collect();
-    Err(Stop::input(lines.join("\n")))
 }
 
-fn view(at: SocketAddr) -> Result<MaintenanceView, Stop> {
-    let text = call(at, "GET", PAGE, "").map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    serde_json::from_str(&text).map_err(|e| Stop::failed(format!("{at}: {e}")))
+fn fetch_view(sidecar: SocketAddr) -> Result<MaintenanceView, CommandError> {
+    let fail = |cause: &dyn std::fmt::Display| CommandError::Failed(format!("{sidecar}: {cause}"));
+    let page = call(sidecar, "GET", MAINTENANCE_PAGE, "").map_err(|e| fail(&e))?;
+    serde_json::from_str(&page).map_err(|e| fail(&e))
 }
 
-fn post(at: SocketAddr, asked: &MaintenanceRequest) -> Result<Option<u64>, Stop> {
-    let body = serde_json::to_string(asked).map_err(Stop::failed)?;
-    let said = call(at, "POST", PAGE, &body).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    let said: serde_json::Value =
-        serde_json::from_str(&said).map_err(|e| Stop::failed(format!("{at}: {e}")))?;
-    Ok(said["list"].as_u64())
+fn post(
+    sidecar: SocketAddr,
+    request: &MaintenanceRequest,
+) -> Result<RequestAccepted, CommandError> {
+    let fail = |cause: &dyn std::fmt::Display| CommandError::Failed(format!("{sidecar}: {cause}"));
+    let body = serde_json::to_string(request).map_err(CommandError::failed)?;
+    let reply = call(sidecar, "POST", MAINTENANCE_PAGE, &body).map_err(|e| fail(&e))?;
+    serde_json::from_str(&reply).map_err(|e| fail(&e))
 }
 
-fn until(at: SocketAddr, shows: impl Fn(&MaintenanceView) -> bool, done: &str) -> Result<(), Stop> {
-    let from = Instant::now();
-    while from.elapsed() < SHOWS_WITHIN {
-        if shows(&view(at)?) {
-            println!("{done}");
+/// Waits until the page shows that a request was committed, and prints so.
+fn wait_until(
+    sidecar: SocketAddr,
+    is_committed: impl Fn(&MaintenanceView) -> bool,
+    message: &str,
+) -> Result<(), CommandError> {
+    let started_at = Instant::now();
+    while started_at.elapsed() < COMMIT_TIMEOUT {
+        if is_committed(&fetch_view(sidecar)?) {
+            println!("{message}");
             return Ok(());
         }
-        std::thread::sleep(Duration::from_millis(50));
+        std::thread::sleep(POLL_INTERVAL);
     }
-    Err(Stop::failed(format!(
-        "{at}: taken, but not settled within {} s: is a majority of the voters there? see `limewing work show`",
-        SHOWS_WITHIN.as_secs()
+    Err(CommandError::Failed(format!(
+        "{sidecar}: taken, but not settled within {} s: is a majority of the voters there? see `limewing work show`",
+        COMMIT_TIMEOUT.as_secs()
     )))
 }
 
-pub fn ask(at: SocketAddr, file: &Path) -> Result<(), Stop> {
-    check(file)?;
-    let list: WorkList = limewing_settings::read(file).map_err(Stop::input)?;
-    let number = post(at, &MaintenanceRequest::CreateList(Box::new(list)))?
-        .ok_or(Stop::failed("no number of the list came back"))?;
-    let whole = |view: &MaintenanceView| {
-        view.lists
-            .iter()
-            .any(|of| of.id == number && !of.machines.is_empty())
-    };
-    until(at, whole, &format!("list {number}"))
-}
-
-pub fn hold(at: SocketAddr, list: u64, held: bool) -> Result<(), Stop> {
-    post(
-        at,
-        &if held {
-            MaintenanceRequest::PauseList(list)
-        } else {
-            MaintenanceRequest::ResumeList(list)
-        },
-    )?;
-    let done = if held {
-        "held: nothing more goes out"
-    } else {
-        "it goes on"
-    };
-    until(
-        at,
-        |view| {
-            view.lists
-                .iter()
-                .any(|of| of.id == list && of.paused == held)
-        },
-        done,
+fn has_list(view: &MaintenanceView, number: u64, matches: impl Fn(&ListView) -> bool) -> bool {
+    view.lists
+        .iter()
+        .any(|list| list.id == number && matches(list))
+}
+
+fn create_list(sidecar: SocketAddr, file: &Path) -> Result<(), CommandError> {
+    check_work_list(file)?;
+    let list: WorkList = limewing_settings::read(file).map_err(CommandError::invalid_input)?;
+    let accepted = post(sidecar, &MaintenanceRequest::CreateList(Box::new(list)))?;
+    let number = accepted
+        .list
+        .ok_or_else(|| CommandError::failed("no number of the list came back"))?;
+    wait_until(
+        sidecar,
+        |view| has_list(view, number, |list| !list.machines.is_empty()),
+        &format!("list {number}"),
     )
 }
 
-/// Gives a sidecar a vote, or takes it; waits until it shows.
-pub fn vote(at: SocketAddr, name: &str, has: bool) -> Result<(), Stop> {
-    let asked = if has {
-        MaintenanceRequest::AddVoter(name.to_owned())
-    } else {
-        MaintenanceRequest::RemoveVoter(name.to_owned())
-    };
-    post(at, &asked)?;
-    let shows = |view: &MaintenanceView| {
-        !view.voters.is_empty() && view.voters.iter().any(|voter| voter == name) == has
-    };
-    until(
-        at,
-        shows,
-        if has {
-            "it has a vote"
-        } else {
-            "it has no vote"
-        },
+fn pause_list(sidecar: SocketAddr, number: u64) -> Result<(), CommandError> {
+    post(sidecar, &MaintenanceRequest::PauseList(number))?;
+    wait_until(
+        sidecar,
+        |view| has_list(view, number, |list| list.paused),
+        "held: nothing more goes out",
+    )
+}
+
+fn resume_list(sidecar: SocketAddr, number: u64) -> Result<(), CommandError> {
+    post(sidecar, &MaintenanceRequest::ResumeList(number))?;
+    wait_until(
+        sidecar,
+        |view| has_list(view, number, |list| !list.paused),
+        "it goes on",
     )
 }
 
-pub fn withdraw(at: SocketAddr, list: u64) -> Result<(), Stop> {
-    post(at, &MaintenanceRequest::WithdrawList(list))?;
-    let done = "withdrawn: nothing more goes out, what is out comes back when its work ends";
-    until(
-        at,
-        |view| view.lists.iter().any(|of| of.id == list && of.withdrawn),
-        done,
+fn withdraw_list(sidecar: SocketAddr, number: u64) -> Result<(), CommandError> {
+    post(sidecar, &MaintenanceRequest::WithdrawList(number))?;
+    wait_until(
+        sidecar,
+        |view| has_list(view, number, |list| list.withdrawn),
+        "withdrawn: nothing more goes out, what is out comes back when its work ends",
     )
 }
 
-pub fn gone(at: SocketAddr, sidecar: &str) -> Result<(), Stop> {
-    post(at, &MaintenanceRequest::SidecarGone(sidecar.to_owned()))?;
-    until(
-        at,
-        |view| !view.sidecars.iter().any(|name| name == sidecar),
+fn forget_sidecar(sidecar: SocketAddr, gone: &str) -> Result<(), CommandError> {
+    post(sidecar, &MaintenanceRequest::SidecarGone(gone.to_owned()))?;
+    wait_until(
+        sidecar,
+        |view| !view.sidecars.iter().any(|name| name == gone),
         "not waited for any more",
     )
 }
 
-pub fn show(at: SocketAddr) -> Result<(), Stop> {
-    let view = view(at)?;
+fn add_voter(sidecar: SocketAddr, voter: &str) -> Result<(), CommandError> {
+    post(sidecar, &MaintenanceRequest::AddVoter(voter.to_owned()))?;
+    wait_until(
+        sidecar,
+        |view| view.voters.iter().any(|name| name == voter),
+        "it has a vote",
+    )
+}
+
+fn remove_voter(sidecar: SocketAddr, voter: &str) -> Result<(), CommandError> {
+    post(sidecar, &MaintenanceRequest::RemoveVoter(voter.to_owned()))?;
+    // A sidecar that does not know the voters yet lists none.
+    wait_until(
+        sidecar,
+        |view| !view.voters.is_empty() && !view.voters.iter().any(|name| name == voter),
+        "it has no vote",
+    )
+}
+
+fn show(sidecar: SocketAddr) -> Result<(), CommandError> {
+    let view = fetch_view(sidecar)?;
+    print_consensus(&view);
+    for list in view.lists {
+        print_list(list);
+    }
+    Ok(())
+}
+
+fn print_consensus(view: &MaintenanceView) {
     let leader = view.leader.as_deref().unwrap_or("nobody");
+    let lease = if view.has_lease {
+        "with a lease"
+    } else {
+        "WITHOUT a lease: sends to no machine on a list"
+    };
     println!(
-        "{}: {}, led by {leader} in term {}, read up to {}, {}",
-        view.name,
-        view.role,
-        view.term,
-        view.applied_index,
-        if view.has_lease {
-            "with a lease"
-        } else {
-            "WITHOUT a lease: sends to no machine on a list"
-        }
+        "{}: {}, led by {leader} in term {}, read up to {}, {lease}",
+        view.name, view.role, view.term, view.applied_index
     );
     println!("voters: {}", view.voters.join(", "));
     if let Some(name) = &view.pending_voter {
         println!("gets a vote once it has caught up: {name}");
     }
     println!("sidecars: {}", view.sidecars.join(", "));
-    for list in view.lists {
-        let state = match () {
-            () if list.finished => "over",
-            () if list.withdrawn => "withdrawn",
-            () if list.paused => "held",
-            () => "under way",
-        };
-        println!("\nlist {} ({}): {state}", list.id, list.name);
-        if !list.sidecars_behind.is_empty() {
-            println!(
-                "waits until these know it, or are said to be gone: {}",
-                list.sidecars_behind.join(", ")
-            );
-        }
-        let mut table = Table::new();
-        table
-            .load_preset(ASCII_MARKDOWN)
-            .set_header(["machine", "step", "grant", "waits for"]);
-        for machine in list.machines {
-            let step = if machine.stalled {
-                format!("{}, stalled", machine.phase)
-            } else {
-                machine.phase
-            };
-            let waits = machine
-                .blocked_reason
-                .unwrap_or(machine.sidecars_not_drained.join(", "));
-            table.add_row([
-                machine.machine,
-                step,
-                machine.grant.map_or(String::new(), |n| n.to_string()),
-                waits,
-            ]);
-        }
-        println!("{table}");
+}
+
+fn print_list(list: ListView) {
+    println!("\nlist {} ({}): {}", list.id, list.name, list_state(&list));
+    if !list.sidecars_behind.is_empty() {
+        println!(
+            "waits until these know it, or are said to be gone: {}",
+            list.sidecars_behind.join(", ")
+        );
     }
-    Ok(())
+    let mut table = table::with_headers(&["machine", "step", "grant", "waits for"]);
+    for machine in list.machines {
+        table.add_row(machine_row(machine));
+    }
+    println!("{table}");
+}
+
+fn list_state(list: &ListView) -> &'static str {
+    if list.finished {
+        "over"
+    } else if list.withdrawn {
+        "withdrawn"
+    } else if list.paused {
+        "held"
+    } else {
+        "under way"
+    }
+}
+
+fn machine_row(machine: MachineView) -> [String; 4] {
+    let step = if machine.stalled {
+        format!("{}, stalled", machine.phase)
+    } else {
+        machine.phase
+    };
+    let grant = machine
+        .grant
+        .map_or_else(String::new, |grant| grant.to_string());
+    let waits_for = machine
+        .blocked_reason
+        .unwrap_or_else(|| machine.sidecars_not_drained.join(", "));
+    [machine.machine, step, grant, waits_for]
 }
