--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -6,8 +6,12 @@
 use clap::Subcommand;
 use limewing_emulators::day;
 use limewing_emulators::script::DayScript;
-use limewing_rule_checker::rules::{self, Account};
-use limewing_rule_checker::{across, balance, record, work};
+use limewing_rule_checker::balance::load_by_second;
+use limewing_rule_checker::checker::RuleChecker;
+use limewing_rule_checker::cross_sidecar::check_across_sidecars;
+use limewing_rule_checker::maintenance::check_maintenance;
+use limewing_rule_checker::record::{self, RecordLine};
+use limewing_rule_checker::report::Report;
 use std::fs::File;
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
@@ -82,7 +86,15 @@
 /// Plots the load of each pod over time.
 fn plot_load(record: &Path, file: &Path) -> Result<(), CommandError> {
     let lines = read_record(record)?;
-    let series: Vec<Series> = balance::by_second(&lines).into_values().collect();
+    let series: Vec<Series> = load_by_second(&lines)
+        .into_values()
+        .map(|points| {
+            points
+                .iter()
+                .map(|point| (point.second, point.load))
+                .collect()
+        })
+        .collect();
     plot::draw(
         file,
         "forwards a second and strength, by pod",
@@ -93,41 +105,38 @@
 
 fn check(file: &Path) -> Result<(), CommandError> {
     let lines = read_record(file)?;
-    let account = rules::check(&lines)
+    let checker = RuleChecker::new(&lines)
         .ok_or_else(|| CommandError::InvalidInput(format!("{}: no day's terms", file.display())))?;
-    println!("{}", report::rule_table(&account));
-    let work = work::work(&lines);
-    if let Some(work) = &work {
-        report::print_work(work);
+    let report = checker.report();
+    println!("{}", report::rule_table(&report));
+    let maintenance = check_maintenance(&lines);
+    if let Some(maintenance) = &maintenance {
+        report::print_maintenance(maintenance);
     }
-    if let Some(across) = across::across(&lines) {
-        report::print_across(&across);
+    if let Some(cross_sidecar) = check_across_sidecars(&lines) {
+        report::print_cross_sidecar(&cross_sidecar);
     }
-    let work_breaches = work.map_or(0, |work| work.breaches.len());
-    verdict(&account, work_breaches)
+    let maintenance_violations = maintenance.map_or(0, |report| report.violations.len());
+    verdict(&report, maintenance_violations)
 }
 
 /// The outcome of a check, once all of it was printed.
-fn verdict(account: &Account, work_breaches: usize) -> Result<(), CommandError> {
-    let broken_rules = account
-        .findings
-        .iter()
-        .filter(|finding| !finding.breaches.is_empty())
-        .count();
+fn verdict(report: &Report, maintenance_violations: usize) -> Result<(), CommandError> {
+    let broken_rules = report.broken().count();
     if broken_rules > 0 {
         return Err(CommandError::Failed(format!(
             "{broken_rules} of the five rules were broken"
         )));
     }
-    if work_breaches > 0 {
+    if maintenance_violations > 0 {
         return Err(CommandError::Failed(format!(
-            "{work_breaches} times machines were out as they must not be"
+            "{maintenance_violations} times machines were out as they must not be"
         )));
     }
     Ok(())
 }
 
-fn read_record(file: &Path) -> Result<Vec<record::Line>, CommandError> {
+fn read_record(file: &Path) -> Result<Vec<RecordLine>, CommandError> {
     let name = file.display();
     let open = File::open(file).map_err(|e| CommandError::invalid_input(format!("{name}: {e}")))?;
     record::read(BufReader::new(open))
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -3,13 +3,13 @@
 use crate::table;
 use indicatif::{ProgressBar, ProgressStyle};
 use limewing_emulators::day::Progress;
-use limewing_rule_checker::across::Across;
-use limewing_rule_checker::rules::Account;
-use limewing_rule_checker::work::Work;
+use limewing_rule_checker::cross_sidecar::CrossSidecarReport;
+use limewing_rule_checker::maintenance::MaintenanceReport;
+use limewing_rule_checker::report::Report;
 use std::fmt::Write;
 
-/// Breaches that are printed for each rule.
-const MAX_PRINTED_BREACHES: usize = 5;
+/// Violations that are printed for each rule.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 /// The line that shows how far a day is.
 pub(crate) struct ProgressLine(ProgressBar);
@@ -48,61 +48,58 @@
     }
 }
 
-/// The table of the five rules, the day's service and load below it, and then the breaches.
-pub(crate) fn rule_table(account: &Account) -> String {
+/// The table of the five rules, the day's service and load below it, and then the violations.
+pub(crate) fn rule_table(report: &Report) -> String {
     let mut table = table::with_headers(&["rule", "counted", "nearest to a breach", "verdict"]);
-    for finding in &account.findings {
-        let verdict = match finding.breaches.len() {
+    for result in &report.results {
+        let verdict = match result.violations.len() {
             0 => "kept".to_owned(),
             count => format!("BROKEN {count} times"),
         };
         table.add_row([
-            finding.rule.to_string(),
-            format!("{} {}", finding.counted, finding.of),
-            finding.margin.clone(),
+            result.rule.to_string(),
+            format!("{} {}", result.checked, result.case),
+            result.margin.clone(),
             verdict,
         ]);
     }
-    let service = service_lines(account);
-    let breaches = breach_lines(account);
-    format!("{table}\n{service}{breaches}")
+    let service = service_lines(report);
+    let violations = violation_lines(report);
+    format!("{table}\n{service}{violations}")
 }
 
-fn service_lines(account: &Account) -> String {
-    let service = &account.service;
-    let balance = &account.balance;
+fn service_lines(report: &Report) -> String {
+    let service = &report.service;
+    let balance = &report.balance;
     format!(
         "{}: service {:.3}: {} hits, {} delivered, {} bounced, {} errored in the end\n\
          load per pod {:.2} of the mean at most, {:.1} sidecars a pod (most {}), {} pods unused",
-        account.day,
-        service.figure,
-        service.orders,
+        report.day,
+        service.weighted_part_in_time,
+        service.requests,
         service.delivered,
-        service.bounced,
-        service.errored,
-        balance.most,
-        balance.users.0,
-        balance.users.1,
-        balance.unused
+        service.rejected,
+        service.failed,
+        balance.highest_over_mean,
+        balance.mean_sidecars,
+        balance.max_sidecars,
+        balance.unused_pods
     )
 }
 
-/// The first breaches of each rule that was broken, each line after a line break.
-fn breach_lines(account: &Account) -> String {
+/// The first violations of each rule that was broken, each line after a line break.
+fn violation_lines(report: &Report) -> String {
     let mut text = String::new();
-    for finding in &account.findings {
-        let breaches = &finding.breaches;
-        if breaches.is_empty() {
-            continue;
-        }
+    for result in report.broken() {
+        let violations = &result.violations;
         // Writing to a string does not fail.
-        let _ = write!(text, "\n{}:", finding.rule);
-        for breach in breaches.iter().take(MAX_PRINTED_BREACHES) {
-            let at_s = breach.at.as_secs_f64();
-            let _ = write!(text, "\n  {at_s:.3} s: {}", breach.text);
+        let _ = write!(text, "\n{}:", result.rule);
+        for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+            let at_s = violation.at.as_secs_f64();
+            let _ = write!(text, "\n  {at_s:.3} s: {}", violation.text);
         }
-        if breaches.len() > MAX_PRINTED_BREACHES {
-            let further = breaches.len() - MAX_PRINTED_BREACHES;
+        if violations.len() > MAX_PRINTED_VIOLATIONS {
+            let further = violations.len() - MAX_PRINTED_VIOLATIONS;
             let _ = write!(text, "\n  and {further} more");
         }
     }
@@ -110,27 +107,27 @@
 }
 
 /// Prints how the maintenance of machines went.
-pub(crate) fn print_work(work: &Work) {
+pub(crate) fn print_maintenance(report: &MaintenanceReport) {
     println!(
         "machines: {} worked on, {} failed, {} out at once at most, {} still out, {:.1} s from the ask to the last",
-        work.done,
-        work.failed,
-        work.most,
-        work.left,
-        work.took.as_secs_f64()
+        report.completed,
+        report.failed,
+        report.max_out,
+        report.still_out,
+        report.duration.as_secs_f64()
     );
-    for (at, text) in work.breaches.iter().take(MAX_PRINTED_BREACHES) {
-        println!("  {:.3} s: {text}", at.as_secs_f64());
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("  {:.3} s: {}", violation.at.as_secs_f64(), violation.text);
     }
 }
 
-/// Prints what replication between sidecars kept from happening, or did not.
-pub(crate) fn print_across(across: &Across) {
+/// Prints what replication between sidecars is to prevent: sticky keys sent back, and requests executed twice.
+pub(crate) fn print_cross_sidecar(report: &CrossSidecarReport) {
     println!(
         "across sidecars: {} of {} forwards of keys that had met a newer build went back; {} of {} hits that may not run twice did",
-        across.keys_back, across.keys, across.twice, across.once
+        report.sent_back, report.sticky_attempts, report.executed_twice, report.non_idempotent
     );
-    for (at, text) in &across.first {
-        println!("  {:.3} s: {text}", at.as_secs_f64());
+    for example in &report.examples {
+        println!("  {:.3} s: {}", example.at.as_secs_f64(), example.text);
     }
 }
--- a/crates/http-proxy/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -335,7 +335,7 @@
     let cold_until = (today + Duration::from_secs(4)).as_secs_f64();
     let at = start(&settings(&folder, "sidecar-0", |settings| {
         settings["state_file"] = json!(state_file(&folder, cold_until));
-        settings["work"] = json!({"voters": ["sidecar-0"], "folder": folder.join("promises")});
+        settings["work"] = json!({"voters": ["sidecar-0"], "folder": folder.join("vote-log")});
     }));
     wait_until("it leads", || {
         (get_maintenance(at).role == "leads").then_some(())
@@ -408,18 +408,18 @@
 #[test]
 fn the_roles_of_voters_on_the_maintenance_page_are_unchanged() {
     let voters = ["sidecar-0", "sidecar-1", "sidecar-2"];
-    let start = |name: &str, promises: Option<&Path>, join: &[SocketAddr]| {
+    let start = |name: &str, vote_log: Option<&Path>, join: &[SocketAddr]| {
         start(&settings(&folder(), name, |settings| {
             settings["peers"]["join"] = json!(join);
-            settings["work"] = json!({"voters": voters, "folder": promises});
+            settings["work"] = json!({"voters": voters, "folder": vote_log});
         }))
     };
-    let promises = [folder(), folder(), folder()];
-    let first = start("sidecar-0", Some(&promises[0]), &[]);
+    let vote_logs = [folder(), folder(), folder()];
+    let first = start("sidecar-0", Some(&vote_logs[0]), &[]);
     assert_eq!(get_maintenance(first).role, "free");
     let join = [get_membership(first).address];
-    let second = start("sidecar-1", Some(&promises[1]), &join);
-    let third = start("sidecar-2", Some(&promises[2]), &join);
+    let second = start("sidecar-1", Some(&vote_logs[1]), &join);
+    let third = start("sidecar-2", Some(&vote_logs[2]), &join);
     let fourth = start("sidecar-3", None, &join);
     assert_eq!(get_maintenance(fourth).role, "asks");
 
@@ -433,9 +433,9 @@
         (standings == ["follows", "follows", "leads"]).then_some(())
     });
 
-    // One that comes back with its promises and hears nobody.
+    // One that comes back with its vote log and hears nobody.
     let alone = folder();
-    std::fs::copy(promises[1].join("agree.log"), alone.join("agree.log")).unwrap();
+    std::fs::copy(vote_logs[1].join("agree.log"), alone.join("agree.log")).unwrap();
     let alone = start("sidecar-1", Some(&alone), &[]);
     assert_eq!(
         collect_states_until("tries", || Some(get_maintenance(alone).role))
