--- a/crates/cli/tests/command/copies.rs
+++ b/crates/cli/tests/command/copies.rs
@@ -1,21 +1,21 @@
 //! State that the others keep, while processes are killed: days of six sidecars with a release on trial throughout and clients that
 //! try again whatever may have run.
 
-use crate::days::{limewing, one_day_at_a_time, play};
-use crate::help::{settings, Running};
+use crate::played_day::{one_day_at_a_time, play_day};
+use crate::support::{run_limewing, write_settings, SidecarProcess};
 use serde_json::Value;
 
 /// What `day check` counted across sidecars: keys that went back, hits with two effects; and all that it printed.
 fn plays(replicas: bool, change: impl Fn(&mut Value)) -> (usize, usize, String) {
-    let day = play("copies", |day| {
+    let day = play_day("copies", |day| {
         day["peers"]["replicas"] = replicas.into();
         change(day);
     });
     // Without copies a hit may run twice, as its clients ask for it twice: that is what they are for.
     if replicas {
-        day.must_be_well();
+        day.assert_success();
     }
-    let text = day.text;
+    let text = day.output;
     let line = text
         .lines()
         .find(|line| line.starts_with("across sidecars: "))
@@ -61,7 +61,7 @@
 #[test]
 fn a_start_beside_a_silent_installer_knows_of_the_trial() {
     let _alone = one_day_at_a_time();
-    let day = play("copies", |day| {
+    let day = play_day("copies", |day| {
         day["lasts"] = 16.into();
         day["releases"]["step_after"] = 4.into();
         day["troubles"] = serde_json::json!([{ "at": 9, "for": 7, "what": "installer_down" }]);
@@ -70,10 +70,14 @@
             { "at": 10.7, "does": { "start": { "numbers": [2, 3] } } }
         ]);
     });
-    day.must_be_well();
-    assert!(day.text.contains("across sidecars: 0 of"), "{}", day.text);
+    day.assert_success();
+    assert!(
+        day.output.contains("across sidecars: 0 of"),
+        "{}",
+        day.output
+    );
     for number in [2, 3] {
-        let log = day.log(number);
+        let log = day.sidecar_log(number);
         let told: Vec<&str> = log
             .lines()
             .filter(|line| line.contains("stage update from other sidecars"))
@@ -89,12 +93,12 @@
 #[test]
 fn without_replicas_nothing_is_kept() {
     let folder = tempfile::tempdir().unwrap();
-    let sidecar = Running::start(
+    let sidecar = SidecarProcess::start(
         "",
-        &settings(folder.path(), "127.0.0.1:0"),
+        &write_settings(folder.path(), "127.0.0.1:0"),
         std::process::Stdio::null(),
     );
-    let out = limewing(&["fleet", "state", &sidecar.at.to_string()]);
+    let out = run_limewing(&["fleet", "state", &sidecar.address.to_string()]);
     let text = String::from_utf8_lossy(&out.stderr);
     assert!(
         out.status.code() == Some(1) && text.contains("no `peers.replicas` in its settings"),
--- a/crates/cli/tests/command/days.rs
+++ b/crates/cli/tests/command/days.rs
@@ -1,91 +1,14 @@
 //! Whole days through the command, with the sidecars as processes of their own.
 
-use crate::help::{in_repo, settings, settings_with, status, Running};
+use crate::played_day::{one_day_at_a_time, play_day, record_excerpt};
+use crate::support::{
+    fetch_status, repository_file, run_limewing, write_settings, write_settings_with_pods,
+    SidecarProcess,
+};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
-use std::process::{Command, Output, Stdio};
-use std::sync::{Mutex, MutexGuard, PoisonError};
-
-pub(crate) fn limewing(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_limewing"))
-        .args(args)
-        .output()
-        .expect("the command starts")
-}
-
-/// Days of many processes are played one after the other: each goes by the machine's time.
-pub(crate) fn one_day_at_a_time() -> MutexGuard<'static, ()> {
-    static DAY: Mutex<()> = Mutex::new(());
-    DAY.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
-/// A day that was played: whether it ended well, and what it printed.
-pub(crate) struct Played {
-    pub well: bool,
-    pub text: String,
-    pub folder: tempfile::TempDir,
-}
-
-impl Played {
-    /// Fails with what the record has on it if it did not end well.
-    pub(crate) fn must_be_well(&self) {
-        assert!(
-            self.well,
-            "{}\n{}",
-            self.text,
-            told_of(&self.text, self.folder.path())
-        );
-    }
-
-    pub(crate) fn log(&self, number: usize) -> String {
-        let file = self.folder.path().join(format!("sidecar-{number}.log"));
-        std::fs::read_to_string(file).unwrap_or_default()
-    }
-}
-
-/// Plays a day of the repository with this done to its script.
-pub(crate) fn play(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> Played {
-    let folder = tempfile::tempdir().unwrap();
-    let text = std::fs::read_to_string(in_repo(&format!("days/{name}.json"))).unwrap();
-    let mut day: serde_json::Value = serde_json::from_str(&text).unwrap();
-    change(&mut day);
-    let script = folder.path().join("day.json");
-    std::fs::write(&script, day.to_string()).unwrap();
-    let out = limewing(&[
-        "day",
-        "play",
-        script.to_str().unwrap(),
-        "--folder",
-        folder.path().to_str().unwrap(),
-    ]);
-    let text =
-        String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    Played {
-        well: out.status.success(),
-        text,
-        folder,
-    }
-}
-
-/// What the record has on the tries that the text names, and where the loop stood still.
-pub(crate) fn told_of(text: &str, folder: &std::path::Path) -> String {
-    let record = std::fs::read_to_string(folder.join("record.jsonl")).unwrap_or_default();
-    let tries: Vec<String> = text
-        .split("Try(OrderId(")
-        .skip(1)
-        .take(3)
-        .filter_map(|rest| rest.split_once(')'))
-        .map(|(order, _)| format!("\"of\":[{order},"))
-        .collect();
-    let tells = |line: &&str| {
-        tries.iter().any(|of| line.contains(of))
-            || line.contains("sidecar_")
-            || line.contains("\"stood\"")
-    };
-    let lines: Vec<&str> = record.lines().filter(tells).take(400).collect();
-    lines.join("\n")
-}
+use std::process::{Command, Stdio};
 
 #[rstest]
 #[case("short-quiet")]
@@ -95,8 +18,8 @@
 fn a_short_day_keeps_the_five_rules(#[case] name: &str) {
     let _alone = name.starts_with("fleet").then(one_day_at_a_time);
     let folder = tempfile::tempdir().unwrap();
-    let script = in_repo(&format!("days/{name}.json"));
-    let out = limewing(&[
+    let script = repository_file(&format!("days/{name}.json"));
+    let out = run_limewing(&[
         "day",
         "play",
         script.to_str().unwrap(),
@@ -108,7 +31,7 @@
     assert!(
         out.status.success(),
         "{text}\n{}",
-        told_of(&text, folder.path())
+        record_excerpt(&text, folder.path())
     );
     assert_eq!(text.matches("| kept").count(), 5, "{text}");
     let drawn = std::fs::read_to_string(folder.path().join("load.svg")).unwrap();
@@ -125,7 +48,7 @@
     let args = [
         "load", "idle", "--few", "10", "--many", "200", "--rests", "1",
     ];
-    let out = limewing(&[&args, more].concat());
+    let out = run_limewing(&[&args, more].concat());
     let text =
         String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
     assert!(out.status.success() && text.contains("| 200 "), "{text}");
@@ -141,7 +64,7 @@
     #[case] code: i32,
     #[case] says: &str,
 ) {
-    let out = limewing(args);
+    let out = run_limewing(args);
     let text = String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(code), "{text}");
     assert!(text.contains(says) && !text.contains("panicked"), "{text}");
@@ -176,8 +99,8 @@
 #[case::fleet_grows("fleet-grows")]
 #[case::work("work")]
 fn the_shipped_days_can_be_read(#[case] name: &str) {
-    let script = in_repo(&format!("days/{name}.json"));
-    let out = limewing(&["settings", "check", script.to_str().unwrap(), "--of", "day"]);
+    let script = repository_file(&format!("days/{name}.json"));
+    let out = run_limewing(&["settings", "check", script.to_str().unwrap(), "--of", "day"]);
     assert!(
         out.status.success(),
         "{}",
@@ -188,10 +111,10 @@
 #[test]
 fn a_sidecar_out_of_descriptors_goes_on_when_some_are_free() {
     let folder = tempfile::tempdir().unwrap();
-    let file = settings(folder.path(), "127.0.0.1:0");
+    let file = write_settings(folder.path(), "127.0.0.1:0");
     let log = folder.path().join("log");
     let out = std::fs::File::create(&log).unwrap();
-    let sidecar = Running::start("ulimit -n 40;", &file, out.into());
+    let sidecar = SidecarProcess::start("ulimit -n 40;", &file, out.into());
     let held: Vec<TcpStream> = (0..60).map(|_| sidecar.connect()).collect();
     while !std::fs::read_to_string(&log)
         .unwrap()
@@ -200,15 +123,15 @@
         std::thread::yield_now();
     }
     drop(held);
-    let answer = status(&sidecar.at);
+    let answer = fetch_status(&sidecar.address);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
 #[test]
-fn a_sidecar_told_to_leave_ends_well() {
+fn a_sidecar_exits_with_success_on_sigterm() {
     let folder = tempfile::tempdir().unwrap();
-    let file = settings(folder.path(), "127.0.0.1:0");
-    let mut sidecar = Running::start("", &file, Stdio::null());
+    let file = write_settings(folder.path(), "127.0.0.1:0");
+    let mut sidecar = SidecarProcess::start("", &file, Stdio::null());
     let mut idle = sidecar.connect();
     let told = Command::new("kill")
         .args(["-TERM", &sidecar.child.id().to_string()])
@@ -224,7 +147,7 @@
     let pod = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = pod.local_addr().unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let file = settings_with(folder.path(), &[(at, 1)]);
+    let file = write_settings_with_pods(folder.path(), &[(at, 1)]);
     std::thread::spawn(move || {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY}\r\n\r\n");
         let answer = [head.as_bytes(), &[b'#'; BODY]].concat();
@@ -232,7 +155,7 @@
             while matches!(link.read(&mut [0; 4096]), Ok(1..)) && link.write_all(&answer).is_ok() {}
         }
     });
-    let mut sidecar = Running::start("", &file, Stdio::null());
+    let mut sidecar = SidecarProcess::start("", &file, Stdio::null());
     // More answers than the system holds for a client that does not read: the rest waits in the sidecar.
     let mut client = sidecar.connect();
     client
@@ -242,8 +165,8 @@
                 .as_bytes(),
         )
         .unwrap();
-    while !status(&sidecar.at).contains("\"open_hits\":0,")
-        || status(&sidecar.at).contains("\"unsent\":0}")
+    while !fetch_status(&sidecar.address).contains("\"open_hits\":0,")
+        || fetch_status(&sidecar.address).contains("\"unsent\":0}")
     {
         std::thread::yield_now();
     }
@@ -266,17 +189,17 @@
 }
 
 #[test]
-fn a_port_in_use_is_told() {
+fn a_port_in_use_is_an_error_at_start() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("sidecar.json");
-    let example = std::fs::read_to_string(in_repo("deploy/sidecar.example.json")).unwrap();
+    let example = std::fs::read_to_string(repository_file("deploy/sidecar.example.json")).unwrap();
     std::fs::write(
         &file,
         example.replace("127.0.0.1:8080", &taken.local_addr().unwrap().to_string()),
     )
     .unwrap();
-    let out = limewing(&["sidecar", file.to_str().unwrap()]);
+    let out = run_limewing(&["sidecar", file.to_str().unwrap()]);
     let text = String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(2), "{text}");
     assert!(text.contains("can't listen"), "{text}");
@@ -286,7 +209,7 @@
 #[test]
 fn a_fleets_word_reaches_every_process() {
     let _alone = one_day_at_a_time();
-    let day = play("fleet-faults", |day| {
+    let day = play_day("fleet-faults", |day| {
         // Own answers of the last five seconds prevail: the pods stay silent for longer than that, to the end. Three sidecars have
         // to see three attempts in a row fail at the same pod, of the four that each makes there in 13 s: that takes chance, and time.
         day["lasts"] = 26.into();
@@ -295,8 +218,8 @@
         day["troubles"] =
             serde_json::json!([{ "at": 1, "for": 25, "what": { "pods_silent": [5, 17] } }]);
     });
-    day.must_be_well();
-    let logs: Vec<String> = (0..12).map(|number| day.log(number)).collect();
+    day.assert_success();
+    let logs: Vec<String> = (0..12).map(|number| day.sidecar_log(number)).collect();
     let words = |log: &String| {
         log.lines()
             .filter(|line| line.contains("endpoint selection of the fleet changed"))
@@ -318,8 +241,8 @@
 fn a_fleet_grows_and_changes_its_keys_under_load() {
     let _alone = one_day_at_a_time();
     let folder = tempfile::tempdir().unwrap();
-    let script = in_repo("days/fleet-grows.json");
-    let out = limewing(&[
+    let script = repository_file("days/fleet-grows.json");
+    let out = run_limewing(&[
         "day",
         "play",
         script.to_str().unwrap(),
@@ -330,7 +253,7 @@
     assert!(
         out.status.success(),
         "{text}\n{}",
-        told_of(&text, folder.path())
+        record_excerpt(&text, folder.path())
     );
     let logs: Vec<String> = (0..12)
         .map(|n| std::fs::read_to_string(folder.path().join(format!("sidecar-{n}.log"))).unwrap())
@@ -364,7 +287,7 @@
 fn lost_services_are_asked_in_turn() {
     let _alone = one_day_at_a_time();
     let plays = |choices: bool| {
-        let day = play("fleet-faults", |day| {
+        let day = play_day("fleet-faults", |day| {
             day["lasts"] = 16.into();
             day["offers"] = serde_json::json!([]);
             day["peers"]["choices"] = choices.into();
@@ -374,8 +297,8 @@
                 { "at": 2, "for": 10, "what": "installer_down" }
             ]);
         });
-        day.must_be_well();
-        let logs: String = (0..12).map(|number| day.log(number)).collect();
+        day.assert_success();
+        let logs: String = (0..12).map(|number| day.sidecar_log(number)).collect();
         ["endpoint watch lost", "stage stream lost"].map(|what| logs.matches(what).count())
     };
     let counted = [true, false].map(plays);
--- a/crates/cli/tests/command/fleet.rs
+++ b/crates/cli/tests/command/fleet.rs
@@ -1,17 +1,19 @@
 //! Sidecars as processes that know of each other, under the scripts of `fleets/` with time made shorter.
 
-use crate::help::{in_repo, settings, status};
+use crate::support::{
+    fetch_status, repository_file, run_limewing, write_settings, PlatformProcess,
+};
 use limewing_emulators::fleet::{ask, play, Plan, Played};
 use limewing_fault_injection::Script;
 use limewing_settings::SidecarSettings;
 use rstest::rstest;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Output, Stdio};
+use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
 /// A script with its times made shorter, to fit a period of that many milliseconds in place of 200.
 fn script(name: &str, part: f64) -> Script {
-    let text = std::fs::read_to_string(in_repo(&format!("fleets/{name}.json"))).unwrap();
+    let text = std::fs::read_to_string(repository_file(&format!("fleets/{name}.json"))).unwrap();
     let mut script: Script = serde_json::from_str(&text).unwrap();
     assert_eq!(script.config_errors(), []);
     script.seconds *= part;
@@ -20,7 +22,7 @@
 }
 
 fn plays(name: &str, members: usize, folder: &Path) -> Played {
-    let file = settings(folder, "127.0.0.1:0");
+    let file = write_settings(folder, "127.0.0.1:0");
     let told: SidecarSettings = limewing_settings::read(&file).unwrap();
     let script = script(name, 0.5);
     let program = PathBuf::from(env!("CARGO_BIN_EXE_limewing"));
@@ -93,7 +95,7 @@
 fn with_peers(folder: &Path, name: &str, join: &str, keys: &str) -> PathBuf {
     let key_file = folder.join(format!("{name}.keys"));
     std::fs::write(&key_file, keys).unwrap();
-    let text = std::fs::read_to_string(settings(folder, "127.0.0.1:0")).unwrap();
+    let text = std::fs::read_to_string(write_settings(folder, "127.0.0.1:0")).unwrap();
     let peers = format!(
         r#""name": "{name}", "peers": {{"listen": "127.0.0.1:0", "join": [{join}], "key_file": "{}", "period": 0.05}},"#,
         key_file.display()
@@ -186,7 +188,7 @@
             "{view}"
         );
     }
-    let out = limewing(&["fleet", "show", &all[0].1]);
+    let out = run_limewing(&["fleet", "show", &all[0].1]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(
         out.status.success() && text.contains("| b") && text.contains("| alive"),
@@ -196,7 +198,7 @@
 
 /// Of two processes with one name the later has it; the earlier goes on serving its clients.
 #[test]
-fn two_processes_with_one_name() {
+fn the_later_of_two_processes_with_one_name_prevails() {
     let folder = tempfile::tempdir().unwrap();
     let (_a, at_a) = sidecar(&with_peers(folder.path(), "a", "", &keys(&[1])));
     let join = format!(r#""{}""#, listens(&at_a));
@@ -210,7 +212,7 @@
     until(&at_a, |text| {
         text.contains(&format!(r#""at":"{c}","standing":"alive""#))
     });
-    assert!(status(&at_b).contains("\"open_hits\""));
+    assert!(fetch_status(&at_b).contains("\"open_hits\""));
     until(&at_a, |text| !text.contains(&format!(r#""at":"{b}""#)));
 }
 
@@ -219,12 +221,12 @@
 #[test]
 fn without_peers_there_is_no_socket_for_them() {
     let folder = tempfile::tempdir().unwrap();
-    let (process, at) = sidecar(&settings(folder.path(), "127.0.0.1:0"));
-    let out = limewing(&["fleet", "show", &at]);
+    let (process, at) = sidecar(&write_settings(folder.path(), "127.0.0.1:0"));
+    let out = run_limewing(&["fleet", "show", &at]);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("knows of no others"));
     let config = limewing_emulators::platform::Config::new(Vec::new());
-    let on_platform = crate::help::Platform::start(&config);
+    let on_platform = PlatformProcess::start(&config);
     for id in [process.0.id(), on_platform.id()] {
         let sockets = datagram_sockets(id);
         assert_eq!(sockets, 0, "process {id}");
@@ -249,13 +251,6 @@
     links.filter(of).count()
 }
 
-fn limewing(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_limewing"))
-        .args(args)
-        .output()
-        .expect("the command starts")
-}
-
 #[rstest]
 #[case::keys_short(
     r#"{"keys": [{"id": 1, "secret": "aabb"}]}"#,
@@ -277,7 +272,7 @@
     "/steps/0/at",
     "a time"
 )]
-fn what_cannot_be_used_is_told(
+fn unusable_files_are_reported_with_their_place(
     #[case] text: &str,
     #[case] of: &str,
     #[case] at: &str,
@@ -286,7 +281,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file.json");
     std::fs::write(&file, text).unwrap();
-    let out = limewing(&["settings", "check", file.to_str().unwrap(), "--of", of]);
+    let out = run_limewing(&["settings", "check", file.to_str().unwrap(), "--of", of]);
     let told = String::from_utf8_lossy(&out.stderr);
     assert!(
         out.status.code() == Some(2) && told.contains(at) && told.contains(says),
@@ -296,8 +291,8 @@
 
 #[test]
 fn a_script_plays_in_simulated_time() {
-    let script = in_repo("fleets/half-cut.json");
-    let out = limewing(&[
+    let script = repository_file("fleets/half-cut.json");
+    let out = run_limewing(&[
         "fleet",
         "simulate",
         script.to_str().unwrap(),
--- a/crates/cli/tests/command/known_red.rs
+++ b/crates/cli/tests/command/known_red.rs
@@ -1,6 +1,6 @@
 //! What CI makes of failing tests: only those that are listed may fail, and those have to.
 
-use crate::help::in_repo;
+use crate::support::repository_file;
 use rstest::rstest;
 use std::process::Command;
 
@@ -44,7 +44,7 @@
         .for_each(|known| std::fs::write(&list, known).unwrap());
     let mut judge = Command::new("bash");
     judge
-        .arg(in_repo(".ci/judge-tests"))
+        .arg(repository_file(".ci/judge-tests"))
         .arg(told)
         .arg(code.to_string())
         .arg(list);
--- a/crates/cli/tests/command/leaving.rs
+++ b/crates/cli/tests/command/leaving.rs
@@ -1,6 +1,6 @@
-//! A sidecar in HTTP that is told to leave while requests are on their way to it.
+//! A sidecar in HTTP that is told to shut down while requests are on their way to it.
 
-use crate::help::{settings, stop, Running};
+use crate::support::{suspend, write_settings, SidecarProcess};
 use rstest::rstest;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{Read, Write};
@@ -9,14 +9,18 @@
 const REQUEST: &str =
     "GET /quotes/1 HTTP/1.1\r\nhost: q\r\ncustomer: alder\r\nrouting-key: a\r\n\r\n";
 
-/// The word to leave comes with a request that the process has not read, on a new connection or on one that was idle: it
-/// has an answer. Without the mend the connection is closed with none.
+/// The signal to shut down comes with a request that the process has not read, on a new connection or on one that was idle: it
+/// has an answer. Without the fix the connection is closed with none.
 #[rstest]
 #[case::new(true)]
 #[case::idle(false)]
-fn a_request_that_crosses_the_word_to_leave_is_answered(#[case] new: bool) {
+fn a_request_that_crosses_the_signal_to_shut_down_is_answered(#[case] new: bool) {
     let folder = tempfile::tempdir().unwrap();
-    let mut sidecar = Running::start("", &settings(folder.path(), "127.0.0.1:0"), Stdio::null());
+    let mut sidecar = SidecarProcess::start(
+        "",
+        &write_settings(folder.path(), "127.0.0.1:0"),
+        Stdio::null(),
+    );
     let mut client = sidecar.connect();
     let signal = |signal| kill_process(Pid::from_child(&sidecar.child), signal).unwrap();
     // One that has been let in.
@@ -25,7 +29,7 @@
         .write_all(b"GET /limewing/status HTTP/1.1\r\nhost: q\r\n\r\n")
         .unwrap();
     assert!(first.read(&mut [0; 4096]).unwrap() > 0);
-    stop(&sidecar.child);
+    suspend(&sidecar.child);
     if new {
         client = sidecar.connect();
     }
--- a/crates/cli/tests/command/main.rs
+++ b/crates/cli/tests/command/main.rs
@@ -3,9 +3,10 @@
 mod copies;
 mod days;
 mod fleet;
-mod help;
 mod known_red;
 mod leaving;
 mod platform;
+mod played_day;
+mod support;
 mod wants;
 mod work;
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -1,6 +1,6 @@
 //! Several processes of `limewing platform`, with faults between them and their pods, clients and services.
 
-use crate::help::Platform;
+use crate::support::PlatformProcess;
 use limewing_emulators::platform::{
     listing, Answer, Client, Config, Discovery, Does, Faults, Listed, Pod, World,
 };
@@ -16,28 +16,28 @@
 use std::thread::sleep;
 use std::time::{Duration, SystemTime};
 
-fn ask(group: &str, id: u32) -> String {
+fn statement(group: &str, id: u32) -> String {
     format!("SELECT blob FROM rows WHERE handle = '7f3a' /* id={id:x},c={group},t=acme,d=2000,k=ab{id:x} */")
 }
 
-fn with_pod(does: Vec<Does>) -> (Pod, Platform, Client) {
+fn with_pod(does: Vec<Does>) -> (Pod, PlatformProcess, Client) {
     let pod = Pod::new(does);
     let config = Config {
         patience: 2.0,
         ..Config::new(vec![Listed::new("p1", pod.at)])
     };
-    let sidecar = Platform::start(&config);
-    let client = Client::new(sidecar.at);
+    let sidecar = PlatformProcess::start(&config);
+    let client = Client::new(sidecar.address);
     (pod, sidecar, client)
 }
 
 /// Asks on new connections until the answer is that one.
-fn asks_until(at: SocketAddr, wanted: &str) {
+fn await_answer(at: SocketAddr, wanted: &str) {
     for id in 0.. {
         let Some(mut client) = Client::try_new(at, Duration::from_secs(5)) else {
             continue;
         };
-        client.asks(&ask("look", 0x1000 + id));
+        client.asks(&statement("look", 0x1000 + id));
         if client.hears() == Answer::Row(wanted.into()) {
             return;
         }
@@ -51,7 +51,7 @@
 fn a_leaving_sidecar_settles_what_is_out(#[case] does: Does) {
     let half = matches!(does, Does::Halves(_));
     let (pod, mut sidecar, mut client) = with_pod(vec![does]);
-    client.asks(&ask("pay", 1));
+    client.asks(&statement("pay", 1));
     assert!(pod.hears().starts_with("SELECT"));
     if half {
         assert_eq!(pod.hears(), "half");
@@ -64,32 +64,32 @@
         answer == Answer::Row("red".into()) || half && answer != Answer::End,
         "{answer:?}"
     );
-    assert!(sidecar.ends());
+    assert!(sidecar.wait_for_success());
 }
 
-/// The process stands still while its door is to close, and a statement comes meanwhile: on a new connection or on one
-/// that was idle. Without the mend the connection is closed with the statement unread.
+/// The process is suspended while its listener is to close, and a statement comes meanwhile: on a new connection or on one
+/// that was idle. Without the fix the connection is closed with the statement unread.
 #[rstest]
 #[case::new(true)]
 #[case::idle(false)]
-fn a_statement_that_comes_as_the_door_closes_is_answered(#[case] new: bool) {
+fn a_statement_that_comes_as_the_listener_closes_is_answered(#[case] new: bool) {
     let (_pod, mut sidecar, mut client) = with_pod(vec![Does::Serves("red")]);
-    let mut told = Client::new(sidecar.at);
+    let mut told = Client::new(sidecar.address);
     sidecar.signal(Signal::TERM);
-    // Whoever is served after the word to leave is closed: so it has been heard.
+    // Whoever is served after the signal to shut down is closed: so it has been handled.
     for id in 0.. {
-        told.asks(&ask("look", 0x100 + id));
+        told.asks(&statement("look", 0x100 + id));
         if told.hears() == Answer::End {
             break;
         }
     }
-    sidecar.stop();
-    sleep(DOOR_CLOSES);
+    sidecar.suspend();
+    sleep(LISTENER_CLOSES);
     if new {
-        client = Client::silent(sidecar.at);
+        client = Client::silent(sidecar.address);
         client.begins();
     }
-    client.asks(&ask("look", 1));
+    client.asks(&statement("look", 1));
     sidecar.signal(Signal::CONT);
     assert_eq!(
         if new {
@@ -100,7 +100,7 @@
         Answer::Row("red".into())
     );
     assert!(client.hears_the_end());
-    assert!(sidecar.ends());
+    assert!(sidecar.wait_for_success());
 }
 
 /// The process stands still for longer than a client may be silent, and its first statement comes just then: what was read
@@ -108,9 +108,9 @@
 #[test]
 fn a_first_statement_that_comes_as_silence_is_over_is_answered() {
     let (_pod, sidecar, mut client) = with_pod(vec![Does::Serves("red")]);
-    sidecar.stop();
+    sidecar.suspend();
     sleep(CLIENT_MESSAGE_TIMEOUT + MOMENT);
-    client.asks(&ask("look", 1));
+    client.asks(&statement("look", 1));
     sidecar.signal(Signal::CONT);
     assert_eq!(client.hears(), Answer::Row("red".into()));
 }
@@ -132,12 +132,12 @@
         ..Config::new(vec![Listed::new("p1", pod.at)])
     };
     config.discovery = discovery.at;
-    let sidecar = Platform::start(&config);
+    let sidecar = PlatformProcess::start(&config);
     discovery.is_asked();
-    let mut client = Client::new(sidecar.at);
-    client.asks(&ask("look", 1));
+    let mut client = Client::new(sidecar.address);
+    client.asks(&statement("look", 1));
     assert_eq!(pod.hears(), "came");
-    sidecar.stop();
+    sidecar.suspend();
     pod.go_on.send(()).unwrap();
     assert_eq!(pod.hears(), "welcomed");
     discovery.says(&listing(
@@ -154,7 +154,7 @@
 }
 
 /// Longer than connections go on coming to a sidecar that was told to leave.
-const DOOR_CLOSES: Duration = STOP_ACCEPTING_TIMEOUT.saturating_add(MOMENT);
+const LISTENER_CLOSES: Duration = STOP_ACCEPTING_TIMEOUT.saturating_add(MOMENT);
 const MOMENT: Duration = Duration::from_millis(100);
 
 /// A request may bring a longer time than the settings have: it is answered before the process has to be gone. Without
@@ -166,13 +166,13 @@
         patience: 1.0,
         ..Config::new(vec![Listed::new("p1", pod.at)])
     };
-    let mut sidecar = Platform::start(&config);
-    let mut client = Client::new(sidecar.at);
-    client.asks(&ask("pay", 1).replace("d=2000", "d=60000"));
+    let mut sidecar = PlatformProcess::start(&config);
+    let mut client = Client::new(sidecar.address);
+    client.asks(&statement("pay", 1).replace("d=2000", "d=60000"));
     assert!(pod.hears().starts_with("SELECT"));
     sidecar.signal(Signal::TERM);
     assert!(matches!(client.hears(), Answer::Error(code, _) if code == "58000"));
-    assert!(sidecar.ends());
+    assert!(sidecar.wait_for_success());
 }
 
 #[test]
@@ -181,12 +181,12 @@
         patience: 1.0,
         ..Config::new(Vec::new())
     };
-    let mut sidecar = Platform::start(&config);
-    let mut client = Client::new(sidecar.at);
-    client.asks(&ask("pay", 1));
+    let mut sidecar = PlatformProcess::start(&config);
+    let mut client = Client::new(sidecar.address);
+    client.asks(&statement("pay", 1));
     sidecar.signal(Signal::TERM);
     assert!(matches!(client.hears(), Answer::Error(code, _) if code == "53300"));
-    assert!(sidecar.ends());
+    assert!(sidecar.wait_for_success());
 }
 
 /// A watch that says nothing more is taken up again, from what is known; a watch that goes on is not asked for anew.
@@ -199,16 +199,16 @@
     let discovery = Discovery::new(listing(8, false, &[]));
     let mut config = Config::new(vec![Listed::new("p1", old.at)]);
     config.discovery = discovery.at;
-    let sidecar = Platform::start(&config);
+    let sidecar = PlatformProcess::start(&config);
     assert!(discovery.is_asked().contains("since=7 "));
     assert!(discovery.is_asked().contains("since=8 "));
-    asks_until(sidecar.at, "old");
+    await_answer(sidecar.address, "old");
     let gone = Listed {
         health: "terminated",
         ..Listed::new("p1", old.at)
     };
     discovery.says(&listing(9, false, &[gone, Listed::new("p2", new.at)]));
-    asks_until(sidecar.at, "new");
+    await_answer(sidecar.address, "new");
 }
 
 /// The services of a new configuration may come up later than it.
@@ -218,22 +218,22 @@
     let first = Discovery::new(listing(8, false, &[]));
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
     config.discovery = first.at;
-    let sidecar = Platform::start(&config);
+    let sidecar = PlatformProcess::start(&config);
     first.is_asked();
     let later = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     config.discovery = later;
-    sidecar.write(&config);
+    sidecar.write_config(&config);
     sidecar.signal(Signal::HUP);
-    asks_until(sidecar.at, "red");
+    await_answer(sidecar.address, "red");
     let second = Discovery::at(later, listing(9, false, &[]));
     assert!(second.is_asked().contains("since=8 "));
-    asks_until(sidecar.at, "red");
+    await_answer(sidecar.address, "red");
 }
 
-/// A configuration that is still being written when its signal comes is read again by itself. Without the mend it is
+/// A configuration that is still being written when its signal comes is read again by itself. Without the fix it is
 /// refused once, and the old one stays for good.
 #[test]
 fn a_half_written_configuration_is_read_again() {
@@ -244,14 +244,14 @@
     );
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
     config.discovery = first.at;
-    let sidecar = Platform::start(&config);
+    let sidecar = PlatformProcess::start(&config);
     first.is_asked();
     config.discovery = second.at;
     let whole = config.json();
-    sidecar.write_text(&whole[..whole.len() / 2]);
+    sidecar.write_config_text(&whole[..whole.len() / 2]);
     sidecar.signal(Signal::HUP);
-    asks_until(sidecar.at, "red");
-    sidecar.write_text(&whole);
+    await_answer(sidecar.address, "red");
+    sidecar.write_config_text(&whole);
     assert!(second.is_asked().contains("since=8 "));
 }
 
@@ -264,10 +264,10 @@
         Pod::new(vec![Does::Serves("new")]),
     );
     let mut config = Config::new(vec![Listed::new("p1", old.at)]);
-    let mut sidecar = Platform::start(&config);
-    asks_until(sidecar.at, "old");
+    let mut sidecar = PlatformProcess::start(&config);
+    await_answer(sidecar.address, "old");
     sidecar.signal(Signal::KILL);
-    assert!(!sidecar.ends());
+    assert!(!sidecar.wait_for_success());
     let now = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap()
@@ -278,10 +278,10 @@
         ..Listed::new("p1", new.at)
     };
     let discovery = Discovery::new(listing(9, true, &[again]));
-    (config.discovery, config.listen) = (discovery.at, sidecar.at);
-    let sidecar = Platform::start(&config);
+    (config.discovery, config.listen) = (discovery.at, sidecar.address);
+    let sidecar = PlatformProcess::start(&config);
     assert!(discovery.is_asked().contains("since=7 "));
-    asks_until(sidecar.at, "new");
+    await_answer(sidecar.address, "new");
 }
 
 const READY: &str = "in_service";
@@ -313,15 +313,15 @@
             &[(0, READY, 0), (1, READY, 0), (2, READY, 0), (3, READY, 0)],
         );
         world.knows_news(own, 1, 0, "Healthy", 1.0);
-        Platform::start(&config(world, own, listen))
+        PlatformProcess::start(&config(world, own, listen))
     };
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut all: Vec<Platform> = (0..ALL).map(|own| start(&world, own, free)).collect();
+    let mut all: Vec<PlatformProcess> = (0..ALL).map(|own| start(&world, own, free)).collect();
     let stop = Arc::new(AtomicBool::new(false));
     let clients = (0..3 * ALL).map(|n| {
         let own = n % ALL;
         world.client(
-            (own, all[own].at),
+            (own, all[own].address),
             n as u64 + 1,
             Duration::from_secs(1),
             stop.clone(),
@@ -344,26 +344,26 @@
         sidecar: sidecar(0),
     });
     all[0].signal(Signal::KILL);
-    all[0].ends();
+    all[0].wait_for_success();
     // Its clients notice before another process stands at its address.
     pause(300);
-    all[0] = start(&world, 0, all[0].at);
+    all[0] = start(&world, 0, all[0].address);
 
     world.note(Event::SidecarDraining {
         sidecar: sidecar(1),
     });
     all[1].signal(Signal::TERM);
-    assert!(all[1].ends());
+    assert!(all[1].wait_for_success());
     pause(300);
     world.note(Event::SidecarExited {
         sidecar: sidecar(1),
     });
-    all[1] = start(&world, 1, all[1].at);
+    all[1] = start(&world, 1, all[1].address);
 
     world.note(Event::SidecarSuspended {
         sidecar: sidecar(2),
     });
-    all[2].stop();
+    all[2].suspend();
     pause(400);
     all[2].signal(Signal::CONT);
     world.note(Event::SidecarResumed {
--- a/crates/cli/tests/command/help.rs
+++ b/crates/cli/tests/command/support.rs
@@ -1,23 +1,32 @@
-//! Sidecars as processes of their own, with what the system grants them.
+//! The command and its sidecars as processes of their own.
 
 use limewing_emulators::platform::Config;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-pub(crate) fn in_repo(file: &str) -> PathBuf {
+/// The path of a file of the repository.
+pub(crate) fn repository_file(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .join(file)
 }
 
-/// A file of settings with the address to listen on put in.
-pub(crate) fn settings(folder: &Path, listen: &str) -> PathBuf {
+/// Runs the command to its end.
+pub(crate) fn run_limewing(args: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_limewing"))
+        .args(args)
+        .output()
+        .expect("the command starts")
+}
+
+/// Writes the example settings with another address to listen on.
+pub(crate) fn write_settings(folder: &Path, listen: &str) -> PathBuf {
     let file = folder.join("sidecar.json");
-    let example = std::fs::read_to_string(in_repo("deploy/sidecar.example.json")).unwrap();
+    let example = std::fs::read_to_string(repository_file("deploy/sidecar.example.json")).unwrap();
     let example = example
         .replace("127.0.0.1:8080", listen)
         .replace("sidecar-0.state.json", "/dev/null/none");
@@ -25,8 +34,8 @@
     file
 }
 
-/// Settings of a sidecar that knows these pods, each with a build.
-pub(crate) fn settings_with(folder: &Path, pods: &[(SocketAddr, u16)]) -> PathBuf {
+/// Writes settings of a sidecar that knows these pods, each with a build.
+pub(crate) fn write_settings_with_pods(folder: &Path, pods: &[(SocketAddr, u16)]) -> PathBuf {
     let state = folder.join("state.json");
     let row = |(at, build): &(SocketAddr, u16)| {
         format!(
@@ -39,25 +48,26 @@
         format!(r#"{{"version":1,"pods":[{}]}}"#, rows.join(",")),
     )
     .unwrap();
-    let file = settings(folder, "127.0.0.1:0");
-    change(&file, "/dev/null/none", state.to_str().unwrap());
+    let file = write_settings(folder, "127.0.0.1:0");
+    replace_in_file(&file, "/dev/null/none", state.to_str().unwrap());
     file
 }
 
-/// Puts something else into a file of settings.
-pub(crate) fn change(file: &Path, what: &str, by: &str) {
+/// Replaces a text that a file has.
+pub(crate) fn replace_in_file(file: &Path, what: &str, by: &str) {
     let text = std::fs::read_to_string(file).unwrap();
     assert!(text.contains(what), "{what} in {text}");
     std::fs::write(file, text.replace(what, by)).unwrap();
 }
 
-/// A sidecar that ends with its test.
-pub(crate) struct Running {
+/// A process of `limewing sidecar`, ended with its test.
+pub(crate) struct SidecarProcess {
     pub child: Child,
-    pub at: String,
+    /// Where it serves its clients.
+    pub address: String,
 }
 
-impl Running {
+impl SidecarProcess {
     /// Starts one within the limits that a shell sets first (`ulimit -n 40;`), and waits until it listens.
     pub(crate) fn start(limits: &str, file: &Path, log: Stdio) -> Self {
         let run = format!(
@@ -75,37 +85,37 @@
         BufReader::new(child.stdout.take().unwrap())
             .read_line(&mut line)
             .unwrap();
-        let at = line
+        let address = line
             .trim()
             .strip_prefix("listening ")
             .unwrap_or("it does not listen")
             .to_owned();
-        Self { child, at }
+        Self { child, address }
     }
 
     pub(crate) fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(&self.at).unwrap();
+        let stream = TcpStream::connect(&self.address).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
         stream
     }
 
-    pub(crate) fn runs(&mut self) -> bool {
+    pub(crate) fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 }
 
-impl Drop for Running {
+impl Drop for SidecarProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Stops a process, and waits until all its threads stand still. Before that its poll may still return what comes, and the
+/// Suspends a process, and waits until all its threads are stopped. Before that its poll may still return what comes, and the
 /// process would act on that alone when it goes on.
-pub(crate) fn stop(child: &Child) {
+pub(crate) fn suspend(child: &Child) {
     kill_process(Pid::from_child(child), Signal::STOP).unwrap();
     let tasks = format!("/proc/{}/task", child.id());
     let is_stopped = |task: std::fs::DirEntry| {
@@ -123,13 +133,14 @@
 }
 
 /// A process of `limewing platform`, ended with its test.
-pub(crate) struct Platform {
+pub(crate) struct PlatformProcess {
     child: Child,
-    pub at: SocketAddr,
+    /// Where it serves its clients.
+    pub address: SocketAddr,
     folder: tempfile::TempDir,
 }
 
-impl Platform {
+impl PlatformProcess {
     /// Starts one and waits until it listens; its log is read on, so that it is never held up by it.
     pub(crate) fn start(config: &Config) -> Self {
         let folder = tempfile::tempdir().unwrap();
@@ -140,30 +151,34 @@
         let mut child = command.spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
-        let at = loop {
+        let address = loop {
             line.clear();
             assert!(log.read_line(&mut line).unwrap() > 0, "it does not listen");
             let told = line
                 .split_once("\"address\":\"")
                 .and_then(|(_, rest)| rest.split('"').next());
-            if let Some(at) = told.filter(|_| line.contains("\"listening\"")) {
-                break at.parse().unwrap();
+            if let Some(address) = told.filter(|_| line.contains("\"listening\"")) {
+                break address.parse().unwrap();
             }
         };
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Self { child, at, folder }
+        Self {
+            child,
+            address,
+            folder,
+        }
     }
 
     pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Replaces its configuration.
-    pub(crate) fn write(&self, config: &Config) {
-        self.write_text(&config.json());
+    /// Replaces its configuration, which it reads again on SIGHUP.
+    pub(crate) fn write_config(&self, config: &Config) {
+        self.write_config_text(&config.json());
     }
 
-    pub(crate) fn write_text(&self, text: &str) {
+    pub(crate) fn write_config_text(&self, text: &str) {
         std::fs::write(self.folder.path().join("config.json"), text).unwrap();
     }
 
@@ -171,25 +186,26 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Stops it, and waits until it stands still.
-    pub(crate) fn stop(&self) {
-        stop(&self.child);
+    /// Suspends it, and waits until all its threads are stopped.
+    pub(crate) fn suspend(&self) {
+        suspend(&self.child);
     }
 
-    /// Waits until it has ended; whether it did so by itself and well.
-    pub(crate) fn ends(&mut self) -> bool {
+    /// Waits until it has ended; whether it exited with success.
+    pub(crate) fn wait_for_success(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
 }
 
-impl Drop for Platform {
+impl Drop for PlatformProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-pub(crate) fn status(of: &str) -> String {
+/// The response of a sidecar to a request for its status page.
+pub(crate) fn fetch_status(of: &str) -> String {
     let mut client = TcpStream::connect(of).unwrap();
     client
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -203,7 +219,7 @@
 }
 
 /// One request on a connection that stays; the head of its answer, whose body has a length.
-pub(crate) fn ask(stream: &mut TcpStream, request: &str) -> std::io::Result<String> {
+pub(crate) fn send_request(stream: &mut TcpStream, request: &str) -> std::io::Result<String> {
     stream.write_all(request.as_bytes())?;
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/cli/tests/command/work.rs
+++ b/crates/cli/tests/command/work.rs
@@ -1,6 +1,7 @@
 //! Machines out for work while processes and links fail: days of six sidecars and 24 pods under hits.
 
-use crate::days::{limewing, play};
+use crate::played_day::play_day;
+use crate::support::{run_limewing, write_settings, SidecarProcess};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -18,10 +19,10 @@
 /// A day with this done to its script; what it printed, and the sidecars' logs.
 fn plays(change: impl Fn(&mut Value)) -> (String, Vec<String>) {
     let _one = one_of_four();
-    let day = play("work", change);
-    day.must_be_well();
-    let logs = (0..6).map(|number| day.log(number)).collect();
-    (day.text, logs)
+    let day = play_day("work", change);
+    day.assert_success();
+    let logs = (0..6).map(|number| day.sidecar_log(number)).collect();
+    (day.output, logs)
 }
 
 fn step(at: f64, does: Value) -> Value {
@@ -164,7 +165,7 @@
 
 /// A machine goes out with all its pods.
 #[test]
-fn machines_of_several_pods() {
+fn a_machine_goes_out_with_all_its_pods() {
     let (text, _) = plays(|day| day["work"]["pods_a_machine"] = 2.into());
     assert!(text.contains("machines: 12 worked on, 0 failed"), "{text}");
 }
@@ -210,7 +211,7 @@
     let file = folder.path().join("list.json");
     let list = "{\n\"name\": \"\",\n\"machines\": [\"a\", \"a\"],\n\"takes\": 9,\n\"stalls_after\": 5,\n\"limits\": {\"out\": 0, \"ready_part\": 2}\n}";
     std::fs::write(&file, list).unwrap();
-    let out = limewing(&["work", "check", file.to_str().unwrap()]);
+    let out = run_limewing(&["work", "check", file.to_str().unwrap()]);
     let text = String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(2), "{text}");
     for (line, path) in [
@@ -232,12 +233,12 @@
 #[test]
 fn without_work_nothing_goes_out() {
     let folder = tempfile::tempdir().unwrap();
-    let sidecar = crate::help::Running::start(
+    let sidecar = SidecarProcess::start(
         "",
-        &crate::help::settings(folder.path(), "127.0.0.1:0"),
+        &write_settings(folder.path(), "127.0.0.1:0"),
         std::process::Stdio::null(),
     );
-    let out = limewing(&["work", "show", &sidecar.at.to_string()]);
+    let out = run_limewing(&["work", "show", &sidecar.address.to_string()]);
     let text = String::from_utf8_lossy(&out.stderr);
     assert!(
         out.status.code() == Some(1) && text.contains("no `work` in its settings"),
