--- a/crates/emulators/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -6,15 +6,15 @@
 mod services;
 mod work;
 
+use crate::deduplication::DeduplicationMemory;
 use crate::fleet::{key_file, write_keys, Relay, FIRST_KEYS};
-use crate::installer::{Installer, PlaceNo};
-use crate::marks::Marks;
-use crate::script::{DayScript, Trouble, FIRST_BUILD};
+use crate::rollout::{RolloutController, SlotId};
+use crate::script::{DayFault, DayScript, FIRST_BUILD};
 use clients::{ClientLink, Clients};
 use limewing_fault_injection::FaultyNetwork;
 use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use limewing_net::timer_wheel::TimerWheel;
-use limewing_rule_checker::record::{Entry, OrderId, PodNo, Recorder, SidecarNo};
+use limewing_rule_checker::record::{Event, PodId, Recorder, RequestId, SidecarId};
 use limewing_settings::Seconds;
 use pods::{Pod, PodLink};
 use processes::Process;
@@ -55,7 +55,7 @@
 }
 
 enum End {
-    PodListener(PodNo),
+    PodListener(PodId),
     ListListener,
     InstallerListener,
     Pod(Box<PodLink>),
@@ -68,13 +68,13 @@
 enum Due {
     Hit,
     Worthless(usize),
-    Retry(OrderId),
+    Retry(RequestId),
     GiveUp(SocketId),
     Leave(SocketId),
-    Report(SidecarNo, String),
-    Done(PodNo, u64),
-    PodUp(PodNo),
-    PodDown(PodNo),
+    Report(SidecarId, String),
+    Done(PodId, u64),
+    PodUp(PodId),
+    PodDown(PodId),
     Publish(Box<Published>),
     ListAnswer(SocketId, u64),
     Tick,
@@ -85,7 +85,7 @@
     Rest(SocketId),
     VoteAnswer(Box<LateAnswer>),
     Offer(usize),
-    Trouble(usize),
+    DayFault(usize),
     TroubleEnds(usize),
     Work(usize),
     WorkBegins(u64),
@@ -112,14 +112,14 @@
     chance: StdRng,
     record: Recorder<BufWriter<File>>,
     trouble: Option<io::Error>,
-    pods: BTreeMap<PodNo, Pod>,
+    pods: BTreeMap<PodId, Pod>,
     next_pod: u32,
     jobs: pods::Jobs,
-    marks: Marks,
-    installer: Installer,
+    deduplication: DeduplicationMemory,
+    installer: RolloutController,
     list: services::ListState,
     /// Troubles that last, by their place in the script.
-    present: BTreeMap<usize, Trouble>,
+    present: BTreeMap<usize, DayFault>,
     clients: Clients,
     processes: Vec<Process>,
     /// Between the sidecars, if they know of each other.
@@ -179,8 +179,12 @@
             pods: BTreeMap::new(),
             next_pod: 0,
             jobs: pods::Jobs::default(),
-            marks: Marks::default(),
-            installer: Installer::new(script.releases.clone(), script.fleet.pods, FIRST_BUILD),
+            deduplication: DeduplicationMemory::default(),
+            installer: RolloutController::new(
+                script.releases.clone(),
+                script.fleet.pods,
+                FIRST_BUILD,
+            ),
             list: services::ListState::new(list_at, installer_at),
             present: BTreeMap::new(),
             clients: Clients::default(),
@@ -190,12 +194,12 @@
             on: false,
             over: false,
         };
-        day.note(Entry::Begin {
+        day.note(Event::Begin {
             day: script.name.clone(),
-            terms: script.terms(),
+            limits: script.rule_limits(),
         });
         if let Some(peers) = &script.peers {
-            let members = script.sidecars.len();
+            let members = script.sidecar_zones.len();
             for number in 0..members {
                 write_keys(&key_file(&day.folder, number), &FIRST_KEYS)?;
             }
@@ -205,17 +209,17 @@
             )?);
         }
         for place in 0..script.fleet.pods {
-            day.start_pod(PlaceNo(place), FIRST_BUILD, false)?;
+            day.start_pod(SlotId(place), FIRST_BUILD, false)?;
         }
-        for number in 0..script.sidecars.len() {
+        for number in 0..script.sidecar_zones.len() {
             let process = day.spawn(number, None)?;
             day.processes.push(process);
         }
         Ok(day)
     }
 
-    fn note(&mut self, entry: Entry) {
-        if let Err(trouble) = self.record.note(self.now, entry) {
+    fn note(&mut self, event: Event) {
+        if let Err(trouble) = self.record.append(self.now, event) {
             self.trouble.get_or_insert(trouble);
         }
     }
@@ -223,7 +227,7 @@
     fn run(&mut self, view: &mut dyn FnMut(Progress)) -> Result<(), DayTrouble> {
         // The day begins once each sidecar has been told the list.
         let ready = Instant::now() + Duration::from_secs(10);
-        while self.list.told.len() < self.script.sidecars.len() {
+        while self.list.told.len() < self.script.sidecar_zones.len() {
             self.turn()?;
             if Instant::now() > ready {
                 return Err(DayTrouble::NotReady);
@@ -237,7 +241,7 @@
             }
         }
         self.processes.iter_mut().for_each(Process::end);
-        self.note(Entry::End {});
+        self.note(Event::End {});
         self.record.flush()?;
         self.trouble
             .take()
@@ -256,13 +260,13 @@
             self.wheel
                 .schedule(now + offer.at.into(), Due::Offer(number));
         }
-        for (number, trouble) in script.troubles.iter().enumerate() {
+        for (number, trouble) in script.faults.iter().enumerate() {
             self.wheel
-                .schedule(now + trouble.at.into(), Due::Trouble(number));
+                .schedule(now + trouble.at.into(), Due::DayFault(number));
         }
         self.begin_work();
         self.clients.until = Duration::MAX;
-        self.end_by(now + script.lasts.into());
+        self.end_by(now + script.duration.into());
     }
 
     /// No more hits after this, if it is before what was said before.
@@ -286,7 +290,7 @@
         // How much later than it was to come back at the latest: nothing was read meanwhile.
         let late = began.saturating_sub(before + wait);
         if self.on && late > LONG_TURN {
-            self.note(Entry::Stood { span: late });
+            self.note(Event::RecorderStalled { duration: late });
         }
         for what in happened {
             self.happened(what)?;
@@ -297,7 +301,7 @@
         let span = self.start.elapsed() - began;
         if self.on && span > LONG_TURN {
             self.now = self.start.elapsed();
-            self.note(Entry::Stood { span });
+            self.note(Event::RecorderStalled { duration: span });
         }
         Ok(())
     }
@@ -377,7 +381,7 @@
                 let build = self.script.offers[number].build;
                 self.installer.offer(build, self.now);
             }
-            Due::Trouble(number) => self.trouble_begins(number)?,
+            Due::DayFault(number) => self.trouble_begins(number)?,
             Due::TroubleEnds(number) => self.trouble_ends(number)?,
             Due::Work(number) => self.work_step(number),
             Due::WorkBegins(grant) => self.work_begins(grant),
@@ -392,31 +396,34 @@
     }
 
     fn trouble_begins(&mut self, number: usize) -> Result<(), DayTrouble> {
-        let trouble = &self.script.troubles[number];
-        self.note(Entry::Trouble {
-            text: format!("begins: {:?}", trouble.what),
+        let trouble = &self.script.faults[number];
+        self.note(Event::Fault {
+            text: format!("begins: {}", trouble.fault),
         });
-        self.present.insert(number, trouble.what.clone());
-        if let Some(lasts) = trouble.lasts {
+        self.present.insert(number, trouble.fault.clone());
+        if let Some(lasts) = trouble.duration {
             self.wheel
                 .schedule(self.now + lasts.into(), Due::TroubleEnds(number));
         }
-        match &trouble.what {
-            Trouble::PodsKilled(places) => places
+        match &trouble.fault {
+            DayFault::PodsKilled(places) => places
                 .iter()
-                .for_each(|place| self.kill_pods(PlaceNo(*place))),
-            Trouble::PodsHung(places) => self.set_hung(places, true),
-            Trouble::PodsSlow { places, factor } => self.set_slow(places, *factor),
-            Trouble::SidecarKilled(number) => self.kill_sidecar(*number),
-            Trouble::SidecarLeaves(number) => {
+                .for_each(|place| self.kill_pods(SlotId(*place))),
+            DayFault::PodsHung(places) => self.set_hung(places, true),
+            DayFault::PodsSlow {
+                slots: places,
+                factor,
+            } => self.set_slow(places, *factor),
+            DayFault::SidecarKilled(number) => self.kill_sidecar(*number),
+            DayFault::SidecarTerminated(number) => {
                 self.bid_leave(*number);
             }
-            Trouble::SidecarStopped(number) => {
+            DayFault::SidecarSuspended(number) => {
                 self.stop_sidecar(*number);
             }
-            Trouble::ListDown => self.list_down(),
-            Trouble::InstallerDown => self.installer_down(),
-            Trouble::Worthless { .. } => self.worthless(number),
+            DayFault::ListDown => self.list_down(),
+            DayFault::RolloutsDown => self.installer_down(),
+            DayFault::FailingTenant { .. } => self.worthless(number),
             _ => {}
         }
         Ok(())
@@ -426,50 +433,52 @@
         let Some(trouble) = self.present.remove(&number) else {
             return Ok(());
         };
-        self.note(Entry::Trouble {
-            text: format!("ends: {trouble:?}"),
+        self.note(Event::Fault {
+            text: format!("ends: {trouble}"),
         });
         match &trouble {
-            Trouble::PodsKilled(places) => {
+            DayFault::PodsKilled(places) => {
                 for place in places {
-                    let build = self.installer.build_at(PlaceNo(*place));
-                    self.start_pod(PlaceNo(*place), build, true)?;
+                    let build = self.installer.build_at(SlotId(*place));
+                    self.start_pod(SlotId(*place), build, true)?;
                 }
             }
-            Trouble::PodsHung(places) => self.set_hung(places, false),
-            Trouble::PodsSlow { places, .. } => self.set_slow(places, 1.0),
-            Trouble::SidecarKilled(number) | Trouble::SidecarLeaves(number) => {
+            DayFault::PodsHung(places) => self.set_hung(places, false),
+            DayFault::PodsSlow { slots: places, .. } => self.set_slow(places, 1.0),
+            DayFault::SidecarKilled(number) | DayFault::SidecarTerminated(number) => {
                 self.start_again(*number)?
             }
-            Trouble::SidecarStopped(number) => {
+            DayFault::SidecarSuspended(number) => {
                 self.let_go_on(*number);
             }
-            Trouble::ListDown => self.list_up()?,
-            Trouble::InstallerDown => self.installer_up()?,
+            DayFault::ListDown => self.list_up()?,
+            DayFault::RolloutsDown => self.installer_up()?,
             _ => {}
         }
         Ok(())
     }
 
-    fn is_present(&self, fits: impl Fn(&Trouble) -> bool) -> bool {
+    fn is_present(&self, fits: impl Fn(&DayFault) -> bool) -> bool {
         self.present.values().any(fits)
     }
 
     /// Whether nothing passes between two zones.
     fn is_cut(&self, one: &str, other: &str) -> bool {
         one != other
-            && self.is_present(|t| matches!(t, Trouble::ZoneCut(cut) if cut == one || cut == other))
+            && self.is_present(
+                |t| matches!(t, DayFault::ZonePartitioned(cut) if cut == one || cut == other),
+            )
     }
 
-    fn zone_of(&self, sidecar: SidecarNo) -> &'a str {
+    fn zone_of(&self, sidecar: SidecarId) -> &'a str {
         self.script
-            .sidecars
+            .sidecar_zones
             .get(sidecar.0 as usize)
             .map_or("", String::as_str)
     }
 
     /// Whether a sidecar is cut off from list and installer.
-    fn is_cut_off(&self, sidecar: SidecarNo) -> bool {
+    fn is_cut_off(&self, sidecar: SidecarId) -> bool {
         self.is_cut(self.zone_of(sidecar), &self.script.fleet.zones[0])
     }
 
@@ -489,7 +498,7 @@
             troubles: self
                 .present
                 .values()
-                .map(|trouble| format!("{trouble:?}"))
+                .map(|trouble| trouble.to_string())
                 .collect(),
         }
     }
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -1,17 +1,17 @@
 //! The pods' sockets: forwards are read, worked off by the model, and answered.
 
 use super::{Day, DayTrouble, Due, End};
-use crate::installer::PlaceNo;
-use crate::marks;
-use crate::pod::{Arrival, Machine, Next, PodModel};
-use crate::script::{Fault, Trouble};
+use crate::deduplication::DeduplicationKey;
+use crate::pod_model::{Arrival, Dequeued, Machine, PodModel};
+use crate::rollout::SlotId;
+use crate::script::{BuildFault, DayFault};
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
 use limewing_net::http::{write_response, RequestHead};
 use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
-use limewing_rule_checker::record::{Entry, OrderId, PodNo, SidecarNo, Try};
-use limewing_settings::DeduplicationScope as Reach;
+use limewing_rule_checker::record::{AttemptKey, Event, PodId, RequestId, SidecarId};
+use limewing_settings::DeduplicationScope;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -28,7 +28,7 @@
 pub const BUILD: &str = "day-build";
 
 pub struct Pod {
-    pub place: PlaceNo,
+    pub place: SlotId,
     pub build: u16,
     pub listener: Option<SocketId>,
     pub address: SocketAddr,
@@ -45,8 +45,8 @@
 }
 
 pub struct PodLink {
-    pub pod: PodNo,
-    sidecar: Option<SidecarNo>,
+    pub pod: PodId,
+    sidecar: Option<SidecarId>,
     requests: RequestReader,
     busy: bool,
     /// The connection is not yet of use.
@@ -54,7 +54,7 @@
 }
 
 impl PodLink {
-    pub fn new(pod: PodNo) -> Self {
+    pub fn new(pod: PodId) -> Self {
         Self {
             pod,
             sidecar: None,
@@ -74,10 +74,10 @@
 
 struct Job {
     link: SocketId,
-    of: Try,
+    of: AttemptKey,
     group: usize,
     worthless: bool,
-    mark: Option<marks::Key>,
+    mark: Option<DeduplicationKey>,
     /// Whether it takes effect: known once it is in work.
     effect: bool,
 }
@@ -88,17 +88,17 @@
 
 impl Day<'_> {
     /// A new connection to a pod, if it takes one.
-    pub(super) fn pod_link(&mut self, pod: PodNo, socket: SocketId) -> Option<PodLink> {
+    pub(super) fn pod_link(&mut self, pod: PodId, socket: SocketId) -> Option<PodLink> {
         let mut link = PodLink::new(pod);
         for trouble in self.present.values() {
             match trouble {
-                Trouble::ConnectionsScarce { most } => {
+                DayFault::ConnectionsLimited { max: most } => {
                     let here = |end: &&End| matches!(end, End::Pod(link) if link.pod == pod);
                     if self.ends.values().filter(here).count() >= *most {
                         return None;
                     }
                 }
-                Trouble::ConnectionsDear(wait) => {
+                DayFault::ConnectionsDelayed(wait) => {
                     link.opening = true;
                     self.wheel
                         .schedule(self.now + (*wait).into(), Due::PodRead(socket));
@@ -120,27 +120,27 @@
         let (fleet, rules) = (&self.script.fleet, &self.script.rules);
         Machine {
             cores: fleet.cores,
-            waiting: fleet.waiting,
-            cold_from: rules.cold_from,
-            cold_for: rules.cold_for.into(),
+            queue_limit: fleet.queue_limit,
+            slow_start_from: rules.cold_from,
+            slow_start_duration: rules.cold_for.into(),
         }
     }
 
     /// Begins a pod; a new one runs, and is cold, only after a while.
     pub(super) fn start_pod(
         &mut self,
-        place: PlaceNo,
+        place: SlotId,
         build: u16,
         fresh: bool,
     ) -> Result<(), DayTrouble> {
         let (listener, address) = self
             .sockets
             .listen("127.0.0.1:0".parse().expect("an address"))?;
-        let number = PodNo(self.next_pod);
+        let number = PodId(self.next_pod);
         self.next_pod += 1;
         let (zone, cell) = (
             place.0 % self.script.fleet.zones.len(),
-            place.0 / self.script.fleet.cell,
+            place.0 / self.script.fleet.pods_per_cell,
         );
         let (model, up_at) = (PodModel::new(self.machine(), self.now, fresh), self.now);
         let (up, draining, listener) = (false, false, Some(listener));
@@ -166,7 +166,7 @@
         self.pods.insert(number, pod);
         if fresh {
             self.wheel.schedule(
-                self.now + self.script.fleet.starts_within.into(),
+                self.now + self.script.fleet.startup_time.into(),
                 Due::PodUp(number),
             );
         } else {
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    pub(super) fn pod_up(&mut self, number: PodNo) {
+    pub(super) fn pod_up(&mut self, number: PodId) {
         let (machine, now) = (self.machine(), self.now);
         let Some(pod) = self.pods.get_mut(&number) else {
             return;
@@ -186,15 +186,15 @@
         // Those of the first fleet have run for long.
         pod.started = if pod.cold { today } else { today - 86_400.0 };
         pod.model = PodModel::new(machine, now, pod.cold);
-        pod.model.slow = self.script.slow_of(pod.build);
+        pod.model.slowdown = self.script.slowdown_of(pod.build);
         let (zone, capacity) = (pod.zone as u16, machine.cores as f64);
-        let entry = Entry::PodUp {
+        let entry = Event::PodStarted {
             pod: number,
             build: pod.build,
             zone,
             cell: pod.cell,
             capacity,
-            cold: pod.cold,
+            warming_up: pod.cold,
         };
         self.note(entry);
         self.apply_lasting();
@@ -203,17 +203,20 @@
 
     /// Troubles that are present hold for pods that come during them too.
     fn apply_lasting(&mut self) {
-        let present: Vec<Trouble> = self.present.values().cloned().collect();
+        let present: Vec<DayFault> = self.present.values().cloned().collect();
         for trouble in present {
             match trouble {
-                Trouble::PodsHung(places) => self.set_hung(&places, true),
-                Trouble::PodsSlow { places, factor } => self.set_slow(&places, factor),
+                DayFault::PodsHung(places) => self.set_hung(&places, true),
+                DayFault::PodsSlow {
+                    slots: places,
+                    factor,
+                } => self.set_slow(&places, factor),
                 _ => {}
             }
         }
     }
 
-    pub(super) fn drain_others(&mut self, place: PlaceNo, build: u16) {
+    pub(super) fn drain_others(&mut self, place: SlotId, build: u16) {
         let others = self
             .pods
             .iter_mut()
@@ -225,24 +228,24 @@
         }
         for number in leaving {
             self.wheel.schedule(
-                self.now + self.script.fleet.drains_for.into(),
+                self.now + self.script.fleet.drain_duration.into(),
                 Due::PodDown(number),
             );
         }
         self.publish_later();
     }
 
-    pub(super) fn kill_pods(&mut self, place: PlaceNo) {
+    pub(super) fn kill_pods(&mut self, place: SlotId) {
         let here = self
             .pods
             .iter()
             .filter(|(_, pod)| pod.place == place && pod.up);
-        let here: Vec<PodNo> = here.map(|(number, _)| *number).collect();
+        let here: Vec<PodId> = here.map(|(number, _)| *number).collect();
         here.into_iter().for_each(|number| self.pod_down(number));
     }
 
     /// Hits that are at a place's pods, waiting or in work.
-    pub(super) fn open_at(&self, place: PlaceNo) -> usize {
+    pub(super) fn open_at(&self, place: SlotId) -> usize {
         let here = |job: &&Job| match self.ends.get(&job.link) {
             Some(End::Pod(link)) => self
                 .pods
@@ -253,11 +256,11 @@
         self.jobs.held.values().filter(here).count()
     }
 
-    pub(super) fn pod_down(&mut self, number: PodNo) {
+    pub(super) fn pod_down(&mut self, number: PodId) {
         let Some(pod) = self.pods.remove(&number) else {
             return;
         };
-        self.note(Entry::PodDown { pod: number });
+        self.note(Event::PodExited { pod: number });
         let listener = pod.listener.into_iter();
         let links = self
             .ends
@@ -274,7 +277,7 @@
             .pods
             .iter_mut()
             .filter(|(_, pod)| places.contains(&pod.place.0));
-        let here: Vec<PodNo> = here
+        let here: Vec<PodId> = here
             .map(|(number, pod)| {
                 pod.model.hung = hung;
                 *number
@@ -286,7 +289,7 @@
     pub(super) fn set_slow(&mut self, places: &[usize], factor: f64) {
         for pod in self.pods.values_mut() {
             if places.contains(&pod.place.0) {
-                pod.model.slow = self.script.slow_of(pod.build) * factor;
+                pod.model.slowdown = self.script.slowdown_of(pod.build) * factor;
             }
         }
     }
@@ -337,29 +340,37 @@
         let Some(group) = self.group_of(head) else {
             return self.drop_end(id);
         };
-        let mean = f64::from(self.script.groups[group].work);
+        let mean = f64::from(self.script.classes[group].mean_work);
         // The same hit is as much work wherever it runs.
-        let mut own = StdRng::seed_from_u64(self.script.seed ^ of.0 .0.wrapping_mul(0x9e37_79b9));
+        let mut own =
+            StdRng::seed_from_u64(self.script.seed ^ of.request.0.wrapping_mul(0x9e37_79b9));
         let spread = LogNormal::new(0.0, 0.25).map_or(1.0, |spread| spread.sample(&mut own));
         let work = Duration::from_secs_f64(mean * spread);
-        self.note(Entry::Arrived {
+        self.note(Event::ForwardArrived {
             pod: number,
             sidecar,
-            of,
-            group,
+            attempt: of,
+            class: group,
             work,
         });
-        if self.is_present(|t| matches!(t, Trouble::PodsSilent(places) if places.contains(&place)))
+        if self.is_present(|t| matches!(t, DayFault::PodsSilent(places) if places.contains(&place)))
         {
             return;
         }
-        let shared = self.script.memory(group).map(|(reach, _)| match reach {
-            Reach::All => 0,
-            Reach::Zone => at.0,
-            Reach::Cell => at.1,
-        });
+        let shared = self
+            .script
+            .deduplication(group)
+            .map(|(reach, _)| match reach {
+                DeduplicationScope::All => 0,
+                DeduplicationScope::Zone => at.0,
+                DeduplicationScope::Cell => at.1,
+            });
         let mark = shared.zip(head.fields.text("idempotency-key"));
-        let mark = mark.map(|(shared, tag)| (group, shared, tag.to_owned()));
+        let mark = mark.map(|(scope, tag)| DeduplicationKey {
+            class: group,
+            scope,
+            idempotency_key: tag.to_owned(),
+        });
         let worthless = head.fields.get(WORTHLESS).is_some();
         let job = self.jobs.next;
         self.jobs.next += 1;
@@ -384,10 +395,13 @@
         };
         match pod.model.arrive(job, work, until, self.now) {
             Arrival::Begun(job, until) => self.begun(number, job, until),
-            Arrival::Waits => {}
-            Arrival::TurnedAway(job) => {
+            Arrival::Queued => {}
+            Arrival::Rejected(job) => {
                 self.jobs.held.remove(&job);
-                self.note(Entry::TurnedAway { pod: number, of });
+                self.note(Event::ForwardRejected {
+                    pod: number,
+                    attempt: of,
+                });
                 self.answer(id, number, 503, &[("limewing-not-begun", "1")], false);
             }
         }
@@ -398,12 +412,12 @@
             route.method == head.method && super::clients::target_of(&route.path) == head.target
         };
         self.script
-            .groups
+            .classes
             .iter()
-            .position(|group| group.group.routes.iter().any(fits))
+            .position(|group| group.class.routes.iter().any(fits))
     }
 
-    pub(super) fn done(&mut self, number: PodNo, job: u64) {
+    pub(super) fn done(&mut self, number: PodId, job: u64) {
         let Some(job) = self.jobs.held.remove(&job) else {
             return;
         };
@@ -412,7 +426,7 @@
                 .mark
                 .iter()
                 .filter(|_| job.effect)
-                .for_each(|mark| self.marks.undone(mark));
+                .for_each(|mark| self.deduplication.forget(mark));
         };
         let Job {
             link,
@@ -435,27 +449,27 @@
         let (mut status, mut wrong) = (200, false);
         for fault in faults {
             match fault {
-                Fault::Errors {
+                BuildFault::Errors {
                     share,
-                    group: only,
-                    after,
+                    class: only,
+                    min_age: after,
                 } => {
-                    let name = &self.script.groups[group].group.name;
+                    let name = &self.script.classes[group].class.name;
                     let here = only.as_ref().is_none_or(|only| only == name)
                         && age >= super::span(*after, 0.0);
                     if here && self.chance.random_bool(*share) {
                         status = 500;
                     }
                 }
-                Fault::Wrong { share } => wrong |= self.chance.random_bool(*share),
+                BuildFault::WrongAnswers { share } => wrong |= self.chance.random_bool(*share),
             }
         }
         if worthless && self.chance.random_bool(HOPELESS) {
             status = 500;
         }
-        self.note(Entry::Ran {
+        self.note(Event::Executed {
             pod: number,
-            of,
+            attempt: of,
             effect,
         });
         let build = build.to_string();
@@ -464,7 +478,10 @@
             fields.push((WRONG, "1"));
         }
         let half = self.present.values().find_map(|trouble| match trouble {
-            Trouble::HalfAnswers { places, share } if places.contains(&place) => Some(*share),
+            DayFault::TruncatedAnswers {
+                slots: places,
+                share,
+            } if places.contains(&place) => Some(*share),
             _ => None,
         });
         if half.is_some_and(|share| self.chance.random_bool(share)) {
@@ -475,30 +492,30 @@
             self.ends.remove(&link);
             return self.sockets.close_when_sent(link);
         }
-        let streams = status == 200 && self.script.groups[group].group.streaming;
+        let streams = status == 200 && self.script.classes[group].class.streaming;
         self.answer(link, number, status, &fields, streams);
     }
 
     /// A hit is in work, and done by `until`: from here on its mark is known.
-    fn begun(&mut self, number: PodNo, job: u64, until: Duration) {
+    fn begun(&mut self, number: PodId, job: u64, until: Duration) {
         if let Some(held) = self.jobs.held.get_mut(&job) {
-            let marked = held.mark.clone().zip(self.script.memory(held.group));
-            held.effect =
-                marked.is_none_or(|(mark, (_, memory))| self.marks.begin(mark, memory, self.now));
+            let marked = held.mark.clone().zip(self.script.deduplication(held.group));
+            held.effect = marked
+                .is_none_or(|(mark, (_, memory))| self.deduplication.begin(mark, memory, self.now));
         }
         self.wheel.schedule(until, Due::Done(number, job));
     }
 
-    fn work_on(&mut self, number: PodNo) {
+    fn work_on(&mut self, number: PodId) {
         let now = self.now;
         while let Some(next) = self
             .pods
             .get_mut(&number)
-            .and_then(|pod| pod.model.next(now))
+            .and_then(|pod| pod.model.dequeue(now))
         {
             match next {
-                Next::Begun(job, until) => self.begun(number, job, until),
-                Next::Overdue(job) => drop(self.jobs.held.remove(&job)),
+                Dequeued::Begun(job, until) => self.begun(number, job, until),
+                Dequeued::Expired(job) => drop(self.jobs.held.remove(&job)),
             }
         }
     }
@@ -519,7 +536,7 @@
     fn answer(
         &mut self,
         id: SocketId,
-        number: PodNo,
+        number: PodId,
         status: u16,
         fields: &[(&str, &str)],
         streams: bool,
@@ -557,7 +574,9 @@
         );
         out.extend_from_slice(body);
         self.sockets.send(id, &out);
-        if self.is_present(|t| matches!(t, Trouble::PodsClose(places) if places.contains(&place))) {
+        if self.is_present(
+            |t| matches!(t, DayFault::PodsCloseConnections(places) if places.contains(&place)),
+        ) {
             self.ends.remove(&id);
             return self.sockets.close_when_sent(id);
         }
@@ -565,14 +584,17 @@
     }
 }
 
-fn try_of(head: &RequestHead) -> Option<Try> {
+fn try_of(head: &RequestHead) -> Option<AttemptKey> {
     let (order, number) = head.fields.text(TRY)?.split_once('-')?;
-    Some(Try(OrderId(order.parse().ok()?), number.parse().ok()?))
+    Some(AttemptKey::new(
+        RequestId(order.parse().ok()?),
+        number.parse().ok()?,
+    ))
 }
 
 /// The number of a sidecar in `... sidecar-N`.
-pub fn sidecar_of(text: Option<&str>) -> Option<SidecarNo> {
+pub fn sidecar_of(text: Option<&str>) -> Option<SidecarId> {
     let number = text?.split("sidecar-").nth(1)?;
     let digits: String = number.chars().take_while(char::is_ascii_digit).collect();
-    digits.parse().ok().map(SidecarNo)
+    digits.parse().ok().map(SidecarId)
 }
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -4,7 +4,7 @@
 use super::{Day, DayTrouble};
 use crate::fleet::{key_file, listens, write_keys, Relay, CLOCK};
 use limewing_fault_injection::FaultAction;
-use limewing_rule_checker::record::{Entry, SidecarNo};
+use limewing_rule_checker::record::{Event, SidecarId};
 use limewing_settings::{
     EndpointListService, Fleet, Headers, RolloutService, Seconds, SidecarSettings, Tenant,
 };
@@ -87,10 +87,10 @@
                 silence_timeout: seconds(10.0),
             }),
             fleet: Fleet {
-                sidecar_count: script.sidecars.len() as u32,
+                sidecar_count: script.sidecar_zones.len() as u32,
                 sidecar_index: number as u32,
                 zones: script.fleet.zones.clone(),
-                zone: script.sidecars[number].clone(),
+                zone: script.sidecar_zones[number].clone(),
             },
             headers: Headers {
                 tenant: name("customer"),
@@ -98,12 +98,12 @@
                 deadline_ms: name("request-timeout-ms"),
             },
             classes: script
-                .groups
+                .classes
                 .iter()
-                .map(|group| group.group.clone())
+                .map(|script| script.class.clone())
                 .collect(),
             tenants: script
-                .customers
+                .tenants
                 .iter()
                 .map(|c| Tenant {
                     name: c.name.clone(),
@@ -118,14 +118,14 @@
     }
 
     fn work(&self, number: usize) -> Option<limewing_settings::MaintenanceSettings> {
-        let work = self.script.work.as_ref()?;
+        let work = self.script.maintenance.as_ref()?;
         Some(limewing_settings::MaintenanceSettings {
             voters: (0..work.voters)
                 .map(|voter| format!("sidecar-{voter}"))
                 .collect(),
-            state_directory: (number < work.folders.unwrap_or(work.voters))
+            state_directory: (number < work.possible_voters.unwrap_or(work.voters))
                 .then(|| self.work_folder(number)),
-            election_timeout: work.patience,
+            election_timeout: work.election_timeout,
             lease_duration: work.lease,
         })
     }
@@ -141,18 +141,18 @@
             advertise: Some(relay.fronts[number]),
             join: relay.fronts.iter().take(3).copied().collect(),
             key_file: key_file(&self.folder, number),
-            period: told.period,
+            period: told.probe_interval,
             bytes_per_s: 65_536,
-            coordination: told.choices,
-            replication: told.replicas,
+            coordination: told.coordination,
+            replication: told.replication,
         })
     }
 
     /// What the script of faults does to links and sidecars by now.
     pub(super) fn faults(&mut self) -> Result<(), DayTrouble> {
         for act in self.relay.as_ref().map(Relay::turn).unwrap_or_default() {
-            self.note(Entry::Trouble {
-                text: format!("{act:?}"),
+            self.note(Event::Fault {
+                text: recorded_text(&act),
             });
             match act {
                 FaultAction::Kill(number) => self.kill_sidecar(number),
@@ -186,22 +186,22 @@
     }
 
     pub(super) fn bid_leave(&mut self, number: usize) {
-        self.note(Entry::SidecarLeaves {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarDraining {
+            sidecar: SidecarId(number as u32),
         });
         self.processes[number].leave();
     }
 
     pub(super) fn stop_sidecar(&mut self, number: usize) {
         self.processes[number].stop(true);
-        self.note(Entry::SidecarStopped {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarSuspended {
+            sidecar: SidecarId(number as u32),
         });
     }
 
     pub(super) fn let_go_on(&mut self, number: usize) {
-        self.note(Entry::SidecarGoesOn {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarResumed {
+            sidecar: SidecarId(number as u32),
         });
         self.processes[number].stop(false);
     }
@@ -246,12 +246,12 @@
                 CLOCK,
                 peers
                     .faults
-                    .clock_offset(number, self.script.sidecars.len())
+                    .clock_offset(number, self.script.sidecar_zones.len())
                     .to_string(),
             );
         }
-        self.note(Entry::SidecarUp {
-            sidecar: SidecarNo(number as u32),
+        self.note(Event::SidecarStarted {
+            sidecar: SidecarId(number as u32),
         });
         let mut child = command.spawn()?;
         let mut line = String::new();
@@ -284,9 +284,9 @@
     }
 
     pub(super) fn kill_sidecar(&mut self, number: usize) {
-        let sidecar = SidecarNo(number as u32);
+        let sidecar = SidecarId(number as u32);
         // Told first: what its end cuts off is seen afterwards.
-        self.note(Entry::SidecarDown { sidecar });
+        self.note(Event::SidecarExited { sidecar });
         self.relay
             .iter()
             .for_each(|relay| relay.stands(number, None));
@@ -296,8 +296,8 @@
     pub(super) fn start_again(&mut self, number: usize) -> Result<(), DayTrouble> {
         let address = self.processes[number].address;
         if !self.processes[number].gone {
-            self.note(Entry::SidecarDown {
-                sidecar: SidecarNo(number as u32),
+            self.note(Event::SidecarExited {
+                sidecar: SidecarId(number as u32),
             });
             self.processes[number].end();
         }
@@ -306,15 +306,30 @@
     }
 
     /// Notes a sidecar that has ended by itself.
-    pub(super) fn look_after(&mut self, sidecar: SidecarNo) {
+    pub(super) fn look_after(&mut self, sidecar: SidecarId) {
         let process = &mut self.processes[sidecar.0 as usize];
         if !process.gone && matches!(process.child.try_wait(), Ok(Some(_))) {
             process.gone = true;
-            self.note(Entry::SidecarDown { sidecar });
+            self.note(Event::SidecarExited { sidecar });
         }
     }
 }
 
+/// The words by which the record names an action; a format.
+fn recorded_text(action: &FaultAction) -> String {
+    match action {
+        FaultAction::Suspend(number) => format!("Stop({number})"),
+        FaultAction::Resume(number) => format!("GoOn({number})"),
+        FaultAction::ReplaceKeys { member, ids } => {
+            format!("Keys {{ to: {member}, ids: {ids:?} }}")
+        }
+        FaultAction::SendNoise { member, datagrams } => {
+            format!("Noise {{ to: {member}, datagrams: {datagrams} }}")
+        }
+        other => format!("{other:?}"),
+    }
+}
+
 fn seconds(value: f64) -> Seconds {
     Seconds::try_from(value).expect("a span of seconds")
 }
--- a/crates/emulators/src/day/services.rs
+++ b/crates/emulators/src/day/services.rs
@@ -2,14 +2,14 @@
 
 use super::pods::sidecar_of;
 use super::{Day, DayTrouble, Due, End};
-use crate::installer::{State, Step, Verdict};
-use crate::script::Trouble;
+use crate::rollout::{RolloutAction, RolloutState, Verdict};
+use crate::script::DayFault;
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
 use limewing_net::http::{write_response, RequestHead};
 use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
-use limewing_rule_checker::record::{Entry, Phase, PodNo, SidecarNo};
+use limewing_rule_checker::record::{Event, Phase, PodId, SidecarId};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -24,10 +24,10 @@
     pub installer_at: SocketAddr,
     index: u64,
     body: Vec<u8>,
-    ready: Vec<PodNo>,
-    draining: Vec<PodNo>,
+    ready: Vec<PodId>,
+    draining: Vec<PodId>,
     /// Sidecars that were told a list with pods in it.
-    pub told: BTreeSet<SidecarNo>,
+    pub told: BTreeSet<SidecarId>,
     pub show: bool,
     made: u64,
     newest: u64,
@@ -40,13 +40,13 @@
 pub struct Published {
     number: u64,
     body: Vec<u8>,
-    ready: Vec<PodNo>,
-    draining: Vec<PodNo>,
+    ready: Vec<PodId>,
+    draining: Vec<PodId>,
 }
 
 pub struct ListLink {
     requests: RequestReader,
-    sidecar: Option<SidecarNo>,
+    sidecar: Option<SidecarId>,
     /// Waits for an index other than this; with the number of the query.
     waits: Option<u64>,
     asked: u64,
@@ -74,13 +74,13 @@
 /// What is still to be said to a vote.
 pub struct LateAnswer {
     id: SocketId,
-    sidecar: SidecarNo,
-    state: State,
+    sidecar: SidecarId,
+    state: RolloutState,
     reply: String,
 }
 
 pub struct NewsLink {
-    sidecar: SidecarNo,
+    sidecar: SidecarId,
 }
 
 #[derive(Deserialize)]
@@ -154,10 +154,10 @@
             return self.publish(published);
         }
         let more = self.present.values().find_map(|trouble| match trouble {
-            Trouble::ListLags(more) => Some(Duration::from(*more)),
+            DayFault::ListDelayed(more) => Some(Duration::from(*more)),
             _ => None,
         });
-        let lag = Duration::from(self.script.fleet.list_lag) + more.unwrap_or_default();
+        let lag = Duration::from(self.script.fleet.list_delay) + more.unwrap_or_default();
         self.wheel
             .schedule(self.now + lag, Due::Publish(Box::new(published)));
     }
@@ -264,7 +264,7 @@
         if !ready.is_empty() {
             self.list.told.insert(sidecar);
         }
-        self.note(Entry::ListTold {
+        self.note(Event::EndpointsNotified {
             sidecar,
             ready,
             draining,
@@ -363,7 +363,7 @@
         }
     }
 
-    fn open_news(&mut self, id: SocketId, sidecar: SidecarNo, _: &RequestHead) {
+    fn open_news(&mut self, id: SocketId, sidecar: SidecarId, _: &RequestHead) {
         let mut out = BytesMut::new();
         let fields = [(&b"content-type"[..], &b"text/event-stream"[..])];
         write_response(&mut out, 200, fields.into_iter(), Framing::Chunked, true);
@@ -376,11 +376,11 @@
         let state = self.installer.state();
         let phase = match state.phase {
             Phase::OnTrial => "on_trial",
-            Phase::GoingBack => "going_back",
+            Phase::RollingBack => "going_back",
             Phase::Released => "released",
-            Phase::Withdrawn => "withdrawn",
+            Phase::RolledBack => "withdrawn",
         };
-        let State {
+        let RolloutState {
             number,
             build,
             stage,
@@ -392,24 +392,24 @@
         })
     }
 
-    fn note_stage_told(&mut self, sidecar: SidecarNo) {
+    fn note_stage_told(&mut self, sidecar: SidecarId) {
         let state = self.installer.state();
         self.note_told(sidecar, state);
     }
 
     fn note_told(
         &mut self,
-        sidecar: SidecarNo,
-        State {
+        sidecar: SidecarId,
+        RolloutState {
             number,
             build,
             stage,
             phase,
             cap,
             ..
-        }: State,
+        }: RolloutState,
     ) {
-        self.note(Entry::StageTold {
+        self.note(Event::StageNotified {
             sidecar,
             number,
             build,
@@ -436,7 +436,7 @@
 
     pub(super) fn tell_all(&mut self) {
         let late = self.present.values().find_map(|trouble| match trouble {
-            Trouble::NewsLate(late) => Some(Duration::from(*late)),
+            DayFault::StageUpdatesDelayed(late) => Some(Duration::from(*late)),
             _ => None,
         });
         match late {
@@ -458,27 +458,31 @@
 
     pub(super) fn tell_all_again(&mut self) {
         self.tell_all();
-        let every = super::span(self.script.fleet.told_every, 2.0).max(Duration::from_millis(100));
+        let every = super::span(self.script.fleet.stage_update_interval, 2.0)
+            .max(Duration::from_millis(100));
         self.wheel.schedule(self.now + every, Due::TellAll);
     }
 
-    fn vote(&mut self, id: SocketId, sidecar: SidecarNo, body: &[u8]) {
+    fn vote(&mut self, id: SocketId, sidecar: SidecarId, body: &[u8]) {
         let Ok(vote) = serde_json::from_slice::<Vote>(body) else {
             return self.plain(id, 400, b"");
         };
         let verdict = match &vote.verdict[..] {
-            "on" => Verdict::On,
+            "on" => Verdict::Promote,
             "hold" => Verdict::Hold,
-            "back" => Verdict::Back,
-            "withhold" => Verdict::Withhold,
+            "back" => Verdict::RollBack,
+            "withhold" => Verdict::Abstain,
             _ => return self.plain(id, 400, b""),
         };
         self.list.votes += 1;
-        if self.is_present(|t| matches!(t, Trouble::VotesRefused)) {
+        if self.is_present(|t| matches!(t, DayFault::VotesRefused)) {
             return self.plain(id, 429, b"");
         }
         let allowance = self.present.values().find_map(|trouble| match trouble {
-            Trouble::VotesAllowed { most, within } => Some((*most, Duration::from(*within))),
+            DayFault::VotesRateLimited {
+                max: most,
+                window: within,
+            } => Some((*most, Duration::from(*within))),
             _ => None,
         });
         if let Some((most, within)) = allowance {
@@ -489,7 +493,7 @@
             }
             self.list.taken.push(self.now);
         }
-        let silent = self.is_present(|t| matches!(t, Trouble::VotesUnanswered));
+        let silent = self.is_present(|t| matches!(t, DayFault::VotesUnanswered));
         if silent && self.list.votes.is_multiple_of(2) {
             return;
         }
@@ -498,7 +502,7 @@
             .vote(sidecar, vote.build, vote.stage, verdict, self.now);
         let answer = if counted { "counted" } else { "moot" };
         let (build, stage, verdict) = (vote.build, vote.stage, vote.verdict);
-        self.note(Entry::Voted {
+        self.note(Event::Voted {
             sidecar,
             build,
             stage,
@@ -510,7 +514,7 @@
         }
         let reply = json!({"answer": answer, "stage": self.stage_json()}).to_string();
         let late = self.present.values().find_map(|trouble| match trouble {
-            Trouble::VotesLate(late) => Some(Duration::from(*late)),
+            DayFault::VoteAnswersDelayed(late) => Some(Duration::from(*late)),
             _ => None,
         });
         let answer = LateAnswer {
@@ -547,8 +551,7 @@
 
     pub(super) fn tick(&mut self) -> Result<(), DayTrouble> {
         self.wheel.schedule(self.now + super::TICK, Due::Tick);
-        let still =
-            |t: &Trouble| matches!(t, Trouble::InstallerDown | Trouble::InstallerStandsStill);
+        let still = |t: &DayFault| matches!(t, DayFault::RolloutsDown | DayFault::RolloutsPaused);
         if self.is_present(still) {
             return Ok(());
         }
@@ -559,11 +562,15 @@
         };
         for step in self.installer.tick(self.now, runs) {
             match step {
-                Step::Start { place, build } => self.start_pod(place, build, true)?,
-                Step::DrainOthers { place, build } => self.drain_others(place, build),
-                Step::Tell => {
+                RolloutAction::StartPod { slot: place, build } => {
+                    self.start_pod(place, build, true)?
+                }
+                RolloutAction::DrainOthers { slot: place, build } => {
+                    self.drain_others(place, build)
+                }
+                RolloutAction::NotifyStage => {
                     let state = self.installer.state();
-                    self.note(Entry::Stage {
+                    self.note(Event::StageChanged {
                         build: state.build,
                         stage: state.stage,
                         phase: state.phase,
