--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -2,9 +2,10 @@
 
 use crate::error::CommandError;
 use clap::{Args, Subcommand};
-use limewing_load_generator::compare;
-use limewing_load_generator::generate::{self, Load};
-use limewing_load_generator::idle;
+use limewing_load_generator::compare::{self, ComparisonPlan};
+use limewing_load_generator::generator::{self, LoadProfile};
+use limewing_load_generator::idle_connections::{self, IdlePlan};
+use limewing_load_generator::sidecar_settings::write_sidecar_settings;
 use limewing_load_generator::{pods, relay};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -102,7 +103,7 @@
         LoadCommand::Idle(arguments) => measure_idle_connections(&arguments),
         LoadCommand::Hits(arguments) => send_requests(arguments),
         LoadCommand::Settings { folder, pods } => {
-            let settings = compare::settings(&folder, &pods).map_err(CommandError::failed)?;
+            let settings = write_sidecar_settings(&folder, &pods).map_err(CommandError::failed)?;
             println!("{settings}");
             Ok(())
         }
@@ -118,11 +119,11 @@
 fn compare_paths(arguments: CompareArguments) -> Result<(), CommandError> {
     let program = std::env::current_exe().map_err(CommandError::failed)?;
     let folder = tempfile::tempdir().map_err(CommandError::failed)?;
-    let plan = compare::Plan {
-        pods: arguments.pods.into_iter().map(usize::from).collect(),
+    let plan = ComparisonPlan {
+        pod_counts: arguments.pods.into_iter().map(usize::from).collect(),
         connections: arguments.connections.into(),
         rounds: arguments.rounds.into(),
-        lasts: Duration::from_secs(arguments.seconds),
+        duration: Duration::from_secs(arguments.seconds),
         seed: arguments.seed,
     };
     let report = compare::compare(&program, folder.path(), &plan).map_err(CommandError::failed)?;
@@ -139,34 +140,35 @@
     }
     let program = std::env::current_exe().map_err(CommandError::failed)?;
     let folder = tempfile::tempdir().map_err(CommandError::failed)?;
-    let plan = idle::Plan {
+    let plan = IdlePlan {
         few: few.into(),
         many: many.into(),
-        after_hit: arguments.after_hit,
-        rests: Duration::from_secs(arguments.rests),
+        after_request: arguments.after_hit,
+        observation: Duration::from_secs(arguments.rests),
     };
-    let report = idle::measure(&program, folder.path(), &plan).map_err(CommandError::failed)?;
+    let report =
+        idle_connections::measure(&program, folder.path(), &plan).map_err(CommandError::failed)?;
     println!("{report}");
     Ok(())
 }
 
 fn send_requests(arguments: HitsArguments) -> Result<(), CommandError> {
-    let load = Load {
-        to: arguments.to,
-        hits_per_s: Some(arguments.hits_per_s),
+    let profile = LoadProfile {
+        target: arguments.to,
+        requests_per_s: Some(arguments.hits_per_s),
         connections: arguments.connections.into(),
         warm_up: Duration::ZERO,
-        lasts: Duration::from_secs(arguments.seconds),
+        duration: Duration::from_secs(arguments.seconds),
         seed: arguments.seed,
-        target: arguments.target,
+        path: arguments.target,
     };
-    let outcome = generate::run(&load, || (), || ()).map_err(CommandError::failed)?;
-    let p50 = outcome.ms(0.5);
-    let p99 = outcome.ms(0.99);
-    let p999 = outcome.ms(0.999);
+    let measurement = generator::run(&profile, || (), || ()).map_err(CommandError::failed)?;
+    let p50 = measurement.latency_ms(0.5);
+    let p99 = measurement.latency_ms(0.99);
+    let p999 = measurement.latency_ms(0.999);
     println!(
         "{} hits, {} failed, p50 {p50:.3} ms, p99 {p99:.3} ms, p99.9 {p999:.3} ms",
-        outcome.answered, outcome.failed
+        measurement.responses, measurement.failures
     );
     Ok(())
 }
--- a/crates/load-generator/src/pods.rs
+++ b/crates/load-generator/src/pods.rs
@@ -1,4 +1,4 @@
-//! Pods that answer each hit at once.
+//! Pods that answer each request at once.
 
 use bytes::BytesMut;
 use limewing_net::body::Framing;
@@ -9,62 +9,89 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// Serves at so many addresses that the system chooses; tells them on standard output, one a line, and serves
-/// until it is ended.
+/// The longest request that is read, in bytes.
+const MAX_REQUEST_BYTES: usize = 64 * 1024;
+/// The body of each response.
+const BODY: [u8; 256] = [b'x'; 256];
+
+/// Serves at `count` addresses that the system chooses, until the process is ended. Writes them to `output` as soon as it listens,
+/// one a line.
 ///
 /// # Errors
-/// No socket, or the poll failed.
-pub fn serve(many: usize, mut out: impl Write) -> io::Result<()> {
+/// No socket, `output` can't be written, or the poll failed.
+pub fn serve(count: usize, mut output: impl Write) -> io::Result<()> {
     let mut sockets = Sockets::new()?;
-    for _ in 0..many {
+    for _ in 0..count {
         let (_, address) = sockets.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-        writeln!(out, "listening {address}")?;
+        writeln!(output, "listening {address}")?;
     }
-    out.flush()?;
-    let mut answer = BytesMut::new();
-    let body = [b'x'; 256];
-    write_response(
-        &mut answer,
-        200,
-        [].into_iter(),
-        Framing::Length(body.len() as u64),
-        true,
-    );
-    answer.extend_from_slice(&body);
-    let mut links: HashMap<SocketId, RequestReader> = HashMap::new();
+    output.flush()?;
+    let mut pods = Pods {
+        sockets,
+        connections: HashMap::new(),
+        response: response(),
+    };
     loop {
-        for what in sockets.wait(None)? {
-            match what {
-                SocketEvent::Accepted { socket, .. } => {
-                    drop(links.insert(socket, RequestReader::new(64 * 1024)))
-                }
-                SocketEvent::ConnectionLost { socket, .. } => drop(links.remove(&socket)),
-                SocketEvent::Readable(id) => {
-                    let Some(requests) = links.get_mut(&id) else {
-                        continue;
-                    };
-                    let mut whole = 0;
-                    let mut broken = sockets.has_ended(id);
-                    while let Some(input) = sockets.input(id) {
-                        match requests.take(input, false) {
-                            Ok(Some(_)) => whole += 1,
-                            Ok(None) => break,
-                            Err(_) => {
-                                broken = true;
-                                break;
-                            }
-                        }
-                    }
-                    (0..whole).for_each(|_| sockets.send(id, &answer));
-                    if broken {
-                        links.remove(&id);
-                        sockets.close(id);
-                    } else {
-                        sockets.resume_reading(id);
-                    }
+        for event in pods.sockets.wait(None)? {
+            pods.handle(event);
+        }
+    }
+}
+
+fn response() -> BytesMut {
+    let mut response = BytesMut::new();
+    let framing = Framing::Length(BODY.len() as u64);
+    write_response(&mut response, 200, [].into_iter(), framing, true);
+    response.extend_from_slice(&BODY);
+    response
+}
+
+struct Pods {
+    sockets: Sockets,
+    connections: HashMap<SocketId, RequestReader>,
+    response: BytesMut,
+}
+
+impl Pods {
+    fn handle(&mut self, event: SocketEvent) {
+        match event {
+            SocketEvent::Accepted { socket, .. } => {
+                let requests = RequestReader::new(MAX_REQUEST_BYTES);
+                self.connections.insert(socket, requests);
+            }
+            SocketEvent::ConnectionLost { socket, .. } => {
+                self.connections.remove(&socket);
+            }
+            SocketEvent::Readable(id) => self.read(id),
+            _ => {}
+        }
+    }
+
+    /// Answers all complete requests on a connection.
+    fn read(&mut self, id: SocketId) {
+        let Some(requests) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let mut complete = 0;
+        let mut must_close = self.sockets.has_ended(id);
+        while let Some(input) = self.sockets.input(id) {
+            match requests.take(input, false) {
+                Ok(Some(_)) => complete += 1,
+                Ok(None) => break,
+                Err(_) => {
+                    must_close = true;
+                    break;
                 }
-                _ => {}
             }
         }
+        for _ in 0..complete {
+            self.sockets.send(id, &self.response);
+        }
+        if must_close {
+            self.connections.remove(&id);
+            self.sockets.close(id);
+        } else {
+            self.sockets.resume_reading(id);
+        }
     }
 }
--- a/crates/load-generator/src/relay.rs
+++ b/crates/load-generator/src/relay.rs
@@ -5,54 +5,77 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// Relays to the pods in turn; tells its address on standard output, and goes on until it is ended.
+/// Relays to the pods in turn, until the process is ended. Writes its address to `output` as soon as it listens.
 ///
 /// # Errors
-/// No socket, or the poll failed.
-pub fn serve(pods: &[SocketAddr], mut out: impl Write) -> io::Result<()> {
+/// No socket, `output` can't be written, or the poll failed.
+pub fn serve(pods: &[SocketAddr], mut output: impl Write) -> io::Result<()> {
     let mut sockets = Sockets::new()?;
     let (_, address) = sockets.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-    writeln!(out, "listening {address}")?;
-    out.flush()?;
-    let mut other: HashMap<SocketId, SocketId> = HashMap::new();
-    let mut turn = 0;
+    writeln!(output, "listening {address}")?;
+    output.flush()?;
+    let mut relay = Relay {
+        sockets,
+        pods,
+        accepted: 0,
+        peers: HashMap::new(),
+    };
     loop {
-        for what in sockets.wait(None)? {
-            match what {
-                SocketEvent::Accepted { socket, .. } => {
-                    turn += 1;
-                    match sockets.connect(pods[turn % pods.len()]) {
-                        Ok(link) => {
-                            other.insert(socket, link);
-                            other.insert(link, socket);
-                        }
-                        Err(_) => sockets.close(socket),
-                    }
-                }
-                SocketEvent::Readable(id) => {
-                    let Some(to) = other.get(&id).copied() else {
-                        continue;
-                    };
-                    if let Some(bytes) = sockets.input(id).map(|input| input.split()) {
-                        sockets.send(to, &bytes);
-                    }
-                    if sockets.has_ended(id) {
-                        other.remove(&id);
-                        other.remove(&to);
-                        sockets.close(id);
-                        sockets.close_when_sent(to);
-                    } else {
-                        sockets.resume_reading(id);
-                    }
-                }
-                SocketEvent::ConnectionLost { socket, .. } => {
-                    if let Some(to) = other.remove(&socket) {
-                        other.remove(&to);
-                        sockets.close(to);
-                    }
+        for event in relay.sockets.wait(None)? {
+            relay.handle(event);
+        }
+    }
+}
+
+struct Relay<'a> {
+    sockets: Sockets,
+    pods: &'a [SocketAddr],
+    accepted: usize,
+    /// For each connection the one that its bytes go to.
+    peers: HashMap<SocketId, SocketId>,
+}
+
+impl Relay<'_> {
+    fn handle(&mut self, event: SocketEvent) {
+        match event {
+            SocketEvent::Accepted { socket, .. } => self.accept(socket),
+            SocketEvent::Readable(id) => self.pass_on(id),
+            SocketEvent::ConnectionLost { socket, .. } => {
+                if let Some(peer) = self.peers.remove(&socket) {
+                    self.peers.remove(&peer);
+                    self.sockets.close(peer);
                 }
-                _ => {}
             }
+            _ => {}
+        }
+    }
+
+    fn accept(&mut self, client: SocketId) {
+        self.accepted += 1;
+        let pod = self.pods[self.accepted % self.pods.len()];
+        match self.sockets.connect(pod) {
+            Ok(upstream) => {
+                self.peers.insert(client, upstream);
+                self.peers.insert(upstream, client);
+            }
+            Err(_) => self.sockets.close(client),
+        }
+    }
+
+    fn pass_on(&mut self, id: SocketId) {
+        let Some(peer) = self.peers.get(&id).copied() else {
+            return;
+        };
+        if let Some(bytes) = self.sockets.input(id).map(|input| input.split()) {
+            self.sockets.send(peer, &bytes);
+        }
+        if self.sockets.has_ended(id) {
+            self.peers.remove(&id);
+            self.peers.remove(&peer);
+            self.sockets.close(id);
+            self.sockets.close_when_sent(peer);
+        } else {
+            self.sockets.resume_reading(id);
         }
     }
 }
