--- a/crates/cli/tests/command/copies.rs
+++ b/crates/cli/tests/command/copies.rs
@@ -5,8 +5,17 @@
 use crate::support::{run_limewing, write_settings, SidecarProcess};
 use serde_json::Value;
 
-/// What `day check` counted across sidecars: keys that went back, hits with two effects; and all that it printed.
-fn plays(replicas: bool, change: impl Fn(&mut Value)) -> (usize, usize, String) {
+/// What `day check` counted across sidecars.
+struct CrossSidecarCounts {
+    /// Attempts of keys that had met a newer build and went back to an older one.
+    sent_back: usize,
+    /// Requests that may not run twice and did.
+    executed_twice: usize,
+    /// All that the command printed.
+    output: String,
+}
+
+fn play_copies_day(replicas: bool, change: impl Fn(&mut Value)) -> CrossSidecarCounts {
     let day = play_day("copies", |day| {
         day["peers"]["replicas"] = replicas.into();
         change(day);
@@ -25,16 +34,21 @@
         .filter_map(|word| word.parse().ok())
         .collect();
     assert_eq!(numbers.len(), 4, "{text}");
-    (numbers[0], numbers[2], text)
+    CrossSidecarCounts {
+        sent_back: numbers[0],
+        executed_twice: numbers[2],
+        output: text,
+    }
 }
 
 /// Sidecars killed in turn: without copies keys go back to the older build, with them none does and no hit runs twice.
 #[test]
 fn what_a_killed_sidecar_knew_the_others_know() {
     let _alone = one_day_at_a_time();
-    let (back, twice, text) = plays(true, |_| ());
-    assert_eq!((back, twice), (0, 0), "{text}");
-    let (without, ..) = plays(false, |_| ());
+    let replicated = play_copies_day(true, |_| ());
+    let counts = (replicated.sent_back, replicated.executed_twice);
+    assert_eq!(counts, (0, 0), "{}", replicated.output);
+    let without = play_copies_day(false, |_| ()).sent_back;
     assert!(without > 5, "{without} keys went back without copies");
 }
 
@@ -43,7 +57,7 @@
 #[test]
 fn copies_under_cuts_and_a_crowd_that_returns() {
     let _alone = one_day_at_a_time();
-    let (_, twice, text) = plays(true, |day| {
+    let counts = play_copies_day(true, |day| {
         day["peers"]["faults"]["steps"] = serde_json::json!([
             { "at": 5.0, "does": { "cut": { "from": { "part": [0.0, 0.5] }, "to": { "part": [0.5, 1.0] } } } },
             { "at": 9.0, "does": "mend" },
@@ -53,7 +67,7 @@
             { "at": 18.0, "does": { "go_on": { "numbers": [4] } } }
         ]);
     });
-    assert_eq!(twice, 0, "{text}");
+    assert_eq!(counts.executed_twice, 0, "{}", counts.output);
 }
 
 /// One that is killed while the installer is gone knows in its next life that a build is on trial, and takes no more of it than of one that
--- a/crates/cli/tests/command/days.rs
+++ b/crates/cli/tests/command/days.rs
@@ -59,7 +59,7 @@
 #[case::no_record(&["day", "check", "/nowhere"], 2, "/nowhere")]
 #[case::idle_the_wrong_way_round(&["load", "idle", "--few", "10", "--many", "5"], 2, "expected fewer")]
 #[case::no_command(&["fly"], 2, "unrecognized subcommand")]
-fn bad_input_is_told_and_ends_with_a_code(
+fn bad_input_is_reported_with_an_exit_code(
     #[case] args: &[&str],
     #[case] code: i32,
     #[case] says: &str,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn more_sleeping_connections_than_descriptors_are_told() {
+fn more_sleeping_connections_than_descriptors_are_an_error() {
     let run = format!(
         "ulimit -n 300; exec {} load idle --few 10 --many 400",
         env!("CARGO_BIN_EXE_limewing")
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_sidecar_that_leaves_says_its_last_answer_to_the_end() {
+fn a_sidecar_that_shuts_down_writes_its_last_response_to_the_end() {
     const BODY: usize = 60_000;
     let pod = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = pod.local_addr().unwrap();
@@ -284,7 +284,7 @@
 
 /// A list and an installer that are gone are asked by few at a time.
 #[test]
-fn lost_services_are_asked_in_turn() {
+fn lost_services_are_polled_in_turn() {
     let _alone = one_day_at_a_time();
     let plays = |choices: bool| {
         let day = play_day("fleet-faults", |day| {
--- a/crates/cli/tests/command/fleet.rs
+++ b/crates/cli/tests/command/fleet.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A script with its times made shorter, to fit a period of that many milliseconds in place of 200.
-fn script(name: &str, part: f64) -> Script {
+fn read_script(name: &str, part: f64) -> Script {
     let text = std::fs::read_to_string(repository_file(&format!("fleets/{name}.json"))).unwrap();
     let mut script: Script = serde_json::from_str(&text).unwrap();
     assert_eq!(script.config_errors(), []);
@@ -21,10 +21,10 @@
     script
 }
 
-fn plays(name: &str, members: usize, folder: &Path) -> Played {
+fn play_script(name: &str, members: usize, folder: &Path) -> Played {
     let file = write_settings(folder, "127.0.0.1:0");
     let told: SidecarSettings = limewing_settings::read(&file).unwrap();
-    let script = script(name, 0.5);
+    let script = read_script(name, 0.5);
     let program = PathBuf::from(env!("CARGO_BIN_EXE_limewing"));
     let period = Duration::from_millis(100);
     let plan = Plan {
@@ -48,7 +48,7 @@
 #[case::noise("noise", 4, false)]
 fn processes_agree_again(#[case] name: &str, #[case] members: usize, #[case] deaths: bool) {
     let folder = tempfile::tempdir().unwrap();
-    let played = plays(name, members, folder.path());
+    let played = play_script(name, members, folder.path());
     assert_eq!(played.crashed, Vec::<usize>::new());
     assert_eq!(played.wrong_at_the_end(members), []);
     assert!(played.samples.len() > members * 5);
@@ -63,9 +63,9 @@
     );
 }
 
-struct Ended(std::process::Child);
+struct ChildGuard(std::process::Child);
 
-impl Drop for Ended {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -73,7 +73,7 @@
 }
 
 /// Starts a sidecar with these peers; its address.
-fn sidecar(file: &Path) -> (Ended, String) {
+fn start_sidecar(file: &Path) -> (ChildGuard, String) {
     use std::io::BufRead;
     let mut command = Command::new(env!("CARGO_BIN_EXE_limewing"));
     let command = command
@@ -87,12 +87,12 @@
         .read_line(&mut line)
         .unwrap();
     (
-        Ended(child),
+        ChildGuard(child),
         line.trim().strip_prefix("listening ").unwrap().to_owned(),
     )
 }
 
-fn with_peers(folder: &Path, name: &str, join: &str, keys: &str) -> PathBuf {
+fn write_settings_with_peers(folder: &Path, name: &str, join: &str, keys: &str) -> PathBuf {
     let key_file = folder.join(format!("{name}.keys"));
     std::fs::write(&key_file, keys).unwrap();
     let text = std::fs::read_to_string(write_settings(folder, "127.0.0.1:0")).unwrap();
@@ -119,7 +119,7 @@
 }
 
 /// Waits until a sidecar's view of its fleet says so.
-fn until(at: &str, says: impl Fn(&str) -> bool) {
+fn wait_for_view(at: &str, says: impl Fn(&str) -> bool) {
     let from = Instant::now();
     let mut last = String::new();
     while from.elapsed() < Duration::from_secs(20) {
@@ -139,7 +139,7 @@
 }
 
 /// Where a sidecar takes datagrams.
-fn listens(at: &str) -> String {
+fn membership_address(at: &str) -> String {
     let view: serde_json::Value = serde_json::from_str(&ask(at.parse().unwrap()).unwrap()).unwrap();
     view["listens"].as_str().unwrap().to_owned()
 }
@@ -148,14 +148,24 @@
 #[test]
 fn keys_are_changed_under_running_sidecars() {
     let folder = tempfile::tempdir().unwrap();
-    let (a, at_a) = sidecar(&with_peers(folder.path(), "a", "", &keys(&[1])));
-    let join = format!(r#""{}""#, listens(&at_a));
+    let (a, at_a) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "a",
+        "",
+        &keys(&[1]),
+    ));
+    let join = format!(r#""{}""#, membership_address(&at_a));
     let all = [
         (a, at_a),
-        sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1]))),
+        start_sidecar(&write_settings_with_peers(
+            folder.path(),
+            "b",
+            &join,
+            &keys(&[1]),
+        )),
     ];
     let alive = |text: &str| text.contains(r#""standing":"alive""#);
-    all.iter().for_each(|(_, at)| until(at, alive));
+    all.iter().for_each(|(_, at)| wait_for_view(at, alive));
     for (turn, step) in [vec![1, 2], vec![2, 1], vec![2]].into_iter().enumerate() {
         for (name, (process, at)) in ["a", "b"].iter().zip(&all) {
             std::fs::write(folder.path().join(format!("{name}.keys")), "no keys").unwrap();
@@ -166,20 +176,20 @@
                 )
             };
             hang_up().unwrap();
-            until(at, |text| {
+            wait_for_view(at, |text| {
                 text.contains(&format!(r#""keys_unusable":{}"#, turn + 1))
             });
             std::fs::write(folder.path().join(format!("{name}.keys")), keys(&step)).unwrap();
             hang_up().unwrap();
             let known = format!(r#""keys":{}"#, serde_json::to_string(&step).unwrap());
-            until(at, |text| text.contains(&known));
+            wait_for_view(at, |text| text.contains(&known));
             // Each has spoken while the keys of the two differ, and while they are the same.
             for (_, at) in &all {
                 let before = bytes_sent(&ask(at.parse().unwrap()).unwrap());
-                until(at, |text| bytes_sent(text) > before + 400);
+                wait_for_view(at, |text| bytes_sent(text) > before + 400);
             }
         }
-        all.iter().for_each(|(_, at)| until(at, alive));
+        all.iter().for_each(|(_, at)| wait_for_view(at, alive));
     }
     for (_, at) in &all {
         let view = ask(at.parse().unwrap()).unwrap();
@@ -200,20 +210,35 @@
 #[test]
 fn the_later_of_two_processes_with_one_name_prevails() {
     let folder = tempfile::tempdir().unwrap();
-    let (_a, at_a) = sidecar(&with_peers(folder.path(), "a", "", &keys(&[1])));
-    let join = format!(r#""{}""#, listens(&at_a));
-    let (_b, at_b) = sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1])));
-    let b = listens(&at_b);
-    until(&at_a, |text| {
+    let (_a, at_a) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "a",
+        "",
+        &keys(&[1]),
+    ));
+    let join = format!(r#""{}""#, membership_address(&at_a));
+    let (_b, at_b) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "b",
+        &join,
+        &keys(&[1]),
+    ));
+    let b = membership_address(&at_b);
+    wait_for_view(&at_a, |text| {
         text.contains(&format!(r#""at":"{b}","standing":"alive""#))
     });
-    let (_c, at_c) = sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1])));
-    let c = listens(&at_c);
-    until(&at_a, |text| {
+    let (_c, at_c) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "b",
+        &join,
+        &keys(&[1]),
+    ));
+    let c = membership_address(&at_c);
+    wait_for_view(&at_a, |text| {
         text.contains(&format!(r#""at":"{c}","standing":"alive""#))
     });
     assert!(fetch_status(&at_b).contains("\"open_hits\""));
-    until(&at_a, |text| !text.contains(&format!(r#""at":"{b}""#)));
+    wait_for_view(&at_a, |text| !text.contains(&format!(r#""at":"{b}""#)));
 }
 
 /// With no peers in its settings a sidecar opens no socket for datagrams, and says that it knows of no others; nor does
@@ -221,7 +246,7 @@
 #[test]
 fn without_peers_there_is_no_socket_for_them() {
     let folder = tempfile::tempdir().unwrap();
-    let (process, at) = sidecar(&write_settings(folder.path(), "127.0.0.1:0"));
+    let (process, at) = start_sidecar(&write_settings(folder.path(), "127.0.0.1:0"));
     let out = run_limewing(&["fleet", "show", &at]);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("knows of no others"));
--- a/crates/cli/tests/command/work.rs
+++ b/crates/cli/tests/command/work.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// Four of these days are played at a time: each has six processes, and is quiet.
-fn one_of_four() -> MutexGuard<'static, ()> {
+fn one_day_of_four() -> MutexGuard<'static, ()> {
     static TURN: AtomicUsize = AtomicUsize::new(0);
     static DAYS: [Mutex<()>; 4] = [const { Mutex::new(()) }; 4];
     DAYS[TURN.fetch_add(1, Ordering::Relaxed) % 4]
@@ -17,8 +17,8 @@
 }
 
 /// A day with this done to its script; what it printed, and the sidecars' logs.
-fn plays(change: impl Fn(&mut Value)) -> (String, Vec<String>) {
-    let _one = one_of_four();
+fn play_work_day(change: impl Fn(&mut Value)) -> (String, Vec<String>) {
+    let _turn = one_day_of_four();
     let day = play_day("work", change);
     day.assert_success();
     let logs = (0..6).map(|number| day.sidecar_log(number)).collect();
@@ -29,7 +29,7 @@
     json!({ "at": at, "does": does })
 }
 
-fn one(what: &str, at: f64, number: usize) -> Value {
+fn at_sidecar(what: &str, at: f64, number: usize) -> Value {
     step(at, json!({ what: { "numbers": [number] } }))
 }
 
@@ -38,7 +38,10 @@
     (0..12)
         .flat_map(|n| {
             let at = 4.0 + 1.7 * n as f64;
-            [one("kill", at, n % 3), one("start", at + 0.6, n % 3)]
+            [
+                at_sidecar("kill", at, n % 3),
+                at_sidecar("start", at + 0.6, n % 3),
+            ]
         })
         .collect()
 }
@@ -56,18 +59,18 @@
 #[case::voters_killed_in_turn(voters_killed())]
 #[case::a_voter_cut_off(vec![cut(5.0, json!([0]), false), step(9.0, json!("mend")), cut(12.0, json!([1]), true), step(15.0, json!("mend"))])]
 #[case::voters_stand_still(vec![
-    one("stop", 5.0, 0), one("go_on", 8.0, 0), one("stop", 9.0, 1), one("go_on", 12.0, 1), one("stop", 13.0, 2), one("go_on", 15.0, 2)
+    at_sidecar("stop", 5.0, 0), at_sidecar("go_on", 8.0, 0), at_sidecar("stop", 9.0, 1), at_sidecar("go_on", 12.0, 1), at_sidecar("stop", 13.0, 2), at_sidecar("go_on", 15.0, 2)
 ])]
 #[case::all_killed(vec![step(7.0, json!({ "kill": "all" })), step(7.5, json!({ "start": "all" }))])]
 #[case::a_voter_and_another_leave(vec![
-    one("leave", 2.0, 0), one("leave", 2.1, 5), one("start", 9.0, 0), one("start", 14.0, 5)
+    at_sidecar("leave", 2.0, 0), at_sidecar("leave", 2.1, 5), at_sidecar("start", 9.0, 0), at_sidecar("start", 14.0, 5)
 ])]
 #[case::full_disks(vec![
-    one("fill_disk", 5.0, 0), one("free_disk", 8.0, 0), one("fill_disk", 9.0, 1), one("free_disk", 12.0, 1), one("fill_disk", 13.0, 2), one("free_disk", 15.0, 2)
+    at_sidecar("fill_disk", 5.0, 0), at_sidecar("free_disk", 8.0, 0), at_sidecar("fill_disk", 9.0, 1), at_sidecar("free_disk", 12.0, 1), at_sidecar("fill_disk", 13.0, 2), at_sidecar("free_disk", 15.0, 2)
 ])]
-#[case::a_lost_disk(vec![one("kill", 6.0, 1), one("lose_disk", 6.1, 1), one("start", 6.5, 1)])]
+#[case::a_lost_disk(vec![at_sidecar("kill", 6.0, 1), at_sidecar("lose_disk", 6.1, 1), at_sidecar("start", 6.5, 1)])]
 fn machines_are_done_once(#[case] steps: Vec<Value>) {
-    let (text, logs) = plays(|day| {
+    let (text, logs) = play_work_day(|day| {
         day["peers"]["faults"]["steps"] = json!(steps);
         day["lasts"] = 50.into();
     });
@@ -80,8 +83,8 @@
 
 /// A sidecar that is cut off before a list holds it up; started anew it holds up nothing any more.
 #[test]
-fn one_that_cannot_know_the_list_holds_it_up() {
-    let (text, _) = plays(|day| {
+fn a_sidecar_that_cannot_know_the_list_holds_it_up() {
+    let (text, _) = play_work_day(|day| {
         day["peers"]["faults"]["steps"] = json!([cut(1.5, json!([5]), false)]);
         day["lasts"] = 18.into();
     });
@@ -90,9 +93,9 @@
 
 /// Said to be gone, it is not waited for.
 #[test]
-fn one_that_is_gone_holds_up_nothing() {
-    let (text, _) = plays(|day| {
-        day["peers"]["faults"]["steps"] = json!([one("kill", 1.5, 5)]);
+fn a_sidecar_that_is_gone_holds_up_nothing() {
+    let (text, _) = play_work_day(|day| {
+        day["peers"]["faults"]["steps"] = json!([at_sidecar("kill", 1.5, 5)]);
         let steps = day["work"]["steps"].as_array_mut().unwrap();
         steps.push(step(5.0, json!({ "gone": "sidecar-5" })));
     });
@@ -102,7 +105,7 @@
 /// Machines that stall, fail and report twice; a list that is held, goes on and is withdrawn.
 #[test]
 fn work_goes_wrong_and_is_stopped() {
-    let (text, _) = plays(|day| {
+    let (text, _) = play_work_day(|day| {
         day["work"]["stall"] = json!([0]);
         day["work"]["fail"] = json!([1]);
         day["work"]["twice"] = json!([2, 3]);
@@ -134,7 +137,7 @@
 #[case::not_beside(false)]
 #[case::beside(true)]
 fn a_release_comes_meanwhile(#[case] beside: bool) {
-    let (text, _) = plays(|day| {
+    let (text, _) = play_work_day(|day| {
         day["offers"] = json!([{ "at": 1, "build": 2 }]);
         day["releases"]["step_after"] = 60.into();
         day["work"]["steps"][0]["does"]["ask"]["beside_trials"] = beside.into();
@@ -146,8 +149,9 @@
 /// Three voters become five in the middle of a list, then two of the first three are gone for good, whoever leads among them.
 #[test]
 fn voters_become_five_and_two_are_lost() {
-    let (text, logs) = plays(|day| {
-        day["peers"]["faults"]["steps"] = json!([one("kill", 13.0, 0), one("kill", 16.0, 1)]);
+    let (text, logs) = play_work_day(|day| {
+        day["peers"]["faults"]["steps"] =
+            json!([at_sidecar("kill", 13.0, 0), at_sidecar("kill", 16.0, 1)]);
         day["work"]["folders"] = 5.into();
         let steps = day["work"]["steps"].as_array_mut().unwrap();
         steps.extend([
@@ -166,14 +170,14 @@
 /// A machine goes out with all its pods.
 #[test]
 fn a_machine_goes_out_with_all_its_pods() {
-    let (text, _) = plays(|day| day["work"]["pods_a_machine"] = 2.into());
+    let (text, _) = play_work_day(|day| day["work"]["pods_a_machine"] = 2.into());
     assert!(text.contains("machines: 12 worked on, 0 failed"), "{text}");
 }
 
 /// While sidecars turn hits away nothing goes out.
 #[test]
 fn overload_stops_work() {
-    let (text, logs) = plays(|day| {
+    let (text, logs) = play_work_day(|day| {
         day["fleet"]["cores"] = 1.into();
         day["hits_per_s"] = 400.into();
         day["lasts"] = 14.into();
@@ -188,7 +192,7 @@
 /// A zone that is gone stops new grants.
 #[test]
 fn a_lost_zone_stops_work() {
-    let (text, _) = plays(|day| {
+    let (text, _) = play_work_day(|day| {
         let east: Vec<usize> = (0..24).filter(|n| n % 3 == 0).collect();
         day["troubles"] = json!([{ "at": 2, "for": 30, "what": { "pods_killed": east } }]);
         day["work"]["steps"][0]["does"]["ask"]["machines"] = json!((0..24)
@@ -206,7 +210,7 @@
 
 /// All findings of a list at once, each with file, line and cause; nothing is asked for.
 #[test]
-fn what_is_wrong_with_a_list_is_told_at_once() {
+fn all_errors_of_a_list_are_reported_at_once() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("list.json");
     let list = "{\n\"name\": \"\",\n\"machines\": [\"a\", \"a\"],\n\"takes\": 9,\n\"stalls_after\": 5,\n\"limits\": {\"out\": 0, \"ready_part\": 2}\n}";
