--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -10,7 +10,7 @@
 use limewing_net::sockets::SocketId;
 use limewing_net::timer_wheel::TimerKey;
 use limewing_rule_checker::record::{AttemptKey, Event, FinalAnswer, RequestId, SidecarId};
-use limewing_settings::{Reach, Repeat};
+use limewing_settings::{DeduplicationScope, Idempotency};
 use rand::RngExt;
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::{Distribution, Exp};
@@ -187,9 +187,9 @@
         if let Some(customer) = order.customer {
             fields.push(("customer", &self.script.tenants[customer].name));
         }
-        let careless =
-            self.script.clients.retries_non_idempotent && group.repeat == Repeat::Mutating;
-        if careless || matches!(group.repeat, Repeat::Tagged { .. }) {
+        let careless = self.script.clients.retries_non_idempotent
+            && group.idempotency == Idempotency::NonIdempotent;
+        if careless || matches!(group.idempotency, Idempotency::Keyed { .. }) {
             fields.push(("idempotency-key", &tag));
         }
         if order.worthless {
@@ -363,7 +363,7 @@
                     && !std::mem::replace(&mut client.begun, true);
                 let order = of.and_then(|of| self.clients.orders.get(&of.request));
                 let streamed =
-                    order.is_some_and(|order| self.script.classes[order.group].class.streamed);
+                    order.is_some_and(|order| self.script.classes[order.group].class.streaming);
                 if let Some(of) = of.filter(|_| begun && streamed) {
                     self.note(Event::AnswerStarted {
                         sidecar,
@@ -441,10 +441,12 @@
         let Some(order) = self.clients.orders.get(&id) else {
             return;
         };
-        let by_group = match self.script.classes[order.group].class.repeat {
-            Repeat::Repeatable => true,
-            Repeat::Tagged { reach, .. } => reach == Reach::All,
-            Repeat::Mutating => self.script.clients.retries_non_idempotent,
+        let by_group = match self.script.classes[order.group].class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed {
+                deduplicated_by, ..
+            } => deduplicated_by == DeduplicationScope::All,
+            Idempotency::NonIdempotent => self.script.clients.retries_non_idempotent,
         };
         let at = self.now + Duration::from_secs_f64(if soon { wait * 0.1 } else { wait });
         let again = order.tries <= self.script.clients.max_retries
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -11,7 +11,7 @@
 use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
 use limewing_rule_checker::record::{AttemptKey, Event, PodId, RequestId, SidecarId};
-use limewing_settings::Reach;
+use limewing_settings::DeduplicationScope;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
@@ -361,9 +361,9 @@
             .script
             .deduplication(group)
             .map(|(reach, _)| match reach {
-                Reach::All => 0,
-                Reach::Zone => at.0,
-                Reach::Cell => at.1,
+                DeduplicationScope::All => 0,
+                DeduplicationScope::Zone => at.0,
+                DeduplicationScope::Cell => at.1,
             });
         let mark = shared.zip(head.fields.text("idempotency-key"));
         let mark = mark.map(|(scope, tag)| DeduplicationKey {
@@ -492,7 +492,7 @@
             self.ends.remove(&link);
             return self.sockets.close_when_sent(link);
         }
-        let streams = status == 200 && self.script.classes[group].class.streamed;
+        let streams = status == 200 && self.script.classes[group].class.streaming;
         self.answer(link, number, status, &fields, streams);
     }
 
--- a/crates/emulators/src/day/work.rs
+++ b/crates/emulators/src/day/work.rs
@@ -178,7 +178,10 @@
         let does = work.steps[number].action.clone();
         agents.post(Post::Does(does.clone()));
         if let OperatorAction::Request(list) = does {
-            let (out, out_in_zone) = (list.limits.out, list.limits.out_in_zone.unwrap_or(u16::MAX));
+            let (out, out_in_zone) = (
+                list.limits.max_unavailable,
+                list.limits.max_unavailable_per_zone.unwrap_or(u16::MAX),
+            );
             self.note(Event::MaintenanceRequested {
                 max_out: out,
                 max_out_in_zone: out_in_zone,
--- a/crates/emulators/src/rollout.rs
+++ b/crates/emulators/src/rollout.rs
@@ -1,7 +1,7 @@
 //! The rollout controller as a model without I/O: brings a build in by stages, slot by slot, and counts votes.
 
 use limewing_rule_checker::record::{Phase, SidecarId};
-use limewing_settings::{Control, Releases};
+use limewing_settings::{Control, RolloutSettings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -73,7 +73,7 @@
 
 /// Rolls builds out as the settings of a release say.
 pub struct RolloutController {
-    config: Releases,
+    config: RolloutSettings,
     state: RolloutState,
     /// The build that a rollback returns to.
     previous_build: u16,
@@ -88,7 +88,7 @@
 impl RolloutController {
     /// A fleet of so many slots that all run a build, which is released.
     #[must_use]
-    pub fn new(config: Releases, slots: usize, build: u16) -> Self {
+    pub fn new(config: RolloutSettings, slots: usize, build: u16) -> Self {
         let running = |_| Slot {
             build,
             starting: false,
--- a/crates/emulators/src/script/rule_limits.rs
+++ b/crates/emulators/src/script/rule_limits.rs
@@ -2,7 +2,7 @@
 
 use super::DayScript;
 use limewing_rule_checker::record::{DeduplicationScope, Idempotency, RequestClass, RuleLimits};
-use limewing_settings::{Reach, Repeat};
+use limewing_settings as settings;
 
 impl DayScript {
     /// What the rules are held to on this day.
@@ -10,9 +10,9 @@
     pub fn rule_limits(&self) -> RuleLimits {
         let classes = self.classes.iter().map(|script| RequestClass {
             name: script.class.name.clone(),
-            idempotency: idempotency_of(script.class.repeat),
-            latency_objective: script.class.target_latency.into(),
-            priority_weight: script.class.benefit,
+            idempotency: idempotency_of(script.class.idempotency),
+            latency_objective: script.class.latency_objective.into(),
+            priority_weight: script.class.priority_weight,
         });
         RuleLimits {
             classes: classes.collect(),
@@ -32,17 +32,20 @@
     }
 }
 
-fn idempotency_of(repeat: Repeat) -> Idempotency {
-    match repeat {
-        Repeat::Repeatable => Idempotency::Idempotent,
-        Repeat::Mutating => Idempotency::NonIdempotent,
-        Repeat::Tagged { reach, memory } => Idempotency::Keyed {
-            deduplicated_by: match reach {
-                Reach::All => DeduplicationScope::All,
-                Reach::Zone => DeduplicationScope::Zone,
-                Reach::Cell => DeduplicationScope::Cell,
+fn idempotency_of(idempotency: settings::Idempotency) -> Idempotency {
+    match idempotency {
+        settings::Idempotency::Idempotent => Idempotency::Idempotent,
+        settings::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
+        settings::Idempotency::Keyed {
+            deduplicated_by,
+            window,
+        } => Idempotency::Keyed {
+            deduplicated_by: match deduplicated_by {
+                settings::DeduplicationScope::All => DeduplicationScope::All,
+                settings::DeduplicationScope::Zone => DeduplicationScope::Zone,
+                settings::DeduplicationScope::Cell => DeduplicationScope::Cell,
             },
-            window: memory.into(),
+            window: window.into(),
         },
     }
 }
