--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -24,20 +24,20 @@
     }
 
     pub(crate) fn update(&self, now: &Progress) {
-        self.0.set_length(now.lasts.as_millis() as u64);
+        self.0.set_length(now.ends_at.as_millis() as u64);
         self.0.set_position(now.at.as_millis() as u64);
         let counts = format!(
             "hits {} delivered {} bounced {} errored {}",
-            now.asked, now.delivered, now.bounced, now.errored
+            now.requests, now.delivered, now.rejected, now.failed
         );
         let rollout = format!(
-            "build {} stage {} {:?}, {} pods",
+            "build {} stage {} {}, {} pods",
             now.build, now.stage, now.phase, now.pods
         );
-        let faults = if now.troubles.is_empty() {
+        let faults = if now.faults.is_empty() {
             "-".into()
         } else {
-            now.troubles.join(", ")
+            now.faults.join(", ")
         };
         self.0
             .set_message(format!("{counts} | {rollout} | {faults}"));
