--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -39,8 +39,8 @@
         Machine {
             cores: fleet.cores,
             queue_limit: fleet.queue_limit,
-            slow_start_from: rules.cold_from,
-            slow_start_duration: rules.cold_for.into(),
+            slow_start_from: rules.slow_start_from,
+            slow_start_duration: rules.slow_start_duration.into(),
         }
     }
 
--- a/crates/emulators/src/rollout.rs
+++ b/crates/emulators/src/rollout.rs
@@ -162,7 +162,7 @@
             build,
             stage,
             verdict,
-            expires_at: now + self.config.vote_life.into(),
+            expires_at: now + self.config.vote_ttl.into(),
         };
         self.votes.insert(sidecar, vote);
         true
@@ -230,7 +230,7 @@
     fn is_voted_down(&self, now: Duration) -> bool {
         matches!(self.state.phase, Phase::OnTrial | Phase::Released)
             && self.state.build != self.previous_build
-            && self.count_votes(Verdict::RollBack, now) >= self.config.back_votes as usize
+            && self.count_votes(Verdict::RollBack, now) >= self.config.rollback_quorum as usize
     }
 
     fn none_starts(&self) -> bool {
@@ -277,7 +277,7 @@
             Control::Clock => true,
             Control::Votes => self.count_votes(Verdict::Promote, now) > 0,
         };
-        if !promoted || self.stage_ran_for < self.config.step_after.into() {
+        if !promoted || self.stage_ran_for < self.config.stage_duration.into() {
             return;
         }
         if usize::from(stage) + 1 >= self.config.stages.len() {
--- a/crates/http-proxy/src/service/peers/mod.rs
+++ b/crates/http-proxy/src/service/peers/mod.rs
@@ -64,7 +64,7 @@
         let traffic = TrafficTimings {
             drain_grace: settings.safety.drain_grace.into(),
             longest_request: max_client_timeout,
-            warm_up: settings.safety.cold_for.into(),
+            warm_up: settings.safety.slow_start_duration.into(),
         };
         let maintenance = match &settings.maintenance {
             Some(work) => {
--- a/crates/http-proxy/src/service/replication.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -76,7 +76,7 @@
         Self {
             replica: Replica::new(now, config),
             merged: MergedState::default(),
-            local: LocalState::new(now, settings.rollout.keys_stay, first_cap),
+            local: LocalState::new(now, settings.rollout.sticky_keys, first_cap),
             builds: BTreeMap::new(),
             next_refresh: now,
         }
--- a/crates/http-proxy/src/service/settings.rs
+++ b/crates/http-proxy/src/service/settings.rs
@@ -54,7 +54,7 @@
             request_timeout: limits.request_timeout.into(),
             max_clients: limits.max_clients,
             max_attempts: limits.max_attempts.into(),
-            vote_timeout: settings.rollout.vote_answer_within.into(),
+            vote_timeout: settings.rollout.vote_timeout.into(),
             streamed_classes: classes.map(|class| class.streaming).collect(),
         }
     }
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -30,44 +30,50 @@
     /// The stages, in order.
     #[schemars(description = "")]
     pub stages: Vec<RolloutStage>,
-    /// The span over which a build's exposure is counted.
+    /// The window over which the caps are counted.
+    #[serde(rename = "cap_window")]
     #[schemars(description = "")]
-    pub cap_window: Seconds,
-    /// Requests to a build on trial that the cap does not count.
+    pub exposure_window: Seconds,
+    /// Attempts in a window that are free of the cap.
+    #[serde(rename = "cap_free")]
     #[schemars(description = "")]
-    pub cap_free: f64,
-    /// Whether exposure is counted for each request class alone.
-    #[serde(default)]
+    pub exposure_free: f64,
+    /// Whether the caps are counted for each request class by itself.
+    #[serde(default, rename = "cap_by_group")]
     #[schemars(description = "")]
-    pub cap_by_group: bool,
-    /// The first stages, so many, in which non-idempotent requests do not go to the build on trial.
+    pub exposure_per_class: bool,
+    /// The number of first stages in which the build on trial gets idempotent requests only.
     #[serde(default)]
     #[schemars(description = "")]
     pub guarded_stages: u8,
-    /// Whether a routing key stays with the build that served it.
-    #[serde(default)]
+    /// Whether a routing key stays with the newest build that served it.
+    #[serde(default, rename = "keys_stay")]
     #[schemars(description = "")]
-    pub keys_stay: bool,
+    pub sticky_keys: bool,
     /// How long a stage lasts under a clock; for the installer of a day, as a sidecar goes by its news.
-    pub step_after: Seconds,
+    #[serde(rename = "step_after")]
+    pub stage_duration: Seconds,
     /// How long a vote counts.
+    #[serde(rename = "vote_life")]
     #[schemars(description = "")]
-    pub vote_life: Seconds,
+    pub vote_ttl: Seconds,
     /// How long the reply to a vote is waited for.
+    #[serde(rename = "vote_answer_within")]
     #[schemars(description = "")]
-    pub vote_answer_within: Seconds,
+    pub vote_timeout: Seconds,
     /// Sidecars that it takes to roll a build back.
+    #[serde(rename = "back_votes")]
     #[schemars(description = "")]
-    pub back_votes: u32,
+    pub rollback_quorum: u32,
     /// Sidecars that it takes to hold a stage.
-    #[serde(default = "default_quorum")]
-    pub hold_votes: u32,
+    #[serde(default = "default_quorum", rename = "hold_votes")]
+    pub hold_quorum: u32,
     /// Sidecars that it takes to move a stage on, where votes do.
-    #[serde(default = "default_quorum")]
-    pub on_votes: u32,
+    #[serde(default = "default_quorum", rename = "on_votes")]
+    pub promote_quorum: u32,
     /// Votes a second that the installer takes from all sidecars together, and twice that at one time; none: all.
-    #[serde(default)]
-    pub vote_allowance: Option<f64>,
+    #[serde(default, rename = "vote_allowance")]
+    pub vote_rate_limit: Option<f64>,
 }
 
 /// One stage of a rollout.
@@ -85,14 +91,18 @@
     pub(crate) fn validate(&self, validator: &mut Validator) {
         self.validate_stages(validator);
         validator.require(
-            self.cap_window.value() > 0.0,
+            self.exposure_window.value() > 0.0,
             "/releases/cap_window",
             "more than 0 seconds",
         );
-        validator.require(self.cap_free >= 0.0, "/releases/cap_free", "0 or more");
-        validator.require(self.back_votes >= 1, "/releases/back_votes", "1 or more");
+        validator.require(self.exposure_free >= 0.0, "/releases/cap_free", "0 or more");
+        validator.require(
+            self.rollback_quorum >= 1,
+            "/releases/back_votes",
+            "1 or more",
+        );
         validator.require(
-            self.vote_allowance.is_none_or(|limit| limit > 0.0),
+            self.vote_rate_limit.is_none_or(|limit| limit > 0.0),
             "/releases/vote_allowance",
             "more than 0 votes a second",
         );
--- a/crates/settings/src/sidecar_config.rs
+++ b/crates/settings/src/sidecar_config.rs
@@ -73,10 +73,10 @@
 fn safety_limits(limits: &SafetyLimits) -> decision::SafetyLimits {
     decision::SafetyLimits {
         drain_grace: limits.drain_grace.into(),
-        slow_start_from: limits.cold_from,
-        slow_start_duration: limits.cold_for.into(),
-        overload_multiple: limits.fall_multiple,
-        overload_window: limits.fall_within.into(),
+        slow_start_from: limits.slow_start_from,
+        slow_start_duration: limits.slow_start_duration.into(),
+        overload_multiple: limits.overload_multiple,
+        overload_window: limits.overload_window.into(),
     }
 }
 
@@ -88,16 +88,16 @@
         },
         stage_shares: rollout.stages.iter().map(|stage| stage.share).collect(),
         exposure_caps: rollout.stages.iter().map(|stage| stage.cap).collect(),
-        exposure_window: rollout.cap_window.into(),
-        exposure_free: rollout.cap_free,
-        exposure_per_class: rollout.cap_by_group,
+        exposure_window: rollout.exposure_window.into(),
+        exposure_free: rollout.exposure_free,
+        exposure_per_class: rollout.exposure_per_class,
         guarded_stages: rollout.guarded_stages,
-        sticky_keys: rollout.keys_stay,
-        vote_ttl: rollout.vote_life.into(),
-        vote_timeout: rollout.vote_answer_within.into(),
-        rollback_quorum: rollout.back_votes,
-        hold_quorum: rollout.hold_votes,
-        promote_quorum: rollout.on_votes,
-        vote_rate_limit: rollout.vote_allowance,
+        sticky_keys: rollout.sticky_keys,
+        vote_ttl: rollout.vote_ttl.into(),
+        vote_timeout: rollout.vote_timeout.into(),
+        rollback_quorum: rollout.rollback_quorum,
+        hold_quorum: rollout.hold_quorum,
+        promote_quorum: rollout.promote_quorum,
+        vote_rate_limit: rollout.vote_rate_limit,
     }
 }
