--- a/crates/emulators/src/day/maintenance.rs
+++ b/crates/emulators/src/day/maintenance.rs
@@ -40,8 +40,8 @@
         agents.post(Post::Operator(action.clone()));
         if let OperatorAction::Request(list) = action {
             self.record(Event::MaintenanceRequested {
-                max_out: list.limits.out,
-                max_out_in_zone: list.limits.out_in_zone.unwrap_or(u16::MAX),
+                max_out: list.limits.max_unavailable,
+                max_out_in_zone: list.limits.max_unavailable_per_zone.unwrap_or(u16::MAX),
             });
         }
     }
--- a/crates/emulators/src/day/pod_answers.rs
+++ b/crates/emulators/src/day/pod_answers.rs
@@ -68,7 +68,7 @@
         if wrong {
             fields.push((headers::WRONG_ANSWER, "1"));
         }
-        let streamed = status == 200 && self.script.classes[request.class].class.streamed;
+        let streamed = status == 200 && self.script.classes[request.class].class.streaming;
         let answer = PodAnswer {
             status,
             fields: &fields,
--- a/crates/emulators/src/rollout.rs
+++ b/crates/emulators/src/rollout.rs
@@ -1,7 +1,7 @@
 //! The rollout controller as a model without I/O: brings a build in by stages, slot by slot, and counts votes.
 
 use limewing_rule_checker::record::{Phase, SidecarId};
-use limewing_settings::{Control, Releases};
+use limewing_settings::{Control, RolloutSettings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -73,7 +73,7 @@
 
 /// Rolls builds out as the settings of a release say.
 pub struct RolloutController {
-    config: Releases,
+    config: RolloutSettings,
     state: RolloutState,
     /// The build that a rollback returns to.
     previous_build: u16,
@@ -88,7 +88,7 @@
 impl RolloutController {
     /// A fleet of so many slots that all run a build, which is released.
     #[must_use]
-    pub fn new(config: Releases, slots: usize, build: u16) -> Self {
+    pub fn new(config: RolloutSettings, slots: usize, build: u16) -> Self {
         let running = |_| Slot {
             build,
             starting: false,
@@ -162,7 +162,7 @@
             build,
             stage,
             verdict,
-            expires_at: now + self.config.vote_life.into(),
+            expires_at: now + self.config.vote_ttl.into(),
         };
         self.votes.insert(sidecar, vote);
         true
@@ -230,7 +230,7 @@
     fn is_voted_down(&self, now: Duration) -> bool {
         matches!(self.state.phase, Phase::OnTrial | Phase::Released)
             && self.state.build != self.previous_build
-            && self.count_votes(Verdict::RollBack, now) >= self.config.back_votes as usize
+            && self.count_votes(Verdict::RollBack, now) >= self.config.rollback_quorum as usize
     }
 
     fn none_starts(&self) -> bool {
@@ -277,7 +277,7 @@
             Control::Clock => true,
             Control::Votes => self.count_votes(Verdict::Promote, now) > 0,
         };
-        if !promoted || self.stage_ran_for < self.config.step_after.into() {
+        if !promoted || self.stage_ran_for < self.config.stage_duration.into() {
             return;
         }
         if usize::from(stage) + 1 >= self.config.stages.len() {
--- a/crates/emulators/src/script/rule_limits.rs
+++ b/crates/emulators/src/script/rule_limits.rs
@@ -2,7 +2,7 @@
 
 use super::DayScript;
 use limewing_rule_checker::record::{DeduplicationScope, Idempotency, RequestClass, RuleLimits};
-use limewing_settings::{Reach, Repeat};
+use limewing_settings as settings;
 
 impl DayScript {
     /// What the rules are held to on this day.
@@ -10,39 +10,42 @@
     pub fn rule_limits(&self) -> RuleLimits {
         let classes = self.classes.iter().map(|script| RequestClass {
             name: script.class.name.clone(),
-            idempotency: idempotency_of(script.class.repeat),
-            latency_objective: script.class.target_latency.into(),
-            priority_weight: script.class.benefit,
+            idempotency: idempotency_of(script.class.idempotency),
+            latency_objective: script.class.latency_objective.into(),
+            priority_weight: script.class.priority_weight,
         });
         RuleLimits {
             classes: classes.collect(),
             answer_slack: self.rules.answer_slack.into(),
             drain_grace: self.rules.drain_grace.into(),
-            slow_start_from: self.rules.cold_from,
-            slow_start_duration: self.rules.cold_for.into(),
-            overload_multiple: self.rules.fall_multiple,
-            overload_window: self.rules.fall_within.into(),
+            slow_start_from: self.rules.slow_start_from,
+            slow_start_duration: self.rules.slow_start_duration.into(),
+            overload_multiple: self.rules.overload_multiple,
+            overload_window: self.rules.overload_window.into(),
             exposure_caps: self.releases.stages.iter().map(|stage| stage.cap).collect(),
-            exposure_window: self.releases.cap_window.into(),
-            exposure_free: self.releases.cap_free,
-            exposure_per_class: self.releases.cap_by_group,
+            exposure_window: self.releases.exposure_window.into(),
+            exposure_free: self.releases.exposure_free,
+            exposure_per_class: self.releases.exposure_per_class,
             guarded_stages: self.releases.guarded_stages,
-            sticky_keys: self.releases.keys_stay,
+            sticky_keys: self.releases.sticky_keys,
         }
     }
 }
 
-fn idempotency_of(repeat: Repeat) -> Idempotency {
-    match repeat {
-        Repeat::Repeatable => Idempotency::Idempotent,
-        Repeat::Mutating => Idempotency::NonIdempotent,
-        Repeat::Tagged { reach, memory } => Idempotency::Keyed {
-            deduplicated_by: match reach {
-                Reach::All => DeduplicationScope::All,
-                Reach::Zone => DeduplicationScope::Zone,
-                Reach::Cell => DeduplicationScope::Cell,
+fn idempotency_of(idempotency: settings::Idempotency) -> Idempotency {
+    match idempotency {
+        settings::Idempotency::Idempotent => Idempotency::Idempotent,
+        settings::Idempotency::NonIdempotent => Idempotency::NonIdempotent,
+        settings::Idempotency::Keyed {
+            deduplicated_by,
+            window,
+        } => Idempotency::Keyed {
+            deduplicated_by: match deduplicated_by {
+                settings::DeduplicationScope::All => DeduplicationScope::All,
+                settings::DeduplicationScope::Zone => DeduplicationScope::Zone,
+                settings::DeduplicationScope::Cell => DeduplicationScope::Cell,
             },
-            window: memory.into(),
+            window: window.into(),
         },
     }
 }
