--- a/crates/simulator-protocol/tests/framing.rs
+++ b/crates/simulator-protocol/tests/framing.rs
@@ -2,15 +2,14 @@
 
 use limewing_decision::interface::{Action, ClassId, Event, PodId, RequestId};
 use limewing_simulator_protocol::{read_batch, Record, Reply};
+use limewing_test_support::golden;
 use rstest::rstest;
 use std::time::Duration;
 
+/// Bytes in hexadecimal digits, with blanks between groups of them.
 fn hex(text: &str) -> Vec<u8> {
-    let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits
-        .chunks(2)
-        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
-        .collect()
+    let digits: String = text.split_whitespace().collect();
+    golden::from_hex(&digits)
 }
 
 const BATCH_FOR_TWO_INSTANCES: &str = "59000000 508d976e12d32040 05000000 0c000000 0701 03000000
--- a/crates/simulator-protocol/tests/golden.rs
+++ b/crates/simulator-protocol/tests/golden.rs
@@ -10,38 +10,19 @@
 use limewing_simulator_protocol::{
     read_batch, sidecar_config, socket_settings, EndpointUpdateKind, Record, Reply,
 };
+use limewing_test_support::golden;
 use std::fmt::Write;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+const PACKAGE: &str = env!("CARGO_MANIFEST_DIR");
+
 fn golden_path(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
-        .join("tests/golden")
-        .join(name)
+    Path::new(PACKAGE).join("tests/golden").join(name)
 }
 
-/// Compares text with a golden file, or writes the file if `GOLDEN_WRITE` is set.
 fn assert_golden(name: &str, written: &str) {
-    let path = golden_path(name);
-    if std::env::var_os("GOLDEN_WRITE").is_some() {
-        std::fs::write(&path, written).unwrap();
-    }
-    assert_eq!(std::fs::read_to_string(path).unwrap(), written, "{name}");
-}
-
-fn hex_of(bytes: &[u8]) -> String {
-    let mut text = String::new();
-    for byte in bytes {
-        write!(text, "{byte:02x}").unwrap();
-    }
-    text
-}
-
-fn bytes_of(hex: &str) -> Vec<u8> {
-    (0..hex.len())
-        .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
-        .collect()
+    assert_eq!(golden::read(PACKAGE, name, written), written, "{name}");
 }
 
 /// Writes records as the simulator does.
@@ -312,7 +293,7 @@
 fn each_kind_of_record_has_its_bytes() {
     let mut written = String::new();
     for (name, bytes) in batches() {
-        writeln!(written, "{name} {}", hex_of(&bytes)).unwrap();
+        writeln!(written, "{name} {}", golden::to_hex(&bytes)).unwrap();
     }
     assert_golden("batches.hex", &written);
 }
@@ -323,7 +304,9 @@
     let mut read = String::new();
     for line in file.lines() {
         let (name, hex) = line.split_once(' ').unwrap();
-        let batch = read_batch(&mut &bytes_of(hex)[..]).unwrap().unwrap();
+        let batch = read_batch(&mut &golden::from_hex(hex)[..])
+            .unwrap()
+            .unwrap();
         assert_eq!((batch.number, micros(batch.now)), (12, 1_000_250_000));
         writeln!(read, "{name}").unwrap();
         for record in &batch.records {
@@ -386,15 +369,15 @@
     for (name, action) in actions() {
         let mut reply = Reply::default();
         reply.push_action(&action);
-        writeln!(written, "{name} {}", hex_of(&sent(reply))).unwrap();
+        writeln!(written, "{name} {}", golden::to_hex(&sent(reply))).unwrap();
         all.select_instance(written.len() as u32);
         all.push_action(&action);
     }
     let mut fault = Reply::default();
     fault.push_fault("record is cut short at byte 3 of the frame");
-    writeln!(written, "fault {}", hex_of(&sent(fault))).unwrap();
-    writeln!(written, "empty {}", hex_of(&sent(Reply::default()))).unwrap();
-    writeln!(written, "many_instances {}", hex_of(&sent(all))).unwrap();
+    writeln!(written, "fault {}", golden::to_hex(&sent(fault))).unwrap();
+    writeln!(written, "empty {}", golden::to_hex(&sent(Reply::default()))).unwrap();
+    writeln!(written, "many_instances {}", golden::to_hex(&sent(all))).unwrap();
     assert_golden("replies.hex", &written);
 }
 
