--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -3,7 +3,9 @@
 use crate::{plot, Stop};
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
-use limewing_emulators::fleet::{self, Crowd, CrowdPlan, Member, Plan};
+use limewing_emulators::fleet::{
+    self, Member, Plan, PodOutage, PodRestart, TrialPartition, TrialPlan, TrialResult,
+};
 use limewing_fault_injection::{Fault, Script, Simulation};
 use limewing_http_proxy::service::{MembershipView, ReplicationView};
 use limewing_settings::{Checked, ConfigError, SidecarSettings};
@@ -291,33 +293,43 @@
     seconds: u64,
     seed: u64,
 ) -> Result<(), Stop> {
-    let lasts = Duration::from_secs(seconds);
-    let plan = |choices| CrowdPlan {
+    let duration = Duration::from_secs(seconds);
+    let plan = |coordination| TrialPlan {
         sidecars,
         pods,
         seed,
-        lasts,
-        choices,
-        parts: (lasts.mul_f64(0.45), parts),
-        cold: Some((0, lasts / 2)),
-        dead: Some((1, lasts / 5, lasts.mul_f64(0.8))),
+        duration,
+        coordination,
+        partition: TrialPartition {
+            at: duration.mul_f64(0.45),
+            parts,
+        },
+        restart: Some(PodRestart {
+            pod: 0,
+            at: duration / 2,
+        }),
+        outage: Some(PodOutage {
+            pod: 1,
+            from: duration / 5,
+            to: duration.mul_f64(0.8),
+        }),
     };
-    let [with, without] = [true, false].map(|choices| fleet::crowd(&plan(choices)));
+    let [with, without] = [true, false].map(|coordination| fleet::run_trial(&plan(coordination)));
     let mut rows = table(&["what", "with the fleet's word", "each alone"]);
-    let mut row = |what: &str, figure: &dyn Fn(&Crowd) -> String| {
+    let mut row = |what: &str, figure: &dyn Fn(&TrialResult) -> String| {
         rows.add_row([what.to_owned(), figure(&with), figure(&without)]);
     };
     row("load per pod, most over mean", &|played| {
-        format!("{:.2}", played.most())
+        format!("{:.2}", played.highest_over_mean())
     });
     row(
         "a cold pod's load over its strength's share, most",
-        &|played| format!("{:.2}", played.cold),
+        &|played| format!("{:.2}", played.warming_load),
     );
     row(
         "forwards to a pod that is gone, a second, after 5 s",
         &|played| {
-            let late = played.to_dead.iter().skip(5);
+            let late = played.attempts_in_outage.iter().skip(5);
             format!(
                 "{:.1}",
                 late.clone().sum::<usize>() as f64 / late.count().max(1) as f64
@@ -326,7 +338,7 @@
     );
     row("from its return to its first answer, s", &|played| {
         played
-            .back_after
+            .recovery_time
             .map_or("none".into(), |wait| format!("{:.1}", wait.as_secs_f64()))
     });
     row("delivered", &|played| played.delivered.to_string());
--- a/crates/emulators/src/fleet/mod.rs
+++ b/crates/emulators/src/fleet/mod.rs
@@ -1,17 +1,17 @@
-//! A fleet of sidecars under a script of faults: as members in simulated time (`Member`), and as processes with a relay
-//! between them (`rig`). Both go by the same script.
+//! A fleet of sidecars under a script of faults: as members in simulated time ([`Member`]), and as processes with a relay between them
+//! ([`play`]). Both go by the same script. Beside them, trials of coordination among decision engines ([`run_trial`]).
 
-mod crowd;
 mod pages;
 mod played;
 mod relay;
 mod rig;
+mod trial;
 
-pub use crowd::{crowd, Crowd, CrowdPlan};
 pub use pages::{ask, call, listens};
 pub use played::{Lifetime, ObservedMember, Played, Sample, WrongView};
 pub use relay::{Relay, RelayTraffic};
 pub use rig::{key_file, play, write_keys, Plan, RigError, CLOCK, FIRST_KEYS};
+pub use trial::{run_trial, PodOutage, PodRestart, TrialPartition, TrialPlan, TrialResult};
 
 use limewing_fault_injection::{SimulatedMember, Simulation};
 use limewing_membership::{Config, Key, MemberName, MemberStatus, Membership, MembershipEvent};
@@ -19,45 +19,55 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The port of member 0; the others follow.
 const FIRST_PORT: u16 = 10_000;
 /// The simulated time of day at the start, in milliseconds.
-const TODAY: u64 = 1_800_000_000_000;
+const TODAY_MS: u64 = 1_800_000_000_000;
+/// Clocks are behind by this, so that one that is ahead of another never goes below its start; in milliseconds.
+const CLOCK_BASE_MS: u64 = 90_000_000;
+/// Clocks differ by less than this, beside what the script says; in milliseconds.
+const MAX_SKEW_MS: u64 = 1500;
+/// Spreads the skews of members.
+const SKEW_FACTOR: u64 = 7919;
+/// Between two probes of a member.
 pub const PERIOD: Duration = Duration::from_secs(1);
 
-fn at(number: usize) -> SocketAddr {
+fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + number as u16))
 }
 
 fn keys(ids: &[u8]) -> Vec<Key> {
-    ids.iter()
-        .map(|id| Key {
-            id: *id,
-            secret: vec![6 + id; 32],
-        })
-        .collect()
+    let key = |id: &u8| Key {
+        id: *id,
+        secret: vec![6 + id; 32],
+    };
+    ids.iter().map(key).collect()
 }
 
-/// A member in simulated time, with what it was told.
+/// A member in simulated time, with the events that it reported.
 pub struct Member {
-    pub peers: Membership,
-    pub news: Vec<(Duration, MembershipEvent)>,
+    /// Its membership.
+    pub membership: Membership,
+    /// Its events, with their times.
+    pub events: Vec<(Duration, MembershipEvent)>,
 }
 
 impl Member {
-    fn gather(&mut self, now: Duration) {
-        while let Some(news) = self.peers.take_event() {
-            self.news.push((now, news));
+    fn collect_events(&mut self, now: Duration) {
+        while let Some(event) = self.membership.take_event() {
+            self.events.push((now, event));
         }
     }
 
-    /// Whom it holds to be here, by number.
-    pub fn here(&self) -> Vec<usize> {
-        let alive = self
-            .peers
+    /// Whom it holds to run, by number.
+    #[must_use]
+    pub fn active_members(&self) -> Vec<usize> {
+        let active = self
+            .membership
             .active_members()
             .filter(|member| member.update.status <= MemberStatus::Suspect);
-        let mut numbers: Vec<usize> = alive
-            .map(|m| usize::from(m.update.address.port() - FIRST_PORT))
+        let mut numbers: Vec<usize> = active
+            .map(|member| usize::from(member.update.address.port() - FIRST_PORT))
             .collect();
         numbers.sort_unstable();
         numbers
@@ -66,53 +76,56 @@
 
 impl SimulatedMember for Member {
     fn start(number: usize, start: u32, now: Duration, ahead: f64) -> Self {
-        // Clocks differ by up to a second and a half, beside what the script says.
-        let skew = ((number as u64 * 7919) % 1500)
-            .saturating_add_signed((ahead * 1e3) as i64 + 90_000_000);
-        let terms = Config {
+        let drawn_skew = (number as u64 * SKEW_FACTOR) % MAX_SKEW_MS;
+        let scripted_skew = (ahead * 1e3) as i64 + CLOCK_BASE_MS as i64;
+        let skew = drawn_skew.saturating_add_signed(scripted_skew);
+        let config = Config {
             name: MemberName::try_from(format!("s{number}")).expect("a short name"),
-            started_at_ms: TODAY - 90_000_000 + now.as_millis() as u64 + skew + u64::from(start),
+            started_at_ms: TODAY_MS - CLOCK_BASE_MS
+                + now.as_millis() as u64
+                + skew
+                + u64::from(start),
             started_at: now,
-            address: at(number),
-            seed_addresses: (0..3).map(at).collect(),
+            address: address(number),
+            seed_addresses: (0..3).map(address).collect(),
             keys: keys(&[1]),
             probe_interval: PERIOD,
             bytes_per_second: 16_384,
             seed: (number as u64) << 32 | u64::from(start),
         };
-        let peers = Membership::new(now, terms).expect("terms that can be used");
+        let membership = Membership::new(now, config).expect("a config that can be used");
         Self {
-            peers,
-            news: Vec::new(),
+            membership,
+            events: Vec::new(),
         }
     }
 
     fn receive(&mut self, now: Duration, datagram: &[u8]) {
         // What is refused is counted there.
-        let _ = self.peers.receive(now, datagram);
-        self.gather(now);
+        let _ = self.membership.receive(now, datagram);
+        self.collect_events(now);
     }
 
     fn tick(&mut self, now: Duration) {
-        self.peers.tick(now);
-        self.gather(now);
+        self.membership.tick(now);
+        self.collect_events(now);
     }
 
     fn next_deadline(&self) -> Duration {
-        self.peers.next_deadline()
+        self.membership.next_deadline()
     }
 
     fn take_datagram(&mut self) -> Option<(usize, Vec<u8>)> {
-        let (to, bytes) = self.peers.take_datagram()?;
+        let (to, bytes) = self.membership.take_datagram()?;
         Some((usize::from(to.port().wrapping_sub(FIRST_PORT)), bytes))
     }
 
     fn leave(&mut self, now: Duration) {
-        self.peers.leave(now);
+        self.membership.leave(now);
     }
 
     fn replace_keys(&mut self, ids: &[u8]) {
-        self.peers
+        self.membership
             .replace_keys(keys(ids))
             .expect("keys that can be used");
     }
@@ -127,42 +140,42 @@
     pub ghosts: usize,
 }
 
-pub fn views(world: &Simulation<Member>) -> Views {
-    let mut found = Views::default();
-    let runs: Vec<usize> = (0..world.member_count())
-        .filter(|n| world.member(*n).is_some())
+/// Compares the views of all that run with the truth.
+#[must_use]
+pub fn views(simulation: &Simulation<Member>) -> Views {
+    let running: Vec<usize> = (0..simulation.member_count())
+        .filter(|number| simulation.member(*number).is_some())
         .collect();
-    for number in &runs {
-        let Some(member) = world.member(*number) else {
+    let mut found = Views::default();
+    for number in &running {
+        let Some(member) = simulation.member(*number) else {
             continue;
         };
-        let here = member.here();
-        found.missing += runs
+        let active = member.active_members();
+        let missing = running
             .iter()
-            .filter(|other| *other != number && here.binary_search(other).is_err())
-            .count();
-        found.ghosts += here
+            .filter(|other| *other != number && active.binary_search(other).is_err());
+        found.missing += missing.count();
+        let ghosts = active
             .iter()
-            .filter(|other| runs.binary_search(other).is_err())
-            .count();
+            .filter(|other| running.binary_search(other).is_err());
+        found.ghosts += ghosts.count();
     }
     found
 }
 
-/// Times at which members were held to be dead, by number.
-pub fn deaths(world: &Simulation<Member>) -> BTreeMap<String, Vec<(usize, Duration)>> {
+/// By the name of each member that was held to be dead: by whom, and when.
+#[must_use]
+pub fn deaths(simulation: &Simulation<Member>) -> BTreeMap<String, Vec<(usize, Duration)>> {
     let mut found: BTreeMap<String, Vec<(usize, Duration)>> = BTreeMap::new();
-    for number in 0..world.member_count() {
-        for (when, news) in world
-            .member(number)
-            .into_iter()
-            .flat_map(|member| &member.news)
-        {
-            if let MembershipEvent::Down(name) = news {
-                found
-                    .entry(name.to_string())
-                    .or_default()
-                    .push((number, *when));
+    for number in 0..simulation.member_count() {
+        let Some(member) = simulation.member(number) else {
+            continue;
+        };
+        for (at, event) in &member.events {
+            if let MembershipEvent::Down(name) = event {
+                let deaths = found.entry(name.to_string()).or_default();
+                deaths.push((number, *at));
             }
         }
     }
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -6,14 +6,6 @@
 
 pub mod day;
 pub mod deduplication;
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names and documentation.
-#[allow(
-    missing_docs,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines,
-    clippy::unwrap_used,
-    clippy::wildcard_imports
-)]
 pub mod fleet;
 mod locks;
 // Not done yet, see "Readable code" in docs/ROADMAP.md: names and documentation.
--- a/crates/emulators/tests/fleet.rs
+++ b/crates/emulators/tests/fleet.rs
@@ -132,7 +132,7 @@
     assert_eq!(deaths(&world).len(), 0);
     let said = world
         .member(4)
-        .map(|member| member.news.iter().filter(|(at, _)| *at > s(30.0)).count());
+        .map(|member| member.events.iter().filter(|(at, _)| *at > s(30.0)).count());
     assert_eq!(said, Some(0));
 }
 
@@ -238,10 +238,12 @@
     fn start(number: usize, start: u32, now: Duration, ahead: f64) -> Self {
         let mut member = Member::start(number, start, now, ahead);
         assert!(
-            !member.peers.publish(now, vec![0; 257])
-                && member.peers.publish(now, b"first".to_vec())
+            !member.membership.publish(now, vec![0; 257])
+                && member.membership.publish(now, b"first".to_vec())
         );
-        assert!(member.peers.publish(now, vec![number as u8, start as u8]));
+        assert!(member
+            .membership
+            .publish(now, vec![number as u8, start as u8]));
         Self(member, start as u8)
     }
 
@@ -291,7 +293,7 @@
             let name = format!("s{other}").try_into().unwrap();
             let read = world
                 .member(reader)
-                .and_then(|core| core.0.peers.published_by(&name));
+                .and_then(|core| core.0.membership.published_by(&name));
             let found = read.map(|(bytes, _)| bytes.to_vec());
             let expected = world.member(other).map(|core| vec![other as u8, core.1]);
             assert_eq!(found, expected, "s{other} as read by s{reader}");
