--- a/crates/cli/src/fleet/coordination.rs
+++ b/crates/cli/src/fleet/coordination.rs
@@ -2,7 +2,9 @@
 
 use super::CoordinationArguments;
 use crate::table;
-use limewing_emulators::fleet::{self, Crowd, CrowdPlan};
+use limewing_emulators::fleet::{
+    self, PodOutage, PodRestart, TrialPartition, TrialPlan, TrialResult,
+};
 use std::time::Duration;
 
 /// Part of the time after which the sidecars are split.
@@ -15,13 +17,13 @@
 const DETECTION_SECONDS: usize = 5;
 
 /// A figure of one play, as the table has it.
-type Figure = fn(&Crowd) -> String;
+type Figure = fn(&TrialResult) -> String;
 
 /// Plays many sidecars in simulated time with and without coordination, and prints both side by side. A pod starts cold at
 /// half of the time, another is gone from a fifth of it to four fifths.
 pub(super) fn run(arguments: &CoordinationArguments) {
-    let coordinated = fleet::crowd(&plan(arguments, true));
-    let independent = fleet::crowd(&plan(arguments, false));
+    let coordinated = fleet::run_trial(&plan(arguments, true));
+    let independent = fleet::run_trial(&plan(arguments, false));
     let mut rows = table::with_headers(&["what", "with the fleet's word", "each alone"]);
     let figures: [(&str, Figure); 6] = [
         ("load per pod, most over mean", max_load),
@@ -43,37 +45,47 @@
     println!("{rows}");
 }
 
-fn plan(arguments: &CoordinationArguments, coordinated: bool) -> CrowdPlan {
+fn plan(arguments: &CoordinationArguments, coordinated: bool) -> TrialPlan {
     let duration = Duration::from_secs(arguments.seconds.into());
-    CrowdPlan {
+    TrialPlan {
         sidecars: arguments.sidecars.into(),
         pods: arguments.pods.into(),
         seed: arguments.seed,
-        lasts: duration,
-        choices: coordinated,
-        parts: (duration.mul_f64(SPLIT_AFTER), arguments.parts.into()),
-        cold: Some((0, duration / 2)),
-        dead: Some((1, duration / 5, duration.mul_f64(POD_BACK_AT))),
+        duration,
+        coordination: coordinated,
+        partition: TrialPartition {
+            at: duration.mul_f64(SPLIT_AFTER),
+            parts: arguments.parts.into(),
+        },
+        restart: Some(PodRestart {
+            pod: 0,
+            at: duration / 2,
+        }),
+        outage: Some(PodOutage {
+            pod: 1,
+            from: duration / 5,
+            to: duration.mul_f64(POD_BACK_AT),
+        }),
     }
 }
 
-fn max_load(played: &Crowd) -> String {
-    format!("{:.2}", played.most())
+fn max_load(played: &TrialResult) -> String {
+    format!("{:.2}", played.highest_over_mean())
 }
 
-fn cold_load(played: &Crowd) -> String {
-    format!("{:.2}", played.cold)
+fn cold_load(played: &TrialResult) -> String {
+    format!("{:.2}", played.warming_load)
 }
 
-fn late_attempts_at_dead_pod(played: &Crowd) -> String {
-    let late = played.to_dead.iter().skip(DETECTION_SECONDS);
+fn late_attempts_at_dead_pod(played: &TrialResult) -> String {
+    let late = played.attempts_in_outage.iter().skip(DETECTION_SECONDS);
     let seconds = late.clone().count().max(1) as f64;
     let attempts = late.sum::<usize>() as f64;
     format!("{:.1}", attempts / seconds)
 }
 
-fn recovery_time(played: &Crowd) -> String {
-    match played.back_after {
+fn recovery_time(played: &TrialResult) -> String {
+    match played.recovery_time {
         Some(time) => format!("{:.1}", time.as_secs_f64()),
         None => "none".to_owned(),
     }
