--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -8,8 +8,6 @@
 pub mod deduplication;
 pub mod fleet;
 mod locks;
-// Not done yet, see "Readable code" in docs/ROADMAP.md: names and documentation.
-#[allow(missing_docs, clippy::too_many_lines, clippy::unwrap_used)]
 pub mod platform;
 pub mod pod_model;
 pub mod rollout;
--- a/crates/emulators/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the platform's parties, each on threads of its own, that do as a test tells them: pods and
-//! clients in PostgreSQL's protocol, discovery and rollouts over HTTP.
+//! Emulators of the platform's parties, each on threads of its own, that do as a test scripts: pods and clients in PostgreSQL's protocol,
+//! discovery and rollouts over HTTP.
 
 mod client;
 mod messages;
@@ -7,12 +7,16 @@
 mod pod_session;
 mod services;
 mod world;
+mod world_client;
+mod world_pod;
+mod world_record;
 
 pub use client::{Answer, Client};
 pub use messages::answer;
 pub use pod::{Does, Pod};
 pub use services::{Discovery, Rollouts, Vote};
-pub use world::{Faults, World};
+pub use world::World;
+pub use world_pod::Faults;
 
 use bytes::BytesMut;
 use limewing_postgres_protocol::{Message, MessageDecoder, ProtocolError};
@@ -20,14 +24,20 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a stand-in waits for what must come.
+/// How long an emulator waits for what must come.
 const PATIENCE: Duration = Duration::from_secs(20);
 
+/// Longer messages are no answers of the tests.
+const MAX_MESSAGE: usize = 1 << 20;
+/// Bytes that are read at once.
+const READ_SIZE: usize = 16 * 1024;
+
 /// A connection read message by message.
-pub struct Link {
-    pub stream: TcpStream,
-    pub input: BytesMut,
-    frames: MessageDecoder,
+struct Link {
+    stream: TcpStream,
+    /// What was read and is no message yet.
+    input: BytesMut,
+    decoder: MessageDecoder,
 }
 
 impl Link {
@@ -37,29 +47,30 @@
         Ok(Self {
             stream,
             input: BytesMut::new(),
-            frames: MessageDecoder::default(),
+            decoder: MessageDecoder::default(),
         })
     }
 
     /// Reads more; none at the end.
     fn fill(&mut self) -> Option<()> {
-        let mut some = [0; 16 * 1024];
+        let mut bytes = [0; READ_SIZE];
         let length = self
             .stream
-            .read(&mut some)
+            .read(&mut bytes)
             .ok()
             .filter(|length| *length > 0)?;
-        self.input.extend_from_slice(&some[..length]);
+        self.input.extend_from_slice(&bytes[..length]);
         Some(())
     }
 
     /// The next message; none at the end, or where none can be read.
-    pub fn hear(&mut self) -> Option<Message> {
+    fn hear(&mut self) -> Option<Message> {
         loop {
-            let read: Result<_, ProtocolError> =
-                self.frames.next_message(&mut self.input, |_| Some(1 << 20));
+            let read: Result<_, ProtocolError> = self
+                .decoder
+                .next_message(&mut self.input, |_| Some(MAX_MESSAGE));
             match read.ok()? {
-                Some(frame) => return Some(frame),
+                Some(message) => return Some(message),
                 None => self.fill()?,
             }
         }
@@ -69,15 +80,21 @@
 /// A pod as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct Listed {
+    /// Its name.
     pub host: String,
+    /// Where it listens.
     pub dial: SocketAddr,
+    /// The build that it runs.
     pub build: u16,
+    /// What discovery calls its state.
     pub health: &'static str,
     /// When it started, in Unix time in milliseconds; 0: long ago.
     pub born_ms: u64,
 }
 
 impl Listed {
+    /// A pod in service that started long ago, on build 1.
+    #[must_use]
     pub fn new(host: &str, dial: SocketAddr) -> Self {
         Self {
             host: host.into(),
@@ -103,6 +120,7 @@
 }
 
 /// One object of a watch.
+#[must_use]
 pub fn listing(seq: u64, whole: bool, pods: &[Listed]) -> String {
     let pods: Vec<String> = pods.iter().map(Listed::json).collect();
     format!(
@@ -111,25 +129,31 @@
     )
 }
 
-/// How the newest build stands.
+/// How the newest build stands, as rollouts say it.
+#[must_use]
 pub fn state(build: u16, stage: u8, name: &str, cap: f64) -> String {
     format!(r#"{{"Revision":{build},"Wave":{stage},"State":"{name}","MaxShare":{cap},"AgeMs":5}}"#)
 }
 
-/// A sidecar's configuration. Its path groups: `look` may run again, `order` has a mark against repeats, `pay`
-/// must not run twice.
+/// A sidecar's configuration. Its request classes: `look` is idempotent, `order` has an idempotency key, `pay` must not run twice.
 pub struct Config {
+    /// Where discovery listens.
     pub discovery: SocketAddr,
+    /// Where rollouts listen, if there are any.
     pub rollouts: Option<SocketAddr>,
+    /// The list that the sidecar starts with.
     pub known: Vec<Listed>,
+    /// Descriptors that it may use.
     pub descriptors: usize,
-    /// Client timeout of all path groups, in seconds.
+    /// Client timeout of all request classes, in seconds.
     pub patience: f64,
+    /// Whether requests are hedged.
     pub second_copies: bool,
     /// How long a connection to a pod may take to come up, in seconds.
     pub connect: f64,
-    /// Whether a forward that has gone out may be cancelled.
+    /// Whether an attempt that has gone out may be cancelled.
     pub cancel: bool,
+    /// Where it listens.
     pub listen: SocketAddr,
     /// How many sidecars there are, and which of them this one is.
     pub sidecars: (u32, u32),
@@ -137,25 +161,25 @@
 
 impl Config {
     /// With no discovery and no rollouts.
+    #[must_use]
     pub fn new(known: Vec<Listed>) -> Self {
-        let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
-        let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let (rollouts, descriptors, patience, sidecars) = (None, 256, 5.0, (1, 0));
-        let (second_copies, cancel, connect) = (false, true, 1.0);
         Self {
-            connect,
-            discovery,
-            rollouts,
+            // Nobody listens at that port.
+            discovery: SocketAddr::from(([127, 0, 0, 1], 1)),
+            rollouts: None,
             known,
-            descriptors,
-            patience,
-            second_copies,
-            cancel,
-            listen,
-            sidecars,
+            descriptors: 256,
+            patience: 5.0,
+            second_copies: false,
+            connect: 1.0,
+            cancel: true,
+            listen: SocketAddr::from(([127, 0, 0, 1], 0)),
+            sidecars: (1, 0),
         }
     }
 
+    /// The configuration as the sidecar reads it.
+    #[must_use]
     pub fn json(&self) -> String {
         let Self {
             discovery,
@@ -176,22 +200,22 @@
                 state(1, 0, "Healthy", 1.0)
             )
         });
-        let group = |name: &str, repeat: &str| {
+        let class = |name: &str, repeat: &str| {
             format!(
                 r#"{{"name":"{name}","repeat":"{repeat}","group":"all","window_s":3,"target_s":{patience},"deadline_s":{patience},"worth":1}}"#
             )
         };
-        let groups = [
-            group("look", "free"),
-            group("order", "guarded"),
-            group("pay", "single_shot"),
+        let classes = [
+            class("look", "free"),
+            class("order", "guarded"),
+            class("pay", "single_shot"),
         ]
         .join(",");
         format!(
             r#"{{"name":"n{own}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":64,"sockets":{descriptors}}},{rollouts}"known":{known},
             "settings":{{"balancers":{sidecars},"me":{own},"zone":0,"azs":["a"],"shapes":["m"],"layers":["pods"],"membership_mode":"subscribe",
-              "profiles":[{groups}],"realms":[{{"name":"acme"}}],
+              "profiles":[{classes}],"realms":[{{"name":"acme"}}],
               "rules":{{"cold_from":0.5,"cold_s":1,"fall_multiple":2,"fall_s":1,"stop_sending_within_s":0.5}},
               "limits":{{"cancel":{cancel},"max_attempts":4,"max_retry_after_s":0.5,"retry_after":true,"second_copies":{second_copies},
                 "connect_timeout_s":{connect},"idle_close_s":15}},
--- a/crates/emulators/src/platform/services.rs
+++ b/crates/emulators/src/platform/services.rs
@@ -1,42 +1,66 @@
+//! Discovery and rollouts over HTTP: streams of objects, and votes.
+
+use crate::locks::lock;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Receiver};
+use std::iter::Peekable;
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use std::vec::IntoIter;
 
+/// The head of a stream.
 const STREAM: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// Bytes that are read at once.
+const READ_SIZE: usize = 4096;
+
+/// The streams that are open, shared with the thread that accepts them.
+#[derive(Clone, Default)]
+struct Streams(Arc<Mutex<Vec<TcpStream>>>);
+
+impl Streams {
+    /// Begins a stream with an object.
+    fn open(&self, mut stream: TcpStream, first: &str) {
+        // The sidecar may have closed.
+        let _ = stream.write_all(format!("{STREAM}{}", chunk(first)).as_bytes());
+        lock(&self.0).push(stream);
+    }
 
-type Streams = Arc<Mutex<Vec<TcpStream>>>;
-
-fn chunk(text: &str) -> String {
-    format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
-}
+    fn send(&self, text: &str) {
+        for stream in lock(&self.0).iter_mut() {
+            // The sidecar may have closed.
+            let _ = stream.write_all(text.as_bytes());
+        }
+    }
 
-fn say(streams: &Streams, text: &str) {
-    for link in streams.lock().unwrap().iter_mut() {
-        let _ = link.write_all(text.as_bytes());
+    fn cut(&self) {
+        for stream in lock(&self.0).drain(..) {
+            // The sidecar may have closed.
+            let _ = stream.shutdown(Shutdown::Both);
+        }
     }
 }
 
-fn cut(streams: &Streams) {
-    for link in streams.lock().unwrap().drain(..) {
-        let _ = link.shutdown(std::net::Shutdown::Both);
-    }
+/// A line as a chunk of a stream.
+fn chunk(line: &str) -> String {
+    format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-fn read_request(link: &mut TcpStream) -> String {
-    let (mut text, mut some) = (String::new(), [0; 4096]);
+fn read_request(stream: &mut TcpStream) -> String {
+    let mut text = String::new();
+    let mut bytes = [0; READ_SIZE];
     while !text.contains("\r\n\r\n") || (text.starts_with("POST") && !text.ends_with('}')) {
-        match link.read(&mut some) {
-            Ok(length @ 1..) => text.push_str(&String::from_utf8_lossy(&some[..length])),
+        match stream.read(&mut bytes) {
+            Ok(length @ 1..) => text.push_str(&String::from_utf8_lossy(&bytes[..length])),
             _ => break,
         }
     }
     text
 }
 
-/// Discovery: answers each watch with an object, and says more when told.
+/// Discovery: answers each watch with an object, and sends more when a test says so.
 pub struct Discovery {
+    /// Where it listens.
     pub at: SocketAddr,
     /// The head of each call that came.
     pub calls: Receiver<String>,
@@ -45,44 +69,55 @@
 
 impl Discovery {
     /// Begins each watch with these bytes: an object, or whatever else.
+    #[must_use]
     pub fn new(first: String) -> Self {
         Self::at(SocketAddr::from(([127, 0, 0, 1], 0)), first)
     }
 
-    /// One at this address, which may have had nobody before.
+    /// One at this address, at which nobody may have listened before.
+    ///
+    /// # Panics
+    /// The address is taken.
+    #[must_use]
     pub fn at(at: SocketAddr, first: String) -> Self {
-        let listener = TcpListener::bind(at).unwrap();
-        let at = listener.local_addr().unwrap();
+        let listener = TcpListener::bind(at).expect("a free address");
+        let at = listener.local_addr().expect("the listener's address");
         let (tell, calls) = channel();
         let streams = Streams::default();
-        let kept = streams.clone();
+        let opened = streams.clone();
         std::thread::spawn(move || {
-            for mut link in listener.incoming().map_while(Result::ok) {
-                let asked = read_request(&mut link);
-                let _ = link.write_all(format!("{STREAM}{}", chunk(&first)).as_bytes());
-                kept.lock().unwrap().push(link);
-                let _ = tell.send(asked);
+            for mut stream in listener.incoming().map_while(Result::ok) {
+                let request = read_request(&mut stream);
+                opened.open(stream, &first);
+                // The test may be over.
+                let _ = tell.send(request);
             }
         });
         Self { at, calls, streams }
     }
 
+    /// Waits for the next call; returns its head.
+    ///
+    /// # Panics
+    /// None comes.
     pub fn is_asked(&self) -> String {
         self.calls.recv_timeout(super::PATIENCE).expect("a watch")
     }
 
+    /// Sends an object on all watches.
     pub fn says(&self, object: &str) {
-        say(&self.streams, &chunk(object));
+        self.streams.send(&chunk(object));
     }
 
-    /// Says these bytes, with no end of a line.
+    /// Sends these bytes, with no end of a line.
     pub fn says_part(&self, bytes: &str) {
-        say(&self.streams, &format!("{:x}\r\n{bytes}\r\n", bytes.len()));
+        self.streams
+            .send(&format!("{:x}\r\n{bytes}\r\n", bytes.len()));
     }
 
     /// Ends all watches.
     pub fn cuts(&self) {
-        cut(&self.streams);
+        self.streams.cut();
     }
 }
 
@@ -93,52 +128,43 @@
     Says(u16, String),
     /// Answers with these bytes and closes.
     Raw(&'static [u8]),
+    /// Never answers.
     Waits,
 }
 
+/// Rollouts: stage updates and votes.
 pub struct Rollouts {
+    /// Where it listens.
     pub at: SocketAddr,
-    /// A word for each stream that was asked for.
+    /// One for each stream that was asked for.
     streamed: Receiver<()>,
     votes: Receiver<String>,
     streams: Streams,
 }
 
 impl Rollouts {
-    /// Says this on each stream; does these with votes in turn, and the last of them ever after.
+    /// Begins each stream with this; does these with votes in turn, and the last of them ever after.
+    ///
+    /// # Panics
+    /// No port is free.
+    #[must_use]
     pub fn new(first: &str, script: Vec<Vote>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let ((tell, votes), (tell_stream, streamed)) = (channel(), channel());
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let at = listener.local_addr().expect("the listener's address");
+        let (tell_vote, votes) = channel();
+        let (tell_stream, streamed) = channel();
         let streams = Streams::default();
-        let (kept, first) = (streams.clone(), first.to_owned());
+        let mut service = RolloutThread {
+            first: first.to_owned(),
+            script: script.into_iter().peekable(),
+            unanswered: Vec::new(),
+            streams: streams.clone(),
+            tell_vote,
+            tell_stream,
+        };
         std::thread::spawn(move || {
-            let mut script = script.into_iter().peekable();
-            let mut waiting = Vec::new();
-            for mut link in listener.incoming().map_while(Result::ok) {
-                let asked = read_request(&mut link);
-                if asked.starts_with("GET /v1/events") {
-                    let _ = link.write_all(format!("{STREAM}{}", chunk(&first)).as_bytes());
-                    kept.lock().unwrap().push(link);
-                    let _ = tell_stream.send(());
-                } else if !asked.is_empty() {
-                    let does = if script.len() > 1 {
-                        script.next()
-                    } else {
-                        script.peek().cloned()
-                    };
-                    match does.expect("a script") {
-                        Vote::Says(status, body) => {
-                            let length = body.len();
-                            let head =
-                                format!("HTTP/1.1 {status} S\r\nContent-Length: {length}\r\n\r\n");
-                            let _ = link.write_all(format!("{head}{body}").as_bytes());
-                        }
-                        Vote::Raw(bytes) => drop(link.write_all(bytes)),
-                        Vote::Waits => waiting.push(link),
-                    }
-                    let _ = tell.send(asked);
-                }
+            for stream in listener.incoming().map_while(Result::ok) {
+                service.serve(stream);
             }
         });
         Self {
@@ -150,21 +176,77 @@
     }
 
     /// Waits until a stream has been asked for.
+    ///
+    /// # Panics
+    /// None is.
     pub fn is_asked(&self) {
         self.streamed
             .recv_timeout(super::PATIENCE)
             .expect("a stream");
     }
 
+    /// The next vote, if one comes in that time.
+    #[must_use]
     pub fn vote(&self, within: Duration) -> Option<String> {
         self.votes.recv_timeout(within).ok()
     }
 
+    /// Sends a line on all streams.
     pub fn says(&self, line: &str) {
-        say(&self.streams, &chunk(line));
+        self.streams.send(&chunk(line));
     }
 
+    /// Ends all streams.
     pub fn cuts(&self) {
-        cut(&self.streams);
+        self.streams.cut();
+    }
+}
+
+struct RolloutThread {
+    first: String,
+    script: Peekable<IntoIter<Vote>>,
+    /// Votes that wait for ever.
+    unanswered: Vec<TcpStream>,
+    streams: Streams,
+    tell_vote: Sender<String>,
+    tell_stream: Sender<()>,
+}
+
+impl RolloutThread {
+    fn serve(&mut self, mut stream: TcpStream) {
+        let request = read_request(&mut stream);
+        if request.starts_with("GET /v1/events") {
+            self.streams.open(stream, &self.first);
+            // The test may be over.
+            let _ = self.tell_stream.send(());
+        } else if !request.is_empty() {
+            self.answer_vote(stream);
+            // The test may be over.
+            let _ = self.tell_vote.send(request);
+        }
+    }
+
+    fn next_answer(&mut self) -> Vote {
+        let answer = if self.script.len() > 1 {
+            self.script.next()
+        } else {
+            self.script.peek().cloned()
+        };
+        answer.expect("a script")
+    }
+
+    fn answer_vote(&mut self, mut stream: TcpStream) {
+        // The sidecar may have closed, so that what can't be written is left.
+        match self.next_answer() {
+            Vote::Says(status, body) => {
+                let length = body.len();
+                let head = format!("HTTP/1.1 {status} S\r\nContent-Length: {length}\r\n\r\n");
+                let _ = stream.write_all(format!("{head}{body}").as_bytes());
+            }
+            Vote::Raw(bytes) => {
+                let _ = stream.write_all(bytes);
+            }
+            Vote::Waits => self.unanswered.push(stream),
+        }
     }
 }
--- /dev/null
+++ b/crates/emulators/src/platform/world_pod.rs
@@ -0,0 +1,157 @@
+//! A pod of a [`World`](super::World): one service behind an address for each sidecar.
+
+use super::messages::{answer, error};
+use super::pod_session::{accept_session, read_statement};
+use super::world_record::WorldRecord;
+use super::Link;
+use crate::locks::lock;
+use limewing_rule_checker::record::{AttemptKey, Event, PodId, RequestId, SidecarId};
+use rand::rngs::StdRng;
+use rand::RngExt;
+use std::collections::BTreeSet;
+use std::io::Write;
+use std::net::TcpStream;
+use std::ops::Range;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// The request classes of [`Config`](super::Config), in its order.
+pub(super) const CLASSES: [&str; 3] = ["look", "order", "pay"];
+/// The class whose repeats pods drop by their key.
+const KEYED_CLASS: &str = "order";
+/// What a request needs of a pod's core.
+const WORK: Duration = Duration::from_millis(10);
+/// How long a pod takes to run a request, in milliseconds.
+const RUN_TIME_MS: Range<u64> = 2..15;
+
+/// How a pod fails, each the share of its statements.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Faults {
+    /// Answers with an error, after it ran.
+    pub errs: f64,
+    /// Says that it has not begun it.
+    pub turns_away: f64,
+    /// Closes after it ran.
+    pub closes: f64,
+    /// Answers with bytes that are no message, after it ran.
+    pub spoilt: f64,
+    /// Never answers, after it ran.
+    pub silent: f64,
+}
+
+/// What a pod does wrong with one statement.
+#[derive(Clone, Copy)]
+enum StatementFault {
+    Rejects,
+    Closes,
+    SendsNoise,
+    StaysSilent,
+    Fails,
+}
+
+impl Faults {
+    /// The fault at this point of a number drawn from 0 to 1.
+    fn pick(&self, drawn: f64) -> Option<StatementFault> {
+        let shares = [
+            (self.turns_away, StatementFault::Rejects),
+            (self.closes, StatementFault::Closes),
+            (self.spoilt, StatementFault::SendsNoise),
+            (self.silent, StatementFault::StaysSilent),
+            (self.errs, StatementFault::Fails),
+        ];
+        let mut sum = 0.0;
+        for (share, fault) in shares {
+            sum += share;
+            if drawn < sum {
+                return Some(fault);
+            }
+        }
+        None
+    }
+}
+
+/// A request as its statement names it.
+struct StatementRequest {
+    id: String,
+    attempt: AttemptKey,
+    class: usize,
+}
+
+pub(super) struct WorldPod {
+    pub(super) id: PodId,
+    pub(super) build: u16,
+    pub(super) faults: Mutex<Faults>,
+    pub(super) record: WorldRecord,
+    /// Idempotency keys of requests that ran, at any pod.
+    pub(super) executed: Arc<Mutex<BTreeSet<String>>>,
+    pub(super) rng: Mutex<StdRng>,
+}
+
+impl WorldPod {
+    /// Serves a connection of a sidecar until it ends.
+    pub(super) fn serve(&self, stream: TcpStream, sidecar: SidecarId) -> Option<()> {
+        let mut link = accept_session(stream)?;
+        loop {
+            let text = read_statement(&mut link)?;
+            let request = parse(&text)?;
+            self.record.append(Event::ForwardArrived {
+                pod: self.id,
+                sidecar,
+                attempt: request.attempt,
+                class: request.class,
+                work: WORK,
+            });
+            self.run(&mut link, &request)?;
+        }
+    }
+
+    fn run(&self, link: &mut Link, request: &StatementRequest) -> Option<()> {
+        let pod = self.id;
+        let attempt = request.attempt;
+        let (fault, run_time) = self.draw();
+        if matches!(fault, Some(StatementFault::Rejects)) {
+            self.record.append(Event::ForwardRejected { pod, attempt });
+            return link.stream.write_all(&error("53300")).ok();
+        }
+        std::thread::sleep(run_time);
+        // A repeat of a key is dropped, and has no second effect.
+        let keyed = CLASSES[request.class] == KEYED_CLASS;
+        let effect = !keyed || lock(&self.executed).insert(request.id.clone());
+        self.record.append(Event::Executed {
+            pod,
+            attempt,
+            effect,
+        });
+        let bytes = match fault {
+            Some(StatementFault::Closes) => return None,
+            Some(StatementFault::StaysSilent) => return Some(()),
+            Some(StatementFault::SendsNoise) => b"\x00\xffnoise".to_vec(),
+            Some(_) => error("XX000"),
+            None => answer(&format!("{}-{}", request.id, self.build)),
+        };
+        link.stream.write_all(&bytes).ok()
+    }
+
+    fn draw(&self) -> (Option<StatementFault>, Duration) {
+        let faults = *lock(&self.faults);
+        let mut rng = lock(&self.rng);
+        let fault = faults.pick(rng.random::<f64>());
+        let run_time = Duration::from_millis(rng.random_range(RUN_TIME_MS));
+        (fault, run_time)
+    }
+}
+
+fn parse(text: &str) -> Option<StatementRequest> {
+    let field = |name: &str| {
+        let at = text.find(&format!("{name}="))? + name.len() + 1;
+        text[at..].split([',', ' ']).next()
+    };
+    let id = field("id")?.to_owned();
+    let class = field(",c")?;
+    let request = RequestId(u64::from_str_radix(&id, 16).ok()?);
+    Some(StatementRequest {
+        attempt: AttemptKey::new(request, 0),
+        class: CLASSES.iter().position(|name| *name == class)?,
+        id,
+    })
+}
