--- a/crates/cli/tests/command/fleet.rs
+++ b/crates/cli/tests/command/fleet.rs
@@ -1,17 +1,19 @@
 //! Sidecars as processes that know of each other, under the scripts of `fleets/` with time made shorter.
 
-use crate::help::{in_repo, settings, status};
+use crate::support::{
+    fetch_status, repository_file, run_limewing, write_settings, PlatformProcess,
+};
 use limewing_emulators::fleet::{ask, play, Plan, Played};
 use limewing_fault_injection::Script;
 use limewing_settings::SidecarSettings;
 use rstest::rstest;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Output, Stdio};
+use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
 /// A script with its times made shorter, to fit a period of that many milliseconds in place of 200.
-fn script(name: &str, part: f64) -> Script {
-    let text = std::fs::read_to_string(in_repo(&format!("fleets/{name}.json"))).unwrap();
+fn read_script(name: &str, part: f64) -> Script {
+    let text = std::fs::read_to_string(repository_file(&format!("fleets/{name}.json"))).unwrap();
     let mut script: Script = serde_json::from_str(&text).unwrap();
     assert_eq!(script.config_errors(), []);
     script.seconds *= part;
@@ -19,10 +21,10 @@
     script
 }
 
-fn plays(name: &str, members: usize, folder: &Path) -> Played {
-    let file = settings(folder, "127.0.0.1:0");
+fn play_script(name: &str, members: usize, folder: &Path) -> Played {
+    let file = write_settings(folder, "127.0.0.1:0");
     let told: SidecarSettings = limewing_settings::read(&file).unwrap();
-    let script = script(name, 0.5);
+    let script = read_script(name, 0.5);
     let program = PathBuf::from(env!("CARGO_BIN_EXE_limewing"));
     let period = Duration::from_millis(100);
     let plan = Plan {
@@ -46,7 +48,7 @@
 #[case::noise("noise", 4, false)]
 fn processes_agree_again(#[case] name: &str, #[case] members: usize, #[case] deaths: bool) {
     let folder = tempfile::tempdir().unwrap();
-    let played = plays(name, members, folder.path());
+    let played = play_script(name, members, folder.path());
     assert_eq!(played.crashed, Vec::<usize>::new());
     assert_eq!(played.wrong_at_the_end(members), []);
     assert!(played.samples.len() > members * 5);
@@ -61,9 +63,9 @@
     );
 }
 
-struct Ended(std::process::Child);
+struct ChildGuard(std::process::Child);
 
-impl Drop for Ended {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -71,7 +73,7 @@
 }
 
 /// Starts a sidecar with these peers; its address.
-fn sidecar(file: &Path) -> (Ended, String) {
+fn start_sidecar(file: &Path) -> (ChildGuard, String) {
     use std::io::BufRead;
     let mut command = Command::new(env!("CARGO_BIN_EXE_limewing"));
     let command = command
@@ -85,15 +87,15 @@
         .read_line(&mut line)
         .unwrap();
     (
-        Ended(child),
+        ChildGuard(child),
         line.trim().strip_prefix("listening ").unwrap().to_owned(),
     )
 }
 
-fn with_peers(folder: &Path, name: &str, join: &str, keys: &str) -> PathBuf {
+fn write_settings_with_peers(folder: &Path, name: &str, join: &str, keys: &str) -> PathBuf {
     let key_file = folder.join(format!("{name}.keys"));
     std::fs::write(&key_file, keys).unwrap();
-    let text = std::fs::read_to_string(settings(folder, "127.0.0.1:0")).unwrap();
+    let text = std::fs::read_to_string(write_settings(folder, "127.0.0.1:0")).unwrap();
     let peers = format!(
         r#""name": "{name}", "peers": {{"listen": "127.0.0.1:0", "join": [{join}], "key_file": "{}", "period": 0.05}},"#,
         key_file.display()
@@ -117,7 +119,7 @@
 }
 
 /// Waits until a sidecar's view of its fleet says so.
-fn until(at: &str, says: impl Fn(&str) -> bool) {
+fn wait_for_view(at: &str, says: impl Fn(&str) -> bool) {
     let from = Instant::now();
     let mut last = String::new();
     while from.elapsed() < Duration::from_secs(20) {
@@ -137,7 +139,7 @@
 }
 
 /// Where a sidecar takes datagrams.
-fn listens(at: &str) -> String {
+fn membership_address(at: &str) -> String {
     let view: serde_json::Value = serde_json::from_str(&ask(at.parse().unwrap()).unwrap()).unwrap();
     view["listens"].as_str().unwrap().to_owned()
 }
@@ -146,14 +148,24 @@
 #[test]
 fn keys_are_changed_under_running_sidecars() {
     let folder = tempfile::tempdir().unwrap();
-    let (a, at_a) = sidecar(&with_peers(folder.path(), "a", "", &keys(&[1])));
-    let join = format!(r#""{}""#, listens(&at_a));
+    let (a, at_a) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "a",
+        "",
+        &keys(&[1]),
+    ));
+    let join = format!(r#""{}""#, membership_address(&at_a));
     let all = [
         (a, at_a),
-        sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1]))),
+        start_sidecar(&write_settings_with_peers(
+            folder.path(),
+            "b",
+            &join,
+            &keys(&[1]),
+        )),
     ];
     let alive = |text: &str| text.contains(r#""standing":"alive""#);
-    all.iter().for_each(|(_, at)| until(at, alive));
+    all.iter().for_each(|(_, at)| wait_for_view(at, alive));
     for (turn, step) in [vec![1, 2], vec![2, 1], vec![2]].into_iter().enumerate() {
         for (name, (process, at)) in ["a", "b"].iter().zip(&all) {
             std::fs::write(folder.path().join(format!("{name}.keys")), "no keys").unwrap();
@@ -164,20 +176,20 @@
                 )
             };
             hang_up().unwrap();
-            until(at, |text| {
+            wait_for_view(at, |text| {
                 text.contains(&format!(r#""keys_unusable":{}"#, turn + 1))
             });
             std::fs::write(folder.path().join(format!("{name}.keys")), keys(&step)).unwrap();
             hang_up().unwrap();
             let known = format!(r#""keys":{}"#, serde_json::to_string(&step).unwrap());
-            until(at, |text| text.contains(&known));
+            wait_for_view(at, |text| text.contains(&known));
             // Each has spoken while the keys of the two differ, and while they are the same.
             for (_, at) in &all {
                 let before = bytes_sent(&ask(at.parse().unwrap()).unwrap());
-                until(at, |text| bytes_sent(text) > before + 400);
+                wait_for_view(at, |text| bytes_sent(text) > before + 400);
             }
         }
-        all.iter().for_each(|(_, at)| until(at, alive));
+        all.iter().for_each(|(_, at)| wait_for_view(at, alive));
     }
     for (_, at) in &all {
         let view = ask(at.parse().unwrap()).unwrap();
@@ -186,7 +198,7 @@
             "{view}"
         );
     }
-    let out = limewing(&["fleet", "show", &all[0].1]);
+    let out = run_limewing(&["fleet", "show", &all[0].1]);
     let text = String::from_utf8_lossy(&out.stdout);
     assert!(
         out.status.success() && text.contains("| b") && text.contains("| alive"),
@@ -196,22 +208,37 @@
 
 /// Of two processes with one name the later has it; the earlier goes on serving its clients.
 #[test]
-fn two_processes_with_one_name() {
+fn the_later_of_two_processes_with_one_name_prevails() {
     let folder = tempfile::tempdir().unwrap();
-    let (_a, at_a) = sidecar(&with_peers(folder.path(), "a", "", &keys(&[1])));
-    let join = format!(r#""{}""#, listens(&at_a));
-    let (_b, at_b) = sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1])));
-    let b = listens(&at_b);
-    until(&at_a, |text| {
+    let (_a, at_a) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "a",
+        "",
+        &keys(&[1]),
+    ));
+    let join = format!(r#""{}""#, membership_address(&at_a));
+    let (_b, at_b) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "b",
+        &join,
+        &keys(&[1]),
+    ));
+    let b = membership_address(&at_b);
+    wait_for_view(&at_a, |text| {
         text.contains(&format!(r#""at":"{b}","standing":"alive""#))
     });
-    let (_c, at_c) = sidecar(&with_peers(folder.path(), "b", &join, &keys(&[1])));
-    let c = listens(&at_c);
-    until(&at_a, |text| {
+    let (_c, at_c) = start_sidecar(&write_settings_with_peers(
+        folder.path(),
+        "b",
+        &join,
+        &keys(&[1]),
+    ));
+    let c = membership_address(&at_c);
+    wait_for_view(&at_a, |text| {
         text.contains(&format!(r#""at":"{c}","standing":"alive""#))
     });
-    assert!(status(&at_b).contains("\"open_hits\""));
-    until(&at_a, |text| !text.contains(&format!(r#""at":"{b}""#)));
+    assert!(fetch_status(&at_b).contains("\"open_hits\""));
+    wait_for_view(&at_a, |text| !text.contains(&format!(r#""at":"{b}""#)));
 }
 
 /// With no peers in its settings a sidecar opens no socket for datagrams, and says that it knows of no others; nor does
@@ -219,12 +246,12 @@
 #[test]
 fn without_peers_there_is_no_socket_for_them() {
     let folder = tempfile::tempdir().unwrap();
-    let (process, at) = sidecar(&settings(folder.path(), "127.0.0.1:0"));
-    let out = limewing(&["fleet", "show", &at]);
+    let (process, at) = start_sidecar(&write_settings(folder.path(), "127.0.0.1:0"));
+    let out = run_limewing(&["fleet", "show", &at]);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("knows of no others"));
     let config = limewing_emulators::platform::Config::new(Vec::new());
-    let on_platform = crate::help::Platform::start(&config);
+    let on_platform = PlatformProcess::start(&config);
     for id in [process.0.id(), on_platform.id()] {
         let sockets = datagram_sockets(id);
         assert_eq!(sockets, 0, "process {id}");
@@ -249,13 +276,6 @@
     links.filter(of).count()
 }
 
-fn limewing(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_limewing"))
-        .args(args)
-        .output()
-        .expect("the command starts")
-}
-
 #[rstest]
 #[case::keys_short(
     r#"{"keys": [{"id": 1, "secret": "aabb"}]}"#,
@@ -277,7 +297,7 @@
     "/steps/0/at",
     "a time"
 )]
-fn what_cannot_be_used_is_told(
+fn unusable_files_are_reported_with_their_place(
     #[case] text: &str,
     #[case] of: &str,
     #[case] at: &str,
@@ -286,7 +306,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file.json");
     std::fs::write(&file, text).unwrap();
-    let out = limewing(&["settings", "check", file.to_str().unwrap(), "--of", of]);
+    let out = run_limewing(&["settings", "check", file.to_str().unwrap(), "--of", of]);
     let told = String::from_utf8_lossy(&out.stderr);
     assert!(
         out.status.code() == Some(2) && told.contains(at) && told.contains(says),
@@ -296,8 +316,8 @@
 
 #[test]
 fn a_script_plays_in_simulated_time() {
-    let script = in_repo("fleets/half-cut.json");
-    let out = limewing(&[
+    let script = repository_file("fleets/half-cut.json");
+    let out = run_limewing(&[
         "fleet",
         "simulate",
         script.to_str().unwrap(),
--- a/crates/emulators/src/day/client_connections.rs
+++ b/crates/emulators/src/day/client_connections.rs
@@ -245,7 +245,7 @@
         let Some(request) = self.clients.open.get(&attempt.request) else {
             return;
         };
-        if self.script.classes[request.class].class.streamed {
+        if self.script.classes[request.class].class.streaming {
             self.record(Event::AnswerStarted { sidecar, attempt });
         }
     }
--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -9,7 +9,7 @@
 use limewing_net::http::write_request;
 use limewing_net::sockets::SocketId;
 use limewing_rule_checker::record::{AttemptKey, RequestId, SidecarId};
-use limewing_settings::{Reach, Repeat};
+use limewing_settings::{DeduplicationScope, Idempotency};
 use rand::RngExt;
 use rand_distr::weighted::WeightedIndex;
 use rand_distr::{Distribution, Exp};
@@ -181,8 +181,9 @@
         if let Some(tenant) = request.tenant {
             fields.push(("customer", &script.tenants[tenant].name));
         }
-        let careless = script.clients.retries_non_idempotent && class.repeat == Repeat::Mutating;
-        if careless || matches!(class.repeat, Repeat::Tagged { .. }) {
+        let careless = script.clients.retries_non_idempotent
+            && class.idempotency == Idempotency::NonIdempotent;
+        if careless || matches!(class.idempotency, Idempotency::Keyed { .. }) {
             fields.push((headers::IDEMPOTENCY_KEY, &idempotency_key));
         }
         if request.failing {
@@ -210,10 +211,12 @@
         let Some(request) = self.clients.open.get(&id) else {
             return;
         };
-        let repeatable = match self.script.classes[request.class].class.repeat {
-            Repeat::Repeatable => true,
-            Repeat::Tagged { reach, .. } => reach == Reach::All,
-            Repeat::Mutating => clients.retries_non_idempotent,
+        let repeatable = match self.script.classes[request.class].class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed {
+                deduplicated_by, ..
+            } => deduplicated_by == DeduplicationScope::All,
+            Idempotency::NonIdempotent => clients.retries_non_idempotent,
         };
         let wait = if soon {
             wait * UNSENT_BACKOFF_PART
--- a/crates/emulators/src/day/pod_requests.rs
+++ b/crates/emulators/src/day/pod_requests.rs
@@ -11,7 +11,7 @@
 use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
 use limewing_rule_checker::record::{AttemptKey, Event, PodId, SidecarId};
-use limewing_settings::{Reach, Route};
+use limewing_settings::{DeduplicationScope, Route};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rand_distr::{Distribution, LogNormal};
@@ -233,9 +233,9 @@
         let (reach, _) = self.script.deduplication(class)?;
         let idempotency_key = head.fields.text(headers::IDEMPOTENCY_KEY)?.to_owned();
         let scope = match reach {
-            Reach::All => 0,
-            Reach::Zone => pod.zone,
-            Reach::Cell => usize::from(pod.cell),
+            DeduplicationScope::All => 0,
+            DeduplicationScope::Zone => pod.zone,
+            DeduplicationScope::Cell => usize::from(pod.cell),
         };
         Some(DeduplicationKey {
             class,
--- a/crates/emulators/src/day/sidecar_settings.rs
+++ b/crates/emulators/src/day/sidecar_settings.rs
@@ -4,7 +4,8 @@
 use super::event_loop::{any_port, Day};
 use crate::fleet::key_file;
 use limewing_settings::{
-    Customer, Fleet, Headers, Installer, ListService, Peers, Seconds, SidecarSettings, Work,
+    EndpointListService, Fleet, Headers, MaintenanceSettings, PeerSettings, RolloutService,
+    Seconds, SidecarSettings, Tenant,
 };
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,7 +25,7 @@
         let header = |name: &str| Some(name.to_owned());
         let seed = script.seed.wrapping_mul(SEED_FACTOR);
         let classes = script.classes.iter().map(|script| script.class.clone());
-        let tenants = script.tenants.iter().map(|tenant| Customer {
+        let tenants = script.tenants.iter().map(|tenant| Tenant {
             name: tenant.name.clone(),
         });
         SidecarSettings {
@@ -32,33 +33,33 @@
             listen,
             state_file: Some(self.state_file(number)),
             seed: Some(seed.wrapping_add(number as u64)),
-            list: ListService {
+            endpoint_list: EndpointListService {
                 address: self.endpoints.address,
                 service: SERVICE.to_owned(),
                 wait: seconds(WATCH_WAIT),
             },
-            installer: Some(Installer {
+            rollout_service: Some(RolloutService {
                 address: self.rollout_service.address(),
-                quiet_at_most: seconds(STREAM_SILENCE),
+                silence_timeout: seconds(STREAM_SILENCE),
             }),
             fleet: Fleet {
-                sidecars: script.sidecar_zones.len() as u32,
-                own_number: number as u32,
+                sidecar_count: script.sidecar_zones.len() as u32,
+                sidecar_index: number as u32,
                 zones: script.fleet.zones.clone(),
                 zone: script.sidecar_zones[number].clone(),
             },
             headers: Headers {
-                customer: header("customer"),
-                key: header("routing-key"),
+                tenant: header("customer"),
+                routing_key: header("routing-key"),
                 deadline_ms: header("request-timeout-ms"),
             },
-            path_groups: classes.collect(),
-            customers: tenants.collect(),
+            classes: classes.collect(),
+            tenants: tenants.collect(),
             limits: script.limits.clone(),
-            rules: script.rules.clone(),
-            releases: script.releases.clone(),
+            safety: script.rules.clone(),
+            rollout: script.releases.clone(),
             peers: self.peer_settings(number),
-            work: self.maintenance_settings(number),
+            maintenance: self.maintenance_settings(number),
         }
     }
 
@@ -71,30 +72,30 @@
         self.folder.join(format!("sidecar-{number}.work"))
     }
 
-    fn maintenance_settings(&self, number: usize) -> Option<Work> {
+    fn maintenance_settings(&self, number: usize) -> Option<MaintenanceSettings> {
         let maintenance = self.script.maintenance.as_ref()?;
         let voters = (0..maintenance.voters).map(|voter| format!("sidecar-{voter}"));
         let possible_voters = maintenance.possible_voters.unwrap_or(maintenance.voters);
-        Some(Work {
+        Some(MaintenanceSettings {
             voters: voters.collect(),
-            folder: (number < possible_voters).then(|| self.voter_folder(number)),
-            patience: maintenance.election_timeout,
-            lease: maintenance.lease,
+            state_directory: (number < possible_voters).then(|| self.voter_folder(number)),
+            election_timeout: maintenance.election_timeout,
+            lease_duration: maintenance.lease,
         })
     }
 
-    fn peer_settings(&self, number: usize) -> Option<Peers> {
+    fn peer_settings(&self, number: usize) -> Option<PeerSettings> {
         let peers = self.script.peers.as_ref()?;
         let relay = self.relay.as_ref()?;
-        Some(Peers {
+        Some(PeerSettings {
             listen: any_port(),
             advertise: Some(relay.addresses[number]),
             join: relay.addresses.iter().take(3).copied().collect(),
             key_file: key_file(&self.folder, number),
             period: peers.probe_interval,
             bytes_per_s: BYTES_PER_SECOND,
-            choices: peers.coordination,
-            replicas: peers.replication,
+            coordination: peers.coordination,
+            replication: peers.replication,
         })
     }
 }
--- a/crates/emulators/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -5,7 +5,7 @@
 use super::played::{Lifetime, ObservedMember, Played, Sample};
 use super::relay::Relay;
 use limewing_fault_injection::{FaultAction, FaultyNetwork, Script};
-use limewing_settings::{Peers, Seconds, SidecarSettings};
+use limewing_settings::{PeerSettings, Seconds, SidecarSettings};
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -257,21 +257,22 @@
         let mut settings = self.plan.settings.clone();
         let peers = settings.peers.as_ref();
         let addresses = &self.relay.addresses;
-        settings.peers = Some(Peers {
+        settings.peers = Some(PeerSettings {
             listen: any_port,
             advertise: Some(addresses[number]),
             join: addresses.iter().take(SEED_MEMBERS).copied().collect(),
             key_file: key_file(self.plan.folder, number),
-            period: Seconds::try_from(self.plan.period.as_secs_f64())?,
+            period: Seconds::try_from(self.plan.period.as_secs_f64())
+                .map_err(|error| error.to_string())?,
             bytes_per_s: BYTES_PER_SECOND,
-            replicas: peers.is_some_and(|peers| peers.replicas),
-            choices: peers.is_some_and(|peers| peers.choices),
+            replication: peers.is_some_and(|peers| peers.replication),
+            coordination: peers.is_some_and(|peers| peers.coordination),
         });
         settings.name = format!("s{number}");
         settings.listen = any_port;
         settings.state_file = None;
-        settings.fleet.sidecars = self.plan.members as u32;
-        settings.fleet.own_number = number as u32;
+        settings.fleet.sidecar_count = self.plan.members as u32;
+        settings.fleet.sidecar_index = number as u32;
         Ok(settings)
     }
 
--- a/crates/emulators/src/script/clients.rs
+++ b/crates/emulators/src/script/clients.rs
@@ -1,6 +1,6 @@
 //! Who sends requests, and of which kinds.
 
-use limewing_settings::{PathGroup, Seconds};
+use limewing_settings::{RequestClass, Seconds};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
     /// The class as sidecars know it.
     #[serde(rename = "group")]
     #[schemars(description = "")]
-    pub class: PathGroup,
+    pub class: RequestClass,
     /// Part of all hits.
     pub share: f64,
     /// Mean work on a warm core.
--- a/crates/emulators/src/script/mod.rs
+++ b/crates/emulators/src/script/mod.rs
@@ -15,7 +15,9 @@
 pub use fleet::{FleetScript, PeersScript};
 pub use maintenance::{MaintenanceScript, MaintenanceStep, OperatorAction};
 
-use limewing_settings::{Limits, Reach, Releases, Repeat, Rules, Seconds};
+use limewing_settings::{
+    DeduplicationScope, Idempotency, Limits, RolloutSettings, SafetyLimits, Seconds,
+};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -63,10 +65,10 @@
     pub limits: Limits,
     /// What the rules are held to.
     #[schemars(description = "")]
-    pub rules: Rules,
+    pub rules: SafetyLimits,
     /// How builds are rolled out.
     #[schemars(description = "")]
-    pub releases: Releases,
+    pub releases: RolloutSettings,
     /// Builds that are rolled out during the day.
     #[serde(default)]
     #[schemars(description = "")]
@@ -98,9 +100,12 @@
 
     /// Which pods share the memory of idempotency keys of a request class, and how long they remember; none for classes without keys.
     #[must_use]
-    pub fn deduplication(&self, class: usize) -> Option<(Reach, Duration)> {
-        match self.classes[class].class.repeat {
-            Repeat::Tagged { reach, memory } => Some((reach, memory.into())),
+    pub fn deduplication(&self, class: usize) -> Option<(DeduplicationScope, Duration)> {
+        match self.classes[class].class.idempotency {
+            Idempotency::Keyed {
+                deduplicated_by,
+                window,
+            } => Some((deduplicated_by, window.into())),
             _ => None,
         }
     }
--- a/crates/http-proxy/src/service/replication.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -17,7 +17,7 @@
     LocalState, MergedState, Origin, Packet, Record, Refusal, Replica, ReplicaConfig,
     EXECUTION_TIME_TO_LIVE, KEY_TIME_TO_LIVE, STAGE_TIME_TO_LIVE,
 };
-use limewing_settings::{Peers, SidecarSettings};
+use limewing_settings::{PeerSettings, SidecarSettings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 pub use view::{LogView, ReplicationView};
@@ -57,14 +57,14 @@
     pub(super) fn start(
         now: Duration,
         settings: &SidecarSettings,
-        peers: &Peers,
+        peers: &PeerSettings,
         seed: u64,
     ) -> Self {
         let origin = Origin {
             name: settings.name.clone(),
             incarnation: unix_ms(wall_clock_now()),
         };
-        let first_stage = settings.releases.stages.first();
+        let first_stage = settings.rollout.stages.first();
         let first_cap = first_stage.map_or(0.0, |stage| stage.cap);
         let config = ReplicaConfig {
             origin,
@@ -76,7 +76,7 @@
         Self {
             replica: Replica::new(now, config),
             merged: MergedState::default(),
-            local: LocalState::new(now, settings.releases.keys_stay, first_cap),
+            local: LocalState::new(now, settings.rollout.sticky_keys, first_cap),
             builds: BTreeMap::new(),
             next_refresh: now,
         }
