--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -87,13 +87,20 @@
         late_benefit: 0.0,
         streamed: false,
     };
-    let tagged = Repeat::Tagged { drops_repeats: Reach::All, memory: spans(3.0) };
+    let tagged = Repeat::Tagged {
+        drops_repeats: Reach::All,
+        memory: spans(3.0),
+    };
     StartTerms {
         seed: terms.seed,
         sidecars: 3,
         own_number: 0,
         zone: ZoneId(0),
-        groups: vec![group(Repeat::Repeatable, 1.0), group(tagged, 3.0), group(Repeat::Mutating, 5.0)],
+        groups: vec![
+            group(Repeat::Repeatable, 1.0),
+            group(tagged, 3.0),
+            group(Repeat::Mutating, 5.0),
+        ],
         list_on_request: true,
         list_pushed: false,
         list_lease: None,
@@ -150,8 +157,11 @@
         let rows = soak.new_pods(terms.pods, None);
         soak.rows.clone_from(&rows);
         let news = soak.news(0, Phase::Released, 1.0);
-        let first =
-            vec![Event::List(ListNews::Remembered(Vec::new())), Event::List(ListNews::Whole(rows)), news];
+        let first = vec![
+            Event::List(ListNews::Remembered(Vec::new())),
+            Event::List(ListNews::Whole(rows)),
+            news,
+        ];
         soak.tell(first);
         soak
     }
@@ -175,7 +185,16 @@
 
     fn news(&self, stage: u8, phase: Phase, cap: f64) -> Event {
         let (build, stage) = (BuildId(self.build), StageNo(stage));
-        Event::Stage { news: Some(StageNews { build, stage, phase, cap, age: Duration::ZERO }), answer: None }
+        Event::Stage {
+            news: Some(StageNews {
+                build,
+                stage,
+                phase,
+                cap,
+                age: Duration::ZERO,
+            }),
+            answer: None,
+        }
     }
 
     fn later(&mut self, wait: Duration, what: Due) {
@@ -198,18 +217,32 @@
         self.later(busy + night, Due::ListFails);
         while self.now < end {
             let idle = self.left_today == 0 && self.open.is_empty();
-            let wake = if idle { self.wake.max(self.now + self.terms.idle_step) } else { self.wake };
-            let next = self.due.first_key_value().map_or(wake, |((at, _), _)| (*at).min(wake)).min(end);
+            let wake = if idle {
+                self.wake.max(self.now + self.terms.idle_step)
+            } else {
+                self.wake
+            };
+            let next = self
+                .due
+                .first_key_value()
+                .map_or(wake, |((at, _), _)| (*at).min(wake))
+                .min(end);
             self.now = next.max(self.now);
             let mut events = Vec::new();
-            while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            while let Some(entry) = self
+                .due
+                .first_entry()
+                .filter(|entry| entry.key().0 <= self.now)
+            {
                 let what = entry.remove();
                 self.happen(what, &mut events);
             }
             let began = stopwatch();
             let actions = self.handle(events);
             self.day.handling += stopwatch().saturating_sub(began);
-            actions.into_iter().for_each(|action| self.carry_out(action));
+            actions
+                .into_iter()
+                .for_each(|action| self.carry_out(action));
         }
         self.day
     }
@@ -222,7 +255,9 @@
 
     fn tell(&mut self, events: Vec<Event>) {
         let actions = self.handle(events);
-        actions.into_iter().for_each(|action| self.carry_out(action));
+        actions
+            .into_iter()
+            .for_each(|action| self.carry_out(action));
     }
 
     fn happen(&mut self, what: Due, events: &mut Vec<Event>) {
@@ -230,30 +265,58 @@
             Due::Hit => {
                 self.left_today -= 1;
                 if self.left_today > 0 {
-                    let wait = -self.chance.random_range(1e-9..1.0_f64).ln() / self.terms.hits_per_s;
+                    let wait =
+                        -self.chance.random_range(1e-9..1.0_f64).ln() / self.terms.hits_per_s;
                     self.later(spans(wait), Due::Hit);
                 }
                 self.next_hit += 1;
                 self.day.hits += 1;
                 let id = HitId(self.next_hit);
-                self.open.insert(id, Open { forwards: Vec::new(), over: false });
+                self.open.insert(
+                    id,
+                    Open {
+                        forwards: Vec::new(),
+                        over: false,
+                    },
+                );
                 let group = GroupId(self.chance.random_range(0..3));
                 let customer = Some(CustomerId(self.chance.random_range(0..4)));
                 let due = self.now + spans(3.0);
-                events.push(Event::Hit(Hit { id, group, customer, key: Some(KeyId(self.next_hit)), due }));
+                events.push(Event::Hit(Hit {
+                    id,
+                    group,
+                    customer,
+                    key: Some(KeyId(self.next_hit)),
+                    due,
+                }));
             }
             Due::Answer(hit, no) => {
-                let Some(open) = self.open.get_mut(&hit) else { return };
-                let Some((pod, sent, ended)) = open.forwards.get_mut(usize::from(no.0)) else { return };
+                let Some(open) = self.open.get_mut(&hit) else {
+                    return;
+                };
+                let Some((pod, sent, ended)) = open.forwards.get_mut(usize::from(no.0)) else {
+                    return;
+                };
                 if std::mem::replace(ended, true) {
                     return;
                 }
                 let (pod, took) = (*pod, self.now - *sent);
-                let fate = if self.chance.random_bool(0.002) { Fate::Errored } else { Fate::Delivered };
+                let fate = if self.chance.random_bool(0.002) {
+                    Fate::Errored
+                } else {
+                    Fate::Delivered
+                };
                 self.day.delivered += u64::from(fate == Fate::Delivered && !open.over);
                 open.over |= fate == Fate::Delivered;
                 let over = open.over;
-                events.push(Event::Outcome(Outcome { hit, no, pod, fate, took, over }));
+                events.push(Event::Outcome(Outcome {
+                    hit,
+                    no,
+                    pod,
+                    fate,
+                    took,
+                    over,
+                }));
                 self.tidy(hit);
             }
             Due::Release => {
@@ -266,13 +329,23 @@
                 let (share, cap) = if stage == 1 { (0.35, 0.45) } else { (1.0, 1.0) };
                 events.push(self.news(stage, Phase::OnTrial, cap));
                 self.bring_in(share, events);
-                self.later(STEP, if stage == 1 { Due::Stage(2) } else { Due::Released });
+                self.later(
+                    STEP,
+                    if stage == 1 {
+                        Due::Stage(2)
+                    } else {
+                        Due::Released
+                    },
+                );
             }
             Due::Released => events.push(self.news(2, Phase::Released, 1.0)),
             Due::PodsGo(build) => {
                 let gone = |row: &PodEntry| row.build.0 == build && row.state == PodState::Draining;
                 let changes = self.rows.iter().filter(|row| gone(row));
-                let changes = changes.map(|row| PodEntry { state: PodState::Gone, ..row.clone() });
+                let changes = changes.map(|row| PodEntry {
+                    state: PodState::Gone,
+                    ..row.clone()
+                });
                 events.push(Event::List(ListNews::Change(changes.collect())));
                 self.rows.retain(|row| !gone(row));
             }
@@ -296,11 +369,18 @@
     /// Starts pods of the newest build for a share of the places, and drains as many of the old.
     fn bring_in(&mut self, share: f64, events: &mut Vec<Event>) {
         let want = (share * self.terms.pods as f64).ceil() as usize;
-        let have = self.rows.iter().filter(|row| row.build.0 == self.build).count();
+        let have = self
+            .rows
+            .iter()
+            .filter(|row| row.build.0 == self.build)
+            .count();
         let mut changes = self.new_pods(want.saturating_sub(have), Some(self.now));
         self.rows.extend(changes.iter().cloned());
         let build = self.build;
-        let old = self.rows.iter_mut().filter(|row| row.build.0 != build && row.state == PodState::Ready);
+        let old = self
+            .rows
+            .iter_mut()
+            .filter(|row| row.build.0 != build && row.state == PodState::Ready);
         let many = changes.len();
         let drained = old.take(many).map(|row| {
             row.state = PodState::Draining;
@@ -322,10 +402,13 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Forward { hit, pod, .. } => {
-                let Some(open) = self.open.get_mut(&hit) else { return };
+                let Some(open) = self.open.get_mut(&hit) else {
+                    return;
+                };
                 let no = ForwardNo(open.forwards.len() as u16);
                 open.forwards.push((pod, self.now, false));
-                let took = LogNormal::new(-2.0, 0.35).map_or(0.1, |took| took.sample(&mut self.chance));
+                let took =
+                    LogNormal::new(-2.0, 0.35).map_or(0.1, |took| took.sample(&mut self.chance));
                 self.later(spans(took), Due::Answer(hit, no));
             }
             Action::Bounce { hit, .. } | Action::Fail { hit } => {
@@ -336,22 +419,38 @@
                 self.tidy(hit);
             }
             Action::Cancel { hit, no } => {
-                let Some(open) = self.open.get_mut(&hit) else { return };
-                let Some((pod, sent, ended)) = open.forwards.get_mut(usize::from(no.0)) else { return };
+                let Some(open) = self.open.get_mut(&hit) else {
+                    return;
+                };
+                let Some((pod, sent, ended)) = open.forwards.get_mut(usize::from(no.0)) else {
+                    return;
+                };
                 if std::mem::replace(ended, true) {
                     return;
                 }
                 let (pod, took, over) = (*pod, self.now - *sent, open.over);
                 let fate = Fate::Cancelled;
                 self.tidy(hit);
-                self.tell(vec![Event::Outcome(Outcome { hit, no, pod, fate, took, over })]);
+                self.tell(vec![Event::Outcome(Outcome {
+                    hit,
+                    no,
+                    pod,
+                    fate,
+                    took,
+                    over,
+                })]);
             }
             Action::Vote { .. } => {
                 self.day.votes += 1;
-                let answer = Event::Stage { news: None, answer: Some(VoteAnswer::Counted) };
+                let answer = Event::Stage {
+                    news: None,
+                    answer: Some(VoteAnswer::Counted),
+                };
                 self.tell(vec![answer]);
             }
-            Action::Watch if self.list_down || self.rows.is_empty() => self.later(spans(1.0), Due::Watch),
+            Action::Watch if self.list_down || self.rows.is_empty() => {
+                self.later(spans(1.0), Due::Watch)
+            }
             Action::Wake { at } => self.wake = at,
             _ => {}
         }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -55,11 +55,18 @@
 
 fn held() -> usize {
     let stats = HEAP.stats();
-    stats.bytes_allocated.saturating_sub(stats.bytes_deallocated)
+    stats
+        .bytes_allocated
+        .saturating_sub(stats.bytes_deallocated)
 }
 
 /// Days of two fleets in turns, so that a machine that slows down slows both; the middle one of the ratios.
-fn compare(cli: &Cli, more: usize, [mut few, mut many]: [Soak; 2], clock: impl Fn() -> Duration) -> ExitCode {
+fn compare(
+    cli: &Cli,
+    more: usize,
+    [mut few, mut many]: [Soak; 2],
+    clock: impl Fn() -> Duration,
+) -> ExitCode {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
     table.set_header(["day", "us a hit", "us a hit beside", "ratio"]);
@@ -75,7 +82,10 @@
     }
     ratios.sort_unstable_by(f64::total_cmp);
     let middle = ratios[ratios.len() / 2];
-    println!("{table}\ncost of a hit with {more} pods against {}: {middle:.2}", cli.pods);
+    println!(
+        "{table}\ncost of a hit with {more} pods against {}: {middle:.2}",
+        cli.pods
+    );
     match cli.look || middle <= cli.most {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
@@ -110,7 +120,11 @@
             day.handling.as_secs_f64() * 1e6 / day.hits as f64,
             held() / 1024
         );
-        seen.push(Seen { day, held: held(), made });
+        seen.push(Seen {
+            day,
+            held: held(),
+            made,
+        });
     }
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
@@ -139,8 +153,10 @@
             day.votes.to_string(),
         ]);
     }
-    let (time, memory) =
-        (seen[last].per_hit() / seen[2].per_hit(), seen[last].held as f64 / seen[2].held as f64);
+    let (time, memory) = (
+        seen[last].per_hit() / seen[2].per_hit(),
+        seen[last].held as f64 / seen[2].held as f64,
+    );
     println!(
         "{table}\nlast day against the third: time {time:.3}, memory {memory:.3} (at most {})",
         cli.most
--- a/crates/standins/src/platform/client.rs
+++ b/crates/standins/src/platform/client.rs
@@ -39,7 +39,11 @@
     pub fn try_new(to: SocketAddr, patience: Duration) -> Option<Self> {
         let link = Link::new(TcpStream::connect(to).ok()?).ok()?;
         link.stream.set_read_timeout(Some(patience)).ok()?;
-        let mut client = Self { link, last: Instant::now(), patience };
+        let mut client = Self {
+            link,
+            last: Instant::now(),
+            patience,
+        };
         let mut out = BytesMut::new();
         write::startup(&mut out, &[("user", "api"), ("database", "ledger")]);
         client.sends(&out).then_some(())?;
@@ -55,7 +59,11 @@
     /// A client that has said nothing.
     pub fn silent(to: SocketAddr) -> Self {
         let link = Link::new(TcpStream::connect(to).unwrap()).unwrap();
-        Self { link, last: Instant::now(), patience: PATIENCE }
+        Self {
+            link,
+            last: Instant::now(),
+            patience: PATIENCE,
+        }
     }
 
     /// Asks for its session, and does not wait for the welcome.
@@ -82,7 +90,9 @@
     pub fn hears(&mut self) -> Answer {
         let mut answer = None;
         loop {
-            let Some(frame) = self.link.hear() else { return answer.unwrap_or(Answer::End) };
+            let Some(frame) = self.link.hear() else {
+                return answer.unwrap_or(Answer::End);
+            };
             let text = || read::text(&frame.body).unwrap().to_owned();
             match frame.kind {
                 b'D' => {
@@ -91,7 +101,12 @@
                 }
                 b'E' => {
                     let fields = read::fields(&frame.body).unwrap();
-                    let field = |of| fields.iter().find(|(letter, _)| *letter == of).map(|f| f.1.to_owned());
+                    let field = |of| {
+                        fields
+                            .iter()
+                            .find(|(letter, _)| *letter == of)
+                            .map(|f| f.1.to_owned())
+                    };
                     answer = Some(Answer::Error(field(b'C').unwrap(), field(b'D')));
                     if field(b'S').as_deref() == Some("FATAL") {
                         return answer.unwrap();
