--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -2,10 +2,10 @@
 
 use crate::Stop;
 use crate::{plot, show};
-use limewing_account::rules::{self, Account};
-use limewing_account::{across, balance, record, work};
-use limewing_standins::day;
-use limewing_standins::script::DayScript;
+use limewing_emulators::day;
+use limewing_emulators::script::DayScript;
+use limewing_rule_checker::rules::{self, Account};
+use limewing_rule_checker::{across, balance, record, work};
 use std::fs::File;
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -3,10 +3,10 @@
 use crate::{plot, Stop};
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
-use limewing_links::{Fault, Script, World};
+use limewing_emulators::fleet::{self, Crowd, CrowdPlan, Member, Plan};
+use limewing_fault_injection::{Fault, Script, World};
+use limewing_http_proxy::service::{StateView, View};
 use limewing_settings::{Checked, Misfit, SidecarSettings};
-use limewing_sidecar::service::{StateView, View};
-use limewing_standins::fleet::{self, Crowd, CrowdPlan, Member, Plan};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,12 +7,12 @@
 mod work;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use limewing_load::compare;
-use limewing_load::generate::{self, Load};
-use limewing_load::idle;
+use limewing_emulators::script::DayScript;
+use limewing_http_proxy::service::Service;
+use limewing_load_generator::compare;
+use limewing_load_generator::generate::{self, Load};
+use limewing_load_generator::idle;
 use limewing_settings::{KeyFile, SidecarSettings};
-use limewing_sidecar::service::Service;
-use limewing_standins::script::DayScript;
 use signal_hook::consts::SIGXFSZ;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -457,10 +457,10 @@
             Ok(())
         }
         Command::Load(LoadCommand::Pods { many }) => {
-            limewing_load::pods::serve(many, std::io::stdout()).map_err(Stop::failed)
+            limewing_load_generator::pods::serve(many, std::io::stdout()).map_err(Stop::failed)
         }
         Command::Load(LoadCommand::Relay { pods }) => {
-            limewing_load::relay::serve(&pods, std::io::stdout()).map_err(Stop::failed)
+            limewing_load_generator::relay::serve(&pods, std::io::stdout()).map_err(Stop::failed)
         }
         Command::Demo { folder } => day::demo(folder),
     }
@@ -489,7 +489,7 @@
 
 fn platform(file: PathBuf) -> Result<(), Stop> {
     let _writes = logs()?;
-    let service = limewing_platform::service::Service::start(file).map_err(Stop::input)?;
+    let service = limewing_postgres_proxy::service::Service::start(file).map_err(Stop::input)?;
     tracing::info!(address = %service.address(), name = service.name(), "listening");
     service.run().map_err(Stop::failed)
 }
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -2,10 +2,10 @@
 
 use comfy_table::{presets, Table};
 use indicatif::{ProgressBar, ProgressStyle};
-use limewing_account::across::Across;
-use limewing_account::rules::Account;
-use limewing_account::work::Work;
-use limewing_standins::day::Progress;
+use limewing_emulators::day::Progress;
+use limewing_rule_checker::across::Across;
+use limewing_rule_checker::rules::Account;
+use limewing_rule_checker::work::Work;
 
 /// Breaches shown for each rule.
 const SHOWN: usize = 5;
--- a/crates/cli/src/work.rs
+++ b/crates/cli/src/work.rs
@@ -3,9 +3,9 @@
 use crate::Stop;
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
+use limewing_emulators::fleet::call;
+use limewing_http_proxy::service::{Asked, WorkView};
 use limewing_settings::WorkList;
-use limewing_sidecar::service::{Asked, WorkView};
-use limewing_standins::fleet::call;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/cli/tests/command/help.rs
+++ b/crates/cli/tests/command/help.rs
@@ -1,6 +1,6 @@
 //! Sidecars as processes of their own, with what the system grants them.
 
-use limewing_standins::platform::Config;
+use limewing_emulators::platform::Config;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -1,12 +1,12 @@
 //! Several processes of `limewing platform`, with faults between them and their pods, clients and services.
 
 use crate::help::Platform;
-use limewing_account::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
-use limewing_account::rules::{check, Rule};
-use limewing_platform::bounds::{SPEAKS_WITHIN, STILL_FOUND};
-use limewing_standins::platform::{
+use limewing_emulators::platform::{
     listing, Answer, Client, Config, Discovery, Does, Faults, Listed, Pod, World,
 };
+use limewing_postgres_proxy::bounds::{SPEAKS_WITHIN, STILL_FOUND};
+use limewing_rule_checker::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
+use limewing_rule_checker::rules::{check, Rule};
 use rstest::rstest;
 use rustix::process::Signal;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/agree/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -4,8 +4,8 @@
 mod helpers;
 
 use helpers::{drawn, s, script, smallest, Plant, World, BEAT, PATIENCE};
-use limewing_agree::{Agree, Id, NotNow, Packet, Place, Record, Say, Standing, Terms, Voters};
-use limewing_links::{Fault, Script, Step, Who};
+use limewing_consensus::{Agree, Id, NotNow, Packet, Place, Record, Say, Standing, Terms, Voters};
+use limewing_fault_injection::{Fault, Script, Step, Who};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/agree/tests/bytes.rs
+++ b/crates/consensus/tests/bytes.rs
@@ -1,6 +1,6 @@
 //! Disks and packets as bytes: whole, torn, turned over, and as noise.
 
-use limewing_agree::{
+use limewing_consensus::{
     read, Damaged, Entry, Id, Packet, Place, Record, Say, Unreadable, Voters, What, MOST_PACKET,
 };
 use proptest::prelude::*;
--- a/crates/agree/tests/digest.rs
+++ b/crates/consensus/tests/digest.rs
@@ -7,7 +7,7 @@
 mod helpers;
 
 use helpers::{drawn, s, Plant, World};
-use limewing_links::{Fault, Script};
+use limewing_fault_injection::{Fault, Script};
 
 const SEEDS: u64 = 20;
 const SECONDS: f64 = 25.0;
--- a/crates/agree/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -3,7 +3,7 @@
 //! The files in `golden/` have one item a line: its kind, and its bytes in hex. With `GOLDEN_WRITE`
 //! set the tests write the files anew before they read them.
 
-use limewing_agree::{
+use limewing_consensus::{
     read, Agree, Entry, Id, Members, Packet, Place, Record, Say, Settled, Terms, Voters, What,
 };
 use std::path::Path;
--- a/crates/fleet/tests/asks.rs
+++ b/crates/coordination/tests/asks.rs
@@ -1,6 +1,6 @@
 //! A service that is lost to many: how often they ask it, and how soon all have it again.
 
-use limewing_fleet::{key, Choices, Pod, Says, Service, LATEST, SPREAD};
+use limewing_coordination::{key, Choices, Pod, Says, Service, LATEST, SPREAD};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/fleet/tests/digest.rs
+++ b/crates/coordination/tests/digest.rs
@@ -4,7 +4,7 @@
 
 mod helpers;
 
-use limewing_fleet::{
+use limewing_coordination::{
     doubted, holds, holds_one_of, key, order, share_out, Choices, Hint, Member, Pod, Said, Says,
     Service, Sign, View, TURN,
 };
--- a/crates/fleet/tests/explore.rs
+++ b/crates/coordination/tests/explore.rs
@@ -1,7 +1,7 @@
 //! A bounded model check of turns: three members, one topic; every order of crashes, of views that are late or wrong, and of
 //! hearing late of the topic. A planted fault of each kind is found.
 
-use limewing_fleet::{holds_one_of, share_out, Member, Pod, TURN};
+use limewing_coordination::{holds_one_of, share_out, Member, Pod, TURN};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
--- a/crates/fleet/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -4,7 +4,7 @@
 //! `golden/reports.hex` holds one report a line, `golden/keys.txt` one name a line with its key.
 //! `GOLDEN_WRITE=1` writes the files anew; that is for new kinds only.
 
-use limewing_fleet::{key, Hint, Says, Service, MOST_HINTS};
+use limewing_coordination::{key, Hint, Says, Service, MOST_HINTS};
 use std::path::Path;
 
 fn reports() -> Vec<(&'static str, Says)> {
--- a/crates/fleet/tests/helpers/mod.rs
+++ b/crates/coordination/tests/helpers/mod.rs
@@ -1,7 +1,7 @@
 //! Fleets and figures for the tests.
 #![allow(dead_code)]
 
-use limewing_fleet::{key, share_out, Member, Pod};
+use limewing_coordination::{key, share_out, Member, Pod};
 use std::collections::BTreeMap;
 
 /// One in five has five times the traffic.
--- a/crates/standins/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -11,10 +11,10 @@
 use crate::marks::Marks;
 use crate::script::{DayScript, Trouble, FIRST_BUILD};
 use clients::{ClientLink, Clients};
-use limewing_account::record::{Entry, OrderId, PodNo, Recorder, SidecarNo};
-use limewing_links::Links;
+use limewing_fault_injection::Links;
 use limewing_net::sockets::{Happening, SocketId, Sockets};
 use limewing_net::wheel::Wheel;
+use limewing_rule_checker::record::{Entry, OrderId, PodNo, Recorder, SidecarNo};
 use limewing_settings::Seconds;
 use pods::{Pod, PodLink};
 use processes::Process;
@@ -50,7 +50,7 @@
     pub pods: usize,
     pub build: u16,
     pub stage: u8,
-    pub phase: limewing_account::record::Phase,
+    pub phase: limewing_rule_checker::record::Phase,
     pub troubles: Vec<String>,
 }
 
--- a/crates/standins/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -3,8 +3,8 @@
 use super::services::SERVICE;
 use super::{Day, DayTrouble};
 use crate::fleet::{key_file, listens, write_keys, Relay, CLOCK};
-use limewing_account::record::{Entry, SidecarNo};
-use limewing_links::Act;
+use limewing_fault_injection::Act;
+use limewing_rule_checker::record::{Entry, SidecarNo};
 use limewing_settings::{
     Customer, Fleet, Headers, Installer, ListService, Seconds, SidecarSettings,
 };
--- a/crates/standins/src/fleet/crowd.rs
+++ b/crates/emulators/src/fleet/crowd.rs
@@ -1,9 +1,9 @@
 //! Hundreds of decision modules in simulated time, with or without a fleet's choices: what their sum does to pods. Pods
 //! answer after a fixed time; what members say reaches those they are not cut off from at once.
 
-use limewing::interface::*;
-use limewing::sidecar::Sidecar;
-use limewing_fleet::{key, Choices, Pod, Says, Sign};
+use limewing_coordination::{key, Choices, Pod, Says, Sign};
+use limewing_decision::interface::*;
+use limewing_decision::sidecar::Sidecar;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
--- a/crates/standins/src/fleet/mod.rs
+++ b/crates/emulators/src/fleet/mod.rs
@@ -12,8 +12,8 @@
     FIRST_KEYS,
 };
 
-use limewing_links::{Core, World};
-use limewing_peers::{Key, Name, News, Peers, Standing, Terms};
+use limewing_fault_injection::{Core, World};
+use limewing_membership::{Key, Name, News, Peers, Standing, Terms};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/standins/src/fleet/relay.rs
+++ b/crates/emulators/src/fleet/relay.rs
@@ -1,7 +1,7 @@
 //! Leads datagrams between processes through links of the script: each member is reached at an address of the relay's,
 //! which knows the sender by where it sends from.
 
-use limewing_links::{Act, Links};
+use limewing_fault_injection::{Act, Links};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/standins/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -2,7 +2,7 @@
 //! between them; what each holds of the others is asked for all along.
 
 use super::relay::Relay;
-use limewing_links::{Act, Links, Script};
+use limewing_fault_injection::{Act, Links, Script};
 use limewing_settings as settings;
 use rustix::process::{kill_process, Pid, Signal};
 use serde::{Deserialize, Serialize};
--- a/crates/standins/src/platform/client.rs
+++ b/crates/emulators/src/platform/client.rs
@@ -1,6 +1,6 @@
 use super::{Link, PATIENCE};
 use bytes::BytesMut;
-use limewing_pg::{read, write};
+use limewing_postgres_protocol::{read, write};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -12,7 +12,7 @@
 pub use world::{Faults, World};
 
 use bytes::BytesMut;
-use limewing_pg::{Frame, Frames, Refused};
+use limewing_postgres_protocol::{Frame, Frames, Refused};
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
--- a/crates/standins/src/platform/pod.rs
+++ b/crates/emulators/src/platform/pod.rs
@@ -1,6 +1,6 @@
 use super::Link;
 use bytes::{BufMut, BytesMut};
-use limewing_pg::{read, write};
+use limewing_postgres_protocol::{read, write};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/standins/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -1,11 +1,11 @@
 //! Pods, discovery, rollouts and clients for several sidecars at once, with a record of all that crosses a socket, as
-//! `limewing_account` reads it. Each sidecar reaches every pod at an address of its own, so that the record says whose a
+//! `limewing_rule_checker` reads it. Each sidecar reaches every pod at an address of its own, so that the record says whose a
 //! forward is. Times in it are those of the far ends.
 
 use super::pod::{answer, read_statement};
 use super::{listing, state, Answer, Client, Discovery, Listed, Rollouts, Vote};
-use limewing_account::record::Terms;
-use limewing_account::record::{
+use limewing_rule_checker::record::Terms;
+use limewing_rule_checker::record::{
     Entry, Final, Group, Line, OrderId, Phase, PodNo, Reach, Repeat, SidecarNo, Try,
 };
 use rand::rngs::StdRng;
--- a/crates/standins/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -1,7 +1,7 @@
 //! A day as its file says: the fleet, the hits, the releases, and what goes wrong when. JSON; spans in seconds.
 
-use limewing_account::record;
-use limewing_links::Script;
+use limewing_fault_injection::Script;
+use limewing_rule_checker::record;
 use limewing_settings::{
     Checked, Limits, Misfit, PathGroup, Reach, Releases, Repeat, Rules, Seconds, WorkList,
 };
--- a/crates/standins/tests/crowd.rs
+++ b/crates/emulators/tests/crowd.rs
@@ -1,6 +1,6 @@
 //! What the choices of many decision modules add up to, with and without the fleet's word.
 
-use limewing_standins::fleet::{crowd, Crowd, CrowdPlan};
+use limewing_emulators::fleet::{crowd, Crowd, CrowdPlan};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/standins/tests/fleet.rs
+++ b/crates/emulators/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Who else is there, in simulated time under scripts of faults: who is held to be dead, by whom, and how soon all agree
 //! again.
 
-use limewing_links::{Ahead, Core, Fault, Line, Script, Step, Who, World};
-use limewing_standins::fleet::{deaths, views, Member, Views};
+use limewing_emulators::fleet::{deaths, views, Member, Views};
+use limewing_fault_injection::{Ahead, Core, Fault, Line, Script, Step, Who, World};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/standins/tests/golden.rs
+++ b/crates/emulators/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Pins the files that days and scripts of faults are read from: each file in `days/` and `fleets/` is read whole, and
 //! what is written again says the same. Its schema, with all names and defaults, is pinned by the tests of the command.
 
-use limewing_links::Script;
-use limewing_standins::script::DayScript;
+use limewing_emulators::script::DayScript;
+use limewing_fault_injection::Script;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::Value;
--- a/crates/standins/tests/models.rs
+++ b/crates/emulators/tests/models.rs
@@ -1,7 +1,7 @@
 //! The models that the stand-ins are made of, without sockets.
 
-use limewing_standins::marks::Marks;
-use limewing_standins::pod::{Arrival, Machine, Next, PodModel};
+use limewing_emulators::marks::Marks;
+use limewing_emulators::pod::{Arrival, Machine, Next, PodModel};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/links/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -4,7 +4,7 @@
 //! How data flows: a `Script` says what happens when. `Links` takes each datagram on its way from one member to another
 //! and tells which copies of it arrive when (`pass`); it changes with the script's time (`turn`), and hands out what is to be
 //! done to members (`Act`), which only their host can do. `World` is such a host for members without I/O (`Core`): it
-//! steps up to a thousand of them through simulated time. The rig of processes is another (crates/standins).
+//! steps up to a thousand of them through simulated time. The rig of processes is another (crates/emulators).
 
 mod links;
 mod script;
--- a/crates/sidecar/src/pods.rs
+++ b/crates/http-proxy/src/pods.rs
@@ -6,8 +6,8 @@
 //! `kind`), `Node.Node` (the machine's name), `Node.Datacenter` (zone where Meta has none) and `Checks[].Status`: a critical check, as the
 //! maintenance mode sets one, means that the pod drains.
 
-use limewing::interface::{BuildId, CellId, KindId, PodEntry, PodId, PodState, ZoneId};
-use limewing_hosting::clock;
+use limewing_decision::interface::{BuildId, CellId, KindId, PodEntry, PodId, PodState, ZoneId};
+use limewing_proxy_core::clock;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/sidecar/src/promises.rs
+++ b/crates/http-proxy/src/promises.rs
@@ -1,7 +1,7 @@
-//! What a voter has promised, on disk: one file of records (`limewing_agree`), written to its end by a thread of its own and
+//! What a voter has promised, on disk: one file of records (`limewing_consensus`), written to its end by a thread of its own and
 //! synced before the loop is told so. A file that is damaged is put aside, and the voter begins a new life.
 
-use limewing_agree::{read, Record};
+use limewing_consensus::{read, Record};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
@@ -67,7 +67,7 @@
                     .read(true)
                     .write(true)
                     .open(&path)?;
-                limewing_agree::Read::default()
+                limewing_consensus::Read::default()
             }
         };
         let disk = Disk {
--- a/crates/sidecar/src/routes.rs
+++ b/crates/http-proxy/src/routes.rs
@@ -1,6 +1,6 @@
 //! What a request is as a hit: its path group by method and path, customer, key and deadline by header.
 
-use limewing::interface::{CustomerId, GroupId, KeyId};
+use limewing_decision::interface::{CustomerId, GroupId, KeyId};
 use limewing_net::http::RequestHead;
 use limewing_settings::{Headers, Misfit, Repeat, Router, SidecarSettings};
 use siphasher::sip::SipHasher13;
--- a/crates/sidecar/src/service/asks.rs
+++ b/crates/http-proxy/src/service/asks.rs
@@ -5,17 +5,17 @@
 use crate::pods;
 use crate::stages::{vote_answer, EventReader, Latest, StageMessage, VoteMessage};
 use bytes::BytesMut;
-use limewing::interface::{
+use limewing_coordination::Service as Asked;
+use limewing_decision::interface::{
     BuildId, Event, ListLoss, ListNews, StageNews, StageNo, Verdict, VoteAnswer,
 };
-use limewing_fleet::Service as Asked;
-use limewing_hosting::clock::today;
 use limewing_net::body::{BodyReader, Framing};
 use limewing_net::call::{Call, Heard};
 use limewing_net::http::{self, HeadLimits};
 use limewing_net::message::Responses;
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
+use limewing_proxy_core::clock::today;
 use std::time::Duration;
 
 /// The longest list that is read, in bytes.
--- a/crates/sidecar/src/service/back.rs
+++ b/crates/http-proxy/src/service/back.rs
@@ -7,14 +7,14 @@
 use super::front::FORWARD;
 use super::{Due, Peer, Service};
 use bytes::BytesMut;
-use limewing::interface::{Event, Fate, ForwardNo, HitId, PodId};
-use limewing_hosting::kept::Link;
-use limewing_hosting::open::Forward;
-use limewing_hosting::permit::SendPermit;
+use limewing_decision::interface::{Event, Fate, ForwardNo, HitId, PodId};
 use limewing_net::body::{write_chunk, BodyReader, Framing};
 use limewing_net::http::{self, HeadLimits, ResponseHead};
 use limewing_net::sockets::{is_own_want, SocketId};
 use limewing_net::wheel::TimerKey;
+use limewing_proxy_core::kept::Link;
+use limewing_proxy_core::open::Forward;
+use limewing_proxy_core::permit::SendPermit;
 use std::time::Duration;
 
 /// A pod says with this field that it has not begun a hit.
--- a/crates/sidecar/src/service/copies.rs
+++ b/crates/http-proxy/src/service/copies.rs
@@ -1,11 +1,13 @@
-//! State that matters, kept by the others too: what this sidecar does is shown to `limewing_replica`, what the others put up goes to
+//! State that matters, kept by the others too: what this sidecar does is shown to `limewing_replication`, what the others put up goes to
 //! the decision module as keys that met a build and as stage news that only closes, and says which hits are not sent again.
 
 use super::fleet::Fleet;
 use crate::stages::{PhaseName, StageMessage};
-use limewing::interface::{BuildId, Event, Fate, HitId, KeyId, ListNews, Outcome, PodId, PodState};
-use limewing_hosting::clock::today;
-use limewing_replica::{
+use limewing_decision::interface::{
+    BuildId, Event, Fate, HitId, KeyId, ListNews, Outcome, PodId, PodState,
+};
+use limewing_proxy_core::clock::today;
+use limewing_replication::{
     Fact, Facts, Origin, Own, Packet, Phase, Refuses, Replica, Stage, Terms, HITS_FOR, KEYS_FOR,
     STAGES_FOR,
 };
@@ -248,7 +250,7 @@
     pub(super) fn view(&self) -> StateView {
         let me = self.replica.me();
         let (keys, hits) = self.facts.held();
-        let log = |(origin, log): (&Origin, &limewing_replica::Log)| LogView {
+        let log = |(origin, log): (&Origin, &limewing_replication::Log)| LogView {
             name: origin.name.clone(),
             start: origin.start,
             upto: log.upto(),
--- a/crates/sidecar/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/fleet.rs
@@ -1,12 +1,12 @@
-//! The other sidecars: datagrams go between the sockets and `limewing_peers`, which decides who is there; events of the
-//! decision module are shown to `limewing_fleet`, and its view goes to the module.
+//! The other sidecars: datagrams go between the sockets and `limewing_membership`, which decides who is there; events of the
+//! decision module are shown to `limewing_coordination`, and its view goes to the module.
 
 use super::StartTrouble;
-use limewing::interface::{Event, Fate, FleetView, ListNews, PodEntry, PodId, PodState};
-use limewing_fleet::{key, Choices, Pod, Says, Service, Sign};
-use limewing_hosting::clock::today;
+use limewing_coordination::{key, Choices, Pod, Says, Service, Sign};
+use limewing_decision::interface::{Event, Fate, FleetView, ListNews, PodEntry, PodId, PodState};
+use limewing_membership::{Key, Name, Peers, Terms};
 use limewing_net::sockets::{SocketId, Sockets};
-use limewing_peers::{Key, Name, Peers, Terms};
+use limewing_proxy_core::clock::today;
 use limewing_settings::{self as settings, KeyFile, Unusable};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/sidecar/src/service/front.rs
+++ b/crates/http-proxy/src/service/front.rs
@@ -3,14 +3,14 @@
 use super::{Due, Peer, Service};
 use crate::routes::{path_of, Traits};
 use bytes::{Bytes, BytesMut};
-use limewing::interface::{Event, ForwardNo, GroupId, Hit, HitId, KeyId, PodId};
-use limewing_hosting::open::Open;
+use limewing_decision::interface::{Event, ForwardNo, GroupId, Hit, HitId, KeyId, PodId};
 use limewing_net::body::{write_chunk, BodyReader, Framing};
 use limewing_net::http::{self, Refused, RequestHead, ResponseHead};
 use limewing_net::message::Requests;
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
-use limewing_replica::Refuses;
+use limewing_proxy_core::open::Open;
+use limewing_replication::Refuses;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/sidecar/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -23,20 +23,20 @@
 use fleet::Fleet;
 pub use fleet::{Seen, View};
 use front::{Client, Reports, Request, MOST_UNSENT};
-use limewing::interface::{
+use limewing_decision::interface::{
     Action, Event, ForwardNo, HitId, ListNews, Phase, StartTerms, VoteAnswer,
 };
-use limewing::sidecar::Sidecar;
-use limewing_hosting::again::Again;
-use limewing_hosting::clock::{today, Clock};
-use limewing_hosting::kept::Kept;
-use limewing_hosting::open::OpenHits;
-use limewing_hosting::permit::Permits;
-use limewing_hosting::room::Room;
-use limewing_hosting::shutdown::{Holds, Shutdown, Spans, Step};
+use limewing_decision::sidecar::Sidecar;
 use limewing_net::call::Call;
 use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
 use limewing_net::wheel::Wheel;
+use limewing_proxy_core::again::Again;
+use limewing_proxy_core::clock::{today, Clock};
+use limewing_proxy_core::kept::Kept;
+use limewing_proxy_core::open::OpenHits;
+use limewing_proxy_core::permit::Permits;
+use limewing_proxy_core::room::Room;
+use limewing_proxy_core::shutdown::{Holds, Shutdown, Spans, Step};
 use limewing_settings::{Misfit, SidecarSettings};
 use rustc_hash::FxHashMap;
 use std::io;
@@ -71,7 +71,7 @@
     #[error("at /work/folder: {0}")]
     Work(io::Error),
     #[error("at /peers: {0}")]
-    Peers(limewing_peers::Trouble),
+    Peers(limewing_membership::Trouble),
 }
 
 /// A turn of the loop that takes longer is told: hits that came meanwhile have waited for it.
@@ -638,7 +638,7 @@
             } => self.vote(verdict, build, stage),
             Action::Watch => self.ask_list(),
             Action::Wake { at } => self.wake = at,
-            Action::Log(line) => tracing::info!(target: "limewing::decisions", "{line}"),
+            Action::Log(line) => tracing::info!(target: "limewing_decision::decisions", "{line}"),
         }
     }
 
--- a/crates/sidecar/src/service/work.rs
+++ b/crates/http-proxy/src/service/work.rs
@@ -1,16 +1,18 @@
-//! Machines out for work: packets go between the other sidecars and `limewing_agree`, what is settled goes to
-//! `limewing_turns`, and what that closes is told to the decision module as machines that drain.
+//! Machines out for work: packets go between the other sidecars and `limewing_consensus`, what is settled goes to
+//! `limewing_maintenance`, and what that closes is told to the decision module as machines that drain.
 
 use super::fleet::Fleet;
 use crate::pods::Row;
 use crate::promises::Promises;
-use limewing_agree::{Agree, Follow, Id, Packet, Settled, Standing, Terms, MOST_VOTERS, MOST_WORD};
-use limewing_hosting::clock::today;
-use limewing_settings::{self as settings, WorkList};
-use limewing_turns::{
+use limewing_consensus::{
+    Agree, Follow, Id, Packet, Settled, Standing, Terms, MOST_VOTERS, MOST_WORD,
+};
+use limewing_maintenance::{
     Clearing, Leader, Lease, Lessor, Limits, Machine, Number, Pod, Sight, Step, Talk, TurnedAway,
     Turns, Window, Word, Zones,
 };
+use limewing_proxy_core::clock::today;
+use limewing_settings::{self as settings, WorkList};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -210,7 +212,7 @@
         apart: told.limits.apart.clone(),
         turned_away: told.limits.turned_away,
     };
-    let terms = limewing_turns::Terms {
+    let terms = limewing_maintenance::Terms {
         name: told.name.clone(),
         limits,
         takes: span(told.takes),
@@ -876,7 +878,7 @@
         };
         let lessor = self.leader.as_ref().map(|leader| &leader.lessor);
         let owned = |names: Vec<&str>| names.into_iter().map(str::to_owned).collect();
-        let way = |list: &Number, way: &limewing_turns::Way| WayView {
+        let way = |list: &Number, way: &limewing_maintenance::Way| WayView {
             machine: way.machine.name.clone(),
             step: format!("{:?}", way.step).to_lowercase(),
             grant: way.grant.map(|grant| grant.0),
@@ -897,7 +899,7 @@
                 })
                 .flatten(),
         };
-        let list = |(no, list): (&Number, &limewing_turns::List)| ListView {
+        let list = |(no, list): (&Number, &limewing_maintenance::List)| ListView {
             list: no.0,
             name: list.terms.name.clone(),
             held: list.held,
--- a/crates/sidecar/src/stages.rs
+++ b/crates/http-proxy/src/stages.rs
@@ -2,7 +2,7 @@
 //! JSON. `docs/protocol.md` has the pages of both.
 
 use bytes::BytesMut;
-use limewing::interface::{BuildId, Phase, StageNews, StageNo, Verdict, VoteAnswer};
+use limewing_decision::interface::{BuildId, Phase, StageNews, StageNo, Verdict, VoteAnswer};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/sidecar/tests/any_bytes.rs
+++ b/crates/http-proxy/tests/any_bytes.rs
@@ -1,7 +1,7 @@
 //! Whatever services say: no panic, and nothing unbounded.
 
-use limewing_sidecar::pods::rows;
-use limewing_sidecar::stages::{vote_answer, EventReader};
+use limewing_http_proxy::pods::rows;
+use limewing_http_proxy::stages::{vote_answer, EventReader};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/sidecar/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -2,10 +2,10 @@
 //! ask of the work on machines, and the pages that tell of fleet, state and work. Each file was written by the program; it is
 //! read, and what is written again is the same bytes.
 
-use limewing_sidecar::memory;
-use limewing_sidecar::pods::{rows, Row};
-use limewing_sidecar::service::{Asked, Said, StateView, View, WorkView};
-use limewing_sidecar::stages::{
+use limewing_http_proxy::memory;
+use limewing_http_proxy::pods::{rows, Row};
+use limewing_http_proxy::service::{Asked, Said, StateView, View, WorkView};
+use limewing_http_proxy::stages::{
     CountName, EventReader, PhaseName, StageMessage, VerdictName, VoteMessage, VoteReply,
 };
 use rstest::rstest;
--- a/crates/sidecar/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -2,11 +2,11 @@
 //! `/limewing/work`. Words in them (what a member is held to be, the step of a machine, a stage) are part of the format.
 //! Figures that differ from run to run are set to 0 before a page is compared with its file.
 
-use limewing_peers::{Key, Name, Peers, Terms};
+use limewing_http_proxy::memory;
+use limewing_http_proxy::pods::Row;
+use limewing_http_proxy::service::{Service, StateView, View, WorkView};
+use limewing_membership::{Key, Name, Peers, Terms};
 use limewing_settings::{read_text, SidecarSettings};
-use limewing_sidecar::memory;
-use limewing_sidecar::pods::Row;
-use limewing_sidecar::service::{Service, StateView, View, WorkView};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{json, Value};
--- a/crates/sidecar/tests/golden_vote_log.rs
+++ b/crates/http-proxy/tests/golden_vote_log.rs
@@ -3,8 +3,8 @@
 //! consensus package; `golden/vote_log.hex` and `golden/vote_log_compacted.hex` are copies of its
 //! `log.hex` and `log_compacted.hex` (one record a line: its kind, and its bytes in hex).
 
-use limewing_agree::{read, Record};
-use limewing_sidecar::promises::Promises;
+use limewing_consensus::{read, Record};
+use limewing_http_proxy::promises::Promises;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
--- a/crates/sidecar/tests/sockets/crossings.rs
+++ b/crates/http-proxy/tests/sockets/crossings.rs
@@ -2,11 +2,11 @@
 //! the loop. The loop is held by its decisions, as a process that is stopped.
 
 use crate::help::{run, settings, state_file, Client, Does, Pod, CHARGE, DONE, QUOTE};
-use limewing::interface::{Action, Event, ForwardNo, HitId};
-use limewing::sidecar::Sidecar;
-use limewing_hosting::permit::Permits;
+use limewing_decision::interface::{Action, Event, ForwardNo, HitId};
+use limewing_decision::sidecar::Sidecar;
+use limewing_http_proxy::service::{Decisions, Service};
+use limewing_proxy_core::permit::Permits;
 use limewing_settings::{Seconds, SidecarSettings};
-use limewing_sidecar::service::{Decisions, Service};
 use rstest::rstest;
 use rustix::net::listen;
 use std::io::{Read, Write};
--- a/crates/sidecar/tests/sockets/hard_cases.rs
+++ b/crates/http-proxy/tests/sockets/hard_cases.rs
@@ -3,7 +3,7 @@
 use crate::help::{
     run, settings, sidecar, sidecar_to_all, sidecar_with, Client, Does, Pod, CHARGE, DONE, QUOTE,
 };
-use limewing_sidecar::service::Service;
+use limewing_http_proxy::service::Service;
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener};
--- a/crates/sidecar/tests/sockets/help.rs
+++ b/crates/http-proxy/tests/sockets/help.rs
@@ -1,11 +1,11 @@
 //! A sidecar on a thread, pods that do as they are told, and a client that reads answer by answer.
 
-use limewing::interface::{Action, Event, ForwardNo, HitId, PodId};
-use limewing_hosting::permit::Permits;
+use limewing_decision::interface::{Action, Event, ForwardNo, HitId, PodId};
+use limewing_http_proxy::memory;
+use limewing_http_proxy::pods::{PodBook, Row};
+use limewing_http_proxy::service::{Decisions, Service};
+use limewing_proxy_core::permit::Permits;
 use limewing_settings::{read_text, SidecarSettings};
-use limewing_sidecar::memory;
-use limewing_sidecar::pods::{PodBook, Row};
-use limewing_sidecar::service::{Decisions, Service};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/sidecar/tests/sockets/on_trial.rs
+++ b/crates/http-proxy/tests/sockets/on_trial.rs
@@ -1,7 +1,7 @@
 //! A build on trial, seen from its pods and its installer, when forwards and votes fail on their way.
 
 use crate::help::{run, settings, state_file_of, Client, Does, Installer, Pod, Vote, DONE};
-use limewing_sidecar::service::Service;
+use limewing_http_proxy::service::Service;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/sidecar/tests/sockets/second_tries.rs
+++ b/crates/http-proxy/tests/sockets/second_tries.rs
@@ -1,8 +1,8 @@
 //! Second tries over all layers: what a slow-down of all pods does to the traffic at them.
 
 use crate::help::{run, settings, state_file, Client};
+use limewing_http_proxy::service::Service;
 use limewing_settings::Seconds;
-use limewing_sidecar::service::Service;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
--- a/crates/sidecar/tests/words.rs
+++ b/crates/http-proxy/tests/words.rs
@@ -1,12 +1,12 @@
 //! Lists, stage news, votes and the state file: bytes in, words out.
 
-use limewing::interface::{PodState, VoteAnswer};
-use limewing_hosting::again::Again;
-use limewing_hosting::room::Room;
-use limewing_sidecar::memory;
-use limewing_sidecar::pods::{rows, PodBook};
-use limewing_sidecar::routes::path_of;
-use limewing_sidecar::stages::{vote_answer, EventReader, Latest, PhaseName, StageMessage};
+use limewing_decision::interface::{PodState, VoteAnswer};
+use limewing_http_proxy::memory;
+use limewing_http_proxy::pods::{rows, PodBook};
+use limewing_http_proxy::routes::path_of;
+use limewing_http_proxy::stages::{vote_answer, EventReader, Latest, PhaseName, StageMessage};
+use limewing_proxy_core::again::Again;
+use limewing_proxy_core::room::Room;
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::time::{Duration, SystemTime};
--- a/crates/load/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -4,9 +4,9 @@
 
 use crate::generate::{run, Load, Outcome};
 use comfy_table::{presets, Table};
+use limewing_http_proxy::memory;
+use limewing_http_proxy::pods::Row;
 use limewing_settings::SidecarSettings;
-use limewing_sidecar::memory;
-use limewing_sidecar::pods::Row;
 use serde_json::json;
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/turns/tests/digest.rs
+++ b/crates/maintenance/tests/digest.rs
@@ -4,7 +4,7 @@
 //! leaders are deposed, zones fail, work fails or stalls. It hashes encoded bytes and numbers only,
 //! so names may change and the hash stays.
 
-use limewing_turns::{
+use limewing_maintenance::{
     Clearing, Leader, Lease, Lessor, Limits, List, Machine, Number, Pod, Refused, Sight, Step,
     Talk, Terms, TurnedAway, Turns, Way, Why, Window, Word, Zones,
 };
--- a/crates/turns/tests/explore.rs
+++ b/crates/maintenance/tests/explore.rs
@@ -4,7 +4,7 @@
 //!
 //! Time goes in steps of a second: a lease lasts two, a drain's grace and the longest hit one each.
 
-use limewing_turns::*;
+use limewing_maintenance::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{Hash, Hasher};
--- a/crates/turns/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -3,7 +3,7 @@
 //! The files in `golden/` have one item a line: its kind, and its bytes in hex. With `GOLDEN_WRITE`
 //! set the tests write the files anew before they read them.
 
-use limewing_turns::{
+use limewing_maintenance::{
     Limits, Machine, Number, Seen, Step, Talk, Terms, Turns, Unreadable, Window, Word,
 };
 use std::collections::BTreeSet;
--- a/crates/turns/tests/ways.rs
+++ b/crates/maintenance/tests/ways.rs
@@ -1,6 +1,6 @@
 //! Machines on their way, word by word; and whatever words come in whatever order, the limits hold.
 
-use limewing_turns::*;
+use limewing_maintenance::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/peers/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -2,8 +2,8 @@
 //! events, direct messages, refusals and the member tables. A refactoring that keeps the behaviour
 //! keeps the digest.
 
-use limewing_links::{Ahead, Core, Fault, Line, Script, Step, Who, World};
-use limewing_peers::{Key, Name, News, Peers, Refused, Standing, Terms};
+use limewing_fault_injection::{Ahead, Core, Fault, Line, Script, Step, Who, World};
+use limewing_membership::{Key, Name, News, Peers, Refused, Standing, Terms};
 use nanorand::{Rng, WyRand};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/peers/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -6,7 +6,7 @@
 //! the clock and the frame) comes out the same. `GOLDEN_WRITE=1` writes the file anew; that is for
 //! new kinds only.
 
-use limewing_peers::{Key, Name, Peers, Standing, Terms};
+use limewing_membership::{Key, Name, Peers, Standing, Terms};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/peers/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -1,6 +1,8 @@
 //! What goes into a datagram comes out of it, and nothing else does.
 
-use limewing_peers::{Key, Name, News, Peers, Refused, Standing, Terms, Trouble, MOST_DATAGRAM};
+use limewing_membership::{
+    Key, Name, News, Peers, Refused, Standing, Terms, Trouble, MOST_DATAGRAM,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::net::SocketAddr;
--- a/crates/crooked/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -3,11 +3,11 @@
 
 mod twice;
 
-use limewing::interface::*;
-use limewing::sidecar::Sidecar;
-use limewing_hosting::permit::Permits;
+use limewing_decision::interface::*;
+use limewing_decision::sidecar::Sidecar;
+use limewing_http_proxy::service::{Decisions, Service};
+use limewing_proxy_core::permit::Permits;
 use limewing_settings::SidecarSettings;
-use limewing_sidecar::service::{Decisions, Service};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/pg/tests/messages.rs
+++ b/crates/postgres-protocol/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages there and back, cut anywhere, and bytes that are none.
 
 use bytes::{BufMut, BytesMut};
-use limewing_pg::{read, waiting, write, Frame, Frames, Refused};
+use limewing_postgres_protocol::{read, waiting, write, Frame, Frames, Refused};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/platform/src/bounds.rs
+++ b/crates/postgres-proxy/src/bounds.rs
@@ -1,7 +1,7 @@
 //! What this host decides beside the module, with no I/O and no clock: how long a party is waited for and how much of
 //! it is borne, whose connection goes first, and what a connection that ends proves.
 
-use limewing_hosting::shutdown::Spans;
+use limewing_proxy_core::shutdown::Spans;
 use std::io::ErrorKind;
 use std::time::Duration;
 
--- a/crates/platform/src/bounds/tests.rs
+++ b/crates/postgres-proxy/src/bounds/tests.rs
@@ -1,7 +1,7 @@
 //! What this host decides beside the module, and that its times fit those of the protocol.
 
 use super::*;
-use limewing::choice::ASK_AGAIN;
+use limewing_decision::choice::ASK_AGAIN;
 use rstest::rstest;
 
 #[rstest]
--- a/crates/platform/src/config.rs
+++ b/crates/postgres-proxy/src/config.rs
@@ -4,8 +4,8 @@
 use crate::bounds;
 use crate::listing::Listing;
 use crate::news::State;
-use limewing::interface::StartTerms;
-use limewing_wire::SocketTerms;
+use limewing_decision::interface::StartTerms;
+use limewing_simulator_protocol::SocketTerms;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -91,12 +91,13 @@
     let settings = told.settings.get().as_bytes();
     let mut hasher = DefaultHasher::new();
     settings.hash(&mut hasher);
-    let mut terms =
-        limewing_wire::start_terms(seed, settings).map_err(|e| format!("settings: {e}"))?;
+    let mut terms = limewing_simulator_protocol::start_terms(seed, settings)
+        .map_err(|e| format!("settings: {e}"))?;
     // On sockets a list comes by no other way than a watch.
     terms.list_on_request = true;
     terms.list_lease = Some(bounds::LIST_LEASE);
-    let sockets = limewing_wire::socket_terms(settings).map_err(|e| format!("settings: {e}"))?;
+    let sockets = limewing_simulator_protocol::socket_terms(settings)
+        .map_err(|e| format!("settings: {e}"))?;
     if sockets.groups.iter().any(String::is_empty) {
         return Err("settings: a class has no name".into());
     }
--- a/crates/platform/src/listing.rs
+++ b/crates/postgres-proxy/src/listing.rs
@@ -1,7 +1,9 @@
 //! Discovery's list as rows of the decision module.
 
-use limewing::interface::{BuildId, CellId, KindId, ListNews, PodEntry, PodId, PodState, ZoneId};
-use limewing_hosting::clock;
+use limewing_decision::interface::{
+    BuildId, CellId, KindId, ListNews, PodEntry, PodId, PodState, ZoneId,
+};
+use limewing_proxy_core::clock;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
--- a/crates/platform/src/news.rs
+++ b/crates/postgres-proxy/src/news.rs
@@ -1,6 +1,6 @@
 //! What rollouts and a sidecar say to each other: how the newest build stands, reports of wrong answers, votes.
 
-use limewing::interface::{BuildId, Phase, StageNews, StageNo, Verdict, VoteAnswer};
+use limewing_decision::interface::{BuildId, Phase, StageNews, StageNo, Verdict, VoteAnswer};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/platform/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -12,12 +12,12 @@
 use crate::bounds::{self, Next, HELD_BACK, READY_WITHIN, RESTS, WHOLE_WITHIN};
 use crate::listing::List;
 use bytes::{Bytes, BytesMut};
-use limewing::interface::{Event, Fate, ForwardNo, HitId, PodId};
-use limewing_hosting::kept::Link;
-use limewing_hosting::open::Forward;
-use limewing_hosting::permit::SendPermit;
+use limewing_decision::interface::{Event, Fate, ForwardNo, HitId, PodId};
 use limewing_net::sockets::{is_own_want, SocketId};
-use limewing_pg::write;
+use limewing_postgres_protocol::write;
+use limewing_proxy_core::kept::Link;
+use limewing_proxy_core::open::Forward;
+use limewing_proxy_core::permit::SendPermit;
 use std::io::ErrorKind;
 use std::time::Duration;
 
--- a/crates/platform/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -6,7 +6,7 @@
 use crate::lines::{Broken, Objects};
 use crate::listing::Listing;
 use bytes::{Bytes, BytesMut};
-use limewing::interface::{Event, ListLoss, ListNews, LossCause};
+use limewing_decision::interface::{Event, ListLoss, ListNews, LossCause};
 use limewing_net::body::Framing;
 use limewing_net::http;
 use limewing_net::sockets::SocketId;
--- a/crates/platform/src/service/front.rs
+++ b/crates/postgres-proxy/src/service/front.rs
@@ -4,10 +4,10 @@
 use crate::bounds::{self, Idle, MOST_WAITING, SPEAKS_WITHIN, SWEEP_EVERY, TURNED_AWAY_AFTER};
 use crate::statement;
 use bytes::BytesMut;
-use limewing::interface::{Event, Hit, HitId};
+use limewing_decision::interface::{Event, Hit, HitId};
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
-use limewing_pg::{read, waiting, write, Frames};
+use limewing_postgres_protocol::{read, waiting, write, Frames};
 use std::time::Duration;
 
 /// Messages of a client that are no statement are no longer than this.
--- a/crates/platform/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -16,17 +16,17 @@
 use crate::statement::{Names, Statement};
 use discovery::{WatchEnd, WatchLink};
 use front::Client;
-use limewing::interface::{Action, Event, ForwardNo, HitId, Repeat, VoteAnswer};
-use limewing::sidecar::Sidecar;
-use limewing_hosting::again::Again;
-use limewing_hosting::clock::Clock;
-use limewing_hosting::kept::{Kept, Lapses};
-use limewing_hosting::open::OpenHits;
-use limewing_hosting::room::Room;
-use limewing_hosting::shutdown::{Holds, Shutdown, Step};
+use limewing_decision::interface::{Action, Event, ForwardNo, HitId, Repeat, VoteAnswer};
+use limewing_decision::sidecar::Sidecar;
 use limewing_net::call::Call;
 use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
 use limewing_net::wheel::{TimerKey, Wheel};
+use limewing_proxy_core::again::Again;
+use limewing_proxy_core::clock::Clock;
+use limewing_proxy_core::kept::{Kept, Lapses};
+use limewing_proxy_core::open::OpenHits;
+use limewing_proxy_core::room::Room;
+use limewing_proxy_core::shutdown::{Holds, Shutdown, Step};
 use pod_connection::PodConnection;
 use rollouts::NewsLink;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -418,7 +418,7 @@
             } => self.vote(verdict, build, stage),
             Action::Watch => self.ask_watch(),
             Action::Wake { at } => self.wake = at,
-            Action::Log(line) => tracing::info!(target: "limewing::decisions", "{line}"),
+            Action::Log(line) => tracing::info!(target: "limewing_decision::decisions", "{line}"),
         }
     }
 
--- a/crates/platform/src/service/pod_connection.rs
+++ b/crates/postgres-proxy/src/service/pod_connection.rs
@@ -2,9 +2,9 @@
 
 use crate::listing::Life;
 use bytes::Bytes;
-use limewing::interface::{Fate, ForwardNo, HitId, PodId};
+use limewing_decision::interface::{Fate, ForwardNo, HitId, PodId};
 use limewing_net::wheel::TimerKey;
-use limewing_pg::{read, Frame, Frames};
+use limewing_postgres_protocol::{read, Frame, Frames};
 use std::mem;
 use std::time::Duration;
 
--- a/crates/platform/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -5,7 +5,7 @@
 use crate::lines::Lines;
 use crate::news::{self, State, Told};
 use bytes::Bytes;
-use limewing::interface::{BuildId, Event, GroupId, StageNo, Verdict, VoteAnswer};
+use limewing_decision::interface::{BuildId, Event, GroupId, StageNo, Verdict, VoteAnswer};
 use limewing_net::call::{Call, Heard};
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
--- a/crates/platform/src/statement.rs
+++ b/crates/postgres-proxy/src/statement.rs
@@ -1,6 +1,6 @@
 //! The one form of statement that a hit has, and its comment. What has another form goes to no pod.
 
-use limewing::interface::{CustomerId, GroupId, KeyId};
+use limewing_decision::interface::{CustomerId, GroupId, KeyId};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::Range;
--- a/crates/platform/tests/caps.rs
+++ b/crates/postgres-proxy/tests/caps.rs
@@ -1,13 +1,13 @@
 //! Fleets of hundreds of sidecars and more than a thousand pods: nothing here has room for fewer.
 
 use bytes::BytesMut;
-use limewing::interface::{Action, Event, GroupId, Hit, HitId, ListNews, PodEntry, PodId};
-use limewing::sidecar::Sidecar;
-use limewing_platform::config::{self, Told};
-use limewing_platform::lines::Objects;
-use limewing_platform::listing::{List, Listing};
-use limewing_platform::news::{Report, Reports};
-use limewing_standins::platform::{listing, Config, Listed};
+use limewing_decision::interface::{Action, Event, GroupId, Hit, HitId, ListNews, PodEntry, PodId};
+use limewing_decision::sidecar::Sidecar;
+use limewing_emulators::platform::{listing, Config, Listed};
+use limewing_postgres_proxy::config::{self, Told};
+use limewing_postgres_proxy::lines::Objects;
+use limewing_postgres_proxy::listing::{List, Listing};
+use limewing_postgres_proxy::news::{Report, Reports};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/platform/tests/golden.rs
+++ b/crates/postgres-proxy/tests/golden.rs
@@ -3,16 +3,16 @@
 //! written by the program as it stood on 2026-12-02, or are what it reads. Set `GOLDEN_WRITE` to write the former anew
 //! after a wanted change.
 
-use limewing::interface::{
+use limewing_decision::interface::{
     BuildId, Control, ListNews, Phase, PodEntry, PodState, StageNews, StageNo, Verdict,
 };
-use limewing_platform::config;
-use limewing_platform::lines::{Lines, Objects};
-use limewing_platform::listing::{List, Listing};
-use limewing_platform::news::{read_line, vote, vote_answer, State, Told};
-use limewing_platform::service::Service;
-use limewing_platform::statement::{Names, Verb};
-use limewing_standins::platform::{listing, state, Config, Discovery, Listed, Rollouts, Vote};
+use limewing_emulators::platform::{listing, state, Config, Discovery, Listed, Rollouts, Vote};
+use limewing_postgres_proxy::config;
+use limewing_postgres_proxy::lines::{Lines, Objects};
+use limewing_postgres_proxy::listing::{List, Listing};
+use limewing_postgres_proxy::news::{read_line, vote, vote_answer, State, Told};
+use limewing_postgres_proxy::service::Service;
+use limewing_postgres_proxy::statement::{Names, Verb};
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/platform/tests/sockets/fleets.rs
+++ b/crates/postgres-proxy/tests/sockets/fleets.rs
@@ -1,7 +1,7 @@
 //! The largest fleet that is played: 350 sidecars, of which one is tested, and 1,100 pods.
 
 use crate::help::{ask, sidecar};
-use limewing_standins::platform::{listing, Answer, Client, Config, Discovery, Does, Listed, Pod};
+use limewing_emulators::platform::{listing, Answer, Client, Config, Discovery, Does, Listed, Pod};
 use rstest::rstest;
 use std::net::SocketAddr;
 
--- a/crates/platform/tests/sockets/help.rs
+++ b/crates/postgres-proxy/tests/sockets/help.rs
@@ -1,8 +1,8 @@
 //! A sidecar on a thread, and statements for it.
 
-use limewing_platform::config;
-use limewing_platform::service::Service;
-use limewing_standins::platform::{Config, Does, Listed, Pod};
+use limewing_emulators::platform::{Config, Does, Listed, Pod};
+use limewing_postgres_proxy::config;
+use limewing_postgres_proxy::service::Service;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/platform/tests/sockets/pods.rs
+++ b/crates/postgres-proxy/tests/sockets/pods.rs
@@ -1,11 +1,11 @@
 //! What pods answer, and what it proves.
 
 use crate::help::{ask, ask_of, sidecar, with_pod};
-use limewing_pg::write;
-use limewing_platform::bounds::{RESTS, WHOLE_WITHIN};
-use limewing_standins::platform::{
+use limewing_emulators::platform::{
     answer, listing, Answer, Client, Config, Discovery, Does, Listed, Pod,
 };
+use limewing_postgres_protocol::write;
+use limewing_postgres_proxy::bounds::{RESTS, WHOLE_WITHIN};
 use rstest::rstest;
 use std::net::TcpListener;
 use std::thread::sleep;
--- a/crates/platform/tests/sockets/services.rs
+++ b/crates/postgres-proxy/tests/sockets/services.rs
@@ -1,10 +1,10 @@
 //! Discovery, rollouts, and new configurations.
 
 use crate::help::{ask, ask_of, sidecar, sidecar_of};
-use limewing_platform::service::Service;
-use limewing_standins::platform::{
+use limewing_emulators::platform::{
     listing, state, Answer, Client, Config, Discovery, Does, Listed, Pod, Rollouts, Vote,
 };
+use limewing_postgres_proxy::service::Service;
 use rstest::rstest;
 use std::net::TcpListener;
 use std::path::PathBuf;
--- a/crates/platform/tests/words.rs
+++ b/crates/postgres-proxy/tests/words.rs
@@ -1,12 +1,12 @@
 //! The platform's words as the module's: statements, the list, news.
 
-use limewing::interface::{ListNews, Phase, PodState, StageNo, VoteAnswer};
-use limewing_platform::config;
-use limewing_platform::lines::{Lines, Objects};
-use limewing_platform::listing::{List, Listing};
-use limewing_platform::news::{read_line, vote_answer, Latest, Report, Reports, State, Told};
-use limewing_platform::statement::{Names, Statement};
-use limewing_standins::platform::{listing, state, Config, Listed};
+use limewing_decision::interface::{ListNews, Phase, PodState, StageNo, VoteAnswer};
+use limewing_emulators::platform::{listing, state, Config, Listed};
+use limewing_postgres_proxy::config;
+use limewing_postgres_proxy::lines::{Lines, Objects};
+use limewing_postgres_proxy::listing::{List, Listing};
+use limewing_postgres_proxy::news::{read_line, vote_answer, Latest, Report, Reports, State, Told};
+use limewing_postgres_proxy::statement::{Names, Statement};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::net::SocketAddr;
--- a/crates/hosting/src/kept.rs
+++ b/crates/proxy-core/src/kept.rs
@@ -2,7 +2,7 @@
 //! stands between may forget them long before the time that is told, and a forward that is written to one then
 //! may have run for all that its host can know.
 
-use limewing::interface::PodId;
+use limewing_decision::interface::PodId;
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
 use std::collections::BTreeMap;
--- a/crates/hosting/src/open.rs
+++ b/crates/proxy-core/src/open.rs
@@ -1,6 +1,6 @@
 //! The hits that a host holds: each gets one final answer, and each of its forwards ends once.
 
-use limewing::interface::{Fate, ForwardNo, HitId, Outcome, PodId};
+use limewing_decision::interface::{Fate, ForwardNo, HitId, Outcome, PodId};
 use limewing_net::sockets::SocketId;
 use limewing_net::wheel::TimerKey;
 use rustc_hash::FxHashMap;
--- a/crates/hosting/src/permit.rs
+++ b/crates/proxy-core/src/permit.rs
@@ -1,8 +1,8 @@
 //! Permission to write an attempt to its pod. Between the decision to send and the first byte a connection has to come up,
 //! or to show that it lives; meanwhile the pod may be told to leave.
 
-use limewing::interface::{ForwardNo, HitId};
-use limewing::sidecar::Sidecar;
+use limewing_decision::interface::{ForwardNo, HitId};
+use limewing_decision::sidecar::Sidecar;
 use std::time::Duration;
 
 /// What a permission is asked of.
--- a/crates/referee/src/crooked.rs
+++ b/crates/reference-model/src/crooked.rs
@@ -1,6 +1,6 @@
 //! Breaks of each rule, put between the decisions and the world: what the model must catch.
 
-use limewing::interface::*;
+use limewing_decision::interface::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/referee/src/rules.rs
+++ b/crates/reference-model/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules, as plainly as they can be put. Nothing is summed up or forgotten: what an instance was told and did
 //! in its life stands in lists, and each question is answered by going through them.
 
-use limewing::interface::*;
+use limewing_decision::interface::*;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
--- a/crates/referee/src/world.rs
+++ b/crates/reference-model/src/world.rs
@@ -3,8 +3,8 @@
 
 use crate::crooked::{asks_to_begin, crook, Crook};
 use crate::rules::{Breach, Referee, Tested};
-use limewing::interface::*;
-use limewing::sidecar::Sidecar;
+use limewing_decision::interface::*;
+use limewing_decision::sidecar::Sidecar;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/referee/tests/digest.rs
+++ b/crates/reference-model/tests/digest.rs
@@ -5,11 +5,11 @@
 //! `decision` hashes every action, in order, of one sidecar in a small simulation of its own. `reference-model` hashes
 //! what the drawn runs of the reference model counted, and at which step it caught each planted break.
 
-use limewing::interface::*;
-use limewing::sidecar::Sidecar;
-use limewing_referee::crooked::Crook;
-use limewing_referee::rules::Tested;
-use limewing_referee::world::play;
+use limewing_decision::interface::*;
+use limewing_decision::sidecar::Sidecar;
+use limewing_reference_model::crooked::Crook;
+use limewing_reference_model::rules::Tested;
+use limewing_reference_model::world::play;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/referee/tests/runs.rs
+++ b/crates/reference-model/tests/runs.rs
@@ -1,8 +1,8 @@
 //! The real decisions beside the model, over drawn runs; and breaks of each rule that the model must catch.
 
-use limewing_referee::crooked::Crook;
-use limewing_referee::rules::Tested;
-use limewing_referee::world::play;
+use limewing_reference_model::crooked::Crook;
+use limewing_reference_model::rules::Tested;
+use limewing_reference_model::world::play;
 use rstest::rstest;
 
 /// Runs of one case; cases go side by side.
--- a/crates/replica/tests/digest.rs
+++ b/crates/replication/tests/digest.rs
@@ -5,8 +5,8 @@
 mod helpers;
 
 use helpers::{drawn, s, terms, LIFE};
-use limewing_links::{Core, World};
-use limewing_replica::{
+use limewing_fault_injection::{Core, World};
+use limewing_replication::{
     Fact, Facts, Mark, Origin, Own, Packet, Phase, Refuses, Replica, Stage, Unreadable,
 };
 use nanorand::{Rng, WyRand};
--- a/crates/replica/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -4,8 +4,8 @@
 mod helpers;
 
 use helpers::*;
-use limewing_links::{Fault, Script, Who, World};
-use limewing_replica::*;
+use limewing_fault_injection::{Fault, Script, Who, World};
+use limewing_replication::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/replica/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -4,7 +4,7 @@
 //! each kind with its kind number: what it shows, its bytes. `GOLDEN_WRITE=1` writes the files
 //! anew; that is for new kinds only.
 
-use limewing_replica::{Entry, Fact, Mark, Origin, Packet, Phase, Row, Say, Stage};
+use limewing_replication::{Entry, Fact, Mark, Origin, Packet, Phase, Row, Say, Stage};
 use std::path::Path;
 
 fn origin(name: &str, start: u64) -> Origin {
--- a/crates/replica/tests/helpers/mod.rs
+++ b/crates/replication/tests/helpers/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code)]
 
-use limewing_links::{Core, Fault, Line, Script, Step, Who};
-use limewing_replica::*;
+use limewing_fault_injection::{Core, Fault, Line, Script, Step, Who};
+use limewing_replication::*;
 use nanorand::{Rng, WyRand};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/replica/tests/rules.rs
+++ b/crates/replication/tests/rules.rs
@@ -4,7 +4,7 @@
 mod helpers;
 
 use helpers::{s, terms};
-use limewing_replica::*;
+use limewing_replication::*;
 use nanorand::{Rng, WyRand};
 use proptest::prelude::*;
 use rstest::rstest;
--- a/crates/account/tests/balance.rs
+++ b/crates/rule-checker/tests/balance.rs
@@ -1,7 +1,7 @@
 //! How a small record's load was spread.
 
-use limewing_account::balance::{balance, by_second, Balance};
-use limewing_account::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
+use limewing_rule_checker::balance::{balance, by_second, Balance};
+use limewing_rule_checker::record::{Entry, Line, OrderId, PodNo, SidecarNo, Try};
 use std::time::Duration;
 
 fn line(at: f64, entry: Entry) -> Line {
--- a/crates/account/tests/golden.rs
+++ b/crates/rule-checker/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Pins the record of a day, one line of JSON for each thing that happened: `golden/record.jsonl` has every kind of line
 //! with every value of the enumerations in it, as the program wrote them when the file was made.
 
-use limewing_account::record::{
+use limewing_rule_checker::record::{
     read, Entry, Final, Group, Line, OrderId, Phase, PodNo, Reach, Recorder, Repeat, SidecarNo,
     Terms, Try,
 };
--- a/crates/settings/src/terms.rs
+++ b/crates/settings/src/terms.rs
@@ -1,7 +1,7 @@
 //! Settings as the start terms of the decision module.
 
 use crate::sidecar::*;
-use limewing::interface as words;
+use limewing_decision::interface as words;
 
 impl SidecarSettings {
     /// What the decision module is told at its start.
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,10 @@
 //! Hosts instances of the decision module on the simulator wire: translates, decides nothing.
 
-use limewing::interface::{Event, ListLoss, ListNews, PodEntry};
-use limewing::sidecar::Sidecar;
-use limewing_wire::{read_batch, start_terms, Batch, ListHow, Record, Reply, Trouble};
+use limewing_decision::interface::{Event, ListLoss, ListNews, PodEntry};
+use limewing_decision::sidecar::Sidecar;
+use limewing_simulator_protocol::{
+    read_batch, start_terms, Batch, ListHow, Record, Reply, Trouble,
+};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/wire/src/read.rs
+++ b/crates/simulator-protocol/src/read.rs
@@ -1,7 +1,7 @@
 //! Reading: one frame into records.
 
 use crate::LARGEST_FRAME;
-use limewing::interface::*;
+use limewing_decision::interface::*;
 use std::fmt;
 use std::io::{ErrorKind, Read};
 use std::time::Duration;
--- a/crates/wire/src/start.rs
+++ b/crates/simulator-protocol/src/start.rs
@@ -1,6 +1,6 @@
 //! The start terms: the JSON of a `power_on` into our own words.
 
-use limewing::interface::*;
+use limewing_decision::interface::*;
 use serde::Deserialize;
 use std::time::Duration;
 
--- a/crates/wire/src/write.rs
+++ b/crates/simulator-protocol/src/write.rs
@@ -1,6 +1,6 @@
 //! Writing: the actions of many instances into one reply.
 
-use limewing::interface::*;
+use limewing_decision::interface::*;
 use std::io::{self, Write};
 
 #[derive(Default)]
--- a/crates/wire/tests/golden.rs
+++ b/crates/simulator-protocol/tests/golden.rs
@@ -2,8 +2,8 @@
 //! JSON of a start record. The files in `golden/` were written by the program as it stood on 2026-12-02. Set
 //! `GOLDEN_WRITE` to write them anew after a wanted change of the wire.
 
-use limewing::interface::*;
-use limewing_wire::{read_batch, socket_terms, start_terms, ListHow, Record, Reply};
+use limewing_decision::interface::*;
+use limewing_simulator_protocol::{read_batch, socket_terms, start_terms, ListHow, Record, Reply};
 use std::fmt::Write;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The made world: pods that answer after a drawn time, a list, and an installer that goes by the clock.
 
-use limewing::interface::*;
-use limewing::sidecar::Sidecar;
+use limewing_decision::interface::*;
+use limewing_decision::sidecar::Sidecar;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
--- a/tools/digests.sh
+++ b/tools/digests.sh
@@ -5,9 +5,9 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 declare -A package=(
-  [consensus]=limewing-agree [membership]=limewing-peers [replication]=limewing-replica
-  [maintenance]=limewing-turns [coordination]=limewing-fleet [decision]=limewing-referee
-  [reference-model]=limewing-referee
+  [consensus]=limewing-consensus [membership]=limewing-membership [replication]=limewing-replication
+  [maintenance]=limewing-maintenance [coordination]=limewing-coordination [decision]=limewing-reference-model
+  [reference-model]=limewing-reference-model
 )
 names=("$@")
 [ ${#names[@]} -gt 0 ] || names=(decision reference-model consensus membership replication maintenance coordination)
