--- a/crates/http-proxy/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/fleet.rs
@@ -6,7 +6,7 @@
 use limewing_decision::interface::{
     AttemptOutcome, Endpoint, EndpointUpdate, Event, FleetView, PodId, PodState,
 };
-use limewing_membership::{Key, Name, Peers, Terms};
+use limewing_membership::{Config, DatagramError, Key, MemberName, MemberStatus, Membership};
 use limewing_net::sockets::{SocketId, Sockets};
 use limewing_proxy_core::clock::today;
 use limewing_settings::{self as settings, KeyFile, Unusable};
@@ -17,7 +17,7 @@
 use std::time::{Duration, SystemTime};
 
 pub struct Fleet {
-    peers: Peers,
+    peers: Membership,
     socket: SocketId,
     listens: SocketAddr,
     key_file: PathBuf,
@@ -78,6 +78,31 @@
     pub for_s: f64,
 }
 
+/// The word for a status on `GET /limewing/fleet`; its readers match on it.
+const fn status_text(status: MemberStatus) -> &'static str {
+    match status {
+        MemberStatus::Alive => "alive",
+        MemberStatus::Suspect => "suspect",
+        MemberStatus::Dead => "dead",
+        MemberStatus::Left => "left",
+    }
+}
+
+/// The text for a rejected datagram on `GET /limewing/fleet`; its readers match on it.
+const fn rejection_text(cause: DatagramError) -> &'static str {
+    match cause {
+        DatagramError::Length => "it is too short or too long",
+        DatagramError::Version => "another version",
+        DatagramError::UnknownKey => "a key that is not known",
+        DatagramError::WrongTag => "the seal does not fit",
+        DatagramError::Stale => "sent too long ago, or by a clock that is ahead",
+        DatagramError::Replayed => "it came before",
+        DatagramError::Malformed => "what is in it can't be read",
+        DatagramError::EarlierProcess => "of an earlier start of its sender",
+        DatagramError::OwnName => "our own",
+    }
+}
+
 fn read_keys(file: &Path) -> Result<Vec<Key>, Unusable> {
     let read: KeyFile = settings::read(file)?;
     Ok(read
@@ -108,20 +133,20 @@
         let start = today()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let terms = Terms {
-            name: Name::try_from(name.to_owned()).map_err(|expected| {
+        let terms = Config {
+            name: MemberName::try_from(name.to_owned()).map_err(|expected| {
                 StartTrouble::Settings(settings::Misfit::new("/name", expected))
             })?,
-            start: start.as_millis() as u64,
-            since: now,
-            at: told.advertise.unwrap_or(address),
-            join: told.join.clone(),
+            started_at_ms: start.as_millis() as u64,
+            started_at: now,
+            address: told.advertise.unwrap_or(address),
+            seed_addresses: told.join.clone(),
             keys,
-            period: told.period.into(),
-            bytes_per_s: told.bytes_per_s,
+            probe_interval: told.period.into(),
+            bytes_per_second: told.bytes_per_s,
             seed,
         };
-        let peers = Peers::new(now, terms).map_err(StartTrouble::Peers)?;
+        let peers = Membership::new(now, terms).map_err(StartTrouble::Membership)?;
         tracing::info!(%address, "takes datagrams of other sidecars");
         let key_file = told.key_file.clone();
         let chooser = || Chooser {
@@ -144,7 +169,9 @@
 
     pub(super) fn next(&self) -> Duration {
         let choices = self.choices.as_ref().map(|chooser| chooser.choices.next());
-        choices.map_or(self.peers.next(), |next| next.min(self.peers.next()))
+        choices.map_or(self.peers.next_deadline(), |next| {
+            next.min(self.peers.next_deadline())
+        })
     }
 
     /// Shows it what the decision module is about to be told; what of the fleet is news to the module comes back.
@@ -180,41 +207,41 @@
     }
 
     pub(super) fn hear(&mut self, now: Duration, bytes: &[u8]) {
-        if let Err(why) = self.peers.hear(now, bytes) {
+        if let Err(why) = self.peers.receive(now, bytes) {
             tracing::debug!(%why, "a datagram is refused");
         }
     }
 
     /// Does what is due, and sends what there is.
     pub(super) fn turn(&mut self, now: Duration, sockets: &mut Sockets) {
-        if now >= self.peers.next() {
+        if now >= self.peers.next_deadline() {
             self.peers.tick(now);
         }
-        while let Some((to, bytes)) = self.peers.take() {
+        while let Some((to, bytes)) = self.peers.take_datagram() {
             sockets.send_datagram(self.socket, to, &bytes);
         }
-        while let Some(news) = self.peers.news() {
+        while let Some(news) = self.peers.take_event() {
             tracing::info!(?news, "fleet");
         }
     }
 
     /// Sends another something; one that is not known gets nothing.
     pub(super) fn post_parcel(&mut self, now: Duration, to: &str, bytes: Vec<u8>) {
-        if let Ok(name) = Name::try_from(to.to_owned()) {
-            self.peers.post_parcel(now, &name, bytes);
+        if let Ok(name) = MemberName::try_from(to.to_owned()) {
+            self.peers.send_direct(now, &name, bytes);
         }
     }
 
     /// Names of the others that are held to be there.
     pub(super) fn here(&self) -> impl Iterator<Item = String> + '_ {
         self.peers
-            .here()
-            .map(|member| member.claim.name.to_string())
+            .active_members()
+            .map(|member| member.update.name.to_string())
     }
 
     pub(super) fn parcel(&mut self) -> Option<(String, Vec<u8>)> {
         self.peers
-            .parcel()
+            .take_direct_message()
             .map(|(from, bytes)| (from.to_string(), bytes))
     }
 
@@ -230,7 +257,7 @@
         let change = |keys: Vec<Key>| {
             let ids = ids(&keys);
             self.peers
-                .change_keys(keys)
+                .replace_keys(keys)
                 .map(|()| ids)
                 .map_err(|trouble| trouble.to_string())
         };
@@ -251,30 +278,30 @@
         now: Duration,
         address: impl Fn(PodId) -> Option<SocketAddr>,
     ) -> View {
-        let me = self.peers.me();
-        let members = self.peers.all().map(|member| Seen {
-            name: member.claim.name.to_string(),
-            at: member.claim.at,
-            standing: format!("{:?}", member.claim.standing).to_lowercase(),
-            start: member.claim.start,
-            incarnation: member.claim.incarnation,
-            for_s: now.saturating_sub(member.since).as_secs_f64(),
+        let me = self.peers.local_member();
+        let members = self.peers.known_members().map(|member| Seen {
+            name: member.update.name.to_string(),
+            at: member.update.address,
+            standing: status_text(member.update.status).to_owned(),
+            start: member.update.started_at_ms,
+            incarnation: member.update.incarnation,
+            for_s: now.saturating_sub(member.status_since).as_secs_f64(),
         });
         View {
             name: me.name.to_string(),
-            at: me.at,
+            at: me.address,
             listens: self.listens,
-            start: me.start,
+            start: me.started_at_ms,
             incarnation: me.incarnation,
-            slowness: self.peers.slowness(),
+            slowness: self.peers.local_health(),
             bytes_sent: self.peers.bytes_sent(),
             keys: self.keys.clone(),
             keys_unusable: self.keys_unusable,
             refused: self
                 .peers
-                .refused()
+                .rejected_datagrams()
                 .iter()
-                .map(|(why, count)| (why.to_string(), *count))
+                .map(|(why, count)| (rejection_text(*why).to_owned(), *count))
                 .collect(),
             members: members.collect(),
             chosen: self
@@ -339,7 +366,7 @@
     }
 
     /// The view for the module, if it changed; what is to be said is put up.
-    fn look(&mut self, now: Duration, peers: &mut Peers) -> Option<Option<FleetView>> {
+    fn look(&mut self, now: Duration, peers: &mut Membership) -> Option<Option<FleetView>> {
         if now < self.choices.next() {
             return None;
         }
@@ -352,17 +379,17 @@
             self.choices.pods(self.pods.values().map(pod).collect());
         }
         if let Some(says) = self.choices.says(now) {
-            peers.put_up(now, says.write());
+            peers.publish(now, says.write());
         }
         let says = |name| {
             peers
-                .put_up_by(name)
+                .published_by(name)
                 .and_then(|(bytes, at)| Some((Says::read(bytes).ok()?, at)))
         };
-        let others = peers.here().map(|member| {
+        let others = peers.active_members().map(|member| {
             (
-                key(&member.claim.name.to_string()),
-                says(&member.claim.name),
+                key(&member.update.name.to_string()),
+                says(&member.update.name),
             )
         });
         self.choices.others(others);
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -71,7 +71,7 @@
     #[error("at /work/folder: {0}")]
     Work(io::Error),
     #[error("at /peers: {0}")]
-    Peers(limewing_membership::Trouble),
+    Membership(limewing_membership::ConfigError),
 }
 
 /// A turn of the loop that takes longer is told: hits that came meanwhile have waited for it.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -28,7 +28,10 @@
 mod seal;
 mod words;
 
-pub use peers::{News, Peers, Terms, Trouble};
+pub use peers::{Config, ConfigError, Membership, MembershipEvent};
 pub use roll::Member;
-pub use seal::{Key, Refused};
-pub use words::{Claim, Name, Standing, MOST_DATAGRAM, MOST_PARCEL, MOST_POSTER};
+pub use seal::{DatagramError, Key};
+pub use words::{
+    MemberName, MemberStatus, StatusUpdate, MAX_DATAGRAM_BYTES, MAX_DIRECT_BYTES,
+    MAX_PUBLISHED_BYTES,
+};
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -1,302 +1,319 @@
 //! Probes, suspicions and refutations: who asks whom when, and what an answer or none is held to mean.
 
-use crate::gossip::{size, Gossip, Rides};
-use crate::roll::{Effect, Member, Roll};
-use crate::seal::{Key, Refused, Seal};
-use crate::words::{Claim, Frame, Kind, Name, Poster, Standing, MOST_PARCEL, MOST_POSTER};
+use crate::gossip::{status_update_size, Broadcast, BroadcastQueue};
+use crate::roll::{Member, MemberTable, UpdateEffect};
+use crate::seal::{DatagramError, DatagramSealer, Key};
+use crate::words::{
+    MemberName, MemberStatus, Message, Packet, PublishedState, StatusUpdate, MAX_DIRECT_BYTES,
+    MAX_PUBLISHED_BYTES,
+};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Members that are asked to probe in one's stead.
-const STEADS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 /// Members that are told what is new, beside the one that is probed.
-const TOLD: usize = 2;
+const GOSSIP_FANOUT: usize = 2;
 /// How often a claim rides, times the logarithm of the members: all but surely all hear it.
-const RIDES: f64 = 4.0;
+const RETRANSMIT_MULTIPLIER: f64 = 4.0;
 /// A suspect has so many periods, times the logarithm of the members, to clear itself when several accuse it, and
 /// `LONGEST` times that when one alone does.
-const SUSPICION: f64 = 4.0;
-const LONGEST: f64 = 6.0;
-const ACCUSERS: f64 = 3.0;
+const SUSPICION_MULTIPLIER: f64 = 4.0;
+const SUSPICION_MAX_MULTIPLIER: f64 = 6.0;
+const SUSPICION_CONFIRMATIONS: f64 = 3.0;
 /// A member that is slow itself waits up to so many times longer for others.
-const SLOWEST: u32 = 8;
+const MAX_LOCAL_HEALTH: u32 = 8;
 /// Periods between two tries to reach who is not here: the dead, and the addresses to join by.
-const REACHES_EVERY: u32 = 10;
+const RECONNECT_PERIODS: u32 = 10;
 /// Periods between two exchanges of a part of the roll, and members in that part.
-const EXCHANGES_EVERY: u32 = 20;
-const EXCHANGED: usize = 16;
+const SYNC_PERIODS: u32 = 20;
+const SYNC_MEMBERS: usize = 16;
 /// Members told at a leave.
-const BIDDEN_FAREWELL: usize = 5;
+const LEAVE_FANOUT: usize = 5;
 /// Probes in others' stead that are under way, and datagrams that wait to be taken, at most.
-const MOST_STEADS: usize = 256;
-const MOST_WAITING: usize = 1024;
+const MAX_RELAYED_PROBES: usize = 256;
+const MAX_QUEUED: usize = 1024;
 
 /// What a member goes by.
 #[derive(Clone)]
-pub struct Terms {
-    pub name: Name,
+pub struct Config {
+    pub name: MemberName,
     /// When this process started, in Unix time in milliseconds, and what the caller's clock showed then.
-    pub start: u64,
-    pub since: Duration,
+    pub started_at_ms: u64,
+    pub started_at: Duration,
     /// Where others reach it.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Where some others may be reached.
-    pub join: Vec<SocketAddr>,
+    pub seed_addresses: Vec<SocketAddr>,
     pub keys: Vec<Key>,
     /// Between two probes.
-    pub period: Duration,
-    pub bytes_per_s: u32,
+    pub probe_interval: Duration,
+    pub bytes_per_second: u32,
     pub seed: u64,
 }
 
 /// Terms that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Trouble {
+pub enum ConfigError {
     #[error("no key, expected one or two")]
     NoKey,
     #[error("key {0} has {1} bytes, expected 16 or more")]
     ShortKey(u8, usize),
     #[error("two keys have the number {0}")]
-    SameKey(u8),
+    DuplicateKeyId(u8),
     #[error("more than two keys")]
-    ManyKeys,
+    TooManyKeys,
     #[error("a period of {0:?}, expected 10 ms to 60 s")]
-    Period(Duration),
+    ProbeInterval(Duration),
     #[error("{0} bytes a second, expected 2000 or more")]
-    Bytes(u32),
+    ByteRate(u32),
 }
 
 /// What changed of who is there.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum MembershipEvent {
     /// It is here, under a new name or with a new start, or is back.
-    Up(Name),
-    Suspected(Name),
-    Down(Name),
+    Up(MemberName),
+    Suspected(MemberName),
+    Down(MemberName),
     /// It left of its own will.
-    Left(Name),
+    Left(MemberName),
     /// Another process has this member's name and started later: this one says nothing any more.
-    Usurped,
+    Superseded,
 }
 
-struct Probe {
-    no: u32,
-    whom: Name,
+struct PendingProbe {
+    number: u32,
+    target: MemberName,
     /// When others are asked in our stead, and when it is over.
-    stead_at: Duration,
-    until: Duration,
-    asked: u32,
-    silent: u32,
+    indirect_at: Duration,
+    deadline: Duration,
+    helpers: u32,
+    nacks: u32,
 }
 
-struct Stead {
-    no: u32,
-    asker: SocketAddr,
-    until: Duration,
+struct RelayedProbe {
+    origin_number: u32,
+    origin: SocketAddr,
+    deadline: Duration,
 }
 
-pub struct Peers {
-    terms: Terms,
-    me: Claim,
-    roll: Roll,
-    gossip: Gossip<Claim>,
+pub struct Membership {
+    config: Config,
+    local: StatusUpdate,
+    table: MemberTable,
+    update_queue: BroadcastQueue<StatusUpdate>,
     /// What members have put up, each with the time at which it was heard, and what of it still rides.
-    posters: BTreeMap<Name, (Poster, Duration)>,
-    posting: Gossip<Poster>,
-    seal: Seal,
-    chance: WyRand,
-    probe: Option<Probe>,
-    ring: Vec<Name>,
-    steads: BTreeMap<u32, Stead>,
-    next_no: u32,
+    published: BTreeMap<MemberName, (PublishedState, Duration)>,
+    published_queue: BroadcastQueue<PublishedState>,
+    sealer: DatagramSealer,
+    rng: WyRand,
+    probe: Option<PendingProbe>,
+    probe_order: Vec<MemberName>,
+    relayed_probes: BTreeMap<u32, RelayedProbe>,
+    last_probe_number: u32,
     next_probe: Duration,
-    next_reach: Duration,
-    next_exchange: Duration,
+    next_reconnect: Duration,
+    next_sync: Duration,
     /// How slow this member itself is: answers that came late, and accusations.
-    slow: u32,
+    local_health: u32,
     /// Bytes that may be sent now, and when that was so.
     budget: (f64, Duration),
-    quiet: bool,
-    out: VecDeque<(SocketAddr, Vec<u8>)>,
-    news: VecDeque<News>,
-    parcels: VecDeque<(Name, Vec<u8>)>,
-    sent: u64,
-    refused: BTreeMap<Refused, u64>,
+    stopped: bool,
+    datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
+    events: VecDeque<MembershipEvent>,
+    direct_messages: VecDeque<(MemberName, Vec<u8>)>,
+    bytes_sent: u64,
+    rejected: BTreeMap<DatagramError, u64>,
 }
 
-impl Peers {
+impl Membership {
     /// # Errors
     /// What of the terms can't be used.
-    pub fn new(now: Duration, terms: Terms) -> Result<Self, Trouble> {
-        check(&terms.keys)?;
-        let period = terms.period;
+    pub fn new(now: Duration, terms: Config) -> Result<Self, ConfigError> {
+        check_keys(&terms.keys)?;
+        let period = terms.probe_interval;
         if !(Duration::from_millis(10)..=Duration::from_secs(60)).contains(&period) {
-            return Err(Trouble::Period(period));
+            return Err(ConfigError::ProbeInterval(period));
         }
-        if terms.bytes_per_s < 2000 {
-            return Err(Trouble::Bytes(terms.bytes_per_s));
+        if terms.bytes_per_second < 2000 {
+            return Err(ConfigError::ByteRate(terms.bytes_per_second));
         }
         let mut chance = WyRand::new_seed(terms.seed);
-        let me = Claim {
+        let me = StatusUpdate {
             name: terms.name.clone(),
-            start: terms.start,
+            started_at_ms: terms.started_at_ms,
             incarnation: 0,
-            standing: Standing::Alive,
-            at: terms.at,
+            status: MemberStatus::Alive,
+            address: terms.address,
         };
         // A fleet that starts at once does not probe at once.
-        let first = period.mul_f64(share(&mut chance));
+        let first = period.mul_f64(random_fraction(&mut chance));
         Ok(Self {
-            seal: Seal::new(terms.keys.clone()),
-            budget: (f64::from(terms.bytes_per_s), now),
-            me,
-            roll: Roll::default(),
-            gossip: Gossip::default(),
-            posters: BTreeMap::new(),
-            posting: Gossip::default(),
+            sealer: DatagramSealer::new(terms.keys.clone()),
+            budget: (f64::from(terms.bytes_per_second), now),
+            local: me,
+            table: MemberTable::default(),
+            update_queue: BroadcastQueue::default(),
+            published: BTreeMap::new(),
+            published_queue: BroadcastQueue::default(),
             probe: None,
-            ring: Vec::new(),
-            steads: BTreeMap::new(),
-            next_no: 0,
+            probe_order: Vec::new(),
+            relayed_probes: BTreeMap::new(),
+            last_probe_number: 0,
             next_probe: now + first,
-            next_reach: now,
-            next_exchange: now + period * EXCHANGES_EVERY + first,
-            slow: 0,
-            quiet: false,
-            out: VecDeque::new(),
-            news: VecDeque::new(),
-            parcels: VecDeque::new(),
-            sent: 0,
-            refused: BTreeMap::new(),
-            chance,
-            terms,
+            next_reconnect: now,
+            next_sync: now + period * SYNC_PERIODS + first,
+            local_health: 0,
+            stopped: false,
+            datagrams: VecDeque::new(),
+            events: VecDeque::new(),
+            direct_messages: VecDeque::new(),
+            bytes_sent: 0,
+            rejected: BTreeMap::new(),
+            rng: chance,
+            config: terms,
         })
     }
 
     /// Who is here beside this one, the suspects among them.
-    pub fn here(&self) -> impl Iterator<Item = &Member> {
-        self.roll.here()
+    pub fn active_members(&self) -> impl Iterator<Item = &Member> {
+        self.table.active()
     }
 
     /// All that are held, the dead among them.
-    pub fn all(&self) -> impl Iterator<Item = &Member> {
-        self.roll.iter()
+    pub fn known_members(&self) -> impl Iterator<Item = &Member> {
+        self.table.iter()
     }
 
-    pub fn me(&self) -> &Claim {
-        &self.me
+    pub fn local_member(&self) -> &StatusUpdate {
+        &self.local
     }
 
     /// Puts something up for all members to read, in the place of what was there; false if it is too long.
-    pub fn put_up(&mut self, now: Duration, bytes: Vec<u8>) -> bool {
-        let fits = bytes.len() <= MOST_POSTER;
+    pub fn publish(&mut self, now: Duration, bytes: Vec<u8>) -> bool {
+        let fits = bytes.len() <= MAX_PUBLISHED_BYTES;
         if fits {
             let no = self
-                .posters
-                .get(&self.me.name)
-                .map_or(0, |(old, _)| old.no.wrapping_add(1));
-            let poster = Poster {
-                name: self.me.name.clone(),
-                start: self.me.start,
-                no,
+                .published
+                .get(&self.local.name)
+                .map_or(0, |(old, _)| old.version.wrapping_add(1));
+            let poster = PublishedState {
+                name: self.local.name.clone(),
+                started_at_ms: self.local.started_at_ms,
+                version: no,
                 bytes,
             };
-            self.posting.put(poster.clone());
-            self.posters.insert(self.me.name.clone(), (poster, now));
+            self.published_queue.enqueue(poster.clone());
+            self.published
+                .insert(self.local.name.clone(), (poster, now));
         }
         fits
     }
 
     /// What another member that is here has put up, and when it was heard.
-    pub fn put_up_by(&self, name: &Name) -> Option<(&[u8], Duration)> {
-        let (poster, at) = self.posters.get(name)?;
-        let here = |member: &&Member| member.is_here() && member.claim.start == poster.start;
-        self.roll
+    pub fn published_by(&self, name: &MemberName) -> Option<(&[u8], Duration)> {
+        let (poster, at) = self.published.get(name)?;
+        let here = |member: &&Member| {
+            member.is_active() && member.update.started_at_ms == poster.started_at_ms
+        };
+        self.table
             .get(name)
             .filter(here)
             .map(|_| (poster.bytes.as_slice(), *at))
     }
 
     /// Only of members that are here: so there are no more of them.
-    fn read_poster(&mut self, now: Duration, poster: Poster) {
-        let here = |member: &&Member| member.is_here() && member.claim.start == poster.start;
+    fn apply_published(&mut self, now: Duration, poster: PublishedState) {
+        let here = |member: &&Member| {
+            member.is_active() && member.update.started_at_ms == poster.started_at_ms
+        };
         let known =
-            poster.name != self.me.name && self.roll.get(&poster.name).filter(here).is_some();
+            poster.name != self.local.name && self.table.get(&poster.name).filter(here).is_some();
         let old = self
-            .posters
+            .published
             .get(&poster.name)
-            .map(|(old, _)| (old.start, old.no));
-        if known && poster.bytes.len() <= MOST_POSTER && old < Some((poster.start, poster.no)) {
-            self.posting.put(poster.clone());
-            self.posters.insert(poster.name.clone(), (poster, now));
+            .map(|(old, _)| (old.started_at_ms, old.version));
+        if known
+            && poster.bytes.len() <= MAX_PUBLISHED_BYTES
+            && old < Some((poster.started_at_ms, poster.version))
+        {
+            self.published_queue.enqueue(poster.clone());
+            self.published.insert(poster.name.clone(), (poster, now));
         }
     }
 
     /// Sends another something, whatever it is held to be: who is cut off here may be reached there. False if it is not
     /// known, or too long. It does not count against the budget of claims: whoever stands above bounds it.
-    pub fn post_parcel(&mut self, now: Duration, to: &Name, bytes: Vec<u8>) -> bool {
-        let Some(at) = self.roll.get(to).map(|member| member.claim.at) else {
+    pub fn send_direct(&mut self, now: Duration, to: &MemberName, bytes: Vec<u8>) -> bool {
+        let Some(at) = self.table.get(to).map(|member| member.update.address) else {
             return false;
         };
-        let fits = bytes.len() <= MOST_PARCEL;
+        let fits = bytes.len() <= MAX_DIRECT_BYTES;
         if fits {
             let budget = self.budget;
-            self.post(now, at, Kind::Parcel { bytes }, Vec::new(), Vec::new());
+            self.send_packet(now, at, Message::Direct { bytes }, Vec::new(), Vec::new());
             self.budget = budget;
         }
         fits
     }
 
     /// The next parcel that came, and from whom.
-    pub fn parcel(&mut self) -> Option<(Name, Vec<u8>)> {
-        self.parcels.pop_front()
+    pub fn take_direct_message(&mut self) -> Option<(MemberName, Vec<u8>)> {
+        self.direct_messages.pop_front()
     }
 
     /// 0 to 8: how much longer it waits for others, for being slow itself.
-    pub fn slowness(&self) -> u32 {
-        self.slow
+    pub fn local_health(&self) -> u32 {
+        self.local_health
     }
 
     pub fn bytes_sent(&self) -> u64 {
-        self.sent
+        self.bytes_sent
     }
 
     /// Datagrams that were refused, by cause.
-    pub fn refused(&self) -> &BTreeMap<Refused, u64> {
-        &self.refused
+    pub fn rejected_datagrams(&self) -> &BTreeMap<DatagramError, u64> {
+        &self.rejected
     }
 
     /// # Errors
     /// Keys that can't be used; the old ones stay.
-    pub fn change_keys(&mut self, keys: Vec<Key>) -> Result<(), Trouble> {
-        check(&keys)?;
-        self.seal.change(keys);
+    pub fn replace_keys(&mut self, keys: Vec<Key>) -> Result<(), ConfigError> {
+        check_keys(&keys)?;
+        self.sealer.replace_keys(keys);
         Ok(())
     }
 
     /// The next datagram to send.
-    pub fn take(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.out.pop_front()
+    pub fn take_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
+        self.datagrams.pop_front()
     }
 
-    pub fn news(&mut self) -> Option<News> {
-        self.news.pop_front()
+    pub fn take_event(&mut self) -> Option<MembershipEvent> {
+        self.events.pop_front()
     }
 
     /// When `tick` is to be called at the latest.
-    pub fn next(&self) -> Duration {
-        let probe = self
-            .probe
-            .as_ref()
-            .map(|p| if p.asked == 0 { p.stead_at } else { p.until });
-        let suspects = self.roll.suspects().map(|m| m.since + self.suspicion(m));
-        let steads = self.steads.values().map(|stead| stead.until);
+    pub fn next_deadline(&self) -> Duration {
+        let probe = self.probe.as_ref().map(|p| {
+            if p.helpers == 0 {
+                p.indirect_at
+            } else {
+                p.deadline
+            }
+        });
+        let suspects = self
+            .table
+            .suspects()
+            .map(|m| m.status_since + self.suspicion_timeout(m));
+        let steads = self.relayed_probes.values().map(|stead| stead.deadline);
         let own = [
             probe.unwrap_or(self.next_probe),
-            self.next_reach,
-            self.next_exchange,
+            self.next_reconnect,
+            self.next_sync,
         ];
         own.into_iter()
             .chain(suspects)
@@ -305,80 +322,81 @@
             .unwrap_or(self.next_probe)
     }
 
-    fn today_ms(&self, now: Duration) -> u64 {
-        self.terms.start + now.saturating_sub(self.terms.since).as_millis() as u64
+    fn unix_time_ms(&self, now: Duration) -> u64 {
+        self.config.started_at_ms + now.saturating_sub(self.config.started_at).as_millis() as u64
     }
 
-    fn members(&self) -> usize {
-        self.roll.count_here() + 1
+    fn group_size(&self) -> usize {
+        self.table.active_count() + 1
     }
 
     /// How long a suspect has to clear itself: the longer, the fewer accuse it.
-    fn suspicion(&self, suspect: &Member) -> Duration {
-        let members = self.members() as f64;
-        let least = SUSPICION * members.max(10.0).log10();
-        let needed = ACCUSERS.min(members - 2.0);
-        let others = suspect.accusers.len().saturating_sub(1) as f64;
+    fn suspicion_timeout(&self, suspect: &Member) -> Duration {
+        let members = self.group_size() as f64;
+        let least = SUSPICION_MULTIPLIER * members.max(10.0).log10();
+        let needed = SUSPICION_CONFIRMATIONS.min(members - 2.0);
+        let others = suspect.suspected_by.len().saturating_sub(1) as f64;
         let part = if needed < 1.0 {
             1.0
         } else {
             ((others + 1.0).ln() / (needed + 1.0).ln()).min(1.0)
         };
-        self.terms
-            .period
-            .mul_f64(least * (LONGEST - (LONGEST - 1.0) * part))
+        self.config
+            .probe_interval
+            .mul_f64(least * (SUSPICION_MAX_MULTIPLIER - (SUSPICION_MAX_MULTIPLIER - 1.0) * part))
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.next());
-        if late > self.terms.period {
+        let late = now.saturating_sub(self.next_deadline());
+        if late > self.config.probe_interval {
             // This process stood still: nobody is to blame for what was not heard meanwhile.
-            self.slow = (self.slow + 1).min(SLOWEST);
-            self.roll.shift_suspicion(late);
+            self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
+            self.table.postpone_suspicions(late);
             if let Some(probe) = &mut self.probe {
-                (probe.stead_at, probe.until) = (probe.stead_at + late, probe.until + late);
+                (probe.indirect_at, probe.deadline) =
+                    (probe.indirect_at + late, probe.deadline + late);
             }
         }
-        if self.quiet {
-            self.park(now);
+        if self.stopped {
+            self.stop(now);
             return;
         }
-        self.steads_over(now);
-        self.probe_on(now);
-        self.suspects_over(now);
+        self.expire_relayed_probes(now);
+        self.continue_probe(now);
+        self.expire_suspicions(now);
         if self.probe.is_none() && now >= self.next_probe {
-            self.begin_probe(now);
+            self.start_probe(now);
         }
-        if now >= self.next_reach {
-            self.reach(now);
+        if now >= self.next_reconnect {
+            self.reconnect(now);
         }
-        if now >= self.next_exchange {
-            self.next_exchange = now + self.terms.period * EXCHANGES_EVERY;
-            self.exchange(now);
-            self.roll.forget(now);
-            let (roll, me) = (&self.roll, &self.me.name);
-            self.posters
-                .retain(|name, _| name == me || roll.get(name).is_some_and(Member::is_here));
+        if now >= self.next_sync {
+            self.next_sync = now + self.config.probe_interval * SYNC_PERIODS;
+            self.sync(now);
+            self.table.remove_expired(now);
+            let (roll, me) = (&self.table, &self.local.name);
+            self.published
+                .retain(|name, _| name == me || roll.get(name).is_some_and(Member::is_active));
         }
     }
 
     /// Nothing is due any more.
-    fn park(&mut self, now: Duration) {
+    fn stop(&mut self, now: Duration) {
         let later = now + Duration::from_secs(3600);
         (
             self.next_probe,
-            self.next_reach,
-            self.next_exchange,
+            self.next_reconnect,
+            self.next_sync,
             self.probe,
         ) = (later, later, later, None);
-        self.steads.clear();
-        let suspects: Vec<Claim> = self.suspects();
+        self.relayed_probes.clear();
+        let suspects: Vec<StatusUpdate> = self.suspects();
         for claim in suspects {
-            let me = self.me.name.clone();
-            self.roll.take(
-                Claim {
-                    standing: Standing::Dead,
+            let me = self.local.name.clone();
+            self.table.apply(
+                StatusUpdate {
+                    status: MemberStatus::Dead,
                     ..claim
                 },
                 &me,
@@ -387,152 +405,161 @@
         }
     }
 
-    fn suspects(&self) -> Vec<Claim> {
-        self.roll
+    fn suspects(&self) -> Vec<StatusUpdate> {
+        self.table
             .suspects()
-            .map(|member| member.claim.clone())
+            .map(|member| member.update.clone())
             .collect()
     }
 
-    fn steads_over(&mut self, now: Duration) {
-        let over = |stead: &Stead| now >= stead.until;
+    fn expire_relayed_probes(&mut self, now: Duration) {
+        let over = |stead: &RelayedProbe| now >= stead.deadline;
         let late: Vec<u32> = self
-            .steads
+            .relayed_probes
             .iter()
             .filter(|(_, s)| over(s))
             .map(|(no, _)| *no)
             .collect();
         for stead in late
             .into_iter()
-            .filter_map(|no| self.steads.remove(&no))
+            .filter_map(|no| self.relayed_probes.remove(&no))
             .collect::<Vec<_>>()
         {
-            self.send(now, stead.asker, Kind::Silent { no: stead.no }, None);
+            self.send(
+                now,
+                stead.origin,
+                Message::Nack {
+                    number: stead.origin_number,
+                },
+                None,
+            );
         }
     }
 
-    fn begin_probe(&mut self, now: Duration) {
-        let longer = self.terms.period * (1 + self.slow);
+    fn start_probe(&mut self, now: Duration) {
+        let longer = self.config.probe_interval * (1 + self.local_health);
         self.next_probe = now + longer;
-        let Some(whom) = self.next_in_ring() else {
+        let Some(whom) = self.next_probe_target() else {
             return;
         };
-        let Some(at) = self.roll.get(&whom).map(|member| member.claim.at) else {
+        let Some(at) = self.table.get(&whom).map(|member| member.update.address) else {
             return;
         };
-        let no = self.number();
+        let no = self.next_probe_number();
         self.send(
             now,
             at,
-            Kind::Probe {
-                no,
-                whom: whom.clone(),
+            Message::Probe {
+                number: no,
+                target: whom.clone(),
             },
             Some(&whom),
         );
         let (stead_at, until) = (now + longer / 2, now + longer);
-        self.probe = Some(Probe {
-            no,
-            whom,
-            stead_at,
-            until,
-            asked: 0,
-            silent: 0,
+        self.probe = Some(PendingProbe {
+            number: no,
+            target: whom,
+            indirect_at: stead_at,
+            deadline: until,
+            helpers: 0,
+            nacks: 0,
         });
-        if self.gossip.len() + self.posting.len() > 0 {
-            for at in self.some(TOLD, None) {
-                self.send(now, at, Kind::Tell, None);
+        if self.update_queue.len() + self.published_queue.len() > 0 {
+            for at in self.random_members(GOSSIP_FANOUT, None) {
+                self.send(now, at, Message::Gossip, None);
             }
         }
     }
 
     /// Each member in turn, in an order drawn anew each time round: none waits longer than two rounds.
-    fn next_in_ring(&mut self) -> Option<Name> {
+    fn next_probe_target(&mut self) -> Option<MemberName> {
         loop {
-            while let Some(name) = self.ring.pop() {
-                if self.roll.get(&name).is_some_and(Member::is_here) {
+            while let Some(name) = self.probe_order.pop() {
+                if self.table.get(&name).is_some_and(Member::is_active) {
                     return Some(name);
                 }
             }
-            let mut ring: Vec<Name> = self
-                .here()
-                .map(|member| member.claim.name.clone())
+            let mut ring: Vec<MemberName> = self
+                .active_members()
+                .map(|member| member.update.name.clone())
                 .collect();
             if ring.is_empty() {
                 return None;
             }
-            self.chance.shuffle(&mut ring);
-            self.ring = ring;
+            self.rng.shuffle(&mut ring);
+            self.probe_order = ring;
         }
     }
 
-    fn number(&mut self) -> u32 {
-        self.next_no = self.next_no.wrapping_add(1);
-        self.next_no
+    fn next_probe_number(&mut self) -> u32 {
+        self.last_probe_number = self.last_probe_number.wrapping_add(1);
+        self.last_probe_number
     }
 
     /// Addresses of some members that are here, drawn.
-    fn some(&mut self, most: usize, but: Option<&Name>) -> Vec<SocketAddr> {
-        let here = self.here().filter(|member| Some(&member.claim.name) != but);
-        let mut here: Vec<SocketAddr> = here.map(|member| member.claim.at).collect();
+    fn random_members(&mut self, most: usize, but: Option<&MemberName>) -> Vec<SocketAddr> {
+        let here = self
+            .active_members()
+            .filter(|member| Some(&member.update.name) != but);
+        let mut here: Vec<SocketAddr> = here.map(|member| member.update.address).collect();
         let most = most.min(here.len());
         for place in 0..most {
-            let other = self.chance.generate_range(place..here.len());
+            let other = self.rng.generate_range(place..here.len());
             here.swap(place, other);
         }
         here.truncate(most);
         here
     }
 
-    fn probe_on(&mut self, now: Duration) {
+    fn continue_probe(&mut self, now: Duration) {
         let Some(probe) = &self.probe else { return };
-        let (no, whom) = (probe.no, probe.whom.clone());
-        if now >= probe.until {
-            let missed = probe.asked.saturating_sub(probe.silent);
+        let (no, whom) = (probe.number, probe.target.clone());
+        if now >= probe.deadline {
+            let missed = probe.helpers.saturating_sub(probe.nacks);
             // Of those that were asked to say at least that it is silent, some said nothing: it may be us.
-            self.slow = (self.slow + missed).min(SLOWEST);
+            self.local_health = (self.local_health + missed).min(MAX_LOCAL_HEALTH);
             self.probe = None;
             if let Some(member) = self
-                .roll
+                .table
                 .get(&whom)
-                .filter(|m| m.claim.standing == Standing::Alive)
+                .filter(|m| m.update.status == MemberStatus::Alive)
             {
-                let claim = Claim {
-                    standing: Standing::Suspect,
-                    ..member.claim.clone()
+                let claim = StatusUpdate {
+                    status: MemberStatus::Suspect,
+                    ..member.update.clone()
                 };
-                let at = claim.at;
-                self.believe(now, claim, &self.me.name.clone());
+                let at = claim.address;
+                self.apply_update(now, claim, &self.local.name.clone());
                 // It hears of it first, and its answer clears it.
-                let no = self.number();
+                let no = self.next_probe_number();
                 self.send(
                     now,
                     at,
-                    Kind::Probe {
-                        no,
-                        whom: whom.clone(),
+                    Message::Probe {
+                        number: no,
+                        target: whom.clone(),
                     },
                     Some(&whom),
                 );
             }
-        } else if now >= probe.stead_at && probe.asked == 0 {
-            let Some(at) = self.roll.get(&whom).map(|member| member.claim.at) else {
+        } else if now >= probe.indirect_at && probe.helpers == 0 {
+            let Some(at) = self.table.get(&whom).map(|member| member.update.address) else {
                 return;
             };
-            let steads = self.some(STEADS, Some(&whom));
+            let steads = self.random_members(INDIRECT_PROBES, Some(&whom));
             if let Some(probe) = &mut self.probe {
                 // With nobody to ask, the rest of the time is the member's own.
-                probe.asked = steads.len() as u32;
-                probe.stead_at = probe.until;
+                probe.helpers = steads.len() as u32;
+                probe.indirect_at = probe.deadline;
             }
             for stead in steads {
                 self.send(
                     now,
                     stead,
-                    Kind::Ask {
-                        no,
-                        whom: whom.clone(),
-                        at,
+                    Message::IndirectProbe {
+                        number: no,
+                        target: whom.clone(),
+                        address: at,
                     },
                     None,
                 );
@@ -540,101 +567,124 @@
         }
     }
 
-    fn suspects_over(&mut self, now: Duration) {
-        let over = |member: &&Member| now >= member.since + self.suspicion(member);
-        let dead: Vec<Claim> = self
-            .roll
+    fn expire_suspicions(&mut self, now: Duration) {
+        let over = |member: &&Member| now >= member.status_since + self.suspicion_timeout(member);
+        let dead: Vec<StatusUpdate> = self
+            .table
             .suspects()
             .filter(over)
-            .map(|m| m.claim.clone())
+            .map(|m| m.update.clone())
             .collect();
         for claim in dead {
-            self.believe(
+            self.apply_update(
                 now,
-                Claim {
-                    standing: Standing::Dead,
+                StatusUpdate {
+                    status: MemberStatus::Dead,
                     ..claim
                 },
-                &self.me.name.clone(),
+                &self.local.name.clone(),
             );
         }
     }
 
     /// Tries to reach who is not here: heals a fleet that was cut in two, and brings in one that knows nobody.
-    fn reach(&mut self, now: Duration) {
-        let alone = self.here().next().is_none();
-        let periods = if alone { 1 } else { REACHES_EVERY };
-        self.next_reach =
-            now + (self.terms.period * periods).mul_f64(0.5 + share(&mut self.chance));
-        let here =
-            |at: &SocketAddr| *at == self.me.at || self.here().any(|member| member.claim.at == *at);
+    fn reconnect(&mut self, now: Duration) {
+        let alone = self.active_members().next().is_none();
+        let periods = if alone { 1 } else { RECONNECT_PERIODS };
+        self.next_reconnect = now
+            + (self.config.probe_interval * periods).mul_f64(0.5 + random_fraction(&mut self.rng));
+        let here = |at: &SocketAddr| {
+            *at == self.local.address
+                || self
+                    .active_members()
+                    .any(|member| member.update.address == *at)
+        };
         let dead = self
-            .roll
+            .table
             .iter()
-            .filter(|member| member.claim.standing == Standing::Dead);
+            .filter(|member| member.update.status == MemberStatus::Dead);
         let away = dead
-            .map(|member| member.claim.at)
-            .chain(self.terms.join.iter().copied());
+            .map(|member| member.update.address)
+            .chain(self.config.seed_addresses.iter().copied());
         let away: Vec<SocketAddr> = away.filter(|at| !here(at)).collect();
         if !away.is_empty() {
-            let one = self.chance.generate_range(0..away.len());
+            let one = self.rng.generate_range(0..away.len());
             // It is told first what it is held to be here, so that it can refute that.
-            let held = self.roll.iter().find(|member| member.claim.at == away[one]);
-            let held = held.map(|member| member.claim.clone());
+            let held = self
+                .table
+                .iter()
+                .find(|member| member.update.address == away[one]);
+            let held = held.map(|member| member.update.clone());
             let name = held.as_ref().map(|claim| claim.name.clone());
-            held.into_iter().for_each(|claim| self.gossip.put(claim));
-            self.send(now, away[one], Kind::Join, name.as_ref());
+            held.into_iter()
+                .for_each(|claim| self.update_queue.enqueue(claim));
+            self.send(now, away[one], Message::Join, name.as_ref());
         }
     }
 
     /// Tells one member a drawn part of the roll: what gossip lost is mended in time.
-    fn exchange(&mut self, now: Duration) {
-        let mut claims: Vec<Claim> = self
-            .roll
+    fn sync(&mut self, now: Duration) {
+        let mut claims: Vec<StatusUpdate> = self
+            .table
             .iter()
-            .map(|member| member.claim.clone())
+            .map(|member| member.update.clone())
             .collect();
-        self.chance.shuffle(&mut claims);
-        claims.truncate(EXCHANGED);
-        for to in self.some(1, None) {
-            let left = Seal::room() - size(&self.me) - 12 - claims.iter().map(size).sum::<usize>();
-            let posters = self.posters_of(&claims, left);
-            self.post(now, to, Kind::Roll { back: false }, claims.clone(), posters);
+        self.rng.shuffle(&mut claims);
+        claims.truncate(SYNC_MEMBERS);
+        for to in self.random_members(1, None) {
+            let left = DatagramSealer::max_packet_bytes()
+                - status_update_size(&self.local)
+                - 12
+                - claims.iter().map(status_update_size).sum::<usize>();
+            let posters = self.published_of(&claims, left);
+            self.send_packet(
+                now,
+                to,
+                Message::MemberTable {
+                    reply_wanted: false,
+                },
+                claims.clone(),
+                posters,
+            );
         }
     }
 
     /// All members, in as many datagrams as it takes, while the budget lasts.
-    fn tell_all(&mut self, now: Duration, to: SocketAddr, back: bool) {
-        let mut claims: Vec<Claim> = self
-            .roll
+    fn send_member_table(&mut self, now: Duration, to: SocketAddr, back: bool) {
+        let mut claims: Vec<StatusUpdate> = self
+            .table
             .iter()
-            .map(|member| member.claim.clone())
+            .map(|member| member.update.clone())
             .collect();
-        self.chance.shuffle(&mut claims);
+        self.rng.shuffle(&mut claims);
         let mut first = true;
-        while (first || !claims.is_empty()) && self.may_send(now) {
-            let (mut some, mut left) = (Vec::new(), Seal::room() - size(&self.me) - 8);
+        while (first || !claims.is_empty()) && self.refill_budget(now) {
+            let (mut some, mut left) = (
+                Vec::new(),
+                DatagramSealer::max_packet_bytes() - status_update_size(&self.local) - 8,
+            );
             let own = if first {
-                self.posters_of(std::slice::from_ref(&self.me), left)
+                self.published_of(std::slice::from_ref(&self.local), left)
             } else {
                 Vec::new()
             };
-            left -= own.iter().map(Rides::size).sum::<usize>();
-            let with = |claim: &Claim| size(claim) + self.poster_size(&claim.name);
+            left -= own.iter().map(Broadcast::encoded_size).sum::<usize>();
+            let with =
+                |claim: &StatusUpdate| status_update_size(claim) + self.published_size(&claim.name);
             while let Some(claim) = claims.pop_if(|claim| with(claim) <= left) {
                 left -= with(&claim);
                 some.push(claim);
             }
             let posters = self
-                .posters_of(&some, Seal::room())
+                .published_of(&some, DatagramSealer::max_packet_bytes())
                 .into_iter()
                 .chain(own)
                 .collect();
-            self.post(
+            self.send_packet(
                 now,
                 to,
-                Kind::Roll {
-                    back: back && first,
+                Message::MemberTable {
+                    reply_wanted: back && first,
                 },
                 some,
                 posters,
@@ -643,20 +693,20 @@
         }
     }
 
-    fn poster_size(&self, name: &Name) -> usize {
-        self.posters
+    fn published_size(&self, name: &MemberName) -> usize {
+        self.published
             .get(name)
-            .map_or(0, |(poster, _)| poster.size())
+            .map_or(0, |(poster, _)| poster.encoded_size())
     }
 
     /// What those of the claims have put up, as far as it fits.
-    fn posters_of(&self, claims: &[Claim], mut left: usize) -> Vec<Poster> {
+    fn published_of(&self, claims: &[StatusUpdate], mut left: usize) -> Vec<PublishedState> {
         let held = claims
             .iter()
-            .filter_map(|claim| self.posters.get(&claim.name));
-        let fits = |poster: &&Poster| {
-            let fits = poster.size() <= left;
-            left -= if fits { poster.size() } else { 0 };
+            .filter_map(|claim| self.published.get(&claim.name));
+        let fits = |poster: &&PublishedState| {
+            let fits = poster.encoded_size() <= left;
+            left -= if fits { poster.encoded_size() } else { 0 };
             fits
         };
         held.map(|(poster, _)| poster)
@@ -665,9 +715,9 @@
             .collect()
     }
 
-    fn may_send(&mut self, now: Duration) -> bool {
+    fn refill_budget(&mut self, now: Duration) -> bool {
         let (left, at) = self.budget;
-        let rate = f64::from(self.terms.bytes_per_s);
+        let rate = f64::from(self.config.bytes_per_second);
         self.budget = (
             (left + rate * now.saturating_sub(at).as_secs_f64()).min(rate),
             now,
@@ -676,256 +726,284 @@
     }
 
     /// Sends a frame with what gossip has; `first` is told first.
-    fn send(&mut self, now: Duration, to: SocketAddr, kind: Kind, first: Option<&Name>) {
+    fn send(&mut self, now: Duration, to: SocketAddr, kind: Message, first: Option<&MemberName>) {
         let words = match &kind {
-            Kind::Probe { .. } | Kind::Ask { .. } => 100,
+            Message::Probe { .. } | Message::IndirectProbe { .. } => 100,
             _ => 16,
         };
-        let room = Seal::room().saturating_sub(size(&self.me) + words);
-        let rides = (RIDES * (self.members() as f64 + 1.0).log10().ceil()) as u32;
-        if !self.may_send(now) {
-            return self.post(now, to, kind, Vec::new(), Vec::new());
+        let room = DatagramSealer::max_packet_bytes()
+            .saturating_sub(status_update_size(&self.local) + words);
+        let rides =
+            (RETRANSMIT_MULTIPLIER * (self.group_size() as f64 + 1.0).log10().ceil()) as u32;
+        if !self.refill_budget(now) {
+            return self.send_packet(now, to, kind, Vec::new(), Vec::new());
         }
-        let claims = self.gossip.take(room, rides, first);
-        let left = room.saturating_sub(claims.iter().map(size).sum());
-        let posters = self.posting.take(left, rides, None);
-        self.post(now, to, kind, claims, posters);
+        let claims = self.update_queue.take_batch(room, rides, first);
+        let left = room.saturating_sub(claims.iter().map(status_update_size).sum());
+        let posters = self.published_queue.take_batch(left, rides, None);
+        self.send_packet(now, to, kind, claims, posters);
     }
 
-    fn post(
+    fn send_packet(
         &mut self,
         now: Duration,
         to: SocketAddr,
-        kind: Kind,
-        claims: Vec<Claim>,
-        posters: Vec<Poster>,
+        kind: Message,
+        claims: Vec<StatusUpdate>,
+        posters: Vec<PublishedState>,
     ) {
-        if self.quiet || self.out.len() >= MOST_WAITING {
+        if self.stopped || self.datagrams.len() >= MAX_QUEUED {
             return;
         }
-        let frame = Frame {
-            from: self.me.clone(),
-            kind,
-            claims,
-            posters,
+        let frame = Packet {
+            sender: self.local.clone(),
+            message: kind,
+            updates: claims,
+            published: posters,
         };
-        let Some(datagram) = self.seal.close(&frame, self.today_ms(now)) else {
+        let Some(datagram) = self.sealer.seal(&frame, self.unix_time_ms(now)) else {
             return;
         };
         self.budget.0 -= datagram.len() as f64;
-        self.sent += datagram.len() as u64;
-        self.out.push_back((to, datagram));
+        self.bytes_sent += datagram.len() as u64;
+        self.datagrams.push_back((to, datagram));
     }
 
     /// Takes a datagram.
     ///
     /// # Errors
     /// Why it is not heard.
-    pub fn hear(&mut self, now: Duration, datagram: &[u8]) -> Result<(), Refused> {
+    pub fn receive(&mut self, now: Duration, datagram: &[u8]) -> Result<(), DatagramError> {
         let heard = self
-            .seal
-            .open(datagram, self.today_ms(now))
-            .and_then(|frame| self.is_others(frame, now));
+            .sealer
+            .open(datagram, self.unix_time_ms(now))
+            .and_then(|frame| self.check_sender(frame, now));
         match heard {
             Ok(frame) => {
-                self.take_frame(now, frame);
+                self.handle_packet(now, frame);
                 Ok(())
             }
             Err(refused) => {
-                *self.refused.entry(refused).or_default() += 1;
+                *self.rejected.entry(refused).or_default() += 1;
                 Err(refused)
             }
         }
     }
 
-    fn is_others(&mut self, frame: Frame, now: Duration) -> Result<Frame, Refused> {
-        if frame.from.name != self.me.name {
+    fn check_sender(&mut self, frame: Packet, now: Duration) -> Result<Packet, DatagramError> {
+        if frame.sender.name != self.local.name {
             return Ok(frame);
         }
-        if frame.from.start > self.me.start {
-            self.usurped(now);
+        if frame.sender.started_at_ms > self.local.started_at_ms {
+            self.supersede(now);
         }
-        Err(Refused::Own)
+        Err(DatagramError::OwnName)
     }
 
-    fn usurped(&mut self, now: Duration) {
-        if !std::mem::replace(&mut self.quiet, true) {
-            self.news.push_back(News::Usurped);
-            self.park(now);
+    fn supersede(&mut self, now: Duration) {
+        if !std::mem::replace(&mut self.stopped, true) {
+            self.events.push_back(MembershipEvent::Superseded);
+            self.stop(now);
         }
     }
 
-    fn take_frame(&mut self, now: Duration, frame: Frame) {
-        if self.quiet {
+    fn handle_packet(&mut self, now: Duration, frame: Packet) {
+        if self.stopped {
             return;
         }
-        let Frame {
-            from,
-            kind,
-            claims,
-            posters,
+        let Packet {
+            sender: from,
+            message: kind,
+            updates: claims,
+            published: posters,
         } = frame;
-        let (name, at) = (from.name.clone(), from.at);
+        let (name, at) = (from.name.clone(), from.address);
         // Of itself a member says that it is here or leaves; nothing else.
-        if matches!(from.standing, Standing::Alive | Standing::Left) {
-            self.believe(now, from, &name);
+        if matches!(from.status, MemberStatus::Alive | MemberStatus::Left) {
+            self.apply_update(now, from, &name);
         }
-        let all = matches!(kind, Kind::Roll { .. });
+        let all = matches!(kind, Message::MemberTable { .. });
         for claim in claims {
-            if claim.name == self.me.name {
+            if claim.name == self.local.name {
                 self.refute(now, claim);
-            } else if all && claim.standing == Standing::Dead && self.is_here(&claim) {
+            } else if all && claim.status == MemberStatus::Dead && self.is_here(&claim) {
                 // Whoever was cut off holds many dead that are not: they get the time to clear themselves.
-                self.believe(
+                self.apply_update(
                     now,
-                    Claim {
-                        standing: Standing::Suspect,
+                    StatusUpdate {
+                        status: MemberStatus::Suspect,
                         ..claim
                     },
                     &name,
                 );
             } else {
-                self.believe(now, claim, &name);
+                self.apply_update(now, claim, &name);
             }
         }
         posters
             .into_iter()
-            .for_each(|poster| self.read_poster(now, poster));
+            .for_each(|poster| self.apply_published(now, poster));
         // One that is not held to be alive is told so, to clear itself.
         let doubted = self
-            .roll
+            .table
             .get(&name)
-            .filter(|member| member.claim.standing != Standing::Alive);
-        let doubted = doubted.map(|member| member.claim.clone());
+            .filter(|member| member.update.status != MemberStatus::Alive);
+        let doubted = doubted.map(|member| member.update.clone());
         let first = doubted.as_ref().map(|claim| claim.name.clone());
-        doubted.into_iter().for_each(|claim| self.gossip.put(claim));
+        doubted
+            .into_iter()
+            .for_each(|claim| self.update_queue.enqueue(claim));
         match kind {
-            Kind::Probe { no, whom } if whom == self.me.name => {
-                self.send(now, at, Kind::Answer { no }, first.as_ref());
+            Message::Probe {
+                number: no,
+                target: whom,
+            } if whom == self.local.name => {
+                self.send(now, at, Message::Ack { number: no }, first.as_ref());
             }
-            Kind::Answer { no } => self.answered(now, no, &name),
-            Kind::Ask {
-                no,
-                whom,
-                at: there,
-            } if self.steads.len() < MOST_STEADS => {
-                let own = self.number();
-                let until = now + self.terms.period.mul_f64(0.4);
-                self.steads.insert(
+            Message::Ack { number: no } => self.handle_ack(now, no, &name),
+            Message::IndirectProbe {
+                number: no,
+                target: whom,
+                address: there,
+            } if self.relayed_probes.len() < MAX_RELAYED_PROBES => {
+                let own = self.next_probe_number();
+                let until = now + self.config.probe_interval.mul_f64(0.4);
+                self.relayed_probes.insert(
                     own,
-                    Stead {
-                        no,
-                        asker: at,
-                        until,
+                    RelayedProbe {
+                        origin_number: no,
+                        origin: at,
+                        deadline: until,
+                    },
+                );
+                self.send(
+                    now,
+                    there,
+                    Message::Probe {
+                        number: own,
+                        target: whom,
                     },
+                    None,
                 );
-                self.send(now, there, Kind::Probe { no: own, whom }, None);
             }
-            Kind::Silent { no } => {
-                if let Some(probe) = self.probe.as_mut().filter(|probe| probe.no == no) {
-                    probe.silent += 1;
+            Message::Nack { number: no } => {
+                if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == no) {
+                    probe.nacks += 1;
                 }
             }
             // Beyond that many they are lost, as on the way.
-            Kind::Parcel { bytes } if self.parcels.len() < MOST_WAITING => {
-                self.parcels.push_back((name, bytes))
+            Message::Direct { bytes } if self.direct_messages.len() < MAX_QUEUED => {
+                self.direct_messages.push_back((name, bytes))
             }
-            Kind::Join => self.tell_all(now, at, true),
-            Kind::Roll { back: true } => self.tell_all(now, at, false),
+            Message::Join => self.send_member_table(now, at, true),
+            Message::MemberTable { reply_wanted: true } => self.send_member_table(now, at, false),
             _ => {}
         }
     }
 
-    fn is_here(&self, claim: &Claim) -> bool {
-        let same = |member: &&Member| member.claim.start == claim.start;
-        self.roll
+    fn is_here(&self, claim: &StatusUpdate) -> bool {
+        let same = |member: &&Member| member.update.started_at_ms == claim.started_at_ms;
+        self.table
             .get(&claim.name)
             .filter(same)
-            .is_some_and(Member::is_here)
+            .is_some_and(Member::is_active)
     }
 
-    fn answered(&mut self, now: Duration, no: u32, from: &Name) {
-        if let Some(stead) = self.steads.remove(&no) {
-            self.send(now, stead.asker, Kind::Answer { no: stead.no }, None);
+    fn handle_ack(&mut self, now: Duration, no: u32, from: &MemberName) {
+        if let Some(stead) = self.relayed_probes.remove(&no) {
+            self.send(
+                now,
+                stead.origin,
+                Message::Ack {
+                    number: stead.origin_number,
+                },
+                None,
+            );
         }
-        let Some(probe) = self.probe.take_if(|probe| probe.no == no) else {
+        let Some(probe) = self.probe.take_if(|probe| probe.number == no) else {
             return;
         };
-        if probe.whom == *from || probe.asked > 0 {
-            self.slow = self.slow.saturating_sub(1);
+        if probe.target == *from || probe.helpers > 0 {
+            self.local_health = self.local_health.saturating_sub(1);
         } else {
             self.probe = Some(probe);
         }
     }
 
     /// What is said of this member itself.
-    fn refute(&mut self, now: Duration, claim: Claim) {
-        if claim.start > self.me.start {
-            self.usurped(now);
-        } else if claim.start == self.me.start
-            && matches!(claim.standing, Standing::Suspect | Standing::Dead)
-            && claim.incarnation >= self.me.incarnation
-            && self.me.standing == Standing::Alive
+    fn refute(&mut self, now: Duration, claim: StatusUpdate) {
+        if claim.started_at_ms > self.local.started_at_ms {
+            self.supersede(now);
+        } else if claim.started_at_ms == self.local.started_at_ms
+            && matches!(claim.status, MemberStatus::Suspect | MemberStatus::Dead)
+            && claim.incarnation >= self.local.incarnation
+            && self.local.status == MemberStatus::Alive
         {
-            self.me.incarnation = claim.incarnation.saturating_add(1);
-            self.slow = (self.slow + 1).min(SLOWEST);
-            self.gossip.put(self.me.clone());
+            self.local.incarnation = claim.incarnation.saturating_add(1);
+            self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
+            self.update_queue.enqueue(self.local.clone());
         }
     }
 
     /// Takes a claim about another member, and tells it on if it is news.
-    fn believe(&mut self, now: Duration, claim: Claim, from: &Name) {
-        if claim.name == self.me.name {
+    fn apply_update(&mut self, now: Duration, claim: StatusUpdate, from: &MemberName) {
+        if claim.name == self.local.name {
             return;
         }
-        match self.roll.take(claim.clone(), from, now) {
-            Effect::Nothing | Effect::Full => {}
-            Effect::Accused => self.gossip.put(claim),
-            Effect::Changed { before } => {
-                let here = before.is_some_and(|before| before <= Standing::Suspect);
+        match self.table.apply(claim.clone(), from, now) {
+            UpdateEffect::Ignored | UpdateEffect::TableFull => {}
+            UpdateEffect::Corroborated => self.update_queue.enqueue(claim),
+            UpdateEffect::Changed { previous: before } => {
+                let here = before.is_some_and(|before| before <= MemberStatus::Suspect);
                 let name = claim.name.clone();
-                match claim.standing {
-                    Standing::Alive if before != Some(Standing::Alive) => {
-                        self.news.push_back(News::Up(name))
+                match claim.status {
+                    MemberStatus::Alive if before != Some(MemberStatus::Alive) => {
+                        self.events.push_back(MembershipEvent::Up(name))
+                    }
+                    MemberStatus::Suspect => {
+                        self.events.push_back(MembershipEvent::Suspected(name))
+                    }
+                    MemberStatus::Dead if here => {
+                        self.events.push_back(MembershipEvent::Down(name))
+                    }
+                    MemberStatus::Left if here => {
+                        self.events.push_back(MembershipEvent::Left(name))
                     }
-                    Standing::Suspect => self.news.push_back(News::Suspected(name)),
-                    Standing::Dead if here => self.news.push_back(News::Down(name)),
-                    Standing::Left if here => self.news.push_back(News::Left(name)),
                     _ => {}
                 }
-                self.gossip.put(claim);
+                self.update_queue.enqueue(claim);
             }
         }
         // Nobody has to read them.
-        while self.news.len() > MOST_WAITING {
-            self.news.pop_front();
+        while self.events.len() > MAX_QUEUED {
+            self.events.pop_front();
         }
     }
 
     /// Leaves: some are told, who tell it on. Nothing is due afterwards.
     pub fn leave(&mut self, now: Duration) {
-        self.me.standing = Standing::Left;
-        for at in self.some(BIDDEN_FAREWELL, None) {
-            self.post(now, at, Kind::Tell, Vec::new(), Vec::new());
+        self.local.status = MemberStatus::Left;
+        for at in self.random_members(LEAVE_FANOUT, None) {
+            self.send_packet(now, at, Message::Gossip, Vec::new(), Vec::new());
         }
-        self.quiet = true;
-        self.park(now);
+        self.stopped = true;
+        self.stop(now);
     }
 }
 
-fn share(chance: &mut WyRand) -> f64 {
+fn random_fraction(chance: &mut WyRand) -> f64 {
     (chance.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn check(keys: &[Key]) -> Result<(), Trouble> {
+fn check_keys(keys: &[Key]) -> Result<(), ConfigError> {
     if let Some(short) = keys.iter().find(|key| key.secret.len() < 16) {
-        return Err(Trouble::ShortKey(short.id, short.secret.len()));
+        return Err(ConfigError::ShortKey(short.id, short.secret.len()));
     }
     match keys {
-        [] => Err(Trouble::NoKey),
+        [] => Err(ConfigError::NoKey),
         [_] => Ok(()),
-        [a, b] if a.id == b.id => Err(Trouble::SameKey(a.id)),
+        [a, b] if a.id == b.id => Err(ConfigError::DuplicateKeyId(a.id)),
         [_, _] => Ok(()),
-        _ => Err(Trouble::ManyKeys),
+        _ => Err(ConfigError::TooManyKeys),
     }
 }
