--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -6,7 +6,7 @@
 use limewing_emulators::fleet::{self, Crowd, CrowdPlan, Member, Plan};
 use limewing_fault_injection::{Fault, Script, World};
 use limewing_http_proxy::service::{StateView, View};
-use limewing_settings::{Checked, Misfit, SidecarSettings};
+use limewing_settings::{Checked, ConfigError, SidecarSettings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,11 +19,11 @@
 pub struct ScriptFile(pub Script);
 
 impl Checked for ScriptFile {
-    fn misfits(&self) -> Vec<Misfit> {
+    fn config_errors(&self) -> Vec<ConfigError> {
         self.0
-            .misfits()
+            .config_errors()
             .into_iter()
-            .map(|m| Misfit::new(m.path, format!("expected {}", m.expected)))
+            .map(|m| ConfigError::new(m.path, format!("expected {}", m.expected)))
             .collect()
     }
 }
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
 use limewing_net::http::{write_response, RequestHead};
-use limewing_net::message::Requests;
+use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
 use limewing_rule_checker::record::{Entry, OrderId, PodNo, SidecarNo, Try};
 use limewing_settings::Reach;
@@ -47,7 +47,7 @@
 pub struct PodLink {
     pub pod: PodNo,
     sidecar: Option<SidecarNo>,
-    requests: Requests,
+    requests: RequestReader,
     busy: bool,
     /// The connection is not yet of use.
     opening: bool,
@@ -58,7 +58,7 @@
         Self {
             pod,
             sidecar: None,
-            requests: Requests::new(1 << 20),
+            requests: RequestReader::new(1 << 20),
             busy: false,
             opening: false,
         }
@@ -101,7 +101,7 @@
                 Trouble::ConnectionsDear(wait) => {
                     link.opening = true;
                     self.wheel
-                        .arm(self.now + (*wait).into(), Due::PodRead(socket));
+                        .schedule(self.now + (*wait).into(), Due::PodRead(socket));
                 }
                 _ => {}
             }
@@ -165,7 +165,7 @@
         );
         self.pods.insert(number, pod);
         if fresh {
-            self.wheel.arm(
+            self.wheel.schedule(
                 self.now + self.script.fleet.starts_within.into(),
                 Due::PodUp(number),
             );
@@ -224,7 +224,7 @@
             leaving.push(*number);
         }
         for number in leaving {
-            self.wheel.arm(
+            self.wheel.schedule(
                 self.now + self.script.fleet.drains_for.into(),
                 Due::PodDown(number),
             );
@@ -292,7 +292,7 @@
     }
 
     pub(super) fn pod_read(&mut self, id: SocketId) {
-        let ended = self.sockets.ended(id);
+        let ended = self.sockets.has_ended(id);
         let Some(End::Pod(link)) = self.ends.get_mut(&id) else {
             return;
         };
@@ -308,7 +308,7 @@
         };
         match link.requests.take(input, false) {
             Ok(Some((head, _))) => self.arrive(id, &head),
-            Ok(None) => self.sockets.read_on(id),
+            Ok(None) => self.sockets.resume_reading(id),
             Err(_) => self.drop_end(id),
         }
     }
@@ -473,7 +473,7 @@
                 b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it",
             );
             self.ends.remove(&link);
-            return self.sockets.finish(link);
+            return self.sockets.close_when_sent(link);
         }
         let streams = status == 200 && self.script.groups[group].group.streamed;
         self.answer(link, number, status, &fields, streams);
@@ -486,7 +486,7 @@
             held.effect =
                 marked.is_none_or(|(mark, (_, memory))| self.marks.begin(mark, memory, self.now));
         }
-        self.wheel.arm(until, Due::Done(number, job));
+        self.wheel.schedule(until, Due::Done(number, job));
     }
 
     fn work_on(&mut self, number: PodNo) {
@@ -544,7 +544,7 @@
             write_response(&mut out, status, all, Framing::Chunked, true);
             write_chunk(&mut out, b"first\n");
             self.sockets.send(id, &out);
-            self.wheel.arm(self.now + STREAMS, Due::PodRest(id));
+            self.wheel.schedule(self.now + STREAMS, Due::PodRest(id));
             return;
         }
         let body = b"done\n";
@@ -559,7 +559,7 @@
         self.sockets.send(id, &out);
         if self.is_present(|t| matches!(t, Trouble::PodsClose(places) if places.contains(&place))) {
             self.ends.remove(&id);
-            return self.sockets.finish(id);
+            return self.sockets.close_when_sent(id);
         }
         self.pod_read(id);
     }
--- a/crates/emulators/src/day/services.rs
+++ b/crates/emulators/src/day/services.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use limewing_net::body::{write_chunk, Framing};
 use limewing_net::http::{write_response, RequestHead};
-use limewing_net::message::Requests;
+use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
 use limewing_rule_checker::record::{Entry, Phase, PodNo, SidecarNo};
 use serde::Deserialize;
@@ -45,7 +45,7 @@
 }
 
 pub struct ListLink {
-    requests: Requests,
+    requests: RequestReader,
     sidecar: Option<SidecarNo>,
     /// Waits for an index other than this; with the number of the query.
     waits: Option<u64>,
@@ -55,7 +55,7 @@
 impl Default for ListLink {
     fn default() -> Self {
         Self {
-            requests: Requests::new(1024),
+            requests: RequestReader::new(1024),
             sidecar: None,
             waits: None,
             asked: 0,
@@ -63,11 +63,11 @@
     }
 }
 
-pub struct VoteLink(Requests);
+pub struct VoteLink(RequestReader);
 
 impl Default for VoteLink {
     fn default() -> Self {
-        Self(Requests::new(16 * 1024))
+        Self(RequestReader::new(16 * 1024))
     }
 }
 
@@ -159,7 +159,7 @@
         });
         let lag = Duration::from(self.script.fleet.list_lag) + more.unwrap_or_default();
         self.wheel
-            .arm(self.now + lag, Due::Publish(Box::new(published)));
+            .schedule(self.now + lag, Due::Publish(Box::new(published)));
     }
 
     pub(super) fn publish(&mut self, published: Published) {
@@ -185,7 +185,7 @@
     }
 
     pub(super) fn list_read(&mut self, id: SocketId) {
-        if self.sockets.ended(id) {
+        if self.sockets.has_ended(id) {
             return self.drop_end(id);
         }
         let Some(End::List(link)) = self.ends.get_mut(&id) else {
@@ -199,7 +199,7 @@
         };
         let head = match link.requests.take(input, false) {
             Ok(Some((head, _))) => head,
-            Ok(None) => return self.sockets.read_on(id),
+            Ok(None) => return self.sockets.resume_reading(id),
             Err(_) => return self.drop_end(id),
         };
         link.sidecar = sidecar_of(head.fields.text("user-agent"));
@@ -234,7 +234,7 @@
             self.tell_list(id);
         } else {
             let asked = link.asked;
-            self.wheel.arm(
+            self.wheel.schedule(
                 self.now + Duration::from_millis(wait),
                 Due::ListAnswer(id, asked),
             );
@@ -336,7 +336,7 @@
     }
 
     pub(super) fn installer_read(&mut self, id: SocketId) {
-        if self.sockets.ended(id) {
+        if self.sockets.has_ended(id) {
             return self.drop_end(id);
         }
         let Some(End::Installer(link)) = self.ends.get_mut(&id) else {
@@ -347,7 +347,7 @@
         };
         let (head, body) = match link.0.take(input, false) {
             Ok(Some(request)) => request,
-            Ok(None) => return self.sockets.read_on(id),
+            Ok(None) => return self.sockets.resume_reading(id),
             Err(_) => return self.drop_end(id),
         };
         let Some(sidecar) = sidecar_of(head.fields.text("user-agent")) else {
@@ -441,7 +441,7 @@
         });
         match late {
             // What is told then is how it stands then: news that is older than that is no trouble more.
-            Some(late) => drop(self.wheel.arm(self.now + late, Due::TellNow)),
+            Some(late) => drop(self.wheel.schedule(self.now + late, Due::TellNow)),
             None => self.tell_now(),
         }
     }
@@ -459,7 +459,7 @@
     pub(super) fn tell_all_again(&mut self) {
         self.tell_all();
         let every = super::span(self.script.fleet.told_every, 2.0).max(Duration::from_millis(100));
-        self.wheel.arm(self.now + every, Due::TellAll);
+        self.wheel.schedule(self.now + every, Due::TellAll);
     }
 
     fn vote(&mut self, id: SocketId, sidecar: SidecarNo, body: &[u8]) {
@@ -522,7 +522,7 @@
         match late {
             Some(late) => drop(
                 self.wheel
-                    .arm(self.now + late, Due::VoteAnswer(Box::new(answer))),
+                    .schedule(self.now + late, Due::VoteAnswer(Box::new(answer))),
             ),
             None => self.answer_vote(answer),
         }
@@ -546,7 +546,7 @@
     }
 
     pub(super) fn tick(&mut self) -> Result<(), DayTrouble> {
-        self.wheel.arm(self.now + super::TICK, Due::Tick);
+        self.wheel.schedule(self.now + super::TICK, Due::Tick);
         let still =
             |t: &Trouble| matches!(t, Trouble::InstallerDown | Trouble::InstallerStandsStill);
         if self.is_present(still) {
--- a/crates/emulators/src/script.rs
+++ b/crates/emulators/src/script.rs
@@ -3,7 +3,7 @@
 use limewing_fault_injection::Script;
 use limewing_rule_checker::record;
 use limewing_settings::{
-    Checked, Limits, Misfit, PathGroup, Reach, Releases, Repeat, Rules, Seconds, WorkList,
+    Checked, ConfigError, Limits, PathGroup, Reach, Releases, Repeat, Rules, Seconds, WorkList,
 };
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -347,11 +347,11 @@
 }
 
 impl Checked for DayScript {
-    fn misfits(&self) -> Vec<Misfit> {
+    fn config_errors(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
         let mut need = |fits: bool, path: String, expected: &str| {
             if !fits {
-                found.push(Misfit::new(path, format!("expected {expected}")));
+                found.push(ConfigError::new(path, format!("expected {expected}")));
             }
         };
         let part = |value: f64| (0.0..=1.0).contains(&value);
@@ -397,11 +397,15 @@
             "/traffic".into(),
             "a part from 0 for each sidecar, one of them over 0",
         );
-        for misfit in self.peers.iter().flat_map(|peers| peers.faults.misfits()) {
+        for error in self
+            .peers
+            .iter()
+            .flat_map(|peers| peers.faults.config_errors())
+        {
             need(
                 false,
-                format!("/peers/faults{}", misfit.path),
-                misfit.expected,
+                format!("/peers/faults{}", error.path),
+                error.expected,
             );
         }
         if let Some(work) = &self.work {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -21,5 +21,5 @@
 mod world;
 
 pub use links::{Arrival, Links};
-pub use script::{Act, Ahead, Fault, Line, Misfit, Script, Step, Who};
+pub use script::{Act, Ahead, ConfigError, Fault, Line, Script, Step, Who};
 pub use world::{Core, World};
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -124,7 +124,7 @@
 
 /// What of a script can't be used, and where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Misfit {
+pub struct ConfigError {
     pub path: String,
     pub expected: &'static str,
 }
@@ -181,11 +181,11 @@
     }
 
     /// All that can't be used.
-    pub fn misfits(&self) -> Vec<Misfit> {
+    pub fn config_errors(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
         let mut need = |fits: bool, path: String, expected: &'static str| {
             if !fits {
-                found.push(Misfit { path, expected });
+                found.push(ConfigError { path, expected });
             }
         };
         const LINE: &str = "parts from 0 to 1, milliseconds from 0, bytes a second from 0";
--- a/crates/http-proxy/src/routes.rs
+++ b/crates/http-proxy/src/routes.rs
@@ -2,7 +2,7 @@
 
 use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
 use limewing_net::http::RequestHead;
-use limewing_settings::{Headers, Misfit, Repeat, Router, SidecarSettings};
+use limewing_settings::{ConfigError, Headers, Repeat, Router, SidecarSettings};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 impl Routes {
     /// # Errors
     /// A path pattern that can't be used, or two that match the same paths.
-    pub fn new(settings: &SidecarSettings) -> Result<Self, Misfit> {
+    pub fn new(settings: &SidecarSettings) -> Result<Self, ConfigError> {
         let router = Router::new(&settings.path_groups)?;
         let groups = settings.path_groups.iter().map(|group| Group {
             client_timeout: group.client_timeout.into(),
--- a/crates/http-proxy/src/service/asks.rs
+++ b/crates/http-proxy/src/service/asks.rs
@@ -10,11 +10,11 @@
     BuildId, EndpointUpdate, Event, StageIndex, StageUpdate, Verdict, VoteAnswer, WatchLoss,
 };
 use limewing_net::body::{BodyReader, Framing};
-use limewing_net::call::{Call, Heard};
 use limewing_net::http::{self, HeadLimits};
-use limewing_net::message::Responses;
+use limewing_net::http_call::{CallProgress, HttpCall};
+use limewing_net::message_reader::ResponseReader;
 use limewing_net::sockets::SocketId;
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use limewing_proxy_core::clock::wall_clock_now;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 const LIST_EVERY: Duration = Duration::from_millis(20);
 
 pub struct ListLink {
-    answers: Responses,
+    answers: ResponseReader,
     timer: TimerKey,
 }
 
@@ -76,7 +76,7 @@
             return;
         }
         if let Some(at) = self.others_turn(Asked::EndpointList) {
-            self.wheel.arm(at, Due::AskList);
+            self.wheel.schedule(at, Due::AskList);
             return;
         }
         let Ok(link) = self.sockets.connect(self.terms.list.address) else {
@@ -84,8 +84,8 @@
         };
         let timer = self
             .wheel
-            .arm(self.now + self.terms.connect_timeout, Due::ListLate(link));
-        let answers = Responses::new(MOST_LIST);
+            .schedule(self.now + self.terms.connect_timeout, Due::ListLate(link));
+        let answers = ResponseReader::new(MOST_LIST);
         self.peers
             .insert(link, Peer::List(Box::new(ListLink { answers, timer })));
         self.list_link = Some(link);
@@ -103,7 +103,9 @@
         );
         let request =
             self.request_head("GET", &target, list.address.to_string(), Framing::Length(0));
-        let fresh = self.wheel.arm(self.now + patience, Due::ListLate(link));
+        let fresh = self
+            .wheel
+            .schedule(self.now + patience, Due::ListLate(link));
         if let Some(Peer::List(of)) = self.peers.get_mut(&link) {
             self.wheel.cancel(std::mem::replace(&mut of.timer, fresh));
         }
@@ -112,7 +114,7 @@
     }
 
     pub(super) fn list_wrote(&mut self, link: SocketId) {
-        let ended = self.sockets.ended(link);
+        let ended = self.sockets.has_ended(link);
         let Some(Peer::List(of)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -121,7 +123,7 @@
         };
         let (head, body) = match of.answers.take(input, ended) {
             Ok(Some(answer)) => answer,
-            Ok(None) if !ended => return self.sockets.read_on(link),
+            Ok(None) if !ended => return self.sockets.resume_reading(link),
             _ => return self.list_failed("half an answer, or one that can't be read"),
         };
         let index = head
@@ -154,10 +156,11 @@
         if ended || !head.keep_alive {
             self.drop_list();
             self.wheel
-                .arm((self.list_asked + LIST_EVERY).max(self.now), Due::AskList);
+                .schedule((self.list_asked + LIST_EVERY).max(self.now), Due::AskList);
         } else if self.now < self.list_asked + LIST_EVERY {
             self.drop_list();
-            self.wheel.arm(self.list_asked + LIST_EVERY, Due::AskList);
+            self.wheel
+                .schedule(self.list_asked + LIST_EVERY, Due::AskList);
         } else {
             self.list_connected(link);
         }
@@ -219,13 +222,13 @@
             installer.address,
         );
         if let Some(at) = self.others_turn(Asked::Installer) {
-            self.wheel.arm(at, Due::AskNews);
+            self.wheel.schedule(at, Due::AskNews);
             return;
         }
         let Ok(link) = self.sockets.connect(address) else {
             return self.news_again("no connection");
         };
-        let quiet = self.wheel.arm(patience, Due::NewsQuiet(link));
+        let quiet = self.wheel.schedule(patience, Due::NewsQuiet(link));
         let of = NewsLink {
             body: None,
             events: EventReader::default(),
@@ -248,11 +251,11 @@
             return;
         };
         let patience = self.now + Duration::from(installer.quiet_at_most);
-        let ended = self.sockets.ended(link);
+        let ended = self.sockets.has_ended(link);
         let Some(Peer::News(of)) = self.peers.get_mut(&link) else {
             return;
         };
-        let fresh = self.wheel.arm(patience, Due::NewsQuiet(link));
+        let fresh = self.wheel.schedule(patience, Due::NewsQuiet(link));
         self.wheel.cancel(std::mem::replace(&mut of.quiet, fresh));
         let Some(input) = self.sockets.input(link) else {
             return;
@@ -302,7 +305,7 @@
         if ended || body.ended() {
             return self.news_lost(link, "the stream ended");
         }
-        self.sockets.read_on(link);
+        self.sockets.resume_reading(link);
     }
 
     pub(super) fn news_quiet(&mut self, link: SocketId) {
@@ -322,7 +325,7 @@
         self.service_answers(Asked::Installer, false);
         tracing::warn!(why, "no stage news; asked for again");
         let wait = self.lost_news.next_delay();
-        self.wheel.arm(self.now + wait, Due::AskNews);
+        self.wheel.schedule(self.now + wait, Due::AskNews);
     }
 
     pub(super) fn vote(&mut self, verdict: Verdict, build: BuildId, stage: StageIndex) {
@@ -349,13 +352,13 @@
             Framing::Length(body.len() as u64),
         );
         request.extend_from_slice(&body);
-        let timer = self.wheel.arm(
+        let timer = self.wheel.schedule(
             self.now + self.terms.vote_answer_within,
             Due::VoteLate(link),
         );
         self.peers.insert(
             link,
-            Peer::Vote(Box::new(Call::new(request, MOST_VOTE, timer))),
+            Peer::Vote(Box::new(HttpCall::new(request, MOST_VOTE, timer))),
         );
     }
 
@@ -370,12 +373,12 @@
             return;
         };
         match call.hear(link, &mut self.sockets) {
-            Heard::NotYet => {}
-            Heard::Whole(head, body) => {
+            CallProgress::Pending => {}
+            CallProgress::Complete(head, body) => {
                 let (answer, told) = vote_answer(head.status, &body);
                 self.vote_over(link, answer, told);
             }
-            Heard::Lost => self.vote_over(link, VoteAnswer::Unanswered, None),
+            CallProgress::Failed => self.vote_over(link, VoteAnswer::Unanswered, None),
         }
     }
 
--- a/crates/http-proxy/src/service/back.rs
+++ b/crates/http-proxy/src/service/back.rs
@@ -10,8 +10,8 @@
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, Event, PodId, RequestId};
 use limewing_net::body::{write_chunk, BodyReader, Framing};
 use limewing_net::http::{self, HeadLimits, ResponseHead};
-use limewing_net::sockets::{is_own_want, SocketId};
-use limewing_net::wheel::TimerKey;
+use limewing_net::sockets::{is_resource_exhaustion, SocketId};
+use limewing_net::timer_wheel::TimerKey;
 use limewing_proxy_core::connection_pool::IdleConnection;
 use limewing_proxy_core::in_flight::Attempt;
 use limewing_proxy_core::send_permit::SendPermit;
@@ -57,7 +57,7 @@
         } else {
             open.deadline.min(self.now + within)
         };
-        let timer = self.wheel.arm(due, Due::Forward(hit, no));
+        let timer = self.wheel.schedule(due, Due::Forward(hit, no));
         let forward = Attempt {
             pod,
             sent_at: self.now,
@@ -90,7 +90,7 @@
                 Some(Ok(link)) => {
                     let connecting = self
                         .wheel
-                        .arm(self.now + self.terms.connect_timeout, Due::Connect(link));
+                        .schedule(self.now + self.terms.connect_timeout, Due::Connect(link));
                     let fresh = PodLink {
                         pod,
                         connecting: Some(connecting),
@@ -102,7 +102,7 @@
                 failed => {
                     let trouble = failed.and_then(Result::err);
                     // Our own want is no sign of the pod: it must not be shut for it.
-                    let own = trouble.as_ref().is_some_and(is_own_want);
+                    let own = trouble.as_ref().is_some_and(is_resource_exhaustion);
                     tracing::warn!(?trouble, own, "no way to a pod");
                     let fate = if own {
                         AttemptOutcome::NeverSent
@@ -113,7 +113,7 @@
                 }
             },
         };
-        let from = self.sockets.written(link);
+        let from = self.sockets.bytes_written(link);
         if let Some(forward) = self.hits.active_attempt_mut(hit, no) {
             forward.connection = Some(link);
         }
@@ -141,7 +141,7 @@
         loop {
             let IdleConnection { id, timer, .. } = self.idle.take(pod)?;
             self.wheel.cancel(timer);
-            if self.sockets.is_quiet(id) {
+            if self.sockets.is_silent(id) {
                 return Some(id);
             }
             self.close_link(id);
@@ -267,7 +267,7 @@
             return;
         }
         match self.read_answer(link) {
-            Step::More => self.sockets.read_on(link),
+            Step::More => self.sockets.resume_reading(link),
             Step::Whole => self.answer_whole(link),
             Step::Broken => self.answer_broken(link),
             Step::Unwanted => {
@@ -278,7 +278,7 @@
     }
 
     fn read_answer(&mut self, link: SocketId) -> Step {
-        let ended = self.sockets.ended(link);
+        let ended = self.sockets.has_ended(link);
         let Some(Peer::Pod(of)) = self.peers.get_mut(&link) else {
             return Step::More;
         };
@@ -383,8 +383,8 @@
 
     fn answer_whole(&mut self, link: SocketId) {
         // An answer may come before all of the hit was sent: the rest of it must not be taken for another.
-        let unsent = self.sockets.unsent(link) > 0 || self.body_comes_on(link);
-        let clean = !self.sockets.hung_up(link) && !unsent;
+        let unsent = self.sockets.unsent_bytes(link) > 0 || self.body_comes_on(link);
+        let clean = !self.sockets.has_peer_closed(link) && !unsent;
         let Some(Peer::Pod(of)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -526,7 +526,7 @@
         if of.connecting.is_some() {
             return Some(AttemptOutcome::ConnectFailed);
         }
-        let unwritten = self.sockets.written(link) <= job.from;
+        let unwritten = self.sockets.bytes_written(link) <= job.from;
         self.peers.remove(&link);
         self.sockets.close(link);
         unwritten.then_some(AttemptOutcome::ConnectFailed)
@@ -585,13 +585,13 @@
             return false;
         };
         let Some(job) = &of.job else { return false };
-        of.connecting.is_some() || self.sockets.written(link) <= job.from
+        of.connecting.is_some() || self.sockets.bytes_written(link) <= job.from
     }
 
     fn keep(&mut self, link: SocketId, pod: PodId) {
         let timer = self
             .wheel
-            .arm(self.now + self.terms.idle_close, Due::Idle(link));
+            .schedule(self.now + self.terms.idle_close, Due::Idle(link));
         self.idle.insert(
             pod,
             IdleConnection {
@@ -622,16 +622,16 @@
     /// Whether a connection to a pod may be made: if all are taken, the pod with the most kept ones loses its oldest.
     /// Guards against connections kept to some pods that keep hits from the others.
     fn makes_room(&mut self) -> bool {
-        self.sockets.open() < self.room.max_connections || {
+        self.sockets.open_count() < self.room.max_connections || {
             self.drop_kept();
-            self.sockets.open() < self.room.max_connections
+            self.sockets.open_count() < self.room.max_connections
         }
     }
 
     /// Clients wait to be let in: an eighth of the kept connections goes, where these take the room.
     pub(super) fn make_room_for_clients(&mut self) {
         let kept = self.idle.len();
-        if self.sockets.open() >= self.room.max_connections {
+        if self.sockets.open_count() >= self.room.max_connections {
             (0..kept.div_ceil(8)).for_each(|_| self.drop_kept());
         }
     }
--- a/crates/http-proxy/src/service/fleet.rs
+++ b/crates/http-proxy/src/service/fleet.rs
@@ -11,7 +11,7 @@
 use limewing_membership::{Config, DatagramError, Key, MemberName, MemberStatus, Membership};
 use limewing_net::sockets::{SocketId, Sockets};
 use limewing_proxy_core::clock::wall_clock_now;
-use limewing_settings::{self as settings, KeyFile, Unusable};
+use limewing_settings::{self as settings, ConfigFileError, KeyFile};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -105,7 +105,7 @@
     }
 }
 
-fn read_keys(file: &Path) -> Result<Vec<Key>, Unusable> {
+fn read_keys(file: &Path) -> Result<Vec<Key>, ConfigFileError> {
     let read: KeyFile = settings::read(file)?;
     Ok(read
         .keys
@@ -137,7 +137,7 @@
             .unwrap_or_default();
         let terms = Config {
             name: MemberName::try_from(name.to_owned()).map_err(|expected| {
-                StartTrouble::Settings(settings::Misfit::new("/name", expected.to_string()))
+                StartTrouble::Settings(settings::ConfigError::new("/name", expected.to_string()))
             })?,
             started_at_ms: start.as_millis() as u64,
             started_at: now,
--- a/crates/http-proxy/src/service/front.rs
+++ b/crates/http-proxy/src/service/front.rs
@@ -7,10 +7,10 @@
     AttemptIndex, ClassId, Event, PodId, Request, RequestId, RoutingKey,
 };
 use limewing_net::body::{write_chunk, BodyReader, Framing};
-use limewing_net::http::{self, Refused, RequestHead, ResponseHead};
-use limewing_net::message::Requests;
+use limewing_net::http::{self, HttpError, RequestHead, ResponseHead};
+use limewing_net::message_reader::RequestReader;
 use limewing_net::sockets::SocketId;
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use limewing_proxy_core::in_flight::InFlightRequest;
 use limewing_replication::Refusal;
 use serde::Deserialize;
@@ -29,7 +29,7 @@
 pub const MOST_UNSENT: usize = 64 * 1024;
 
 pub struct Client {
-    requests: Requests,
+    requests: RequestReader,
     hit: Option<RequestId>,
     /// Reads the part of the hit's body that is passed on as it comes.
     rest: Option<BodyReader>,
@@ -103,10 +103,10 @@
                 b"",
                 false,
             );
-            return self.sockets.finish(id);
+            return self.sockets.close_when_sent(id);
         }
         self.clients += 1;
-        let requests = Requests::new(self.terms.body_kept);
+        let requests = RequestReader::new(self.terms.body_kept);
         let client = Client {
             requests,
             hit: None,
@@ -127,7 +127,7 @@
 
     pub(super) fn client_wrote(&mut self, id: SocketId) {
         loop {
-            let ended = self.sockets.ended(id);
+            let ended = self.sockets.has_ended(id);
             let Some(Peer::Client(client)) = self.peers.get_mut(&id) else {
                 return;
             };
@@ -136,14 +136,14 @@
                     return self.pass_body(id);
                 }
                 // What is pipelined waits its turn; a client that closed its side is gone, whatever it left unread.
-                return if self.sockets.hung_up(id) {
+                return if self.sockets.has_peer_closed(id) {
                     self.client_gone(id)
                 } else {
                     Default::default()
                 };
             }
             // Nothing more is taken off a client that does not read its answers, and it is not waited for forever.
-            if self.sockets.unsent(id) > MOST_UNSENT {
+            if self.sockets.unsent_bytes(id) > MOST_UNSENT {
                 return self.wait_for_reader(id);
             }
             let Some(input) = self.sockets.input(id) else {
@@ -159,15 +159,15 @@
                     let begun = client.requests.begun() || !input.is_empty();
                     if begun && client.slow.is_none() {
                         let at = self.now + self.terms.request_within;
-                        client.slow = Some(self.wheel.arm(at, Due::SlowRequest(id)));
+                        client.slow = Some(self.wheel.schedule(at, Due::SlowRequest(id)));
                     }
                     if client.requests.wants_continue() {
                         self.sockets.send(id, b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
-                    return self.sockets.read_on(id);
+                    return self.sockets.resume_reading(id);
                 }
-                Err(Refused::Early) => return self.client_gone(id),
-                Err(Refused::BodyTooLarge) => {
+                Err(HttpError::Early) => return self.client_gone(id),
+                Err(HttpError::BodyTooLarge) => {
                     let Some((head, body, reader)) = client.requests.give_up() else {
                         return;
                     };
@@ -267,7 +267,7 @@
 
     /// Passes on what has come of a body, as fast as the pod takes it.
     pub(super) fn pass_body(&mut self, id: SocketId) {
-        let ended = self.sockets.ended(id);
+        let ended = self.sockets.has_ended(id);
         let Some(Peer::Client(client)) = self.peers.get_mut(&id) else {
             return;
         };
@@ -290,7 +290,7 @@
             };
         };
         let mut out = BytesMut::new();
-        while self.sockets.unsent(link) + out.len() <= MOST_UNSENT {
+        while self.sockets.unsent_bytes(link) + out.len() <= MOST_UNSENT {
             let Some(input) = self.sockets.input(id) else {
                 return;
             };
@@ -315,7 +315,7 @@
         if ended {
             self.client_gone(id);
         } else {
-            self.sockets.read_on(id);
+            self.sockets.resume_reading(id);
         }
     }
 
@@ -467,7 +467,7 @@
         } else {
             self.sockets.send(client, piece);
         }
-        if self.sockets.unsent(client) > MOST_UNSENT {
+        if self.sockets.unsent_bytes(client) > MOST_UNSENT {
             self.wait_for_reader(client);
         }
     }
@@ -496,7 +496,7 @@
     /// Whether the client of a hit takes no more for now.
     pub(super) fn is_full(&mut self, hit: RequestId) -> bool {
         let client = self.hits.get(hit).and_then(|open| open.client);
-        client.is_some_and(|client| self.sockets.unsent(client) > MOST_UNSENT)
+        client.is_some_and(|client| self.sockets.unsent_bytes(client) > MOST_UNSENT)
     }
 
     fn answered(&mut self, hit: RequestId, no: AttemptIndex) {
@@ -560,7 +560,7 @@
             return;
         };
         if client.stalled.is_none() {
-            client.stalled = Some(self.wheel.arm(at, Due::Stalled(id)));
+            client.stalled = Some(self.wheel.schedule(at, Due::Stalled(id)));
         }
     }
 
@@ -677,12 +677,12 @@
             "name": self.terms.name,
             "open_hits": self.hits.len(),
             "clients": self.clients,
-            "sockets": self.sockets.open(),
+            "sockets": self.sockets.open_count(),
             "pods": self.rows.len(),
             "list_index": self.list_index,
             "list_watched": self.list_link.is_some(),
             "hits": self.hits.total_accepted(),
-            "unsent": self.sockets.all_unsent(),
+            "unsent": self.sockets.total_unsent_bytes(),
         });
         self.reply(
             id,
@@ -758,7 +758,7 @@
     /// Closes once all that was said is sent.
     pub(super) fn drop_client(&mut self, id: SocketId) {
         self.forget_client(id);
-        self.sockets.finish(id);
+        self.sockets.close_when_sent(id);
     }
 
     fn forget_client(&mut self, id: SocketId) {
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -27,9 +27,9 @@
     Action, AttemptIndex, EndpointUpdate, Event, Phase, RequestId, SidecarConfig, VoteAnswer,
 };
 use limewing_decision::DecisionEngine;
-use limewing_net::call::Call;
-use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
-use limewing_net::wheel::Wheel;
+use limewing_net::http_call::HttpCall;
+use limewing_net::sockets::{resource_limits, SocketEvent, SocketId, Sockets, MAX_INPUT};
+use limewing_net::timer_wheel::TimerWheel;
 use limewing_proxy_core::backoff::Backoff;
 use limewing_proxy_core::clock::{wall_clock_now, Clock};
 use limewing_proxy_core::connection_pool::ConnectionPool;
@@ -37,7 +37,7 @@
 use limewing_proxy_core::in_flight::InFlightRequests;
 use limewing_proxy_core::send_permit::SendAuthority;
 use limewing_proxy_core::shutdown::{PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts};
-use limewing_settings::{Misfit, SidecarSettings};
+use limewing_settings::{ConfigError, SidecarSettings};
 use rustc_hash::FxHashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -63,11 +63,11 @@
     #[error("the system gives no poll or signals: {0}")]
     System(#[from] io::Error),
     #[error("at {}: {}", .0.path, .0.expected)]
-    Settings(Misfit),
+    Settings(ConfigError),
     #[error("can't take datagrams at {at}: {why}")]
     Datagrams { at: SocketAddr, why: io::Error },
     #[error("at /peers/key_file: {0}")]
-    Keys(limewing_settings::Unusable),
+    Keys(limewing_settings::ConfigFileError),
     #[error("at /work/folder: {0}")]
     Work(io::Error),
     #[error("at /peers: {0}")]
@@ -100,7 +100,7 @@
     Pod(Box<PodLink>),
     List(Box<ListLink>),
     News(Box<NewsLink>),
-    Vote(Box<Call>),
+    Vote(Box<HttpCall>),
 }
 
 /// What is due at a time.
@@ -148,7 +148,7 @@
     terms: Terms,
     routes: Routes,
     peers: FxHashMap<SocketId, Peer>,
-    wheel: Wheel<Due>,
+    wheel: TimerWheel<Due>,
     listener: SocketId,
     address: SocketAddr,
     clients: usize,
@@ -208,14 +208,14 @@
             .listen(at)
             .map_err(|why| StartTrouble::Listen { at, why })?;
         let limits = &settings.limits;
-        let client = limits.body_kept + limits.answer_gathered + MOST_INPUT + MOST_UNSENT;
-        let (descriptors, memory) = granted();
+        let client = limits.body_kept + limits.answer_gathered + MAX_INPUT + MOST_UNSENT;
+        let (descriptors, memory) = resource_limits();
         // Each thread beside the loop has an allocator's reserve of its own, which counts as address space.
         let threads =
             1 + usize::from(settings.state_file.is_some()) + usize::from(settings.work.is_some());
         let memory = memory - (threads * THREAD_RESERVE).min(memory / 4 * 3);
         let room = DescriptorBudget::new(descriptors, memory, client);
-        sockets.accept_up_to(room.max_accepted, room.max_connections);
+        sockets.limit_connections(room.max_accepted, room.max_connections);
         let clock = Clock::default();
         let now = clock.now();
         let seed = settings.seed.unwrap_or_else(rand::random);
@@ -273,7 +273,7 @@
             terms,
             routes,
             peers: FxHashMap::default(),
-            wheel: Wheel::default(),
+            wheel: TimerWheel::default(),
             listener,
             address,
             clients: 0,
@@ -330,7 +330,7 @@
     }
 
     fn turn(&mut self) -> io::Result<()> {
-        let next = [self.wheel.next(), self.shutdown.next_deadline()]
+        let next = [self.wheel.next_deadline(), self.shutdown.next_deadline()]
             .into_iter()
             .flatten()
             .min();
@@ -363,7 +363,7 @@
             self.learn();
         }
         rest.into_iter().for_each(|what| self.happened(what));
-        while let Some(due) = self.wheel.take(self.now) {
+        while let Some(due) = self.wheel.pop_expired(self.now) {
             self.is_due(due);
         }
         self.open_parcels();
@@ -413,12 +413,12 @@
 
     /// Whether it tells of the node list or of stages: it happened on a connection to the list service or the installer,
     /// or another sidecar speaks.
-    fn is_control(&self, what: &Happening) -> bool {
+    fn is_control(&self, what: &SocketEvent) -> bool {
         let id = match what {
-            Happening::Datagram { .. } => return true,
-            Happening::Connected(id)
-            | Happening::Readable(id)
-            | Happening::Lost { socket: id, .. } => id,
+            SocketEvent::Datagram { .. } => return true,
+            SocketEvent::Connected(id)
+            | SocketEvent::Readable(id)
+            | SocketEvent::ConnectionLost { socket: id, .. } => id,
             _ => return false,
         };
         matches!(
@@ -551,17 +551,17 @@
             .push(Event::Endpoints(EndpointUpdate::Cached(entries)));
     }
 
-    fn happened(&mut self, what: Happening) {
+    fn happened(&mut self, what: SocketEvent) {
         match what {
-            Happening::Accepted { socket, .. } => self.client_came(socket),
-            Happening::Connected(id) => match self.peers.get(&id) {
+            SocketEvent::Accepted { socket, .. } => self.client_came(socket),
+            SocketEvent::Connected(id) => match self.peers.get(&id) {
                 Some(Peer::Pod(_)) => self.pod_connected(id),
                 Some(Peer::List(_)) => self.list_connected(id),
                 Some(Peer::News(_)) => self.news_connected(id),
                 Some(Peer::Vote(_)) => self.vote_connected(id),
                 Some(Peer::Client(_)) | None => {}
             },
-            Happening::Readable(id) => match self.peers.get(&id) {
+            SocketEvent::Readable(id) => match self.peers.get(&id) {
                 Some(Peer::Client(_)) => self.client_wrote(id),
                 Some(Peer::Pod(_)) => self.pod_wrote(id),
                 Some(Peer::List(_)) => self.list_wrote(id),
@@ -569,11 +569,11 @@
                 Some(Peer::Vote(_)) => self.vote_wrote(id),
                 None => {}
             },
-            Happening::Flushed(id) => match self.peers.get(&id) {
+            SocketEvent::Flushed(id) => match self.peers.get(&id) {
                 Some(Peer::Pod(_)) => self.pod_drained(id),
                 _ => self.client_drained(id),
             },
-            Happening::Lost {
+            SocketEvent::ConnectionLost {
                 socket, written, ..
             } => match self.peers.get(&socket) {
                 Some(Peer::Client(_)) => self.client_gone(socket),
@@ -590,21 +590,21 @@
                 }
                 None => {}
             },
-            Happening::Pressed { why, .. } => {
-                tracing::warn!(%why, open = self.sockets.open(), "can't accept; tried again in 100 ms");
+            SocketEvent::AcceptFailed { why, .. } => {
+                tracing::warn!(%why, open = self.sockets.open_count(), "can't accept; tried again in 100 ms");
                 self.make_room_for_clients();
             }
-            Happening::Datagram { bytes, .. } => {
+            SocketEvent::Datagram { bytes, .. } => {
                 if let Some(fleet) = &mut self.fleet {
                     fleet.hear(self.now, &bytes);
                 }
             }
-            Happening::Signal(HANG_UP) => {
+            SocketEvent::Signal(HANG_UP) => {
                 if let Some(fleet) = &mut self.fleet {
                     fleet.read_keys();
                 }
             }
-            Happening::Signal(signal) => self.leave(signal),
+            SocketEvent::Signal(signal) => self.leave(signal),
         }
     }
 
@@ -688,8 +688,8 @@
                 clients: self.clients > 0,
                 // What became of forwards that are still out is to be known, too.
                 unsent: !self.hits.is_empty()
-                    || self.sockets.all_unsent() > 0
-                    || self.sockets.lingers(),
+                    || self.sockets.total_unsent_bytes() > 0
+                    || self.sockets.has_lingering(),
             };
             match self.shutdown.advance(self.now, holds) {
                 Some(ShutdownStep::StopAccepting) => self.close_door(),
@@ -709,7 +709,7 @@
         let mut clients: Vec<SocketId> = clients.collect();
         clients.sort_unstable();
         // A request that lies with the system, or has begun to come, is answered first.
-        clients.retain(|id| self.sockets.is_quiet(*id));
+        clients.retain(|id| self.sockets.is_silent(*id));
         clients.into_iter().for_each(|id| self.drop_client(id));
     }
 
--- a/crates/http-proxy/src/service/work.rs
+++ b/crates/http-proxy/src/service/work.rs
@@ -862,8 +862,8 @@
         };
         let (words, list) = match asked {
             Asked::Ask(told) => {
-                if let Some(misfit) = settings::Checked::misfits(&**told).first() {
-                    return Err(format!("at {}: {}", misfit.path, misfit.expected));
+                if let Some(error) = settings::Checked::config_errors(&**told).first() {
+                    return Err(format!("at {}: {}", error.path, error.expected));
                 }
                 let list = Identifier(u64::from(rand::random::<u32>()));
                 (words(list, told, rows)?, Some(list.0))
--- a/crates/load-generator/src/generate.rs
+++ b/crates/load-generator/src/generate.rs
@@ -5,8 +5,8 @@
 use hdrhistogram::Histogram;
 use limewing_net::body::Framing;
 use limewing_net::http::write_request;
-use limewing_net::message::Responses;
-use limewing_net::sockets::{Happening, SocketId, Sockets};
+use limewing_net::message_reader::ResponseReader;
+use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
@@ -49,7 +49,7 @@
 }
 
 struct Link {
-    responses: Responses,
+    responses: ResponseReader,
     due: Option<Duration>,
 }
 
@@ -80,7 +80,7 @@
         links.insert(
             id,
             Link {
-                responses: Responses::new(1 << 20),
+                responses: ResponseReader::new(1 << 20),
                 due: None,
             },
         );
@@ -140,9 +140,9 @@
         };
         for what in sockets.wait(Some(wait))? {
             match what {
-                Happening::Connected(id) => free.push(id),
-                Happening::Readable(id) => {
-                    let ended = sockets.ended(id);
+                SocketEvent::Connected(id) => free.push(id),
+                SocketEvent::Readable(id) => {
+                    let ended = sockets.has_ended(id);
                     let Some(link) = links.get_mut(&id) else {
                         continue;
                     };
@@ -162,7 +162,7 @@
                             }
                             free.push(id);
                         }
-                        Ok(None) if !ended => sockets.read_on(id),
+                        Ok(None) if !ended => sockets.resume_reading(id),
                         _ => {
                             sockets.close(id);
                             outcome.failed +=
@@ -171,14 +171,14 @@
                             links.insert(
                                 id,
                                 Link {
-                                    responses: Responses::new(1 << 20),
+                                    responses: ResponseReader::new(1 << 20),
                                     due: None,
                                 },
                             );
                         }
                     }
                 }
-                Happening::Lost { socket, .. } => {
+                SocketEvent::ConnectionLost { socket, .. } => {
                     free.retain(|id| *id != socket);
                     outcome.failed +=
                         u64::from(links.remove(&socket).is_some_and(|link| link.due.is_some()));
--- a/crates/load-generator/src/idle.rs
+++ b/crates/load-generator/src/idle.rs
@@ -6,8 +6,8 @@
 use comfy_table::{presets, Table};
 use limewing_net::body::Framing;
 use limewing_net::http::write_request;
-use limewing_net::message::Responses;
-use limewing_net::sockets::{Happening, SocketId, Sockets};
+use limewing_net::message_reader::ResponseReader;
+use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 struct Sleepers {
     sockets: Sockets,
     asleep: usize,
-    busy: HashMap<SocketId, Responses>,
+    busy: HashMap<SocketId, ResponseReader>,
     request: BytesMut,
 }
 
@@ -65,15 +65,15 @@
                 let failed =
                     |e| io::Error::other(format!("after {} connections: {e}", self.asleep));
                 let id = self.sockets.connect(to).map_err(failed)?;
-                self.busy.insert(id, Responses::new(1 << 20));
+                self.busy.insert(id, ResponseReader::new(1 << 20));
             }
             for what in self.sockets.wait(Some(Duration::from_millis(100)))? {
                 last = Instant::now();
                 match what {
-                    Happening::Connected(id) if self.request.is_empty() => self.sleep(id),
-                    Happening::Connected(id) => self.sockets.send(id, &self.request),
-                    Happening::Readable(id) => self.read(id)?,
-                    Happening::Lost { why, .. } => {
+                    SocketEvent::Connected(id) if self.request.is_empty() => self.sleep(id),
+                    SocketEvent::Connected(id) => self.sockets.send(id, &self.request),
+                    SocketEvent::Readable(id) => self.read(id)?,
+                    SocketEvent::ConnectionLost { why, .. } => {
                         return Err(io::Error::other(format!(
                             "after {} connections: {why}",
                             self.asleep
@@ -108,7 +108,7 @@
     }
 
     fn read(&mut self, id: SocketId) -> io::Result<()> {
-        let ended = self.sockets.ended(id);
+        let ended = self.sockets.has_ended(id);
         let (Some(responses), Some(input)) = (self.busy.get_mut(&id), self.sockets.input(id))
         else {
             return Err(io::Error::other(format!(
@@ -118,7 +118,7 @@
         };
         match responses.take(input, ended) {
             Ok(Some(_)) => self.sleep(id),
-            Ok(None) if !ended => self.sockets.read_on(id),
+            Ok(None) if !ended => self.sockets.resume_reading(id),
             _ => {
                 return Err(io::Error::other(format!(
                     "no whole answer after {} connections",
--- a/crates/load-generator/src/pods.rs
+++ b/crates/load-generator/src/pods.rs
@@ -3,8 +3,8 @@
 use bytes::BytesMut;
 use limewing_net::body::Framing;
 use limewing_net::http::write_response;
-use limewing_net::message::Requests;
-use limewing_net::sockets::{Happening, SocketId, Sockets};
+use limewing_net::message_reader::RequestReader;
+use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -31,20 +31,20 @@
         true,
     );
     answer.extend_from_slice(&body);
-    let mut links: HashMap<SocketId, Requests> = HashMap::new();
+    let mut links: HashMap<SocketId, RequestReader> = HashMap::new();
     loop {
         for what in sockets.wait(None)? {
             match what {
-                Happening::Accepted { socket, .. } => {
-                    drop(links.insert(socket, Requests::new(64 * 1024)))
+                SocketEvent::Accepted { socket, .. } => {
+                    drop(links.insert(socket, RequestReader::new(64 * 1024)))
                 }
-                Happening::Lost { socket, .. } => drop(links.remove(&socket)),
-                Happening::Readable(id) => {
+                SocketEvent::ConnectionLost { socket, .. } => drop(links.remove(&socket)),
+                SocketEvent::Readable(id) => {
                     let Some(requests) = links.get_mut(&id) else {
                         continue;
                     };
                     let mut whole = 0;
-                    let mut broken = sockets.ended(id);
+                    let mut broken = sockets.has_ended(id);
                     while let Some(input) = sockets.input(id) {
                         match requests.take(input, false) {
                             Ok(Some(_)) => whole += 1,
@@ -60,7 +60,7 @@
                         links.remove(&id);
                         sockets.close(id);
                     } else {
-                        sockets.read_on(id);
+                        sockets.resume_reading(id);
                     }
                 }
                 _ => {}
--- a/crates/load-generator/src/relay.rs
+++ b/crates/load-generator/src/relay.rs
@@ -1,6 +1,6 @@
 //! A bare relay: each client's connection has one of its own to a pod, and bytes pass as they come.
 
-use limewing_net::sockets::{Happening, SocketId, Sockets};
+use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     loop {
         for what in sockets.wait(None)? {
             match what {
-                Happening::Accepted { socket, .. } => {
+                SocketEvent::Accepted { socket, .. } => {
                     turn += 1;
                     match sockets.connect(pods[turn % pods.len()]) {
                         Ok(link) => {
@@ -29,23 +29,23 @@
                         Err(_) => sockets.close(socket),
                     }
                 }
-                Happening::Readable(id) => {
+                SocketEvent::Readable(id) => {
                     let Some(to) = other.get(&id).copied() else {
                         continue;
                     };
                     if let Some(bytes) = sockets.input(id).map(|input| input.split()) {
                         sockets.send(to, &bytes);
                     }
-                    if sockets.ended(id) {
+                    if sockets.has_ended(id) {
                         other.remove(&id);
                         other.remove(&to);
                         sockets.close(id);
-                        sockets.finish(to);
+                        sockets.close_when_sent(to);
                     } else {
-                        sockets.read_on(id);
+                        sockets.resume_reading(id);
                     }
                 }
-                Happening::Lost { socket, .. } => {
+                SocketEvent::ConnectionLost { socket, .. } => {
                     if let Some(to) = other.remove(&socket) {
                         other.remove(&to);
                         sockets.close(to);
--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,6 +1,6 @@
 //! Bodies of HTTP/1.1 messages, piece by piece: nothing is gathered here.
 
-use crate::http::Refused;
+use crate::http::HttpError;
 use bytes::{Bytes, BytesMut};
 
 /// How the end of a body is told (RFC 9112, 6.3).
@@ -52,13 +52,13 @@
     ///
     /// # Errors
     /// The body had not ended.
-    pub fn close(&mut self) -> Result<(), Refused> {
+    pub fn close(&mut self) -> Result<(), HttpError> {
         match self.at {
             At::UntilClose | At::End => {
                 self.at = At::End;
                 Ok(())
             }
-            _ => Err(Refused::Early),
+            _ => Err(HttpError::Early),
         }
     }
 
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// A chunk that can't be read.
-    pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, Refused> {
+    pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         loop {
             match self.at {
                 At::End => return Ok(None),
@@ -93,7 +93,7 @@
                         return Ok(None);
                     }
                     if &input.split_to(2)[..] != b"\r\n" {
-                        return Err(Refused::Chunk);
+                        return Err(HttpError::Chunk);
                     }
                     self.at = At::Size;
                 }
@@ -108,7 +108,7 @@
                         Ok(httparse::Status::Complete((_, size))) if plain => {
                             self.at = At::Chunk(size)
                         }
-                        _ => return Err(Refused::Chunk),
+                        _ => return Err(HttpError::Chunk),
                     }
                 }
                 At::Trailer => {
@@ -119,7 +119,7 @@
                     if line.is_empty() {
                         self.at = At::End;
                     } else if self.trailers > MOST_TRAILERS || !line.contains(&b':') {
-                        return Err(Refused::Chunk);
+                        return Err(HttpError::Chunk);
                     }
                 }
             }
@@ -133,14 +133,14 @@
 }
 
 /// A line without its end; a bare line feed is no end.
-fn line(input: &mut BytesMut) -> Result<Option<Bytes>, Refused> {
+fn line(input: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
     match input.iter().position(|b| *b == b'\n') {
         Some(end) if end > 0 && end <= LONGEST_LINE && input[end - 1] == b'\r' => {
             let line = input.split_to(end + 1).freeze();
             Ok(Some(line.slice(..end - 1)))
         }
         None if input.len() <= LONGEST_LINE => Ok(None),
-        _ => Err(Refused::Chunk),
+        _ => Err(HttpError::Chunk),
     }
 }
 
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -6,7 +6,7 @@
 
 /// Why a message can't be taken. `status` is what a server answers to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum HttpError {
     #[error("the head is larger than allowed")]
     HeadTooLarge,
     #[error("the head is not HTTP/1.1")]
@@ -27,12 +27,12 @@
     BodyTooLarge,
 }
 
-impl Refused {
+impl HttpError {
     pub fn status(self) -> u16 {
         match self {
-            Refused::HeadTooLarge => 431,
-            Refused::Coding => 501,
-            Refused::BodyTooLarge => 413,
+            HttpError::HeadTooLarge => 431,
+            HttpError::Coding => 501,
+            HttpError::BodyTooLarge => 413,
             _ => 400,
         }
     }
@@ -46,13 +46,13 @@
 }
 
 /// No limit allows more fields than this.
-pub const MOST_FIELDS: usize = 64;
+pub const MAX_FIELDS: usize = 64;
 
 impl Default for HeadLimits {
     fn default() -> Self {
         Self {
             bytes: 16 * 1024,
-            fields: MOST_FIELDS,
+            fields: MAX_FIELDS,
         }
     }
 }
@@ -141,31 +141,31 @@
 ///
 /// # Errors
 /// What is refused, by RFC 9112: the connection must be closed after the answer.
-pub fn request(input: &mut BytesMut, limits: HeadLimits) -> Result<Option<RequestHead>, Refused> {
+pub fn request(input: &mut BytesMut, limits: HeadLimits) -> Result<Option<RequestHead>, HttpError> {
     // An empty line before a request is skipped (RFC 9112, 2.2).
     while input.starts_with(b"\r\n") {
         let _ = input.split_to(2);
     }
-    let mut space = [httparse::EMPTY_HEADER; MOST_FIELDS];
-    let mut head = httparse::Request::new(&mut space[..limits.fields.min(MOST_FIELDS)]);
+    let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut head = httparse::Request::new(&mut space[..limits.fields.min(MAX_FIELDS)]);
     let status = head.parse(input);
     let Some(length) = length_of(status, input.len(), limits)? else {
         return Ok(None);
     };
-    let minor = head.version.ok_or(Refused::BadHead)?;
+    let minor = head.version.ok_or(HttpError::BadHead)?;
     let (method, target) = (
-        head.method.ok_or(Refused::BadHead)?,
-        head.path.ok_or(Refused::BadHead)?,
+        head.method.ok_or(HttpError::BadHead)?,
+        head.path.ok_or(HttpError::BadHead)?,
     );
     let (method, target) = (method.to_owned(), target.to_owned());
     let spans = spans(head.headers, input);
     let fields = fields(spans, input, length)?;
     if minor == 1 && fields.all("host").count() != 1 {
-        return Err(Refused::Host);
+        return Err(HttpError::Host);
     }
     let framing = match (coding(&fields)?, content_length(&fields)?) {
-        (true, Some(_)) => return Err(Refused::Lengths),
-        (true, None) if minor == 0 => return Err(Refused::Lengths),
+        (true, Some(_)) => return Err(HttpError::Lengths),
+        (true, None) if minor == 0 => return Err(HttpError::Lengths),
         (true, None) => Framing::Chunked,
         (false, length) => Framing::Length(length.unwrap_or(0)),
     };
@@ -191,17 +191,17 @@
     input: &mut BytesMut,
     to_head: bool,
     limits: HeadLimits,
-) -> Result<Option<ResponseHead>, Refused> {
+) -> Result<Option<ResponseHead>, HttpError> {
     loop {
-        let mut space = [httparse::EMPTY_HEADER; MOST_FIELDS];
-        let mut head = httparse::Response::new(&mut space[..limits.fields.min(MOST_FIELDS)]);
+        let mut space = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut head = httparse::Response::new(&mut space[..limits.fields.min(MAX_FIELDS)]);
         let status = head.parse(input);
         let Some(length) = length_of(status, input.len(), limits)? else {
             return Ok(None);
         };
         let (status, minor) = (
-            head.code.ok_or(Refused::BadHead)?,
-            head.version.ok_or(Refused::BadHead)?,
+            head.code.ok_or(HttpError::BadHead)?,
+            head.version.ok_or(HttpError::BadHead)?,
         );
         let spans = spans(head.headers, input);
         let fields = fields(spans, input, length)?;
@@ -210,7 +210,7 @@
         }
         let framing = match (coding(&fields)?, content_length(&fields)?) {
             _ if to_head || status == 204 || status == 304 => Framing::Length(0),
-            (true, Some(_)) => return Err(Refused::Lengths),
+            (true, Some(_)) => return Err(HttpError::Lengths),
             (true, None) => Framing::Chunked,
             (false, Some(length)) => Framing::Length(length),
             (false, None) => Framing::UntilClose,
@@ -229,15 +229,15 @@
     status: httparse::Result<usize>,
     held: usize,
     limits: HeadLimits,
-) -> Result<Option<usize>, Refused> {
+) -> Result<Option<usize>, HttpError> {
     match status {
         Ok(httparse::Status::Complete(length)) if length <= limits.bytes => Ok(Some(length)),
         Ok(httparse::Status::Complete(_)) | Err(httparse::Error::TooManyHeaders) => {
-            Err(Refused::HeadTooLarge)
+            Err(HttpError::HeadTooLarge)
         }
-        Ok(httparse::Status::Partial) if held > limits.bytes => Err(Refused::HeadTooLarge),
+        Ok(httparse::Status::Partial) if held > limits.bytes => Err(HttpError::HeadTooLarge),
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err(Refused::BadHead),
+        Err(_) => Err(HttpError::BadHead),
     }
 }
 
@@ -260,25 +260,25 @@
     places: Vec<(Span, Span)>,
     input: &mut BytesMut,
     length: usize,
-) -> Result<Fields, Refused> {
+) -> Result<Fields, HttpError> {
     let raw = input.split_to(length).freeze();
     let bare = |at: usize| at == 0 || raw[at - 1] != b'\r';
     if memchr::memchr_iter(b'\n', &raw).any(bare) {
-        return Err(Refused::BareLineFeed);
+        return Err(HttpError::BareLineFeed);
     }
     Ok(Fields { raw, places })
 }
 
-fn coding(fields: &Fields) -> Result<bool, Refused> {
+fn coding(fields: &Fields) -> Result<bool, HttpError> {
     let mut codings = fields.all("transfer-encoding");
     match (codings.next(), codings.next()) {
         (None, _) => Ok(false),
         (Some(one), None) if one.trim_ascii().eq_ignore_ascii_case(b"chunked") => Ok(true),
-        _ => Err(Refused::Coding),
+        _ => Err(HttpError::Coding),
     }
 }
 
-fn content_length(fields: &Fields) -> Result<Option<u64>, Refused> {
+fn content_length(fields: &Fields) -> Result<Option<u64>, HttpError> {
     let mut lengths = fields.all("content-length");
     match (lengths.next(), lengths.next()) {
         (None, _) => Ok(None),
@@ -290,7 +290,7 @@
                     .fold(0, |sum, digit| sum * 10 + u64::from(digit - b'0')),
             ))
         }
-        _ => Err(Refused::Lengths),
+        _ => Err(HttpError::Lengths),
     }
 }
 
--- a/crates/net/src/call.rs
+++ b/crates/net/src/http_call.rs
@@ -1,30 +1,30 @@
 //! One call on a connection of its own: a request is sent once the connection stands, and one answer is read.
 
 use crate::http::ResponseHead;
-use crate::message::Responses;
+use crate::message_reader::ResponseReader;
 use crate::sockets::{SocketId, Sockets};
-use crate::wheel::TimerKey;
+use crate::timer_wheel::TimerKey;
 use bytes::BytesMut;
 
-pub struct Call {
-    answers: Responses,
+pub struct HttpCall {
+    answers: ResponseReader,
     request: BytesMut,
     /// When the answer is waited for no longer.
     pub timer: TimerKey,
 }
 
-pub enum Heard {
-    NotYet,
-    Whole(ResponseHead, BytesMut),
+pub enum CallProgress {
+    Pending,
+    Complete(ResponseHead, BytesMut),
     /// Half an answer, or one that can't be read: the call may have been carried out.
-    Lost,
+    Failed,
 }
 
-impl Call {
+impl HttpCall {
     /// The answer's body may have `most` bytes.
     pub fn new(request: BytesMut, most: usize, timer: TimerKey) -> Self {
         Self {
-            answers: Responses::new(most),
+            answers: ResponseReader::new(most),
             request,
             timer,
         }
@@ -34,18 +34,18 @@
         sockets.send(link, &std::mem::take(&mut self.request));
     }
 
-    pub fn hear(&mut self, link: SocketId, sockets: &mut Sockets) -> Heard {
-        let ended = sockets.ended(link);
+    pub fn hear(&mut self, link: SocketId, sockets: &mut Sockets) -> CallProgress {
+        let ended = sockets.has_ended(link);
         let Some(input) = sockets.input(link) else {
-            return Heard::Lost;
+            return CallProgress::Failed;
         };
         match self.answers.take(input, ended) {
-            Ok(Some((head, body))) => Heard::Whole(head, body),
+            Ok(Some((head, body))) => CallProgress::Complete(head, body),
             Ok(None) if !ended => {
-                sockets.read_on(link);
-                Heard::NotYet
+                sockets.resume_reading(link);
+                CallProgress::Pending
             }
-            _ => Heard::Lost,
+            _ => CallProgress::Failed,
         }
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -12,8 +12,8 @@
 )]
 
 pub mod body;
-pub mod call;
 pub mod http;
-pub mod message;
+pub mod http_call;
+pub mod message_reader;
 pub mod sockets;
-pub mod wheel;
+pub mod timer_wheel;
--- a/crates/net/src/message.rs
+++ b/crates/net/src/message_reader.rs
@@ -1,11 +1,11 @@
 //! Whole messages, gathered up to a bound: for peers that exchange small ones.
 
 use crate::body::{BodyReader, Framing};
-use crate::http::{self, HeadLimits, Refused, RequestHead, ResponseHead};
+use crate::http::{self, HeadLimits, HttpError, RequestHead, ResponseHead};
 use bytes::BytesMut;
 
 /// Gathers one message after the other off a connection's bytes.
-pub struct Gather<H> {
+pub struct MessageReader<H> {
     /// Apart, so that a connection between two messages is small.
     open: Option<Box<Open<H>>>,
     most: usize,
@@ -21,13 +21,13 @@
 pub trait Head: Sized {
     /// # Errors
     /// What is refused; the connection is of no further use.
-    fn read(input: &mut BytesMut) -> Result<Option<Self>, Refused>;
+    fn read(input: &mut BytesMut) -> Result<Option<Self>, HttpError>;
 
     fn framing(&self) -> Framing;
 }
 
 impl Head for RequestHead {
-    fn read(input: &mut BytesMut) -> Result<Option<Self>, Refused> {
+    fn read(input: &mut BytesMut) -> Result<Option<Self>, HttpError> {
         http::request(input, HeadLimits::default())
     }
 
@@ -37,7 +37,7 @@
 }
 
 impl Head for ResponseHead {
-    fn read(input: &mut BytesMut) -> Result<Option<Self>, Refused> {
+    fn read(input: &mut BytesMut) -> Result<Option<Self>, HttpError> {
         http::response(input, false, HeadLimits::default())
     }
 
@@ -46,10 +46,10 @@
     }
 }
 
-pub type Requests = Gather<RequestHead>;
-pub type Responses = Gather<ResponseHead>;
+pub type RequestReader = MessageReader<RequestHead>;
+pub type ResponseReader = MessageReader<ResponseHead>;
 
-impl<H: Head> Gather<H> {
+impl<H: Head> MessageReader<H> {
     /// Bodies may have `most` bytes.
     pub fn new(most: usize) -> Self {
         Self { open: None, most }
@@ -75,7 +75,7 @@
         &mut self,
         input: &mut BytesMut,
         closed: bool,
-    ) -> Result<Option<(H, BytesMut)>, Refused> {
+    ) -> Result<Option<(H, BytesMut)>, HttpError> {
         let mut open = match self.open.take() {
             Some(open) => *open,
             None => match H::read(input)? {
@@ -84,7 +84,7 @@
                     head,
                     body: BytesMut::new(),
                 },
-                None if closed && !input.is_empty() => return Err(Refused::Early),
+                None if closed && !input.is_empty() => return Err(HttpError::Early),
                 None => return Ok(None),
             },
         };
@@ -92,7 +92,7 @@
             open.body.extend_from_slice(&piece);
             if open.body.len() > self.most {
                 self.open = Some(Box::new(open));
-                return Err(Refused::BodyTooLarge);
+                return Err(HttpError::BodyTooLarge);
             }
         }
         if closed {
@@ -106,7 +106,7 @@
     }
 }
 
-impl Requests {
+impl RequestReader {
     /// Whether a client waits for a word before it sends the body (RFC 9110, 10.1.1); told once a request.
     pub fn wants_continue(&mut self) -> bool {
         let waits = self.open.as_mut().filter(|open| !open.reader.ended());
--- a/crates/net/src/sockets.rs
+++ b/crates/net/src/sockets.rs
@@ -21,7 +21,7 @@
 pub struct SocketId(u64);
 
 #[derive(Debug)]
-pub enum Happening {
+pub enum SocketEvent {
     Accepted {
         listener: SocketId,
         socket: SocketId,
@@ -34,13 +34,13 @@
     Flushed(SocketId),
     /// The connection is gone: refused, reset or failed. `written`: bytes given to the system before. What it had
     /// brought is told before, in an earlier round, and stays to be read until then.
-    Lost {
+    ConnectionLost {
         socket: SocketId,
         written: u64,
         why: ErrorKind,
     },
     /// A listener could not accept, for want of descriptors or memory; it tries again soon.
-    Pressed {
+    AcceptFailed {
         listener: SocketId,
         why: ErrorKind,
     },
@@ -98,7 +98,7 @@
 }
 
 /// Input held for one connection at most, in bytes.
-pub const MOST_INPUT: usize = 32 * 1024;
+pub const MAX_INPUT: usize = 32 * 1024;
 /// Datagrams read in a row before others have their turn.
 const DATAGRAM_BATCH: usize = 64;
 /// Connections accepted in a row before others have their turn.
@@ -116,7 +116,7 @@
     events: Events,
     slots: Slab<Slot>,
     mark: u32,
-    told: VecDeque<Happening>,
+    told: VecDeque<SocketEvent>,
     finishing: VecDeque<SocketId>,
     lingering: usize,
     /// Connections that are gone: those whose last input is being told, and those whose end is told next.
@@ -216,7 +216,7 @@
             match socket.recv_from(&mut self.scratch) {
                 Ok((length, from)) => {
                     let bytes = self.scratch[..length].to_vec();
-                    self.told.push_back(Happening::Datagram {
+                    self.told.push_back(SocketEvent::Datagram {
                         socket: id,
                         from,
                         bytes,
@@ -232,7 +232,7 @@
 
     /// Accepts no connection while so many accepted ones are open, or so many of any kind: what waits stays in the
     /// backlog.
-    pub fn accept_up_to(&mut self, accepted: usize, all: usize) {
+    pub fn limit_connections(&mut self, accepted: usize, all: usize) {
         self.most = (accepted, all);
     }
 
@@ -294,18 +294,18 @@
     }
 
     /// Whether the peer has closed its side.
-    pub fn ended(&mut self, id: SocketId) -> bool {
+    pub fn has_ended(&mut self, id: SocketId) -> bool {
         self.link(id).is_none_or(|link| link.ended)
     }
 
     /// Whether the peer has closed its side or the connection is gone, though input may be left to read before it.
-    pub fn hung_up(&mut self, id: SocketId) -> bool {
+    pub fn has_peer_closed(&mut self, id: SocketId) -> bool {
         self.link(id)
             .is_none_or(|link| link.ended || link.closed || link.lost.is_some())
     }
 
     /// Whether nothing has come in: no byte, and no end. Asks the system, which may know more than was told.
-    pub fn is_quiet(&mut self, id: SocketId) -> bool {
+    pub fn is_silent(&mut self, id: SocketId) -> bool {
         let live = |link: &&mut Link| link.input.is_empty() && !link.ended && link.lost.is_none();
         let Some(link) = self.link(id).filter(live) else {
             return false;
@@ -314,13 +314,13 @@
     }
 
     /// Whether bytes lie with the system that were not read yet.
-    pub fn has_unread(&mut self, id: SocketId) -> bool {
+    pub fn has_unread_input(&mut self, id: SocketId) -> bool {
         self.link(id)
             .is_some_and(|link| matches!(link.stream.peek(&mut [0]), Ok(1..)))
     }
 
     /// Whether connections that were finished still send their last bytes or hear their peers out.
-    pub fn lingers(&self) -> bool {
+    pub fn has_lingering(&self) -> bool {
         self.lingering > 0
     }
 
@@ -354,17 +354,17 @@
     }
 
     /// Bytes given to the system so far.
-    pub fn written(&mut self, id: SocketId) -> u64 {
+    pub fn bytes_written(&mut self, id: SocketId) -> u64 {
         self.link(id).map_or(0, |link| link.written)
     }
 
     /// Bytes that wait to be sent.
-    pub fn unsent(&mut self, id: SocketId) -> usize {
+    pub fn unsent_bytes(&mut self, id: SocketId) -> usize {
         self.link(id).map_or(0, |link| link.output.len())
     }
 
     /// Bytes that wait to be sent on all connections together. It looks at each: not for every turn.
-    pub fn all_unsent(&self) -> usize {
+    pub fn total_unsent_bytes(&self) -> usize {
         let waits = |slot: &Slot| match &slot.socket {
             Socket::Link(link) => link.output.len(),
             Socket::Listener { .. } | Socket::Datagrams(_) => 0,
@@ -373,7 +373,7 @@
     }
 
     /// Connections and listeners open now.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.slots.len()
     }
 
@@ -396,10 +396,10 @@
     }
 
     /// Goes on reading after input was taken.
-    pub fn read_on(&mut self, id: SocketId) {
+    pub fn resume_reading(&mut self, id: SocketId) {
         if self
             .link(id)
-            .is_some_and(|link| link.more && link.input.len() < MOST_INPUT)
+            .is_some_and(|link| link.more && link.input.len() < MAX_INPUT)
         {
             self.fill(id);
         }
@@ -428,7 +428,7 @@
 
     /// Closes once all is sent; nothing more is told of it. The peer is heard out first, or the system would
     /// answer its last bytes with a reset that destroys ours on the way.
-    pub fn finish(&mut self, id: SocketId) {
+    pub fn close_when_sent(&mut self, id: SocketId) {
         let Some(link) = self.link(id).filter(|link| link.finishing.is_none()) else {
             return;
         };
@@ -489,7 +489,7 @@
     fn tell_lost(&mut self) {
         for id in std::mem::take(&mut self.lost[1]) {
             let Some(link) = self.link(id) else { continue };
-            if link.more && link.input.len() < MOST_INPUT {
+            if link.more && link.input.len() < MAX_INPUT {
                 // The owner takes what comes and there is more.
                 self.fill(id);
                 self.lost[0].push(id);
@@ -497,7 +497,7 @@
             }
             let (written, why) = (link.written, link.lost.unwrap_or(ErrorKind::Other));
             self.close(id);
-            self.told.push_back(Happening::Lost {
+            self.told.push_back(SocketEvent::ConnectionLost {
                 socket: id,
                 written,
                 why,
@@ -509,7 +509,7 @@
     ///
     /// # Errors
     /// The poll itself failed.
-    pub fn wait(&mut self, most: Option<Duration>) -> io::Result<Vec<Happening>> {
+    pub fn wait(&mut self, most: Option<Duration>) -> io::Result<Vec<SocketEvent>> {
         let soon = self
             .accept_at
             .map(|at| at.saturating_duration_since(Instant::now()));
@@ -565,7 +565,7 @@
                     .as_mut()
                     .map(|s| s.pending().collect::<Vec<_>>());
                 self.told
-                    .extend(pending.into_iter().flatten().map(Happening::Signal));
+                    .extend(pending.into_iter().flatten().map(SocketEvent::Signal));
                 continue;
             }
             let id = SocketId(token.0 as u64);
@@ -579,7 +579,7 @@
                     .link(id)
                     .is_some_and(|link| link.more && link.finishing.is_none())
             {
-                self.told.push_back(Happening::Readable(id));
+                self.told.push_back(SocketEvent::Readable(id));
             }
         }
         let gone = std::mem::take(&mut self.lost[0]);
@@ -629,14 +629,14 @@
                 Err(e) if e.kind() == ErrorKind::NotConnected => return,
                 Err(e) => return self.lose(id, e.kind()),
             }
-            self.told.push_back(Happening::Connected(id));
+            self.told.push_back(SocketEvent::Connected(id));
         }
         let Some(link) = self.link(id) else { return };
         if writable && !link.output.is_empty() {
             match link.flush() {
                 Err(why) => return self.lose(id, why.kind()),
                 Ok(()) if link.output.is_empty() && link.finishing.is_none() => {
-                    self.told.push_back(Happening::Flushed(id))
+                    self.told.push_back(SocketEvent::Flushed(id))
                 }
                 Ok(()) => {}
             }
@@ -659,11 +659,11 @@
         let mut fresh = false;
         link.more = false;
         while !link.ended {
-            if link.input.len() >= MOST_INPUT {
+            if link.input.len() >= MAX_INPUT {
                 link.more = true;
                 break;
             }
-            let room = scratch.len().min(MOST_INPUT - link.input.len());
+            let room = scratch.len().min(MAX_INPUT - link.input.len());
             match link.stream.read(&mut scratch[..room]) {
                 // The end of what is gone is no end that the peer made.
                 Ok(0) if link.lost.is_some() => break,
@@ -687,7 +687,7 @@
         }
         self.scratch = scratch;
         if fresh {
-            self.told.push_back(Happening::Readable(id));
+            self.told.push_back(SocketEvent::Readable(id));
         }
         if let Some(why) = failed {
             self.lose(id, why);
@@ -723,7 +723,7 @@
                     match self.insert(Socket::Link(Box::new(link))) {
                         Ok(socket) => {
                             self.accepted += 1;
-                            self.told.push_back(Happening::Accepted {
+                            self.told.push_back(SocketEvent::Accepted {
                                 listener: id,
                                 socket,
                                 from,
@@ -756,13 +756,13 @@
         }
         self.accept_at = Some(Instant::now() + ACCEPT_AGAIN);
         self.told
-            .push_back(Happening::Pressed { listener: id, why });
+            .push_back(SocketEvent::AcceptFailed { listener: id, why });
         Waits::ForRoom
     }
 }
 
 /// How many descriptors, and bytes of address space, this process may hold.
-pub fn granted() -> (usize, usize) {
+pub fn resource_limits() -> (usize, usize) {
     let of = |what| {
         let limit = rustix::process::getrlimit(what).current;
         limit.map_or(usize::MAX, |most| {
@@ -776,7 +776,7 @@
 }
 
 /// Whether what failed is for want of something of this process or its machine, and says nothing of the peer.
-pub fn is_own_want(trouble: &io::Error) -> bool {
+pub fn is_resource_exhaustion(trouble: &io::Error) -> bool {
     use rustix::io::Errno;
     let own = [
         Errno::MFILE,
--- a/crates/net/src/wheel.rs
+++ b/crates/net/src/timer_wheel.rs
@@ -23,7 +23,7 @@
     what: T,
 }
 
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     entries: Slab<Entry<T>>,
     slots: Vec<Vec<usize>>,
     /// Which slots of each level hold timers, a bit for each.
@@ -34,7 +34,7 @@
     due: Vec<usize>,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
         let slots = (0..LEVELS * SLOTS as usize).map(|_| Vec::new()).collect();
         Self {
@@ -52,9 +52,9 @@
     at.as_millis() as u64
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// Arms a timer; one in the past fires at the next `take`.
-    pub fn arm(&mut self, at: Duration, what: T) -> TimerKey {
+    pub fn schedule(&mut self, at: Duration, what: T) -> TimerKey {
         // Rounded up: a timer never fires before its time.
         let tick = ticks(at + Duration::from_nanos(999_999)).max(self.tick + 1);
         self.mark += 1;
@@ -88,7 +88,7 @@
     }
 
     /// When to look again: at the next slot that holds a timer, or sooner.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_deadline(&self) -> Option<Duration> {
         if !self.due.is_empty() {
             return Some(Duration::from_millis(self.tick));
         }
@@ -112,7 +112,7 @@
     }
 
     /// Takes one timer that is due at `now`, in the order of ticks.
-    pub fn take(&mut self, now: Duration) -> Option<T> {
+    pub fn pop_expired(&mut self, now: Duration) -> Option<T> {
         let until = ticks(now);
         while self.due.is_empty() {
             // Nothing begins before the next slot that holds a timer: the ticks until then are passed over,
--- a/crates/postgres-proxy/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -13,7 +13,7 @@
 use crate::listing::List;
 use bytes::{Bytes, BytesMut};
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, Event, PodId, RequestId};
-use limewing_net::sockets::{is_own_want, SocketId};
+use limewing_net::sockets::{is_resource_exhaustion, SocketId};
 use limewing_postgres_protocol::write;
 use limewing_proxy_core::connection_pool::IdleConnection;
 use limewing_proxy_core::in_flight::Attempt;
@@ -52,7 +52,7 @@
         } else {
             open.deadline.min(now + within)
         };
-        let timer = Some(self.wheel.arm(due, Due::Attempt(hit, no)));
+        let timer = Some(self.wheel.schedule(due, Due::Attempt(hit, no)));
         open.attempts.push(Attempt {
             pod,
             sent_at: now,
@@ -146,7 +146,7 @@
                 .protocol_state
                 .waiting(open.deadline.saturating_sub(self.now)),
         );
-        attempt.until = self.sockets.written(link) + out.len() as u64;
+        attempt.until = self.sockets.bytes_written(link) + out.len() as u64;
         let sent = open
             .attempts
             .get(usize::from(attempt.no.0))
@@ -162,7 +162,7 @@
         connection.phase = Phase::Checking(attempt);
         let late = self
             .wheel
-            .arm(self.now + self.terms.connect_timeout, Due::Connect(link));
+            .schedule(self.now + self.terms.connect_timeout, Due::Connect(link));
         connection
             .timer
             .replace(late)
@@ -179,7 +179,9 @@
             return;
         };
         connection.phase = Phase::HoldingBack(attempt);
-        let rest = self.wheel.arm(self.now + HELD_BACK, Due::LastByte(link));
+        let rest = self
+            .wheel
+            .schedule(self.now + HELD_BACK, Due::LastByte(link));
         connection
             .timer
             .replace(rest)
@@ -324,7 +326,7 @@
         let Some(until) = connection.phase.attempt().map(|attempt| attempt.until) else {
             return false;
         };
-        let written = self.sockets.written(link) >= until;
+        let written = self.sockets.bytes_written(link) >= until;
         self.close_connection(link);
         written
     }
@@ -371,7 +373,7 @@
 
     pub(super) fn pod_wrote(&mut self, link: SocketId) {
         loop {
-            let ended = self.sockets.ended(link);
+            let ended = self.sockets.has_ended(link);
             let Some(Peer::Pod(connection)) = self.peers.get_mut(&link) else {
                 return;
             };
@@ -381,7 +383,7 @@
             let step = match connection.frames.take(input, longest_message) {
                 Ok(Some(frame)) => connection.step(frame),
                 Ok(None) if ended => {
-                    let written = self.sockets.written(link);
+                    let written = self.sockets.bytes_written(link);
                     self.sockets.close(link);
                     return self.pod_lost(link, written, ErrorKind::ConnectionReset);
                 }
@@ -409,9 +411,12 @@
         };
         let begun = connection.phase.has_answer() || connection.frames.begun() || has_more;
         if connection.phase.is_up() && begun && connection.timer.is_none() {
-            connection.timer = Some(self.wheel.arm(self.now + WHOLE_WITHIN, Due::Connect(link)));
+            connection.timer = Some(
+                self.wheel
+                    .schedule(self.now + WHOLE_WITHIN, Due::Connect(link)),
+            );
         }
-        self.sockets.read_on(link);
+        self.sockets.resume_reading(link);
     }
 
     /// The pod takes the next attempt.
@@ -430,7 +435,7 @@
             .sockets
             .input(link)
             .is_none_or(|input| !input.is_empty())
-            || self.sockets.hung_up(link);
+            || self.sockets.has_peer_closed(link);
         // One to where the pod was, or to an earlier life of it, is not for the next attempt.
         let stale = self.list.life(connection.pod) != Some(connection.life);
         match waiting {
@@ -454,7 +459,7 @@
         };
         let old = connection
             .timer
-            .replace(self.wheel.arm(at, Due::Connect(link)));
+            .replace(self.wheel.schedule(at, Due::Connect(link)));
         old.map(|timer| self.wheel.cancel(timer));
     }
 
@@ -525,7 +530,7 @@
                 .take_if(pod, |link| now >= link.idle_since + RESTS)?;
             self.wheel.cancel(timer);
             let idle = now.saturating_sub(since);
-            let good = self.lapses.is_reusable(idle) && self.sockets.is_quiet(id);
+            let good = self.lapses.is_reusable(idle) && self.sockets.is_silent(id);
             let Some(Peer::Pod(connection)) = self.peers.get_mut(&id) else {
                 continue;
             };
@@ -546,7 +551,7 @@
         let life = self.list.life(pod).ok_or(AttemptOutcome::ConnectFailed)?;
         let link = self.sockets.connect(life.dial).map_err(|trouble| {
             // Our own want is no sign of the pod: it must not be shut for it.
-            let own = is_own_want(&trouble);
+            let own = is_resource_exhaustion(&trouble);
             tracing::warn!(%trouble, own, "no way to a pod");
             if own {
                 AttemptOutcome::NeverSent
@@ -556,7 +561,7 @@
         })?;
         let timer = self
             .wheel
-            .arm(self.now + self.terms.connect_timeout, Due::Connect(link));
+            .schedule(self.now + self.terms.connect_timeout, Due::Connect(link));
         let connection = PodConnection::connecting(pod, life, timer);
         self.peers.insert(link, Peer::Pod(Box::new(connection)));
         Ok(link)
@@ -570,7 +575,7 @@
         let most = self
             .lapses
             .idle_timeout(bounds::kept(self.terms.idle_close));
-        let timer = self.wheel.arm(self.now + most, Due::Idle(link));
+        let timer = self.wheel.schedule(self.now + most, Due::Idle(link));
         self.kept.insert(
             connection.pod,
             IdleConnection {
@@ -594,10 +599,10 @@
     /// Whether a connection to a pod may be made: if all are taken, the pod with the most kept ones loses its
     /// oldest. Guards against connections kept to some pods that keep attempts from the others.
     fn makes_room(&mut self) -> bool {
-        if self.sockets.open() >= self.room.max_connections {
+        if self.sockets.open_count() >= self.room.max_connections {
             self.drop_kept();
         }
-        self.sockets.open() < self.room.max_connections
+        self.sockets.open_count() < self.room.max_connections
     }
 
     pub(super) fn drop_kept(&mut self) {
--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -10,7 +10,7 @@
 use limewing_net::body::Framing;
 use limewing_net::http;
 use limewing_net::sockets::SocketId;
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use std::io::ErrorKind;
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
@@ -107,7 +107,7 @@
         };
         let quiet = self
             .wheel
-            .arm(self.now + LIST_BEGINS_WITHIN, Due::WatchQuiet(link));
+            .schedule(self.now + LIST_BEGINS_WITHIN, Due::WatchQuiet(link));
         let objects = Objects::new(LONGEST_LISTING);
         let (asked, answered, listed) = (self.now, false, false);
         let watch = WatchLink {
@@ -128,7 +128,7 @@
     }
 
     pub(super) fn watch_wrote(&mut self, link: SocketId) {
-        let ended = self.sockets.ended(link);
+        let ended = self.sockets.has_ended(link);
         let Some(Peer::Watch(of)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -142,7 +142,7 @@
             self.list_heard = self.now;
             let fresh = self
                 .wheel
-                .arm(self.now + LIST_QUIET_AT_MOST, Due::WatchQuiet(link));
+                .schedule(self.now + LIST_QUIET_AT_MOST, Due::WatchQuiet(link));
             self.wheel.cancel(std::mem::replace(&mut of.quiet, fresh));
         }
         if came.alive && !std::mem::replace(&mut of.answered, true) {
@@ -158,7 +158,7 @@
         match told.and(came.broken.map_or(Ok(()), |broken| Err(broken.into()))) {
             Err(why) => self.watch_lost(link, &why),
             Ok(()) if over => self.watch_lost(link, &WatchEnd::Ended),
-            Ok(()) => self.sockets.read_on(link),
+            Ok(()) => self.sockets.resume_reading(link),
         }
     }
 
--- a/crates/postgres-proxy/src/service/front.rs
+++ b/crates/postgres-proxy/src/service/front.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use limewing_decision::interface::{Event, Request, RequestId};
 use limewing_net::sockets::SocketId;
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use limewing_postgres_protocol::{read, waiting, write, Frames};
 use std::time::Duration;
 
@@ -35,7 +35,10 @@
 impl Service {
     pub(super) fn client_came(&mut self, id: SocketId) {
         self.clients += 1;
-        let silent = Some(self.wheel.arm(self.now + SPEAKS_WITHIN, Due::Silent(id)));
+        let silent = Some(
+            self.wheel
+                .schedule(self.now + SPEAKS_WITHIN, Due::Silent(id)),
+        );
         let (frames, since) = (Frames::default(), self.now);
         let client = Client {
             frames,
@@ -58,7 +61,7 @@
 
     pub(super) fn client_wrote(&mut self, id: SocketId) {
         loop {
-            let ended = self.sockets.ended(id);
+            let ended = self.sockets.has_ended(id);
             let Some(Peer::Client(client)) = self.peers.get_mut(&id) else {
                 return;
             };
@@ -67,7 +70,7 @@
             }
             if client.hit.is_some() {
                 // What comes behind waits its turn; a client that closed its side is gone, whatever it left unread.
-                if self.sockets.hung_up(id) {
+                if self.sockets.has_peer_closed(id) {
                     return self.client_gone(id);
                 }
                 let behind = self
@@ -82,7 +85,7 @@
                 };
             }
             // Nothing more is taken off a client that does not read its answers.
-            if self.sockets.unsent(id) > MOST_UNSENT {
+            if self.sockets.unsent_bytes(id) > MOST_UNSENT {
                 return;
             }
             let Some(input) = self.sockets.input(id) else {
@@ -94,7 +97,7 @@
                     Ok(Some(read::Startup::Encryption)) => self.sockets.send(id, b"N"),
                     Ok(Some(read::Startup::CallOff)) => return self.client_gone(id),
                     Ok(None) if ended => return self.client_gone(id),
-                    Ok(None) => return self.sockets.read_on(id),
+                    Ok(None) => return self.sockets.resume_reading(id),
                     Err(why) => return self.turn_away(id, BAD_MESSAGE, why.to_string()),
                 }
                 continue;
@@ -121,10 +124,10 @@
                 Ok(None) => {
                     if client.silent.is_none() && (client.frames.begun() || before > 0) {
                         let at = self.now + SPEAKS_WITHIN;
-                        client.silent = Some(self.wheel.arm(at, Due::Silent(id)));
+                        client.silent = Some(self.wheel.schedule(at, Due::Silent(id)));
                     }
                     // What was held is taken over by now: the system may have more.
-                    return self.sockets.read_on(id);
+                    return self.sockets.resume_reading(id);
                 }
                 Err(why) => return self.turn_away(id, BAD_MESSAGE, why.to_string()),
             }
@@ -285,7 +288,7 @@
         client.frames = Frames::default();
         let old = client.silent.take();
         old.map(|key| self.wheel.cancel(key));
-        let speak = self.wheel.arm(at, Due::Speak(id));
+        let speak = self.wheel.schedule(at, Due::Speak(id));
         if let Some(client) = self.client(id) {
             client.silent = Some(speak);
         }
@@ -327,7 +330,7 @@
 
     /// Where many connections stand, those that have long been idle are closed: some clients keep theirs for good.
     pub(super) fn sweep(&mut self) {
-        self.wheel.arm(self.now + SWEEP_EVERY, Due::Sweep);
+        self.wheel.schedule(self.now + SWEEP_EVERY, Due::Sweep);
         let (now, clients, room) = (self.now, self.clients, self.room.max_accepted);
         let idle = self.idle_clients().into_iter();
         let over = |idle: &Idle| {
@@ -349,7 +352,7 @@
             return false;
         };
         let asks = client.hit.is_some() || client.silent.is_some() || client.frames.begun();
-        if asks || !self.sockets.is_quiet(id) {
+        if asks || !self.sockets.is_silent(id) {
             return false;
         }
         self.drop_client(id);
@@ -376,10 +379,10 @@
             .for_each(|id| match self.client(id).map(|c| c.away.is_some()) {
                 Some(true) => self.turn_away_now(id),
                 // What it said lies with the system: it is read next.
-                _ if self.sockets.has_unread(id) => {}
+                _ if self.sockets.has_unread_input(id) => {}
                 _ => self.drop_client(id),
             });
-        if self.sockets.open() >= self.room.max_connections {
+        if self.sockets.open_count() >= self.room.max_connections {
             (0..self.kept.len().div_ceil(8)).for_each(|_| self.drop_kept());
         }
     }
@@ -426,7 +429,7 @@
     /// Closes once all that was said is sent.
     pub(super) fn drop_client(&mut self, id: SocketId) {
         self.forget_client(id);
-        self.sockets.finish(id);
+        self.sockets.close_when_sent(id);
     }
 
     fn forget_client(&mut self, id: SocketId) {
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -20,9 +20,9 @@
     Action, AttemptIndex, Event, Idempotency, RequestId, VoteAnswer,
 };
 use limewing_decision::DecisionEngine;
-use limewing_net::call::Call;
-use limewing_net::sockets::{granted, Happening, SocketId, Sockets, MOST_INPUT};
-use limewing_net::wheel::{TimerKey, Wheel};
+use limewing_net::http_call::HttpCall;
+use limewing_net::sockets::{resource_limits, SocketEvent, SocketId, Sockets, MAX_INPUT};
+use limewing_net::timer_wheel::{TimerKey, TimerWheel};
 use limewing_proxy_core::backoff::Backoff;
 use limewing_proxy_core::clock::Clock;
 use limewing_proxy_core::connection_pool::ConnectionPool;
@@ -62,7 +62,7 @@
     Pod(Box<PodConnection>),
     Watch(Box<WatchLink>),
     News(Box<NewsLink>),
-    Vote(Box<Call>),
+    Vote(Box<HttpCall>),
 }
 
 /// What is due at a time.
@@ -106,7 +106,7 @@
     names: Names,
     groups: Vec<String>,
     peers: FxHashMap<SocketId, Peer>,
-    wheel: Wheel<Due>,
+    wheel: TimerWheel<Due>,
     listener: SocketId,
     address: SocketAddr,
     clients: usize,
@@ -159,11 +159,11 @@
         let (listener, address) = sockets
             .listen(at)
             .map_err(|why| StartTrouble::Listen { at, why })?;
-        let (descriptors, memory) = granted();
+        let (descriptors, memory) = resource_limits();
         let descriptors = told.descriptors.unwrap_or(usize::MAX).min(descriptors);
         let memory = told.memory.unwrap_or(usize::MAX).min(memory);
-        let room = DescriptorBudget::new(descriptors, memory, MOST_INPUT + MOST_UNSENT);
-        sockets.accept_up_to(room.max_accepted, room.max_connections);
+        let room = DescriptorBudget::new(descriptors, memory, MAX_INPUT + MOST_UNSENT);
+        sockets.limit_connections(room.max_accepted, room.max_connections);
         let clock = Clock::default();
         let now = clock.now();
         let tagged = |repeat: Idempotency| matches!(repeat, Idempotency::Keyed { .. });
@@ -202,7 +202,7 @@
             names: Names::new(&told.sockets.groups, &tagged, &told.sockets.customers),
             groups: told.sockets.groups,
             peers: FxHashMap::default(),
-            wheel: Wheel::default(),
+            wheel: TimerWheel::default(),
             listener,
             address,
             clients: 0,
@@ -236,7 +236,9 @@
             service.ask_watch();
         }
         service.ask_news();
-        service.wheel.arm(now + bounds::SWEEP_EVERY, Due::Sweep);
+        service
+            .wheel
+            .schedule(now + bounds::SWEEP_EVERY, Due::Sweep);
         Ok(service)
     }
 
@@ -261,7 +263,7 @@
     }
 
     fn turn(&mut self) -> io::Result<()> {
-        let next = [self.wheel.next(), self.shutdown.next_deadline()]
+        let next = [self.wheel.next_deadline(), self.shutdown.next_deadline()]
             .into_iter()
             .flatten()
             .min();
@@ -288,7 +290,7 @@
         if std::mem::take(&mut self.pressed) {
             self.make_room_for_clients();
         }
-        while let Some(due) = self.wheel.take(self.now) {
+        while let Some(due) = self.wheel.pop_expired(self.now) {
             self.is_due(due);
         }
         if !self.events.is_empty() || self.now >= self.wake {
@@ -312,10 +314,10 @@
     }
 
     /// Whether it happened on a connection to discovery or rollouts.
-    fn is_control(&self, what: &Happening) -> bool {
-        let (Happening::Connected(id)
-        | Happening::Readable(id)
-        | Happening::Lost { socket: id, .. }) = what
+    fn is_control(&self, what: &SocketEvent) -> bool {
+        let (SocketEvent::Connected(id)
+        | SocketEvent::Readable(id)
+        | SocketEvent::ConnectionLost { socket: id, .. }) = what
         else {
             return false;
         };
@@ -338,17 +340,17 @@
         self.withdraw();
     }
 
-    fn happened(&mut self, what: Happening) {
+    fn happened(&mut self, what: SocketEvent) {
         match what {
-            Happening::Accepted { socket, .. } => self.client_came(socket),
-            Happening::Connected(id) => match self.peers.get(&id) {
+            SocketEvent::Accepted { socket, .. } => self.client_came(socket),
+            SocketEvent::Connected(id) => match self.peers.get(&id) {
                 Some(Peer::Pod(_)) => self.pod_connected(id),
                 Some(Peer::Watch(_)) => self.watch_connected(id),
                 Some(Peer::News(_)) => self.news_connected(id),
                 Some(Peer::Vote(_)) => self.vote_connected(id),
                 Some(Peer::Client(_)) | None => {}
             },
-            Happening::Readable(id) => match self.peers.get(&id) {
+            SocketEvent::Readable(id) => match self.peers.get(&id) {
                 Some(Peer::Client(_)) => self.client_wrote(id),
                 Some(Peer::Pod(_)) => self.pod_wrote(id),
                 Some(Peer::Watch(_)) => self.watch_wrote(id),
@@ -356,12 +358,12 @@
                 Some(Peer::Vote(_)) => self.vote_wrote(id),
                 None => {}
             },
-            Happening::Flushed(id) => {
+            SocketEvent::Flushed(id) => {
                 if let Some(Peer::Client(_)) = self.peers.get(&id) {
                     self.client_wrote(id);
                 }
             }
-            Happening::Lost {
+            SocketEvent::ConnectionLost {
                 socket,
                 written,
                 why,
@@ -380,14 +382,14 @@
                 }
                 None => {}
             },
-            Happening::Pressed { why, .. } => {
-                tracing::debug!(%why, open = self.sockets.open(), "can't accept; tried again in 100 ms");
+            SocketEvent::AcceptFailed { why, .. } => {
+                tracing::debug!(%why, open = self.sockets.open_count(), "can't accept; tried again in 100 ms");
                 self.pressed = true;
             }
             // No socket for datagrams is ever opened here: the platform tells of no peers.
-            Happening::Datagram { .. } => {}
-            Happening::Signal(HANG_UP) => self.told_anew(),
-            Happening::Signal(signal) => self.leave(signal),
+            SocketEvent::Datagram { .. } => {}
+            SocketEvent::Signal(HANG_UP) => self.told_anew(),
+            SocketEvent::Signal(signal) => self.leave(signal),
         }
     }
 
@@ -463,7 +465,8 @@
                 let again = bounds::read_again(self.reread_tried);
                 tracing::warn!(%trouble, ?again, "the new configuration can't be used; the old one stays");
                 self.reread_tried += 1;
-                self.reread = again.map(|wait| self.wheel.arm(self.now + wait, Due::ReadAgain));
+                self.reread =
+                    again.map(|wait| self.wheel.schedule(self.now + wait, Due::ReadAgain));
             }
         }
     }
@@ -508,7 +511,7 @@
                 backlog: self.door,
                 requests: self.hits.has_pending(),
                 clients: self.clients > 0,
-                unsent: self.sockets.all_unsent() > 0 || self.sockets.lingers(),
+                unsent: self.sockets.total_unsent_bytes() > 0 || self.sockets.has_lingering(),
             };
             match self.shutdown.advance(self.now, holds) {
                 Some(ShutdownStep::StopAccepting) => self.close_door(),
--- a/crates/postgres-proxy/src/service/pod_connection.rs
+++ b/crates/postgres-proxy/src/service/pod_connection.rs
@@ -3,7 +3,7 @@
 use crate::listing::Life;
 use bytes::Bytes;
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, PodId, RequestId};
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use limewing_postgres_protocol::{read, Frame, Frames};
 use std::mem;
 use std::time::Duration;
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -6,9 +6,9 @@
 use crate::news::{self, State, Told};
 use bytes::Bytes;
 use limewing_decision::interface::{BuildId, ClassId, Event, StageIndex, Verdict, VoteAnswer};
-use limewing_net::call::{Call, Heard};
+use limewing_net::http_call::{CallProgress, HttpCall};
 use limewing_net::sockets::SocketId;
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use std::time::Duration;
 
 const LONGEST_LINE: usize = 16 * 1024;
@@ -29,7 +29,7 @@
             Some(news) => tracing::info!(?news, "news"),
             None => tracing::warn!(?state, "old news left out"),
         }
-        // What was granted by the news before and has not gone out is called off; the module grants it anew.
+        // What was resource_limits by the news before and has not gone out is called off; the module grants it anew.
         if let Some(closed) = closes.flatten() {
             self.call_off(|list, pod| list.life(pod).is_some_and(|life| life.build >= closed));
         }
@@ -50,7 +50,7 @@
         };
         let quiet = self
             .wheel
-            .arm(self.now + QUIET_AT_MOST, Due::NewsQuiet(link));
+            .schedule(self.now + QUIET_AT_MOST, Due::NewsQuiet(link));
         let lines = Lines::new(LONGEST_LINE);
         self.peers
             .insert(link, Peer::News(Box::new(NewsLink { lines, quiet })));
@@ -68,7 +68,7 @@
     }
 
     pub(super) fn news_wrote(&mut self, link: SocketId) {
-        let ended = self.sockets.ended(link);
+        let ended = self.sockets.has_ended(link);
         let Some(Peer::News(of)) = self.peers.get_mut(&link) else {
             return;
         };
@@ -81,7 +81,7 @@
         if came.alive {
             let fresh = self
                 .wheel
-                .arm(self.now + QUIET_AT_MOST, Due::NewsQuiet(link));
+                .schedule(self.now + QUIET_AT_MOST, Due::NewsQuiet(link));
             self.wheel.cancel(std::mem::replace(&mut of.quiet, fresh));
         }
         let told = came
@@ -91,7 +91,7 @@
         match told.and(came.broken.map_or(Ok(()), |broken| Err(broken.to_string()))) {
             Err(why) => self.news_lost(link, &why),
             Ok(()) if over => self.news_lost(link, "the stream ended"),
-            Ok(()) => self.sockets.read_on(link),
+            Ok(()) => self.sockets.resume_reading(link),
         }
     }
 
@@ -142,7 +142,7 @@
     fn news_again(&mut self, why: &str) {
         tracing::warn!(why, "no news; asked for again");
         let wait = self.lost_news.next_delay();
-        self.wheel.arm(self.now + wait, Due::AskNews);
+        self.wheel.schedule(self.now + wait, Due::AskNews);
     }
 
     pub(super) fn vote(&mut self, verdict: Verdict, build: BuildId, stage: StageIndex) {
@@ -161,13 +161,13 @@
         };
         let body = news::vote(verdict, build, stage);
         let request = self.request("POST", "/v1/votes", at.to_string(), &body);
-        let timer = self.wheel.arm(
+        let timer = self.wheel.schedule(
             self.now + self.terms.vote_answer_within,
             Due::VoteLate(link),
         );
         self.peers.insert(
             link,
-            Peer::Vote(Box::new(Call::new(request, MOST_ANSWER, timer))),
+            Peer::Vote(Box::new(HttpCall::new(request, MOST_ANSWER, timer))),
         );
     }
 
@@ -182,12 +182,12 @@
             return;
         };
         match call.hear(link, &mut self.sockets) {
-            Heard::NotYet => {}
-            Heard::Whole(head, body) => {
+            CallProgress::Pending => {}
+            CallProgress::Complete(head, body) => {
                 let (answer, told) = news::vote_answer(head.status, &body);
                 self.vote_over(link, answer, told);
             }
-            Heard::Lost => self.vote_over(link, VoteAnswer::Unanswered, None),
+            CallProgress::Failed => self.vote_over(link, VoteAnswer::Unanswered, None),
         }
     }
 
--- a/crates/proxy-core/src/connection_pool.rs
+++ b/crates/proxy-core/src/connection_pool.rs
@@ -2,7 +2,7 @@
 
 use limewing_decision::interface::PodId;
 use limewing_net::sockets::SocketId;
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/proxy-core/src/in_flight.rs
+++ b/crates/proxy-core/src/in_flight.rs
@@ -2,7 +2,7 @@
 
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, AttemptResult, PodId, RequestId};
 use limewing_net::sockets::SocketId;
-use limewing_net::wheel::TimerKey;
+use limewing_net::timer_wheel::TimerKey;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,6 +15,6 @@
 mod terms;
 mod work;
 
-pub use read::{findings, read, read_text, Checked, Misfit, Unusable};
+pub use read::{findings, read, read_text, Checked, ConfigError, ConfigFileError};
 pub use sidecar::*;
 pub use work::{Select, WorkLimits, WorkList, WorkWindow};
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -7,12 +7,12 @@
 
 /// One thing that a reader of the whole file finds wrong: where, as a JSON pointer, and what was expected.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Misfit {
+pub struct ConfigError {
     pub path: String,
     pub expected: String,
 }
 
-impl Misfit {
+impl ConfigError {
     pub fn new(path: impl Into<String>, expected: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -23,19 +23,19 @@
 
 /// What can be checked beyond the types.
 pub trait Checked {
-    fn misfits(&self) -> Vec<Misfit>;
+    fn config_errors(&self) -> Vec<ConfigError>;
 }
 
 /// A file that can't be used, and why.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub struct Unusable {
+pub struct ConfigFileError {
     pub file: String,
     pub line: usize,
     pub path: String,
     pub expected: String,
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for ConfigFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -50,9 +50,9 @@
 
 /// # Errors
 /// The file can't be read, is no JSON, or holds what can't be used.
-pub fn read<T: DeserializeOwned + Checked>(file: &Path) -> Result<T, Unusable> {
+pub fn read<T: DeserializeOwned + Checked>(file: &Path) -> Result<T, ConfigFileError> {
     let name = file.display().to_string();
-    let whole = |expected: String| Unusable {
+    let whole = |expected: String| ConfigFileError {
         file: name.clone(),
         line: 0,
         path: "/".into(),
@@ -73,9 +73,12 @@
 
 /// # Errors
 /// As `read`.
-pub fn read_text<T: DeserializeOwned + Checked>(file: &str, text: &str) -> Result<T, Unusable> {
+pub fn read_text<T: DeserializeOwned + Checked>(
+    file: &str,
+    text: &str,
+) -> Result<T, ConfigFileError> {
     let mut reader = serde_json::Deserializer::from_str(text);
-    let unusable = |line, path: String, expected| Unusable {
+    let file_error = |line, path: String, expected| ConfigFileError {
         file: file.into(),
         line,
         path,
@@ -84,19 +87,19 @@
     let value: T = serde_path_to_error::deserialize(&mut reader).map_err(|trouble| {
         let path = pointer(&trouble.path().to_string());
         let inner = trouble.into_inner();
-        unusable(inner.line(), path, without_place(&inner.to_string()))
+        file_error(inner.line(), path, without_place(&inner.to_string()))
     })?;
     reader
         .end()
-        .map_err(|e| unusable(e.line(), "/".into(), "expected the end of the file".into()))?;
-    match value.misfits().into_iter().next() {
+        .map_err(|e| file_error(e.line(), "/".into(), "expected the end of the file".into()))?;
+    match value.config_errors().into_iter().next() {
         None => Ok(value),
-        Some(misfit) => Err(at_line(file, text, misfit)),
+        Some(error) => Err(at_line(file, text, error)),
     }
 }
 
-fn at_line(file: &str, text: &str, Misfit { path, expected }: Misfit) -> Unusable {
-    Unusable {
+fn at_line(file: &str, text: &str, ConfigError { path, expected }: ConfigError) -> ConfigFileError {
+    ConfigFileError {
         file: file.into(),
         line: line_of(text, &path),
         path,
@@ -105,7 +108,7 @@
 }
 
 /// All that is wrong with a file, not the first alone; what can't be read at all is one finding.
-pub fn findings<T: DeserializeOwned + Checked>(file: &Path) -> Vec<Unusable> {
+pub fn findings<T: DeserializeOwned + Checked>(file: &Path) -> Vec<ConfigFileError> {
     let first = match read::<T>(file) {
         Ok(_) => return Vec::new(),
         Err(first) => first,
@@ -115,9 +118,9 @@
         Ok(value) => {
             let name = file.display().to_string();
             value
-                .misfits()
+                .config_errors()
                 .into_iter()
-                .map(|misfit| at_line(&name, &text, misfit))
+                .map(|error| at_line(&name, &text, error))
                 .collect()
         }
         Err(_) => vec![first],
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -1,6 +1,6 @@
 //! The settings of one sidecar. Spans are in seconds.
 
-use crate::{Checked, Misfit};
+use crate::{Checked, ConfigError};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -140,10 +140,10 @@
 }
 
 impl Checked for KeyFile {
-    fn misfits(&self) -> Vec<Misfit> {
+    fn config_errors(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
         if !(1..=2).contains(&self.keys.len()) {
-            found.push(Misfit::new(
+            found.push(ConfigError::new(
                 "/keys",
                 "expected one key, or two while one takes the other's place",
             ));
@@ -151,13 +151,13 @@
         for (place, key) in self.keys.iter().enumerate() {
             if key.bytes().is_none_or(|bytes| bytes.len() < 16) {
                 let path = format!("/keys/{place}/secret");
-                found.push(Misfit::new(
+                found.push(ConfigError::new(
                     path,
                     "expected 16 bytes or more in hexadecimal",
                 ));
             }
             if self.keys[..place].iter().any(|other| other.id == key.id) {
-                found.push(Misfit::new(
+                found.push(ConfigError::new(
                     format!("/keys/{place}/id"),
                     "expected a number that the other key does not have",
                 ));
@@ -399,7 +399,7 @@
 impl Router {
     /// # Errors
     /// A pattern that can't be used, or that matches what another one does.
-    pub fn new(groups: &[PathGroup]) -> Result<Self, Misfit> {
+    pub fn new(groups: &[PathGroup]) -> Result<Self, ConfigError> {
         let mut router = Self::default();
         for (place, group) in groups.iter().enumerate() {
             for (number, route) in group.routes.iter().enumerate() {
@@ -409,7 +409,7 @@
                     .or_default();
                 of.insert(route.path.as_str(), place).map_err(|e| {
                     let at = format!("/path_groups/{place}/routes/{number}/path");
-                    Misfit::new(
+                    ConfigError::new(
                         at,
                         format!("expected a pattern that is valid and no other's: {e}"),
                     )
@@ -425,11 +425,11 @@
 }
 
 impl Checked for SidecarSettings {
-    fn misfits(&self) -> Vec<Misfit> {
+    fn config_errors(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
         let mut need = |fits: bool, path: &str, expected: &str| {
             if !fits {
-                found.push(Misfit::new(path, format!("expected {expected}")));
+                found.push(ConfigError::new(path, format!("expected {expected}")));
             }
         };
         let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
--- a/crates/settings/src/work.rs
+++ b/crates/settings/src/work.rs
@@ -1,6 +1,6 @@
 //! A work list as an operator writes it: which machines are to go out, and how many at once.
 
-use crate::read::{Checked, Misfit};
+use crate::read::{Checked, ConfigError};
 use crate::sidecar::Seconds;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -75,11 +75,11 @@
 }
 
 impl Checked for WorkList {
-    fn misfits(&self) -> Vec<Misfit> {
+    fn config_errors(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
         let mut need = |fits: bool, path: String, expected: &str| {
             if !fits {
-                found.push(Misfit::new(path, format!("expected {expected}")));
+                found.push(ConfigError::new(path, format!("expected {expected}")));
             }
         };
         let named = |name: &String| (1..=40).contains(&name.len());
