--- a/crates/decision/src/context.rs
+++ b/crates/decision/src/context.rs
@@ -1,4 +1,4 @@
-//! What every component needs while it handles a message.
+//! State that every component needs while it handles a message.
 
 use crate::derived_config::DerivedConfig;
 use crate::endpoint_lease::EndpointLease;
@@ -11,10 +11,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time, the configuration, mailboxes, timers, the random number generator, and the actions so far.
+/// The current time, configuration, mailboxes, timers, random number generator, and the actions
+/// produced so far.
 pub(crate) struct Context {
     pub(crate) now: Duration,
-    /// How long past its tick the engine was called: the host stood still meanwhile.
+    /// How late the engine was called after its tick was due, because the host was stalled.
     pub(crate) lateness: Duration,
     pub(crate) endpoint_lease: EndpointLease,
     pub(crate) config: DerivedConfig,
@@ -25,7 +26,7 @@
     fleet: Option<FleetPreference>,
 }
 
-/// The other sidecars' view, with the position of each pod in their order.
+/// The fleet view from the other sidecars, with the position of each pod in its order.
 struct FleetPreference {
     view: FleetView,
     positions: BTreeMap<PodId, usize>,
@@ -60,8 +61,9 @@
         self.fleet = view.map(FleetPreference::new);
     }
 
-    /// The rank of a pod in this sidecar's order, the greatest first: the fleet's order, or else a hash. Beside
-    /// a fleet's order hashes are halved, so that they rank below all pods of that order.
+    /// Returns the rank of a pod in this sidecar's order, greatest first: the position in the
+    /// fleet's order if it is listed there, otherwise a hash. With a fleet order, hashes are halved
+    /// so that other pods rank below all listed ones.
     pub(crate) fn rank(&self, pod: PodId) -> u64 {
         let position = self
             .fleet
@@ -76,26 +78,26 @@
         }
     }
 
-    /// The least number of pods that the fleet asks this sidecar to use.
+    /// Returns the minimum number of pods that the fleet asks this sidecar to use.
     pub(crate) fn min_endpoints(&self) -> usize {
         self.fleet
             .as_ref()
             .map_or(0, |fleet| fleet.view.min_endpoints)
     }
 
-    /// Whether other sidecars are to check the health of this ejected pod.
+    /// Returns whether other sidecars check the health of this ejected pod.
     pub(crate) fn is_probed_by_peers(&self, pod: PodId) -> bool {
         self.fleet
             .as_ref()
             .is_some_and(|fleet| fleet.view.probed_by_peers.contains(&pod))
     }
 
-    /// The time `span` before now.
+    /// Returns the time `span` before now.
     pub(crate) fn ago(&self, span: Duration) -> Duration {
         self.now.saturating_sub(span)
     }
 
-    /// The next random number, uniform from 0 to 1.
+    /// Returns the next random number, uniformly distributed from 0 to 1.
     pub(crate) fn random_unit(&mut self) -> f64 {
         unit_interval(self.rng.generate::<u64>())
     }
@@ -115,7 +117,7 @@
         self.timers.schedule(self.now + delay, (to, message));
     }
 
-    /// Sends an event to the components that it concerns.
+    /// Sends an event to the components that handle it.
     pub(crate) fn dispatch_event(&mut self, event: Event) {
         use Component::{AdmissionControl, CanaryAnalysis, EndpointTracker};
         match event {
--- a/crates/decision/src/derived_config.rs
+++ b/crates/decision/src/derived_config.rs
@@ -1,22 +1,24 @@
-//! The values that decisions use, derived from the sidecar's configuration: renaming and arithmetic only.
+//! Values used by decisions, derived from the sidecar's configuration by renaming and arithmetic
+//! only.
 
 use crate::interface::{ClassId, Control, Idempotency, RequestClass, SidecarConfig, ZoneId};
 use std::time::Duration;
 
-/// The least priority weight that is divided by.
+/// The lower bound on a priority weight when it is used as a divisor.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-6;
-/// The least duration of slow start that is divided by, in seconds.
+/// The lower bound on the slow-start duration when it is used as a divisor, in seconds.
 const MIN_SLOW_START_SECONDS: f64 = 1e-6;
-/// A pod is certainly warm at this multiple of the duration of slow start.
+/// The multiple of the slow-start duration after which a pod is always treated as warm.
 const CERTAINLY_WARM_MULTIPLE: u32 = 2;
 
-/// What the decisions need to know of a request class.
+/// The settings of a request class that decisions use.
 pub(crate) struct ClassConfig {
     pub(crate) idempotency: Idempotency,
     pub(crate) latency_objective: Duration,
-    /// For how long after its arrival an answer is worth anything.
+    /// How long after its arrival a request can still get a useful response.
     pub(crate) useful_for: Duration,
-    /// The mean priority weight of all classes over this one's: over 1 for classes of low priority.
+    /// The mean priority weight of all classes divided by that of this class: over 1 for
+    /// low-priority classes.
     pub(crate) inverse_priority: f64,
 }
 
@@ -36,11 +38,11 @@
     }
 }
 
-/// The sidecar's configuration in the form in which decisions use it.
+/// The sidecar's configuration in the form used by decisions.
 pub(crate) struct DerivedConfig {
     pub(crate) started_at: Duration,
     pub(crate) zone: ZoneId,
-    /// The number of sidecars of the fleet, at least 1.
+    /// The number of sidecars in the fleet, at least 1.
     pub(crate) sidecar_count: f64,
     pub(crate) sidecar_index: u32,
     pub(crate) classes: Vec<ClassConfig>,
@@ -53,14 +55,14 @@
     pub(crate) max_attempts: usize,
     pub(crate) retry_after: Duration,
     pub(crate) drain_grace: Duration,
-    /// The share of its capacity that a pod has when it starts.
+    /// The share of its full capacity that a pod has when it starts.
     pub(crate) slow_start_from: f64,
     pub(crate) slow_start_duration: Duration,
-    /// From this age on a pod is warm without doubt.
+    /// The age from which a pod is always treated as warm.
     pub(crate) certainly_warm_age: Duration,
     pub(crate) overload_multiple: f64,
     pub(crate) overload_window: Duration,
-    /// Whether a clock moves stages on, rather than votes.
+    /// Whether stages advance by a clock rather than by votes.
     pub(crate) clock_controlled: bool,
     pub(crate) stage_shares: Vec<f64>,
     pub(crate) exposure_caps: Vec<f64>,
@@ -71,13 +73,13 @@
     pub(crate) sticky_keys: bool,
     pub(crate) vote_ttl: Duration,
     pub(crate) vote_timeout: Duration,
-    /// The number of sidecars that it takes to roll a build back.
+    /// The number of sidecars required to roll a build back.
     pub(crate) rollback_quorum: f64,
-    /// The number of sidecars that it takes to hold a stage.
+    /// The number of sidecars required to hold a stage.
     pub(crate) hold_quorum: f64,
     /// The larger of the quorums to roll back and to promote.
     pub(crate) max_quorum: f64,
-    /// Votes a second that are taken from all sidecars together.
+    /// The number of votes per second that are accepted from all sidecars together.
     pub(crate) vote_rate_limit: f64,
 }
 
@@ -128,7 +130,7 @@
         &self.classes[usize::from(class.0)]
     }
 
-    /// Which counter of the exposure rule a request class belongs to.
+    /// Returns the index of the exposure counter for a request class.
     pub(crate) fn exposure_counter(&self, class: ClassId) -> usize {
         if self.exposure_per_class {
             usize::from(class.0)
@@ -137,11 +139,11 @@
         }
     }
 
-    /// The share of its full capacity that a pod surely has by now: during slow start it grows at least
-    /// linearly from `slow_start_from` to 1.
+    /// Returns the share of its full capacity that a pod is guaranteed to have now. During slow
+    /// start, it grows at least linearly from `slow_start_from` to 1.
     #[inline]
     pub(crate) fn capacity_factor(&self, started_at: Option<Duration>, now: Duration) -> f64 {
-        // This is computed for each pod and request: a comparison is enough for pods that started long ago.
+        // This runs for each pod and request, so pods that started long ago take a fast path.
         let may_be_cold = |at: &Duration| now.saturating_sub(*at) < self.certainly_warm_age;
         let Some(started_at) = started_at.filter(may_be_cold) else {
             return 1.0;
--- a/crates/decision/src/engine.rs
+++ b/crates/decision/src/engine.rs
@@ -1,8 +1,8 @@
-//! The engine: the components of one sidecar, and the loop that delivers their messages.
+//! The engine: the components of one sidecar and the loop that delivers messages between them.
 //!
-//! A request passes from admission control (admitted) to the load balancer (placed) and back (the five rules);
-//! the outcome of its attempt passes from admission control to the outlier detector, the load balancer and the
-//! canary analysis.
+//! A request passes from admission control (accepted) to the load balancer (placed) and back
+//! (checked against the five rules). The outcome of an attempt passes from admission control to the
+//! outlier detector, the load balancer and the canary analysis.
 
 use crate::admission::AdmissionControl;
 use crate::balancer::LoadBalancer;
@@ -18,12 +18,13 @@
 #[cfg(test)]
 mod tests;
 
-/// How often the one periodic timer fires.
+/// The interval of the periodic timer.
 pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The order in which events of one moment are taken. What is known comes before what is to be decided: a host
-/// that stood still finds outcomes and requests at once. Lists and stages come first of all: an attempt that
-/// follows from an outcome must not go by a list or a cap that has been replaced.
+/// Returns events in the order in which they are processed. A stalled host finds outcomes and
+/// requests at the same time, so known facts come before events that require decisions. Endpoint
+/// lists and stages come first, because an attempt that follows from an outcome must not use an
+/// outdated list or cap.
 fn in_processing_order(mut events: Vec<Event>) -> Vec<Event> {
     events.sort_by_key(|event| match event {
         Event::Endpoints(_) | Event::Stage { .. } | Event::Fleet(_) | Event::KeyServed(..) => 0,
@@ -36,8 +37,8 @@
     events
 }
 
-/// Makes every decision of one sidecar. It does no I/O and has no clock: the host passes in events and the
-/// time, and carries out the actions.
+/// Makes all decisions of one sidecar. It performs no I/O and reads no clock: the host passes in
+/// events and the current time, and executes the returned actions.
 pub struct DecisionEngine {
     context: Context,
     outlier_detectors: BTreeMap<PodId, OutlierDetector>,
@@ -49,7 +50,7 @@
 }
 
 impl DecisionEngine {
-    /// An engine that knows no endpoints yet. `now` is the time since the start of the host's clock.
+    /// Creates an engine without endpoints. `now` is the time since the start of the host's clock.
     pub fn new(now: Duration, config: SidecarConfig) -> Self {
         Self {
             context: Context::new(now, &config),
@@ -62,17 +63,17 @@
         }
     }
 
-    /// Whether the first byte of an attempt may leave now. A host asks right before it writes that byte, on
-    /// whichever connection and however long after the attempt was decided on; if not, the attempt ends as
-    /// never sent.
+    /// Returns whether the first byte of an attempt may be sent now. The host calls this right
+    /// before it writes that byte, on any connection and however long after the attempt was
+    /// scheduled. If the result is `false`, the attempt ends as never sent.
     pub fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
         self.admission
             .may_begin(request, attempt, now, &self.context)
     }
 
-    /// Takes events of one moment, and returns what to do at once, in order. What is due by time is left to
-    /// `handle`: a host that stood still brings lists and stages first, and the rest of what has come before
-    /// anything falls due.
+    /// Processes events of one moment and returns the resulting actions in order. Timers are left
+    /// to `handle`: a stalled host passes endpoint lists and stages first, and then the remaining
+    /// events, before any timer fires.
     pub fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.context.now = now;
         self.context.lateness = now.saturating_sub(self.next_tick);
@@ -89,7 +90,8 @@
         std::mem::take(&mut self.context.actions)
     }
 
-    /// Takes the events of one moment, does what is due by time, and returns what to do, in order.
+    /// Processes the events of one moment, fires due timers, and returns the resulting actions in
+    /// order.
     pub fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         let mut actions = self.apply_events(now, events);
         while let Some((to, message)) = self.context.timers.pop_due(now) {
@@ -123,7 +125,7 @@
         self.deliver_messages();
     }
 
-    /// Delivers messages, and those that they bring about, until all mailboxes are empty.
+    /// Delivers messages, including those sent during delivery, until all mailboxes are empty.
     fn deliver_messages(&mut self) {
         while let Some((to, message)) = self.context.mailboxes.pop() {
             let context = &mut self.context;
@@ -137,7 +139,8 @@
         }
     }
 
-    /// Detectors come with the first row of their pod, and go with the last.
+    /// Delivers a message to the detector of a pod. The detector is created with the pod's first
+    /// endpoint entry and removed with the pod.
     fn deliver_to_detector(&mut self, pod: PodId, message: Message) {
         let context = &mut self.context;
         match (self.outlier_detectors.get_mut(&pod), message) {
--- a/crates/decision/src/engine/tests.rs
+++ b/crates/decision/src/engine/tests.rs
@@ -49,7 +49,7 @@
     ));
 }
 
-/// What `apply_events` takes is known at once, and nothing that is due by time happens by it.
+/// `apply_events` takes effect immediately and does not fire timers.
 #[test]
 fn a_list_is_known_before_anything_falls_due() {
     let config = SidecarConfig {
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,5 +1,5 @@
-//! What the engine and its host exchange, free of any wire format. Times are spans since the start of the
-//! host's clock.
+//! Types exchanged between the engine and its host, independent of any wire format. Times are
+//! durations since the start of the host's clock.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -26,122 +26,125 @@
 }
 
 ids!(
-    /// A request, as its host numbers it.
+    /// Identifies a request, as numbered by the host.
     RequestId(u64),
-    /// A pod; a later incarnation of it may have the same id.
+    /// Identifies a pod; a later incarnation of the pod may have the same id.
     PodId(u64),
-    /// A class of requests: the index of its configuration.
+    /// Identifies a request class by the index of its configuration.
     ClassId(u16),
-    /// The tenant that a request belongs to.
+    /// Identifies the tenant that a request belongs to.
     TenantId(u32),
-    /// A key whose requests stay with the newest build that served one of them.
+    /// A routing key, whose requests stay with the newest build that served one of them.
     RoutingKey(u64),
-    /// A zone of the platform.
+    /// Identifies a zone of the platform.
     ZoneId(u16),
-    /// A cell of a zone.
+    /// Identifies a cell within a zone.
     CellId(u16),
-    /// A build; later builds have higher numbers.
+    /// Identifies a build; later builds have higher numbers.
     BuildId(u16),
-    /// The index of an attempt among those of its request, from 0.
+    /// The index of an attempt within its request, from 0.
     AttemptIndex(u16),
-    /// The index of a stage of a rollout, from 0.
+    /// The index of a rollout stage, from 0.
     StageIndex(u8),
-    /// A type of machine.
+    /// Identifies a machine type.
     MachineTypeId(u16),
 );
 
-/// What the host passes in.
+/// An event that the host passes to the engine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of endpoints.
+    /// The endpoint list changed or its watch was lost.
     Endpoints(EndpointUpdate),
     /// A request arrived.
     RequestArrived(Request),
     /// An attempt ended.
     AttemptFinished(AttemptResult),
-    /// The first byte of an answer was passed on: the request can have no other answer.
+    /// The first byte of a response was forwarded to the client, so the request can get no other
+    /// response.
     StreamStarted {
-        /// The request.
+        /// The request whose response is being streamed.
         request: RequestId,
     },
-    /// The client of a request is gone.
+    /// The client of a request disconnected.
     ClientDisconnected(RequestId),
-    /// News of the rollout.
+    /// The rollout state changed or a vote was answered.
     Stage {
-        /// Its state, if that is news.
+        /// The new state of the rollout, if it changed.
         update: Option<StageUpdate>,
-        /// The answer to this sidecar's vote, if there is one.
+        /// The reply to this sidecar's vote, if there is one.
         vote_answer: Option<VoteAnswer>,
     },
-    /// An answer of a pod was found to be wrong.
+    /// A response of a pod was found to be incorrect.
     Flagged {
-        /// The pod.
+        /// The pod that sent the response.
         pod: PodId,
         /// The class of the request.
         class: ClassId,
     },
-    /// What is known of the other sidecars changed; none: no other is known.
+    /// The information about the other sidecars changed; `None` if no other sidecar is known.
     Fleet(Option<FleetView>),
-    /// A routing key was served by a build, at another sidecar or in an earlier incarnation of this one.
+    /// A routing key was served by a build, either at another sidecar or in an earlier incarnation
+    /// of this one.
     KeyServed(RoutingKey, BuildId),
 }
 
-/// What the other sidecars make of this one's choices. It widens nothing: no cap, budget or time.
+/// Preferences that the other sidecars derive for this one. They never relax a cap, budget or time
+/// limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Pods, the one to use first at the front.
+    /// Pods in order of preference, most preferred first.
     pub preference: Vec<PodId>,
-    /// How many of them to use at the least.
+    /// The minimum number of pods to use.
     pub min_endpoints: usize,
-    /// Ejected pods whose health others are to check.
+    /// Ejected pods whose health is checked by other sidecars.
     pub probed_by_peers: BTreeSet<PodId>,
 }
 
-/// What the host is to do.
+/// An action that the host must execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a request to a pod.
     StartAttempt {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The pod.
+        /// The pod to send it to.
         pod: PodId,
-        /// The time that it may take; zero: as long as the request.
+        /// The time limit of the attempt; zero if only the request's deadline applies.
         timeout: Duration,
     },
-    /// Cancel an attempt that is in flight.
+    /// Cancel an attempt in flight.
     CancelAttempt {
-        /// Its request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Its index among the attempts of that request.
+        /// The index of the attempt within the request.
         attempt: AttemptIndex,
     },
-    /// Answer a request as rejected: a retry does no harm.
+    /// Answer a request as rejected, which means that a retry is safe.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
-        /// After what time the client should retry.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
-    /// Answer a request as failed: it may have taken effect.
+    /// Answer a request as failed, because it may have taken effect.
     Fail {
-        /// The request.
+        /// The request to fail.
         request: RequestId,
     },
     /// Send a vote to the rollout service.
     Vote {
-        /// The verdict.
+        /// The verdict to send.
         verdict: Verdict,
-        /// The build that it is on.
+        /// The build that the vote is about.
         build: BuildId,
-        /// The stage that it is on.
+        /// The stage that the vote is about.
         stage: StageIndex,
     },
-    /// Watch the list of endpoints.
+    /// Watch the endpoint list.
     WatchEndpoints,
-    /// Call `handle` then, with or without events.
+    /// Call `handle` at this time, with or without events.
     WakeAt {
-        /// The time.
+        /// The time of the call.
         at: Duration,
     },
     /// Write a line to the decision log.
--- a/crates/decision/src/interface/config.rs
+++ b/crates/decision/src/interface/config.rs
@@ -3,135 +3,140 @@
 use super::ZoneId;
 use std::time::Duration;
 
-/// Whether a request of a class may run again.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// It has an idempotency key, by which pods drop repeats.
+    /// The request has an idempotency key by which pods discard duplicates.
     Keyed {
-        /// The pods that know of each other's requests.
+        /// The pods that share their record of idempotency keys.
         deduplicated_by: DeduplicationScope,
-        /// For how long they know of them.
+        /// How long pods remember a key.
         window: Duration,
     },
-    /// It must not run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
-/// The pods that share a memory of idempotency keys.
+/// The set of pods that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All pods.
+    /// All pods share one record.
     All,
-    /// Those of one zone.
+    /// The pods of one zone share a record.
     Zone,
-    /// Those of one cell.
+    /// The pods of one cell share a record.
     Cell,
 }
 
-/// The configuration of a class of requests.
+/// The configuration of a request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Whether its requests may run again.
+    /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
-    /// The latency that its requests should have at most.
+    /// The target latency of requests of the class.
     pub latency_objective: Duration,
-    /// How long its clients wait for an answer.
+    /// How long clients wait for a response.
     pub client_timeout: Duration,
-    /// The worth of an answer in time, against that of other classes.
+    /// The value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The worth of an answer past the latency objective.
+    /// The value of a response after the latency objective.
     pub late_weight: f64,
-    /// Whether answers are streamed.
+    /// Whether responses are streamed.
     pub streaming: bool,
 }
 
-/// How votes act on a stage.
+/// How a stage is controlled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Control {
     /// Votes promote the build.
     Votes,
-    /// A clock does, unless votes hold the stage.
+    /// A clock promotes the build, unless votes hold the stage.
     Clock,
 }
 
 /// The configuration of rollouts.
 #[derive(Clone, Debug)]
 pub struct RolloutConfig {
-    /// What promotes a build from stage to stage.
+    /// What promotes a build from one stage to the next.
     pub control: Control,
-    /// The share of requests that the build on trial should get in each stage.
+    /// The target share of requests for the build on trial in each stage.
     pub stage_shares: Vec<f64>,
-    /// The share of requests that it may get at most in each stage (rule 5).
+    /// The maximum share of requests for the build on trial in each stage (rule 5).
     pub exposure_caps: Vec<f64>,
-    /// The window over which those caps are counted.
+    /// The window over which exposure caps are measured.
     pub exposure_window: Duration,
-    /// Attempts in a window that are free of the cap.
+    /// The number of attempts per window that are exempt from the cap.
     pub exposure_free: f64,
-    /// Whether the caps are counted for each class by itself.
+    /// Whether caps apply to each request class separately.
     pub exposure_per_class: bool,
-    /// The number of first stages in which the build gets idempotent requests only.
+    /// The number of initial stages in which the build receives only idempotent requests.
     pub guarded_stages: u8,
     /// Whether a routing key stays with the newest build that served it.
     pub sticky_keys: bool,
-    /// For how long a vote counts.
+    /// How long a vote counts.
     pub vote_ttl: Duration,
-    /// How long the answer to a vote may take.
+    /// The time limit for a reply to a vote.
     pub vote_timeout: Duration,
-    /// How many sidecars it takes to roll a build back.
+    /// The number of sidecars required to roll a build back.
     pub rollback_quorum: u32,
-    /// How many sidecars it takes to hold a stage.
+    /// The number of sidecars required to hold a stage.
     pub hold_quorum: u32,
-    /// How many sidecars it takes to promote a build.
+    /// The number of sidecars required to promote a build.
     pub promote_quorum: u32,
-    /// Votes a second that are taken from all sidecars together, of twice that many at one time. None: all are.
+    /// The number of votes per second that are accepted from all sidecars together, with a burst of
+    /// twice that many; `None` if votes are not limited.
     pub vote_rate_limit: Option<f64>,
 }
 
-/// The limits of rules 3 and 4.
+/// The limits for rules 3 and 4.
 #[derive(Clone, Debug)]
 pub struct SafetyLimits {
-    /// For how long a pod may still get requests after this sidecar was notified that it drains or is gone.
+    /// How long a pod may still receive requests after this sidecar was notified that it is
+    /// draining or gone.
     pub drain_grace: Duration,
-    /// The share of its capacity that a pod has when it starts.
+    /// The share of its full capacity that a pod has when it starts.
     pub slow_start_from: f64,
     /// How long a pod takes to warm up.
     pub slow_start_duration: Duration,
-    /// The multiple of its present capacity at which a pod that is warming up fails.
+    /// The load, as a multiple of its current capacity, at which a pod that is warming up fails.
     pub overload_multiple: f64,
-    /// The window over which that load is counted.
+    /// The window over which that load is measured.
     pub overload_window: Duration,
 }
 
 /// The configuration of a sidecar.
 #[derive(Clone, Debug)]
 pub struct SidecarConfig {
-    /// The seed of its random number generator.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The number of sidecars of the fleet.
+    /// The number of sidecars in the fleet.
     pub sidecar_count: u32,
-    /// This one's index among them.
+    /// The index of this sidecar in the fleet.
     pub sidecar_index: u32,
-    /// The zone that it runs in.
+    /// The zone that the sidecar runs in.
     pub zone: ZoneId,
-    /// The classes of requests, by their ids.
+    /// The request classes, indexed by class id.
     pub classes: Vec<RequestClass>,
-    /// Whether the list of endpoints is watched only when the engine asks for it.
+    /// Whether the endpoint list is watched only when the engine requests it.
     pub watch_on_request: bool,
-    /// Lists come from an agent of this sidecar's own: what the agent has counts as notified, heard or not.
+    /// Whether endpoint lists come from this sidecar's own agent. If so, an update counts as
+    /// notified once the agent has it, whether or not the sidecar received it.
     pub endpoints_pushed: bool,
-    /// For how long a list that is no longer heard of may be relied on; none: for good.
+    /// How long an endpoint list remains valid without updates; `None` if it remains valid
+    /// indefinitely.
     pub endpoint_lease: Option<Duration>,
     /// Whether attempts can be cancelled.
     pub cancellation: bool,
     /// Whether a request may have several attempts in flight.
     pub hedging: bool,
-    /// After what time rejected clients are asked to retry; none: at once.
+    /// How long rejected clients are asked to wait before they retry; `None` if they may retry
+    /// immediately.
     pub retry_after: Option<Duration>,
-    /// The number of attempts that a request may have.
+    /// The maximum number of attempts per request.
     pub max_attempts: u16,
-    /// The limits of the rules.
+    /// The limits of the safety rules.
     pub safety: SafetyLimits,
     /// The configuration of rollouts.
     pub rollout: RolloutConfig,
--- a/crates/decision/src/interface/endpoint.rs
+++ b/crates/decision/src/interface/endpoint.rs
@@ -1,72 +1,72 @@
-//! The list of endpoints, and what becomes of the watch on it.
+//! The endpoint list and the loss of its watch.
 
 use super::{BuildId, CellId, MachineTypeId, PodId, ZoneId};
 use std::time::Duration;
 
-/// The state of a pod in the list of endpoints.
+/// The state of a pod in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PodState {
-    /// It takes requests.
+    /// The pod accepts requests.
     Ready,
-    /// It is about to leave.
+    /// The pod is about to shut down.
     Draining,
-    /// It has left.
+    /// The pod no longer exists.
     Gone,
 }
 
-/// A row of the list of endpoints.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The pod.
+    /// The id of the pod.
     pub pod: PodId,
-    /// Its state.
+    /// The state of the pod.
     pub state: PodState,
-    /// The build that it runs.
+    /// The build that the pod runs.
     pub build: BuildId,
-    /// Its capacity, against that of other pods.
+    /// The capacity of the pod relative to other pods.
     pub weight: f64,
-    /// When this incarnation of it started, if known.
+    /// When this incarnation of the pod started, if known.
     pub started_at: Option<Duration>,
-    /// The zone that it runs in.
+    /// The zone that the pod runs in.
     pub zone: ZoneId,
-    /// The cell that it runs in.
+    /// The cell that the pod runs in.
     pub cell: CellId,
-    /// The type of its machine.
+    /// The machine type that the pod runs on.
     pub machine_type: MachineTypeId,
 }
 
-/// News of the list of endpoints.
+/// An update of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
-    /// Rows that changed.
+    /// The entries that changed.
     Delta(Vec<Endpoint>),
     /// The complete list.
     Snapshot(Vec<Endpoint>),
-    /// The list as it was cached before a restart; it may be old.
+    /// The list cached before a restart, which may be outdated.
     Cached(Vec<Endpoint>),
-    /// A call for the list failed, or the watch on it ended: later changes are not heard.
+    /// A call for the list failed or its watch ended, so later changes are not received.
     WatchLost(WatchLoss),
 }
 
-/// How the watch on the list of endpoints was lost.
+/// How the watch on the endpoint list was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WatchLoss {
-    /// For how long nothing had been heard by then.
+    /// How long nothing had been received when the loss was detected.
     pub silent_for: Duration,
-    /// Why it was lost.
+    /// Why the watch was lost.
     pub cause: WatchLossCause,
 }
 
-/// Why the watch on the list of endpoints was lost.
+/// Why the watch on the endpoint list was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WatchLossCause {
-    /// A watch ended or fell silent, or a call failed otherwise.
+    /// A watch ended or stopped responding, or a call failed for another reason.
     #[default]
     Ended,
-    /// There is no service, or its answer can't be read.
+    /// The service does not exist or its response is unreadable.
     NoService,
     /// A call was not answered in time.
     TimedOut,
-    /// The service answered that it can't take the call now.
+    /// The service answered that it cannot accept the call now.
     Refused,
 }
--- a/crates/decision/src/interface/request.rs
+++ b/crates/decision/src/interface/request.rs
@@ -3,44 +3,44 @@
 use super::{AttemptIndex, ClassId, PodId, RequestId, RoutingKey, TenantId};
 use std::time::Duration;
 
-/// A request of a client.
+/// A request from a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, which no other open request has.
+    /// The id of the request, unique among open requests.
     pub id: RequestId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant, if it has one.
+    /// The tenant of the request, if any.
     pub tenant: Option<TenantId>,
-    /// Its routing key, if it has one.
+    /// The routing key of the request, if any.
     pub routing_key: Option<RoutingKey>,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub deadline: Duration,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The pod answered, and the answer was passed on.
+    /// The pod answered, and the response was forwarded to the client.
     Succeeded,
     /// The pod answered with an error.
     Failed,
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// The connection broke before the answer was complete.
+    /// The connection was lost before the response was complete.
     ConnectionReset,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// The pod rejected it without running it.
+    /// The pod rejected the request without executing it.
     Rejected,
-    /// There was no connection to the pod.
+    /// No connection to the pod could be established.
     ConnectFailed,
-    /// It was not sent.
+    /// The attempt was not sent.
     NeverSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt certainly had no effect.
+    /// Returns whether the attempt certainly had no effect.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -49,19 +49,19 @@
     }
 }
 
-/// An attempt that ended.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its index among the attempts of that request.
+    /// The index of the attempt within the request.
     pub attempt: AttemptIndex,
-    /// The pod that it went to.
+    /// The pod that the attempt was sent to.
     pub pod: PodId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// How long it took.
+    /// How long the attempt took.
     pub duration: Duration,
-    /// The request is closed, by this outcome or before it.
+    /// Whether the request is closed, by this outcome or earlier.
     pub request_over: bool,
 }
--- a/crates/decision/src/interface/rollout.rs
+++ b/crates/decision/src/interface/rollout.rs
@@ -1,18 +1,18 @@
-//! The rollout of a build, and votes on it.
+//! The rollout of a build and the votes on it.
 
 use super::{BuildId, StageIndex};
 use std::time::Duration;
 
-/// Where the rollout of a build stands.
+/// The phase of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is on trial.
+    /// The build is on trial.
     OnTrial,
-    /// It is being rolled back.
+    /// The build is being rolled back.
     RollingBack,
-    /// It is released.
+    /// The build is released.
     Released,
-    /// It was rolled back.
+    /// The build was rolled back.
     RolledBack,
 }
 
@@ -21,47 +21,47 @@
 pub struct StageUpdate {
     /// The newest build.
     pub build: BuildId,
-    /// The stage that it is in.
+    /// The current stage of the build.
     pub stage: StageIndex,
-    /// The phase of its rollout.
+    /// The phase of the rollout.
     pub phase: Phase,
-    /// The share of requests that it may get at most.
+    /// The maximum share of requests for the build.
     pub cap: f64,
-    /// How long it has been so, by the clock of the rollout service.
+    /// The age of this state, by the clock of the rollout service.
     pub age: Duration,
 }
 
 impl StageUpdate {
-    /// A number that no other cycle of this or another stage has.
+    /// Returns a number that is unique to this stage and cycle.
     pub(crate) fn cycle_key(&self, cycle: u32) -> u64 {
         u64::from(self.build.0) << 48 | u64::from(self.stage.0) << 40 | u64::from(cycle)
     }
 }
 
-/// The rollout service's answer to a vote.
+/// The rollout service's reply to a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteAnswer {
-    /// It counts.
+    /// The vote counts.
     Counted,
-    /// It is about a stage that is over.
+    /// The vote is about a stage that has ended.
     Moot,
-    /// Too many votes came at one time.
+    /// The vote was refused because of the rate limit.
     Full,
     /// The call failed.
     Failed,
-    /// There was no answer.
+    /// The call was not answered.
     Unanswered,
 }
 
 /// A sidecar's verdict on the build on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// None.
+    /// The sidecar has no verdict.
     Abstain,
-    /// The build may get more requests.
+    /// The build may receive more requests.
     Promote,
     /// The stage must not end yet.
     Hold,
-    /// The build must be withdrawn.
+    /// The build must be rolled back.
     RollBack,
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,19 +1,19 @@
-//! Every decision of one sidecar, without I/O and without a clock: which pod a request goes to, what counts as
-//! evidence on a build, when to vote and when to give up.
+//! Makes every decision of a sidecar, without I/O and without reading a clock: which pod receives a
+//! request, what counts as evidence about a build, when to vote and when to abandon a request.
 //!
-//! Make a [`DecisionEngine`] for each sidecar from its configuration, pass all events to
-//! [`DecisionEngine::handle`], and carry out the actions that it returns, in order. [`interface`] has the types
-//! of both. The components of the engine share nothing: they send each other messages, which the engine delivers
-//! in order, so that the same seed and the same events give the same actions.
+//! Create a [`DecisionEngine`] for each sidecar from its configuration, pass all events to
+//! [`DecisionEngine::handle`], and execute the returned actions in order. The types of both are in
+//! [`interface`]. The components of the engine share no state; they exchange messages, which the
+//! engine delivers in order. The same seed and events therefore always produce the same actions.
 //!
-//! | Modules | |
+//! | Modules | Responsibility |
 //! | --- | --- |
-//! | `engine`, `context`, `message`, `mailbox`, `timer_queue` | the loop and what it delivers |
-//! | `endpoints`, `endpoint_lease` | the list of endpoints, and for how long it may be relied on |
-//! | `admission`, `slow_start`, `exposure` | the five rules |
-//! | `balancer`, `placement`, `candidate`, `overload`, `hedging` | picking pods, shedding load, retries and hedged requests |
-//! | `outlier` | ejecting pods, and telling a tenant's own faults apart |
-//! | `canary`, `evidence`, `voting` | the verdict on the build on trial |
+//! | `engine`, `context`, `message`, `mailbox`, `timer_queue` | event loop and message delivery |
+//! | `endpoints`, `endpoint_lease` | endpoint list and how long it remains valid |
+//! | `admission`, `slow_start`, `exposure` | the five safety rules |
+//! | `balancer`, `placement`, `candidate`, `overload`, `hedging` | pod selection, load shedding, retries and hedged requests |
+//! | `outlier` | ejection of pods and detection of outlier tenants |
+//! | `canary`, `evidence`, `voting` | verdict on the build on trial |
 //! | `request_state`, `endpoint_state`, `endpoint_table`, `canary_sample` | records |
 //! | `derived_config`, `statistics`, `hashing` | arithmetic |
 
--- a/crates/decision/src/mailbox.rs
+++ b/crates/decision/src/mailbox.rs
@@ -1,11 +1,12 @@
-//! Mailboxes: messages for many components, delivered one at a time in the order in which they were sent.
+//! Mailboxes: messages for several components, delivered one at a time in the order in which they
+//! were sent.
 //!
-//! All of them share one queue. Emptied in turn, a mailbox for each component would give the same order, and
-//! would keep an entry for each component that ever existed.
+//! All mailboxes share one queue. Separate mailboxes emptied in turn would give the same order, but
+//! would keep an entry for every component that ever existed.
 
 use std::collections::VecDeque;
 
-/// A queue of messages with their addressees.
+/// A queue of messages with their recipients.
 pub(crate) struct Mailboxes<A, M> {
     queue: VecDeque<(A, M)>,
 }
--- a/crates/decision/src/message.rs
+++ b/crates/decision/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages that the components of the engine send each other.
+//! The messages exchanged by the components of the engine.
 
 use crate::candidate::Candidate;
 use crate::endpoint_table::EndpointSnapshot;
@@ -8,10 +8,10 @@
 };
 use std::time::Duration;
 
-/// The components that have a mailbox.
+/// The components that receive messages.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Component {
-    /// There is one outlier detector for each pod.
+    /// The outlier detector of one pod.
     OutlierDetector(PodId),
     LoadBalancer,
     AdmissionControl,
@@ -19,36 +19,37 @@
     EndpointTracker,
 }
 
-/// A message from one component, or from the host, to another.
+/// A message to a component, from another component or from the host.
 #[derive(Clone)]
 pub(crate) enum Message {
-    /// The list of endpoints, as the host got it.
+    /// An update of the endpoint list from the host.
     EndpointsUpdated(EndpointUpdate),
-    /// One row of that list.
+    /// One entry of that list.
     EndpointChanged(Endpoint),
-    /// A pod that has been gone for long.
+    /// A pod that has been gone for long enough to be removed.
     EndpointForgotten(PodId),
     RequestArrived(Request),
-    /// From the load balancer: start an attempt at the best candidate of this tier that the rules admit. The
-    /// candidates of other tiers have to wait.
+    /// From the load balancer: starts an attempt at the best candidate of this tier that the rules
+    /// allow. Candidates of other tiers are kept for later.
     AttemptProposed {
         request: RequestId,
         candidates: Vec<Candidate>,
         tier: u8,
     },
-    /// From admission control: none of that tier was admitted; these candidates are left.
+    /// From admission control: no candidate of the tier was admitted; the remaining candidates are
+    /// returned.
     AttemptRefused(RequestId, Vec<Candidate>),
     AttemptStarted {
         request: RequestId,
         attempt: AttemptIndex,
         pod: PodId,
     },
-    /// The host's account of an attempt that ended.
+    /// The host's report of an attempt that ended.
     AttemptFinished(AttemptResult),
-    /// The same, with what admission control knows of the attempt.
+    /// The same report with admission control's record of the attempt.
     AttemptEnded(AttemptEnded),
     StreamStarted(RequestId),
-    /// From the load balancer: no further attempt is worth it.
+    /// From the load balancer: no further attempt is worthwhile.
     RequestGivenUp(RequestId),
     RequestClosed(RequestId),
     /// A routing key was served by a build.
@@ -66,17 +67,17 @@
     WatchDue,
 }
 
-/// An attempt that ended, with what admission control knew of it.
+/// An attempt that ended, with admission control's record of it.
 #[derive(Clone)]
 pub(crate) struct AttemptEnded {
     pub(crate) result: AttemptResult,
     pub(crate) class: ClassId,
     pub(crate) build: BuildId,
     pub(crate) sent_at: Duration,
-    /// The request still waits for its final answer.
+    /// Whether the request still waits for its final response.
     pub(crate) request_open: bool,
     pub(crate) tenant: Option<TenantId>,
-    /// The requests of this tenant fail where those of others succeed.
+    /// Whether requests of this tenant fail where those of other tenants succeed.
     pub(crate) tenant_outlier: bool,
 }
 
@@ -85,14 +86,14 @@
 pub(crate) enum Refusal {
     /// The request is closed, past its deadline, streaming or out of attempts.
     RequestClosed,
-    /// An earlier attempt may have taken effect, and this one could repeat it.
+    /// An earlier attempt may have taken effect, and this one could repeat the effect.
     MayHaveRun,
-    /// The pod drains or is gone, and the grace is over.
+    /// The pod is draining or gone, and the drain grace period is over.
     EndpointDrained,
-    /// The pod is warming up and has had its part.
+    /// The pod is warming up and its budget is used up.
     SlowStart,
-    /// The build on trial has had its part of the requests.
+    /// The cap of the build on trial is reached.
     ExposureCap,
-    /// A newer build has served this routing key.
+    /// The routing key was served by a newer build.
     StickyKey,
 }
--- a/crates/decision/src/statistics.rs
+++ b/crates/decision/src/statistics.rs
@@ -1,9 +1,9 @@
-//! Statistics over a sliding window or a stream of samples. Nothing here decides anything.
+//! Statistics over sliding windows and streams of samples, independent of any decision.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The least number that is divided by, or whose logarithm is taken.
+/// The lower bound on numbers that are used as a divisor or whose logarithm is taken.
 pub(crate) const MIN_DIVISOR: f64 = 1e-9;
 
 /// The times of recent events, oldest first.
@@ -13,19 +13,19 @@
 }
 
 impl SlidingWindow {
-    /// Adds an event; times have to be added in order.
+    /// Adds an event; times must be added in ascending order.
     pub(crate) fn record(&mut self, at: Duration) {
         self.times.push_back(at);
     }
 
-    /// Drops all events from before `from`.
+    /// Drops all events before `from`.
     pub(crate) fn expire_before(&mut self, from: Duration) {
         while self.times.front().is_some_and(|at| *at < from) {
             self.times.pop_front();
         }
     }
 
-    /// The number of events at `from` or later.
+    /// Returns the number of events at `from` or later.
     pub(crate) fn count_since(&self, from: Duration) -> usize {
         self.times.len() - self.times.partition_point(|at| *at < from)
     }
@@ -39,8 +39,8 @@
     }
 }
 
-/// The upper tail of the binomial distribution: the probability of `successes` or more in `trials`, where each
-/// succeeds with probability `chance`.
+/// Returns the upper tail of the binomial distribution: the probability of at least `successes` in
+/// `trials` with success probability `chance`.
 pub(crate) fn binomial_tail(successes: usize, trials: usize, chance: f64) -> f64 {
     let mut probability = (1.0 - chance).powi(trials as i32);
     let mut fewer = 0.0;
@@ -55,7 +55,7 @@
 /// The pseudo-count of Jeffreys' prior for a proportion.
 const JEFFREYS_PSEUDO_COUNT: f64 = 0.5;
 
-/// A proportion: how many of all outcomes had some property.
+/// A proportion: the number of outcomes with some property, out of all outcomes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Proportion {
     pub(crate) count: usize,
@@ -67,61 +67,62 @@
         Self { count, total }
     }
 
-    /// The share, with so many pseudo-counts added on either side.
+    /// Returns the share after adding `pseudo_count` on both sides.
     fn smoothed(self, pseudo_count: f64) -> f64 {
         (self.count as f64 + pseudo_count) / (self.total as f64 + 2.0 * pseudo_count).max(1.0)
     }
 
-    /// The share under Jeffreys' prior: never 0 or 1.
+    /// Returns the share under Jeffreys' prior, which is never 0 or 1.
     pub(crate) fn jeffreys_estimate(self) -> f64 {
         (self.count as f64 + JEFFREYS_PSEUDO_COUNT)
             / (self.total as f64 + 2.0 * JEFFREYS_PSEUDO_COUNT)
     }
 
-    /// The variance of the share, smoothed so that it is never zero.
+    /// Returns the variance of the share, smoothed so that it is never zero.
     fn variance(self) -> f64 {
         self.smoothed(JEFFREYS_PSEUDO_COUNT) * (1.0 - self.smoothed(JEFFREYS_PSEUDO_COUNT))
             / (self.total as f64).max(1.0)
     }
 }
 
-/// How much larger one proportion is than another, and the standard error of that difference.
+/// Returns the difference of two proportions and its standard error.
 pub(crate) fn proportion_excess(new: Proportion, old: Proportion) -> (f64, f64) {
     let difference = new.smoothed(0.0) - old.smoothed(0.0);
     (difference, (new.variance() + old.variance()).sqrt())
 }
 
-/// The sum of the squared counts over its expectation if all were Poisson with the same mean: about 1 when
-/// the counts are spread evenly, larger when few of them hold most.
+/// Returns the sum of the squared counts divided by its expectation if all counts were
+/// Poisson-distributed with the same mean. The result is about 1 if the counts are spread evenly,
+/// and larger if a few of them account for most of the total.
 pub(crate) fn dispersion(counts: &[f64]) -> f64 {
     let sum = counts.iter().sum::<f64>();
     let squares = counts.iter().map(|count| count * count).sum::<f64>();
     squares / (sum + sum * sum / counts.len().max(1) as f64).max(MIN_DIVISOR)
 }
 
-/// The median (the upper one of an even number of values), or none of no values.
+/// Returns the median (the upper one if the number of values is even), or `None` without values.
 pub(crate) fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
 }
 
-/// The mean of all values at first, and an exponentially weighted one once there are many.
+/// A mean that is exact at first and exponentially weighted once there are many values.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RunningMean {
     pub(crate) value: f64,
-    /// The number of values so far.
+    /// The number of values added so far.
     pub(crate) count: usize,
 }
 
 impl RunningMean {
-    /// Adds a value; about the last `samples` count.
+    /// Adds a value; the mean covers about the last `samples` values.
     pub(crate) fn add(&mut self, value: f64, samples: usize) {
         self.count += 1;
         self.value += (value - self.value) / self.count.min(samples) as f64;
     }
 }
 
-/// A mean of about the last so many values whose weight also decays with time.
+/// A mean over about the last few values, whose weights also decay with time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingMean {
     value: f64,
@@ -135,7 +136,8 @@
         self.weight * (-elapsed.as_secs_f64() / decay.as_secs_f64()).exp()
     }
 
-    /// Adds a value; about the last `samples` count, and less with the time constant `decay`.
+    /// Adds a value; the mean covers about the last `samples` values, whose weights decay with the
+    /// time constant `decay`.
     pub(crate) fn add(&mut self, value: f64, now: Duration, decay: Duration, samples: f64) {
         let weight = self.weight(now, decay).min(samples - 1.0);
         self.value = (self.value * weight + value) / (weight + 1.0);
@@ -143,14 +145,14 @@
         self.updated_at = now;
     }
 
-    /// The mean, shrunk towards 0 as if `prior_weight` values of 0 had been seen too.
+    /// Returns the mean, shrunk towards 0 as if `prior_weight` values of 0 had been added.
     pub(crate) fn shrunk_mean(&self, now: Duration, decay: Duration, prior_weight: f64) -> f64 {
         let weight = self.weight(now, decay);
         self.value * weight / (weight + prior_weight).max(MIN_DIVISOR)
     }
 }
 
-/// A rate in events a second, smoothed exponentially.
+/// An exponentially smoothed rate in events per second.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SmoothedRate {
     per_second: f64,
@@ -164,7 +166,7 @@
         self.updated_at = now;
     }
 
-    /// The rate now, in events a second.
+    /// Returns the current rate in events per second.
     pub(crate) fn per_second(&self, now: Duration, smoothing: Duration) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at);
         self.per_second * (-elapsed.as_secs_f64() / smoothing.as_secs_f64()).exp()
--- a/crates/decision/src/timer_queue.rs
+++ b/crates/decision/src/timer_queue.rs
@@ -1,9 +1,9 @@
-//! A queue of items by the time at which they are due.
+//! A queue of items ordered by due time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Items by due time; those of equal times keep the order in which they were scheduled.
+/// Items by due time; items with equal times keep the order in which they were scheduled.
 pub(crate) struct TimerQueue<T> {
     due: BTreeMap<(Duration, u64), T>,
     next_sequence: u64,
@@ -24,7 +24,7 @@
         self.next_sequence += 1;
     }
 
-    /// Removes the earliest item that is due by now.
+    /// Removes and returns the earliest item that is due at `now`.
     pub(crate) fn pop_due(&mut self, now: Duration) -> Option<T> {
         let (&(at, sequence), _) = self.due.first_key_value()?;
         if at > now {
