--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -1,11 +1,11 @@
-//! Admission control: every attempt and every final answer passes here, so that the five rules hold whatever
-//! the load balancer proposes.
+//! Admission control: every attempt and every final response is checked here, so that the five
+//! safety rules hold regardless of what the load balancer proposes.
 //!
-//! 1. Every request gets one final answer, in time.
-//! 2. No request takes effect twice, and what may have run is not reported as rejected.
-//! 3. Nothing is sent to a pod that drains or is gone, once the grace is over.
+//! 1. Every request gets exactly one final response, before its deadline.
+//! 2. No request takes effect twice, and a request that may have run is not reported as rejected.
+//! 3. Nothing is sent to a draining or gone pod after the drain grace period.
 //! 4. A pod that is warming up is not overloaded (`slow_start`).
-//! 5. A build on trial gets its share of requests at most (`exposure`).
+//! 5. A build on trial receives at most its capped share of requests (`exposure`).
 
 use crate::candidate::{best_last, Candidate};
 use crate::context::Context;
@@ -27,7 +27,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Keeps the rules, and a record of each open request.
+/// Enforces the safety rules and tracks every open request.
 #[derive(Default)]
 pub(crate) struct AdmissionControl {
     endpoints: EndpointStates,
@@ -65,7 +65,7 @@
             .update(endpoint, context.now, fractional_allowance);
     }
 
-    /// Takes a request, unless its class or its id makes no sense.
+    /// Admits a request, unless its class is unknown or its id is already in use.
     fn on_request_arrived(&mut self, request: Request, context: &mut Context) {
         let known_class = usize::from(request.class.0) < context.config.classes.len();
         if !known_class || self.requests.contains_key(&request.id) {
@@ -77,7 +77,7 @@
         context.send(Component::LoadBalancer, Message::RequestArrived(request));
     }
 
-    /// Starts an attempt at the best candidate of the tier that the rules admit.
+    /// Starts an attempt at the best candidate in the given tier that the rules allow.
     fn on_attempt_proposed(
         &mut self,
         request: RequestId,
@@ -90,13 +90,14 @@
         while let Some(candidate) = candidates.pop_if(|candidate| candidate.tier == tier) {
             match self.check_rules(request, &candidate, context) {
                 Ok(()) => return self.start_attempt(request, candidate.pod, context),
-                // That holds for all pods of its build.
+                // These refusals apply to every pod of the build.
                 Err(Refusal::ExposureCap | Refusal::StickyKey) => {
                     candidates.retain(|other| other.build != candidate.build);
                 }
                 Err(_) => {}
             }
-            // The first one is nearly always admitted: the others are sorted only if it is not.
+            // The first candidate is nearly always admitted, so the rest are sorted only after a
+            // refusal.
             if !sorted {
                 candidates.sort_unstable();
                 sorted = true;
@@ -106,7 +107,7 @@
         context.send(Component::LoadBalancer, refused);
     }
 
-    /// Whether the rules admit an attempt at a candidate now.
+    /// Checks whether the rules allow an attempt at a candidate now.
     fn check_rules(
         &self,
         request: RequestId,
@@ -129,8 +130,9 @@
             .check(record, state.endpoint.build, &self.endpoints, context)
     }
 
-    /// Whether the first byte of an attempt may leave now: its pod may have been announced as leaving since the
-    /// attempt was decided on. While no list is heard, permissions expire with the grace.
+    /// Returns whether the first byte of an attempt may be sent now. The pod may have started
+    /// draining since the attempt was scheduled. While no endpoint list is received, the permission
+    /// expires after the drain grace period.
     pub(crate) fn may_begin(
         &self,
         request: RequestId,
@@ -194,7 +196,7 @@
         }
         let outcome = result.outcome;
         attempt.outcome = Some(outcome);
-        // The host stood still for that long: it is not the pod's latency.
+        // The host was stalled for this long; the delay is not part of the pod's latency.
         result.duration = result.duration.saturating_sub(context.lateness);
         let (pod, build, sent_at) = (attempt.pod, attempt.build, attempt.sent_at);
         let was_open = !record.closed;
@@ -232,8 +234,8 @@
         self.settle(request, context);
     }
 
-    /// Whether this outcome is to be put down to the tenant's own requests; counts it first, if the
-    /// tenant may be its cause.
+    /// Returns whether this outcome should be attributed to the tenant's own requests. Records the
+    /// outcome first if the tenant could have caused it.
     fn is_tenant_outlier(
         &mut self,
         tenant: Option<TenantId>,
@@ -255,7 +257,8 @@
         }
     }
 
-    /// Answers a request that is given up: as rejected where a retry does no harm, as failed elsewhere.
+    /// Sends the final response for a request that gets no further attempts: rejected if a retry is
+    /// safe, failed otherwise.
     fn give_up(&mut self, request: RequestId, context: &mut Context) {
         let Some(record) = self.requests.get(&request) else {
             return;
@@ -296,7 +299,7 @@
         context.send(Component::LoadBalancer, Message::RequestClosed(request));
     }
 
-    /// Cancels the attempts of a closed request that are still in flight, and drops its record once none is.
+    /// Cancels the in-flight attempts of a closed request, or drops its record if none are left.
     fn settle(&mut self, request: RequestId, context: &mut Context) {
         let Some(record) = self.requests.get(&request).filter(|record| record.closed) else {
             return;
@@ -314,12 +317,13 @@
     }
 }
 
-/// Whether the client may have got a complete answer, though its connection broke or the attempt was given up.
+/// Returns whether the client may have received a complete response, even if the connection broke
+/// or the attempt was cancelled or timed out.
 fn may_have_answered(outcome: AttemptOutcome) -> bool {
     !outcome.never_ran() && outcome != AttemptOutcome::Failed
 }
 
-/// Rule 1: nothing is sent for a request that has its final answer, or would come too late for one.
+/// Rule 1: nothing is sent for a request that is closed, past its deadline or out of attempts.
 fn check_open(request: &RequestRecord, context: &Context) -> Result<(), Refusal> {
     let attempts_left = request.attempts.len() < context.config.max_attempts;
     let in_time = context.now < request.deadline;
@@ -330,7 +334,8 @@
     }
 }
 
-/// Rule 2: a second effect is possible only where an earlier attempt may have run.
+/// Rule 2: an attempt that could repeat the effect of an earlier one is refused. This is possible
+/// only if the earlier attempt may have run.
 fn check_idempotency(
     request: &RequestRecord,
     to: &Endpoint,
--- a/crates/decision/src/admission/tests.rs
+++ b/crates/decision/src/admission/tests.rs
@@ -7,7 +7,8 @@
 mod first_byte;
 mod slow_start;
 
-/// Pods 0 to 2 on build 1 and pod 3 on build 2, and request 0 of a class, due at 9 s.
+/// Returns admission control with pods 0 to 2 on build 1, pod 3 on build 2, and request 0 of the
+/// given class with a deadline at 9 s.
 fn admission(class: u16, phase: Phase, cap: f64) -> AdmissionControl {
     let mut admission = AdmissionControl::default();
     admission
@@ -47,7 +48,7 @@
     }
 }
 
-/// Whether request 0 may be sent to a pod, all of whose build this sidecar uses.
+/// Checks whether request 0 may be sent to a pod, for a sidecar that uses all pods of its build.
 fn check(admission: &AdmissionControl, pod: u64, context: &Context) -> Result<(), Refusal> {
     admission.check_rules(RequestId(0), &candidate(pod, 0, 0, 0.0), context)
 }
@@ -130,7 +131,8 @@
     assert_eq!(check(&admission, 0, &context(now)), expected);
 }
 
-/// Build 2 may have nothing: what comes of candidates of the first tier, of 1.
+/// The exposure cap of build 2 is 0. Tier 1 is proposed; `left` counts the candidates that remain
+/// after a refusal.
 #[rstest]
 #[case::cheapest(&[candidate(0, 1, 1, 2.0), candidate(1, 1, 1, 1.0), candidate(2, 1, 1, 3.0)], Some(1), 0)]
 #[case::the_lower_pod_of_two_alike(&[candidate(2, 1, 1, 1.0), candidate(1, 1, 1, 1.0)], Some(1), 0)]
--- a/crates/decision/src/admission/tests/exposure.rs
+++ b/crates/decision/src/admission/tests/exposure.rs
@@ -74,8 +74,9 @@
     assert_eq!(check(&admission, 0, &context(1.0)), Err(Refusal::StickyKey));
 }
 
-/// A complete answer may have come though its connection broke or the attempt was given up: its key stays all
-/// the same. What never ran, or failed by the pod's own answer, binds nothing.
+/// The client may have received a complete response even if the connection broke or the attempt was
+/// cancelled, so the routing key stays with the build. An attempt that never ran, or that the pod
+/// answered with an error, does not bind the key.
 #[rstest]
 #[case::succeeded(AttemptOutcome::Succeeded, true)]
 #[case::connection_reset(AttemptOutcome::ConnectionReset, true)]
@@ -127,12 +128,13 @@
         .exposure
         .on_tick(&admission.endpoints, &context(1.0));
     assert_eq!(admission.exposure.tells_keys_apart(), lowest != 2);
-    // An older machine comes back.
+    // An older pod comes back.
     admission.endpoints.update(endpoint(0, 1), at(1.0), 0.0);
     assert_eq!(check(&admission, 0, &context(1.0)), expected);
 }
 
-/// The list shows a build before its stage is announced: its keys outlive those of the build released before.
+/// Regression test: a build can appear in the endpoint list before its stage is announced. Its keys
+/// must survive when those of the previously released build are compacted.
 #[test]
 fn keys_of_a_build_that_is_not_announced_yet_are_stored() {
     let mut admission = admission(0, Phase::Released, 1.0);
--- a/crates/decision/src/admission/tests/first_byte.rs
+++ b/crates/decision/src/admission/tests/first_byte.rs
@@ -5,7 +5,7 @@
 use crate::test_support::{at, context, endpoint, leased_context, watch_lost, SILENT};
 use rstest::rstest;
 
-/// With an attempt of request 0 in flight to pod 0, admitted at 1 s.
+/// Returns admission control with an attempt of request 0 at pod 0, admitted at 1 s.
 fn admission_with_an_attempt(context: &mut Context) -> AdmissionControl {
     let mut admission = admission(0, Phase::Released, 1.0);
     context.now = at(1.0);
@@ -35,7 +35,8 @@
 
 type Change = fn(&mut AdmissionControl);
 
-/// Whether the first byte may leave after a change between the decision and that byte, also within the grace.
+/// A change between the scheduling of an attempt and its first byte can revoke the permission to
+/// send, even within the drain grace period.
 #[rstest]
 #[case::nothing(|_: &mut AdmissionControl| (), true)]
 #[case::the_request_is_closed(|admission: &mut AdmissionControl| record(admission).closed = true, false)]
@@ -55,8 +56,8 @@
     assert!(!may_begin(1));
 }
 
-/// While no list is heard permissions expire with the grace (1 s), as the pod may have been announced as leaving
-/// meanwhile.
+/// While no endpoint list is received, permissions expire after the drain grace period (1 s),
+/// because the pod may have started draining in the meantime.
 #[rstest]
 #[case::heard(false, 5.0, true)]
 #[case::lost_within_the_grace(true, 2.0, true)]
@@ -77,7 +78,7 @@
     );
 }
 
-/// Where a list may be relied on for good nothing expires.
+/// An endpoint list without a lease never becomes invalid, so permissions do not expire.
 #[test]
 fn without_a_lease_permission_does_not_expire() {
     let mut context = context(1.0);
--- a/crates/decision/src/admission/tests/slow_start.rs
+++ b/crates/decision/src/admission/tests/slow_start.rs
@@ -30,7 +30,8 @@
     assert_eq!(check(&admission, 0, &context), expected);
 }
 
-/// Hundreds of sidecars with a tenth of an attempt each for a cold pod: a tenth of them may start one.
+/// With a budget of about a tenth of an attempt per sidecar, roughly one sidecar in ten may start
+/// one.
 #[rstest]
 #[case::low_draw(0.5, Err(Refusal::SlowStart))]
 #[case::high_draw(0.95, Ok(()))]
--- a/crates/decision/src/endpoint_lease.rs
+++ b/crates/decision/src/endpoint_lease.rs
@@ -1,8 +1,9 @@
-//! How long the list of endpoints may be relied on after its watch was lost.
+//! The lease on the endpoint list: how long the list remains valid after its watch was lost.
 //!
-//! Pods that were announced as leaving while no list is heard must not get requests for long, and pods that
-//! serve must go on getting them. So the list is a lease: once it has expired only pods that served something
-//! lately are used, until the discovery service has been silent for so long that it must be down.
+//! Pods that started draining while no list is received must not get requests for long, but serving
+//! pods must continue to get them. The list is therefore valid for a lease. After it expires, only
+//! pods that served an attempt recently are used, until the discovery service has been silent for
+//! so long that it is considered down.
 
 use crate::endpoint_state::EndpointState;
 use crate::interface::{EndpointUpdate, WatchLoss, WatchLossCause};
@@ -12,19 +13,22 @@
 #[cfg(test)]
 mod tests;
 
-/// The fraction of the lease that is left to a list which was cached before a restart: it may be of any age.
+/// The fraction of the lease that applies to a list cached before a restart, which may be of any
+/// age.
 const CACHED_LEASE_FRACTION: f64 = 1.0 / 3.0;
-/// Once the lease has expired, a pod is used if it served within this fraction of the lease: in less time
-/// than that no pod drains and is back.
+/// After the lease has expired, a pod is used if it served an attempt within this fraction of the
+/// lease. No pod drains and comes back in less time than that.
 const SERVED_LEASE_FRACTION: f64 = 0.5;
-/// After so many leases without a list its service must be down, and all known pods may be used.
+/// The number of leases without a list after which the discovery service is considered down and all
+/// known pods may be used.
 const OUTAGE_LEASES: u32 = 5;
 
-/// Whether and since when the list of endpoints is out of date.
+/// Tracks whether and since when the endpoint list is out of date.
 pub(crate) struct EndpointLease {
-    /// None: the list may be relied on for good.
+    /// The duration of the lease; with `None`, the list remains valid indefinitely.
     duration: Option<Duration>,
-    /// Since when no list is heard; none while it is, and where it may be relied on for good.
+    /// Since when no list has been received; `None` while lists are received or if the list remains
+    /// valid indefinitely.
     lost_at: Option<Duration>,
     watch_failures: u32,
 }
@@ -38,7 +42,7 @@
         }
     }
 
-    /// Takes an update, or the loss of the watch.
+    /// Processes an endpoint update or the loss of the watch.
     pub(crate) fn on_update(&mut self, update: &EndpointUpdate, now: Duration) {
         self.watch_failures = match update {
             EndpointUpdate::WatchLost(_) => self.watch_failures.saturating_add(1),
@@ -64,17 +68,18 @@
         };
     }
 
-    /// The number of watches and calls for the list that have failed in a row.
+    /// Returns the number of consecutive failed watches and list calls.
     pub(crate) fn watch_failures(&self) -> u32 {
         self.watch_failures
     }
 
-    /// Whether changes of the list are heard, or it may be relied on for good.
+    /// Returns whether list changes are being received or the list remains valid indefinitely.
     pub(crate) fn is_current(&self) -> bool {
         self.lost_at.is_none()
     }
 
-    /// The time since when a pod must have served a request to be used: zero while the lease has not expired.
+    /// Returns the earliest time at which a pod must have last served a request in order to be
+    /// used; zero until the lease has expired.
     pub(crate) fn served_since(&self, now: Duration) -> Duration {
         match self.duration {
             Some(duration) if self.has_expired_times(1, now) => {
@@ -84,7 +89,8 @@
         }
     }
 
-    /// Whether no list has been heard for so long that the discovery service must be down.
+    /// Returns whether no list has been received for so long that the discovery service is
+    /// considered down.
     pub(crate) fn is_service_down(&self, now: Duration) -> bool {
         self.has_expired_times(OUTAGE_LEASES, now)
     }
@@ -96,7 +102,8 @@
     }
 }
 
-/// Whether an attempt was meant for this incarnation of the pod, and the pod neither drains nor is gone.
+/// Returns whether an attempt targets the current incarnation of the pod and the pod is neither
+/// draining nor gone.
 pub(crate) fn still_accepts(endpoint: &EndpointState, attempt: &AttemptRecord) -> bool {
     let listed = &endpoint.endpoint;
     let same_incarnation =
--- a/crates/decision/src/endpoint_lease/tests.rs
+++ b/crates/decision/src/endpoint_lease/tests.rs
@@ -19,7 +19,7 @@
     assert!(context.endpoint_lease.is_current());
 }
 
-/// A loss that is noticed late counts from when the list was last heard.
+/// A loss that is detected late counts from when the list was last received.
 #[test]
 fn the_lease_runs_from_when_a_list_was_last_heard() {
     let mut context = leased_context(10.0);
@@ -33,7 +33,8 @@
     assert_eq!(served_since(&context), at(10.8));
 }
 
-/// Where there is no service, or none that can be understood, its list is relied on for as long as that.
+/// If the discovery service is absent or its response is unreadable, each failed call renews the
+/// lease on the list.
 #[test]
 fn a_missing_service_renews_the_lease() {
     let mut context = leased_context(10.0);
@@ -48,7 +49,7 @@
     }
 }
 
-/// A list that was cached before the start may be of any age: a third of the lease is left to it.
+/// A list cached before the start may be of any age, so only a third of the lease applies to it.
 #[rstest]
 #[case::within_it(11.9, false)]
 #[case::after_it(12.1, true)]
--- a/crates/decision/src/endpoint_state.rs
+++ b/crates/decision/src/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What admission control and the endpoint tracker keep on record of the pods.
+//! Records of pods kept by admission control and the endpoint tracker.
 
 use crate::derived_config::DerivedConfig;
 use crate::interface::{BuildId, Endpoint, PodId, PodState};
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What admission control knows of a pod.
+/// Admission control's record of a pod.
 pub(crate) struct EndpointState {
     pub(crate) endpoint: Endpoint,
-    /// When this sidecar was notified that the pod drains or is gone.
+    /// When this sidecar was notified that the pod is draining or gone.
     pub(crate) leaving_since: Option<Duration>,
-    /// The times of the latest attempts sent to it.
+    /// The times of recent attempts sent to the pod.
     pub(crate) attempts: SlidingWindow,
-    /// This sidecar's part of the attempt that the pod's budget has left over as a fraction, from 0 to 1; drawn
-    /// anew each time that the pod is listed.
+    /// This sidecar's random draw for the fractional part of the pod's attempt budget, from 0 to 1.
+    /// It is drawn again on each endpoint update for the pod.
     pub(crate) fractional_allowance: f64,
 }
 
@@ -41,20 +41,20 @@
         self.endpoint = endpoint;
     }
 
-    /// Whether the grace of a pod that drains or is gone is over.
+    /// Returns whether the drain grace period of a draining or gone pod is over.
     pub(crate) fn is_past_grace(&self, now: Duration, grace: Duration) -> bool {
         self.leaving_since
             .is_some_and(|notified_at| now >= notified_at + grace)
     }
 }
 
-/// Admission control's record of all pods, with what is derived from it.
+/// Admission control's records of all pods, with cached values derived from them.
 #[derive(Default)]
 pub(crate) struct EndpointStates {
     states: BTreeMap<PodId, EndpointState>,
     /// The cached result of `lowest_build`.
     lowest_build: Cell<Option<Option<BuildId>>>,
-    /// The cached result of `ready_capacity`, and the time for which it was computed.
+    /// The cached result of `ready_capacity` and the time it was computed for.
     ready_capacity: Cell<Option<(Duration, f64)>>,
 }
 
@@ -85,8 +85,8 @@
         self.ready_capacity.set(None);
     }
 
-    /// The lowest build that runs on a pod which neither drains nor is gone; computed once for each change of
-    /// the list.
+    /// Returns the lowest build running on a pod that is neither draining nor gone. The result is
+    /// cached until the list changes.
     pub(crate) fn lowest_build(&self) -> Option<BuildId> {
         let compute = || {
             self.states
@@ -100,7 +100,8 @@
         lowest
     }
 
-    /// The capacity of all ready pods together; computed once for each time that it is asked for.
+    /// Returns the combined capacity of all ready pods. The result is cached for calls with the
+    /// same time.
     pub(crate) fn ready_capacity(&self, now: Duration, config: &DerivedConfig) -> f64 {
         if let Some((_, cached)) = self.ready_capacity.get().filter(|(at, _)| *at == now) {
             return cached;
@@ -117,18 +118,18 @@
     }
 }
 
-/// A row of the list of endpoints.
+/// An entry of the endpoint list.
 struct KnownEndpoint {
     endpoint: Endpoint,
     gone_since: Option<Duration>,
 }
 
-/// The rows of the list of endpoints as they were heard last.
+/// The entries of the endpoint list as last received.
 #[derive(Default)]
 pub(crate) struct KnownEndpoints(BTreeMap<PodId, KnownEndpoint>);
 
 impl KnownEndpoints {
-    /// Stores a row; returns whether its pod has gone by it.
+    /// Stores an entry and returns whether it newly marks its pod as gone.
     pub(crate) fn insert(&mut self, endpoint: &Endpoint, now: Duration) -> bool {
         let before = self.gone_since(endpoint.pod);
         let gone_since = (endpoint.state == PodState::Gone).then(|| before.unwrap_or(now));
@@ -140,7 +141,7 @@
         gone_since.is_some() && before.is_none()
     }
 
-    /// Forgets a pod if it has been gone since `since` or longer; returns whether it did.
+    /// Removes a pod that has been gone since `since` or longer, and returns whether it did.
     pub(crate) fn forget(&mut self, pod: PodId, since: Duration) -> bool {
         let forgets = self
             .gone_since(pod)
@@ -151,7 +152,7 @@
         forgets
     }
 
-    /// The known rows that a complete list does not have, as gone.
+    /// Returns the known entries that are absent from a complete list, marked as gone.
     pub(crate) fn missing_from(&self, list: &[Endpoint]) -> Vec<Endpoint> {
         let listed: BTreeSet<PodId> = list.iter().map(|endpoint| endpoint.pod).collect();
         self.0
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! Tracks the list of endpoints: notifies the other components of changes, and watches the list again when the
-//! watch was lost.
+//! Tracks the endpoint list: notifies the other components of changes and restores the watch after
+//! it was lost.
 
 use crate::context::Context;
 use crate::endpoint_state::KnownEndpoints;
@@ -11,23 +11,25 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest wait before a lost list is watched again, before any backoff.
+/// The maximum delay before a lost watch is restored, without backoff.
 pub const WATCH_RETRY_DELAY: Duration = Duration::from_millis(700);
-/// The backoff doubles that wait so often at most.
+/// The maximum number of times that backoff doubles the delay.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// So many unanswered calls in a row do not lengthen the backoff: one may be lost by chance.
+/// The number of consecutive unanswered calls that do not cause backoff, because a single call may
+/// be lost by chance.
 const TOLERATED_TIMEOUTS: u32 = 2;
-/// A host's own agent is asked again within this fraction of the grace: what it has counts as notified.
+/// The retry delay for a host's own agent, as a fraction of the drain grace period. It is short
+/// because an update counts as notified once the agent has it.
 const AGENT_RETRY_GRACE_FRACTION: u32 = 4;
-/// The shortest wait, as a share of the longest: the wait is drawn from this range so that sidecars which lost
-/// their watch at the same moment do not all call at once.
+/// The minimum delay as a share of the maximum. The delay is drawn from this range so that sidecars
+/// that lost their watch at the same moment do not all call at once.
 const MIN_JITTER: f64 = 0.3;
-/// A pod that has been gone for this long is forgotten: no message about it is still under way.
+/// How long a gone pod is kept. After this time no message about it can be in transit.
 const FORGET_GONE_AFTER: Duration = Duration::from_secs(120);
-/// The least weight of a pod; none is divided by zero.
+/// The lower bound on a pod's weight, which prevents division by zero.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// Knows the list of endpoints as it was heard last.
+/// Keeps the endpoint list as last received.
 #[derive(Default)]
 pub(crate) struct EndpointTracker {
     known: KnownEndpoints,
@@ -60,7 +62,8 @@
         }
     }
 
-    /// Admission control sends nothing to pods that it does not know: forgetting them is safe.
+    /// Removes a pod that has been gone for long enough. This is safe because admission control
+    /// sends nothing to unknown pods.
     fn on_forget_due(&mut self, pod: PodId, context: &mut Context) {
         if self.known.forget(pod, context.ago(FORGET_GONE_AFTER)) {
             let components = [
@@ -94,9 +97,9 @@
     }
 }
 
-/// Schedules the next call for the list: soon after a loss, and with exponential backoff after calls that were
-/// refused or repeatedly unanswered, so that the calls of a large fleet do not keep the service too busy to
-/// answer any.
+/// Schedules the next call for the list. It follows soon after a loss, and with exponential backoff
+/// after calls that were refused or repeatedly unanswered, so that the calls of a large fleet do
+/// not overload the service until it can answer none of them.
 fn schedule_watch(loss: &WatchLoss, context: &mut Context) {
     let failures = context.endpoint_lease.watch_failures();
     let doublings = match loss.cause {
--- a/crates/decision/src/endpoints/tests.rs
+++ b/crates/decision/src/endpoints/tests.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long after the last of these losses the list is watched again.
+/// Returns how long after the last of these losses the list is watched again.
 fn wait_after(config: &SidecarConfig, losses: &[WatchLoss]) -> Duration {
     let mut tracker = EndpointTracker::default();
     let mut context = Context::new(Duration::ZERO, config);
@@ -25,8 +25,7 @@
         .unwrap()
 }
 
-/// A list that was lost, and a first call that is not answered, cost little time; calls that are refused back
-/// off.
+/// A lost watch and a first unanswered call are retried without backoff; refused calls back off.
 #[rstest]
 #[case::watch_lost(&[SILENT], 0.7)]
 #[case::no_service(&[SILENT; 9], 0.7)]
@@ -42,8 +41,8 @@
     assert!((0.3 * longest..=longest + 0.001).contains(&wait), "{wait}");
 }
 
-/// What an agent of the sidecar's own has counts as notified once it is there: it is asked again well within the
-/// grace (1 s), however often it failed.
+/// An update counts as notified once the sidecar's own agent has it, so the agent is called again
+/// well within the drain grace period (1 s), regardless of the number of failures.
 #[rstest]
 #[case::lost(&[SILENT])]
 #[case::refused(&[REFUSED; 9])]
@@ -83,16 +82,16 @@
     assert_eq!(forgotten, [PodId(0)]);
 }
 
-/// A call for the list, as the discovery service holds it.
+/// A call for the list in the queue of the discovery service.
 struct Call {
     from: usize,
     at: Duration,
-    /// Its caller was notified that it waited too long; the work is done all the same.
+    /// Whether the caller was told that the call timed out; the work is done nevertheless.
     refused: bool,
 }
 
-/// A discovery service that works through calls in order, and refuses those that have waited for long or find
-/// its queue full.
+/// A discovery service that processes calls in order. It refuses a call if its queue is full or the
+/// call has waited for too long.
 struct DiscoveryService {
     queue: VecDeque<Call>,
     free_at: Duration,
@@ -103,7 +102,7 @@
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
 impl DiscoveryService {
-    /// Queues a call; returns false if it is refused at once.
+    /// Queues a call and returns `false` if it is refused immediately.
     fn call(&mut self, from: usize, now: Duration) -> bool {
         let accepts = self.queue.len() < MAX_QUEUE;
         if accepts {
@@ -116,7 +115,8 @@
         accepts
     }
 
-    /// The callers that are answered by now, and those that are refused as they have waited for too long.
+    /// Returns the callers that have been answered by now and those that are refused because they
+    /// waited for too long.
     fn work(&mut self, now: Duration) -> (Vec<usize>, Vec<usize>) {
         let mut refused = Vec::new();
         for call in &mut self.queue {
@@ -141,10 +141,10 @@
     }
 }
 
-/// All of a fleet lose their watch in one moment, and their calls are more than the service can answer in the
-/// time that it lets them wait. In the end each hears its list: calls do not keep the service too busy to answer
-/// any. With waits of 0.3 to 1 s however often a call was refused, 425 of 530 have heard none by the bound (the
-/// smaller fleets are answered).
+/// Regression test: a whole fleet loses its watch at once, and makes more calls than the service
+/// can answer within its queueing limit. Every sidecar must receive its list eventually; retries
+/// must not keep the service too busy to answer. With constant delays of 0.3 to 1 s instead of
+/// backoff, 425 of 530 sidecars have received no list by the bound, while the smaller fleets have.
 #[rstest]
 fn a_fleet_that_calls_at_once_is_answered(#[values(100, 280, 530)] sidecars: usize) {
     let start = |index: usize| {
--- a/crates/decision/src/exposure.rs
+++ b/crates/decision/src/exposure.rs
@@ -1,4 +1,5 @@
-//! Rule 5: how many requests a build on trial gets, and that a routing key which it has served stays with it.
+//! Rule 5: limits the requests sent to a build on trial, and keeps a routing key with the build
+//! that has served it.
 
 use crate::context::Context;
 use crate::derived_config::DerivedConfig;
@@ -12,20 +13,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Requests from the far end of the window do not count: they leave the window before the attempts that are
-/// made for them.
+/// The share of the window in which requests count. Older requests are excluded because they leave
+/// the window before the attempts made for them.
 const COUNTED_WINDOW_FRACTION: f64 = 0.9;
 
-/// What a build on trial may get.
+/// The limit on requests for a build on trial.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ExposureCap {
-    /// The share of requests, from 0 to 1.
+    /// The maximum share of requests, from 0 to 1.
     pub(crate) share: f64,
+    /// The index of the stage that the limit belongs to.
     pub(crate) stage: u8,
 }
 
-/// The cap of a build on trial; none for builds that are not. A build without a stage update counts as in the
-/// first stage, unless nothing older runs.
+/// Returns the cap of a build on trial, or `None` if the build is not on trial. A build without a
+/// stage update is treated as in the first stage, unless no older build runs.
 pub(crate) fn exposure_cap(
     build: BuildId,
     lowest_build: Option<BuildId>,
@@ -53,17 +55,18 @@
     }
 }
 
-/// Counts requests and attempts, and knows which build served each routing key.
+/// Counts requests and attempts, and tracks which build served each routing key.
 #[derive(Default)]
 pub(crate) struct ExposureControl {
     stage: Option<StageUpdate>,
-    /// Requests, by counter.
+    /// Arrived requests by exposure counter.
     admitted: BTreeMap<usize, SlidingWindow>,
-    /// Attempts, by build and counter.
+    /// Attempts by build and exposure counter.
     exposed: BTreeMap<(BuildId, usize), SlidingWindow>,
     /// The newest build that served each key.
     key_builds: BTreeMap<RoutingKey, BuildId>,
-    /// Counts as the build that served every key, as no older build ran any more.
+    /// A build that counts as having served every key, set once no older build could receive
+    /// requests.
     all_keys_build: Option<BuildId>,
 }
 
@@ -90,7 +93,8 @@
             .or_insert(build);
     }
 
-    /// Takes the state of a stage. The rule is about the keys of the newest build alone.
+    /// Applies a stage update. Only the keys of the newest build are subject to the rule, so keys
+    /// of older builds are dropped.
     pub(crate) fn on_stage_updated(&mut self, update: StageUpdate) {
         if self.stage.is_some_and(|old| old.build < update.build) {
             self.key_builds.retain(|_, build| *build >= update.build);
@@ -108,8 +112,9 @@
         }
     }
 
-    /// Once a build is released and nothing older can get requests, its keys need not be told apart, and a
-    /// million keys a day need not be stored. An older pod that comes back gets requests without a key only.
+    /// Replaces the keys of a released build by a single entry once no older build can receive
+    /// requests, which avoids storing a million keys per day. An older pod that comes back then
+    /// receives only requests without a key.
     fn compact_keys(&mut self, endpoints: &EndpointStates, context: &Context) {
         let Some(update) = self.stage else {
             return;
@@ -123,13 +128,13 @@
             .values()
             .all(|state| state.endpoint.build >= update.build || !usable(state));
         if nothing_older {
-            // A later build that was listed before its stage was announced has keys of its own.
+            // Keys of a later build that was listed before its stage was announced are kept.
             self.key_builds.retain(|_, build| *build > update.build);
             self.all_keys_build = Some(update.build);
         }
     }
 
-    /// The cap of a build, none if it is not on trial.
+    /// Returns the cap of a build, or `None` if it is not on trial.
     pub(crate) fn cap(
         &self,
         build: BuildId,
@@ -139,9 +144,9 @@
         exposure_cap(build, endpoints.lowest_build(), self.stage, config)
     }
 
-    /// Whether the rule admits one more attempt of a request at a build.
+    /// Checks whether the rule allows one more attempt of a request at a build.
     ///
-    /// A lower cap holds from the moment of its update on, without the grace.
+    /// A lowered cap takes effect as soon as its update arrives, without a grace period.
     pub(crate) fn check(
         &self,
         request: &RequestRecord,
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Whether a newer build that is on trial or released has served the key of this request.
+    /// Returns whether the request's key was served by a newer build that is on trial or released.
     fn belongs_to_newer_build(
         &self,
         request: &RequestRecord,
--- a/crates/decision/src/exposure/tests.rs
+++ b/crates/decision/src/exposure/tests.rs
@@ -1,7 +1,7 @@
 use super::ExposureControl;
 
 impl ExposureControl {
-    /// Whether it stores keys one by one.
+    /// Returns whether any keys are stored individually.
     pub(crate) fn tells_keys_apart(&self) -> bool {
         !self.key_builds.is_empty()
     }
--- a/crates/decision/src/request_state.rs
+++ b/crates/decision/src/request_state.rs
@@ -1,4 +1,4 @@
-//! What admission control and the load balancer keep on record of each request.
+//! Records of requests kept by admission control and the load balancer.
 
 use crate::interface::{
     AttemptIndex, AttemptOutcome, BuildId, CellId, ClassId, DeduplicationScope, Endpoint, PodId,
@@ -13,9 +13,9 @@
     pub(crate) routing_key: Option<RoutingKey>,
     pub(crate) deadline: Duration,
     pub(crate) attempts: Vec<AttemptRecord>,
-    /// It has its final answer, or needs none any more.
+    /// Whether the request has its final response or no longer needs one.
     pub(crate) closed: bool,
-    /// Its answer is being streamed to the client.
+    /// Whether the response is being streamed to the client.
     pub(crate) streaming: bool,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Puts an attempt on record and returns its index.
+    /// Records an attempt and returns its index.
     pub(crate) fn record_attempt(&mut self, to: &Endpoint, now: Duration) -> AttemptIndex {
         self.attempts.push(AttemptRecord {
             pod: to.pod,
@@ -46,14 +46,14 @@
         AttemptIndex(self.attempts.len() as u16 - 1)
     }
 
-    /// An attempt that has no outcome yet.
+    /// Returns an attempt if it has no outcome yet.
     pub(crate) fn open_attempt(&self, attempt: AttemptIndex) -> Option<&AttemptRecord> {
         self.attempts
             .get(usize::from(attempt.0))
             .filter(|record| record.outcome.is_none())
     }
 
-    /// The indices of all attempts that have no outcome yet.
+    /// Returns the indices of all attempts without an outcome.
     pub(crate) fn open_attempts(&self) -> Vec<AttemptIndex> {
         (0u16..)
             .zip(&self.attempts)
@@ -63,20 +63,21 @@
     }
 }
 
-/// An attempt that was sent, and how it ended.
+/// An attempt that was sent, with its outcome.
 pub(crate) struct AttemptRecord {
     pub(crate) build: BuildId,
     pub(crate) zone: ZoneId,
     pub(crate) cell: CellId,
     pub(crate) pod: PodId,
-    /// The start of the incarnation of the pod that it was meant for.
+    /// The start time of the pod incarnation that the attempt targets.
     pub(crate) pod_started_at: Option<Duration>,
     pub(crate) sent_at: Duration,
     pub(crate) outcome: Option<AttemptOutcome>,
 }
 
 impl AttemptRecord {
-    /// Whether `pod` would know of this attempt, had it run, and drop a repeat of it.
+    /// Returns whether `pod` would recognize and discard a repetition of this attempt if the
+    /// attempt was executed.
     pub(crate) fn is_deduplicated_by(&self, pod: &Endpoint, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -94,14 +95,14 @@
 pub(crate) struct OpenRequest {
     pub(crate) class: ClassId,
     pub(crate) tenant: Option<TenantId>,
-    /// The pod of its latest attempt.
+    /// The pod of the latest attempt.
     pub(crate) last_pod: Option<PodId>,
     pub(crate) arrived_at: Duration,
     pub(crate) deadline: Duration,
     pub(crate) attempts_in_flight: u32,
     /// The pods at which an attempt ended.
     pub(crate) tried_pods: Vec<PodId>,
-    /// Further attempts do not go to the build on trial.
+    /// Whether further attempts avoid the build on trial.
     pub(crate) avoids_trial: bool,
 }
 
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -1,7 +1,8 @@
-//! Rule 4: how many attempts a pod that is warming up gets.
+//! Rule 4: limits the attempts at a pod that is warming up.
 //!
-//! No sidecar knows the others' traffic. Each keeps its own attempts at a cold pod to what it sends to as much
-//! warm capacity, so that the sum keeps to that too, however unequal their traffic is.
+//! No sidecar knows the traffic of the others. Each sidecar limits its own attempts at a cold pod
+//! to the rate that it sends to the same amount of warm capacity. The total then stays within the
+//! same limit, however uneven the traffic is.
 
 use crate::context::Context;
 use crate::endpoint_state::{EndpointState, EndpointStates};
@@ -9,14 +10,15 @@
 use crate::statistics::SmoothedRate;
 use std::time::Duration;
 
-/// The load of a cold pod at its present capacity, over that of warm ones, at most.
+/// The maximum load of a cold pod relative to its current capacity, as a multiple of the load of
+/// warm pods.
 const MAX_SLOW_START_LOAD: f64 = 1.4;
-/// The time constant over which rates are smoothed.
+/// The time constant for smoothing rates.
 pub(crate) const RATE_SMOOTHING: Duration = Duration::from_secs(2);
-/// The least warm capacity that the rate is divided by.
+/// The lower bound on the warm capacity when it is used as a divisor.
 const MIN_CAPACITY: f64 = 0.01;
 
-/// Knows this sidecar's rate of successes.
+/// Tracks this sidecar's rate of successful attempts.
 #[derive(Default)]
 pub(crate) struct SlowStart {
     success_rate: SmoothedRate,
@@ -27,7 +29,8 @@
         self.success_rate.record(now, RATE_SMOOTHING);
     }
 
-    /// Whether the rule admits one more attempt at a pod, of whose build this sidecar uses `used_fraction`.
+    /// Checks whether the rule allows one more attempt at a pod; `used_fraction` is the fraction of
+    /// its build's pods that this sidecar uses.
     pub(crate) fn check(
         &self,
         state: &EndpointState,
@@ -41,7 +44,8 @@
             return Ok(());
         }
         let capacity = endpoints.ready_capacity(now, config);
-        // A pod gets more from the sidecars that use it, as it gets nothing from those that use others.
+        // The limit is higher at sidecars that use the pod, because it receives nothing from the
+        // others.
         let rate_per_capacity = self.success_rate.per_second(now, RATE_SMOOTHING)
             / (capacity * used_fraction).max(MIN_CAPACITY);
         let load = MAX_SLOW_START_LOAD.min(config.overload_multiple);
@@ -53,8 +57,9 @@
         let sent = state
             .attempts
             .count_since(context.ago(config.overload_window));
-        // The fraction of an attempt is granted at random: rounded up, hundreds of sidecars would overload the
-        // pod; rounded down, those with little traffic would never warm it.
+        // The fractional part of the budget is granted at random. Rounding up would let hundreds of
+        // sidecars overload the pod, and with rounding down low-traffic sidecars would never warm
+        // it up.
         if (sent + 1) as f64 <= budget + state.fractional_allowance {
             Ok(())
         } else {
