--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -1,7 +1,7 @@
-//! Load balancing: holds the open requests and picks pods for them.
+//! Load balancing: tracks open requests and selects pods for them.
 //!
-//! A request goes to the split first (the build on trial or the base), then to a tier of pods, then to the
-//! cheapest pod of that tier. Admission control has the final decision.
+//! A request is first assigned to the build on trial or to the baseline, then to a tier of pods,
+//! and then to the pod of that tier with the lowest cost. Admission control has the final decision.
 
 use crate::candidate::Candidate;
 use crate::context::Context;
@@ -23,30 +23,32 @@
 #[cfg(test)]
 mod tests;
 
-/// The probability that a request may go to an ejected pod to check its health. A sidecar with little traffic
-/// has few requests: most must not go to find that an ejected pod still fails.
+/// The probability that a request may be sent to an ejected pod as a health check. It is low
+/// because a sidecar with little traffic would otherwise spend most of its requests on pods that
+/// still fail.
 const HEALTH_CHECK_PROBABILITY: f64 = 0.15;
-/// The number of pods that an idle sidecar uses,
+/// The number of pods that an idle sidecar uses.
 const MIN_ENDPOINTS_IN_USE: usize = 5;
-/// the number of pods more for each attempt in flight,
+/// The number of additional pods used per attempt in flight.
 const ENDPOINTS_PER_ATTEMPT: usize = 3;
-/// and the least number on either side of the split.
+/// The minimum number of pods used on either side of the split between trial and baseline.
 const MIN_ENDPOINTS_PER_SIDE: usize = 2;
-/// The cost of a pod in another zone, over that of one in this sidecar's zone.
+/// The cost multiplier for a pod in a different zone.
 const OTHER_ZONE_COST: f64 = 1.1;
-/// A pod's latency ratio weighs against its machine type's as if so many answers of that type had been seen.
+/// The weight of the machine type's latency ratio in that of a pod, as a number of responses.
 const MACHINE_TYPE_PRIOR: f64 = 3.0;
-/// The least latency ratio of a pod in its cost, and of a machine type in its capacity.
+/// The lower bound on the latency ratio in a pod's cost.
 const MIN_COST_LATENCY_RATIO: f64 = 0.02;
+/// The lower bound on a machine type's latency ratio in a pod's capacity.
 const MIN_MACHINE_LATENCY_RATIO: f64 = 0.01;
-/// The latency of a class that has no answers yet, in latency objectives.
+/// The assumed latency of a class without any responses, in latency objectives.
 const INITIAL_LATENCY_RATIO: f64 = 0.2;
-/// A request that no pod may take waits for this share of its latency objective,
+/// How long a request without an admissible pod is queued, as a share of its latency objective.
 const PLACEMENT_WAIT: f64 = 0.7;
-/// and until so many ticks before its deadline, at most.
+/// A queued request is abandoned at the latest this many ticks before its deadline.
 const TICKS_BEFORE_DEADLINE: u32 = 3;
 
-/// Picks pods for requests.
+/// Selects pods for requests.
 #[derive(Default)]
 pub(crate) struct LoadBalancer {
     pub(crate) table: EndpointTable,
@@ -57,7 +59,7 @@
     pub(crate) overload: OverloadEstimator,
     /// The mean latency of each class, in seconds.
     pub(crate) class_latency: BTreeMap<ClassId, RunningMean>,
-    /// The mean latency on each type of machine, in latency objectives.
+    /// The mean latency on each machine type, in latency objectives.
     pub(crate) machine_latency: BTreeMap<MachineTypeId, RunningMean>,
 }
 
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The expected latency of a class, in seconds.
+    /// Returns the expected latency of a class, in seconds.
     pub(crate) fn expected_latency(&self, class: ClassId, context: &Context) -> f64 {
         let objective = context.config.class(class).latency_objective.as_secs_f64();
         self.class_latency
@@ -128,7 +130,8 @@
             .map_or(INITIAL_LATENCY_RATIO * objective, |mean| mean.value)
     }
 
-    /// The split: the build on trial, and the share of requests that it gets by its machines, stage and cap.
+    /// Returns the build on trial, if any, and its share of requests: limited by its share of the
+    /// capacity, its stage and its cap.
     fn trial_share(&self, context: &Context) -> (Option<BuildId>, f64) {
         let Some((lowest, newest)) = self.summary.build_range else {
             return (None, 0.0);
@@ -189,8 +192,8 @@
         context.send(Component::AdmissionControl, proposed);
     }
 
-    /// All pods that the request may go to, and the lowest tier of them. The cost is computed for that tier
-    /// only: others are seldom needed.
+    /// Returns all pods that the request may be sent to, and the lowest tier among them. Costs are
+    /// computed for that tier only, because the other tiers are rarely needed.
     fn rank_candidates(
         &self,
         placement: &Placement,
@@ -221,7 +224,7 @@
         (candidates, lowest_tier)
     }
 
-    /// Proposes the candidates of the next tier, which have no cost yet.
+    /// Proposes the candidates of the next tier, whose costs have not been computed yet.
     fn propose_next_tier(
         &self,
         request: RequestId,
@@ -248,9 +251,10 @@
         context.send(Component::AdmissionControl, proposed);
     }
 
-    /// The pods that this sidecar uses of the base, and of the trial: those that rank highest in its own order,
-    /// a few more than its attempts in flight need. With little traffic it could not learn what hundreds of
-    /// pods are like, nor keep connections to them. An ejected pod makes room for the next in rank.
+    /// Returns the subsets of the baseline pods and of the trial pods that this sidecar uses: the
+    /// highest-ranked ones in its own order, slightly more than its attempts in flight need. A
+    /// sidecar with little traffic could neither measure hundreds of pods nor keep connections to
+    /// them. When a pod is ejected, the next in rank takes its place.
     fn endpoints_in_use(&self, context: &Context) -> [EndpointsInUse; 2] {
         let ranks = &self.summary.ranks;
         let all = ranks[0].len() + ranks[1].len();
@@ -265,7 +269,8 @@
                     lowest_rank: ranks[side][unused],
                     fraction: uses_here as f64 / here as f64,
                 },
-                // Also where none is usable: an ejected cold pod may still be proposed, and has its budget.
+                // This also applies if no pod is usable: an ejected cold pod may still be proposed
+                // and then needs a slow-start budget.
                 _ => EndpointsInUse {
                     lowest_rank: (0, PodId(0)),
                     fraction: 1.0,
@@ -280,7 +285,8 @@
             .map_or(1.0, |mean| mean.value)
     }
 
-    /// What a pod can surely do by now, by its weight, its age and the usual latency of its machine type.
+    /// Returns the guaranteed capacity of a pod, based on its weight, its age and the usual latency
+    /// of its machine type.
     fn capacity(&self, snapshot: &EndpointSnapshot, context: &Context) -> f64 {
         let endpoint = &snapshot.endpoint;
         let factor = context
@@ -290,12 +296,14 @@
         endpoint.weight * factor / latency_ratio.max(MIN_MACHINE_LATENCY_RATIO)
     }
 
-    /// What one more request would bear at a pod, by its latency ratio and present capacity.
+    /// Returns the expected cost of one more request at a pod, from its latency ratio and current
+    /// capacity.
     ///
-    /// Of the load a sidecar knows its own part only, one in as many as there are sidecars; an exponential
-    /// random variable of mean 1 stands for the rest. So pods alike get requests in proportion to their
-    /// capacity, and sidecars that rank pods alike do not herd. The latency ratio of a pod with few answers
-    /// leans on that of its machine type: a new pod would be flooded while it is cold.
+    /// A sidecar sees only its own part of the load, one in as many as there are sidecars. An
+    /// exponential random variable of mean 1 represents the rest. As a result, identical pods
+    /// receive requests in proportion to their capacity, and sidecars that rank pods alike do not
+    /// cause a thundering herd. The latency ratio of a pod with few responses is shrunk towards
+    /// that of its machine type; otherwise a new pod would be flooded while it is cold.
     fn cost(&self, snapshot: &EndpointSnapshot, random_draw: f64, context: &Context) -> f64 {
         let (endpoint, config) = (&snapshot.endpoint, &context.config);
         let unseen_load = -random_draw.max(MIN_DIVISOR).ln();
@@ -314,7 +322,7 @@
         load * latency_ratio.max(MIN_COST_LATENCY_RATIO) * zone_cost / capacity
     }
 
-    /// No pod may have the request now: it waits while an answer could still be worth something.
+    /// Queues a request that no pod may take now, for as long as a response would still be useful.
     fn postpone(&mut self, request: RequestId, context: &mut Context) {
         let Some(open) = self.requests.get_mut(&request) else {
             return;
--- a/crates/decision/src/balancer/tests.rs
+++ b/crates/decision/src/balancer/tests.rs
@@ -48,7 +48,7 @@
     );
 }
 
-/// The pods that the load balancer uses, and their fraction of all.
+/// Returns the pods that the load balancer uses and the fraction of all pods that they make up.
 fn in_use(balancer: &mut LoadBalancer) -> (Vec<EndpointSnapshot>, f64) {
     balancer.summary.refresh(&mut balancer.table);
     let [base, _] = balancer.endpoints_in_use(&context(1.0));
@@ -80,8 +80,8 @@
     }
 }
 
-/// Candidates of a side that has none usable stand for the whole of it, or the budget of slow start would have
-/// no bound.
+/// Candidates on a side without usable pods count as the whole side; otherwise the slow-start
+/// budget would be unbounded.
 #[test]
 fn pods_that_are_all_ejected_are_used_as_a_whole() {
     let mut balancer = balancer(3);
@@ -97,7 +97,8 @@
     assert_eq!(in_use.map(|side| side.fraction), [1.0, 1.0]);
 }
 
-/// The fleet's order and number of pods take the place of the sidecar's own; never fewer.
+/// The order and number of pods from the fleet replace the sidecar's own, but never reduce the
+/// number.
 #[rstest]
 #[case::fewer_than_its_own(3, vec![4, 9, 2], 5)]
 #[case::more_than_its_own(8, vec![4, 9, 2], 8)]
@@ -134,8 +135,8 @@
     assert!((base.fraction - expected as f64 / 40.0).abs() < 1e-9);
 }
 
-/// The pods that request 0 may go to. Pods 0 to 2 are usable; pod 0 served what was sent at 11 s, pod 1 what was
-/// sent at 8 s, pod 2 never did.
+/// Returns the pods that request 0 may be sent to. Pods 0 to 2 are usable. Pod 0 served an attempt
+/// sent at 11 s, pod 1 one sent at 8 s, and pod 2 none.
 fn proposed_pods(context: &mut Context) -> Vec<u64> {
     let mut balancer = balancer(0);
     for (id, last_served_at) in [(0, 11.0), (1, 8.0), (2, 0.0)] {
@@ -157,8 +158,9 @@
         .collect()
 }
 
-/// Once no list has been heard for its lease (6 s), only pods that served what was sent within half of it get
-/// requests; and all do again once the discovery service must be down.
+/// Once the lease on the endpoint list (6 s) has expired, only pods that served an attempt sent
+/// within the last half of a lease receive requests. When the discovery service is considered down,
+/// all pods do again.
 #[rstest]
 #[case::lists_are_heard(None, 13.0, &[0, 1, 2])]
 #[case::within_the_lease(Some(7.5), 13.0, &[0, 1, 2])]
--- a/crates/decision/src/candidate.rs
+++ b/crates/decision/src/candidate.rs
@@ -1,24 +1,25 @@
-//! The pods that a request may go to, in order of preference.
+//! The pods that a request may be sent to, in order of preference.
 
 use crate::interface::{BuildId, PodId};
 use std::cmp::Ordering;
 
-/// A pod that a request may go to.
+/// A pod that a request may be sent to.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidate {
     pub(crate) pod: PodId,
     pub(crate) build: BuildId,
-    /// Candidates of the lowest tier are proposed first.
+    /// The tier; candidates of the lowest tier are proposed first.
     pub(crate) tier: u8,
-    /// The random draw that stands for load which this sidecar does not see.
+    /// A random draw that models load which this sidecar cannot observe.
     pub(crate) random_draw: f64,
-    /// The expected cost of the request at this pod; set once its tier is proposed.
+    /// The expected cost of the request at this pod, set when its tier is proposed.
     pub(crate) cost: f64,
     /// The fraction of its build's pods that this sidecar uses.
     pub(crate) used_fraction: f64,
 }
 
-/// The greatest is proposed first: of the lowest tier, then the cheapest, then the lowest pod.
+/// Orders candidates so that the greatest is proposed first: the one with the lowest tier, then the
+/// lowest cost, then the lowest pod id.
 impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
         other
@@ -43,8 +44,8 @@
 
 impl Eq for Candidate {}
 
-/// Moves the best candidate to the end, and leaves the others in no order: nearly always the best one is
-/// admitted, and the others need not be sorted.
+/// Moves the best candidate to the end without sorting the others. The best one is nearly always
+/// admitted, so sorting is rarely needed.
 pub(crate) fn best_last(candidates: &mut [Candidate]) {
     let best = (0..candidates.len()).max_by(|a, b| candidates[*a].cmp(&candidates[*b]));
     if let Some(best) = best {
--- a/crates/decision/src/endpoint_table.rs
+++ b/crates/decision/src/endpoint_table.rs
@@ -1,30 +1,31 @@
-//! The load balancer's view of the pods: one snapshot of each, and what follows from all of them.
+//! The load balancer's view of the pods: a snapshot of each pod and values derived from all
+//! snapshots.
 
 use crate::interface::{BuildId, Endpoint, PodId};
 use crate::statistics::RunningMean;
 use std::time::Duration;
 
-/// A pod as its outlier detector published it last.
+/// The latest state of a pod published by its outlier detector.
 #[derive(Clone)]
 pub(crate) struct EndpointSnapshot {
     pub(crate) endpoint: Endpoint,
-    /// Its rank in this sidecar's own order of pods.
+    /// The pod's rank in this sidecar's own order.
     pub(crate) rank: u64,
     pub(crate) ready: bool,
-    /// Attempts of this sidecar in flight at it.
+    /// The number of this sidecar's attempts in flight at the pod.
     pub(crate) in_flight: usize,
-    /// The latency of its latest answers over the latency objective.
+    /// The latency of recent responses divided by the latency objective.
     pub(crate) latency_ratio: RunningMean,
-    /// Ready, and not ejected.
+    /// Whether the pod is ready and not ejected.
     pub(crate) usable: bool,
-    /// Ejected, but due for a request that shows whether it has recovered.
+    /// Whether the pod is ejected and due for a request that checks whether it has recovered.
     pub(crate) wants_health_check: bool,
-    /// When the latest attempt was sent that it served.
+    /// When the latest attempt that the pod served was sent.
     pub(crate) last_served_at: Duration,
 }
 
 impl EndpointSnapshot {
-    /// The key by which pods are ordered: no two are equal.
+    /// Returns the sort key of the pod, which is unique.
     pub(crate) fn rank_key(&self) -> (u64, PodId) {
         (self.rank, self.endpoint.pod)
     }
@@ -37,18 +38,18 @@
         }
     }
 
-    /// Whether the summary of all snapshots is the same with either of them.
+    /// Returns whether replacing one snapshot by the other leaves the fleet summary unchanged.
     fn summarizes_like(&self, other: &Self) -> bool {
         (self.ready, self.usable, self.rank) == (other.ready, other.usable, other.rank)
             && self.endpoint.build == other.endpoint.build
     }
 }
 
-/// The latest snapshot of each pod, in the order of pods.
+/// The latest snapshot of each pod, ordered by pod id.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     snapshots: Vec<EndpointSnapshot>,
-    /// Attempts in flight at all usable pods.
+    /// The number of attempts in flight at all usable pods.
     in_flight: usize,
     /// Whether the summary is out of date.
     changed: bool,
@@ -107,19 +108,19 @@
     }
 }
 
-/// What is derived from all snapshots together; valid until one of them changes.
+/// Values derived from all snapshots, valid until one of them changes.
 #[derive(Default)]
 pub(crate) struct FleetSummary {
-    /// The lowest and the highest build that is ready.
+    /// The lowest and the highest build among ready pods.
     pub(crate) build_range: Option<(BuildId, BuildId)>,
-    /// The build on trial when the ranks were sorted.
+    /// The build on trial when the ranks were last sorted.
     pub(crate) trial_build: Option<BuildId>,
-    /// The usable pods of the base, and of the trial, lowest rank first.
+    /// The usable pods of the baseline and of the trial, lowest rank first.
     pub(crate) ranks: [Vec<(u64, PodId)>; 2],
 }
 
 impl FleetSummary {
-    /// Computes the summary anew if a pod came, left, was ejected or recovered.
+    /// Recomputes the summary if a pod was added, removed, ejected or has recovered.
     pub(crate) fn refresh(&mut self, table: &mut EndpointTable) {
         if !table.take_changed() {
             return;
@@ -135,7 +136,7 @@
         self.sort_ranks(table, self.trial_build);
     }
 
-    /// Sorts the ranks of the pods on either side of the split.
+    /// Sorts the pods of the baseline and of the trial by rank.
     pub(crate) fn sort_ranks(&mut self, table: &EndpointTable, trial: Option<BuildId>) {
         self.trial_build = trial;
         for (side, ranks) in self.ranks.iter_mut().enumerate() {
--- a/crates/decision/src/hedging.rs
+++ b/crates/decision/src/hedging.rs
@@ -1,5 +1,6 @@
-//! Further attempts of a request: retries after one that ended, and hedged requests beside one that is still in
-//! flight (Dean and Barroso, "The Tail at Scale", 2013). Both are paid for from one retry budget.
+//! Additional attempts of a request: retries after an attempt has ended, and hedged requests
+//! alongside an attempt in flight (Dean and Barroso, "The Tail at Scale", 2013). Both draw on the
+//! same retry budget.
 
 use crate::balancer::LoadBalancer;
 use crate::context::Context;
@@ -8,32 +9,33 @@
 use crate::message::{AttemptEnded, Component, Message};
 use std::time::Duration;
 
-/// An attempt in flight is checked this often.
+/// The interval at which an attempt in flight is considered for hedging.
 const HEDGE_CHECK_INTERVAL: Duration = Duration::from_millis(60);
-/// The further attempts that each request earns, and how many are saved up at most: retries must not multiply
-/// an overload.
+/// The number of additional attempts that each request adds to the budget. It is limited so that
+/// retries do not amplify an overload.
 const RETRY_BUDGET_PER_REQUEST: f64 = 0.15;
+/// The maximum number of additional attempts that the budget accumulates.
 const MAX_RETRY_BUDGET: f64 = 20.0;
-/// A retry is worth it if this share of the expected latency is left for it.
+/// The share of the expected latency that must remain for a retry to be useful.
 const RETRY_LATENCY_SHARE: f64 = 0.5;
-/// The latency of a class is the mean of about so many answers.
+/// The number of responses over which the mean latency of a class is averaged.
 const CLASS_LATENCY_SAMPLES: usize = 20;
-/// The latency on a type of machine is the mean of about so many answers.
+/// The number of responses over which the mean latency of a machine type is averaged.
 const MACHINE_LATENCY_SAMPLES: usize = 50;
 
-/// A token bucket that requests fill and further attempts empty.
+/// A token bucket that is filled by requests and drained by additional attempts.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// Adds what one request earns.
+    /// Adds the tokens for one request.
     pub(crate) fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRY_BUDGET_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
-    /// Takes one attempt from the budget; returns whether there was one.
+    /// Takes one token and returns whether one was available.
     fn try_withdraw(&mut self) -> bool {
         let available = self.tokens >= 1.0;
         if available {
@@ -61,9 +63,10 @@
         }
     }
 
-    /// Takes an outcome; retries the request or gives it up if it is still open and nothing else is in flight.
+    /// Processes an outcome. If the request is still open and has no other attempt in flight, it is
+    /// retried or abandoned.
     pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, context: &mut Context) {
-        // Before this outcome changes it.
+        // Must be read before this outcome is recorded.
         let expected_latency = self.expected_latency(ended.class, context);
         self.record_latency(ended, context);
         let request = ended.result.request;
@@ -110,8 +113,9 @@
         }
     }
 
-    /// An attempt is still in flight: hedges it if its pod has fallen silent. At a pod that answers others a
-    /// long wait means a heavy request, and a hedged one would be as heavy.
+    /// Hedges an attempt in flight if its pod has become unresponsive. If the pod answers other
+    /// requests, a long wait indicates an expensive request, and a hedged attempt would be just as
+    /// expensive.
     pub(crate) fn on_hedge_check_due(
         &mut self,
         request: RequestId,
--- a/crates/decision/src/outlier.rs
+++ b/crates/decision/src/outlier.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: ejects pods that fail or fall silent, and tells apart the faults of one tenant's
-//! requests, which speak against no pod.
+//! Outlier detection: ejects pods that fail or stop responding, and identifies tenants whose own
+//! requests cause failures, which are not attributed to the pods.
 
 use crate::context::Context;
 use crate::endpoint_table::EndpointSnapshot;
@@ -12,40 +12,45 @@
 #[cfg(test)]
 mod tests;
 
-/// A pod's latency ratio is the mean of about so many of its latest answers.
+/// The number of recent responses over which a pod's latency ratio is averaged.
 pub(crate) const LATENCY_RATIO_SAMPLES: usize = 10;
-/// The latency ratio that a rejection counts as: no sign of speed.
+/// The latency ratio recorded for a rejection, so that fast rejections do not make a pod look fast.
 const REJECTION_LATENCY_RATIO: f64 = 1.0;
-/// Resets, time-outs or errors in a row after which a pod is ejected: one may be the fault of a connection or
-/// of a request.
+/// The number of consecutive resets, timeouts or errors after which a pod is ejected. A single one
+/// may be caused by a connection or a request.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// An ejection lasts for twice this at first, and twice as long each further time.
+/// Half the duration of the first ejection; each further ejection lasts twice as long as the one
+/// before.
 const EJECTION_BASE: Duration = Duration::from_millis(250);
-/// So many ejections in a row double the time; further ones do not.
+/// The number of consecutive ejections after which the duration stops doubling.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// A pod counts as silent after this multiple of the shortest latency objective, however fast it is,
+/// The timeout after which any pod counts as unresponsive, as a multiple of the shortest latency
+/// objective.
 const SILENCE_BASE: f64 = 0.15;
-/// and this multiple of its own latency ratio in addition.
+/// The additional timeout, as a multiple of the pod's own latency ratio.
 const SILENCE_PER_LATENCY_RATIO: f64 = 2.0;
-/// With few attempts in flight a slow one explains the silence, with many it does not: the time allowed is
-/// longer by this over their number.
+/// The timeout is multiplied by 1 plus this number divided by the number of attempts in flight.
+/// With few attempts in flight, a single slow one explains the lack of responses; with many it does
+/// not.
 const SILENCE_FEW_IN_FLIGHT: f64 = 2.0;
-/// The least latency ratio that silence is measured by, and the one of a pod that has not answered yet.
+/// The lower bound on the latency ratio that the timeout is based on.
 const MIN_LATENCY_RATIO: f64 = 0.05;
+/// The latency ratio assumed for a pod that has not answered yet.
 const INITIAL_LATENCY_RATIO: f64 = 0.3;
 
-/// What was observed of a pod since its start.
+/// Observations of a pod since its start.
 #[derive(Default)]
 struct EndpointHealth {
     last_success_at: Duration,
-    /// When the latest attempt was sent that it served; zero once it has rejected one since.
+    /// When the latest attempt that the pod served was sent; zero once the pod has rejected an
+    /// attempt since.
     last_served_at: Duration,
-    /// Recent latency over the latency objective.
+    /// The latency of recent responses divided by the latency objective.
     latency_ratio: RunningMean,
     consecutive_failures: u32,
-    /// Ejections since its last success.
+    /// The number of ejections since the last success.
     ejections: u32,
-    /// Ejected, and with no health check before this; zero while it is not ejected.
+    /// When the pod is next due for a health check; zero if it is not ejected.
     ejected_until: Duration,
 }
 
@@ -55,7 +60,7 @@
     }
 }
 
-/// Watches one pod.
+/// Monitors one pod.
 pub(crate) struct OutlierDetector {
     endpoint: Endpoint,
     in_flight: BTreeMap<(RequestId, AttemptIndex), Duration>,
@@ -84,7 +89,7 @@
         self.publish_snapshot(context);
     }
 
-    /// What was observed of another incarnation or build under the same id is void.
+    /// Discards observations of another incarnation or build with the same id.
     fn on_endpoint_changed(&mut self, endpoint: Endpoint) {
         let restarted = endpoint.started_at != self.endpoint.started_at;
         if restarted || endpoint.build != self.endpoint.build {
@@ -93,7 +98,7 @@
         self.endpoint = endpoint;
     }
 
-    /// An attempt at an ejected pod is a health check: the next one waits for longer.
+    /// Records an attempt. An attempt at an ejected pod is a health check and extends the ejection.
     fn on_attempt_started(&mut self, request: RequestId, attempt: AttemptIndex, now: Duration) {
         self.in_flight.insert((request, attempt), now);
         if self.health.is_ejected() {
@@ -107,8 +112,8 @@
         self.record_outcome(ended, context);
     }
 
-    /// Ejects a pod that takes requests and answers none, whatever the cause. Returns whether the snapshot may
-    /// have changed.
+    /// Ejects a pod that has attempts in flight but does not respond, whatever the cause. Returns
+    /// whether the snapshot may have changed.
     fn on_tick(&mut self, context: &Context) -> bool {
         if self.health.is_ejected() {
             return true;
@@ -142,21 +147,22 @@
         let outcome = ended.result.outcome;
         match outcome {
             AttemptOutcome::Succeeded => self.record_success(ended, context),
-            // An error is no sign of speed: a pod that fails at once would draw all requests.
+            // An error is not recorded as a latency: a pod that fails immediately would attract all
+            // requests.
             AttemptOutcome::TimedOut | AttemptOutcome::Failed if ended.tenant_outlier => {}
             AttemptOutcome::ConnectFailed
             | AttemptOutcome::ConnectionReset
             | AttemptOutcome::TimedOut
             | AttemptOutcome::Failed => {
                 self.health.consecutive_failures += 1;
-                // A pod that died refuses connections, and needs no further sign.
+                // A pod that has crashed refuses connections, so one failure is sufficient.
                 let unreachable = outcome == AttemptOutcome::ConnectFailed;
                 if unreachable || self.health.consecutive_failures >= MAX_CONSECUTIVE_FAILURES {
                     self.eject(now);
                 }
             }
             AttemptOutcome::Rejected => {
-                // It may drain.
+                // The pod may be draining.
                 self.health.last_served_at = Duration::ZERO;
                 self.health
                     .latency_ratio
@@ -185,12 +191,12 @@
         self.health.ejected_until = now + EJECTION_BASE * (1 << self.health.ejections);
     }
 
-    /// Whether a tick could change anything: attempts are in flight, or the pod is ejected.
+    /// Returns whether a tick could change anything: attempts are in flight or the pod is ejected.
     pub(crate) fn needs_tick(&self) -> bool {
         !self.in_flight.is_empty() || self.health.is_ejected()
     }
 
-    /// Sends the load balancer this pod's current state.
+    /// Sends the current state of the pod to the load balancer.
     pub(crate) fn publish_snapshot(&self, context: &mut Context) {
         let ready = self.endpoint.state == PodState::Ready;
         let ejected = self.health.is_ejected();
@@ -214,16 +220,16 @@
     }
 }
 
-/// The share of a tenant's attempts that failed is the mean of about so many of them.
+/// The number of attempts over which a tenant's failure rate is averaged.
 const TENANT_FAILURE_SAMPLES: usize = 30;
-/// A share from fewer attempts than this tells nothing.
+/// The minimum number of attempts for a meaningful failure rate.
 const MIN_TENANT_SAMPLES: usize = 15;
-/// A tenant is an outlier when its share of failures is over this,
+/// The failure rate above which a tenant is an outlier if no other tenant has failures.
 const TENANT_OUTLIER_MARGIN: f64 = 0.2;
-/// and this multiple of the other tenants' mean in addition.
+/// The multiple of the other tenants' mean failure rate that is added to that threshold.
 const TENANT_OUTLIER_FACTOR: f64 = 1.5;
 
-/// Finds tenants whose requests fail where those of others succeed.
+/// Identifies tenants whose requests fail where those of other tenants succeed.
 #[derive(Default)]
 pub(crate) struct TenantOutliers {
     /// The share of each tenant's attempts that fail or time out.
@@ -231,7 +237,7 @@
 }
 
 impl TenantOutliers {
-    /// Counts an attempt on a build that is not on trial.
+    /// Records an attempt at a build that is not on trial.
     pub(crate) fn record(&mut self, tenant: TenantId, outcome: AttemptOutcome) {
         if outcome == AttemptOutcome::Cancelled {
             return;
@@ -243,7 +249,8 @@
             .add(f64::from(u8::from(failed)), TENANT_FAILURE_SAMPLES);
     }
 
-    /// Whether failures of this tenant's requests speak against neither a pod nor a build.
+    /// Returns whether failures of this tenant's requests are evidence against neither a pod nor a
+    /// build.
     pub(crate) fn is_outlier(&self, tenant: TenantId) -> bool {
         let Some(own) = self.failure_rate(tenant) else {
             return false;
--- a/crates/decision/src/outlier/tests.rs
+++ b/crates/decision/src/outlier/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(detector.health.latency_ratio.count, 0);
 }
 
-/// A reset may be the fault of one connection; a pod that can't be reached is ejected at once.
+/// A reset may be caused by a single connection, but an unreachable pod is ejected immediately.
 #[rstest]
 #[case::one_reset(AttemptOutcome::ConnectionReset, 1, false)]
 #[case::three_resets(AttemptOutcome::ConnectionReset, 3, true)]
@@ -84,7 +84,8 @@
     assert_eq!(outliers.is_outlier(TenantId(0)), expected);
 }
 
-/// An ejected pod that other sidecars are to check wants no health check here; own outcomes still bring it back.
+/// An ejected pod whose health is checked by other sidecars needs no health check here. This
+/// sidecar's own outcomes can still reinstate it.
 #[rstest]
 #[case::own_turn(vec![], true)]
 #[case::turn_of_a_peer(vec![0], false)]
@@ -107,7 +108,8 @@
     assert_eq!(snapshot.wants_health_check, wants_health_check);
 }
 
-/// A pod that rejected an attempt may drain: it is not relied on before it has served again.
+/// A pod that rejected an attempt may be draining, so it is not trusted until it has served an
+/// attempt again.
 #[rstest]
 #[case::served(AttemptOutcome::Succeeded, true)]
 #[case::rejected(AttemptOutcome::Rejected, false)]
--- a/crates/decision/src/overload.rs
+++ b/crates/decision/src/overload.rs
@@ -1,4 +1,5 @@
-//! Load shedding: how far the queue ahead of a new request is past what its latency objective bears.
+//! Load shedding: estimates how far the queue ahead of a new request exceeds what its latency
+//! objective allows.
 
 use crate::context::Context;
 use crate::endpoint_table::EndpointTable;
@@ -13,40 +14,44 @@
 #[cfg(test)]
 mod tests;
 
-/// The highest probability of shedding: what still goes through shows when the overload ends.
+/// The maximum probability of shedding. The remaining requests reveal when the overload ends.
 const MAX_SHED_PROBABILITY: f64 = 0.9;
-/// The probability of shedding at full overload, for a class of mean priority; it is capped by the above.
+/// The probability of shedding at full overload for a class of mean priority, before the maximum is
+/// applied.
 const SHED_PER_OVERLOAD: f64 = 2.0;
-/// The time constant by which a tenant's latency decays when none of its attempts end.
+/// The time constant of the decay of a tenant's latency while none of its attempts end.
 const TENANT_LATENCY_DECAY: Duration = Duration::from_secs(4);
-/// A tenant's latency is shrunk towards 0 by so many values.
+/// The weight of the prior that shrinks a tenant's latency towards 0, as a number of attempts.
 const TENANT_LATENCY_PRIOR: f64 = 0.5;
-/// A tenant's latency, in latency objectives, from which on its requests wait for something of their own.
+/// The latency, in latency objectives, from which a tenant's requests are assumed to wait for a
+/// resource of their own.
 const SLOW_TENANT: f64 = 1.0;
-/// The highest latency that one attempt counts as, in latency objectives.
+/// The upper bound on the latency of a single attempt, in latency objectives.
 const MAX_LATENCY_RATIO: f64 = 2.0;
-/// The latency that a rejection counts as, in latency objectives.
+/// The latency recorded for a rejection, in latency objectives.
 const REJECTION_LATENCY_RATIO: f64 = 1.0;
-/// A tenant's latency is the mean of the attempts of this many seconds, and of no fewer attempts than these.
+/// The period over which a tenant's latency is averaged, in seconds.
 const TENANT_LATENCY_SECONDS: f64 = 0.5;
+/// The minimum number of attempts over which a tenant's latency is averaged.
 const MIN_TENANT_LATENCY_SAMPLES: f64 = 5.0;
-/// The least rate of successes that a queue is divided by, a second.
+/// The lower bound on the rate of successes per second when it is used as a divisor.
 const MIN_SUCCESS_RATE: f64 = 5.0;
-/// Shedding begins when the wait is this share of the latency objective,
+/// The wait at which shedding begins, as a share of the latency objective.
 const SHED_FROM_WAIT: f64 = 0.45;
-/// and reaches its full extent when the wait is longer than that by this share.
+/// The additional wait at which shedding reaches its full extent, as a share of the latency
+/// objective.
 const SHED_RANGE: f64 = 0.6;
 
 /// Estimates the wait of a new request.
 #[derive(Default)]
 pub(crate) struct OverloadEstimator {
     success_rate: SmoothedRate,
-    /// What each tenant's latest attempts took, in latency objectives.
+    /// The latency of each tenant's recent attempts, in latency objectives.
     tenant_latency: BTreeMap<Option<TenantId>, DecayingMean>,
 }
 
 impl OverloadEstimator {
-    /// The probability that a new request is to be shed, from 0 to 1.
+    /// Returns the probability, from 0 to 1, that a new request is shed.
     pub(crate) fn shed_probability<'a>(
         &self,
         class: ClassId,
@@ -60,8 +65,8 @@
         (overload * SHED_PER_OVERLOAD * priority).min(MAX_SHED_PROBABILITY)
     }
 
-    /// How far the wait ahead of a new request, by Little's law, is past what the latency objective bears: from
-    /// 0 to 1.
+    /// Returns how far the wait ahead of a new request, estimated by Little's law, exceeds what the
+    /// latency objective allows: from 0 to 1.
     fn overload<'a>(
         &self,
         tenant: Option<TenantId>,
@@ -70,7 +75,7 @@
         context: &Context,
     ) -> f64 {
         let now = context.now;
-        // Before the first answers there is no rate to go by.
+        // No rate has been measured before the first responses.
         if now < context.config.started_at + RATE_SMOOTHING {
             return 0.0;
         }
@@ -84,7 +89,8 @@
                 && usable()
         };
         let queued = open.filter(is_queued).count() as f64;
-        // A few open requests of a sidecar with little traffic are chance: its latest latencies are better evidence.
+        // The number of open requests of a low-traffic sidecar is dominated by chance, so its
+        // recent latencies are better evidence.
         let success_rate = self.success_rate.per_second(now, RATE_SMOOTHING);
         let queue_seconds = (queued - queued.sqrt()) / success_rate.max(MIN_SUCCESS_RATE);
         let wait = (queue_seconds / context.config.min_latency_objective)
@@ -92,16 +98,17 @@
         ((wait - SHED_FROM_WAIT) / SHED_RANGE).clamp(0.0, 1.0)
     }
 
-    /// What a tenant's attempts took lately, in latency objectives. It decays, as nothing is learned while all
-    /// is shed. It is counted by tenant so that requests which wait for something of their own at every pod, and
-    /// hold everybody's capacity, are shed first.
+    /// Returns the recent latency of a tenant's attempts, in latency objectives. It decays because
+    /// nothing is measured while every request is shed. It is kept per tenant so that requests that
+    /// wait for a resource of their own on every pod, and occupy capacity shared by all tenants,
+    /// are shed first.
     fn tenant_latency(&self, tenant: Option<TenantId>, now: Duration) -> f64 {
         self.tenant_latency.get(&tenant).map_or(0.0, |latency| {
             latency.shrunk_mean(now, TENANT_LATENCY_DECAY, TENANT_LATENCY_PRIOR)
         })
     }
 
-    /// Takes the latency of an attempt that ended, and returns it in latency objectives.
+    /// Records the latency of an attempt that ended and returns it in latency objectives.
     pub(crate) fn record(&mut self, ended: &AttemptEnded, context: &Context) -> f64 {
         let now = context.now;
         let objective = context.config.class(ended.class).latency_objective;
@@ -111,8 +118,8 @@
             let ratio = ended.result.duration.as_secs_f64() / objective.as_secs_f64();
             ratio.min(MAX_LATENCY_RATIO)
         };
-        // Of few attempts, or a sidecar with little traffic would shed long after an overload; a busy one reads
-        // half a second of them.
+        // The mean covers few attempts, because a low-traffic sidecar would otherwise shed long
+        // after an overload. A busy sidecar averages half a second of attempts.
         let samples = (self.success_rate.per_second(now, RATE_SMOOTHING) * TENANT_LATENCY_SECONDS)
             .max(MIN_TENANT_LATENCY_SAMPLES);
         self.tenant_latency.entry(ended.tenant).or_default().add(
--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -1,35 +1,41 @@
-//! Which tier of pods a request goes to: by the split between base and trial, by the pods that this sidecar uses,
-//! by health, and by what is known of pods while no list is heard.
+//! Assigns pods to tiers for a request, based on the split between baseline and trial, the pods
+//! that this sidecar uses, their health, and what is known about pods while no endpoint list is
+//! received.
 
 use crate::endpoint_table::EndpointSnapshot;
 use crate::interface::{BuildId, PodId};
 use crate::request_state::OpenRequest;
 use std::time::Duration;
 
-/// The tiers of candidates: the lowest one that has any is proposed first.
+/// The tier of ejected pods that are due for a health check. The lowest tier with any candidates is
+/// proposed first.
 const TIER_HEALTH_CHECK: u8 = 0;
+/// The tier of usable pods that this sidecar uses, on the side assigned to the request.
 const TIER_IN_USE: u8 = 1;
+/// The tier of all other usable pods on the side assigned to the request.
 const TIER_SAME_SIDE: u8 = 2;
+/// The tier of usable pods on the other side.
 const TIER_EITHER_SIDE: u8 = 3;
-/// Nothing is healthy: a pod that is only silent or ejected is better than none.
+/// The tier of unresponsive or ejected pods, which are better than none if no pod is healthy.
 const TIER_LAST_RESORT: u8 = 4;
-/// With the discovery service down, pods that did not serve lately come so many tiers after those that did.
+/// The tier offset, while the discovery service is down, of pods that have not served an attempt
+/// recently.
 const UNCONFIRMED_TIER_OFFSET: u8 = 8;
 
-/// The pods that this sidecar uses, on one side of the split.
+/// The subset of pods that this sidecar uses on one side of the split.
 #[derive(Clone, Copy)]
 pub(crate) struct EndpointsInUse {
     pub(crate) lowest_rank: (u64, PodId),
-    /// The fraction of all usable pods of that side.
+    /// The fraction of all usable pods on that side.
     pub(crate) fraction: f64,
 }
 
-/// What decides the tier of each pod for one request.
+/// The inputs that determine the tier of each pod for one request.
 pub(crate) struct Placement<'a> {
     pub(crate) request: &'a OpenRequest,
     pub(crate) trial: Option<BuildId>,
     pub(crate) wants_trial: bool,
-    /// The request may go to an ejected pod to check its health.
+    /// Whether the request may be sent to an ejected pod to check its health.
     pub(crate) checks_health: bool,
     pub(crate) in_use: [EndpointsInUse; 2],
     pub(crate) served_since: Duration,
@@ -45,13 +51,14 @@
         self.in_use[usize::from(self.is_on_trial(snapshot))]
     }
 
-    /// The tier of a pod; none if the request must not go there.
+    /// Returns the tier of a pod, or `None` if the request must not be sent there.
     pub(crate) fn tier(&self, snapshot: &EndpointSnapshot) -> Option<u8> {
         let tried = self.request.tried_pods.contains(&snapshot.endpoint.pod);
         if !snapshot.ready || tried {
             return None;
         }
-        // Without a list it may have been announced as leaving, unless it served something lately.
+        // Without a list, the pod may have started draining unless it has served an attempt
+        // recently.
         let unconfirmed = snapshot.last_served_at < self.served_since;
         if unconfirmed && !self.service_down {
             return None;
