--- a/crates/decision/src/canary.rs
+++ b/crates/decision/src/canary.rs
@@ -1,4 +1,4 @@
-//! Canary analysis: gathers evidence on the build on trial, and comes to a verdict.
+//! Canary analysis: collects evidence on the build on trial and derives a verdict.
 
 use crate::canary_sample::{CanarySample, OutcomeCounts, PodSample};
 use crate::context::Context;
@@ -17,54 +17,59 @@
 #[cfg(test)]
 mod tests;
 
-/// No build is promoted, or called slow, before it has run in a stage for this long.
+/// The minimum time that a build must run in a stage before it is promoted or considered slow.
 const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(3);
-/// A stage is held for so long at most while the sample is too small.
+/// The longest time that a stage is held because the sample is too small.
 const MAX_HOLD: Duration = Duration::from_secs(3);
-/// The excess of errors over the earlier build that speaks against a build, as a share of outcomes.
+/// The excess failure rate over the baseline above which a build counts as regressed.
 const ERROR_MARGIN: f64 = 0.05;
-/// The same of answers flagged as wrong, which are never due to load.
+/// The excess rate of responses flagged as incorrect. It is lower than for failures because
+/// overload never causes such responses.
 const FLAGGED_MARGIN: f64 = 0.01;
-/// The multiple of the earlier build's median latency that speaks against a build.
+/// The multiple of the baseline's median latency above which a build counts as slow.
 const LATENCY_MARGIN: f64 = 1.5;
-/// A sample is halved when it has so many outcomes: what came late must still show, and memory end.
+/// The number of outcomes at which a sample is halved, so that recent changes remain visible and
+/// memory is bounded.
 const MAX_SAMPLE: usize = 10_000;
-/// Signs on fewer pods than this, of as many or more, speak against the pods.
+/// The minimum number of pods that must show a problem, if the build has that many, for it to be
+/// attributed to the build rather than to its pods.
 const MIN_FAULTY_PODS: usize = 2;
-/// Signs whose dispersion over the pods is higher than this speak against a few of the pods.
+/// The dispersion over the pods above which a problem is attributed to a few of them.
 const MAX_DISPERSION: f64 = 1.6;
-/// The latency of a machine type is the mean of about so many answers.
+/// The number of responses over which the mean latency of a machine type is averaged.
 const MACHINE_LATENCY_SAMPLES: usize = 50;
-/// The least latency ratio of a machine type that latencies are divided by.
+/// The lower bound on a machine type's latency ratio when it is used as a divisor.
 const MIN_MACHINE_LATENCY_RATIO: f64 = 0.001;
-/// The standard error of the logarithm of a median of exponential latencies, times the root of their number:
-/// 1 / ln 2.
+/// The standard error of the logarithm of the median of n exponentially distributed latencies,
+/// times the square root of n: 1 / ln 2.
 const MEDIAN_LOG_ERROR: f64 = 1.44;
-/// A difference of medians needs so many standard errors at least.
+/// The minimum number of standard errors for a significant difference of medians.
 const MIN_LATENCY_SIGNIFICANCE: f64 = 2.5;
-/// The earlier build's median, as a multiple of its usual latency, and the latency ratio of each machine type
-/// must be below these, or there is an overload and all latencies are queues.
+/// The upper bound on the baseline's median latency, as a multiple of its usual latency. Above it,
+/// the system is overloaded and latencies mostly measure queueing.
 const CALM_MEDIAN: f64 = 2.0;
+/// The upper bound on the latency ratio of each machine type. Above it, the system is overloaded
+/// and latencies mostly measure queueing.
 const CALM_LATENCY_RATIO: f64 = 0.25;
 
-/// Observes the build on trial and the earlier one.
+/// Compares the build on trial with the baseline.
 #[derive(Default)]
 pub(crate) struct CanaryAnalysis {
     stage: Option<StageUpdate>,
     stage_entered_at: Duration,
     endpoints: BTreeMap<PodId, Endpoint>,
-    /// Of the build on trial, in this stage.
+    /// Observations of the build on trial in this stage.
     trial: CanarySample,
-    /// Of the earlier build, in this stage.
+    /// Observations of the baseline in this stage.
     baseline: CanarySample,
-    /// Of the earlier build, from before this stage.
+    /// Observations of the baseline before this stage.
     previous_baseline: CanarySample,
     /// The mean latency of each machine type while no build is on trial, in latency objectives.
     machine_latency: BTreeMap<MachineTypeId, RunningMean>,
-    /// Whether the evidence speaks against the build on trial.
+    /// Whether the evidence shows that the build on trial is worse than the baseline.
     regressed: bool,
     has_new_evidence: bool,
-    /// Until when evidence from the stage before is voted on.
+    /// Until when evidence from the previous stage still leads to a vote to roll back.
     rollback_until: Duration,
     voting: VoteCaster,
 }
@@ -113,7 +118,7 @@
         self.stage = Some(update);
     }
 
-    /// Evidence is gathered afresh in each stage.
+    /// Starts a new stage with empty samples.
     fn enter_stage(&mut self, update: &StageUpdate, context: &Context) {
         let next_build = self.stage.is_some_and(|old| old.build != update.build);
         let base = if next_build {
@@ -137,7 +142,8 @@
         self.stage_entered_at = context.now;
     }
 
-    /// The sample that an outcome of a build belongs to; none of builds newer than the one on trial.
+    /// Returns the sample that records outcomes of a build, or `None` for builds newer than the one
+    /// on trial.
     fn sample_of(&mut self, build: BuildId) -> Option<&mut CanarySample> {
         self.has_new_evidence = true;
         let trial_build = self.stage?.build;
@@ -160,7 +166,8 @@
         let Some(endpoint) = self.endpoints.get(&ended.result.pod) else {
             return;
         };
-        // A cold pod's latency is that of its start and its queue: it tells nothing of its build.
+        // The latency of a cold pod is dominated by startup and queueing and says nothing about its
+        // build.
         let warm = config.capacity_factor(endpoint.started_at, ended.sent_at) >= 1.0;
         let objective = config.class(ended.class).latency_objective;
         let latency_ratio = ended.result.duration.as_secs_f64() / objective.as_secs_f64();
@@ -193,8 +200,8 @@
         })
     }
 
-    /// Whether the newest pod of the build has run for the least time: before that the queues of a cold stage
-    /// look like slowness.
+    /// Returns whether the newest pod of the build has run for the minimum observation time. Before
+    /// that, queueing at cold pods is indistinguishable from a slow build.
     fn has_settled(&self, now: Duration) -> bool {
         let newest = self
             .trial_pods()
@@ -233,7 +240,7 @@
         }
     }
 
-    /// Whether the evidence speaks against the build on trial.
+    /// Returns whether the evidence shows that the build on trial is worse than the baseline.
     fn is_regression(&self, now: Duration, config: &DerivedConfig) -> bool {
         let min_sample = min_sample(config);
         if self.trial.total().outcomes < min_sample {
@@ -251,8 +258,9 @@
             || (self.has_settled(now) && self.is_slower(min_sample, significance))
     }
 
-    /// Whether single errors or flags are enough. An error is a sign by itself; a time-out may be due to any
-    /// fault, which makes errors likelier too.
+    /// Returns whether a few errors or flagged responses are sufficient evidence. An error counts
+    /// by itself; timeouts do not, because any fault can cause them. As such a fault makes errors
+    /// more likely too, all counted failures of the baseline lower the significance of an error.
     fn has_rare_sign(
         &self,
         reference: &CanarySample,
@@ -272,7 +280,8 @@
                 && self.is_spread_evenly(1, |pod| pod.flagged))
     }
 
-    /// Whether any request class, or all together, fail or are flagged significantly more than before.
+    /// Returns whether any request class, or all classes together, fail or are flagged
+    /// significantly more often than in the reference sample.
     fn fails_more(
         &self,
         reference: &CanarySample,
@@ -292,8 +301,9 @@
             || (flagged && self.is_spread_evenly(MIN_FAULTY_PODS, |pod| pod.flagged))
     }
 
-    /// Whether a sign is spread over the trial's pods as chance would, and on at least so many unless there are
-    /// fewer: one faulty pod, or a few in a faulty zone, do not speak against the build.
+    /// Returns whether a kind of bad outcome is spread over the trial's pods as chance would, and
+    /// occurs on at least `min_pods` of them (or on all if there are fewer). One faulty pod, or a
+    /// few in a faulty zone, are not evidence against the build.
     fn is_spread_evenly(&self, min_pods: usize, sign: impl Fn(&PodSample) -> usize) -> bool {
         let signs: Vec<f64> = self
             .trial
@@ -306,9 +316,9 @@
             && dispersion(&signs) < MAX_DISPERSION
     }
 
-    /// Whether the build is slower by more than chance explains, also without its slowest pod, beside an earlier
-    /// build that bears the same load at the same time and well: under overload, or in the cold pods of a last
-    /// stage, all latencies are queues.
+    /// Returns whether the build is significantly slower, even without its slowest pod, than a
+    /// baseline that handles the same load at the same time without overload. Under overload, or on
+    /// the cold pods of a last stage, latencies mostly measure queueing.
     fn is_slower(&self, min_sample: usize, significance: f64) -> bool {
         let (new, old) = (self.trial.latencies(), self.baseline.latencies());
         if new.len().min(old.len()) < min_sample {
@@ -342,7 +352,8 @@
         self.voting.cast(verdict, &stage, context);
     }
 
-    /// The evidence for a vote to roll back. The simulator records this text: its form is fixed.
+    /// Formats the evidence for a vote to roll back. The simulator records this text, so its format
+    /// is fixed.
     fn log_rollback(&self, stage: &StageUpdate) -> Action {
         let (build, stage) = (stage.build.0, stage.stage.0);
         let (new, old) = (&self.trial, &self.baseline);
@@ -352,8 +363,8 @@
     }
 }
 
-/// The failures that count: with no earlier build beside the trial, nothing tells its time-outs from those of a
-/// fault that came since.
+/// Returns the failures to compare. Without a concurrent baseline, the timeouts of the trial cannot
+/// be told apart from those of a fault that began later, so only errors count.
 fn failures(counts: &OutcomeCounts, beside_baseline: bool) -> Proportion {
     if beside_baseline {
         counts.failed()
--- a/crates/decision/src/canary/tests.rs
+++ b/crates/decision/src/canary/tests.rs
@@ -5,7 +5,7 @@
 
 mod votes;
 
-/// What a pod is observed to do: its id, failures, outcomes, and latency.
+/// The observations of one pod: its id, number of failures, number of outcomes, and latency.
 type Observed = (u64, usize, usize, f64);
 
 fn observe(sample: &mut CanarySample, (pod, failures, outcomes, latency): Observed) {
@@ -19,7 +19,8 @@
     }
 }
 
-/// With build 2 on trial on pods 3 and 5, and the earlier build on pod 0 (failures, outcomes, latency).
+/// Returns an analysis with build 2 on trial on pods 3 and 5 and the baseline on pod 0 (failures,
+/// outcomes, latency).
 fn canary(trial: &[Observed], baseline: (usize, usize, f64)) -> CanaryAnalysis {
     let mut canary = CanaryAnalysis {
         stage: Some(stage_update(Phase::OnTrial, 0.2)),
@@ -56,7 +57,8 @@
     assert_eq!(canary.verdict(at(30.0), &config), expected);
 }
 
-/// The latency of a cold pod is that of its start and its queue: it counts as an outcome, not as a latency.
+/// The latency of a cold pod measures its startup and queue, so it is recorded as an outcome
+/// without a latency.
 #[rstest]
 #[case::cold(Some(at(0.5)), 0)]
 #[case::warm(None, 1)]
@@ -141,7 +143,7 @@
     );
 }
 
-/// The simulator records this text.
+/// The simulator records this text, so its format must not change.
 #[test]
 fn the_log_of_a_rollback_has_its_fixed_form() {
     let mut canary = canary(&[(3, 2, 30, 0.1)], (0, 200, 0.25));
--- a/crates/decision/src/canary/tests/votes.rs
+++ b/crates/decision/src/canary/tests/votes.rs
@@ -22,7 +22,7 @@
     assert_eq!(context.actions, []);
 }
 
-/// Takes votes as the rollout service does: so many a second, and twice that many at one time.
+/// Limits votes like the rollout service: a rate per second, with a burst of twice that many.
 struct RolloutService {
     tokens: f64,
     refilled_at: Duration,
@@ -42,7 +42,7 @@
         VoteAnswer::Counted
     }
 
-    /// The number of votes that count now.
+    /// Returns the number of votes that count at `now`.
     fn count(&self, verdict: Verdict, now: Duration, ttl: Duration) -> usize {
         self.votes
             .values()
@@ -55,7 +55,7 @@
 const QUORUM: usize = 76;
 const RATE_LIMIT: f64 = 16.0;
 
-/// A sidecar of the fleet, that hears of the stage `delay` seconds after its start.
+/// Returns a sidecar of the fleet that learns of the stage `delay` seconds after its start.
 fn start_sidecar(index: usize, delay: f64) -> (CanaryAnalysis, Context) {
     let mut canary = CanaryAnalysis::default();
     let mut context = context(delay);
@@ -77,10 +77,11 @@
     (canary, context)
 }
 
-/// Of 300 sidecars many want a build rolled back, from when they know: the quorum counts at one time within one
-/// and a half times to live of a vote, or twice that long if they come to know in the middle of a window (the rest
-/// of it, the pause after it and the time that the rate limit takes), also while a part of the fleet is dead or
-/// late.
+/// Many of 300 sidecars want to roll a build back, starting when they notice the fault. The quorum
+/// must count at the same time within 1.5 times the time to live of a vote. If they notice it in
+/// the middle of a voting window, twice the time to live is allowed: the rest of the window, the
+/// pause after it and the time imposed by the rate limit. Both must also hold while part of the
+/// fleet is down or learns of the stage late.
 #[rstest]
 #[case::all_from_the_start(300, 0.0, 1.0, 0.0, 1.5)]
 #[case::all_at_the_end_of_a_window(300, 5.6, 1.0, 0.0, 1.5)]
@@ -116,7 +117,8 @@
             canary.receive(Message::VoteAnswered(answer), context);
         }
         for (index, (canary, context)) in fleet.iter_mut().enumerate() {
-            // Which of them are dead or want it is unrelated to their place in the schedule.
+            // Makes the choice of dead and voting sidecars independent of their position in the
+            // schedule.
             let place = index * 7 % SIDECARS;
             if place as f64 >= alive * SIDECARS as f64 {
                 continue;
@@ -155,7 +157,7 @@
     panic!("the quorum never counted at one time");
 }
 
-/// Where every vote can be taken, a sidecar waits for no window.
+/// A sidecar does not wait for a voting window if the rollout service can accept every vote.
 #[test]
 fn with_an_ample_rate_limit_votes_are_cast_at_once() {
     let mut canary = canary(&[], (0, 200, 0.1));
--- a/crates/decision/src/canary_sample.rs
+++ b/crates/decision/src/canary_sample.rs
@@ -1,4 +1,4 @@
-//! What was observed of one build in one stage.
+//! Observations of one build in one stage.
 
 use crate::interface::{AttemptOutcome, ClassId, PodId};
 use crate::statistics::{median, Proportion};
@@ -13,28 +13,29 @@
 pub(crate) struct CanarySample {
     pub(crate) by_class: BTreeMap<ClassId, OutcomeCounts>,
     pub(crate) by_pod: BTreeMap<PodId, PodSample>,
-    /// The latencies of all pods, shortest first.
+    /// The latencies of all pods, in ascending order.
     latencies: Vec<f64>,
 }
 
-/// What was observed of one pod.
+/// Observations of one pod.
 #[derive(Default, Clone)]
 pub(crate) struct PodSample {
     pub(crate) outcomes: usize,
     pub(crate) failures: usize,
     pub(crate) flagged: usize,
-    /// Latencies over what the earlier build takes on this type of machine, oldest first; warm pods only.
+    /// Latencies relative to the baseline's on the same machine type, oldest first. Only warm pods
+    /// are included.
     pub(crate) latencies: Vec<f64>,
 }
 
-/// How many outcomes were observed, and how many of them were bad.
+/// The number of outcomes and how many of them were bad.
 #[derive(Default, Clone, Copy, Debug)]
 pub(crate) struct OutcomeCounts {
     pub(crate) outcomes: usize,
-    /// Errors and time-outs.
+    /// Errors and timeouts.
     pub(crate) failures: usize,
     pub(crate) timed_out: usize,
-    /// Answers that were flagged as wrong.
+    /// Responses flagged as incorrect.
     pub(crate) flagged: usize,
 }
 
@@ -43,7 +44,7 @@
         Proportion::new(self.failures, self.outcomes)
     }
 
-    /// Failures without time-outs.
+    /// Returns the number of failures other than timeouts.
     pub(crate) fn errors(&self) -> usize {
         self.failures - self.timed_out
     }
@@ -72,7 +73,7 @@
 }
 
 impl PodSample {
-    /// Forgets half of the counts, and the older half of the latencies.
+    /// Discards half of the counts and the older half of the latencies.
     fn halve(&mut self) {
         self.outcomes /= 2;
         self.failures /= 2;
@@ -82,14 +83,14 @@
 }
 
 impl CanarySample {
-    /// The counts of all classes together.
+    /// Returns the counts of all classes combined.
     pub(crate) fn total(&self) -> OutcomeCounts {
         self.by_class
             .values()
             .fold(OutcomeCounts::default(), OutcomeCounts::plus)
     }
 
-    /// The counts of each class, and of all, each beside those of another sample.
+    /// Pairs the counts of each class, and of all classes combined, with those of another sample.
     pub(crate) fn paired_with(&self, other: &Self) -> Vec<(OutcomeCounts, OutcomeCounts)> {
         let of_other = |class| other.by_class.get(class).copied().unwrap_or_default();
         self.by_class
@@ -123,13 +124,13 @@
         }
     }
 
-    /// Counts an answer that was flagged as wrong.
+    /// Counts a response that was flagged as incorrect.
     pub(crate) fn record_flag(&mut self, class: ClassId, pod: PodId) {
         self.by_class.entry(class).or_default().flagged += 1;
         self.by_pod.entry(pod).or_default().flagged += 1;
     }
 
-    /// Forgets half of what was observed: of counts in proportion, of latencies the older ones.
+    /// Discards half of the sample: half of each count, and the older half of the latencies.
     pub(crate) fn halve(&mut self) {
         for counts in self.by_class.values_mut() {
             *counts = counts.halved();
@@ -147,12 +148,12 @@
         self.latencies.sort_by(f64::total_cmp);
     }
 
-    /// All latencies, shortest first.
+    /// Returns all latencies in ascending order.
     pub(crate) fn latencies(&self) -> &[f64] {
         &self.latencies
     }
 
-    /// All latencies but those of the pod with the highest median.
+    /// Returns all latencies except those of the pod with the highest median.
     pub(crate) fn latencies_without_slowest_pod(&self) -> Vec<f64> {
         let mut pods: Vec<(f64, &Vec<f64>)> = self
             .by_pod
@@ -169,7 +170,8 @@
     }
 }
 
-/// The summary of a sample in the decision log. The simulator records it: its form is fixed.
+/// Formats the summary of a sample for the decision log. The simulator records it, so its format is
+/// fixed.
 impl fmt::Display for CanarySample {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (total, latencies) = (self.total(), self.latencies());
--- a/crates/decision/src/evidence.rs
+++ b/crates/decision/src/evidence.rs
@@ -1,5 +1,6 @@
-//! How much evidence a vote needs. It goes by the quorum: what decides alone has to be certain, what dozens
-//! have to agree on may be light.
+//! The amount of evidence that a vote requires. It depends on the quorum: a vote that decides alone
+//! needs strong evidence, while votes that need the agreement of dozens of sidecars may rest on
+//! weak evidence.
 
 use crate::derived_config::DerivedConfig;
 use crate::statistics::{binomial_tail, proportion_excess, Proportion};
@@ -7,21 +8,22 @@
 #[cfg(test)]
 mod tests;
 
-/// The least number of outcomes for a vote that decides alone.
+/// The minimum number of outcomes for a vote that decides alone.
 const MIN_SAMPLE: usize = 20;
-/// The least number of outcomes for any vote.
+/// The minimum number of outcomes for any vote.
 const MIN_SHARED_SAMPLE: usize = 3;
-/// A vote that decides alone needs an excess of so many standard errors.
+/// The minimum excess, in standard errors, for a vote that decides alone.
 const MIN_SIGNIFICANCE: f64 = 1.5;
-/// No proportion is significantly worse by fewer bad outcomes than this.
+/// The minimum number of bad outcomes for a proportion to be significantly worse.
 const MIN_BAD_OUTCOMES: usize = 3;
-/// From this quorum on a single sign may be enough for a vote.
+/// The quorum from which a single bad outcome may be sufficient for a vote.
 const LARGE_QUORUM: f64 = 24.0;
-/// A sign is rare if the earlier build would show it to this share of the quorum at most.
+/// An observation is rare if at most this share of the quorum would make it with the baseline
+/// build.
 const RARE_QUORUM_SHARE: f64 = 0.5;
 
-/// Whether a proportion of bad outcomes is larger than another by more than `margin` and so many standard
-/// errors.
+/// Returns whether a proportion of bad outcomes exceeds another by more than `margin` plus the
+/// given number of standard errors.
 pub(crate) fn is_significantly_worse(
     new: Proportion,
     old: Proportion,
@@ -32,9 +34,9 @@
     new.count >= MIN_BAD_OUTCOMES && excess > margin + standard_errors * standard_error
 }
 
-/// Whether a sign is so rare that, where dozens have to agree, it is enough for a vote: what the earlier build
-/// would show to fewer than half of the quorum. Without it a fleet in which each sidecar has little traffic
-/// would be the last to learn of a fault.
+/// Returns whether an observation is rare enough to justify a vote where dozens of sidecars have to
+/// agree: fewer than half of the quorum would make it with the baseline build. Without this rule, a
+/// fleet whose sidecars each have little traffic would be the last to detect a fault.
 pub(crate) fn is_rare_sign(
     new: Proportion,
     old: Proportion,
@@ -50,15 +52,15 @@
     is_rare && proportion_excess(new, old).0 > margin
 }
 
-/// The least number of outcomes for a vote. Where many must agree each may have fewer, though not in
-/// proportion: what they observe is alike.
+/// Returns the minimum number of outcomes for a vote. It decreases with the quorum, but less than
+/// proportionally because the observations of the sidecars are correlated.
 pub(crate) fn min_sample(config: &DerivedConfig) -> usize {
     let shared = (MIN_SAMPLE as f64 / config.rollback_quorum.sqrt()).ceil() as usize;
     shared.max(MIN_SHARED_SAMPLE)
 }
 
-/// How many standard errors an excess has to have: of many sidecars that observe one sound build, the noise of
-/// as many as can roll it back reaches about this.
+/// Returns the number of standard errors that an excess must reach. Among many sidecars observing a
+/// healthy build, noise exceeds about this level at as many of them as could roll it back.
 pub(crate) fn significance_threshold(config: &DerivedConfig) -> f64 {
     // The tail of the normal distribution beyond x is at most exp(-x^2 / 2).
     let tail_bound = (2.0 * (config.sidecar_count / config.rollback_quorum).ln()).sqrt();
--- a/crates/decision/src/evidence/tests.rs
+++ b/crates/decision/src/evidence/tests.rs
@@ -25,8 +25,9 @@
     assert!((significance_threshold(&config) - standard_errors).abs() < 0.01);
 }
 
-/// Where dozens must agree, one error among the few outcomes of a sidecar with little traffic speaks against a
-/// build; where one decides alone, or where the earlier build errs as well, it does not.
+/// Where dozens of sidecars must agree, one error among the few outcomes of a low-traffic sidecar
+/// is evidence against a build. It is not where one sidecar decides alone or where the baseline
+/// build fails as well.
 #[rstest]
 #[case::many_agree(300.0, 76.0, (1, 5), (0, 40), true)]
 #[case::of_many_outcomes(300.0, 76.0, (1, 19), (0, 200), true)]
--- a/crates/decision/src/test_support.rs
+++ b/crates/decision/src/test_support.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of several modules start from.
+//! Test fixtures shared by several modules.
 
 use crate::balancer::LoadBalancer;
 use crate::context::Context;
@@ -28,7 +28,7 @@
     cause: WatchLossCause::Ended,
 };
 
-/// The lease of the list of endpoints in `leased_context`, in seconds.
+/// The duration in seconds of the endpoint list's lease in `leased_context`.
 pub(crate) const LEASE: f64 = 6.0;
 
 pub(crate) fn at(seconds: f64) -> Duration {
@@ -51,7 +51,8 @@
     window: Duration::from_secs(2),
 };
 
-/// Request classes: 0 idempotent, 1 keyed within a zone, 2 not idempotent.
+/// Returns a configuration with the request classes 0 (idempotent), 1 (keyed within a zone) and 2
+/// (not idempotent).
 pub(crate) fn sidecar_config() -> SidecarConfig {
     SidecarConfig {
         seed: 7,
@@ -102,7 +103,7 @@
     context
 }
 
-/// The context of a sidecar whose list of endpoints may be relied on for a while after it was last heard.
+/// Returns the context of a sidecar whose endpoint list has a lease.
 pub(crate) fn leased_context(now: f64) -> Context {
     let config = SidecarConfig {
         endpoint_lease: Some(at(LEASE)),
@@ -117,7 +118,7 @@
     Event::Endpoints(EndpointUpdate::WatchLost(loss))
 }
 
-/// A ready, warm pod; the zone is its id modulo 2.
+/// Returns a ready, warm pod; the zone is its id modulo 2.
 pub(crate) fn endpoint(id: u64, build: u16) -> Endpoint {
     Endpoint {
         pod: PodId(id),
@@ -131,7 +132,7 @@
     }
 }
 
-/// Build 2 in its first stage.
+/// Returns build 2 in its first stage.
 pub(crate) fn stage_update(phase: Phase, cap: f64) -> StageUpdate {
     StageUpdate {
         build: BuildId(2),
@@ -142,7 +143,7 @@
     }
 }
 
-/// A request of class 0, due at 9 s.
+/// Returns a request of class 0 with a deadline at 9 s.
 pub(crate) fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -153,7 +154,7 @@
     }
 }
 
-/// An attempt of request 0 at pod 0, sent at 1 s.
+/// Returns the end of an attempt of request 0 at pod 0, sent at 1 s.
 pub(crate) fn attempt_ended(outcome: AttemptOutcome) -> AttemptEnded {
     AttemptEnded {
         result: AttemptResult {
@@ -173,7 +174,7 @@
     }
 }
 
-/// A usable pod that answers in a fifth of the latency objective.
+/// Returns a usable pod whose latency is a fifth of the latency objective.
 pub(crate) fn snapshot(endpoint: Endpoint) -> EndpointSnapshot {
     EndpointSnapshot {
         rank: rendezvous_rank(1, endpoint.pod.0),
@@ -190,7 +191,7 @@
     }
 }
 
-/// A load balancer with so many pods alike, and request 0 of tenant 0.
+/// Returns a load balancer with the given number of identical pods, and request 0 of tenant 0.
 pub(crate) fn balancer(pods: u64) -> LoadBalancer {
     let mut balancer = LoadBalancer::default();
     for id in 0..pods {
--- a/crates/decision/src/voting.rs
+++ b/crates/decision/src/voting.rs
@@ -1,8 +1,8 @@
-//! Voting: when a verdict on the build on trial is sent to the rollout service.
+//! Voting: decides when a verdict on the build on trial is sent to the rollout service.
 //!
-//! Where the service can take a vote of each sidecar, a vote is cast as soon as the verdict changes, and again
-//! before it expires. Where it can not, votes follow a schedule: cast all at once, and again as soon as they
-//! were refused, too few of them would count at the same time.
+//! If the service can accept a vote from every sidecar, a vote is cast as soon as the verdict
+//! changes and renewed before it expires. Otherwise votes follow a schedule: if all sidecars voted
+//! at once, and retried as soon as they were refused, too few votes would count at the same time.
 
 use crate::context::Context;
 use crate::derived_config::DerivedConfig;
@@ -11,23 +11,25 @@
 use crate::interface::{Action, BuildId, StageIndex, StageUpdate, Verdict, VoteAnswer};
 use std::time::Duration;
 
-/// The rate limiter of the rollout service saves up the votes of this long.
+/// The burst of the rollout service's rate limiter, as the time that it takes to accumulate.
 const RATE_LIMIT_BURST: Duration = Duration::from_secs(2);
-/// A vote is cast anew after this share of its time to live.
+/// The share of its time to live after which a vote is renewed.
 const RENEWAL_FRACTION: f64 = 0.6;
-/// So many more sidecars than it takes vote to hold a stage, as some may be down.
+/// The number of sidecars that vote to hold a stage, as a multiple of the quorum, because some
+/// sidecars may be down.
 const HOLD_RESERVE: f64 = 1.3;
-/// The window for calls is longer than the quorum takes by this.
+/// The length of the voting window, as a multiple of the time that the quorum takes.
 const CALL_WINDOW_RESERVE: f64 = 1.1;
-/// The bounds of that window, as shares of a vote's time to live.
+/// The minimum length of the voting window, as a share of a vote's time to live.
 const MIN_CALL_WINDOW: f64 = 0.1;
+/// The maximum length of the voting window, as a share of a vote's time to live.
 const MAX_CALL_WINDOW: f64 = 0.9;
-/// A vote without an answer counts as lost so many ticks after the time that an answer may take.
+/// How long after its timeout a vote without a reply is considered lost, in ticks.
 const ANSWER_GRACE_TICKS: u32 = 25;
-/// A vote that was not counted is cast again after so many ticks.
+/// The delay before a vote that was not counted is cast again, in ticks.
 const RETRY_TICKS: u32 = 15;
 
-/// A vote as it was sent.
+/// A vote that was sent.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct Vote {
     pub(crate) verdict: Verdict,
@@ -36,12 +38,13 @@
     pub(crate) cast_at: Duration,
 }
 
-/// When votes are cast where the rollout service can not take one of each sidecar within 0.6 of its time to
-/// live.
+/// The schedule for votes if the rollout service cannot accept one vote from each sidecar within
+/// 0.6 of its time to live.
 ///
-/// Cycles are counted from the update of the stage. First come votes to hold it, of a third more sidecars than
-/// it takes. Then, in each cycle, there is a pause in which the rate limiter saves up, and a window for the
-/// votes to promote and roll back, no longer than the quorum takes. The price is the wait for the window.
+/// Cycles are counted from the stage update. First, a third more sidecars than the quorum requires
+/// vote to hold the stage. Each cycle then consists of a pause, in which the rate limiter
+/// accumulates its burst, and a window for votes to promote and to roll back, which is no longer
+/// than the quorum requires. The cost is the wait for the window.
 struct VoteSchedule {
     /// The fraction of sidecars that vote to hold a stage.
     holder_fraction: f64,
@@ -50,7 +53,7 @@
 }
 
 impl VoteSchedule {
-    /// The schedule; none where every sidecar may vote at any time.
+    /// Returns the schedule, or `None` if every sidecar may vote at any time.
     fn new(config: &DerivedConfig) -> Option<Self> {
         let ttl = config.vote_ttl.as_secs_f64();
         let rate = config.vote_rate_limit;
@@ -74,7 +77,8 @@
         RATE_LIMIT_BURST + self.call_window
     }
 
-    /// The number of the cycle, and the time since its start, at some time after the update of the stage.
+    /// Returns the cycle number and the time since the start of that cycle, at `elapsed` after the
+    /// stage update.
     fn cycle_at(&self, elapsed: Duration) -> (u32, Duration) {
         let after_hold = elapsed.saturating_sub(self.hold_phase);
         let cycle = self.cycle();
@@ -82,13 +86,13 @@
         (number, after_hold.saturating_sub(cycle * number))
     }
 
-    /// Whether a sidecar whose place in the order is `draw` (0 to 1) may vote now.
+    /// Returns whether a sidecar at `draw` in the order (0 to 1) may vote now.
     fn is_due(&self, verdict: Verdict, draw: f64, elapsed: Duration, in_cycle: Duration) -> bool {
         match verdict {
-            // It expires by itself.
+            // A counted vote expires by itself.
             Verdict::Abstain => false,
             Verdict::Hold => {
-                // One that comes late would spend what the first window needs.
+                // A late vote would use up the rate limit needed by the first window.
                 let late = elapsed > self.hold_phase + RATE_LIMIT_BURST / 2;
                 draw < self.holder_fraction
                     && !late
@@ -101,22 +105,22 @@
     }
 }
 
-/// Casts votes, and knows which of them counts.
+/// Casts votes and tracks which of them counts.
 #[derive(Default)]
 pub(crate) struct VoteCaster {
     counted_vote: Option<Vote>,
     pending_vote: Option<Vote>,
-    /// No vote is cast before this.
+    /// The earliest time of the next vote.
     next_vote_at: Duration,
-    /// The start of the cycles of the schedule, by the update that all sidecars get.
+    /// The start of the schedule's cycles, derived from the stage update that all sidecars receive.
     cycles_began_at: Duration,
-    /// The last vote that was cast by the schedule, and its cycle.
+    /// The verdict and cycle of the last vote cast by the schedule.
     last_call: Option<(Verdict, u32)>,
 }
 
 impl VoteCaster {
-    /// Enters another stage, of the same build or of another one. Returns for how long a vote to roll back that
-    /// waited for its window is to be cast all the same.
+    /// Starts a new stage, of the same or of another build. Returns how long a vote to roll back
+    /// that was waiting for its window must still be cast.
     pub(crate) fn on_stage_entered(
         &mut self,
         age: Duration,
@@ -128,7 +132,7 @@
         } else {
             None
         };
-        // A window goes on to its end.
+        // A voting window that has begun continues to its end.
         let elapsed = context.ago(age).saturating_sub(self.cycles_began_at);
         let in_window = schedule
             .as_ref()
@@ -140,7 +144,7 @@
         schedule.map_or(Duration::ZERO, |schedule| schedule.cycle())
     }
 
-    /// Takes an update of the current stage that is `age` old.
+    /// Processes an update of the current stage that is `age` old.
     pub(crate) fn on_stage_updated(&mut self, age: Duration, context: &Context) {
         self.cycles_began_at = self.cycles_began_at.min(context.ago(age));
     }
@@ -157,8 +161,8 @@
         }
     }
 
-    /// Whether a vote is to be cast now: the verdict has changed or the last vote expires soon, no vote is under
-    /// way, and this sidecar is due.
+    /// Returns whether a vote must be cast now: the verdict has changed or the last vote expires
+    /// soon, no vote is in flight, and it is this sidecar's turn.
     pub(crate) fn is_due(
         &mut self,
         verdict: Verdict,
@@ -176,7 +180,7 @@
             && self.is_scheduled(verdict, stage, context)
     }
 
-    /// Whether the vote that counts has this verdict and need not be renewed yet.
+    /// Returns whether the counted vote has this verdict and need not be renewed yet.
     fn counts_already(&self, verdict: Verdict, stage: &StageUpdate, context: &Context) -> bool {
         let (now, ttl) = (context.now, context.config.vote_ttl);
         let counts = |vote: &Vote| {
