--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of the decision engine, and the endpoint tables that they share.
+//! The engine instances and the endpoint tables shared by them.
 
 use limewing_decision::interface::{Action, Endpoint, EndpointUpdate, Event, WatchLoss};
 use limewing_decision::DecisionEngine;
@@ -10,47 +10,49 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
 
-/// The text of a fault whose panic carries none.
-const PANIC_WITHOUT_TEXT: &str = "the decision module panicked";
+/// The fault message for a panic without a text payload.
+const UNKNOWN_PANIC_MESSAGE: &str = "the decision module panicked";
 
 /// One instance of the decision engine.
 struct Instance {
     engine: DecisionEngine,
-    /// Events of the batch that is being read.
+    /// Events from the current batch that the engine has not handled yet.
     pending_events: Vec<Event>,
 }
 
 impl Instance {
-    /// Lets the engine handle the pending events; the text of its panic if it breaks down.
+    /// Lets the engine handle the pending events. Returns the panic message if the engine panics.
     fn handle(&mut self, now: Duration) -> Result<Vec<Action>, String> {
         let events = std::mem::take(&mut self.pending_events);
         catch_unwind(AssertUnwindSafe(|| self.engine.handle(now, events)))
-            .map_err(|panic| panic_text(panic.as_ref()))
+            .map_err(|panic| panic_message(panic.as_ref()))
     }
 }
 
-/// All instances on one wire.
+/// All instances served on one connection to the simulator.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u32, Instance>,
     tables: BTreeMap<u16, Vec<Endpoint>>,
     selected: Option<u32>,
-    /// Instances of the batch that is being read, in the order in which it first selects them.
-    called: Vec<u32>,
+    /// Instances selected in the current batch, in the order of their first selection.
+    selected_in_batch: Vec<u32>,
 }
 
 impl Host {
-    /// Hands a batch's events to their instances, and adds their actions to the reply.
+    /// Passes the events of a batch to their instances and adds the resulting actions to the reply.
     ///
     /// # Errors
-    /// A record refers to a table or an instance that there is not, or settings can't be used.
+    ///
+    /// Returns an error if a record refers to an unknown table, if no instance is selected for a
+    /// start record, or if its settings are invalid.
     pub(crate) fn handle(&mut self, batch: Batch, reply: &mut Reply) -> Result<(), FrameError> {
         self.selected = None;
-        self.called.clear();
+        self.selected_in_batch.clear();
         for record in batch.records {
             self.apply(batch.now, record)?;
         }
-        for id in &self.called {
+        for id in &self.selected_in_batch {
             let Some(instance) = self.instances.get_mut(id) else {
                 continue;
             };
@@ -103,8 +105,8 @@
 
     fn select(&mut self, id: u32) {
         self.selected = Some(id);
-        if !self.called.contains(&id) {
-            self.called.push(id);
+        if !self.selected_in_batch.contains(&id) {
+            self.selected_in_batch.push(id);
         }
     }
 
@@ -139,7 +141,7 @@
             .ok_or(FrameErrorKind::UnknownTable { table })
     }
 
-    /// Keeps an event for the selected instance; without one it is dropped.
+    /// Queues an event for the selected instance, or drops it if no instance is selected.
     fn push_event(&mut self, event: Event) {
         let selected = self.selected.and_then(|id| self.instances.get_mut(&id));
         if let Some(instance) = selected {
@@ -148,12 +150,12 @@
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     if let Some(text) = panic.downcast_ref::<String>() {
         return text.clone();
     }
     if let Some(text) = panic.downcast_ref::<&str>() {
         return (*text).to_owned();
     }
-    PANIC_WITHOUT_TEXT.to_owned()
+    UNKNOWN_PANIC_MESSAGE.to_owned()
 }
