--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -7,9 +7,9 @@
 //! 4. A pod that is warming up is not overloaded (`slow_start`).
 //! 5. A build on trial receives at most its capped share of requests (`exposure`).
 
-use crate::candidate::{best_last, Candidate};
+use crate::candidate::{move_best_to_end, Candidate};
 use crate::context::Context;
-use crate::endpoint_lease::still_accepts;
+use crate::endpoint_lease::accepts_attempt;
 use crate::endpoint_state::EndpointStates;
 use crate::engine::TICK_INTERVAL;
 use crate::exposure::ExposureControl;
@@ -41,7 +41,7 @@
     pub(crate) fn receive(&mut self, message: Message, context: &mut Context) {
         match message {
             Message::EndpointChanged(endpoint) => self.on_endpoint_changed(endpoint, context),
-            Message::EndpointForgotten(pod) => self.endpoints.remove(pod),
+            Message::EndpointRemoved(pod) => self.endpoints.remove(pod),
             Message::RequestArrived(request) => self.on_request_arrived(request, context),
             Message::AttemptProposed {
                 request,
@@ -50,7 +50,7 @@
             } => self.on_attempt_proposed(request, candidates, tier, context),
             Message::AttemptFinished(result) => self.on_attempt_finished(result, context),
             Message::StreamStarted(request) => self.on_stream_started(request),
-            Message::RequestGivenUp(request) => self.give_up(request, context),
+            Message::RequestAbandoned(request) => self.reject_or_fail(request, context),
             Message::RequestClosed(request) => self.on_request_closed(request, context),
             Message::KeyServed(key, build) => self.exposure.record_key(key, build),
             Message::StageUpdated(update) => self.exposure.on_stage_updated(update),
@@ -85,7 +85,7 @@
         tier: u8,
         context: &mut Context,
     ) {
-        best_last(&mut candidates);
+        move_best_to_end(&mut candidates);
         let mut sorted = false;
         while let Some(candidate) = candidates.pop_if(|candidate| candidate.tier == tier) {
             match self.check_rules(request, &candidate, context) {
@@ -154,7 +154,7 @@
         }
         self.endpoints
             .get(attempt.pod)
-            .is_some_and(|state| still_accepts(state, attempt))
+            .is_some_and(|state| accepts_attempt(state, attempt))
     }
 
     fn start_attempt(&mut self, request: RequestId, pod: PodId, context: &mut Context) {
@@ -231,7 +231,7 @@
             Component::CanaryAnalysis,
         ];
         context.broadcast(components, &Message::AttemptEnded(ended));
-        self.settle(request, context);
+        self.clean_up_closed(request, context);
     }
 
     /// Returns whether this outcome should be attributed to the tenant's own requests. Records the
@@ -259,7 +259,7 @@
 
     /// Sends the final response for a request that gets no further attempts: rejected if a retry is
     /// safe, failed otherwise.
-    fn give_up(&mut self, request: RequestId, context: &mut Context) {
+    fn reject_or_fail(&mut self, request: RequestId, context: &mut Context) {
         let Some(record) = self.requests.get(&request) else {
             return;
         };
@@ -295,12 +295,12 @@
         if let Some(record) = self.requests.get_mut(&request) {
             record.closed = true;
         }
-        self.settle(request, context);
+        self.clean_up_closed(request, context);
         context.send(Component::LoadBalancer, Message::RequestClosed(request));
     }
 
     /// Cancels the in-flight attempts of a closed request, or drops its record if none are left.
-    fn settle(&mut self, request: RequestId, context: &mut Context) {
+    fn clean_up_closed(&mut self, request: RequestId, context: &mut Context) {
         let Some(record) = self.requests.get(&request).filter(|record| record.closed) else {
             return;
         };
--- a/crates/decision/src/admission/tests.rs
+++ b/crates/decision/src/admission/tests.rs
@@ -110,7 +110,7 @@
         0.5,
         Some(AttemptOutcome::TimedOut),
     ));
-    admission.give_up(RequestId(0), &mut context);
+    admission.reject_or_fail(RequestId(0), &mut context);
     assert_eq!(
         context.actions,
         [Action::Fail {
--- a/crates/decision/src/admission/tests/exposure.rs
+++ b/crates/decision/src/admission/tests/exposure.rs
@@ -127,7 +127,7 @@
     admission
         .exposure
         .on_tick(&admission.endpoints, &context(1.0));
-    assert_eq!(admission.exposure.tells_keys_apart(), lowest != 2);
+    assert_eq!(admission.exposure.stores_individual_keys(), lowest != 2);
     // An older pod comes back.
     admission.endpoints.update(endpoint(0, 1), at(1.0), 0.0);
     assert_eq!(check(&admission, 0, &context(1.0)), expected);
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -34,7 +34,7 @@
 /// The minimum number of pods used on either side of the split between trial and baseline.
 const MIN_ENDPOINTS_PER_SIDE: usize = 2;
 /// The cost multiplier for a pod in a different zone.
-const OTHER_ZONE_COST: f64 = 1.1;
+const OTHER_ZONE_COST_FACTOR: f64 = 1.1;
 /// The weight of the machine type's latency ratio in that of a pod, as a number of responses.
 const MACHINE_TYPE_PRIOR: f64 = 3.0;
 /// The lower bound on the latency ratio in a pod's cost.
@@ -44,7 +44,7 @@
 /// The assumed latency of a class without any responses, in latency objectives.
 const INITIAL_LATENCY_RATIO: f64 = 0.2;
 /// How long a request without an admissible pod is queued, as a share of its latency objective.
-const PLACEMENT_WAIT: f64 = 0.7;
+const PLACEMENT_WAIT_SHARE: f64 = 0.7;
 /// A queued request is abandoned at the latest this many ticks before its deadline.
 const TICKS_BEFORE_DEADLINE: u32 = 3;
 
@@ -68,9 +68,9 @@
         match message {
             Message::RequestArrived(request) => self.on_request_arrived(&request, context),
             Message::SnapshotPublished(snapshot) => self.table.put(snapshot),
-            Message::EndpointForgotten(pod) => self.table.remove(pod),
-            Message::AttemptRefused(request, rest) => {
-                self.on_attempt_refused(request, rest, context);
+            Message::EndpointRemoved(pod) => self.table.remove(pod),
+            Message::AttemptRefused(request, remaining) => {
+                self.on_attempt_refused(request, remaining, context);
             }
             Message::AttemptStarted {
                 request,
@@ -102,8 +102,8 @@
         self.requests
             .insert(request.id, OpenRequest::new(request, context.now));
         if shed_probability > 0.0 && context.random_unit() < shed_probability {
-            let given_up = Message::RequestGivenUp(request.id);
-            context.send(Component::AdmissionControl, given_up);
+            let abandoned = Message::RequestAbandoned(request.id);
+            context.send(Component::AdmissionControl, abandoned);
         } else {
             self.place(request.id, context);
         }
@@ -112,13 +112,13 @@
     fn on_attempt_refused(
         &mut self,
         request: RequestId,
-        rest: Vec<Candidate>,
+        remaining: Vec<Candidate>,
         context: &mut Context,
     ) {
-        if rest.is_empty() {
+        if remaining.is_empty() {
             self.postpone(request, context);
         } else {
-            self.propose_next_tier(request, rest, context);
+            self.propose_next_tier(request, remaining, context);
         }
     }
 
@@ -176,7 +176,7 @@
             request: open,
             trial,
             wants_trial: !open.avoids_trial && trial_draw < trial_share,
-            checks_health: idempotency != Idempotency::NonIdempotent
+            may_check_health: idempotency != Idempotency::NonIdempotent
                 && open.tried_pods.is_empty()
                 && context.random_unit() < HEALTH_CHECK_PROBABILITY,
             in_use: self.endpoints_in_use(context),
@@ -257,17 +257,18 @@
     /// them. When a pod is ejected, the next in rank takes its place.
     fn endpoints_in_use(&self, context: &Context) -> [EndpointsInUse; 2] {
         let ranks = &self.summary.ranks;
-        let all = ranks[0].len() + ranks[1].len();
-        let own = MIN_ENDPOINTS_IN_USE + ENDPOINTS_PER_ATTEMPT * self.table.in_flight();
-        let uses = context.min_endpoints().max(own) as f64;
+        let total_size = ranks[0].len() + ranks[1].len();
+        let own_minimum = MIN_ENDPOINTS_IN_USE + ENDPOINTS_PER_ATTEMPT * self.table.in_flight();
+        let target = context.min_endpoints().max(own_minimum) as f64;
         [0, 1].map(|side| {
-            let here = ranks[side].len();
-            let uses_here = (uses * here as f64 / all.max(1) as f64).ceil() as usize;
-            let uses_here = uses_here.max(MIN_ENDPOINTS_PER_SIDE);
-            match here.checked_sub(uses_here) {
+            let side_size = ranks[side].len();
+            let side_target =
+                (target * side_size as f64 / total_size.max(1) as f64).ceil() as usize;
+            let side_target = side_target.max(MIN_ENDPOINTS_PER_SIDE);
+            match side_size.checked_sub(side_target) {
                 Some(unused @ 1..) => EndpointsInUse {
                     lowest_rank: ranks[side][unused],
-                    fraction: uses_here as f64 / here as f64,
+                    fraction: side_target as f64 / side_size as f64,
                 },
                 // This also applies if no pod is usable: an ejected cold pod may still be proposed
                 // and then needs a slow-start budget.
@@ -315,7 +316,7 @@
         let zone_cost = if endpoint.zone == config.zone {
             1.0
         } else {
-            OTHER_ZONE_COST
+            OTHER_ZONE_COST_FACTOR
         };
         let own_part = 1.0 / config.sidecar_count;
         let load = snapshot.in_flight as f64 + own_part + (1.0 - own_part) * unseen_load;
@@ -333,16 +334,16 @@
         open.avoids_trial = false;
         open.tried_pods.clear();
         let objective = context.config.class(open.class).latency_objective;
-        let worth_until = open.arrived_at + objective.mul_f64(PLACEMENT_WAIT);
+        let useful_until = open.arrived_at + objective.mul_f64(PLACEMENT_WAIT_SHARE);
         let before_deadline = open
             .deadline
             .saturating_sub(TICK_INTERVAL * TICKS_BEFORE_DEADLINE);
-        if context.now < worth_until.min(before_deadline) {
+        if context.now < useful_until.min(before_deadline) {
             let due = Message::PlacementDue(request);
             context.schedule(TICK_INTERVAL, Component::LoadBalancer, due);
         } else {
-            let given_up = Message::RequestGivenUp(request);
-            context.send(Component::AdmissionControl, given_up);
+            let abandoned = Message::RequestAbandoned(request);
+            context.send(Component::AdmissionControl, abandoned);
         }
     }
 }
--- a/crates/decision/src/canary.rs
+++ b/crates/decision/src/canary.rs
@@ -3,7 +3,9 @@
 use crate::canary_sample::{CanarySample, OutcomeCounts, PodSample};
 use crate::context::Context;
 use crate::derived_config::DerivedConfig;
-use crate::evidence::{is_rare_sign, is_significantly_worse, min_sample, significance_threshold};
+use crate::evidence::{
+    is_rare_observation, is_significantly_worse, min_sample, significance_threshold,
+};
 use crate::interface::{
     Action, AttemptOutcome, BuildId, ClassId, Endpoint, MachineTypeId, Phase, PodId, PodState,
     StageUpdate, Verdict,
@@ -47,10 +49,10 @@
 const MIN_LATENCY_SIGNIFICANCE: f64 = 2.5;
 /// The upper bound on the baseline's median latency, as a multiple of its usual latency. Above it,
 /// the system is overloaded and latencies mostly measure queueing.
-const CALM_MEDIAN: f64 = 2.0;
+const MAX_UNLOADED_MEDIAN: f64 = 2.0;
 /// The upper bound on the latency ratio of each machine type. Above it, the system is overloaded
 /// and latencies mostly measure queueing.
-const CALM_LATENCY_RATIO: f64 = 0.25;
+const MAX_UNLOADED_LATENCY_RATIO: f64 = 0.25;
 
 /// Compares the build on trial with the baseline.
 #[derive(Default)]
@@ -80,7 +82,7 @@
             Message::EndpointChanged(endpoint) => {
                 self.endpoints.insert(endpoint.pod, endpoint);
             }
-            Message::EndpointForgotten(pod) => {
+            Message::EndpointRemoved(pod) => {
                 self.endpoints.remove(&pod);
             }
             Message::StageUpdated(update) => self.on_stage_updated(update, context),
@@ -103,7 +105,7 @@
         let Some(build) = self.endpoints.get(&pod).map(|endpoint| endpoint.build) else {
             return;
         };
-        if let Some(sample) = self.sample_of(build) {
+        if let Some(sample) = self.sample_for(build) {
             sample.record_flag(class, pod);
         }
     }
@@ -121,13 +123,13 @@
     /// Starts a new stage with empty samples.
     fn enter_stage(&mut self, update: &StageUpdate, context: &Context) {
         let next_build = self.stage.is_some_and(|old| old.build != update.build);
-        let base = if next_build {
+        let last_baseline = if next_build {
             &mut self.trial
         } else {
             &mut self.baseline
         };
-        if base.total().outcomes >= min_sample(&context.config) {
-            self.previous_baseline = std::mem::take(base);
+        if last_baseline.total().outcomes >= min_sample(&context.config) {
+            self.previous_baseline = std::mem::take(last_baseline);
         }
         let rollback_for = self
             .voting
@@ -144,7 +146,7 @@
 
     /// Returns the sample that records outcomes of a build, or `None` for builds newer than the one
     /// on trial.
-    fn sample_of(&mut self, build: BuildId) -> Option<&mut CanarySample> {
+    fn sample_for(&mut self, build: BuildId) -> Option<&mut CanarySample> {
         self.has_new_evidence = true;
         let trial_build = self.stage?.build;
         if build < trial_build {
@@ -158,9 +160,9 @@
 
     fn record_outcome(&mut self, ended: &AttemptEnded, config: &DerivedConfig) {
         let outcome = ended.result.outcome;
-        let tells_nothing =
+        let is_uninformative =
             outcome.never_ran() || outcome == AttemptOutcome::Cancelled || ended.tenant_outlier;
-        if tells_nothing || ended.sent_at < self.stage_entered_at {
+        if is_uninformative || ended.sent_at < self.stage_entered_at {
             return;
         }
         let Some(endpoint) = self.endpoints.get(&ended.result.pod) else {
@@ -172,19 +174,19 @@
         let objective = config.class(ended.class).latency_objective;
         let latency_ratio = ended.result.duration.as_secs_f64() / objective.as_secs_f64();
         let no_trial = self.stage.is_none_or(|stage| stage.phase != Phase::OnTrial);
-        let earlier_build = self.stage.is_some_and(|stage| ended.build < stage.build);
-        let measured = outcome == AttemptOutcome::Succeeded && warm;
+        let is_baseline = self.stage.is_some_and(|stage| ended.build < stage.build);
+        let has_valid_latency = outcome == AttemptOutcome::Succeeded && warm;
         let usual = self
             .machine_latency
             .entry(endpoint.machine_type)
             .or_default();
-        let still_learning = earlier_build && usual.count < MACHINE_LATENCY_SAMPLES;
-        if measured && (no_trial || still_learning) {
+        let still_learning = is_baseline && usual.count < MACHINE_LATENCY_SAMPLES;
+        if has_valid_latency && (no_trial || still_learning) {
             usual.add(latency_ratio, MACHINE_LATENCY_SAMPLES);
         }
-        let latency = (measured && usual.count >= min_sample(config))
+        let latency = (has_valid_latency && usual.count >= min_sample(config))
             .then(|| latency_ratio / usual.value.max(MIN_MACHINE_LATENCY_RATIO));
-        let Some(sample) = self.sample_of(ended.build) else {
+        let Some(sample) = self.sample_for(ended.build) else {
             return;
         };
         sample.record(ended.class, ended.result.pod, outcome, latency);
@@ -224,16 +226,16 @@
         if stage.phase != Phase::OnTrial {
             return Verdict::Abstain;
         }
-        let is_short =
+        let is_sample_insufficient =
             || self.trial.total().outcomes < min_sample(config) || !self.has_settled(now);
         let may_hold = now < self.stage_entered_at + MAX_HOLD;
         if config.clock_controlled {
-            if may_hold && is_short() {
+            if may_hold && is_sample_insufficient() {
                 Verdict::Hold
             } else {
                 Verdict::Abstain
             }
-        } else if is_short() {
+        } else if is_sample_insufficient() {
             Verdict::Abstain
         } else {
             Verdict::Promote
@@ -247,32 +249,32 @@
             return false;
         }
         let significance = significance_threshold(config);
-        let beside_baseline = self.baseline.total().outcomes >= min_sample;
-        let reference = if beside_baseline {
+        let has_concurrent_baseline = self.baseline.total().outcomes >= min_sample;
+        let reference = if has_concurrent_baseline {
             &self.baseline
         } else {
             &self.previous_baseline
         };
-        self.has_rare_sign(reference, beside_baseline, config)
-            || self.fails_more(reference, beside_baseline, significance)
+        self.has_rare_observation(reference, has_concurrent_baseline, config)
+            || self.has_excess_failures(reference, has_concurrent_baseline, significance)
             || (self.has_settled(now) && self.is_slower(min_sample, significance))
     }
 
     /// Returns whether a few errors or flagged responses are sufficient evidence. An error counts
     /// by itself; timeouts do not, because any fault can cause them. As such a fault makes errors
     /// more likely too, all counted failures of the baseline lower the significance of an error.
-    fn has_rare_sign(
+    fn has_rare_observation(
         &self,
         reference: &CanarySample,
-        beside_baseline: bool,
+        has_concurrent_baseline: bool,
         config: &DerivedConfig,
     ) -> bool {
         let (trial, old) = (self.trial.total(), reference.total());
-        let old_failures = failures(&old, beside_baseline).count;
+        let old_failures = failures(&old, has_concurrent_baseline).count;
         let is_rare = |new_count, old_count: usize, margin| {
             let new = Proportion::new(new_count, trial.outcomes);
             let old = Proportion::new(old_count.max(old_failures), old.outcomes);
-            is_rare_sign(new, old, margin, config)
+            is_rare_observation(new, old, margin, config)
         };
         (is_rare(trial.errors(), old.errors(), ERROR_MARGIN)
             && self.is_spread_evenly(1, |pod| pod.failures))
@@ -282,38 +284,42 @@
 
     /// Returns whether any request class, or all classes together, fail or are flagged
     /// significantly more often than in the reference sample.
-    fn fails_more(
+    fn has_excess_failures(
         &self,
         reference: &CanarySample,
-        beside_baseline: bool,
+        has_concurrent_baseline: bool,
         significance: f64,
     ) -> bool {
         let pairs = self.trial.paired_with(reference);
-        let errs = pairs.iter().any(|(new, old)| {
-            let new = failures(new, beside_baseline);
-            let old = failures(old, beside_baseline);
+        let excess_failures = pairs.iter().any(|(new, old)| {
+            let new = failures(new, has_concurrent_baseline);
+            let old = failures(old, has_concurrent_baseline);
             is_significantly_worse(new, old, ERROR_MARGIN, significance)
         });
         let flagged = pairs.iter().any(|(new, old)| {
             is_significantly_worse(new.flagged(), old.flagged(), FLAGGED_MARGIN, significance)
         });
-        (errs && self.is_spread_evenly(MIN_FAULTY_PODS, |pod| pod.failures))
+        (excess_failures && self.is_spread_evenly(MIN_FAULTY_PODS, |pod| pod.failures))
             || (flagged && self.is_spread_evenly(MIN_FAULTY_PODS, |pod| pod.flagged))
     }
 
     /// Returns whether a kind of bad outcome is spread over the trial's pods as chance would, and
     /// occurs on at least `min_pods` of them (or on all if there are fewer). One faulty pod, or a
     /// few in a faulty zone, are not evidence against the build.
-    fn is_spread_evenly(&self, min_pods: usize, sign: impl Fn(&PodSample) -> usize) -> bool {
-        let signs: Vec<f64> = self
+    fn is_spread_evenly(
+        &self,
+        min_pods: usize,
+        bad_outcomes: impl Fn(&PodSample) -> usize,
+    ) -> bool {
+        let counts: Vec<f64> = self
             .trial
             .by_pod
             .values()
-            .map(|pod| sign(pod) as f64)
+            .map(|pod| bad_outcomes(pod) as f64)
             .collect();
-        let pods_with_sign = signs.iter().filter(|count| **count > 0.0).count();
-        pods_with_sign >= self.trial_pods().count().min(min_pods)
-            && dispersion(&signs) < MAX_DISPERSION
+        let affected_pods = counts.iter().filter(|count| **count > 0.0).count();
+        affected_pods >= self.trial_pods().count().min(min_pods)
+            && dispersion(&counts) < MAX_DISPERSION
     }
 
     /// Returns whether the build is significantly slower, even without its slowest pod, than a
@@ -328,12 +334,12 @@
             * MEDIAN_LOG_ERROR
             * (1.0 / new.len() as f64 + 1.0 / old.len() as f64).sqrt();
         let (new_median, old_median) = (new[new.len() / 2], old[old.len() / 2]);
-        let calm = old_median < CALM_MEDIAN
+        let is_unloaded = old_median < MAX_UNLOADED_MEDIAN
             && self
                 .machine_latency
                 .values()
-                .all(|mean| mean.value < CALM_LATENCY_RATIO);
-        let slower = calm && new_median > LATENCY_MARGIN * old_median * log_error.exp();
+                .all(|mean| mean.value < MAX_UNLOADED_LATENCY_RATIO);
+        let slower = is_unloaded && new_median > LATENCY_MARGIN * old_median * log_error.exp();
         slower
             && median(self.trial.latencies_without_slowest_pod())
                 > Some(LATENCY_MARGIN * old_median)
@@ -365,8 +371,8 @@
 
 /// Returns the failures to compare. Without a concurrent baseline, the timeouts of the trial cannot
 /// be told apart from those of a fault that began later, so only errors count.
-fn failures(counts: &OutcomeCounts, beside_baseline: bool) -> Proportion {
-    if beside_baseline {
+fn failures(counts: &OutcomeCounts, has_concurrent_baseline: bool) -> Proportion {
+    if has_concurrent_baseline {
         counts.failed()
     } else {
         Proportion::new(counts.errors(), counts.outcomes)
--- a/crates/decision/src/candidate.rs
+++ b/crates/decision/src/candidate.rs
@@ -46,7 +46,7 @@
 
 /// Moves the best candidate to the end without sorting the others. The best one is nearly always
 /// admitted, so sorting is rarely needed.
-pub(crate) fn best_last(candidates: &mut [Candidate]) {
+pub(crate) fn move_best_to_end(candidates: &mut [Candidate]) {
     let best = (0..candidates.len()).max_by(|a, b| candidates[*a].cmp(&candidates[*b]));
     if let Some(best) = best {
         candidates.swap(best, candidates.len() - 1);
--- a/crates/decision/src/derived_config.rs
+++ b/crates/decision/src/derived_config.rs
@@ -9,7 +9,7 @@
 /// The lower bound on the slow-start duration when it is used as a divisor, in seconds.
 const MIN_SLOW_START_SECONDS: f64 = 1e-6;
 /// The multiple of the slow-start duration after which a pod is always treated as warm.
-const CERTAINLY_WARM_MULTIPLE: u32 = 2;
+const WARM_AGE_MULTIPLE: u32 = 2;
 
 /// The settings of a request class that decisions use.
 pub(crate) struct ClassConfig {
@@ -59,7 +59,7 @@
     pub(crate) slow_start_from: f64,
     pub(crate) slow_start_duration: Duration,
     /// The age from which a pod is always treated as warm.
-    pub(crate) certainly_warm_age: Duration,
+    pub(crate) warm_age: Duration,
     pub(crate) overload_multiple: f64,
     pub(crate) overload_window: Duration,
     /// Whether stages advance by a clock rather than by votes.
@@ -104,9 +104,7 @@
             drain_grace: safety.drain_grace,
             slow_start_from: safety.slow_start_from,
             slow_start_duration: safety.slow_start_duration,
-            certainly_warm_age: safety
-                .slow_start_duration
-                .saturating_mul(CERTAINLY_WARM_MULTIPLE),
+            warm_age: safety.slow_start_duration.saturating_mul(WARM_AGE_MULTIPLE),
             overload_multiple: safety.overload_multiple,
             overload_window: safety.overload_window,
             clock_controlled: rollout.control == Control::Clock,
@@ -144,7 +142,7 @@
     #[inline]
     pub(crate) fn capacity_factor(&self, started_at: Option<Duration>, now: Duration) -> f64 {
         // This runs for each pod and request, so pods that started long ago take a fast path.
-        let may_be_cold = |at: &Duration| now.saturating_sub(*at) < self.certainly_warm_age;
+        let may_be_cold = |at: &Duration| now.saturating_sub(*at) < self.warm_age;
         let Some(started_at) = started_at.filter(may_be_cold) else {
             return 1.0;
         };
--- a/crates/decision/src/endpoint_lease.rs
+++ b/crates/decision/src/endpoint_lease.rs
@@ -82,7 +82,7 @@
     /// used; zero until the lease has expired.
     pub(crate) fn served_since(&self, now: Duration) -> Duration {
         match self.duration {
-            Some(duration) if self.has_expired_times(1, now) => {
+            Some(duration) if self.has_been_lost_for(1, now) => {
                 now.saturating_sub(duration.mul_f64(SERVED_LEASE_FRACTION))
             }
             _ => Duration::ZERO,
@@ -92,10 +92,10 @@
     /// Returns whether no list has been received for so long that the discovery service is
     /// considered down.
     pub(crate) fn is_service_down(&self, now: Duration) -> bool {
-        self.has_expired_times(OUTAGE_LEASES, now)
+        self.has_been_lost_for(OUTAGE_LEASES, now)
     }
 
-    fn has_expired_times(&self, leases: u32, now: Duration) -> bool {
+    fn has_been_lost_for(&self, leases: u32, now: Duration) -> bool {
         self.lost_at
             .zip(self.duration)
             .is_some_and(|(lost_at, duration)| now >= lost_at + duration * leases)
@@ -104,7 +104,7 @@
 
 /// Returns whether an attempt targets the current incarnation of the pod and the pod is neither
 /// draining nor gone.
-pub(crate) fn still_accepts(endpoint: &EndpointState, attempt: &AttemptRecord) -> bool {
+pub(crate) fn accepts_attempt(endpoint: &EndpointState, attempt: &AttemptRecord) -> bool {
     let listed = &endpoint.endpoint;
     let same_incarnation =
         (listed.build, listed.started_at) == (attempt.build, attempt.pod_started_at);
--- a/crates/decision/src/endpoint_state.rs
+++ b/crates/decision/src/endpoint_state.rs
@@ -142,14 +142,14 @@
     }
 
     /// Removes a pod that has been gone since `since` or longer, and returns whether it did.
-    pub(crate) fn forget(&mut self, pod: PodId, since: Duration) -> bool {
-        let forgets = self
+    pub(crate) fn remove_if_gone_since(&mut self, pod: PodId, since: Duration) -> bool {
+        let is_due = self
             .gone_since(pod)
             .is_some_and(|gone_since| gone_since <= since);
-        if forgets {
+        if is_due {
             self.0.remove(&pod);
         }
-        forgets
+        is_due
     }
 
     /// Returns the known entries that are absent from a complete list, marked as gone.
--- a/crates/decision/src/endpoint_table.rs
+++ b/crates/decision/src/endpoint_table.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns whether replacing one snapshot by the other leaves the fleet summary unchanged.
-    fn summarizes_like(&self, other: &Self) -> bool {
+    fn has_same_summary(&self, other: &Self) -> bool {
         (self.ready, self.usable, self.rank) == (other.ready, other.usable, other.rank)
             && self.endpoint.build == other.endpoint.build
     }
@@ -73,7 +73,7 @@
             Ok(position) => {
                 let old = &mut self.snapshots[position];
                 self.in_flight -= old.usable_in_flight();
-                self.changed |= !old.summarizes_like(&snapshot);
+                self.changed |= !old.has_same_summary(&snapshot);
                 *old = snapshot;
             }
             Err(position) => {
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -25,7 +25,7 @@
 /// that lost their watch at the same moment do not all call at once.
 const MIN_JITTER: f64 = 0.3;
 /// How long a gone pod is kept. After this time no message about it can be in transit.
-const FORGET_GONE_AFTER: Duration = Duration::from_secs(120);
+const GONE_ENDPOINT_RETENTION: Duration = Duration::from_secs(120);
 /// The lower bound on a pod's weight, which prevents division by zero.
 const MIN_WEIGHT: f64 = 0.01;
 
@@ -41,18 +41,18 @@
         match message {
             Message::EndpointsUpdated(update) => self.on_update(update, context),
             Message::WatchDue => context.actions.push(Action::WatchEndpoints),
-            Message::EndpointForgotten(pod) => self.on_forget_due(pod, context),
+            Message::EndpointRemoved(pod) => self.on_removal_due(pod, context),
             _ => {}
         }
     }
 
     fn on_update(&mut self, update: EndpointUpdate, context: &mut Context) {
         match update {
-            EndpointUpdate::Delta(endpoints) => self.announce_all(endpoints, context),
+            EndpointUpdate::Delta(endpoints) => self.publish_all(endpoints, context),
             EndpointUpdate::Snapshot(endpoints) | EndpointUpdate::Cached(endpoints) => {
                 let missing = self.known.missing_from(&endpoints);
-                self.announce_all(missing, context);
-                self.announce_all(endpoints, context);
+                self.publish_all(missing, context);
+                self.publish_all(endpoints, context);
                 if context.config.watch_on_request && !self.watching {
                     self.watching = true;
                     context.actions.push(Action::WatchEndpoints);
@@ -64,29 +64,32 @@
 
     /// Removes a pod that has been gone for long enough. This is safe because admission control
     /// sends nothing to unknown pods.
-    fn on_forget_due(&mut self, pod: PodId, context: &mut Context) {
-        if self.known.forget(pod, context.ago(FORGET_GONE_AFTER)) {
+    fn on_removal_due(&mut self, pod: PodId, context: &mut Context) {
+        if self
+            .known
+            .remove_if_gone_since(pod, context.ago(GONE_ENDPOINT_RETENTION))
+        {
             let components = [
                 Component::AdmissionControl,
                 Component::OutlierDetector(pod),
                 Component::LoadBalancer,
                 Component::CanaryAnalysis,
             ];
-            context.broadcast(components, &Message::EndpointForgotten(pod));
+            context.broadcast(components, &Message::EndpointRemoved(pod));
         }
     }
 
-    fn announce_all(&mut self, endpoints: Vec<Endpoint>, context: &mut Context) {
+    fn publish_all(&mut self, endpoints: Vec<Endpoint>, context: &mut Context) {
         for endpoint in endpoints {
-            self.announce(endpoint, context);
+            self.publish(endpoint, context);
         }
     }
 
-    fn announce(&mut self, mut endpoint: Endpoint, context: &mut Context) {
+    fn publish(&mut self, mut endpoint: Endpoint, context: &mut Context) {
         endpoint.weight = endpoint.weight.max(MIN_WEIGHT);
         if self.known.insert(&endpoint, context.now) {
-            let forget = Message::EndpointForgotten(endpoint.pod);
-            context.schedule(FORGET_GONE_AFTER, Component::EndpointTracker, forget);
+            let removal = Message::EndpointRemoved(endpoint.pod);
+            context.schedule(GONE_ENDPOINT_RETENTION, Component::EndpointTracker, removal);
         }
         let components = [
             Component::AdmissionControl,
@@ -107,13 +110,13 @@
         WatchLossCause::TimedOut => failures.saturating_sub(TOLERATED_TIMEOUTS),
         WatchLossCause::Refused => failures,
     };
-    let longest_wait = if context.config.endpoints_pushed {
+    let max_delay = if context.config.endpoints_pushed {
         let within_grace = context.config.drain_grace / AGENT_RETRY_GRACE_FRACTION;
         within_grace.clamp(TICK_INTERVAL, WATCH_RETRY_DELAY)
     } else {
         WATCH_RETRY_DELAY * (1 << doublings.min(MAX_BACKOFF_DOUBLINGS))
     };
     let jitter = MIN_JITTER + (1.0 - MIN_JITTER) * context.random_unit();
-    let wait = longest_wait.mul_f64(jitter);
-    context.schedule(wait, Component::EndpointTracker, Message::WatchDue);
+    let delay = max_delay.mul_f64(jitter);
+    context.schedule(delay, Component::EndpointTracker, Message::WatchDue);
 }
--- a/crates/decision/src/endpoints/tests.rs
+++ b/crates/decision/src/endpoints/tests.rs
@@ -67,15 +67,15 @@
     tracker.receive(update(vec![gone(0), gone(1)]), &mut context);
     context.now = at(60.0);
     tracker.receive(update(vec![endpoint(1, 1)]), &mut context);
-    context.now = FORGET_GONE_AFTER;
-    while let Some((to, message)) = context.timers.pop_due(FORGET_GONE_AFTER) {
+    context.now = GONE_ENDPOINT_RETENTION;
+    while let Some((to, message)) = context.timers.pop_due(GONE_ENDPOINT_RETENTION) {
         context.send(to, message);
     }
     let mut forgotten = Vec::new();
     while let Some((to, message)) = context.mailboxes.pop() {
         match (to, message) {
             (Component::EndpointTracker, message) => tracker.receive(message, &mut context),
-            (Component::AdmissionControl, Message::EndpointForgotten(pod)) => forgotten.push(pod),
+            (Component::AdmissionControl, Message::EndpointRemoved(pod)) => forgotten.push(pod),
             _ => {}
         }
     }
--- a/crates/decision/src/engine.rs
+++ b/crates/decision/src/engine.rs
@@ -144,7 +144,7 @@
     fn deliver_to_detector(&mut self, pod: PodId, message: Message) {
         let context = &mut self.context;
         match (self.outlier_detectors.get_mut(&pod), message) {
-            (_, Message::EndpointForgotten(_)) => {
+            (_, Message::EndpointRemoved(_)) => {
                 self.outlier_detectors.remove(&pod);
             }
             (None, Message::EndpointChanged(endpoint)) => {
--- a/crates/decision/src/evidence.rs
+++ b/crates/decision/src/evidence.rs
@@ -37,7 +37,7 @@
 /// Returns whether an observation is rare enough to justify a vote where dozens of sidecars have to
 /// agree: fewer than half of the quorum would make it with the baseline build. Without this rule, a
 /// fleet whose sidecars each have little traffic would be the last to detect a fault.
-pub(crate) fn is_rare_sign(
+pub(crate) fn is_rare_observation(
     new: Proportion,
     old: Proportion,
     margin: f64,
@@ -46,17 +46,18 @@
     if config.rollback_quorum < LARGE_QUORUM {
         return false;
     }
-    let usual = old.jeffreys_estimate();
+    let baseline_rate = old.jeffreys_estimate();
     let quorum_fraction = config.rollback_quorum / config.sidecar_count;
-    let is_rare = binomial_tail(new.count, new.total, usual) < quorum_fraction * RARE_QUORUM_SHARE;
+    let is_rare =
+        binomial_tail(new.count, new.total, baseline_rate) < quorum_fraction * RARE_QUORUM_SHARE;
     is_rare && proportion_excess(new, old).0 > margin
 }
 
 /// Returns the minimum number of outcomes for a vote. It decreases with the quorum, but less than
 /// proportionally because the observations of the sidecars are correlated.
 pub(crate) fn min_sample(config: &DerivedConfig) -> usize {
-    let shared = (MIN_SAMPLE as f64 / config.rollback_quorum.sqrt()).ceil() as usize;
-    shared.max(MIN_SHARED_SAMPLE)
+    let scaled = (MIN_SAMPLE as f64 / config.rollback_quorum.sqrt()).ceil() as usize;
+    scaled.max(MIN_SHARED_SAMPLE)
 }
 
 /// Returns the number of standard errors that an excess must reach. Among many sidecars observing a
--- a/crates/decision/src/evidence/tests.rs
+++ b/crates/decision/src/evidence/tests.rs
@@ -44,5 +44,5 @@
 ) {
     let config = config(sidecar_count, rollback_quorum);
     let (new, old) = (Proportion::new(new.0, new.1), Proportion::new(old.0, old.1));
-    assert_eq!(is_rare_sign(new, old, 0.05, &config), expected);
+    assert_eq!(is_rare_observation(new, old, 0.05, &config), expected);
 }
--- a/crates/decision/src/exposure.rs
+++ b/crates/decision/src/exposure.rs
@@ -67,7 +67,7 @@
     key_builds: BTreeMap<RoutingKey, BuildId>,
     /// A build that counts as having served every key, set once no older build could receive
     /// requests.
-    all_keys_build: Option<BuildId>,
+    min_key_build: Option<BuildId>,
 }
 
 impl ExposureControl {
@@ -98,7 +98,7 @@
     pub(crate) fn on_stage_updated(&mut self, update: StageUpdate) {
         if self.stage.is_some_and(|old| old.build < update.build) {
             self.key_builds.retain(|_, build| *build >= update.build);
-            self.all_keys_build = self.all_keys_build.filter(|build| *build >= update.build);
+            self.min_key_build = self.min_key_build.filter(|build| *build >= update.build);
         }
         self.stage = Some(update);
     }
@@ -130,7 +130,7 @@
         if nothing_older {
             // Keys of a later build that was listed before its stage was announced are kept.
             self.key_builds.retain(|_, build| *build > update.build);
-            self.all_keys_build = Some(update.build);
+            self.min_key_build = Some(update.build);
         }
     }
 
@@ -155,7 +155,7 @@
         context: &Context,
     ) -> Result<(), Refusal> {
         let config = &context.config;
-        if self.belongs_to_newer_build(request, build, config) {
+        if self.is_key_of_newer_build(request, build, config) {
             return Err(Refusal::StickyKey);
         }
         let Some(cap) = self.cap(build, endpoints, config) else {
@@ -163,7 +163,7 @@
         };
         let idempotent = config.class(request.class).idempotency == Idempotency::Idempotent;
         let stage_open = cap.share > 0.0 && (cap.stage >= config.guarded_stages || idempotent);
-        if stage_open && self.fits(cap.share, request.class, build, context) {
+        if stage_open && self.is_within_cap(cap.share, request.class, build, context) {
             Ok(())
         } else {
             Err(Refusal::ExposureCap)
@@ -171,24 +171,24 @@
     }
 
     /// Returns whether the request's key was served by a newer build that is on trial or released.
-    fn belongs_to_newer_build(
+    fn is_key_of_newer_build(
         &self,
         request: &RequestRecord,
         build: BuildId,
         config: &DerivedConfig,
     ) -> bool {
-        let keys_stay = config.sticky_keys
+        let keys_are_sticky = config.sticky_keys
             && self.stage.is_some_and(|update| {
                 build < update.build && matches!(update.phase, Phase::OnTrial | Phase::Released)
             });
-        let served_by = |key| self.key_builds.get(&key).copied().max(self.all_keys_build);
-        keys_stay
+        let served_by = |key| self.key_builds.get(&key).copied().max(self.min_key_build);
+        keys_are_sticky
             && request
                 .routing_key
                 .is_some_and(|key| served_by(key) > Some(build))
     }
 
-    fn fits(&self, share: f64, class: ClassId, build: BuildId, context: &Context) -> bool {
+    fn is_within_cap(&self, share: f64, class: ClassId, build: BuildId, context: &Context) -> bool {
         let config = &context.config;
         let counter = config.exposure_counter(class);
         let counted_window = config.exposure_window.mul_f64(COUNTED_WINDOW_FRACTION);
--- a/crates/decision/src/hedging.rs
+++ b/crates/decision/src/hedging.rs
@@ -84,15 +84,15 @@
         let class = context.config.class(open.class);
         let is_safe =
             ended.result.outcome.never_ran() || class.idempotency != Idempotency::NonIdempotent;
-        let needed = Duration::from_secs_f64(expected_latency * RETRY_LATENCY_SHARE);
-        let is_useful = context.now + needed < open.arrived_at + class.useful_for;
+        let min_remaining = Duration::from_secs_f64(expected_latency * RETRY_LATENCY_SHARE);
+        let is_useful = context.now + min_remaining < open.arrived_at + class.useful_for;
         let in_time = context.now + TICK_INTERVAL < open.deadline;
         if is_safe && is_useful && in_time && self.retry_budget.try_withdraw() {
             open.avoids_trial = true;
             self.place(request, context);
         } else {
-            let given_up = Message::RequestGivenUp(request);
-            context.send(Component::AdmissionControl, given_up);
+            let abandoned = Message::RequestAbandoned(request);
+            context.send(Component::AdmissionControl, abandoned);
         }
     }
 
@@ -135,8 +135,8 @@
         if context.now + expected >= open.arrived_at + class.useful_for {
             return;
         }
-        let answers_others = self.table.get(pod).is_some_and(|snapshot| snapshot.usable);
-        if answers_others || !self.retry_budget.try_withdraw() {
+        let answers_other_requests = self.table.get(pod).is_some_and(|snapshot| snapshot.usable);
+        if answers_other_requests || !self.retry_budget.try_withdraw() {
             schedule_hedge_check(request, attempt, pod, context);
             return;
         }
--- a/crates/decision/src/message.rs
+++ b/crates/decision/src/message.rs
@@ -27,7 +27,7 @@
     /// One entry of that list.
     EndpointChanged(Endpoint),
     /// A pod that has been gone for long enough to be removed.
-    EndpointForgotten(PodId),
+    EndpointRemoved(PodId),
     RequestArrived(Request),
     /// From the load balancer: starts an attempt at the best candidate of this tier that the rules
     /// allow. Candidates of other tiers are kept for later.
@@ -50,7 +50,7 @@
     AttemptEnded(AttemptEnded),
     StreamStarted(RequestId),
     /// From the load balancer: no further attempt is worthwhile.
-    RequestGivenUp(RequestId),
+    RequestAbandoned(RequestId),
     RequestClosed(RequestId),
     /// A routing key was served by a build.
     KeyServed(RoutingKey, BuildId),
--- a/crates/decision/src/outlier.rs
+++ b/crates/decision/src/outlier.rs
@@ -26,13 +26,13 @@
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 /// The timeout after which any pod counts as unresponsive, as a multiple of the shortest latency
 /// objective.
-const SILENCE_BASE: f64 = 0.15;
+const RESPONSE_TIMEOUT_BASE: f64 = 0.15;
 /// The additional timeout, as a multiple of the pod's own latency ratio.
-const SILENCE_PER_LATENCY_RATIO: f64 = 2.0;
+const RESPONSE_TIMEOUT_PER_LATENCY_RATIO: f64 = 2.0;
 /// The timeout is multiplied by 1 plus this number divided by the number of attempts in flight.
 /// With few attempts in flight, a single slow one explains the lack of responses; with many it does
 /// not.
-const SILENCE_FEW_IN_FLIGHT: f64 = 2.0;
+const RESPONSE_TIMEOUT_FEW_IN_FLIGHT: f64 = 2.0;
 /// The lower bound on the latency ratio that the timeout is based on.
 const MIN_LATENCY_RATIO: f64 = 0.05;
 /// The latency ratio assumed for a pod that has not answered yet.
@@ -118,26 +118,27 @@
         if self.health.is_ejected() {
             return true;
         }
-        let silent = self.is_silent(context);
-        if silent {
+        let unresponsive = self.is_unresponsive(context);
+        if unresponsive {
             self.eject(context.now);
         }
-        silent
+        unresponsive
     }
 
-    fn is_silent(&self, context: &Context) -> bool {
+    fn is_unresponsive(&self, context: &Context) -> bool {
         let Some(oldest_sent_at) = self.in_flight.values().min().copied() else {
             return false;
         };
-        let few_in_flight = 1.0 + SILENCE_FEW_IN_FLIGHT / self.in_flight.len().max(1) as f64;
+        let few_in_flight_factor =
+            1.0 + RESPONSE_TIMEOUT_FEW_IN_FLIGHT / self.in_flight.len().max(1) as f64;
         let latency_ratio = if self.health.latency_ratio.count > 0 {
             self.health.latency_ratio.value.max(MIN_LATENCY_RATIO)
         } else {
             INITIAL_LATENCY_RATIO
         };
-        let objectives = SILENCE_BASE + SILENCE_PER_LATENCY_RATIO * latency_ratio;
+        let objectives = RESPONSE_TIMEOUT_BASE + RESPONSE_TIMEOUT_PER_LATENCY_RATIO * latency_ratio;
         let timeout = Duration::from_secs_f64(
-            context.config.min_latency_objective * objectives * few_in_flight,
+            context.config.min_latency_objective * objectives * few_in_flight_factor,
         );
         context.now > oldest_sent_at.max(self.health.last_success_at) + timeout
     }
@@ -263,8 +264,8 @@
                 others += 1;
             }
         }
-        let usual = sum / f64::from(others.max(1));
-        others > 0 && own > TENANT_OUTLIER_MARGIN + TENANT_OUTLIER_FACTOR * usual
+        let mean_of_others = sum / f64::from(others.max(1));
+        others > 0 && own > TENANT_OUTLIER_MARGIN + TENANT_OUTLIER_FACTOR * mean_of_others
     }
 
     fn failure_rate(&self, tenant: TenantId) -> Option<f64> {
--- a/crates/decision/src/overload.rs
+++ b/crates/decision/src/overload.rs
@@ -25,7 +25,7 @@
 const TENANT_LATENCY_PRIOR: f64 = 0.5;
 /// The latency, in latency objectives, from which a tenant's requests are assumed to wait for a
 /// resource of their own.
-const SLOW_TENANT: f64 = 1.0;
+const SLOW_TENANT_LATENCY_RATIO: f64 = 1.0;
 /// The upper bound on the latency of a single attempt, in latency objectives.
 const MAX_LATENCY_RATIO: f64 = 2.0;
 /// The latency recorded for a rejection, in latency objectives.
@@ -85,7 +85,7 @@
                 snapshot.is_some_and(|snapshot| snapshot.usable)
             };
             request.attempts_in_flight > 0
-                && self.tenant_latency(request.tenant, now) < SLOW_TENANT
+                && self.tenant_latency(request.tenant, now) < SLOW_TENANT_LATENCY_RATIO
                 && usable()
         };
         let queued = open.filter(is_queued).count() as f64;
--- a/crates/decision/src/placement.rs
+++ b/crates/decision/src/placement.rs
@@ -36,7 +36,7 @@
     pub(crate) trial: Option<BuildId>,
     pub(crate) wants_trial: bool,
     /// Whether the request may be sent to an ejected pod to check its health.
-    pub(crate) checks_health: bool,
+    pub(crate) may_check_health: bool,
     pub(crate) in_use: [EndpointsInUse; 2],
     pub(crate) served_since: Duration,
     pub(crate) service_down: bool,
@@ -73,7 +73,7 @@
 
     fn confirmed_tier(&self, snapshot: &EndpointSnapshot) -> Option<u8> {
         let on_trial = self.is_on_trial(snapshot);
-        if self.checks_health && snapshot.wants_health_check {
+        if self.may_check_health && snapshot.wants_health_check {
             return Some(TIER_HEALTH_CHECK);
         }
         if snapshot.usable && on_trial == self.wants_trial {
--- a/crates/decision/src/statistics.rs
+++ b/crates/decision/src/statistics.rs
@@ -40,16 +40,16 @@
 }
 
 /// Returns the upper tail of the binomial distribution: the probability of at least `successes` in
-/// `trials` with success probability `chance`.
-pub(crate) fn binomial_tail(successes: usize, trials: usize, chance: f64) -> f64 {
-    let mut probability = (1.0 - chance).powi(trials as i32);
-    let mut fewer = 0.0;
+/// `trials` with success probability `success_probability`.
+pub(crate) fn binomial_tail(successes: usize, trials: usize, success_probability: f64) -> f64 {
+    let mut probability = (1.0 - success_probability).powi(trials as i32);
+    let mut lower_tail = 0.0;
     for count in 0..successes.min(trials + 1) {
-        fewer += probability;
-        probability *=
-            (trials - count) as f64 / (count + 1) as f64 * chance / (1.0 - chance).max(MIN_DIVISOR);
+        lower_tail += probability;
+        probability *= (trials - count) as f64 / (count + 1) as f64 * success_probability
+            / (1.0 - success_probability).max(MIN_DIVISOR);
     }
-    (1.0 - fewer).max(0.0)
+    (1.0 - lower_tail).max(0.0)
 }
 
 /// The pseudo-count of Jeffreys' prior for a proportion.
--- a/crates/decision/src/voting.rs
+++ b/crates/decision/src/voting.rs
@@ -17,13 +17,13 @@
 const RENEWAL_FRACTION: f64 = 0.6;
 /// The number of sidecars that vote to hold a stage, as a multiple of the quorum, because some
 /// sidecars may be down.
-const HOLD_RESERVE: f64 = 1.3;
+const HOLD_VOTER_MARGIN: f64 = 1.3;
 /// The length of the voting window, as a multiple of the time that the quorum takes.
-const CALL_WINDOW_RESERVE: f64 = 1.1;
+const VOTE_WINDOW_MARGIN: f64 = 1.1;
 /// The minimum length of the voting window, as a share of a vote's time to live.
-const MIN_CALL_WINDOW: f64 = 0.1;
+const MIN_VOTE_WINDOW: f64 = 0.1;
 /// The maximum length of the voting window, as a share of a vote's time to live.
-const MAX_CALL_WINDOW: f64 = 0.9;
+const MAX_VOTE_WINDOW: f64 = 0.9;
 /// How long after its timeout a vote without a reply is considered lost, in ticks.
 const ANSWER_GRACE_TICKS: u32 = 25;
 /// The delay before a vote that was not counted is cast again, in ticks.
@@ -49,7 +49,7 @@
     /// The fraction of sidecars that vote to hold a stage.
     holder_fraction: f64,
     hold_phase: Duration,
-    call_window: Duration,
+    vote_window: Duration,
 }
 
 impl VoteSchedule {
@@ -57,24 +57,24 @@
     fn new(config: &DerivedConfig) -> Option<Self> {
         let ttl = config.vote_ttl.as_secs_f64();
         let rate = config.vote_rate_limit;
-        let rate_is_short = config.sidecar_count > rate * ttl * RENEWAL_FRACTION;
-        if !rate_is_short {
+        let is_rate_limited = config.sidecar_count > rate * ttl * RENEWAL_FRACTION;
+        if !is_rate_limited {
             return None;
         }
-        let holders = config.hold_quorum * HOLD_RESERVE;
+        let holders = config.hold_quorum * HOLD_VOTER_MARGIN;
         let burst = RATE_LIMIT_BURST.as_secs_f64();
         let hold_phase = (holders / rate - burst).max(0.0);
-        let call_window = (config.max_quorum * CALL_WINDOW_RESERVE / rate - burst)
-            .clamp(MIN_CALL_WINDOW * ttl, MAX_CALL_WINDOW * ttl);
+        let vote_window = (config.max_quorum * VOTE_WINDOW_MARGIN / rate - burst)
+            .clamp(MIN_VOTE_WINDOW * ttl, MAX_VOTE_WINDOW * ttl);
         Some(Self {
             holder_fraction: holders / config.sidecar_count,
             hold_phase: Duration::from_secs_f64(hold_phase),
-            call_window: Duration::from_secs_f64(call_window),
+            vote_window: Duration::from_secs_f64(vote_window),
         })
     }
 
     fn cycle(&self) -> Duration {
-        RATE_LIMIT_BURST + self.call_window
+        RATE_LIMIT_BURST + self.vote_window
     }
 
     /// Returns the cycle number and the time since the start of that cycle, at `elapsed` after the
@@ -86,20 +86,26 @@
         (number, after_hold.saturating_sub(cycle * number))
     }
 
-    /// Returns whether a sidecar at `draw` in the order (0 to 1) may vote now.
-    fn is_due(&self, verdict: Verdict, draw: f64, elapsed: Duration, in_cycle: Duration) -> bool {
+    /// Returns whether a sidecar at `position` in the order (0 to 1) may vote now.
+    fn is_due(
+        &self,
+        verdict: Verdict,
+        position: f64,
+        elapsed: Duration,
+        in_cycle: Duration,
+    ) -> bool {
         match verdict {
             // A counted vote expires by itself.
             Verdict::Abstain => false,
             Verdict::Hold => {
                 // A late vote would use up the rate limit needed by the first window.
                 let late = elapsed > self.hold_phase + RATE_LIMIT_BURST / 2;
-                draw < self.holder_fraction
+                position < self.holder_fraction
                     && !late
-                    && elapsed >= self.hold_phase.mul_f64(draw / self.holder_fraction)
+                    && elapsed >= self.hold_phase.mul_f64(position / self.holder_fraction)
             }
             Verdict::Promote | Verdict::RollBack => {
-                in_cycle >= RATE_LIMIT_BURST + self.call_window.mul_f64(draw)
+                in_cycle >= RATE_LIMIT_BURST + self.vote_window.mul_f64(position)
             }
         }
     }
@@ -113,9 +119,9 @@
     /// The earliest time of the next vote.
     next_vote_at: Duration,
     /// The start of the schedule's cycles, derived from the stage update that all sidecars receive.
-    cycles_began_at: Duration,
+    cycles_started_at: Duration,
     /// The verdict and cycle of the last vote cast by the schedule.
-    last_call: Option<(Verdict, u32)>,
+    last_scheduled_vote: Option<(Verdict, u32)>,
 }
 
 impl VoteCaster {
@@ -133,20 +139,20 @@
             None
         };
         // A voting window that has begun continues to its end.
-        let elapsed = context.ago(age).saturating_sub(self.cycles_began_at);
+        let elapsed = context.ago(age).saturating_sub(self.cycles_started_at);
         let in_window = schedule
             .as_ref()
             .is_some_and(|schedule| schedule.cycle_at(elapsed).1 >= RATE_LIMIT_BURST);
         if !in_window {
-            self.cycles_began_at = context.now;
-            self.last_call = None;
+            self.cycles_started_at = context.now;
+            self.last_scheduled_vote = None;
         }
         schedule.map_or(Duration::ZERO, |schedule| schedule.cycle())
     }
 
     /// Processes an update of the current stage that is `age` old.
     pub(crate) fn on_stage_updated(&mut self, age: Duration, context: &Context) {
-        self.cycles_began_at = self.cycles_began_at.min(context.ago(age));
+        self.cycles_started_at = self.cycles_started_at.min(context.ago(age));
     }
 
     pub(crate) fn on_vote_answered(&mut self, answer: VoteAnswer, now: Duration) {
@@ -170,23 +176,23 @@
         context: &Context,
     ) -> bool {
         let now = context.now;
-        let patience = context.config.vote_timeout + TICK_INTERVAL * ANSWER_GRACE_TICKS;
+        let reply_timeout = context.config.vote_timeout + TICK_INTERVAL * ANSWER_GRACE_TICKS;
         self.pending_vote = self
             .pending_vote
-            .filter(|vote| now < vote.cast_at + patience);
-        !self.counts_already(verdict, stage, context)
+            .filter(|vote| now < vote.cast_at + reply_timeout);
+        !self.is_counted(verdict, stage, context)
             && self.pending_vote.is_none()
             && now >= self.next_vote_at
             && self.is_scheduled(verdict, stage, context)
     }
 
     /// Returns whether the counted vote has this verdict and need not be renewed yet.
-    fn counts_already(&self, verdict: Verdict, stage: &StageUpdate, context: &Context) -> bool {
+    fn is_counted(&self, verdict: Verdict, stage: &StageUpdate, context: &Context) -> bool {
         let (now, ttl) = (context.now, context.config.vote_ttl);
-        let counts = |vote: &Vote| {
+        let is_valid = |vote: &Vote| {
             vote.build == stage.build && vote.stage == stage.stage && now < vote.cast_at + ttl
         };
-        match self.counted_vote.filter(counts) {
+        match self.counted_vote.filter(is_valid) {
             None => verdict == Verdict::Abstain,
             Some(vote) if vote.verdict == Verdict::Abstain => verdict == Verdict::Abstain,
             Some(vote) => {
@@ -199,17 +205,17 @@
         let Some(schedule) = VoteSchedule::new(&context.config) else {
             return true;
         };
-        let elapsed = context.now.saturating_sub(self.cycles_began_at);
+        let elapsed = context.now.saturating_sub(self.cycles_started_at);
         let (cycle, in_cycle) = schedule.cycle_at(elapsed);
         let sidecar = context.config.sidecar_index.into();
-        let draw = hash_fraction(sidecar, stage.cycle_key(cycle));
-        if !schedule.is_due(verdict, draw, elapsed, in_cycle) {
+        let position = hash_fraction(sidecar, stage.cycle_key(cycle));
+        if !schedule.is_due(verdict, position, elapsed, in_cycle) {
             return false;
         }
-        let call = Some((verdict, cycle));
-        let already_called = self.last_call == call;
-        self.last_call = call;
-        !already_called
+        let scheduled_vote = Some((verdict, cycle));
+        let already_cast = self.last_scheduled_vote == scheduled_vote;
+        self.last_scheduled_vote = scheduled_vote;
+        !already_cast
     }
 
     pub(crate) fn cast(&mut self, verdict: Verdict, stage: &StageUpdate, context: &mut Context) {
