--- a/crates/decision/src/admission/tests.rs
+++ b/crates/decision/src/admission/tests.rs
@@ -66,7 +66,7 @@
 }
 
 #[rstest]
-#[case::past_its_deadline(9.0, false, Err(Refusal::RequestClosed))]
+#[case::past_the_deadline(9.0, false, Err(Refusal::RequestClosed))]
 #[case::closed(1.0, true, Err(Refusal::RequestClosed))]
 #[case::open(1.0, false, Ok(()))]
 fn no_attempt_starts_after_the_request_is_closed(
@@ -120,9 +120,9 @@
 }
 
 #[rstest]
-#[case::within_the_grace(1.9, Ok(()))]
-#[case::after_it(2.1, Err(Refusal::EndpointDrained))]
-fn a_draining_pod_gets_nothing_after_the_grace(
+#[case::within_the_grace_period(1.9, Ok(()))]
+#[case::after_the_grace_period(2.1, Err(Refusal::EndpointDrained))]
+fn a_draining_pod_receives_nothing_after_the_grace_period(
     #[case] now: f64,
     #[case] expected: Result<(), Refusal>,
 ) {
@@ -135,11 +135,11 @@
 /// after a refusal.
 #[rstest]
 #[case::cheapest(&[candidate(0, 1, 1, 2.0), candidate(1, 1, 1, 1.0), candidate(2, 1, 1, 3.0)], Some(1), 0)]
-#[case::the_lower_pod_of_two_alike(&[candidate(2, 1, 1, 1.0), candidate(1, 1, 1, 1.0)], Some(1), 0)]
+#[case::lower_pod_id_breaks_ties(&[candidate(2, 1, 1, 1.0), candidate(1, 1, 1, 1.0)], Some(1), 0)]
 #[case::next_after_a_refusal(&[candidate(3, 2, 1, 0.1), candidate(2, 1, 1, 3.0), candidate(0, 1, 1, 2.0)], Some(0), 0)]
-#[case::next_tier_waits(&[candidate(3, 2, 1, 0.1), candidate(0, 1, 2, 0.0)], None, 1)]
-#[case::a_refused_build_does_not(&[candidate(3, 2, 1, 0.1), candidate(4, 2, 2, 0.0), candidate(0, 1, 3, 0.0)], None, 1)]
-fn the_best_candidate_that_is_admitted_gets_the_request(
+#[case::next_tier_is_left(&[candidate(3, 2, 1, 0.1), candidate(0, 1, 2, 0.0)], None, 1)]
+#[case::refused_build_is_dropped_from_all_tiers(&[candidate(3, 2, 1, 0.1), candidate(4, 2, 2, 0.0), candidate(0, 1, 3, 0.0)], None, 1)]
+fn the_best_admitted_candidate_receives_the_request(
     #[case] candidates: &[Candidate],
     #[case] expected: Option<u64>,
     #[case] left: usize,
@@ -158,9 +158,9 @@
     });
     assert_eq!(started, expected);
     if started.is_none() {
-        let Some((_, Message::AttemptRefused(_, rest))) = context.mailboxes.pop() else {
+        let Some((_, Message::AttemptRefused(_, remaining))) = context.mailboxes.pop() else {
             panic!("no message to the load balancer")
         };
-        assert_eq!(rest.len(), left);
+        assert_eq!(remaining.len(), left);
     }
 }
--- a/crates/decision/src/admission/tests/exposure.rs
+++ b/crates/decision/src/admission/tests/exposure.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_build_without_a_stage_update_counts_as_in_the_first_stage() {
+fn a_build_without_a_stage_update_is_in_the_first_stage() {
     let mut admission = admission(0, Phase::OnTrial, 1.0);
     admission.exposure = ExposureControl::default();
     let cap = admission
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_guarded_stage_takes_idempotent_requests_only() {
+fn a_guarded_stage_accepts_only_idempotent_requests() {
     assert_eq!(
         check(&admission(1, Phase::OnTrial, 1.0), 3, &context(1.0)),
         Err(Refusal::ExposureCap)
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_key_that_the_new_build_served_stays_with_it() {
+fn a_key_served_by_the_new_build_is_sticky() {
     let mut admission = admission(0, Phase::OnTrial, 1.0);
     admission.exposure.record_key(RoutingKey(5), BuildId(2));
     assert_eq!(check(&admission, 0, &context(1.0)), Err(Refusal::StickyKey));
@@ -85,7 +85,10 @@
 #[case::failed(AttemptOutcome::Failed, false)]
 #[case::rejected(AttemptOutcome::Rejected, false)]
 #[case::connect_failed(AttemptOutcome::ConnectFailed, false)]
-fn a_key_whose_answer_may_have_come_stays(#[case] outcome: AttemptOutcome, #[case] stays: bool) {
+fn a_key_whose_response_may_have_been_received_is_sticky(
+    #[case] outcome: AttemptOutcome,
+    #[case] sticky: bool,
+) {
     let mut admission = admission(0, Phase::OnTrial, 1.0);
     let mut context = context(1.0);
     admission.start_attempt(RequestId(0), PodId(3), &mut context);
@@ -103,7 +106,7 @@
             admission.receive(message, &mut context);
         }
     }
-    let expected = if stays {
+    let expected = if sticky {
         Err(Refusal::StickyKey)
     } else {
         Ok(())
@@ -115,7 +118,7 @@
 #[case::an_older_pod_still_runs(1, Some(RoutingKey(5)), Err(Refusal::StickyKey))]
 #[case::nothing_older_runs(2, Some(RoutingKey(5)), Err(Refusal::StickyKey))]
 #[case::a_request_without_a_key(2, None, Ok(()))]
-fn keys_of_a_released_build_stay_also_once_they_are_not_told_apart(
+fn keys_of_a_released_build_stay_sticky_after_compaction(
     #[case] lowest: u16,
     #[case] key: Option<RoutingKey>,
     #[case] expected: Result<(), Refusal>,
@@ -136,7 +139,7 @@
 /// Regression test: a build can appear in the endpoint list before its stage is announced. Its keys
 /// must survive when those of the previously released build are compacted.
 #[test]
-fn keys_of_a_build_that_is_not_announced_yet_are_stored() {
+fn compaction_keeps_keys_of_a_build_without_a_stage() {
     let mut admission = admission(0, Phase::Released, 1.0);
     admission.exposure.record_key(RoutingKey(5), BuildId(3));
     remove_builds_below(&mut admission, 2);
--- a/crates/decision/src/admission/tests/slow_start.rs
+++ b/crates/decision/src/admission/tests/slow_start.rs
@@ -9,7 +9,7 @@
 #[case::half_warm(7.0, 9, 2.0, Ok(()))]
 #[case::half_warm_and_easily_overloaded(7.0, 9, 1.0, Err(Refusal::SlowStart))]
 #[case::warm(1.0, 99, 1.0, Ok(()))]
-fn a_cold_pod_gets_its_part_only(
+fn a_cold_pod_is_limited_to_its_budget(
     #[case] started_at: f64,
     #[case] attempts: usize,
     #[case] overload_multiple: f64,
@@ -35,7 +35,7 @@
 #[rstest]
 #[case::low_draw(0.5, Err(Refusal::SlowStart))]
 #[case::high_draw(0.95, Ok(()))]
-fn the_fraction_of_an_attempt_at_a_cold_pod_is_granted_at_random(
+fn fractional_attempts_at_a_cold_pod_are_granted_at_random(
     #[case] fractional_allowance: f64,
     #[case] expected: Result<(), Refusal>,
 ) {
--- a/crates/decision/src/balancer/tests.rs
+++ b/crates/decision/src/balancer/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::interface::{FleetView, Phase};
 use crate::test_support::{
-    at, balancer, context, endpoint, leased_context, snapshot, stage_update, watch_lost, SILENT,
+    at, balancer, context, endpoint, leased_context, snapshot, stage_update, watch_lost,
+    WATCH_ENDED,
 };
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn pods_alike_get_equal_numbers_of_requests() {
+fn identical_pods_receive_similar_numbers_of_requests() {
     let mut balancer = balancer(5);
     let mut context = context(5.0);
     let mut times_best = BTreeMap::new();
@@ -51,14 +52,14 @@
 /// Returns the pods that the load balancer uses and the fraction of all pods that they make up.
 fn in_use(balancer: &mut LoadBalancer) -> (Vec<EndpointSnapshot>, f64) {
     balancer.summary.refresh(&mut balancer.table);
-    let [base, _] = balancer.endpoints_in_use(&context(1.0));
+    let [baseline, _] = balancer.endpoints_in_use(&context(1.0));
     let used = balancer
         .table
         .iter()
-        .filter(|snapshot| snapshot.usable && snapshot.rank_key() >= base.lowest_rank)
+        .filter(|snapshot| snapshot.usable && snapshot.rank_key() >= baseline.lowest_rank)
         .cloned()
         .collect();
-    (used, base.fraction)
+    (used, baseline.fraction)
 }
 
 #[test]
@@ -83,7 +84,7 @@
 /// Candidates on a side without usable pods count as the whole side; otherwise the slow-start
 /// budget would be unbounded.
 #[test]
-fn pods_that_are_all_ejected_are_used_as_a_whole() {
+fn a_side_without_usable_pods_counts_as_fully_used() {
     let mut balancer = balancer(3);
     for id in 0..3 {
         let snapshot = balancer.table.get(PodId(id)).cloned().unwrap();
@@ -102,7 +103,7 @@
 #[rstest]
 #[case::fewer_than_its_own(3, vec![4, 9, 2], 5)]
 #[case::more_than_its_own(8, vec![4, 9, 2], 8)]
-fn a_fleet_view_moves_the_choice(
+fn a_fleet_view_overrides_the_pods_in_use(
     #[case] min_endpoints: usize,
     #[case] preference: Vec<u64>,
     #[case] expected: usize,
@@ -122,17 +123,17 @@
         });
     }
     balancer.summary.refresh(&mut balancer.table);
-    let [base, _] = balancer.endpoints_in_use(&context);
+    let [baseline, _] = balancer.endpoints_in_use(&context);
     let mut used: Vec<&EndpointSnapshot> = balancer
         .table
         .iter()
-        .filter(|snapshot| snapshot.rank >= base.lowest_rank.0)
+        .filter(|snapshot| snapshot.rank >= baseline.lowest_rank.0)
         .collect();
     used.sort_by_key(|snapshot| std::cmp::Reverse(snapshot.rank));
     assert_eq!(used.len(), expected);
     let first = used.iter().map(|snapshot| snapshot.endpoint.pod).take(3);
     assert!(first.eq(preference));
-    assert!((base.fraction - expected as f64 / 40.0).abs() < 1e-9);
+    assert!((baseline.fraction - expected as f64 / 40.0).abs() < 1e-9);
 }
 
 /// Returns the pods that request 0 may be sent to. Pods 0 to 2 are usable. Pod 0 served an attempt
@@ -162,15 +163,19 @@
 /// within the last half of a lease receive requests. When the discovery service is considered down,
 /// all pods do again.
 #[rstest]
-#[case::lists_are_heard(None, 13.0, &[0, 1, 2])]
+#[case::lists_are_received(None, 13.0, &[0, 1, 2])]
 #[case::within_the_lease(Some(7.5), 13.0, &[0, 1, 2])]
-#[case::after_it(Some(6.5), 13.0, &[0])]
-#[case::no_pod_served_lately(Some(6.5), 15.0, &[])]
-#[case::long_after(Some(6.5), 37.0, &[0, 1, 2])]
-fn a_silent_list_is_a_lease(#[case] lost_at: Option<f64>, #[case] now: f64, #[case] pods: &[u64]) {
+#[case::after_the_lease(Some(6.5), 13.0, &[0])]
+#[case::no_pod_served_recently(Some(6.5), 15.0, &[])]
+#[case::after_the_outage_threshold(Some(6.5), 37.0, &[0, 1, 2])]
+fn only_recently_serving_pods_are_used_after_the_lease(
+    #[case] lost_at: Option<f64>,
+    #[case] now: f64,
+    #[case] pods: &[u64],
+) {
     let mut context = leased_context(lost_at.unwrap_or(now));
     if lost_at.is_some() {
-        context.dispatch_event(watch_lost(SILENT));
+        context.dispatch_event(watch_lost(WATCH_ENDED));
     }
     while context.mailboxes.pop().is_some() {}
     context.now = at(now);
--- a/crates/decision/src/canary/tests.rs
+++ b/crates/decision/src/canary/tests.rs
@@ -6,9 +6,9 @@
 mod votes;
 
 /// The observations of one pod: its id, number of failures, number of outcomes, and latency.
-type Observed = (u64, usize, usize, f64);
+type PodObservation = (u64, usize, usize, f64);
 
-fn observe(sample: &mut CanarySample, (pod, failures, outcomes, latency): Observed) {
+fn observe(sample: &mut CanarySample, (pod, failures, outcomes, latency): PodObservation) {
     for n in 0..outcomes {
         let outcome = if n < failures {
             AttemptOutcome::Failed
@@ -21,13 +21,13 @@
 
 /// Returns an analysis with build 2 on trial on pods 3 and 5 and the baseline on pod 0 (failures,
 /// outcomes, latency).
-fn canary(trial: &[Observed], baseline: (usize, usize, f64)) -> CanaryAnalysis {
+fn canary(trial: &[PodObservation], baseline: (usize, usize, f64)) -> CanaryAnalysis {
     let mut canary = CanaryAnalysis {
         stage: Some(stage_update(Phase::OnTrial, 0.2)),
         ..CanaryAnalysis::default()
     };
-    for observed in trial {
-        observe(&mut canary.trial, *observed);
+    for observation in trial {
+        observe(&mut canary.trial, *observation);
     }
     let (failures, outcomes, latency) = baseline;
     observe(&mut canary.baseline, (0, failures, outcomes, latency));
@@ -38,16 +38,16 @@
 }
 
 #[rstest]
-#[case::sound(&[(3, 0, 30, 0.1), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
+#[case::healthy(&[(3, 0, 30, 0.1), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
 #[case::fails(&[(3, 8, 30, 0.1), (5, 9, 30, 0.1)], (1, 200, 0.1), Verdict::RollBack)]
 #[case::both_builds_fail(&[(3, 8, 30, 0.1), (5, 9, 30, 0.1)], (60, 200, 0.1), Verdict::Abstain)]
 #[case::one_faulty_pod(&[(3, 28, 30, 0.1), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
 #[case::slow(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 200, 0.1), Verdict::RollBack)]
 #[case::one_slow_pod(&[(3, 0, 40, 0.9), (5, 0, 30, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
-#[case::slow_with_no_earlier_build(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 0, 0.1), Verdict::Abstain)]
+#[case::slow_without_a_baseline(&[(3, 0, 30, 0.4), (5, 0, 30, 0.4)], (0, 0, 0.1), Verdict::Abstain)]
 #[case::few_outcomes(&[(3, 5, 9, 0.1), (5, 5, 9, 0.1)], (0, 200, 0.1), Verdict::Abstain)]
-fn a_build_that_is_bad_on_most_pods_is_rolled_back(
-    #[case] trial: &[Observed],
+fn a_build_that_regresses_on_most_pods_is_rolled_back(
+    #[case] trial: &[PodObservation],
     #[case] baseline: (usize, usize, f64),
     #[case] expected: Verdict,
 ) {
@@ -62,7 +62,7 @@
 #[rstest]
 #[case::cold(Some(at(0.5)), 0)]
 #[case::warm(None, 1)]
-fn the_latency_of_a_cold_pod_tells_nothing_of_its_build(
+fn the_latency_of_a_cold_pod_is_not_recorded(
     #[case] started_at: Option<Duration>,
     #[case] latencies: usize,
 ) {
@@ -87,7 +87,7 @@
 #[case::small_sample(2.0, true, Verdict::Hold)]
 #[case::held_long_enough(30.0, true, Verdict::Abstain)]
 #[case::no_clock(2.0, false, Verdict::Abstain)]
-fn a_small_sample_holds_the_clock(
+fn a_small_sample_holds_the_stage(
     #[case] now: f64,
     #[case] clock_controlled: bool,
     #[case] expected: Verdict,
@@ -101,12 +101,15 @@
 }
 
 #[rstest]
-#[case::one_error_a_pod(&[1, 1, 1, 0, 0, 0], true)]
+#[case::one_error_per_pod(&[1, 1, 1, 0, 0, 0], true)]
 #[case::one_faulty_pod(&[9, 0, 0, 0, 0, 0], false)]
 #[case::two_faulty_pods(&[9, 8, 0, 0, 0, 0], false)]
 #[case::everywhere(&[5, 7, 4, 6, 8, 5], true)]
-fn a_fault_of_the_build_is_spread_over_its_pods(#[case] errors: &[usize], #[case] expected: bool) {
-    let trial: Vec<Observed> = (10..)
+fn only_evenly_spread_faults_are_attributed_to_the_build(
+    #[case] errors: &[usize],
+    #[case] expected: bool,
+) {
+    let trial: Vec<PodObservation> = (10..)
         .zip(errors)
         .map(|(pod, errors)| (pod, *errors, 10, 0.1))
         .collect();
@@ -115,7 +118,7 @@
 }
 
 #[test]
-fn time_outs_with_no_earlier_build_beside_speak_against_none() {
+fn timeouts_without_a_concurrent_baseline_are_no_regression() {
     let mut canary = canary(&[], (0, 0, 0.1));
     for n in 0..40 {
         canary
@@ -131,7 +134,7 @@
 #[rstest]
 #[case::just_started(10.0, false)]
 #[case::settled(13.0, true)]
-fn slowness_counts_only_once_the_newest_pod_has_run_for_the_least_time(
+fn slowness_counts_only_after_the_minimum_observation_time(
     #[case] now: f64,
     #[case] expected: bool,
 ) {
@@ -145,7 +148,7 @@
 
 /// The simulator records this text, so its format must not change.
 #[test]
-fn the_log_of_a_rollback_has_its_fixed_form() {
+fn the_rollback_log_line_has_a_fixed_format() {
     let mut canary = canary(&[(3, 2, 30, 0.1)], (0, 200, 0.25));
     let mut context = context(1.0);
     canary.stage = Some(StageUpdate {
--- a/crates/decision/src/canary/tests/votes.rs
+++ b/crates/decision/src/canary/tests/votes.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_vote_that_counts_is_not_repeated() {
+fn a_counted_vote_is_not_repeated() {
     let mut canary = canary(&[(3, 0, 5, 0.1)], (0, 200, 0.1));
     let stage = stage_update(Phase::OnTrial, 0.2);
     canary.voting.cast(Verdict::Hold, &stage, &mut context(0.5));
@@ -85,16 +85,16 @@
 #[rstest]
 #[case::all_from_the_start(300, 0.0, 1.0, 0.0, 1.5)]
 #[case::all_at_the_end_of_a_window(300, 5.6, 1.0, 0.0, 1.5)]
-#[case::hardly_enough(84, 0.0, 1.0, 0.0, 1.5)]
-#[case::hardly_enough_later(84, 7.3, 1.0, 0.0, 1.5)]
-#[case::a_third_is_dead(300, 3.0, 0.67, 0.0, 2.0)]
-#[case::a_third_heard_late(300, 4.5, 1.0, 1.5, 2.0)]
-fn the_votes_of_a_quorum_count_at_one_time(
-    #[case] wanting: usize,
+#[case::barely_a_quorum(84, 0.0, 1.0, 0.0, 1.5)]
+#[case::barely_a_quorum_later(84, 7.3, 1.0, 0.0, 1.5)]
+#[case::a_third_is_down(300, 3.0, 0.67, 0.0, 2.0)]
+#[case::a_third_learns_late(300, 4.5, 1.0, 1.5, 2.0)]
+fn a_quorum_of_votes_counts_at_the_same_time(
+    #[case] voting_sidecars: usize,
     #[case] from: f64,
     #[case] alive: f64,
     #[case] delay: f64,
-    #[case] ttls: f64,
+    #[case] max_ttls: f64,
 ) {
     let ttl = at(4.0);
     let mut fleet: Vec<(CanaryAnalysis, Context)> = (0..SIDECARS)
@@ -119,12 +119,12 @@
         for (index, (canary, context)) in fleet.iter_mut().enumerate() {
             // Makes the choice of dead and voting sidecars independent of their position in the
             // schedule.
-            let place = index * 7 % SIDECARS;
-            if place as f64 >= alive * SIDECARS as f64 {
+            let shuffled_index = index * 7 % SIDECARS;
+            if shuffled_index as f64 >= alive * SIDECARS as f64 {
                 continue;
             }
             context.now = now;
-            canary.regressed = place < wanting && now >= at(from);
+            canary.regressed = shuffled_index < voting_sidecars && now >= at(from);
             canary.vote(context);
             for action in std::mem::take(&mut context.actions) {
                 let Action::Vote {
@@ -147,19 +147,19 @@
         }
         if service.count(Verdict::RollBack, now, ttl) >= QUORUM {
             assert!(
-                now <= at(from) + ttl.mul_f64(ttls) + TICK_INTERVAL * 2,
-                "only after {:?}",
+                now <= at(from) + ttl.mul_f64(max_ttls) + TICK_INTERVAL * 2,
+                "the quorum counted only after {:?}",
                 now - at(from)
             );
             return;
         }
     }
-    panic!("the quorum never counted at one time");
+    panic!("the quorum never counted at the same time");
 }
 
 /// A sidecar does not wait for a voting window if the rollout service can accept every vote.
 #[test]
-fn with_an_ample_rate_limit_votes_are_cast_at_once() {
+fn with_an_ample_rate_limit_votes_are_cast_immediately() {
     let mut canary = canary(&[], (0, 200, 0.1));
     let mut context = context(0.0);
     context.config.vote_rate_limit = 25.0;
--- a/crates/decision/src/canary_sample/tests.rs
+++ b/crates/decision/src/canary_sample/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_halved_sample_retains_its_proportions_and_its_later_latencies() {
+fn a_halved_sample_keeps_its_proportions_and_latest_latencies() {
     let mut sample = CanarySample::default();
     for n in 0..100 {
         let outcome = if n % 4 == 0 {
--- a/crates/decision/src/engine/tests.rs
+++ b/crates/decision/src/engine/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 use crate::interface::{AttemptOutcome, Endpoint, EndpointUpdate, Phase, PodState};
 use crate::test_support::{
-    at, attempt_ended, endpoint, request, sidecar_config, stage_update, LEASE,
+    at, attempt_ended, endpoint, request, sidecar_config, stage_update, LEASE_SECONDS,
 };
 
 fn attempt_finished(outcome: AttemptOutcome) -> Event {
     Event::AttemptFinished(attempt_ended(outcome).result)
 }
 
-fn listed(endpoint: Endpoint) -> Event {
+fn endpoint_update(endpoint: Endpoint) -> Event {
     Event::Endpoints(EndpointUpdate::Delta(vec![endpoint]))
 }
 
 #[test]
-fn outcomes_are_taken_before_requests_that_came_meanwhile() {
+fn outcomes_are_processed_before_new_requests() {
     let events = in_processing_order(vec![
         Event::RequestArrived(request(1)),
         Event::ClientDisconnected(RequestId(2)),
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn lists_and_stages_are_taken_before_outcomes_that_bring_about_retries() {
+fn lists_and_stages_are_processed_before_outcomes() {
     let events = in_processing_order(vec![
         attempt_finished(AttemptOutcome::ConnectFailed),
         Event::Stage {
             update: Some(stage_update(Phase::OnTrial, 0.0)),
             vote_answer: None,
         },
-        listed(endpoint(0, 2)),
+        endpoint_update(endpoint(0, 2)),
     ]);
     assert!(matches!(
         events[..],
@@ -51,13 +51,13 @@
 
 /// `apply_events` takes effect immediately and does not fire timers.
 #[test]
-fn a_list_is_known_before_anything_falls_due() {
+fn applied_events_take_effect_before_timers_fire() {
     let config = SidecarConfig {
-        endpoint_lease: Some(at(LEASE)),
+        endpoint_lease: Some(at(LEASE_SECONDS)),
         ..sidecar_config()
     };
     let mut engine = DecisionEngine::new(Duration::ZERO, config);
-    engine.handle(at(1.0), vec![listed(endpoint(0, 1))]);
+    engine.handle(at(1.0), vec![endpoint_update(endpoint(0, 1))]);
     let actions = engine.handle(at(1.1), vec![Event::RequestArrived(request(0))]);
     assert!(
         actions
@@ -70,7 +70,7 @@
         state: PodState::Draining,
         ..endpoint(0, 1)
     };
-    let actions = engine.apply_events(at(8.0), vec![listed(draining)]);
+    let actions = engine.apply_events(at(8.0), vec![endpoint_update(draining)]);
     assert_eq!(actions, []);
     assert!(!engine.may_begin(at(8.0), RequestId(0), AttemptIndex(0)));
 }
--- a/crates/decision/src/evidence/tests.rs
+++ b/crates/decision/src/evidence/tests.rs
@@ -14,7 +14,7 @@
 #[case::decides_alone(2.0, 1.0, 20, 1.5)]
 #[case::one_of_many_decides(45.0, 1.0, 20, 2.76)]
 #[case::many_must_agree(600.0, 30.0, 4, 2.45)]
-fn evidence_goes_by_the_quorum(
+fn required_evidence_depends_on_the_quorum(
     #[case] sidecar_count: f64,
     #[case] rollback_quorum: f64,
     #[case] sample: usize,
@@ -29,13 +29,13 @@
 /// is evidence against a build. It is not where one sidecar decides alone or where the baseline
 /// build fails as well.
 #[rstest]
-#[case::many_agree(300.0, 76.0, (1, 5), (0, 40), true)]
-#[case::of_many_outcomes(300.0, 76.0, (1, 19), (0, 200), true)]
+#[case::large_quorum(300.0, 76.0, (1, 5), (0, 40), true)]
+#[case::one_error_of_many_outcomes(300.0, 76.0, (1, 19), (0, 200), true)]
 #[case::within_the_margin(300.0, 76.0, (2, 50), (0, 200), false)]
-#[case::the_earlier_build_is_hardly_known(300.0, 76.0, (1, 5), (0, 5), false)]
-#[case::the_earlier_build_errs_too(300.0, 76.0, (1, 5), (3, 40), false)]
+#[case::small_baseline_sample(300.0, 76.0, (1, 5), (0, 5), false)]
+#[case::baseline_fails_too(300.0, 76.0, (1, 5), (3, 40), false)]
 #[case::decides_alone(300.0, 1.0, (2, 6), (0, 40), false)]
-fn few_signs_are_enough_where_many_agree(
+fn rare_observations_suffice_for_a_large_quorum(
     #[case] sidecar_count: f64,
     #[case] rollback_quorum: f64,
     #[case] new: (usize, usize),
--- a/crates/decision/src/outlier/tests.rs
+++ b/crates/decision/src/outlier/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_pod_that_fails_at_once_is_ejected_and_does_not_count_as_fast() {
+fn a_pod_that_fails_immediately_is_ejected_and_not_considered_fast() {
     let (mut detector, context) = (detector(), context(1.0));
     for _ in 0..3 {
         detector.record_outcome(&attempt_ended(AttemptOutcome::Failed), &context);
@@ -35,10 +35,10 @@
 }
 
 #[rstest]
-#[case::still_silent(None, true)]
+#[case::no_outcome(None, true)]
 #[case::answered(Some(AttemptOutcome::Succeeded), false)]
 #[case::cancelled(Some(AttemptOutcome::Cancelled), true)]
-fn a_silent_pod_stays_ejected_until_it_answers(
+fn an_unresponsive_pod_stays_ejected_until_it_answers(
     #[case] outcome: Option<AttemptOutcome>,
     #[case] ejected: bool,
 ) {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn failures_of_an_outlying_tenant_eject_no_pod() {
+fn failures_of_an_outlier_tenant_eject_no_pod() {
     let (mut detector, context) = (detector(), context(1.0));
     let ended = AttemptEnded {
         tenant_outlier: true,
@@ -69,8 +69,8 @@
 #[rstest]
 #[case::fails_alone(0.8, 0.0, true)]
 #[case::all_fail(0.8, 0.7, false)]
-#[case::sound(0.1, 0.0, false)]
-fn a_tenant_is_an_outlier_where_others_succeed(
+#[case::healthy(0.1, 0.0, false)]
+fn a_tenant_is_an_outlier_if_others_succeed(
     #[case] own: f64,
     #[case] other: f64,
     #[case] expected: bool,
@@ -87,9 +87,9 @@
 /// An ejected pod whose health is checked by other sidecars needs no health check here. This
 /// sidecar's own outcomes can still reinstate it.
 #[rstest]
-#[case::own_turn(vec![], true)]
-#[case::turn_of_a_peer(vec![0], false)]
-fn a_health_check_that_is_a_peers_turn_waits(
+#[case::not_probed_by_peers(vec![], true)]
+#[case::pod_is_probed_by_peers(vec![0], false)]
+fn no_health_check_is_wanted_while_peers_probe_the_pod(
     #[case] probed_by_peers: Vec<u64>,
     #[case] wants_health_check: bool,
 ) {
@@ -113,9 +113,9 @@
 #[rstest]
 #[case::served(AttemptOutcome::Succeeded, true)]
 #[case::rejected(AttemptOutcome::Rejected, false)]
-fn the_last_outcome_of_a_pod_decides_whether_it_is_relied_on(
+fn the_last_outcome_decides_whether_a_pod_is_trusted(
     #[case] last: AttemptOutcome,
-    #[case] relied_on: bool,
+    #[case] trusted: bool,
 ) {
     let (mut detector, context) = (detector(), leased_context(3.0));
     for outcome in [AttemptOutcome::Succeeded, last] {
@@ -125,5 +125,5 @@
         };
         detector.record_outcome(&ended, &context);
     }
-    assert_eq!(!detector.health.last_served_at.is_zero(), relied_on);
+    assert_eq!(!detector.health.last_served_at.is_zero(), trusted);
 }
--- a/crates/decision/src/overload/tests.rs
+++ b/crates/decision/src/overload/tests.rs
@@ -6,9 +6,9 @@
 #[rstest]
 #[case::one_open_request(1, 0.1, 0, 0.0)]
 #[case::many_open_requests(60, 0.1, 0, 1.0)]
-#[case::late_answers(0, 1.5, 0, 1.0)]
-#[case::late_answers_of_another_tenant(0, 1.5, 1, 0.0)]
-fn overload_shows_by_more_open_requests_than_chance_or_by_late_answers(
+#[case::high_latency(0, 1.5, 0, 1.0)]
+#[case::high_latency_of_another_tenant(0, 1.5, 1, 0.0)]
+fn overload_is_detected_from_open_requests_or_latency(
     #[case] open: u64,
     #[case] latency: f64,
     #[case] tenant: u32,
--- a/crates/decision/src/test_support.rs
+++ b/crates/decision/src/test_support.rs
@@ -15,21 +15,21 @@
 use crate::statistics::RunningMean;
 use std::time::Duration;
 
-pub(crate) const REFUSED: WatchLoss = WatchLoss {
+pub(crate) const CALL_REFUSED: WatchLoss = WatchLoss {
     silent_for: Duration::ZERO,
     cause: WatchLossCause::Refused,
 };
-pub(crate) const UNANSWERED: WatchLoss = WatchLoss {
+pub(crate) const CALL_UNANSWERED: WatchLoss = WatchLoss {
     silent_for: Duration::ZERO,
     cause: WatchLossCause::TimedOut,
 };
-pub(crate) const SILENT: WatchLoss = WatchLoss {
+pub(crate) const WATCH_ENDED: WatchLoss = WatchLoss {
     silent_for: Duration::ZERO,
     cause: WatchLossCause::Ended,
 };
 
 /// The duration in seconds of the endpoint list's lease in `leased_context`.
-pub(crate) const LEASE: f64 = 6.0;
+pub(crate) const LEASE_SECONDS: f64 = 6.0;
 
 pub(crate) fn at(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -106,7 +106,7 @@
 /// Returns the context of a sidecar whose endpoint list has a lease.
 pub(crate) fn leased_context(now: f64) -> Context {
     let config = SidecarConfig {
-        endpoint_lease: Some(at(LEASE)),
+        endpoint_lease: Some(at(LEASE_SECONDS)),
         ..sidecar_config()
     };
     let mut context = Context::new(Duration::ZERO, &config);
