--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -1,5 +1,5 @@
-//! Tracks the list of endpoints: notifies the other components of changes, and watches the list again when the
-//! watch was lost.
+//! Tracks the endpoint list: notifies the other components of changes and restores the watch after
+//! it was lost.
 
 use crate::context::Context;
 use crate::endpoint_state::KnownEndpoints;
@@ -11,23 +11,25 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest wait before a lost list is watched again, before any backoff.
+/// The maximum delay before a lost watch is restored, without backoff.
 pub const WATCH_RETRY_DELAY: Duration = Duration::from_millis(700);
-/// The backoff doubles that wait so often at most.
+/// The maximum number of times that backoff doubles the delay.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// So many unanswered calls in a row do not lengthen the backoff: one may be lost by chance.
+/// The number of consecutive unanswered calls that do not cause backoff, because a single call may
+/// be lost by chance.
 const TOLERATED_TIMEOUTS: u32 = 2;
-/// A host's own agent is asked again within this fraction of the grace: what it has counts as notified.
+/// The retry delay for a host's own agent, as a fraction of the drain grace period. It is short
+/// because an update counts as notified once the agent has it.
 const AGENT_RETRY_GRACE_FRACTION: u32 = 4;
-/// The shortest wait, as a share of the longest: the wait is drawn from this range so that sidecars which lost
-/// their watch at the same moment do not all call at once.
+/// The minimum delay as a share of the maximum. The delay is drawn from this range so that sidecars
+/// that lost their watch at the same moment do not all call at once.
 const MIN_JITTER: f64 = 0.3;
-/// A pod that has been gone for this long is forgotten: no message about it is still under way.
-const FORGET_GONE_AFTER: Duration = Duration::from_secs(120);
-/// The least weight of a pod; none is divided by zero.
+/// How long a gone pod is kept. After this time no message about it can be in transit.
+const GONE_ENDPOINT_RETENTION: Duration = Duration::from_secs(120);
+/// The lower bound on a pod's weight, which prevents division by zero.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// Knows the list of endpoints as it was heard last.
+/// Keeps the endpoint list as last received.
 #[derive(Default)]
 pub(crate) struct EndpointTracker {
     known: KnownEndpoints,
@@ -39,18 +41,18 @@
         match message {
             Message::EndpointsUpdated(update) => self.on_update(update, context),
             Message::WatchDue => context.actions.push(Action::WatchEndpoints),
-            Message::EndpointForgotten(pod) => self.on_forget_due(pod, context),
+            Message::EndpointRemoved(pod) => self.on_removal_due(pod, context),
             _ => {}
         }
     }
 
     fn on_update(&mut self, update: EndpointUpdate, context: &mut Context) {
         match update {
-            EndpointUpdate::Delta(endpoints) => self.announce_all(endpoints, context),
+            EndpointUpdate::Delta(endpoints) => self.publish_all(endpoints, context),
             EndpointUpdate::Snapshot(endpoints) | EndpointUpdate::Cached(endpoints) => {
                 let missing = self.known.missing_from(&endpoints);
-                self.announce_all(missing, context);
-                self.announce_all(endpoints, context);
+                self.publish_all(missing, context);
+                self.publish_all(endpoints, context);
                 if context.config.watch_on_request && !self.watching {
                     self.watching = true;
                     context.actions.push(Action::WatchEndpoints);
@@ -60,30 +62,34 @@
         }
     }
 
-    /// Admission control sends nothing to pods that it does not know: forgetting them is safe.
-    fn on_forget_due(&mut self, pod: PodId, context: &mut Context) {
-        if self.known.forget(pod, context.ago(FORGET_GONE_AFTER)) {
+    /// Removes a pod that has been gone for long enough. This is safe because admission control
+    /// sends nothing to unknown pods.
+    fn on_removal_due(&mut self, pod: PodId, context: &mut Context) {
+        if self
+            .known
+            .remove_if_gone_since(pod, context.ago(GONE_ENDPOINT_RETENTION))
+        {
             let components = [
                 Component::AdmissionControl,
                 Component::OutlierDetector(pod),
                 Component::LoadBalancer,
                 Component::CanaryAnalysis,
             ];
-            context.broadcast(components, &Message::EndpointForgotten(pod));
+            context.broadcast(components, &Message::EndpointRemoved(pod));
         }
     }
 
-    fn announce_all(&mut self, endpoints: Vec<Endpoint>, context: &mut Context) {
+    fn publish_all(&mut self, endpoints: Vec<Endpoint>, context: &mut Context) {
         for endpoint in endpoints {
-            self.announce(endpoint, context);
+            self.publish(endpoint, context);
         }
     }
 
-    fn announce(&mut self, mut endpoint: Endpoint, context: &mut Context) {
+    fn publish(&mut self, mut endpoint: Endpoint, context: &mut Context) {
         endpoint.weight = endpoint.weight.max(MIN_WEIGHT);
         if self.known.insert(&endpoint, context.now) {
-            let forget = Message::EndpointForgotten(endpoint.pod);
-            context.schedule(FORGET_GONE_AFTER, Component::EndpointTracker, forget);
+            let removal = Message::EndpointRemoved(endpoint.pod);
+            context.schedule(GONE_ENDPOINT_RETENTION, Component::EndpointTracker, removal);
         }
         let components = [
             Component::AdmissionControl,
@@ -94,9 +100,9 @@
     }
 }
 
-/// Schedules the next call for the list: soon after a loss, and with exponential backoff after calls that were
-/// refused or repeatedly unanswered, so that the calls of a large fleet do not keep the service too busy to
-/// answer any.
+/// Schedules the next call for the list. It follows soon after a loss, and with exponential backoff
+/// after calls that were refused or repeatedly unanswered, so that the calls of a large fleet do
+/// not overload the service until it can answer none of them.
 fn schedule_watch(loss: &WatchLoss, context: &mut Context) {
     let failures = context.endpoint_lease.watch_failures();
     let doublings = match loss.cause {
@@ -104,13 +110,13 @@
         WatchLossCause::TimedOut => failures.saturating_sub(TOLERATED_TIMEOUTS),
         WatchLossCause::Refused => failures,
     };
-    let longest_wait = if context.config.endpoints_pushed {
+    let max_delay = if context.config.endpoints_pushed {
         let within_grace = context.config.drain_grace / AGENT_RETRY_GRACE_FRACTION;
         within_grace.clamp(TICK_INTERVAL, WATCH_RETRY_DELAY)
     } else {
         WATCH_RETRY_DELAY * (1 << doublings.min(MAX_BACKOFF_DOUBLINGS))
     };
     let jitter = MIN_JITTER + (1.0 - MIN_JITTER) * context.random_unit();
-    let wait = longest_wait.mul_f64(jitter);
-    context.schedule(wait, Component::EndpointTracker, Message::WatchDue);
+    let delay = max_delay.mul_f64(jitter);
+    context.schedule(delay, Component::EndpointTracker, Message::WatchDue);
 }
