--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,25 +1,28 @@
-//! How a new group is made.
+//! Bootstrap of a new group.
 //!
-//! The voter whose name sorts first makes the group, once every voter that its settings name has answered this process that
-//! it has joined none. So voters that lost their disks never make a second group while any of them remembers the first. If a
-//! majority has lost its disks, committed entries may be lost, and an operator has to decide.
+//! The voter with the lexicographically smallest name creates the group once every configured voter
+//! has answered this process that it has not joined a group. Voters that lost their disks therefore
+//! never create a second group while any of them still knows the first one. If a majority has lost
+//! its disks, committed entries may be lost, and an operator has to decide how to proceed.
 
 use crate::types::{Members, NodeId};
 use std::collections::BTreeMap;
 
-/// Bits of a voters' checksum that hold their number.
+/// Number of low bits of a voters checksum that hold the number of voters.
 const COUNT_BITS: u32 = 8;
 
-/// Who has answered that it has joined no group.
+/// The nodes that have answered that they have not joined a group.
 #[derive(Clone, Debug)]
 pub(crate) struct Bootstrap {
-    /// Only answers with this nonce count: older answers may be out of date.
+    /// Nonce of the current discovery request; answers with another nonce may be stale and are
+    /// ignored.
     pub(crate) nonce: u64,
-    /// Incarnation by name.
+    /// Incarnations of the nodes without a group, by node name.
     unjoined: BTreeMap<String, u64>,
 }
 
-/// A checksum of the voters in the settings: nodes whose settings differ make no group with each other.
+/// Returns a checksum of the configured voters. Nodes with different voter settings do not create a
+/// group with each other.
 pub(crate) fn voters_checksum(names: &[String]) -> u64 {
     let mut sorted = names.to_vec();
     sorted.sort();
@@ -35,17 +38,18 @@
         }
     }
 
-    /// A node has answered that it has joined no group.
+    /// Records a node that has answered that it has not joined a group.
     pub(crate) fn record_unjoined(&mut self, id: &NodeId) {
         self.unjoined.insert(id.name.clone(), id.incarnation);
     }
 
-    /// A group exists: none is to be made.
+    /// Discards all answers because a group already exists.
     pub(crate) fn abandon(&mut self) {
         self.unjoined.clear();
     }
 
-    /// The voters of the new group, if this node `id` is the one to make it and all voters have answered.
+    /// Returns the voters of the new group if the node `id` is responsible for creating it and all
+    /// voters have answered.
     pub(crate) fn initial_members(&self, id: &NodeId, voter_names: &[String]) -> Option<Members> {
         if voter_names.iter().min() != Some(&id.name) {
             return None;
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -1,4 +1,5 @@
-//! A node without a vote and without a disk: it starts with nothing, and polls one voter after the other for what is committed.
+//! A non-voting node without a disk. It starts with an empty state and polls one voter at a time
+//! for committed entries.
 
 use crate::message::{Message, Packet};
 use crate::node::Committed;
@@ -6,30 +7,30 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A learner polls another voter when it has heard nothing for so many poll intervals.
-const SILENT_POLLS: u32 = 4;
+/// Number of poll intervals without an answer after which a learner polls the next voter.
+const FAILOVER_AFTER_POLLS: u32 = 4;
 
 /// A snapshot that is being received.
 #[derive(Default)]
 struct IncomingSnapshot {
-    /// The index of the last entry that it includes; 0 is none.
+    /// Index of the last entry included in the snapshot; 0 means no snapshot.
     last_index: u64,
     data: Vec<u8>,
 }
 
-/// A learner of a group: it applies what is committed, and takes no part in elections or commitment.
+/// A learner of a group. It applies committed entries and takes no part in elections or commitment.
 pub struct Learner {
     id: NodeId,
-    /// The voters by the settings.
+    /// The voters named in the settings.
     configured_voters: Vec<String>,
-    /// All nodes to poll, sorted: by the settings, and by the log.
+    /// All voters that can be polled, from the settings and the log, sorted by name.
     voters: Vec<String>,
-    /// Index in `voters` of the one that it polls.
+    /// Index in `voters` of the voter being polled.
     polled_voter: usize,
     poll_interval: Duration,
     next_poll: Duration,
     last_heard: Duration,
-    /// The group that it learns from; 0 until the first answer.
+    /// The group that the learner follows; 0 until the first answer.
     group: u64,
     applied_index: u64,
     incoming_snapshot: IncomingSnapshot,
@@ -38,7 +39,8 @@
 }
 
 impl Learner {
-    /// A learner that polls the voters named `voters`, for now, every `poll_interval`. Its incarnation is a random number.
+    /// Creates a learner that initially polls `voters` every `poll_interval`. Its incarnation is a
+    /// random number.
     pub fn new(
         now: Duration,
         id: NodeId,
@@ -46,7 +48,7 @@
         poll_interval: Duration,
     ) -> Self {
         voters.sort();
-        // Learners spread over the voters by their random incarnation.
+        // The random incarnation spreads learners over the voters.
         let polled_voter = id.incarnation as usize % voters.len().max(1);
         Self {
             id,
@@ -64,39 +66,40 @@
         }
     }
 
-    /// When [`Learner::tick`] is due at the latest.
+    /// Returns the latest time at which [`Learner::tick`] has to be called.
     pub fn next_deadline(&self) -> Duration {
         self.next_poll
     }
 
-    /// When it last got an answer that it could use: how old its knowledge may be.
+    /// Returns the time of the last usable answer, which bounds the age of the learner's state.
     pub fn last_heard(&self) -> Duration {
         self.last_heard
     }
 
-    /// The index up to which it has handed out what is committed.
+    /// Returns the index of the last committed entry that was handed to the host.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// The names of all nodes that may lead, as far as it knows.
+    /// Returns the names of all nodes known to be able to lead.
     pub fn voters(&self) -> &[String] {
         &self.voters
     }
 
-    /// Polls a voter, if that is due.
+    /// Polls a voter if a poll is due.
     pub fn tick(&mut self, now: Duration) {
         if now < self.next_poll {
             return;
         }
-        if now >= self.last_heard + self.poll_interval * SILENT_POLLS {
+        if now >= self.last_heard + self.poll_interval * FAILOVER_AFTER_POLLS {
             self.polled_voter = (self.polled_voter + 1) % self.voters.len().max(1);
         }
         self.next_poll = now + self.poll_interval;
         self.poll();
     }
 
-    /// Handles a packet from a voter. The host has to make sure that the packet comes from the node that it names.
+    /// Handles a packet from a voter. The host has to verify that the packet was sent by the node
+    /// that it names.
     pub fn receive(&mut self, now: Duration, packet: Packet) {
         let is_from_voter = self.voters.contains(&packet.from.name) && packet.group != 0;
         let is_for_this_node =
@@ -107,7 +110,7 @@
         if self.group == 0 {
             self.group = packet.group;
         }
-        // An operator who makes another group starts the learners again.
+        // An operator who creates a new group has to restart the learners.
         if packet.group != self.group {
             return;
         }
@@ -137,12 +140,12 @@
         }
     }
 
-    /// The next packet to send, and the name of the node that it is for.
+    /// Returns the next packet to send and the name of its recipient.
     pub fn take_packet(&mut self) -> Option<(String, Packet)> {
         self.outbox.pop_front()
     }
 
-    /// The next committed command or snapshot, in order.
+    /// Returns the next committed command or snapshot, in log order.
     pub fn take_committed(&mut self) -> Option<Committed> {
         self.committed.pop_front()
     }
@@ -166,7 +169,8 @@
         self.outbox.push_back((voter.clone(), packet));
     }
 
-    /// Takes over the entries that it lacks, and polls for more at once if there were any.
+    /// Applies the entries that the learner is missing. If there were any, it polls for more at
+    /// once.
     fn apply_entries(&mut self, first_index: u64, entries: Vec<Entry>) {
         let known_entries = (self.applied_index + 1 - first_index) as usize;
         let has_new_entries = entries.len() > known_entries;
@@ -220,8 +224,9 @@
         });
     }
 
-    /// Polls these voters, and those of the settings: the entries that it reads may be old. It goes on with the voter that it
-    /// polls now, if that is still one.
+    /// Sets the voters to poll: the given members plus those in the settings, because entries that
+    /// the learner reads may be old. Polling continues with the current voter if it is still in the
+    /// list.
     fn update_voters(&mut self, members: &Members) {
         let polled_name = self.voters.get(self.polled_voter).cloned();
         let configured = self.configured_voters.iter();
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,19 +1,24 @@
-//! Raft among three to seven voters, without I/O and without a clock: the commands that any voter proposes are committed in
-//! one order, which all voters and learners apply.
+//! Raft consensus among three to seven voters, without I/O and without a clock. Commands proposed
+//! by any voter are committed in a single order, in which all voters and learners apply them.
 //!
-//! The algorithm is that of "In Search of an Understandable Consensus Algorithm" (Ongaro and Ousterhout, 2014; here "the
-//! paper") and of "Consensus: Bridging Theory and Practice" (Ongaro's dissertation, 2014), with pre-vote (9.6), a leader that
-//! steps down without contact to a quorum (6.2), and membership changes of one server at a time (4.1, with the correction
-//! of 2015: a leader changes members only once it has committed an entry of its own term).
+//! The algorithm is described in "In Search of an Understandable Consensus Algorithm" (Ongaro and
+//! Ousterhout, 2014; "the paper" in this crate) and in "Consensus: Bridging Theory and Practice"
+//! (Ongaro's dissertation, 2014). The implementation includes pre-vote (dissertation, 9.6), a
+//! leader that steps down when it loses contact with a quorum (6.2), and single-server membership
+//! changes (4.1, with the correction of 2015: a leader changes the membership only after it has
+//! committed an entry of its own term).
 //!
-//! How a host drives a [`RaftNode`]: it passes in packets ([`RaftNode::receive`]), the time ([`RaftNode::tick`], at
-//! [`RaftNode::next_deadline`] at the latest) and commands ([`RaftNode::propose`]). It writes what is to be stored
-//! ([`RaftNode::next_write_batch`]), reports when that is durable ([`RaftNode::persisted`]), and sends packets
-//! ([`RaftNode::take_packet`]): none is released before the records that it depends on are durable. Committed commands come
-//! out in order ([`RaftNode::take_committed`]). All other sidecars run a [`Learner`], which polls a voter for what is committed.
+//! A host drives a [`RaftNode`] by passing in packets ([`RaftNode::receive`]), the time
+//! ([`RaftNode::tick`], no later than [`RaftNode::next_deadline`]) and commands
+//! ([`RaftNode::propose`]). The host writes the pending records to stable storage
+//! ([`RaftNode::next_write_batch`]), reports when they are durable ([`RaftNode::persisted`]), and
+//! sends packets ([`RaftNode::take_packet`]); a packet is released only when the records that it
+//! depends on are durable. Committed commands are returned in order ([`RaftNode::take_committed`]).
+//! All other sidecars run a [`Learner`], which polls a voter for committed entries.
 //!
-//! A node that has lost its disk is another node: a [`NodeId`] is a name and the incarnation of the disk. A new incarnation
-//! has no vote until it has caught up and has been added in the place of the one that is gone.
+//! A node that has lost its disk is a new node: a [`NodeId`] consists of a name and the incarnation
+//! of the disk. A new incarnation has no vote until it has caught up and has replaced the old
+//! incarnation in the configuration.
 
 mod bootstrap;
 mod learner;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,12 +1,12 @@
-//! The log in memory: the last snapshot, and the entries after it (the paper, 5.3 and 7).
+//! The in-memory log: the latest snapshot and the entries after it (the paper, 5.3 and 7).
 
 use crate::types::{Configuration, Entry, EntryPayload, LogPosition};
 use std::collections::VecDeque;
 
-/// A snapshot and the entries that follow it without a gap.
+/// A snapshot and the contiguous entries that follow it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
-    /// The last entry that the snapshot includes.
+    /// Position of the last entry included in the snapshot.
     snapshot_position: LogPosition,
     /// The configuration as of that entry.
     snapshot_configuration: Configuration,
@@ -15,7 +15,7 @@
 }
 
 impl Log {
-    /// A log that has a snapshot and no entries.
+    /// Creates a log that consists of a snapshot and has no entries.
     pub(crate) fn from_snapshot(
         position: LogPosition,
         configuration: Configuration,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The log of a new group: no entries, and the first voters as its configuration.
+    /// Creates the log of a new group: no entries, with the initial voters as its configuration.
     pub(crate) fn new(configuration: Configuration) -> Self {
         Self::from_snapshot(LogPosition::default(), configuration, Vec::new())
     }
@@ -46,14 +46,14 @@
         &self.snapshot_data
     }
 
-    /// The snapshot's bytes from `offset` on, at most `max_bytes` of them; empty beyond its end.
+    /// Returns at most `max_bytes` of the snapshot, starting at `offset`; empty past its end.
     pub(crate) fn snapshot_chunk(&self, offset: usize, max_bytes: usize) -> Vec<u8> {
         let end = (offset + max_bytes).min(self.snapshot_data.len());
         let chunk = self.snapshot_data.get(offset..end);
         chunk.unwrap_or_default().to_vec()
     }
 
-    /// The end of the log.
+    /// Returns the position of the last entry.
     pub(crate) fn last_position(&self) -> LogPosition {
         let last_entry = self.entries.back();
         LogPosition {
@@ -67,7 +67,8 @@
         self.entries.get(offset as usize)
     }
 
-    /// The term of the entry at `index`, also of the last one that the snapshot includes.
+    /// Returns the term of the entry at `index`, which may also be the last entry included in the
+    /// snapshot.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot_position.index {
             return Some(self.snapshot_position.term);
@@ -75,19 +76,20 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Adds an entry at the end; its index.
+    /// Appends an entry and returns its index.
     pub(crate) fn append(&mut self, entry: Entry) -> u64 {
         self.entries.push_back(entry);
         self.last_position().index
     }
 
-    /// Removes the entry at `index` and all after it.
+    /// Removes the entry at `index` and all entries after it.
     pub(crate) fn truncate_from(&mut self, index: u64) {
         let kept = index.saturating_sub(self.snapshot_position.index + 1);
         self.entries.truncate(kept as usize);
     }
 
-    /// The configuration in force, which is the last one in the log, and the index of its entry.
+    /// Returns the configuration in force, which is the last one in the log, and the index of its
+    /// entry.
     pub(crate) fn configuration(&self) -> (u64, &Configuration) {
         let first_index = self.snapshot_position.index + 1;
         for (offset, entry) in self.entries.iter().enumerate().rev() {
@@ -98,8 +100,8 @@
         (self.snapshot_position.index, &self.snapshot_configuration)
     }
 
-    /// Replaces the entries up to `index` by a snapshot. False, without effect, where the log has no such entry after its
-    /// present snapshot.
+    /// Replaces the entries up to `index` by a snapshot. Returns false and changes nothing if the
+    /// log has no such entry after its current snapshot.
     pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> bool {
         let old_index = self.snapshot_position.index;
         let Some(term) = self.term_at(index).filter(|_| index > old_index) else {
@@ -117,8 +119,9 @@
         true
     }
 
-    /// Takes over a snapshot up to `last`. If the log has that entry the entries after it stay, and this is true; else the
-    /// snapshot replaces the whole log (the paper, 7).
+    /// Installs a snapshot that ends at `last`. If the log contains that entry, the entries after
+    /// it are kept and the result is true; otherwise the snapshot replaces the whole log (the
+    /// paper, 7).
     pub(crate) fn install_snapshot(
         &mut self,
         last: LogPosition,
@@ -133,7 +136,8 @@
         false
     }
 
-    /// Entries from `index` to `last_index`, as many as fit into `max_bytes`, but at least one if there is one.
+    /// Returns the entries from `index` to `last_index` that fit into `max_bytes`, and at least one
+    /// if there is one.
     pub(crate) fn entries_from(&self, index: u64, last_index: u64, max_bytes: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,7 +1,7 @@
-//! The messages between nodes, and their encoding as datagrams.
+//! The messages between nodes and their encoding as datagrams.
 //!
-//! A datagram is a version byte and the packet in postcard, which goes by the order of fields and variants: the order in
-//! [`Message`] and [`Packet`] is the wire format.
+//! A datagram is a version byte followed by the packet in postcard. Postcard identifies fields and
+//! variants by their order, so the order in [`Message`] and [`Packet`] is part of the wire format.
 
 use crate::types::{
     Configuration, Entry, EntryPayload, LogPosition, Members, NodeId, MAX_COMMAND_BYTES,
@@ -10,72 +10,78 @@
 use limewing_versioned_codec::{decode, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 
-/// Largest encoded packet, in bytes: with its seal it fits into one datagram.
+/// Maximum size of an encoded packet in bytes. Together with its authentication tag it fits into
+/// one datagram.
 pub const MAX_PACKET_BYTES: usize = 1000;
 /// Version of the message format.
 const VERSION: u8 = 2;
 
-/// A message between two nodes. Voters answer each other; learners only send requests.
+/// A message between two nodes. Voters exchange messages with each other; learners only send
+/// requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a node that has joined no group: asks who has.
+    /// Sent by a node that has not joined a group, to find nodes that have.
     DiscoveryRequest {
-        /// Names this request; only answers with the same nonce count.
+        /// Identifies the request; answers with another nonce are ignored.
         nonce: u64,
-        /// Checksum of the voters that the sender's settings name.
+        /// Checksum of the voters in the sender's settings.
         voters_checksum: u64,
     },
-    /// Answers a discovery request. The packet's group is 0 if the sender has joined none either.
+    /// Answers a discovery request. The packet's group is 0 if the sender has not joined a group
+    /// either.
     DiscoveryResponse {
-        /// The request's nonce.
+        /// The nonce of the request.
         nonce: u64,
-        /// Checksum of the voters that the sender's settings name.
+        /// Checksum of the voters in the sender's settings.
         voters_checksum: u64,
-        /// The group's first voters, if the sender's log still reaches back to them; else empty.
+        /// The initial voters of the group, if the sender's log still starts with them; otherwise
+        /// empty.
         initial_members: Members,
     },
-    /// From a node without a vote: asks to be replicated to, and to become a voter if one of its name is to be one.
+    /// Sent by a node without a vote to request replication, and to become a voter if its name is
+    /// due to get a vote.
     JoinRequest,
-    /// The join request of another node, passed on to the leader.
+    /// The join request of another node, forwarded to the leader.
     JoinForwarded {
         /// The node that wants to join.
         id: NodeId,
     },
-    /// RequestVote (the paper, 5.2), or its pre-vote form (dissertation, 9.6).
+    /// The RequestVote RPC (the paper, 5.2) or its pre-vote variant (dissertation, 9.6).
     VoteRequest {
-        /// The end of the candidate's log.
+        /// Position of the last entry in the candidate's log.
         last: LogPosition,
-        /// Whether this only asks if the vote would be granted.
+        /// Whether this is a pre-vote, which only asks whether the vote would be granted.
         pre_vote: bool,
     },
     /// Answers a vote request.
     VoteResponse {
-        /// Whether the vote is, or would be, granted.
+        /// Whether the vote is granted, or would be granted in case of a pre-vote.
         granted: bool,
         /// Whether the request was a pre-vote.
         pre_vote: bool,
     },
-    /// AppendEntries (the paper, 5.3); without entries it is a heartbeat.
+    /// The AppendEntries RPC (the paper, 5.3); a heartbeat if it has no entries.
     AppendRequest {
-        /// The entry before `entries`.
+        /// Position of the entry that precedes `entries`.
         previous: LogPosition,
         /// The entries to append.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit_index: u64,
-        /// The leader's round of messages; the answer repeats it.
+        /// The leader's message round, which the response repeats.
         round: u64,
     },
-    /// Answers an append or a snapshot.
+    /// Answers an append request or a complete snapshot.
     AppendResponse {
-        /// Up to which index both logs match, or else the index that the leader is to try next.
+        /// The index up to which both logs match, or as an error the index that the leader should
+        /// try next.
         matched: Result<u64, u64>,
-        /// The request's round.
+        /// The round of the request.
         round: u64,
     },
-    /// InstallSnapshot (the paper, 7): a chunk of the leader's snapshot.
+    /// The InstallSnapshot RPC (the paper, 7): a chunk of the leader's snapshot.
     SnapshotRequest {
-        /// The last entry that the snapshot includes.
+        /// Position of the last entry included in the snapshot.
         last: LogPosition,
         /// The configuration as of that entry.
         configuration: Configuration,
@@ -83,52 +89,54 @@
         offset: u32,
         /// Length of the whole snapshot, in bytes.
         total_length: u32,
-        /// The chunk.
+        /// The bytes of the chunk.
         data: Vec<u8>,
-        /// The leader's round of messages; the answer repeats it.
+        /// The leader's message round, which the response repeats.
         round: u64,
     },
     /// Answers a chunk that does not complete the snapshot.
     SnapshotResponse {
-        /// The last entry that the snapshot includes.
+        /// Position of the last entry included in the snapshot.
         last: LogPosition,
-        /// Length of what the follower has of the snapshot, in bytes.
+        /// Number of bytes of the snapshot that the follower has received.
         received: u32,
-        /// The request's round.
+        /// The round of the request.
         round: u64,
     },
     /// A command for the leader to propose.
     Propose {
-        /// The command.
+        /// The bytes of the command.
         command: Vec<u8>,
     },
-    /// From a learner: asks for committed entries, or for a snapshot where the log no longer has them.
+    /// Sent by a learner to request committed entries, or a snapshot if the log no longer contains
+    /// them.
     LearnerRequest {
-        /// The first index that the learner lacks.
+        /// The first index that the learner is missing.
         next_index: u64,
-        /// The last index included in the snapshot that the learner is receiving; 0 is none.
+        /// Index of the last entry included in the snapshot that the learner is receiving; 0 means
+        /// none.
         snapshot_index: u64,
-        /// Length of what the learner has of that snapshot, in bytes.
+        /// Number of bytes of that snapshot that the learner has received.
         snapshot_offset: u32,
     },
     /// Answers a learner with committed entries.
     LearnerEntries {
         /// Index of the first of `entries`.
         first_index: u64,
-        /// Committed entries; empty if there are none that the learner lacks.
+        /// Committed entries; empty if the learner is up to date.
         entries: Vec<Entry>,
         /// The sender's commit index.
         commit_index: u64,
     },
     /// Answers a learner with a chunk of the sender's snapshot.
     LearnerSnapshot {
-        /// Index of the last entry that the snapshot includes.
+        /// Index of the last entry included in the snapshot.
         last_index: u64,
         /// Offset of `data` in the snapshot, in bytes.
         offset: u32,
         /// Length of the whole snapshot, in bytes.
         total_length: u32,
-        /// The chunk.
+        /// The bytes of the chunk.
         data: Vec<u8>,
         /// The voters as of `last_index`.
         members: Members,
@@ -138,31 +146,31 @@
 /// A message with its sender, group and term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// The sender's group; 0 is none yet.
+    /// The sender's group; 0 if it has not joined one.
     pub group: u64,
-    /// The sender.
+    /// The node that sent the packet.
     pub from: NodeId,
-    /// The incarnation of the node that it is meant for; 0 is any.
+    /// The incarnation of the recipient; 0 means any incarnation.
     pub to_incarnation: u64,
     /// The sender's current term.
     pub term: u64,
-    /// The message.
+    /// The content of the packet.
     pub message: Message,
 }
 
-/// Why received bytes are not a usable packet.
+/// The reason why received bytes are not a usable packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// The first byte names another version of the format.
-    #[error("the packet has another version than {VERSION}")]
+    /// The first byte is the version of another format.
+    #[error("unsupported packet version, expected version {VERSION}")]
     UnsupportedVersion,
-    /// The bytes do not decode.
+    /// The bytes cannot be decoded.
     #[error("the packet is malformed")]
     Malformed,
-    /// The packet, or a part of it, is larger than its limit.
+    /// The packet or one of its parts exceeds its size limit.
     #[error(
-        "the packet has over {MAX_PACKET_BYTES} bytes, a name over {MAX_NAME_BYTES} bytes, \
-         a command over {MAX_COMMAND_BYTES} bytes or over {MAX_VOTERS} voters and a new one"
+        "the packet exceeds {MAX_PACKET_BYTES} bytes or contains a name over {MAX_NAME_BYTES} bytes, \
+         a command over {MAX_COMMAND_BYTES} bytes or more than {MAX_VOTERS} voters and a new one"
     )]
     LimitExceeded,
 }
@@ -177,15 +185,15 @@
 }
 
 impl Packet {
-    /// The packet as the bytes of a datagram.
+    /// Encodes the packet as the bytes of a datagram.
     pub fn encode(&self) -> Vec<u8> {
         encode(VERSION, self)
     }
 
-    /// Reads a packet from the bytes of a datagram.
+    /// Decodes a packet from the bytes of a datagram.
     ///
     /// # Errors
-    /// The bytes are of another version, malformed, or beyond a limit.
+    /// The bytes have another format version, are malformed, or exceed a limit.
     pub fn decode(bytes: &[u8]) -> Result<Self, PacketError> {
         if bytes.len() > MAX_PACKET_BYTES {
             return Err(PacketError::LimitExceeded);
--- a/crates/consensus/src/node/discovery.rs
+++ b/crates/consensus/src/node/discovery.rs
@@ -1,4 +1,5 @@
-//! How a node without a group finds one, or makes it (see [`crate::bootstrap`]), and asks to be a member.
+//! Group discovery: how a node finds or creates a group (see [`crate::bootstrap`]) and requests
+//! membership.
 
 use super::{RaftNode, Role};
 use crate::bootstrap::voters_checksum;
@@ -9,13 +10,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between two discovery requests, in heartbeat intervals.
-const DISCOVERY_HEARTBEATS: u32 = 2;
-/// A node without a vote asks to join when it has heard no leader for so many election timeouts.
+/// Interval between discovery requests, in heartbeat intervals.
+const DISCOVERY_INTERVAL_HEARTBEATS: u32 = 2;
+/// Number of election timeouts without contact to a leader after which a node without a vote sends
+/// join requests.
 const JOIN_AFTER_TIMEOUTS: u32 = 2;
 
 impl RaftNode {
-    /// All other nodes that may have a vote: by the settings, and by the log.
+    /// Returns the names of all other potential voters, from the settings and the log.
     fn other_known_names(&self) -> Vec<String> {
         let members = self.members().iter().map(|id| &id.name);
         let names: BTreeSet<&String> = self.config.voters.iter().chain(members).collect();
@@ -23,8 +25,8 @@
         others.cloned().collect()
     }
 
-    /// A node without a vote asks to join if no leader replicates to it.
-    pub(super) fn seek_leader(&mut self, now: Duration) {
+    /// Sends join requests if no leader replicates to this node, which has no vote.
+    pub(super) fn request_join_without_leader(&mut self, now: Duration) {
         self.periodic_deadline = now + self.config.election_timeout;
         let silence = self.config.election_timeout * JOIN_AFTER_TIMEOUTS;
         if now >= self.last_leader_contact + silence {
@@ -32,7 +34,7 @@
         }
     }
 
-    /// Asks all known nodes to be replicated to.
+    /// Asks all known nodes for replication.
     pub(super) fn request_join(&mut self) {
         for name in self.other_known_names() {
             self.send_to_name(&name, 0, Message::JoinRequest);
@@ -41,7 +43,8 @@
 
     /// Asks all known nodes whether they have joined a group.
     pub(super) fn discover_group(&mut self, now: Duration) {
-        self.periodic_deadline = now + self.config.heartbeat_interval * DISCOVERY_HEARTBEATS;
+        self.periodic_deadline =
+            now + self.config.heartbeat_interval * DISCOVERY_INTERVAL_HEARTBEATS;
         let nonce = self.bootstrap.nonce;
         let voters_checksum = voters_checksum(&self.config.voters);
         for name in self.other_known_names() {
@@ -54,8 +57,8 @@
         self.try_bootstrap(now);
     }
 
-    /// Makes the group, if this node is the one to do so and all voters have answered. The group's number is the
-    /// incarnation of the node that makes it.
+    /// Creates the group if this node is responsible for it and all voters have answered. The
+    /// group's identifier is the incarnation of the node that creates it.
     fn try_bootstrap(&mut self, now: Duration) {
         let members = self
             .bootstrap
@@ -86,10 +89,10 @@
         &mut self,
         from: &NodeId,
         nonce: u64,
-        their_checksum: u64,
+        sender_checksum: u64,
     ) {
         let voters_checksum = voters_checksum(&self.config.voters);
-        if their_checksum != voters_checksum && self.group == 0 {
+        if sender_checksum != voters_checksum && self.group == 0 {
             return;
         }
         let initial_members = if self.log.snapshot_position().index == 0 {
@@ -105,30 +108,31 @@
         self.send(from, response);
     }
 
-    /// Joins the sender's group, or makes one if it was the last voter to answer that it has none.
+    /// Joins the sender's group, or creates a group if the sender was the last voter to answer that
+    /// it has none.
     pub(super) fn handle_discovery_response(
         &mut self,
         now: Duration,
         group: u64,
         from: &NodeId,
         nonce: u64,
-        their_checksum: u64,
+        sender_checksum: u64,
         initial_members: &Members,
     ) {
-        let is_open_request = self.group == 0 && nonce == self.bootstrap.nonce;
-        if !is_open_request || from.name == self.id.name {
+        let is_current_request = self.group == 0 && nonce == self.bootstrap.nonce;
+        if !is_current_request || from.name == self.id.name {
             return;
         }
         if group == 0 {
-            if their_checksum == voters_checksum(&self.config.voters) {
+            if sender_checksum == voters_checksum(&self.config.voters) {
                 self.bootstrap.record_unjoined(from);
                 self.try_bootstrap(now);
             }
             return;
         }
         self.bootstrap.abandon();
-        // Only the very incarnations that made the group have a vote from its start; any other node learns from the leader
-        // who has one.
+        // Only the incarnations that created the group have a vote from the start. Any other node
+        // learns the current configuration from the leader.
         if initial_members.contains(&self.id) {
             self.join_group(now, group, initial_members.clone());
         } else {
--- a/crates/consensus/src/node/election.rs
+++ b/crates/consensus/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Elections (the paper, 5.2 and 5.4.1), with pre-vote (dissertation, 9.6).
+//! Leader election (the paper, 5.2 and 5.4.1) with pre-vote (dissertation, 9.6).
 
 use super::{majority, RaftNode, Role};
 use crate::message::Message;
@@ -7,21 +7,21 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A voter that has heard no leader for so many election timeouts may have been removed without learning of it, and asks to
-/// join again.
+/// Number of election timeouts without contact to a leader after which a voter sends join requests,
+/// because it may have been removed without learning of it.
 const REJOIN_AFTER_TIMEOUTS: u32 = 3;
-/// A random fraction is made of so many bits: all that a double's mantissa holds.
+/// Number of random bits in a random fraction, which is the precision of an `f64`.
 const FRACTION_BITS: u32 = 53;
 
 impl RaftNode {
-    /// Draws a new election deadline: one to two election timeouts from now (the paper, 5.2).
+    /// Sets a random election deadline, one to two election timeouts from now (the paper, 5.2).
     pub(super) fn reset_election_deadline(&mut self, now: Duration) {
         let draw = self.rng.generate::<u64>() >> (u64::BITS - FRACTION_BITS);
         let fraction = draw as f64 / (1u64 << FRACTION_BITS) as f64;
         self.election_deadline = now + self.config.election_timeout.mul_f64(1.0 + fraction);
     }
 
-    /// Follows in this term, which is its own or a later one.
+    /// Becomes a follower in `term`, which is the current term or a later one.
     pub(super) fn become_follower(&mut self, now: Duration, term: u64) {
         if term > self.current_term {
             self.current_term = term;
@@ -37,14 +37,14 @@
         self.votes_received.clear();
     }
 
-    /// A leader follows again in its own term.
+    /// Makes a leader a follower in the same term.
     pub(super) fn step_down(&mut self, now: Duration) {
         self.leader = None;
         self.become_follower(now, self.current_term);
     }
 
-    /// Asks whether it would win an election. So a node that was partitioned off does not raise the term of the others when
-    /// it comes back (dissertation, 9.6).
+    /// Starts a pre-vote, which asks whether this node would win an election. A node that returns
+    /// from a partition therefore does not raise the term of the others (dissertation, 9.6).
     pub(super) fn start_pre_vote(&mut self, now: Duration) {
         self.role = Role::PreCandidate;
         self.leader = None;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Goes on to the election, or leads, if it has the votes of a majority.
+    /// Starts the election or becomes the leader if this node has the votes of a majority.
     pub(super) fn count_votes(&mut self, now: Duration) {
         let members = self.members();
         if self.votes_received.intersection(members).count() < majority(members) {
@@ -97,7 +97,7 @@
         self.leader = Some(self.id.clone());
         self.leader_since = now;
         self.progress.clear();
-        self.append_own(EntryPayload::Noop);
+        self.append_as_leader(EntryPayload::Noop);
         self.heartbeat(now);
     }
 
@@ -119,19 +119,21 @@
         self.send(from, Message::VoteResponse { granted, pre_vote });
     }
 
-    /// Whether a leader was heard within the election timeout, or this node leads itself (dissertation, 4.2.3).
+    /// Returns whether this node leads or has heard from a leader within the election timeout
+    /// (dissertation, 4.2.3).
     fn has_live_leader(&self, now: Duration) -> bool {
         let contact_ends = self.last_leader_contact + self.config.election_timeout;
         self.role == Role::Leader || (self.leader.is_some() && now < contact_ends)
     }
 
-    /// Votes for the candidate, unless it has voted for another in this term or stands for election itself.
+    /// Votes for the candidate, unless this node has voted for another one in this term or is a
+    /// candidate itself.
     fn grant_vote(&mut self, now: Duration, candidate: &NodeId) -> bool {
-        let is_free = self
+        let has_free_vote = self
             .voted_for
             .as_ref()
             .is_none_or(|voted| voted == candidate);
-        if !is_free || !matches!(self.role, Role::Follower | Role::PreCandidate) {
+        if !has_free_vote || !matches!(self.role, Role::Follower | Role::PreCandidate) {
             return false;
         }
         if self.voted_for.is_none() {
@@ -151,12 +153,12 @@
         granted: bool,
         pre_vote: bool,
     ) {
-        let asking_role = if pre_vote {
+        let expected_role = if pre_vote {
             Role::PreCandidate
         } else {
             Role::Candidate
         };
-        if granted && term == self.current_term && self.role == asking_role {
+        if granted && term == self.current_term && self.role == expected_role {
             self.votes_received.insert(from);
             self.count_votes(now);
         }
--- a/crates/consensus/src/node/follower.rs
+++ b/crates/consensus/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with a leader's entries (the paper, 5.3).
+//! Log replication on the follower's side (the paper, 5.3).
 
 use super::{RaftNode, Role};
 use crate::message::Message;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl RaftNode {
-    /// Follows the sender if it leads the current term; else answers, so that it learns the current term.
+    /// Follows the sender if its term is current; otherwise tells it the current term.
     pub(super) fn accept_leader(
         &mut self,
         now: Duration,
@@ -48,10 +48,11 @@
         self.send(from, Message::AppendResponse { matched, round });
     }
 
-    /// Whether the log has the entry before the new ones. If not, the index that the leader is to try next: before all
-    /// entries of the conflicting term, but not before the commit index, up to which the logs match (the paper, 5.3).
+    /// Checks that the log contains the entry before the new ones. If it does not, returns the
+    /// index that the leader should try next: before all entries of the conflicting term, but not
+    /// before the commit index, up to which the logs match (the paper, 5.3).
     fn check_previous(&self, previous: LogPosition) -> Result<(), u64> {
-        // Entries in the snapshot are committed, so they match.
+        // Entries included in the snapshot are committed, so they match.
         let own_term = if previous.index < self.log.snapshot_position().index {
             Some(previous.term)
         } else {
@@ -68,8 +69,9 @@
         Err(hint.max(self.commit_index))
     }
 
-    /// Appends what the log lacks of `entries`, which follow `previous_index`, and replaces what conflicts. The index of the
-    /// last one; none if they contradict a committed entry, which no leader's do.
+    /// Appends the missing entries and replaces conflicting ones; `entries` follow
+    /// `previous_index`. Returns the index of the last entry, or none if the entries contradict a
+    /// committed one, which those of a correct leader never do.
     fn append_received(&mut self, previous_index: u64, entries: Vec<Entry>) -> Option<u64> {
         let mut index = previous_index;
         for entry in entries {
--- a/crates/consensus/src/node/leader.rs
+++ b/crates/consensus/src/node/leader.rs
@@ -1,12 +1,12 @@
-//! A leader's heartbeats, and the contact to a quorum without which it steps down.
+//! Heartbeats of a leader, and its contact with a quorum, without which it steps down.
 
 use super::{majority, RaftNode, Role};
 use crate::types::NodeId;
 use std::time::Duration;
 
 impl RaftNode {
-    /// Whether it leads and has committed an entry of its term: it then knows all that earlier leaders have committed
-    /// (dissertation, 6.4, step 1).
+    /// Returns whether this node is the leader and has committed an entry of its own term, and
+    /// therefore knows all entries that earlier leaders have committed (dissertation, 6.4, step 1).
     pub fn is_established_leader(&self) -> bool {
         self.role == Role::Leader && self.has_committed_in_term()
     }
@@ -15,7 +15,8 @@
         self.log.term_at(self.commit_index) == Some(self.current_term)
     }
 
-    /// Sends a heartbeat with what each follower lacks, or steps down.
+    /// Sends heartbeats that include the entries each follower is missing, or steps down without a
+    /// quorum.
     pub(super) fn heartbeat(&mut self, now: Duration) {
         self.periodic_deadline = now + self.config.heartbeat_interval;
         self.update_progress_set(now);
@@ -29,17 +30,20 @@
         }
         self.replicate(now);
         self.advance_commit_index(now);
-        self.promote_newcomer(now);
+        self.promote_non_voter(now);
     }
 
-    /// Whether a majority has answered within the election timeout; without one, another may lead by now (dissertation,
-    /// 6.2). A new leader is given one election timeout.
+    /// Returns whether a majority has answered within the election timeout. Otherwise another node
+    /// may lead by now (dissertation, 6.2). A new leader has one election timeout to reach a
+    /// majority.
     fn has_quorum_contact(&self, now: Duration) -> bool {
         let timeout = self.config.election_timeout;
         let is_new = now < self.leader_since + timeout;
         let in_contact = |id: &NodeId| {
             let progress = self.progress.get(id);
-            *id == self.id || is_new || progress.is_some_and(|of| now < of.last_response + timeout)
+            *id == self.id
+                || is_new
+                || progress.is_some_and(|progress| now < progress.last_response + timeout)
         };
         let members = self.members();
         members.iter().filter(|id| in_contact(id)).count() >= majority(members)
--- a/crates/consensus/src/node/learners.rs
+++ b/crates/consensus/src/node/learners.rs
@@ -1,4 +1,4 @@
-//! What a voter answers to learners.
+//! Requests of learners.
 
 use super::replication::MAX_BATCH_BYTES;
 use super::snapshot::SNAPSHOT_CHUNK_BYTES;
@@ -7,8 +7,9 @@
 use crate::types::NodeId;
 
 impl RaftNode {
-    /// Sends committed entries from `next_index` on, or a chunk of the snapshot where the log no longer has them. The learner
-    /// has `received_bytes` of the snapshot up to `snapshot_index`.
+    /// Sends committed entries from `next_index` on, or a chunk of the snapshot if the log no
+    /// longer contains that entry. The learner has received `received_bytes` of the snapshot that
+    /// ends at `snapshot_index`.
     pub(super) fn handle_learner_request(
         &mut self,
         group: u64,
@@ -16,9 +17,9 @@
         next_index: u64,
         (snapshot_index, received_bytes): (u64, u32),
     ) {
-        // A new learner has no group yet, which is 0.
-        let is_of_this_group = group == 0 || group == self.group;
-        if self.group == 0 || !is_of_this_group {
+        // A new learner has not joined a group yet and sends group 0.
+        let is_same_group = group == 0 || group == self.group;
+        if self.group == 0 || !is_same_group {
             return;
         }
         let last_index = self.log.snapshot_position().index;
@@ -35,7 +36,7 @@
             self.send(from, response);
             return;
         }
-        // A learner that was receiving another snapshot starts again.
+        // A learner that was receiving another snapshot starts over.
         let offset = if snapshot_index == last_index {
             received_bytes
         } else {
--- a/crates/consensus/src/node/mod.rs
+++ b/crates/consensus/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A voter: the state of a Raft node, and the dispatch of time and messages to its parts.
+//! A voter: the state of a Raft node, and the dispatch of ticks and messages.
 
 mod discovery;
 mod election;
@@ -34,32 +34,34 @@
 /// The settings of a [`RaftNode`].
 #[derive(Clone)]
 pub struct RaftConfig {
-    /// The names of all first voters, this node's among them.
+    /// The names of all initial voters, including this node.
     pub voters: Vec<String>,
-    /// Between two heartbeats of a leader.
+    /// Interval between the heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// The least time without a leader after which a voter starts an election; the most is twice that.
+    /// Minimum time without a leader after which a voter starts an election; the maximum is twice
+    /// as long.
     pub election_timeout: Duration,
-    /// Seed of the random election deadlines; the node's incarnation is mixed in.
+    /// Seed of the random election deadlines, combined with the node's incarnation.
     pub seed: u64,
 }
 
-/// A node's role (the paper, 5.1; dissertation, 9.6).
+/// The role of a node (the paper, 5.1; dissertation, 9.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It has joined no group yet.
+    /// The node has not joined a group.
     Unjoined,
-    /// It follows a leader, or waits for one.
+    /// The node follows a leader or waits for one.
     Follower,
-    /// It asks whether it would win an election.
+    /// The node asks whether it would win an election.
     PreCandidate,
-    /// It stands for election.
+    /// The node is a candidate in an election.
     Candidate,
-    /// It has won the election of its term.
+    /// The node has won the election of its term.
     Leader,
 }
 
-/// A voter, or a node that is to become one: Raft without I/O. See the package's documentation for how to drive it.
+/// A Raft node without I/O that is a voter or may become one. The crate documentation describes how
+/// to drive it.
 pub struct RaftNode {
     id: NodeId,
     config: RaftConfig,
@@ -70,38 +72,39 @@
     voted_for: Option<NodeId>,
     log: Log,
     leader: Option<NodeId>,
-    /// When the leader was last heard.
+    /// Time of the last message from the leader.
     last_leader_contact: Duration,
     election_deadline: Duration,
-    /// When the next heartbeat, discovery request or join request is due, by role.
+    /// Time of the next heartbeat, discovery request or join request, depending on the role.
     periodic_deadline: Duration,
     votes_received: BTreeSet<NodeId>,
-    /// Its own vote counts once this write batch is durable.
+    /// The write batch that has to be durable before this node's vote for itself counts.
     own_vote_batch: u64,
-    /// While it leads: what it knows of each node that it replicates to.
+    /// Replication state of each node that this node replicates to; used only by a leader.
     progress: BTreeMap<NodeId, Progress>,
-    /// The last round of messages that it has sent as a leader.
+    /// The last message round that this node sent as leader.
     round: u64,
     leader_since: Duration,
     commit_index: u64,
-    /// Up to where committed entries were handed to the host.
+    /// Index of the last committed entry that was handed to the host.
     applied_index: u64,
     incoming_snapshot: Option<IncomingSnapshot>,
-    /// A snapshot that the host is to get before any further command.
+    /// A snapshot that the host has to receive before any further command.
     snapshot_to_apply: Option<Committed>,
     bootstrap: Bootstrap,
     persistence: Persistence,
     outbox: Outbox,
 }
 
-/// The number of members that is a majority.
+/// Returns the number of members that form a majority.
 fn majority(members: &Members) -> usize {
     members.len() / 2 + 1
 }
 
 impl RaftNode {
-    /// A node with the state that its log file holds, by [`crate::read_log`]. Without records it is a new node of this name,
-    /// whose `incarnation` must be a number that no node has had.
+    /// Creates a node from the records of its log file, as read by [`crate::read_log`]. Without
+    /// records it is a new node with this name, and `incarnation` must be a number that no node has
+    /// had.
     pub fn new(
         now: Duration,
         name: &str,
@@ -136,7 +139,7 @@
         config: RaftConfig,
     ) -> Self {
         let mut rng = WyRand::new_seed(config.seed ^ id.incarnation);
-        // Never 0, which stands for no nonce.
+        // The nonce is never 0, which means no nonce.
         let bootstrap = Bootstrap::new(rng.generate::<u64>() | 1);
         let snapshot_index = state.log.snapshot_position().index;
         let last_index = state.log.last_position().index;
@@ -179,47 +182,48 @@
         node
     }
 
-    /// This node's identity.
+    /// Returns this node's identity.
     pub fn id(&self) -> &NodeId {
         &self.id
     }
 
-    /// Its present role.
+    /// Returns this node's current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Its current term.
+    /// Returns this node's current term.
     pub fn term(&self) -> u64 {
         self.current_term
     }
 
-    /// The group that it has joined; 0 is none.
+    /// Returns the group that this node has joined; 0 means none.
     pub fn group(&self) -> u64 {
         self.group
     }
 
-    /// The leader, as far as it knows.
+    /// Returns the leader, if this node knows one.
     pub fn leader(&self) -> Option<&NodeId> {
         self.leader.as_ref()
     }
 
-    /// The voters, by the last configuration in its log.
+    /// Returns the voters of the last configuration in the log.
     pub fn members(&self) -> &Members {
         &self.log.configuration().1.voters
     }
 
-    /// The index up to which it knows that entries are committed.
+    /// Returns the highest index known to be committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// The number of entries since the last snapshot: when there are many, [`RaftNode::compact`] is due.
+    /// Returns the number of entries since the last snapshot. The host should call
+    /// [`RaftNode::compact`] when there are many.
     pub fn uncompacted_entries(&self) -> u64 {
         self.log.last_position().index - self.log.snapshot_position().index
     }
 
-    /// When [`RaftNode::tick`] is due at the latest.
+    /// Returns the latest time at which [`RaftNode::tick`] has to be called.
     pub fn next_deadline(&self) -> Duration {
         match self.role {
             Role::Unjoined | Role::Leader => self.periodic_deadline,
@@ -237,7 +241,7 @@
         others.cloned().collect()
     }
 
-    /// Does what is due: a heartbeat, an election, or a request to discover or join a group.
+    /// Runs the timers that are due: a heartbeat, an election, or a discovery or join request.
     pub fn tick(&mut self, now: Duration) {
         if now < self.next_deadline() {
             return;
@@ -246,12 +250,13 @@
             Role::Unjoined => self.discover_group(now),
             Role::Leader => self.heartbeat(now),
             _ if self.has_vote() => self.start_pre_vote(now),
-            Role::Follower => self.seek_leader(now),
+            Role::Follower => self.request_join_without_leader(now),
             Role::PreCandidate | Role::Candidate => {}
         }
     }
 
-    /// Handles a packet from another node. The host has to make sure that the packet comes from the node that it names.
+    /// Handles a packet from another node. The host has to verify that the packet was sent by the
+    /// node that it names.
     pub fn receive(&mut self, now: Duration, packet: Packet) {
         let Packet {
             group,
@@ -291,18 +296,18 @@
             }
             _ if group != self.group || self.group == 0 => {}
             Message::JoinRequest => self.handle_join_request(now, from),
-            Message::JoinForwarded { id } => self.replicate_to_newcomer(now, id),
+            Message::JoinForwarded { id } => self.replicate_to_non_voter(now, id),
             Message::Propose { command } => {
-                // Where this node does not lead, whoever has proposed it tries again.
+                // If this node is not the leader, the proposer has to retry.
                 let _ = self.propose(now, command);
             }
-            message => self.receive_of_term(now, from, term, message),
+            message => self.receive_raft_message(now, from, term, message),
         }
     }
 
-    /// Handles the messages of the paper, which carry a term (the paper, 5.1).
-    fn receive_of_term(&mut self, now: Duration, from: NodeId, term: u64, message: Message) {
-        // A pre-vote request has the term that its sender is in, so it raises nobody's term.
+    /// Handles the messages that carry a term (the paper, 5.1).
+    fn receive_raft_message(&mut self, now: Duration, from: NodeId, term: u64, message: Message) {
+        // A pre-vote request carries the current term of its sender, so it never raises a term.
         if term > self.current_term {
             self.become_follower(now, term);
         }
--- a/crates/consensus/src/node/outbox.rs
+++ b/crates/consensus/src/node/outbox.rs
@@ -1,21 +1,22 @@
-//! Packets that wait for the host to send them.
+//! Packets waiting to be sent by the host.
 
 use super::RaftNode;
 use crate::message::{Message, Packet};
 use crate::types::NodeId;
 use std::collections::VecDeque;
 
-/// Most packets that wait: beyond, the oldest are dropped, as a network may drop them.
+/// Maximum number of queued packets. Beyond it the oldest packets are dropped, as a network may
+/// drop them.
 const MAX_QUEUED_PACKETS: usize = 4096;
 
 struct QueuedPacket {
-    /// The write batch that has to be durable before the packet may leave.
+    /// The write batch that has to be durable before the packet may be sent.
     required_batch: u64,
     to: String,
     packet: Packet,
 }
 
-/// The packets that wait, in the order of their making.
+/// The queued packets, oldest first.
 #[derive(Default)]
 pub(super) struct Outbox {
     packets: VecDeque<QueuedPacket>,
@@ -39,8 +40,9 @@
 }
 
 impl RaftNode {
-    /// The next packet to send, and the name of the node that it is for. None while the records that the next packet depends
-    /// on are not durable (the paper, 5: nodes persist their state before they respond).
+    /// Returns the next packet to send and the name of its recipient. Returns none while the
+    /// records that the packet depends on are not durable (the paper, 5: nodes persist their state
+    /// before they respond).
     pub fn take_packet(&mut self) -> Option<(String, Packet)> {
         self.outbox.pop(self.persistence.persisted_batch())
     }
@@ -49,7 +51,7 @@
         self.send_to_name(&to.name, to.incarnation, message);
     }
 
-    /// Sends to a node by name; with an incarnation of 0, to whichever has that name.
+    /// Sends a message to a node by name; incarnation 0 addresses any incarnation of that name.
     pub(super) fn send_to_name(&mut self, name: &str, incarnation: u64, message: Message) {
         let packet = Packet {
             group: self.group,
--- a/crates/consensus/src/node/persistence.rs
+++ b/crates/consensus/src/node/persistence.rs
@@ -1,4 +1,4 @@
-//! What is to be written to stable storage, and how far writing has come.
+//! Writes to stable storage and their progress.
 
 use super::{RaftNode, Role};
 use crate::persistent_state::PersistentState;
@@ -6,29 +6,30 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Records that the host is to append to the log file, in this order, and then to report by the batch's number.
+/// Records for the host to append to the log file in this order. The host reports their durability
+/// by the batch number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriteBatch {
-    /// Counts up from 1 in each process.
+    /// Sequence number of the batch, starting at 1 in each process.
     pub number: u64,
-    /// What to append.
+    /// The records to append.
     pub records: Vec<Record>,
 }
 
-/// A batch that was handed out and is not durable yet.
+/// A batch that was handed to the host and is not durable yet.
 struct UnpersistedBatch {
     number: u64,
-    /// The end of the log once the batch is durable.
+    /// Index of the last log entry once the batch is durable.
     last_index: u64,
 }
 
-/// The records that wait to be written, and which batches are durable.
+/// The records that are waiting to be written, and the durability of earlier batches.
 pub(super) struct Persistence {
     pending_records: Vec<Record>,
     last_batch: u64,
     persisted_batch: u64,
     unpersisted_batches: VecDeque<UnpersistedBatch>,
-    /// Up to which index the log is durable.
+    /// Index of the last durable log entry.
     durable_index: u64,
 }
 
@@ -47,7 +48,7 @@
         self.pending_records.push(record);
     }
 
-    /// The batch that makes all records so far durable.
+    /// Returns the batch that has to be durable for all records so far to be durable.
     pub(super) fn required_batch(&self) -> u64 {
         self.last_batch + u64::from(!self.pending_records.is_empty())
     }
@@ -60,7 +61,8 @@
         self.durable_index
     }
 
-    /// The entries after `index` were replaced: what was, or will be, durable of them counts no more.
+    /// Limits the durable part of the log to `index` because the entries after it were replaced,
+    /// including those in batches that are not durable yet.
     pub(super) fn limit_durable_index(&mut self, index: u64) {
         self.durable_index = self.durable_index.min(index);
         for batch in &mut self.unpersisted_batches {
@@ -95,13 +97,14 @@
 }
 
 impl RaftNode {
-    /// The records to write next; none if there are none.
+    /// Returns the next records to write, or none if nothing is pending.
     pub fn next_write_batch(&mut self) -> Option<WriteBatch> {
         self.persistence.next_batch(self.log.last_position().index)
     }
 
-    /// All batches up to this number are durable. A leader's own log counts for commitment only from then on
-    /// (dissertation, 10.2.1), and so does a candidate's vote for itself.
+    /// Reports that all batches up to this number are durable. Only then does the leader's own log
+    /// count for commitment (dissertation, 10.2.1), and a candidate's vote for itself in an
+    /// election.
     pub fn persisted(&mut self, now: Duration, number: u64) {
         self.persistence.persisted(number);
         match self.role {
@@ -111,8 +114,8 @@
         }
     }
 
-    /// The fewest records that make up the node's present state. A host may replace a long log file by them once all batches
-    /// that it was handed are written.
+    /// Returns a minimal sequence of records that produces the current state. A host may replace a
+    /// long log file by them once all batches that it was handed are written.
     pub fn compacted_records(&self) -> Vec<Record> {
         let state = PersistentState {
             id: Some(self.id.clone()),
@@ -124,7 +127,7 @@
         state.to_records()
     }
 
-    /// Records the current term and the vote in it.
+    /// Writes the current term and the vote in it to stable storage.
     pub(super) fn persist_term(&mut self) {
         self.persistence.push(Record::Term {
             term: self.current_term,
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -1,36 +1,37 @@
-//! Log replication by the leader, and commitment (the paper, 5.3 and 5.4.2).
+//! Log replication on the leader's side, and commitment (the paper, 5.3 and 5.4.2).
 
 use super::{majority, RaftNode, Role};
 use crate::message::Message;
 use crate::types::{LogPosition, NodeId};
 use std::time::Duration;
 
-/// Largest size of the entries in one packet, in bytes.
+/// Maximum size of the entries in one packet, in bytes.
 pub(super) const MAX_BATCH_BYTES: usize = 800;
-/// The leader stops to replicate to a node without a vote that has not answered for so many election timeouts.
-const NON_VOTER_SILENCE_TIMEOUTS: u32 = 3;
+/// Number of election timeouts without an answer after which the leader stops replicating to a node
+/// without a vote.
+const DROP_NON_VOTER_AFTER_TIMEOUTS: u32 = 3;
 
-/// What a leader knows of a node that it replicates to.
+/// The leader's replication state of another node.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// The next entry to send.
+    /// Index of the next entry to send.
     pub(super) next_index: u64,
-    /// Up to where the node's log is known to match the leader's.
+    /// Highest index at which the node's log is known to match the leader's.
     pub(super) match_index: u64,
-    /// When the node last answered.
+    /// Time of the node's last response.
     pub(super) last_response: Duration,
-    /// The last round that it has answered.
+    /// The last message round that the node has answered.
     pub(super) answered_round: u64,
-    /// Whether entries are on their way; they are sent again with the next heartbeat.
+    /// Whether entries are in flight; they are sent again with the next heartbeat.
     pub(super) in_flight: bool,
-    /// The last index of the snapshot that the node is receiving.
+    /// Index of the last entry included in the snapshot that the node is receiving.
     pub(super) snapshot_index: u64,
-    /// How much of that snapshot it has, in bytes.
+    /// Number of bytes of that snapshot that the node has received.
     pub(super) snapshot_offset: u32,
 }
 
 impl Progress {
-    /// Of a node of which nothing is known yet.
+    /// Creates the state of a node that has not answered yet.
     pub(super) fn new(now: Duration, last_index: u64) -> Self {
         Self {
             next_index: last_index.max(1),
@@ -45,7 +46,8 @@
 }
 
 impl RaftNode {
-    /// Starts to replicate to new members, and stops for nodes without a vote that no longer answer.
+    /// Adds new members to the replication set, and removes nodes without a vote that no longer
+    /// answer.
     pub(super) fn update_progress_set(&mut self, now: Duration) {
         let last_index = self.log.last_position().index;
         let members = self.other_members();
@@ -54,12 +56,12 @@
                 .entry(id.clone())
                 .or_insert_with(|| Progress::new(now, last_index));
         }
-        let silence = self.config.election_timeout * NON_VOTER_SILENCE_TIMEOUTS;
+        let silence = self.config.election_timeout * DROP_NON_VOTER_AFTER_TIMEOUTS;
         self.progress
-            .retain(|id, of| members.contains(id) || now < of.last_response + silence);
+            .retain(|id, progress| members.contains(id) || now < progress.last_response + silence);
     }
 
-    /// Sends to each node what it lacks, or a heartbeat, in a new round.
+    /// Starts a new round and sends each node its missing entries or a heartbeat.
     pub(super) fn replicate(&mut self, now: Duration) {
         self.update_progress_set(now);
         self.round += 1;
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Sends the entries that the node lacks, or the snapshot where the log no longer has them.
+    /// Sends the entries that the node is missing, or a snapshot chunk if the log no longer
+    /// contains them.
     pub(super) fn send_append(&mut self, id: &NodeId) {
         let Some(progress) = self.progress.get_mut(id) else {
             return;
@@ -79,7 +82,7 @@
             return;
         }
         let previous_index = progress.next_index - 1;
-        // While entries are on their way only heartbeats go, without entries.
+        // While entries are in flight, only heartbeats without entries are sent.
         let entries = if progress.in_flight {
             Vec::new()
         } else {
@@ -103,8 +106,8 @@
         self.send(id, request);
     }
 
-    /// Commits what a majority has on stable storage, if its last entry is of the current term; with it all entries before
-    /// it are committed (the paper, 5.4.2).
+    /// Commits the entries that a majority has on stable storage, provided that the last one is of
+    /// the current term; all entries before it are committed with it (the paper, 5.4.2).
     pub(super) fn advance_commit_index(&mut self, now: Duration) {
         let members = self.members();
         let match_index = |id: &NodeId| {
@@ -112,7 +115,9 @@
                 let last_index = self.log.last_position().index;
                 self.persistence.durable_index().min(last_index)
             } else {
-                self.progress.get(id).map_or(0, |of| of.match_index)
+                self.progress
+                    .get(id)
+                    .map_or(0, |progress| progress.match_index)
             }
         };
         let mut match_indexes: Vec<u64> = members.iter().map(match_index).collect();
@@ -124,7 +129,8 @@
             return;
         }
         self.commit_index = index;
-        // A leader that is no longer a member leads until that is committed (dissertation, 4.2.2).
+        // A leader that is no longer a member leads until its removal is committed (dissertation,
+        // 4.2.2).
         let is_removed = !self.has_vote() && self.log.configuration().0 <= index;
         self.replicate(now);
         if is_removed {
@@ -140,7 +146,7 @@
         round: u64,
     ) {
         let last_index = self.log.last_position().index;
-        let Some(progress) = self.progress_of_answer(now, from, round) else {
+        let Some(progress) = self.record_response(now, from, round) else {
             return;
         };
         progress.in_flight = false;
@@ -162,8 +168,9 @@
         }
     }
 
-    /// The progress of a node that has answered; none for an answer that later ones have overtaken.
-    pub(super) fn progress_of_answer(
+    /// Records an answer and returns the node's replication state; none if a later answer has
+    /// already arrived.
+    pub(super) fn record_response(
         &mut self,
         now: Duration,
         from: &NodeId,
--- a/crates/consensus/src/node/snapshot.rs
+++ b/crates/consensus/src/node/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots on their way from the leader to a follower (the paper, 7), in chunks.
+//! Chunked transfer of snapshots from the leader to a follower (the paper, 7).
 
 use super::{Committed, RaftNode};
 use crate::message::Message;
@@ -6,14 +6,14 @@
 use crate::types::{Configuration, LogPosition, NodeId, MAX_SNAPSHOT_BYTES};
 use std::time::Duration;
 
-/// Largest chunk of a snapshot in one packet, in bytes.
+/// Maximum size of a snapshot chunk in one packet, in bytes.
 pub(super) const SNAPSHOT_CHUNK_BYTES: usize = 400;
 
 /// A snapshot that is being received.
 pub(super) struct IncomingSnapshot {
-    /// The last entry that it includes.
+    /// Position of the last entry included in the snapshot.
     last: LogPosition,
-    /// What has come so far.
+    /// The bytes received so far.
     data: Vec<u8>,
 }
 
@@ -27,7 +27,8 @@
 }
 
 impl RaftNode {
-    /// Sends the next chunk to a node that lacks entries which only the snapshot has.
+    /// Sends the next snapshot chunk to a node that is missing entries which only the snapshot
+    /// contains.
     pub(super) fn send_snapshot_chunk(&mut self, id: &NodeId) {
         let last = self.log.snapshot_position();
         let Some(progress) = self.progress.get_mut(id) else {
@@ -60,7 +61,7 @@
         round: u64,
     ) {
         let snapshot_position = self.log.snapshot_position();
-        let Some(progress) = self.progress_of_answer(now, from, round) else {
+        let Some(progress) = self.record_response(now, from, round) else {
             return;
         };
         if last == snapshot_position {
--- a/crates/consensus/src/node/state_machine.rs
+++ b/crates/consensus/src/node/state_machine.rs
@@ -1,30 +1,31 @@
-//! What the host's state machine gets and gives: committed commands, and snapshots of its state.
+//! Interface to the host's state machine: committed commands, and snapshots of its state.
 
 use super::RaftNode;
 use crate::storage::Record;
 use crate::types::{EntryPayload, LogPosition};
 
-/// What is committed, in the order of the log.
+/// A committed command or snapshot, in log order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Committed {
     /// A command to apply.
     Command {
-        /// Its position in the log.
+        /// The position of the command in the log.
         position: LogPosition,
-        /// The command.
+        /// The bytes of the command.
         command: Vec<u8>,
     },
-    /// The host's own state as of an entry, in the place of all commands up to it.
+    /// The host's state as of an entry, which replaces all commands up to that entry.
     Snapshot {
-        /// The index of the last entry that the state includes.
+        /// Index of the last entry included in the state.
         last_index: u64,
-        /// The state, as a host once gave it to [`RaftNode::compact`].
+        /// The state, as passed to [`RaftNode::compact`] by a host.
         state: Vec<u8>,
     },
 }
 
 impl RaftNode {
-    /// The next committed command or snapshot, in order; each once in a process.
+    /// Returns the next committed command or snapshot, in log order. Each one is returned once per
+    /// process.
     pub fn take_committed(&mut self) -> Option<Committed> {
         if let Some(snapshot) = self.snapshot_to_apply.take() {
             if let Committed::Snapshot { last_index, .. } = &snapshot {
@@ -49,8 +50,8 @@
         None
     }
 
-    /// Replaces the entries up to `last_index` by the host's state (the paper, 7). Without effect if the host was not handed
-    /// all of them yet.
+    /// Replaces the entries up to `last_index` by the host's state (the paper, 7). Has no effect if
+    /// the host has not been handed all of them yet.
     pub fn compact(&mut self, last_index: u64, state: Vec<u8>) {
         if last_index <= self.applied_index && self.log.compact(last_index, state) {
             self.persistence.push(Record::Snapshot {
--- a/crates/consensus/src/persistent_state.rs
+++ b/crates/consensus/src/persistent_state.rs
@@ -1,15 +1,16 @@
-//! The state that a voter keeps over restarts (the paper, figure 2), as the records of its log file make it up.
+//! The persistent state of a voter (the paper, figure 2), built from the records of its log file.
 
 use crate::log::Log;
 use crate::storage::Record;
 use crate::types::NodeId;
 
-/// What a log file holds, record by record. Each prefix of the file is a state that the node was in, so a torn write is safe.
+/// The state stored in a log file, applied record by record. Every prefix of the file is a state
+/// that the node has been in, so a torn write is safe.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PersistentState {
-    /// Whose state it is; none before the first record.
+    /// The node that owns the state; none before the first record.
     pub(crate) id: Option<NodeId>,
-    /// The group that the node has joined; 0 is none.
+    /// The group that the node has joined; 0 means none.
     pub(crate) group: u64,
     pub(crate) term: u64,
     pub(crate) voted_for: Option<NodeId>,
@@ -17,7 +18,7 @@
 }
 
 impl PersistentState {
-    /// Applies the next record; false if it can't follow those before it.
+    /// Applies the next record. Returns false if it cannot follow the records before it.
     pub(crate) fn apply(&mut self, record: &Record) -> bool {
         let has_id = self.id.is_some();
         match record {
@@ -53,7 +54,7 @@
         true
     }
 
-    /// The fewest records that make up the same state.
+    /// Returns a minimal sequence of records that produces this state.
     pub(crate) fn to_records(&self) -> Vec<Record> {
         let mut records = Vec::new();
         if let Some(id) = &self.id {
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,9 +1,10 @@
-//! The format of a voter's log file, and how it is read back.
+//! The format of a voter's log file and its recovery.
 //!
-//! The file is a sequence of records, each `magic[4] length[4] crc32[4] payload`: integers little endian, the payload a
-//! [`Record`] in postcard (which goes by the order of fields and variants). A last record that was not written to its end is
-//! dropped: nothing was promised by it. Damage with valid records after it is an error: the voter no longer knows what it has
-//! promised, and must not go on under the same identity.
+//! The file is a sequence of records of the form `magic[4] length[4] crc32[4] payload`. Integers
+//! are little endian, and the payload is a [`Record`] in postcard, which identifies fields and
+//! variants by their order. An incomplete last record is dropped, because the node made no promise
+//! that depends on it. Damage that is followed by valid records is an error: the voter no longer
+//! knows what it has promised and must not continue under the same identity.
 
 use crate::persistent_state::PersistentState;
 use crate::types::{Configuration, Entry, LogPosition, NodeId};
@@ -11,45 +12,48 @@
 
 /// The first bytes of each record.
 const MAGIC: [u8; 4] = *b"agr1";
-/// Bytes of a record before its payload.
+/// Number of bytes of a record before its payload.
 const HEADER_BYTES: usize = 12;
-/// Largest payload of a record, in bytes.
+/// Maximum payload of a record in bytes.
 const MAX_RECORD_BYTES: usize = 4 * 1024 * 1024;
 
-/// One record of a voter's log file: the persistent state of the paper's figure 2, as a sequence of changes.
+/// A record of a voter's log file. The file stores the persistent state (the paper, figure 2) as a
+/// sequence of changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Whose file it is: the first record.
+    /// The node that owns the file; always the first record.
     Identity(NodeId),
-    /// The node has joined a group. One record has both parts, as a write may tear between two records.
+    /// The node has joined a group. Both parts are in one record because a write may tear between
+    /// two records.
     Group {
-        /// The group's number.
+        /// The identifier of the group.
         group: u64,
-        /// The voters at the group's start.
+        /// The initial voters of the group.
         initial: Configuration,
     },
-    /// The current term, and the vote in it.
+    /// The current term and the vote in it.
     Term {
-        /// The term.
+        /// The number of the term.
         term: u64,
-        /// Who got this node's vote in that term.
+        /// The candidate that got this node's vote in the term.
         voted_for: Option<NodeId>,
     },
-    /// An entry at the end of the log.
+    /// An entry appended to the log.
     Entry {
-        /// The entry's index.
+        /// The index of the entry.
         index: u64,
-        /// The entry.
+        /// The appended entry.
         entry: Entry,
     },
-    /// The log ends before this index.
+    /// Removes the end of the log, from this index on.
     Truncate {
         /// The first index that is removed.
         from_index: u64,
     },
-    /// A snapshot. Entries after it stay if the log has its last entry; else the log is empty after it.
+    /// A snapshot. If the log contains the snapshot's last entry, the entries after it are kept;
+    /// otherwise the log is empty after the snapshot.
     Snapshot {
-        /// The last entry that the snapshot includes.
+        /// Position of the last entry included in the snapshot.
         last: LogPosition,
         /// The configuration as of that entry.
         configuration: Configuration,
@@ -59,7 +63,7 @@
 }
 
 impl Record {
-    /// Appends the record in the file's format to `out`.
+    /// Appends the encoded record to `out`.
     pub fn encode_into(&self, out: &mut Vec<u8>) {
         let payload = postcard::to_allocvec(self).unwrap_or_default();
         out.extend_from_slice(&MAGIC);
@@ -68,7 +72,8 @@
         out.extend_from_slice(&payload);
     }
 
-    /// Reads the record at the start of `bytes`, and its length in the file; none if there is no valid one.
+    /// Decodes the record at the start of `bytes` and returns it with its encoded length; none if
+    /// there is no valid record.
     fn decode(bytes: &[u8]) -> Option<(Self, usize)> {
         let length = read_u32(bytes, 4)? as usize;
         if bytes.get(..4)? != MAGIC || length > MAX_RECORD_BYTES {
@@ -88,23 +93,24 @@
     Some(u32::from_le_bytes(field.try_into().ok()?))
 }
 
-/// Why a log file can't be used.
+/// The reason why a log file cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// The bytes at this offset are no record, and valid records follow.
-    #[error("the log is damaged at byte {0}: expected a record there, as valid records follow")]
+    /// The bytes at this offset are not a record, but valid records follow.
+    #[error("invalid record at byte {0} of the log, followed by valid records")]
     Corrupt(usize),
-    /// The record at this offset contradicts those before it.
-    #[error("the record at byte {0} of the log can't follow those before it")]
+    /// The record at this offset contradicts the records before it.
+    #[error("the record at byte {0} of the log contradicts the records before it")]
     OutOfOrder(usize),
 }
 
-/// What a log file holds.
+/// The content of a log file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
     /// All valid records, in order.
     pub records: Vec<Record>,
-    /// End of the last valid record, in bytes: the file is to be truncated there before more is written.
+    /// End of the last valid record in bytes. The file has to be truncated to this length before
+    /// more records are written.
     pub valid_length: usize,
 }
 
