--- a/crates/consensus/tests/digest.rs
+++ b/crates/consensus/tests/digest.rs
@@ -1,6 +1,6 @@
-//! Pins the decisions of the consensus core: everything that voters and learners put out over
-//! twenty fixed seeds of faults (datagrams, log records, committed commands, snapshots, deadlines)
-//! as one hash. It hashes encoded bytes and numbers only, so names may change and the hash stays.
+//! Pins the decisions of the consensus core. The digest is one hash over all outputs of voters and
+//! learners (datagrams, log records, committed commands, snapshots, deadlines) under twenty fixed
+//! seeds of faults. It covers only encoded bytes and numbers, so renaming does not change it.
 
 #[allow(dead_code, reason = "the other tests use the rest of the helpers")]
 mod helpers;
@@ -8,23 +8,24 @@
 use helpers::cluster::{Cluster, CrashAt};
 use helpers::digest::OutputDigest;
 use helpers::faults::random_faults;
-use helpers::node::PlantedFault;
+use helpers::node::InjectedBug;
 use helpers::seconds;
 use limewing_fault_injection::{Fault, Script};
 use limewing_test_support::digest::Digest;
 
 const SEEDS: u64 = 20;
-const SECONDS: f64 = 25.0;
+const SCRIPT_SECONDS: f64 = 25.0;
 const LEARNERS: usize = 2;
 
-/// Votes that are given (true) or taken, in this order, where a group changes its members.
-const MEMBER_CHANGES: [(&str, bool); 4] =
+/// Votes to grant (true) or remove, in this order, in a group whose membership changes.
+const MEMBERSHIP_CHANGES: [(&str, bool); 4] =
     [("s3", true), ("s4", true), ("s0", false), ("s1", false)];
 
-/// Runs a group of fixed members; every other one crashes at one of its first writes.
+/// Runs a group with fixed membership. For every other seed, one voter crashes at one of its first
+/// writes.
 fn run_fixed_group(seed: u64, voters: usize, digest: Digest) -> Cluster {
-    let script = random_faults(seed, voters, SECONDS);
-    let mut cluster = Cluster::new(&script, voters, LEARNERS, seed, PlantedFault::None);
+    let script = random_faults(seed, voters, SCRIPT_SECONDS);
+    let mut cluster = Cluster::new(&script, voters, LEARNERS, seed, InjectedBug::None);
     cluster.digest = OutputDigest::resume(digest);
     if seed.is_multiple_of(2) {
         cluster.crash_at = Some(CrashAt {
@@ -37,37 +38,37 @@
     cluster
 }
 
-/// Runs three voters that become five, and then another three, under faults.
+/// Runs three voters that grow to five and are replaced by another three, under faults.
 fn run_changing_group(seed: u64, digest: Digest) -> Cluster {
-    let mut script: Script = random_faults(seed, 5, SECONDS);
-    // Five voters may lose disks at a rate that three can't bear.
+    let mut script: Script = random_faults(seed, 5, SCRIPT_SECONDS);
+    // The faults for five voters lose disks at a rate that three voters cannot tolerate.
     script
         .steps
         .retain(|step| !matches!(step.fault, Fault::LoseDisk(_)));
-    let mut cluster = Cluster::growing(&script, (3, 5), LEARNERS, seed, PlantedFault::None);
+    let mut cluster = Cluster::growing(&script, (3, 5), LEARNERS, seed, InjectedBug::None);
     cluster.digest = OutputDigest::resume(digest);
     let mut at = seconds(3.0);
     while at < script.duration() {
         cluster.run_to(at);
         at += seconds(0.3);
-        ask_for_next_member_change(&mut cluster);
+        request_next_membership_change(&mut cluster);
     }
     cluster.run_to(script.duration());
     cluster
 }
 
-fn ask_for_next_member_change(cluster: &mut Cluster) {
+fn request_next_membership_change(cluster: &mut Cluster) {
     let leader = cluster.leader().and_then(|number| cluster.voter(number));
-    let Some(core) = leader.filter(|core| core.pending_voter().is_none()) else {
+    let Some(leader) = leader.filter(|leader| leader.pending_voter().is_none()) else {
         return;
     };
-    let has_vote = |name: &str| core.members().iter().any(|id| id.name == name);
-    let next = MEMBER_CHANGES
+    let has_vote = |name: &str| leader.members().iter().any(|id| id.name == name);
+    let next = MEMBERSHIP_CHANGES
         .iter()
-        .find(|(name, wanted)| has_vote(name) != *wanted);
-    if let Some((name, wanted)) = next {
-        // One that is refused is asked for again later; the digest has the refusal.
-        let _ = cluster.set_vote(name, *wanted);
+        .find(|(name, has_wanted_vote)| has_vote(name) != *has_wanted_vote);
+    if let Some((name, has_wanted_vote)) = next {
+        // A rejected change is requested again later; the digest includes the rejection.
+        let _ = cluster.set_vote(name, *has_wanted_vote);
     }
 }
 
@@ -81,17 +82,20 @@
             2 => run_fixed_group(seed, 5, digest),
             _ => run_changing_group(seed, digest),
         };
-        let agreed = cluster.time_to_converge(seconds(20.0));
+        let convergence_time = cluster.time_to_converge(seconds(20.0));
         assert!(
             cluster.checker.violations.is_empty(),
             "seed {seed}: {:?}",
             cluster.checker.violations
         );
         assert!(
-            agreed.is_some(),
-            "seed {seed}: no agreement after the last fault"
+            convergence_time.is_some(),
+            "seed {seed}: not converged after the last fault"
         );
-        digest = cluster.digest.digest().expect("it was set at the start");
+        digest = cluster
+            .digest
+            .digest()
+            .expect("the digest is set at the start");
     }
     println!("digest consensus {:016x}", digest.value());
 }
--- a/crates/consensus/tests/encoding.rs
+++ b/crates/consensus/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Log files and packets as bytes: complete, torn, with flipped bits, and as noise.
+//! Decoding of log files and packets: complete, torn, with flipped bits, and random bytes.
 
 use limewing_consensus::{
     read_log, Configuration, Entry, EntryPayload, LogError, LogPosition, Message, NodeId, Packet,
@@ -53,7 +53,7 @@
     out
 }
 
-/// Wherever a write tears, the records before it are read, and nothing else.
+/// Wherever a write is torn, exactly the records before it are recovered.
 #[test]
 fn a_torn_last_record_is_dropped() {
     let all = records(6);
@@ -70,7 +70,8 @@
     assert_eq!(read_log(&[]).map(|read| read.records.len()), Ok(0));
 }
 
-/// A flipped bit before the last record is reported with its record's offset, not taken for a torn write.
+/// A flipped bit before the last record is reported with the offset of its record, and not mistaken
+/// for a torn write.
 #[test]
 fn damage_is_reported_with_its_offset() {
     let file = bytes(&records(3));
@@ -147,7 +148,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 500, ..ProptestConfig::default() })]
-    /// Noise is rejected or decoded within the limits; a log file of noise holds nothing.
+    /// Random bytes are rejected or decode within the limits, and a log file of random bytes has no
+    /// records.
     #[test]
     fn noise_is_rejected_or_within_limits(noise: Vec<u8>, cut in 0usize..400, flip in 0usize..400) {
         let _ = Packet::decode(&noise);
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Pins the bytes of the consensus protocol and of the voter's log on disk: every kind of datagram,
-//! every kind of log record, and a whole log as one voter writes it, before and after compaction.
-//! The files in `golden/` have one item a line: its kind, and its bytes in hex. With `GOLDEN_WRITE`
-//! set the tests write the files anew before they read them.
+//! Pins the bytes of the consensus protocol and of the voter's log file: every kind of datagram,
+//! every kind of log record, and the whole log of a voter before and after compaction. Each line of
+//! the files in `golden/` has the kind of an item and its bytes in hex. If `GOLDEN_WRITE` is set,
+//! the tests rewrite the files before they read them.
 
 use limewing_consensus::{
     read_log, Committed, Configuration, Entry, EntryPayload, LogPosition, Members, Message, NodeId,
@@ -23,10 +23,10 @@
     (1..4).map(id).collect()
 }
 
-fn voters(awaited: Option<&str>) -> Configuration {
+fn voters(pending_voter: Option<&str>) -> Configuration {
     Configuration {
         voters: members(),
-        pending_voter: awaited.map(str::to_owned),
+        pending_voter: pending_voter.map(str::to_owned),
     }
 }
 
@@ -55,9 +55,10 @@
     ]
 }
 
-/// The name of a message's kind in the golden file; a new kind does not compile without one.
-fn message_kind(say: &Message) -> &'static str {
-    match say {
+/// Returns the kind of a message as named in the golden file. The match is exhaustive, so a new
+/// kind does not compile without a name.
+fn message_kind(message: &Message) -> &'static str {
+    match message {
         Message::DiscoveryRequest { .. } => "discovery-request",
         Message::DiscoveryResponse { .. } => "discovery-response",
         Message::JoinRequest => "join-request",
@@ -77,7 +78,7 @@
 
 const MESSAGE_KINDS: usize = 14;
 
-/// Every kind of message, some in several forms.
+/// Returns every kind of message, some of them in several variants.
 fn messages() -> Vec<Message> {
     let kinds = [
         joining_messages(),
@@ -131,9 +132,9 @@
 }
 
 fn replication_messages() -> Vec<Message> {
-    let snapshot_chunk = |awaited| Message::SnapshotRequest {
+    let snapshot_chunk = |pending_voter| Message::SnapshotRequest {
         last: position(41, 3),
-        configuration: voters(awaited),
+        configuration: voters(pending_voter),
         offset: 400,
         total_length: 1000,
         data: vec![7, 8, 9],
@@ -228,7 +229,8 @@
     }
 }
 
-/// The name of a record's kind in the golden files; a new kind does not compile without one.
+/// Returns the kind of a record as named in the golden files. The match is exhaustive, so a new
+/// kind does not compile without a name.
 fn record_kind(record: &Record) -> &'static str {
     match record {
         Record::Identity(_) => "node-id",
@@ -242,7 +244,7 @@
 
 const RECORD_KINDS: usize = 6;
 
-/// Every kind of record, in an order that a log may have.
+/// Returns every kind of record in an order that is valid in a log.
 fn records() -> Vec<Record> {
     let entry = |(index, entry)| Record::Entry { index, entry };
     let snapshot = |index, state| Record::Snapshot {
@@ -272,7 +274,7 @@
             index: 4,
             entry: entries()[3].clone(),
         },
-        // Compaction of the node's own log, and a snapshot of entries that it never had.
+        // A compaction of the node's own log, and a snapshot of entries that the node never had.
         snapshot(4, vec![1, 2, 3]),
         snapshot(90, vec![255; 200]),
     ]);
@@ -294,9 +296,9 @@
 
 fn assert_log_reads_as(golden: &[Vec<u8>], records: &[Record]) {
     let log = golden.concat();
-    let found = read_log(&log).expect("the golden log is sound");
-    assert_eq!(found.records, records);
-    assert_eq!(found.valid_length, log.len());
+    let recovered = read_log(&log).expect("the golden log should be valid");
+    assert_eq!(recovered.records, records);
+    assert_eq!(recovered.valid_length, log.len());
 }
 
 #[test]
@@ -318,18 +320,19 @@
     RaftNode::new(Duration::ZERO, "s1", 1007, records, config)
 }
 
-/// Adds all that the voter wants written to the log, and tells it so if `durable`.
+/// Appends all pending records of the voter to the log. If `durable` is set, reports them as
+/// persisted.
 fn persist(voter: &mut RaftNode, now: Duration, durable: bool, log: &mut Vec<Record>) {
-    while let Some(write) = voter.next_write_batch() {
-        log.extend(write.records);
+    while let Some(batch) = voter.next_write_batch() {
+        log.extend(batch.records);
         if durable {
-            voter.persisted(now, write.number);
+            voter.persisted(now, batch.number);
         }
     }
 }
 
-/// Runs a group of one voter until its log has every kind of record; the log that it wrote, and
-/// the records that replace it after compaction.
+/// Runs a group of one voter until its log contains every kind of record. Returns that log and the
+/// records that replace it after compaction.
 fn run_voter() -> (Vec<Record>, Vec<Record>) {
     let (mut voter, mut log) = (new_voter(&[]), Vec::new());
     let now = Duration::from_secs(1);
@@ -337,14 +340,18 @@
     persist(&mut voter, Duration::ZERO, true, &mut log);
     voter.tick(now);
     persist(&mut voter, now, true, &mut log);
-    voter.propose(now, b"first".to_vec()).expect("it leads");
+    voter
+        .propose(now, b"first".to_vec())
+        .expect("the voter should lead");
     persist(&mut voter, now, true, &mut log);
     voter
         .add_voter(now, "s2")
-        .expect("it leads, and nothing else changes");
+        .expect("the voter should lead, and no other change is pending");
     persist(&mut voter, now, true, &mut log);
-    // This one is never committed: the leader of a later term replaces it.
-    let lost = voter.propose(now, b"lost".to_vec()).expect("it leads");
+    // This entry is never committed; the leader of a later term replaces it.
+    let lost = voter
+        .propose(now, b"lost".to_vec())
+        .expect("the voter should lead");
     persist(&mut voter, now, false, &mut log);
     let entries = vec![Entry {
         term: 9,
@@ -389,9 +396,9 @@
         &items(&compacted),
     );
     assert_log_reads_as(&golden_compacted, &compacted);
-    // A voter that starts with either file has the same state.
+    // A voter that starts from either file has the same state.
     for bytes in [golden.concat(), golden_compacted.concat()] {
-        let found = read_log(&bytes).expect("the golden log is sound");
-        assert_eq!(new_voter(&found.records).compacted_records(), compacted);
+        let recovered = read_log(&bytes).expect("the golden log should be valid");
+        assert_eq!(new_voter(&recovered.records).compacted_records(), compacted);
     }
 }
--- a/crates/consensus/tests/helpers/cluster.rs
+++ b/crates/consensus/tests/helpers/cluster.rs
@@ -1,8 +1,8 @@
-//! The events of a simulated cluster, in the order of their time.
+//! Discrete-event simulation of a cluster.
 
 use super::checker::Checker;
 use super::digest::{nanoseconds, OutputDigest};
-use super::node::{name, Core, DiskWrite, PlantedFault, SimulatedNode};
+use super::node::{name, Core, DiskWrite, InjectedBug, SimulatedNode};
 use super::seconds;
 use limewing_consensus::{
     Members, Packet, ProposeError, RaftNode, Record, Role, WriteBatch, MAX_PACKET_BYTES,
@@ -12,13 +12,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Entries since the last snapshot at which a host takes the next one.
-const COMPACT_OVER: u64 = 40;
-/// Between two commands that are proposed somewhere.
+/// Number of entries since the last snapshot above which a host compacts its log.
+const COMPACTION_THRESHOLD_ENTRIES: u64 = 40;
+/// Interval between proposed commands.
 const COMMAND_INTERVAL: Duration = Duration::from_millis(40);
-/// A crashed node starts again after this, in seconds.
-const RESTART_AFTER: f64 = 0.4;
-/// Least time to the next tick of a node.
+/// Delay after which a crashed node restarts, in seconds.
+const RESTART_DELAY_SECONDS: f64 = 0.4;
+/// Minimum delay until the next tick of a node.
 const MIN_TICK_DELAY: Duration = Duration::from_micros(10);
 
 enum Event {
@@ -28,28 +28,28 @@
     Propose,
 }
 
-/// A crash at a write.
+/// A crash during a write.
 #[derive(Clone, Copy)]
 pub(crate) struct CrashAt {
     pub(crate) node: usize,
-    /// The write, counted over all nodes from 1.
+    /// Sequence number of the write over all nodes, starting at 1.
     pub(crate) write: u64,
-    /// Whether the write is on disk by then.
+    /// Whether the write is durable when the node crashes.
     pub(crate) durable: bool,
 }
 
 pub(crate) struct Cluster {
     pub(crate) now: Duration,
-    /// Hosts with a disk; those after them are learners.
+    /// Number of hosts with a disk; the hosts after them are learners.
     voters: usize,
-    /// The first so many voters have a vote by the settings.
+    /// Number of voters named in the settings, which are the first ones.
     configured_voters: usize,
     network: FaultyNetwork,
     nodes: Vec<SimulatedNode>,
     events: BTreeMap<(Duration, u64), (usize, Event)>,
     scheduled_events: u64,
     rng: WyRand,
-    planted_fault: PlantedFault,
+    injected_bug: InjectedBug,
     last_command: u64,
     writes: u64,
     pub(crate) handled_events: u64,
@@ -64,18 +64,19 @@
         voters: usize,
         learners: usize,
         seed: u64,
-        fault: PlantedFault,
+        bug: InjectedBug,
     ) -> Self {
-        Self::growing(script, (voters, voters), learners, seed, fault)
+        Self::growing(script, (voters, voters), learners, seed, bug)
     }
 
-    /// The first `configured_voters` make the group; the other voters have a disk, and no vote yet.
+    /// Creates a cluster whose group consists of the first `configured_voters`. The other voters
+    /// have a disk but no vote yet.
     pub(crate) fn growing(
         script: &Script,
         (configured_voters, voters): (usize, usize),
         learners: usize,
         seed: u64,
-        fault: PlantedFault,
+        bug: InjectedBug,
     ) -> Self {
         assert_eq!(script.config_errors(), []);
         let hosts = voters + learners;
@@ -88,7 +89,7 @@
             events: BTreeMap::new(),
             scheduled_events: 0,
             rng: WyRand::new_seed(seed),
-            planted_fault: fault,
+            injected_bug: bug,
             last_command: 0,
             writes: 0,
             handled_events: 0,
@@ -114,7 +115,7 @@
         let voters = (0..self.configured_voters).map(name).collect();
         let node = &mut self.nodes[number];
         if number < self.voters {
-            node.start_voter(self.now, number, voters, seed, self.planted_fault);
+            node.start_voter(self.now, number, voters, seed, self.injected_bug);
         } else {
             node.start_learner(self.now, number, voters);
         }
@@ -126,8 +127,8 @@
         self.nodes[number].kill(tear);
     }
 
-    fn act(&mut self, act: FaultAction) {
-        match act {
+    fn apply_fault(&mut self, action: FaultAction) {
+        match action {
             FaultAction::Kill(number) | FaultAction::Leave(number) => self.kill(number),
             FaultAction::Start(number) => {
                 self.kill(number);
@@ -138,7 +139,7 @@
                     self.nodes[number].disk.clear();
                 }
             }
-            FaultAction::Suspend(number) => self.nodes[number].stopped = true,
+            FaultAction::Suspend(number) => self.nodes[number].is_suspended = true,
             FaultAction::Resume(number) => self.resume(number),
             FaultAction::FillDisk(number) => {
                 self.nodes[number].disk_full = self.nodes[number].voter().is_some();
@@ -152,11 +153,11 @@
     }
 
     fn resume(&mut self, number: usize) {
-        self.nodes[number].stopped = false;
+        self.nodes[number].is_suspended = false;
         for packet in std::mem::take(&mut self.nodes[number].held_packets) {
             self.receive(number, packet);
         }
-        // Writes that were in flight have ended meanwhile.
+        // Writes that were in flight have completed in the meantime.
         self.complete_all_writes(number);
         self.tick(number);
     }
@@ -169,7 +170,7 @@
 
     fn receive(&mut self, number: usize, packet: Packet) {
         self.nodes[number].receive(self.now, packet);
-        if !self.nodes[number].stopped {
+        if !self.nodes[number].is_suspended {
             self.process_outputs(number);
         }
     }
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Writes, sends and applies what a node puts out, and checks it.
+    /// Performs the writes, packets and committed commands that a node outputs, and checks them.
     fn process_outputs(&mut self, number: usize) {
         if self.nodes[number].core.is_none() {
             return;
@@ -215,7 +216,7 @@
         }
         if crashes {
             self.kill(number);
-            self.schedule_tick(number, self.now + seconds(RESTART_AFTER));
+            self.schedule_tick(number, self.now + seconds(RESTART_DELAY_SECONDS));
             return;
         }
         self.compact(number);
@@ -230,7 +231,7 @@
         self.schedule(at, number, Event::Tick);
     }
 
-    /// Starts the writes that a voter wants; true if the host crashes at one of them.
+    /// Starts the pending writes of a voter. Returns true if the host crashes at one of them.
     fn write_batches(&mut self, number: usize) -> bool {
         let mut crashes = false;
         while let Some(batch) = self.next_write_batch(number) {
@@ -261,12 +262,15 @@
     }
 
     fn schedule_write_done(&mut self, number: usize, batch: u64) {
-        let reports_too_early = self.planted_fault == PlantedFault::ReportsDurableTooEarly;
-        let slowness = if reports_too_early { 20 } else { 1 };
-        let random_part = slowness * self.rng.generate_range(0..8000u64);
+        let reports_durable_too_early = self.injected_bug == InjectedBug::ReportsDurableTooEarly;
+        let slowdown_factor = if reports_durable_too_early { 20 } else { 1 };
+        let random_part = slowdown_factor * self.rng.generate_range(0..8000u64);
         let done_at = self.now + Duration::from_micros(500 + random_part);
         self.schedule(done_at, number, Event::WriteDone(batch));
-        if let Some(voter) = self.nodes[number].voter_mut().filter(|_| reports_too_early) {
+        if let Some(voter) = self.nodes[number]
+            .voter_mut()
+            .filter(|_| reports_durable_too_early)
+        {
             voter.persisted(self.now, batch);
         }
     }
@@ -288,14 +292,15 @@
         }
     }
 
-    /// A host takes a snapshot when there are many entries, and makes its log file short.
+    /// Compacts the log of a voter that has many entries since its last snapshot, and rewrites its
+    /// log file.
     fn compact(&mut self, number: usize) {
         let node = &mut self.nodes[number];
         let can_write = node.writes_in_flight.is_empty() && !node.disk_full;
         let Some(Core::Voter(voter)) = &mut node.core else {
             return;
         };
-        if voter.uncompacted_entries() <= COMPACT_OVER || !can_write {
+        if voter.uncompacted_entries() <= COMPACTION_THRESHOLD_ENTRIES || !can_write {
             return;
         }
         voter.compact(node.state.applied_index, node.state.snapshot());
@@ -307,7 +312,7 @@
         }
     }
 
-    /// Proposes the next command at some voter, which passes it on if it does not lead.
+    /// Proposes the next command at a random voter, which forwards it if it is not the leader.
     fn propose_next(&mut self) {
         self.schedule(self.now + COMMAND_INTERVAL, 0, Event::Propose);
         let to = self.rng.generate_range(0..self.voters);
@@ -316,8 +321,8 @@
         let padding = vec![self.last_command as u8; length];
         let command = [self.last_command.to_le_bytes().as_slice(), &padding].concat();
         let node = &mut self.nodes[to];
-        let is_stopped = node.stopped;
-        let Some(voter) = node.voter_mut().filter(|_| !is_stopped) else {
+        let is_suspended = node.is_suspended;
+        let Some(voter) = node.voter_mut().filter(|_| !is_suspended) else {
             return;
         };
         let proposed = voter.propose(self.now, command.clone());
@@ -328,7 +333,7 @@
         self.process_outputs(to);
     }
 
-    /// Handles all events up to this time, or up to the first violation.
+    /// Processes all events up to `until`, or up to the first violation.
     pub(crate) fn run_to(&mut self, until: Duration) {
         loop {
             let next_event = self.events.first_key_value().map(|((at, _), _)| *at);
@@ -339,8 +344,8 @@
             };
             self.now = self.now.max(at);
             if next_fault.is_some_and(|fault_at| fault_at <= self.now) {
-                for act in self.network.advance(self.now) {
-                    self.act(act);
+                for action in self.network.advance(self.now) {
+                    self.apply_fault(action);
                 }
                 continue;
             }
@@ -361,7 +366,7 @@
             Event::Propose => self.propose_next(),
             Event::Tick => {
                 let node = &self.nodes[number];
-                if node.next_tick > self.now || node.stopped {
+                if node.next_tick > self.now || node.is_suspended {
                     return;
                 }
                 if self.restarts_now(number) {
@@ -373,7 +378,8 @@
         }
     }
 
-    /// Whether a node that has crashed at a write starts again now: it does so by itself, once.
+    /// Returns whether a node that crashed during a write restarts now. It restarts once without a
+    /// scripted fault.
     fn restarts_now(&self, number: usize) -> bool {
         let node = &self.nodes[number];
         let is_due = node.core.is_none() && node.next_tick == self.now && self.crash_at.is_none();
@@ -390,18 +396,22 @@
         members: Members,
     ) -> Result<(), ProposeError> {
         let now = self.now;
-        let voter = self.nodes[number].voter_mut().expect("it runs");
+        let voter = self.nodes[number]
+            .voter_mut()
+            .expect("the node should be running");
         let changed = voter.change_members(now, members);
         self.digest.observe_proposal(&changed);
         self.process_outputs(number);
         changed.map(drop)
     }
 
-    /// Has the leader add or remove the voter of this name.
+    /// Makes the leader add or remove the voter with this name.
     pub(crate) fn set_vote(&mut self, name: &str, has_vote: bool) -> Result<(), ProposeError> {
         let leader = self.leader().ok_or(ProposeError::NotLeader(None))?;
         let now = self.now;
-        let voter = self.nodes[leader].voter_mut().expect("it runs");
+        let voter = self.nodes[leader]
+            .voter_mut()
+            .expect("the node should be running");
         let changed = if has_vote {
             voter.add_voter(now, name)
         } else {
@@ -412,7 +422,7 @@
         changed.map(drop)
     }
 
-    /// The leader; of several, that of the latest term.
+    /// Returns the leader; if several nodes lead, the one with the latest term.
     pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |number: &usize| {
             let voter = self.voter(*number);
@@ -426,15 +436,15 @@
         self.checker.committed_commands()
     }
 
-    /// How long until all running nodes have applied all that is committed now and one command more; none if not within
-    /// `limit`.
+    /// Returns the time until all running nodes have applied everything that is committed now and
+    /// one more command; none if that takes longer than `limit`.
     pub(crate) fn time_to_converge(&mut self, limit: Duration) -> Option<Duration> {
         let from = self.now;
         let last_index = self.checker.last_index();
         loop {
             let running = self.nodes.iter().filter(|node| node.core.is_some());
-            let least = running.map(|node| node.state.applied_index).min();
-            if least.unwrap_or(0) > last_index {
+            let min_applied_index = running.map(|node| node.state.applied_index).min();
+            if min_applied_index.unwrap_or(0) > last_index {
                 return Some(self.now - from);
             }
             if self.now >= from + limit || !self.checker.violations.is_empty() {
--- a/crates/consensus/tests/helpers/digest.rs
+++ b/crates/consensus/tests/helpers/digest.rs
@@ -1,17 +1,17 @@
-//! A hash of all that the nodes of a cluster put out, in order.
+//! A hash over all outputs of the nodes of a cluster, in order.
 
 use limewing_consensus::{Committed, LogPosition, ProposeError, Role};
 use limewing_test_support::digest::Digest;
 use std::time::Duration;
 
-/// The 64-bit FNV-1a hash of all outputs; without one, outputs are not hashed.
+/// The 64-bit FNV-1a hash of all outputs. Without a digest, outputs are not hashed.
 #[derive(Default)]
 pub(crate) struct OutputDigest {
     digest: Option<Digest>,
 }
 
 impl OutputDigest {
-    /// Goes on from the digest of earlier outputs.
+    /// Continues from the digest of earlier outputs.
     #[allow(dead_code, reason = "only the digest test keeps one")]
     pub(crate) fn resume(digest: Digest) -> Self {
         Self {
--- a/crates/consensus/tests/helpers/node.rs
+++ b/crates/consensus/tests/helpers/node.rs
@@ -1,4 +1,4 @@
-//! One simulated host: its node, its disk, and what waits while it stands still.
+//! A simulated host: its node, its disk, and the packets that are held while it is suspended.
 
 use super::checker::StateMachine;
 use super::digest::{nanoseconds, role_number};
@@ -9,16 +9,16 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most packets that wait for a host that stands still.
+/// Maximum number of packets held for a suspended host.
 const MAX_HELD_PACKETS: usize = 256;
 
-/// Faults of a host that the checker has to find.
+/// Bugs of a host that the checker has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PlantedFault {
+pub(crate) enum InjectedBug {
     None,
-    /// The disk reports as durable what it has not written yet.
+    /// The disk reports data as durable before it is written.
     ReportsDurableTooEarly,
-    /// A node that lost its disk comes back under the same incarnation.
+    /// A node that lost its disk restarts under the same incarnation.
     ReusesIncarnation,
 }
 
@@ -69,7 +69,7 @@
         std::iter::from_fn(next).collect()
     }
 
-    /// The public state of the node, for the digest.
+    /// Returns the public state of the node for the digest.
     pub(super) fn state_numbers(&self) -> Vec<u64> {
         let next_deadline = nanoseconds(self.next_deadline());
         match self {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Bytes on their way to the disk.
+/// A write in flight.
 pub(super) struct DiskWrite {
     pub(super) batch: u64,
     pub(super) bytes: Vec<u8>,
@@ -98,19 +98,19 @@
 
 #[derive(Default)]
 pub(super) struct SimulatedNode {
-    /// None while the process does not run.
+    /// None while the process is not running.
     pub(super) core: Option<Core>,
-    /// What is durable.
+    /// The durable content of the disk.
     pub(super) disk: Vec<u8>,
     pub(super) writes_in_flight: VecDeque<DiskWrite>,
-    /// The identity of the process that ran last.
+    /// The identity of the last process that ran.
     last_id: Option<NodeId>,
     pub(super) starts: u64,
-    /// It stands still: nothing reaches it, and it does nothing.
-    pub(super) stopped: bool,
+    /// Whether the host is suspended: it receives nothing and does nothing.
+    pub(super) is_suspended: bool,
     pub(super) disk_full: bool,
     pub(super) held_packets: Vec<Packet>,
-    /// When it is to be ticked next.
+    /// Time of the next scheduled tick.
     pub(super) next_tick: Duration,
     pub(super) state: StateMachine,
 }
@@ -130,10 +130,10 @@
         }
     }
 
-    /// Makes the host ready for a process; the incarnation that a new disk gets.
+    /// Prepares the host for a new process and returns the incarnation that a new disk gets.
     fn prepare_start(&mut self, number: usize) -> u64 {
         self.starts += 1;
-        self.stopped = false;
+        self.is_suspended = false;
         self.disk_full = false;
         self.state = StateMachine::default();
         self.held_packets.clear();
@@ -156,12 +156,12 @@
         number: usize,
         voters: Vec<String>,
         seed: u64,
-        fault: PlantedFault,
+        bug: InjectedBug,
     ) {
         let incarnation = self.prepare_start(number);
         let mut records = self.recover_disk();
         if let Some(id) = &self.last_id {
-            if fault == PlantedFault::ReusesIncarnation && records.is_empty() {
+            if bug == InjectedBug::ReusesIncarnation && records.is_empty() {
                 records = vec![Record::Identity(id.clone())];
             }
         }
@@ -176,7 +176,7 @@
         self.core = Some(Core::Voter(Box::new(voter)));
     }
 
-    /// The records on disk; a damaged disk is cleared.
+    /// Returns the records on the disk and clears a damaged disk.
     fn recover_disk(&mut self) -> Vec<Record> {
         match read_log(&self.disk) {
             Ok(recovered) => {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Ends the process; `tear` decides how much of the write in flight is on disk.
+    /// Ends the process. `tear` determines how much of the first write in flight reaches the disk.
     pub(super) fn kill(&mut self, tear: u64) {
         self.core = None;
         if let Some(DiskWrite { bytes, .. }) = self.writes_in_flight.pop_front() {
@@ -201,7 +201,7 @@
     }
 
     pub(super) fn receive(&mut self, now: Duration, packet: Packet) {
-        if self.stopped {
+        if self.is_suspended {
             if self.held_packets.len() < MAX_HELD_PACKETS {
                 self.held_packets.push(packet);
             }
@@ -210,9 +210,10 @@
         }
     }
 
-    /// The writes up to this batch are on disk; false if the host can't take that in now.
+    /// Completes the writes up to this batch. Returns false if the host cannot process the
+    /// completion now.
     pub(super) fn complete_writes(&mut self, now: Duration, up_to_batch: u64) -> bool {
-        if self.voter().is_none() || self.stopped || self.disk_full {
+        if self.voter().is_none() || self.is_suspended || self.disk_full {
             return false;
         }
         while let Some(write) = self.writes_in_flight.front() {
@@ -228,7 +229,7 @@
         true
     }
 
-    /// The last write in flight, by its batch.
+    /// Returns the batch number of the last write in flight.
     pub(super) fn last_write(&self) -> Option<u64> {
         self.writes_in_flight.back().map(|write| write.batch)
     }
--- a/crates/consensus/tests/vote_persistence.rs
+++ b/crates/consensus/tests/vote_persistence.rs
@@ -1,4 +1,5 @@
-//! A vote that was granted holds over a restart (the paper, 5.2); a disk that forgets it lets two nodes lead one term.
+//! A granted vote has to survive a restart (the paper, 5.2). If the disk loses the vote, two nodes
+//! can lead in the same term.
 
 use limewing_consensus::{
     Configuration, LogPosition, Message, NodeId, Packet, RaftConfig, RaftNode, Record,
@@ -40,13 +41,16 @@
     }
 }
 
-/// Asks for a vote; what the voter writes, and whether it grants the vote.
+/// Requests a vote. Returns the records that the voter writes, and whether it grants the vote.
 fn request_vote(voter: &mut RaftNode, candidate: u64) -> (Vec<Record>, bool) {
     voter.receive(NOW, vote_request(candidate));
     let batch = voter.next_write_batch();
     if let Some(batch) = &batch {
         let early_answer = voter.take_packet();
-        assert_eq!(early_answer, None, "it leaves before the vote is durable");
+        assert_eq!(
+            early_answer, None,
+            "the answer was released before the vote was durable"
+        );
         voter.persisted(NOW, batch.number);
     }
     let answer = voter.take_packet().map(|(_, packet)| packet.message);
@@ -81,7 +85,7 @@
     let mut restarted = start_voter(&records);
     let (_, granted_to_another) = request_vote(&mut restarted, 2);
     assert_eq!(granted_to_another, !persisted);
-    // The candidate that has the vote is granted it again.
+    // The candidate that already has the vote is granted it again.
     let holder = if persisted { 0 } else { 2 };
     let (_, granted_again) = request_vote(&mut restarted, holder);
     assert!(granted_again);
