--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -1,197 +1,207 @@
 //! Commands of the replicated log.
 //!
-//! Commands are encoded with postcard, which goes by the order of fields and variants: append, never reorder.
+//! Commands are encoded with postcard, which identifies fields and variants by their order. New
+//! ones are only appended, and existing ones are never reordered.
 
 use crate::fleet_summary::FleetSummary;
 use limewing_versioned_codec::{decode, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 
-/// Lists that are stored at most.
+/// Maximum number of stored lists.
 pub const MAX_LISTS: usize = 16;
-/// Machines of one list at most.
+/// Maximum number of machines on a list.
 pub const MAX_MACHINES: usize = 1000;
-/// Longest name of a list, machine, zone or kind, in bytes.
+/// Maximum length of the name of a list, machine, zone or kind, in bytes.
 const MAX_NAME_BYTES: usize = 40;
-/// Longest name of a sidecar, in bytes.
+/// Maximum length of a sidecar's name in bytes.
 const MAX_SIDECAR_NAME_BYTES: usize = 64;
-/// Pairs of machines, and windows, of one list at most.
-const MAX_PAIRS: usize = 64;
-/// Largest capacity of one machine.
+/// Maximum number of exclusive pairs, and of windows, of a list.
+const MAX_PAIRS_OR_WINDOWS: usize = 64;
+/// Maximum capacity of a machine.
 const MAX_MACHINE_CAPACITY: f64 = 1e6;
 /// Version of the encoding of commands and messages.
 pub(crate) const FORMAT_VERSION: u8 = 2;
 
-/// Identifies a list (drawn by the sidecar that accepts it) or a grant (the index of its command in the log).
+/// Identifies a list or a grant. The identifier of a list is drawn at random by the sidecar that
+/// accepts the list; the identifier of a grant is the log index of its command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identifier(pub u64);
 
 /// A machine on a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Its name, by which it is the same on all lists.
+    /// The name of the machine, which identifies it on all lists.
     pub name: String,
-    /// The zone it is in.
+    /// The zone of the machine.
     pub zone: String,
-    /// Its kind, as the operators name it.
+    /// The kind of the machine, as named by the operators.
     pub kind: String,
-    /// Its capacity, in the unit of the endpoint list.
+    /// The capacity of the machine, in the unit of the endpoint list.
     pub capacity: f64,
 }
 
-/// How many machines may be unavailable at once; a limit of 0 per zone or kind is none.
+/// Limits on the number of machines that may be unavailable at once. A limit of 0 per zone or per
+/// kind means no limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DisruptionLimits {
-    /// Machines that may be unavailable at once.
+    /// Maximum number of unavailable machines.
     pub max_unavailable: u16,
-    /// Machines of one zone that may be unavailable at once.
+    /// Maximum number of unavailable machines in one zone.
     pub max_unavailable_per_zone: u16,
-    /// Machines of one kind that may be unavailable at once.
+    /// Maximum number of unavailable machines of one kind.
     pub max_unavailable_per_kind: u16,
-    /// Part of all capacity that has to stay ready and warm, 0 to 1.
+    /// Minimum fraction of the total capacity that has to stay ready and warm, from 0 to 1.
     pub min_ready_fraction: f64,
-    /// Pairs of machines, by name, that may not be unavailable together.
+    /// Pairs of machine names that may not be unavailable at the same time.
     pub exclusive_pairs: Vec<(String, String)>,
-    /// No machine is taken out while sidecars reject a larger part of their requests, 0 to 1.
+    /// Maximum fraction of requests that sidecars may reject, from 0 to 1. Above it no machine is
+    /// taken out of service.
     pub max_rejection_rate: f64,
 }
 
-/// A maintenance window, in milliseconds of the log's time.
+/// A maintenance window, in milliseconds of log time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
-    /// Work may begin from here on.
+    /// Time from which work may begin.
     pub start_ms: u64,
-    /// Work has to be over by here.
+    /// Time by which work has to be finished.
     pub end_ms: u64,
 }
 
 /// Configuration of a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListConfig {
-    /// The list's name, for operators.
+    /// The name of the list, for operators.
     pub name: String,
-    /// Limits that hold while one of the list's machines is unavailable.
+    /// Limits that apply while a machine of the list is unavailable.
     pub limits: DisruptionLimits,
-    /// How long the work on a machine takes, in milliseconds.
+    /// Expected duration of the work on a machine, in milliseconds.
     pub work_duration_ms: u64,
-    /// How long a machine may be in maintenance before it is reported as stalled, in milliseconds.
+    /// Time in maintenance after which a machine is reported as stalled, in milliseconds.
     pub stall_timeout_ms: u64,
-    /// When machines may be taken out; empty: at any time.
+    /// Windows in which machines may be taken out of service; empty means at any time.
     pub windows: Vec<Window>,
-    /// Lists of higher priority go first.
+    /// Priority of the list; lists with a higher priority go first.
     pub priority: u8,
-    /// Whether machines may be taken out while a release is on trial.
+    /// Whether machines may be taken out of service while a release is on trial.
     pub allowed_during_trials: bool,
 }
 
 /// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Creates a list; its machines follow in parts.
+    /// Creates a list. Its machines are added by further commands.
     CreateList {
-        /// The new list.
+        /// The identifier of the new list.
         list: Identifier,
-        /// Its configuration.
+        /// The configuration of the list.
         config: ListConfig,
-        /// How many machines it will have.
+        /// The total number of machines that will be added.
         machine_count: u16,
     },
     /// Adds the next machines to a list.
     AddMachines {
         /// The list.
         list: Identifier,
-        /// How many machines the list has before.
+        /// The number of machines already on the list.
         first: u16,
-        /// The machines.
+        /// The machines to add.
         machines: Vec<Machine>,
     },
-    /// All sidecars know the list's machines: those without a lease send to none of them.
+    /// Declares that all sidecars know the machines of the list, so that sidecars without a lease
+    /// send to none of them.
     ListKnown {
         /// The list.
         list: Identifier,
     },
-    /// No more machines of the list are taken out until it is resumed.
+    /// Stops taking machines of the list out of service until the list is resumed.
     PauseList {
         /// The list.
         list: Identifier,
     },
-    /// Ends a pause.
+    /// Resumes a paused list.
     ResumeList {
         /// The list.
         list: Identifier,
     },
-    /// No more machines of the list are taken out; those that are out are brought back.
+    /// Withdraws the list: no more of its machines are taken out of service, and those that are
+    /// unavailable return to service.
     WithdrawList {
         /// The list.
         list: Identifier,
     },
-    /// Sets the log's time and the leader's view of the fleet.
+    /// Sets the log time and the leader's view of the fleet.
     Observe {
-        /// The log's time, in milliseconds.
+        /// The log time in milliseconds.
         at_ms: u64,
-        /// The leader's view.
+        /// The leader's view of the fleet.
         summary: FleetSummary,
     },
-    /// Grants that a machine is taken out; the command's index is the grant's identifier.
+    /// Grants that a machine is taken out of service. The log index of the command is the
+    /// identifier of the grant.
     Grant {
         /// The list.
         list: Identifier,
-        /// The machine's name.
+        /// The name of the machine.
         machine: String,
     },
-    /// A process of a sidecar runs; earlier ones of its name do not any more.
+    /// Records that a sidecar process is running and that earlier processes with the same name are
+    /// not.
     SidecarStarted {
-        /// The sidecar's name.
+        /// The name of the sidecar.
         name: String,
-        /// Number of the process: later ones have greater numbers.
+        /// The incarnation of the process; later processes have greater numbers.
         incarnation: u64,
     },
-    /// A process of a sidecar does not run any more, as itself or an operator reports.
+    /// Records that a sidecar process is no longer running, as reported by the sidecar itself or by
+    /// an operator.
     SidecarGone {
-        /// The sidecar's name.
+        /// The name of the sidecar.
         name: String,
-        /// Number of the process.
+        /// The incarnation of the process.
         incarnation: u64,
     },
-    /// No sidecar sends to the machine any more: it may be worked on.
+    /// Records that no sidecar sends requests to the machine any more, so that work on it may
+    /// begin.
     Drained {
-        /// The machine's grant.
+        /// The grant of the machine.
         grant: Identifier,
     },
     /// The machine reports that the work began.
     WorkBegan {
-        /// The machine's grant.
+        /// The grant of the machine.
         grant: Identifier,
     },
     /// The machine reports that the work ended.
     WorkEnded {
-        /// The machine's grant.
+        /// The grant of the machine.
         grant: Identifier,
-        /// Whether it succeeded.
+        /// Whether the work succeeded.
         succeeded: bool,
     },
-    /// The machine serves again, and is warm.
+    /// Records that the machine is serving again and is warm.
     WarmedUp {
-        /// The machine's grant.
+        /// The grant of the machine.
         grant: Identifier,
     },
-    /// The machine was granted and is not to be taken out after all.
+    /// Revokes the grant of a machine that is not in maintenance yet.
     RevokeGrant {
-        /// The machine's grant.
+        /// The grant of the machine.
         grant: Identifier,
     },
 }
 
-/// Why bytes are no usable command or message.
+/// The reason why bytes are not a valid command or message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FormatError {
-    /// The bytes were written by a version with another format.
-    #[error("the bytes have another format version than {FORMAT_VERSION}")]
+    /// The bytes have another format version.
+    #[error("unsupported format version, expected version {FORMAT_VERSION}")]
     Version,
-    /// The bytes don't decode.
-    #[error("the bytes are no command or message of maintenance")]
+    /// The bytes cannot be decoded.
+    #[error("the bytes are not a maintenance command or message")]
     Malformed,
-    /// They decode, but a value is out of bounds.
-    #[error("a name, a number or a part is out of bounds")]
+    /// The bytes can be decoded, but a value is out of bounds.
+    #[error("a name, number or element count is out of bounds")]
     OutOfBounds,
 }
 
@@ -219,7 +229,7 @@
         fractions
             .iter()
             .all(|fraction| (0.0..=1.0).contains(fraction))
-            && self.exclusive_pairs.len() <= MAX_PAIRS
+            && self.exclusive_pairs.len() <= MAX_PAIRS_OR_WINDOWS
             && self.max_unavailable > 0
     }
 }
@@ -227,7 +237,7 @@
 impl ListConfig {
     fn is_valid(&self) -> bool {
         self.limits.is_valid()
-            && self.windows.len() <= MAX_PAIRS
+            && self.windows.len() <= MAX_PAIRS_OR_WINDOWS
             && self
                 .windows
                 .iter()
@@ -237,7 +247,7 @@
 }
 
 impl Command {
-    /// The command's bytes.
+    /// Encodes the command.
     pub fn encode(&self) -> Vec<u8> {
         encode(FORMAT_VERSION, self)
     }
@@ -245,7 +255,8 @@
     /// Decodes a command and checks its bounds.
     ///
     /// # Errors
-    /// The bytes are of another format version, malformed or out of bounds.
+    /// The bytes have another format version, are malformed, or contain a value that is out of
+    /// bounds.
     pub fn decode(bytes: &[u8]) -> Result<Self, FormatError> {
         let command: Self = decode(FORMAT_VERSION, bytes)?;
         if command.is_valid() {
--- a/crates/maintenance/src/drain_tracker.rs
+++ b/crates/maintenance/src/drain_tracker.rs
@@ -1,12 +1,12 @@
-//! From which machines a sidecar is drained.
+//! Tracks which machines a sidecar has drained.
 
 use crate::command::Identifier;
 use crate::schedule::MaintenanceSchedule;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Since when a sidecar sends no new requests to machines. It is drained from one once the grace period is over and the host has no
-/// request in flight there.
+/// Times since which a sidecar sends no new requests to closed machines. A machine is drained once
+/// the grace period has passed and the host has no request in flight there.
 #[derive(Clone, Debug)]
 pub struct DrainTracker {
     grace: Duration,
@@ -14,7 +14,8 @@
 }
 
 impl DrainTracker {
-    /// A tracker without closed machines; `grace` is the time in which the last requests may still be sent.
+    /// Creates a tracker without closed machines. The last requests may still be sent within
+    /// `grace`.
     pub fn new(grace: Duration) -> Self {
         Self {
             grace,
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Closed machines whose grace period is over, with their grants; the host has to check for requests in flight.
+    /// Returns the closed machines whose grace period has passed, with their grants. The host has
+    /// to check for requests in flight.
     pub fn past_grace<'a>(
         &'a self,
         now: Duration,
--- a/crates/maintenance/src/fleet_observation.rs
+++ b/crates/maintenance/src/fleet_observation.rs
@@ -1,4 +1,4 @@
-//! What the leader observes of the fleet through its endpoint list.
+//! The leader's observations of the fleet, based on its endpoint list.
 
 use crate::command::Machine;
 use crate::fleet_summary::FleetSummary;
@@ -8,36 +8,36 @@
 /// A pod on the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pod {
-    /// Name of the machine that it runs on.
+    /// Name of the machine that the pod runs on.
     pub machine: String,
-    /// Its zone.
+    /// Zone of the pod.
     pub zone: String,
-    /// Its capacity.
+    /// Capacity of the pod.
     pub capacity: f64,
-    /// Whether it is draining.
+    /// Whether the pod is draining.
     pub draining: bool,
-    /// For how long it has run, in seconds; `None`: longer than anyone knows.
+    /// Uptime of the pod in seconds; `None` if it exceeds all known times.
     pub uptime_seconds: Option<f64>,
 }
 
-/// What one sidecar observes of the fleet.
+/// The view that one sidecar has of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetObservation<'a> {
-    /// The pods on its endpoint list.
+    /// The pods on the sidecar's endpoint list.
     pub pods: &'a [Pod],
-    /// A pod that has run for this long, in seconds, is warm.
+    /// Uptime in seconds after which a pod is warm.
     pub warm_up_seconds: f64,
-    /// Whether a build is on trial, or is being rolled back.
+    /// Whether a build is on trial or is being rolled back.
     pub release_on_trial: bool,
 }
 
-/// Zones that served since the process started: an outage is one that serves no more. Where a zone is given up for good, maintenance
-/// goes on once the leader has been restarted.
+/// The zones that have served since the process started. A zone that has stopped serving counts as
+/// an outage. If a zone is decommissioned, maintenance continues after the leader is restarted.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneTracker(BTreeSet<String>);
 
 impl ZoneTracker {
-    /// Adds the zones of pods that serve now.
+    /// Adds the zones of pods that are serving now.
     pub fn observe_serving<'a>(&mut self, serving: impl Iterator<Item = &'a str>) {
         for zone in serving {
             if !self.0.contains(zone) {
@@ -46,7 +46,7 @@
         }
     }
 
-    fn has_outage(&self, pods: &[Pod]) -> bool {
+    fn has_zone_outage(&self, pods: &[Pod]) -> bool {
         let serves = |zone: &String| pods.iter().any(|pod| pod.zone == *zone && !pod.draining);
         !self.0.iter().all(serves)
     }
@@ -58,7 +58,7 @@
         !pod.draining && uptime.is_none_or(|uptime| uptime >= self.warm_up_seconds)
     }
 
-    /// Whether a machine has pods, and all of them serve and are warm.
+    /// Returns whether a machine has pods and all of them are serving and warm.
     pub(crate) fn is_machine_warm(&self, machine: &str) -> bool {
         let mut pods = self
             .pods
@@ -68,7 +68,8 @@
         pods.peek().is_some() && pods.all(|pod| self.is_warm(pod))
     }
 
-    /// The summary to commit, by an observer that has applied the log through `applied_index`.
+    /// Returns the summary to commit, for an observer that has applied the log up to
+    /// `applied_index`.
     pub(crate) fn summarize(
         &self,
         schedule: &MaintenanceSchedule,
@@ -89,13 +90,13 @@
             applied_index,
             total_capacity: present_capacity + self.absent_capacity(schedule),
             ready_capacity: ready_pods.map(|pod| pod.capacity).sum(),
-            zone_outage: zones.has_outage(self.pods),
+            zone_outage: zones.has_zone_outage(self.pods),
             release_on_trial: self.release_on_trial,
             rejection_rate,
         }
     }
 
-    /// Capacity of machines on lists that have no pod on the endpoint list.
+    /// Returns the capacity of listed machines that have no pod on the endpoint list.
     fn absent_capacity(&self, schedule: &MaintenanceSchedule) -> f64 {
         let present: BTreeSet<&str> = self.pods.iter().map(|pod| pod.machine.as_str()).collect();
         let states = schedule.lists().values().flat_map(|list| &list.machines);
--- a/crates/maintenance/src/fleet_summary.rs
+++ b/crates/maintenance/src/fleet_summary.rs
@@ -1,24 +1,26 @@
-//! The leader's view of the fleet, as it is committed to the log.
+//! The leader's view of the fleet, as committed to the log.
 
 use serde::{Deserialize, Serialize};
 
-/// Largest capacity that a summary may name.
+/// Maximum capacity in a summary.
 const MAX_CAPACITY: f64 = 1e12;
 
-/// Capacity of the fleet, and what speaks against taking more machines out.
+/// Capacity of the fleet, and the conditions that prevent taking more machines out of service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetSummary {
-    /// Index through which the observer had applied the log: machines granted later are not yet missing from the capacity.
+    /// Log index up to which the observer had applied the log. The capacity still includes machines
+    /// that were granted later.
     pub applied_index: u64,
     /// Capacity of all machines.
     pub total_capacity: f64,
     /// Capacity of the machines that are ready, warm and not granted.
     pub ready_capacity: f64,
-    /// A zone that served before serves no more.
+    /// Whether a zone that served before no longer does.
     pub zone_outage: bool,
-    /// A build is on trial, or is being rolled back.
+    /// Whether a build is on trial or is being rolled back.
     pub release_on_trial: bool,
-    /// Part of their requests that sidecars reject, 0 to 1: the mean over those that hold leases.
+    /// Fraction of requests that sidecars reject, from 0 to 1, as the mean over the sidecars that
+    /// hold leases.
     pub rejection_rate: f64,
 }
 
--- a/crates/maintenance/src/lease.rs
+++ b/crates/maintenance/src/lease.rs
@@ -1,32 +1,35 @@
-//! A sidecar's own lease, by which it may send to machines on lists.
+//! The lease of a sidecar, which permits it to send requests to machines on lists.
 
 use crate::schedule::MaintenanceSchedule;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Requests without a response that are remembered at most.
+/// Maximum number of remembered requests without a response.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// A lease is requested this many times in its duration, so that it outlives lost requests.
+/// Number of lease requests per lease duration, so that a lease survives lost requests.
 const REQUESTS_PER_LEASE: u32 = 4;
-/// A sidecar that has just started and gets no lease within this time goes by the endpoint list alone. Otherwise sidecars that start
-/// while there is no quorum of voters would serve nothing. A machine in maintenance that the endpoint list has as ready gets requests then.
+/// Time after its start at which a sidecar without a lease stops waiting and relies on the endpoint
+/// list alone. Otherwise sidecars that start while there is no quorum of voters would serve
+/// nothing. A machine in maintenance that the endpoint list reports as ready receives requests in
+/// that case.
 pub const MAX_START_WAIT: Duration = Duration::from_secs(5);
 
-/// A sidecar's own lease. It counts from when the request was sent, so it ends here before it ends at the leader.
+/// The lease of a sidecar. It is counted from the time at which the request was sent, so it expires
+/// here before it expires at the leader.
 #[derive(Clone, Debug)]
 pub struct Lease {
     duration: Duration,
-    /// When each request without a response was sent.
+    /// Send times of the requests without a response.
     pending_requests: BTreeMap<u64, Duration>,
     last_request: u64,
     expires_at: Option<Duration>,
-    /// The lease holds for a sidecar that has applied the log through this index.
+    /// The lease is valid only for a sidecar that has applied the log up to this index.
     required_index: u64,
     started_at: Duration,
 }
 
 impl Lease {
-    /// A sidecar that starts now, without a lease.
+    /// Creates the state of a sidecar that starts now, without a lease.
     pub fn new(now: Duration, duration: Duration) -> Self {
         Self {
             duration,
@@ -38,12 +41,12 @@
         }
     }
 
-    /// How often the lease is to be requested.
+    /// Returns the interval between lease requests.
     pub fn request_interval(&self) -> Duration {
         self.duration / REQUESTS_PER_LEASE
     }
 
-    /// A request is sent now; returns its number.
+    /// Records that a request is sent now, and returns its number.
     pub fn request(&mut self, now: Duration) -> u64 {
         self.last_request += 1;
         self.pending_requests.insert(self.last_request, now);
@@ -53,7 +56,8 @@
         self.last_request
     }
 
-    /// The leader granted a request; it had committed the log through `commit_index`.
+    /// Records that the leader granted a request. The leader had committed the log up to
+    /// `commit_index`.
     pub fn granted(&mut self, request: u64, commit_index: u64) {
         let Some(sent_at) = self.pending_requests.remove(&request) else {
             return;
@@ -62,21 +66,23 @@
         self.required_index = self.required_index.max(commit_index);
     }
 
-    /// Whether a sidecar that has applied the log through `applied_index` holds the lease.
+    /// Returns whether a sidecar that has applied the log up to `applied_index` holds the lease.
     pub fn is_held(&self, now: Duration, applied_index: u64) -> bool {
         self.expires_at.is_some_and(|expires_at| now < expires_at)
             && applied_index >= self.required_index
     }
 
-    /// Whether the sidecar still waits for its first lease.
+    /// Returns whether the sidecar is still waiting for its first lease.
     pub fn awaits_first_grant(&self, now: Duration) -> bool {
         self.expires_at.is_none() && now < self.started_at + MAX_START_WAIT
     }
 
-    /// The names of the machines that this sidecar must not send to; `None`: it must not send to any.
+    /// Returns the names of the machines that this sidecar must not send to, or `None` if it must
+    /// not send to any.
     ///
-    /// These are the granted ones; without a lease all machines on lists, because any of them may have been granted meanwhile; and
-    /// all while the sidecar waits for its first lease.
+    /// With a lease these are the granted machines. Without a lease they are all machines on lists,
+    /// because any of them may have been granted in the meantime. While the sidecar waits for its
+    /// first lease, it must not send to any machine.
     pub fn closed_machines(
         &self,
         now: Duration,
--- a/crates/maintenance/src/lease_grantor.rs
+++ b/crates/maintenance/src/lease_grantor.rs
@@ -1,49 +1,54 @@
-//! The leases that a leader grants, and which sidecars may still send to a machine.
+//! The leases granted by a leader, which determine the sidecars that may still send to a machine.
 //!
-//! Each sidecar requests a lease from the leader, and reports with the request which granted machines it is drained from. A sidecar
-//! whose lease has expired sends to no machine on a list any more, so nobody has to wait for it.
+//! Each sidecar requests a lease from the leader and reports the granted machines that it has
+//! drained. A sidecar whose lease has expired sends to no listed machine any more, so the leader
+//! need not wait for it.
 //!
-//! A list's machines are taken out only once all sidecars in the log know the list. A sidecar that is partitioned before holds the
-//! list up, until it is back, restarted, or reported as gone. That is the price of never sending to a machine in maintenance: a
-//! sidecar that can't be reached can't be told either, and stopping it would cost more.
+//! Machines of a list are taken out of service only when all sidecars in the log know the list. A
+//! sidecar that is partitioned before then delays the list until it is back, restarted, or reported
+//! as gone. This delay is the cost of never sending to a machine in maintenance: a sidecar that
+//! cannot be reached cannot learn of the list, and stopping that sidecar would cost more.
 //!
-//! A lease counts at its holder from when it sent the request, and here from when the request arrived, for
-//! `LEASE_SAFETY_FACTOR` times as long: so it expires at the holder first, as long as the rates of the two clocks differ by less than a
-//! fifth. A new leader knows nothing of its predecessors' leases: a sidecar that has not reported to be drained may hold one for as
-//! long as a lease can last. On top comes the time in which a holder whose lease has expired completes the requests in flight. See Gray
-//! and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP 1989.
+//! The holder counts its lease from the time at which it sent the request. The leader counts the
+//! lease from the arrival of the request and for `LEASE_SAFETY_FACTOR` times as long, so it expires
+//! at the holder first if the rates of the two clocks differ by less than a fifth. A new leader
+//! does not know its predecessors' leases: a sidecar that has not reported a machine as drained may
+//! hold a lease for the maximum duration. A holder whose lease has expired also needs time to
+//! complete its requests in flight. See Gray and Cheriton, "Leases: An Efficient Fault-Tolerant
+//! Mechanism for Distributed File Cache Consistency", SOSP 1989.
 
 use crate::command::Identifier;
 use crate::schedule::MaintenanceSchedule;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Leases count for so many times their duration at the leader, to allow for clocks that run at different rates.
+/// Factor by which the leader extends the lease duration, to tolerate clocks that run at different
+/// rates.
 const LEASE_SAFETY_FACTOR: f64 = 1.25;
-/// Stands in the list of sidecars for one that the log does not name any more.
-const GONE_SIDECAR: &str = "one that is gone";
+/// Placeholder in the list of sidecars for one that is no longer in the log.
+const UNKNOWN_SIDECAR: &str = "one that is gone";
 
-/// One process of a sidecar.
+/// A process of a sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SidecarProcess<'a> {
-    /// The sidecar's name.
+    /// The name of the sidecar.
     pub name: &'a str,
-    /// Told apart from the same sidecar's other processes; a later one has a higher number.
+    /// Distinguishes the processes of a sidecar; later processes have greater numbers.
     pub incarnation: u64,
 }
 
-/// What a sidecar reports with its request for a lease.
+/// The report that a sidecar sends with a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SidecarReport<'a> {
-    /// The index through which it has applied the log.
+    /// The log index up to which the sidecar has applied the log.
     pub applied_index: u64,
-    /// The grants whose machines it is drained from.
+    /// The grants of the machines that the sidecar has drained.
     pub drained: &'a [Identifier],
-    /// Its rejections per thousand requests.
+    /// Number of rejections per thousand requests.
     pub rejected_per_mille: u16,
 }
 
-/// The last request of one process of a sidecar.
+/// The last lease request of a sidecar process.
 #[derive(Clone, Debug)]
 struct Holder {
     requested_at: Duration,
@@ -52,18 +57,19 @@
     rejection_rate: f64,
 }
 
-/// The leases that a leader has granted. Which sidecars there are is in the log.
+/// The leases granted by a leader. The log contains the set of sidecars.
 #[derive(Clone, Debug)]
 pub struct LeaseGrantor {
     leading_since: Duration,
     hold_time: Duration,
-    /// By name and incarnation.
+    /// Holders by sidecar name and incarnation.
     holders: BTreeMap<(String, u64), Holder>,
 }
 
 impl LeaseGrantor {
-    /// A sidecar that leads from now on. `overlap` is how long a predecessor may have led beside it, `completion` how long requests in
-    /// flight may last after a lease has expired.
+    /// Creates the state of a sidecar that leads from now on. `overlap` is the time for which a
+    /// predecessor may still lead, and `completion` is the time for which requests in flight may
+    /// last after a lease has expired.
     pub fn new(
         now: Duration,
         lease_duration: Duration,
@@ -77,9 +83,9 @@
         }
     }
 
-    /// A sidecar requests its lease.
+    /// Handles the lease request of a sidecar.
     ///
-    /// Returns whether the lease is granted: not before the log names the sidecar.
+    /// Returns whether the lease is granted. It is not granted before the sidecar is in the log.
     pub fn lease_requested(
         &mut self,
         now: Duration,
@@ -114,8 +120,8 @@
         now < holder.requested_at + self.hold_time
     }
 
-    /// The mean part of their requests that sidecars with a lease reject, 0 to 1. One sidecar that reports too much or too
-    /// little moves it by its share of the fleet only.
+    /// Returns the mean fraction of requests that sidecars with a lease reject, from 0 to 1. One
+    /// sidecar that reports a wrong number changes it only by its share of the fleet.
     pub fn mean_rejection_rate(&self, now: Duration, schedule: &MaintenanceSchedule) -> f64 {
         let rates: Vec<f64> = schedule
             .sidecars()
@@ -130,7 +136,7 @@
         rates.iter().sum::<f64>() / rates.len() as f64
     }
 
-    /// The sidecars that have not reported to have applied the log through `index`.
+    /// Returns the sidecars that have not reported that they applied the log up to `index`.
     pub fn sidecars_behind<'a>(
         &self,
         schedule: &'a MaintenanceSchedule,
@@ -148,10 +154,12 @@
             .collect()
     }
 
-    /// The sidecars that may still send to a granted machine, or have requests in flight there.
+    /// Returns the sidecars that may still send to a granted machine or have requests in flight
+    /// there.
     ///
-    /// All know the grant's list, so one without a lease does not send there. Of one that has not requested a lease from this leader, a
-    /// predecessor's lease may last.
+    /// All sidecars know the list of the grant, so those without a lease do not send there. A
+    /// sidecar that has not requested a lease from this leader may still hold one from a
+    /// predecessor.
     pub fn sidecars_not_drained<'a>(
         &self,
         now: Duration,
@@ -170,12 +178,13 @@
                 names.insert(name);
             }
         }
-        // Earlier processes are listed under the name of the sidecar, also if its current process is drained.
+        // Earlier processes are listed under the sidecar's name even if its current process has
+        // drained the machine.
         for ((name, incarnation), holder) in &self.holders {
             let current = schedule.sidecars().get_key_value(name);
             let is_earlier = current.is_none_or(|(_, current)| current > incarnation);
             if is_earlier && may_send(holder) {
-                names.insert(current.map_or(GONE_SIDECAR, |(name, _)| name));
+                names.insert(current.map_or(UNKNOWN_SIDECAR, |(name, _)| name));
             }
         }
         names.into_iter().collect()
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,18 +1,22 @@
-//! Maintenance of machines: which machines are taken out of service, in which order, and when it is safe. Without I/O and without a
-//! clock.
+//! Maintenance scheduling: which machines are taken out of service, in which order, and when it is
+//! safe. The crate has no I/O and no clock.
 //!
-//! The schedule is a pure function of a replicated log, so all sidecars that have applied the same log agree; time is what the log
-//! says it is. Committed commands ([`Command`]) go into [`MaintenanceSchedule::apply`] one after the other, each with its index in the
-//! log; those that don't apply are rejected by all readers alike. So two leaders that overlap do no harm: the position in the log
-//! decides, not the proposer. The index of a grant's command is the grant's identifier, so these only grow and each is given once. A
-//! list's identifier is drawn by the sidecar that accepts the list: proposed twice, it is one list.
+//! The schedule is a pure function of a replicated log, so all sidecars that have applied the same
+//! log agree; the time is stored in the log too. Committed commands ([`Command`]) are passed in
+//! order to [`MaintenanceSchedule::apply`], each with its log index. All readers reject the same
+//! commands, namely those that do not apply. Two overlapping leaders are therefore harmless: the
+//! position in the log decides, not the proposer. The identifier of a grant is the log index of its
+//! command, so identifiers of grants increase and are unique. The identifier of a list is drawn by
+//! the sidecar that accepts it, so a list that is proposed twice is still one list.
 //!
-//! The leader's [`Scheduler`] proposes the next command, from the schedule, the leases it has granted ([`LeaseGrantor`]) and what it
-//! observes of the fleet ([`FleetObservation`]). Each sidecar holds a [`Lease`] and reports by a [`DrainTracker`] from which machines
-//! it is drained.
+//! The leader's [`Scheduler`] proposes the next command based on the schedule, the granted leases
+//! ([`LeaseGrantor`]) and its observation of the fleet ([`FleetObservation`]). Each sidecar holds a
+//! [`Lease`] and uses a [`DrainTracker`] to report the machines that it has drained.
 //!
-//! Phases of a machine: `Waiting` -> `Granted` (all sidecars stop sending to it) -> `InMaintenance` (all have drained, or hold no
-//! lease any more: it may be worked on) -> `WarmingUp` (the work ended) -> `Done`. Or `Failed`: not worked on again for this list.
+//! The phases of a machine are `Waiting` -> `Granted` (all sidecars stop sending to it) ->
+//! `InMaintenance` (all sidecars have drained it or no longer hold a lease, so work may begin) ->
+//! `WarmingUp` (the work ended) -> `Done`. A machine whose work failed is `Failed` and is not
+//! worked on again for the same list.
 
 mod command;
 mod drain_tracker;
--- a/crates/maintenance/src/limits.rs
+++ b/crates/maintenance/src/limits.rs
@@ -1,59 +1,61 @@
-//! Whether one more machine may be unavailable now.
+//! Checks whether one more machine may become unavailable.
 
 use crate::command::{DisruptionLimits, Machine};
 use crate::fleet_summary::FleetSummary;
 
-/// Why a machine may not be taken out now. The texts are shown on the proxies' work page.
+/// The reason why a machine may not be taken out of service now. The texts are shown on the
+/// proxies' maintenance page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlockedReason {
     /// The list is paused, withdrawn or not complete.
     #[error("the list is held, withdrawn or not whole")]
     ListNotActive,
-    /// Not all sidecars know the list yet.
-    #[error("not all sidecars know the list yet")]
+    /// Some sidecars do not know the list yet.
+    #[error("some sidecars do not know the list yet")]
     ListNotKnown,
     /// The work would not fit into a window of the list.
-    #[error("it is not in one of the list's windows")]
+    #[error("the work does not fit into a window of the list now")]
     OutsideWindows,
     /// A zone is out of service.
-    #[error("trouble in the fleet")]
+    #[error("a zone of the fleet is out of service")]
     ZoneOutage,
-    /// A release is on trial, and the list does not go on beside one.
+    /// A release is on trial, and the list does not allow maintenance during trials.
     #[error("a release is on trial")]
     ReleaseOnTrial,
-    /// Sidecars reject too large a part of their requests.
-    #[error("sidecars turn away more hits than the list bears")]
+    /// Sidecars reject a larger fraction of their requests than the list allows.
+    #[error("sidecars reject more requests than the list allows")]
     Overload,
-    /// As many machines are unavailable as may be.
-    #[error("so many are out as may be")]
+    /// The maximum number of machines is unavailable.
+    #[error("the maximum number of machines is unavailable")]
     MaxUnavailable,
-    /// As many machines of its zone are unavailable as may be.
-    #[error("so many of its zone are out as may be")]
+    /// The maximum number of machines in the zone is unavailable.
+    #[error("the maximum number of machines in its zone is unavailable")]
     MaxUnavailablePerZone,
-    /// As many machines of its kind are unavailable as may be.
-    #[error("so many of its kind are out as may be")]
+    /// The maximum number of machines of the kind is unavailable.
+    #[error("the maximum number of machines of its kind is unavailable")]
     MaxUnavailablePerKind,
-    /// A machine is unavailable that it forms an exclusive pair with.
-    #[error("one that it may not be out with is out")]
+    /// The other machine of an exclusive pair is unavailable.
+    #[error("the other machine of an exclusive pair is unavailable")]
     ExclusivePair,
     /// Too little capacity would stay ready.
-    #[error("too little strength would stay ready")]
+    #[error("too little capacity would stay ready")]
     InsufficientCapacity,
-    /// No view of the fleet has been committed.
-    #[error("what the fleet looks like was not told yet")]
+    /// No summary of the fleet has been committed.
+    #[error("no summary of the fleet has been committed yet")]
     NoObservation,
 }
 
 /// Checks a machine against the limits of one list.
 ///
-/// `unavailable` are all machines that are granted, in maintenance or not warm again, whatever their list. `granted_since` is
-/// the capacity of the machines that were granted after `summary` was observed.
+/// `unavailable` contains all machines that are granted, in maintenance or not warm again, on any
+/// list. `granted_capacity` is the capacity of the machines that were granted after `summary` was
+/// observed.
 pub(crate) fn check_limits(
     limits: &DisruptionLimits,
     machine: &Machine,
     unavailable: &[&Machine],
     summary: &FleetSummary,
-    granted_since: f64,
+    granted_capacity: f64,
 ) -> Result<(), BlockedReason> {
     if unavailable.len() >= usize::from(limits.max_unavailable) {
         return Err(BlockedReason::MaxUnavailable);
@@ -78,14 +80,14 @@
     if limits.exclusive_pairs.iter().any(is_excluded) {
         return Err(BlockedReason::ExclusivePair);
     }
-    let remaining = summary.ready_capacity - granted_since - machine.capacity;
+    let remaining = summary.ready_capacity - granted_capacity - machine.capacity;
     if remaining < limits.min_ready_fraction * summary.total_capacity {
         return Err(BlockedReason::InsufficientCapacity);
     }
     Ok(())
 }
 
-/// Whether a count reaches a limit; 0 is no limit.
+/// Returns whether a count has reached a limit; 0 means no limit.
 fn reaches(count: usize, limit: u16) -> bool {
     limit > 0 && count >= usize::from(limit)
 }
--- a/crates/maintenance/src/list.rs
+++ b/crates/maintenance/src/list.rs
@@ -1,29 +1,29 @@
-//! Lists of machines, and the phase of each machine.
+//! Lists of machines and the phases of their machines.
 
 use crate::command::{Identifier, ListConfig, Machine};
 use crate::fleet_summary::FleetSummary;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Phase of a machine's maintenance.
+/// The maintenance phase of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachinePhase {
-    /// It serves, and has not been granted.
+    /// The machine is serving and has not been granted.
     Waiting,
-    /// It is granted; sidecars stop sending to it.
+    /// The machine is granted, and sidecars stop sending to it.
     Granted,
-    /// No sidecar sends to it: it may be worked on.
+    /// No sidecar sends to the machine, so it may be worked on.
     InMaintenance,
-    /// The work ended; the machine is starting, or cold.
+    /// The work has ended, and the machine is starting or still cold.
     WarmingUp,
-    /// It serves again.
+    /// The machine is serving again.
     Done,
     /// The machine reported that the work failed.
     Failed,
 }
 
 impl MachinePhase {
-    /// Whether the machine may serve nothing, or is cold.
+    /// Returns whether the machine may be out of service or cold.
     pub fn is_unavailable(self) -> bool {
         matches!(
             self,
@@ -32,7 +32,8 @@
     }
 }
 
-/// The form of the proxies' work page, which other programs read: its names stay as they are.
+/// Formats the phase as on the proxies' maintenance page, which other programs read; these names
+/// must not change.
 impl fmt::Display for MachinePhase {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -46,20 +47,20 @@
     }
 }
 
-/// State of one machine on one list.
+/// The state of a machine on one list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineState {
     /// The machine.
     pub machine: Machine,
-    /// Its phase.
+    /// The current phase.
     pub phase: MachinePhase,
-    /// Its grant, if it has one.
+    /// The grant of the machine, if it has one.
     pub grant: Option<Identifier>,
-    /// When the phase began, or in maintenance the work, in milliseconds of the log's time.
+    /// Start of the phase in milliseconds of log time; in maintenance, the start of the work.
     pub since_ms: u64,
-    /// Whether the work began.
+    /// Whether the work has begun.
     pub work_began: bool,
-    /// Whether the work takes longer than it may.
+    /// Whether the work exceeds the stall timeout.
     pub stalled: bool,
 }
 
@@ -76,24 +77,24 @@
     }
 }
 
-/// A list of machines to be worked on.
+/// A list of machines that need maintenance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceList {
-    /// Index of the command that created it.
+    /// Log index of the command that created the list.
     pub created_index: u64,
-    /// Its configuration.
+    /// The configuration of the list.
     pub config: ListConfig,
-    /// How many machines it has once it is complete.
+    /// The number of machines on the complete list.
     pub machine_count: u16,
-    /// Index of the command that added its last machines.
+    /// Log index of the command that added the last machines.
     pub completed_index: u64,
-    /// Whether all sidecars know its machines.
+    /// Whether all sidecars know the machines of the list.
     pub known: bool,
-    /// Whether an operator paused it.
+    /// Whether an operator paused the list.
     pub paused: bool,
-    /// Whether an operator withdrew it.
+    /// Whether an operator withdrew the list.
     pub withdrawn: bool,
-    /// Its machines, in the order in which they are taken out.
+    /// The machines, in the order in which they are taken out of service.
     pub machines: Vec<MachineState>,
 }
 
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Whether all its machines were added.
+    /// Returns whether all machines were added.
     pub fn is_complete(&self) -> bool {
         self.machines.len() == usize::from(self.machine_count)
     }
@@ -120,7 +121,7 @@
         summary.rejection_rate > self.config.limits.max_rejection_rate
     }
 
-    /// Whether nothing is left to be done for it.
+    /// Returns whether nothing is left to do for the list.
     pub fn is_finished(&self) -> bool {
         let is_settled = |state: &MachineState| match state.phase {
             MachinePhase::Done | MachinePhase::Failed => true,
@@ -130,7 +131,7 @@
         (self.is_complete() || self.withdrawn) && self.machines.iter().all(is_settled)
     }
 
-    /// Whether the work on one more machine would fit into one of the windows.
+    /// Returns whether the work on one more machine would fit into one of the windows.
     pub(crate) fn fits_window(&self, now_ms: u64) -> bool {
         let windows = &self.config.windows;
         windows.is_empty()
--- a/crates/maintenance/src/message.rs
+++ b/crates/maintenance/src/message.rs
@@ -1,6 +1,7 @@
 //! Messages between sidecars and the leader about leases and proposals.
 //!
-//! Messages are encoded with postcard, which goes by the order of fields and variants: append, never reorder.
+//! Messages are encoded with postcard, which identifies fields and variants by their order. New
+//! ones are only appended, and existing ones are never reordered.
 
 use crate::command::{FormatError, Identifier, FORMAT_VERSION};
 use limewing_versioned_codec::{decode, encode};
@@ -11,45 +12,45 @@
 pub enum Message {
     /// A sidecar requests its lease.
     LeaseRequest {
-        /// Number of the sidecar's process.
+        /// The incarnation of the sidecar's process.
         incarnation: u64,
-        /// Number of the request.
+        /// The number of the request.
         request: u64,
-        /// Index through which the sidecar has applied the log.
+        /// Log index up to which the sidecar has applied the log.
         applied_index: u64,
-        /// Grants whose machines the sidecar is drained from.
+        /// The grants of the machines that the sidecar has drained.
         drained: Vec<Identifier>,
-        /// Of a thousand of its recent requests, how many it rejected.
+        /// The number of rejections per thousand recent requests.
         rejected_per_mille: u16,
     },
     /// The leader grants the lease.
     LeaseResponse {
-        /// Number of the request.
+        /// The number of the request.
         request: u64,
-        /// The lease holds once the sidecar has applied the log through this index.
+        /// The lease is valid once the sidecar has applied the log up to this index.
         commit_index: u64,
     },
-    /// The sidecar shuts down, and sends no more requests.
+    /// The sidecar shuts down and sends no more requests.
     Leave {
-        /// Number of the sidecar's process.
+        /// The incarnation of the sidecar's process.
         incarnation: u64,
     },
-    /// A sidecar that does not lead asks the leader to propose a command.
+    /// A sidecar that is not the leader asks the leader to propose a command.
     Propose {
         /// The encoded command.
         command: Vec<u8>,
     },
-    /// An operator makes a sidecar a voter, or a non-voter.
+    /// An operator makes a sidecar a voter or a non-voter.
     ChangeVote {
-        /// The sidecar's name.
+        /// The name of the sidecar.
         name: String,
-        /// Whether it becomes a voter.
+        /// Whether the sidecar becomes a voter.
         is_voter: bool,
     },
 }
 
 impl Message {
-    /// The message's bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         encode(FORMAT_VERSION, self)
     }
@@ -57,7 +58,7 @@
     /// Decodes a message.
     ///
     /// # Errors
-    /// The bytes are of another format version, or malformed.
+    /// The bytes have another format version or are malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, FormatError> {
         Ok(decode(FORMAT_VERSION, bytes)?)
     }
--- a/crates/maintenance/src/rejection_rate.rs
+++ b/crates/maintenance/src/rejection_rate.rs
@@ -1,10 +1,11 @@
-//! The part of its requests that a sidecar rejects.
+//! The fraction of its requests that a sidecar rejects.
 
 use std::time::Duration;
 
-/// Requests are counted over windows of this length: the running one and the one before.
+/// Length of a counting window. The rate covers the current window and the previous one.
 const REJECTION_WINDOW: Duration = Duration::from_secs(2);
-/// Fewer requests count as this many, so that a few rejections are no overload.
+/// Minimum number of requests in the denominator, so that a few rejections do not count as an
+/// overload.
 const MIN_REQUESTS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -13,7 +14,7 @@
     rejected: u32,
 }
 
-/// Counts requests and rejections over the last seconds.
+/// Counts requests and rejections of the last seconds.
 #[derive(Clone, Debug, Default)]
 pub struct RejectionRate {
     window_start: Duration,
@@ -22,7 +23,7 @@
 }
 
 impl RejectionRate {
-    /// Adds requests, and how many of them were rejected.
+    /// Adds requests and the number of them that were rejected.
     pub fn record(&mut self, now: Duration, requests: u32, rejected: u32) {
         self.rotate(now);
         self.current.requests = self.current.requests.saturating_add(requests);
@@ -43,7 +44,7 @@
         self.current = Counts::default();
     }
 
-    /// Rejections of a thousand requests.
+    /// Returns the number of rejections per thousand requests.
     pub fn per_mille(&mut self, now: Duration) -> u16 {
         self.rotate(now);
         let requests = self.current.requests + self.previous.requests;
--- a/crates/maintenance/src/schedule.rs
+++ b/crates/maintenance/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule: lists, machines and sidecars, as the log has them.
+//! The schedule: lists, machines and sidecars, as determined by the log.
 
 mod apply;
 
@@ -10,63 +10,65 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Sidecars that are stored at most.
+/// Maximum number of stored sidecars.
 const MAX_SIDECARS: usize = 2048;
 
-/// Why a committed command changes nothing. The texts are shown on the proxies' work page.
+/// The reason why a committed command changes nothing. The texts are shown on the proxies'
+/// maintenance page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// A list of this identifier exists.
-    #[error("there is such a list")]
+    /// A list with this identifier already exists.
+    #[error("a list with this identifier already exists")]
     ListExists,
-    /// There is no list of this identifier.
+    /// There is no list with this identifier.
     #[error("no such list")]
     UnknownList,
-    /// The machine is not on the list, or not waiting.
-    #[error("no such machine on the list, or not one that waits")]
+    /// The machine is not on the list or not in the waiting phase.
+    #[error("the machine is not on the list or not waiting")]
     MachineNotWaiting,
-    /// There is no such grant, or its machine is not in the phase before.
-    #[error("no such grant, or not at the step before")]
+    /// There is no such grant, or its machine is not in the preceding phase.
+    #[error("no such grant, or its machine is not in the preceding phase")]
     GrantNotInPhase,
     /// The machine is unavailable for another list.
-    #[error("the machine is out for another list")]
+    #[error("the machine is unavailable for another list")]
     UnavailableForOtherList,
-    /// A bound is exceeded, or a later process of the sidecar is known.
-    #[error("more than {MAX_LISTS} lists, {MAX_MACHINES} machines or {MAX_SIDECARS} sidecars, or a later start is known")]
+    /// A limit is exceeded, or a later process of the sidecar is known.
+    #[error("more than {MAX_LISTS} lists, {MAX_MACHINES} machines or {MAX_SIDECARS} sidecars, or a later process of the sidecar is known")]
     LimitExceeded,
-    /// Machines that don't follow those added before.
-    #[error("a part that does not follow the one before")]
+    /// The machines do not directly follow those added before.
+    #[error("the machines do not follow those added before")]
     OutOfSequence,
-    /// The log's time would go back.
-    #[error("time that goes back")]
+    /// The log time would go backwards.
+    #[error("the log time would go backwards")]
     ClockBackwards,
-    /// The machine may not be taken out now.
+    /// The machine may not be taken out of service now.
     #[error("not now: {0}")]
     Blocked(BlockedReason),
 }
 
-/// The state that the log's commands add up to; alike at all sidecars that have applied the same log.
+/// The state after all applied commands, which is the same at all sidecars that have applied the
+/// same log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceSchedule {
     now_ms: u64,
     lists: BTreeMap<Identifier, MaintenanceList>,
-    /// Sidecars that may send, by name, each with its incarnation.
+    /// Incarnations of the sidecars that may send requests, by sidecar name.
     sidecars: BTreeMap<String, u64>,
     summary: Option<FleetSummary>,
 }
 
 impl MaintenanceSchedule {
-    /// The log's time, in milliseconds.
+    /// Returns the log time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// The lists.
+    /// Returns the lists by identifier.
     pub fn lists(&self) -> &BTreeMap<Identifier, MaintenanceList> {
         &self.lists
     }
 
-    /// The running sidecars by name, each with its incarnation.
+    /// Returns the incarnations of the running sidecars, by sidecar name.
     pub fn sidecars(&self) -> &BTreeMap<String, u64> {
         &self.sidecars
     }
@@ -77,13 +79,14 @@
             .flat_map(|(id, list)| list.machines.iter().map(|state| (*id, state)))
     }
 
-    /// The machine that has a grant, with its list.
+    /// Returns the machine with a grant, and its list.
     pub fn machine_with_grant(&self, grant: Identifier) -> Option<(Identifier, &MachineState)> {
         self.machines()
             .find(|(_, state)| state.grant == Some(grant))
     }
 
-    /// Machines that no sidecar may send to, with their grants: from the grant until the work ends.
+    /// Returns the machines that no sidecar may send to, with their grants. A machine is closed
+    /// from its grant until its work ends.
     pub fn closed_machines(&self) -> impl Iterator<Item = (&Machine, Identifier)> {
         self.machines().filter_map(|(_, state)| match state.phase {
             MachinePhase::Granted | MachinePhase::InMaintenance => {
@@ -100,10 +103,10 @@
             .collect()
     }
 
-    /// Checks whether a waiting machine may be taken out now.
+    /// Checks whether a waiting machine may be taken out of service now.
     ///
     /// # Errors
-    /// The machine is not waiting, is unavailable for another list, or blocked.
+    /// The machine is not waiting, is unavailable for another list, or is blocked.
     pub fn check_grant(&self, list: Identifier, machine: &str) -> Result<(), ApplyError> {
         let id = list;
         let list = self.lists.get(&id).ok_or(ApplyError::UnknownList)?;
@@ -123,19 +126,27 @@
             return Err(ApplyError::UnavailableForOtherList);
         }
         let summary = self.check_conditions(list).map_err(ApplyError::Blocked)?;
-        let granted_since = self.capacity_granted_after(summary.applied_index);
-        // The limits of all lists with an unavailable machine hold for one more, beside those of its own list.
+        let granted_capacity = self.capacity_granted_after(summary.applied_index);
+        // The limits of all lists with an unavailable machine apply, in addition to those of the
+        // machine's own list.
         for (other_id, other) in &self.lists {
             if *other_id == id || other.has_unavailable_machine() {
                 let limits = &other.config.limits;
-                check_limits(limits, &state.machine, &unavailable, summary, granted_since)
-                    .map_err(ApplyError::Blocked)?;
+                check_limits(
+                    limits,
+                    &state.machine,
+                    &unavailable,
+                    summary,
+                    granted_capacity,
+                )
+                .map_err(ApplyError::Blocked)?;
             }
         }
         Ok(())
     }
 
-    /// Checks time and the state of the fleet for a list; returns the summary that was checked.
+    /// Checks the time and the state of the fleet for a list, and returns the summary that was
+    /// checked.
     fn check_conditions(&self, list: &MaintenanceList) -> Result<&FleetSummary, BlockedReason> {
         if !list.fits_window(self.now_ms) {
             return Err(BlockedReason::OutsideWindows);
@@ -154,7 +165,7 @@
         Ok(summary)
     }
 
-    /// Capacity of unavailable machines that were granted after an index of the log.
+    /// Returns the capacity of unavailable machines that were granted after a log index.
     fn capacity_granted_after(&self, index: u64) -> f64 {
         let is_later = |state: &MachineState| {
             state.phase.is_unavailable() && state.grant.is_some_and(|grant| grant.0 > index)
@@ -165,31 +176,33 @@
             .sum()
     }
 
-    /// The next grant, or the next grant to revoke; for the leader to propose.
+    /// Returns the next revocation, or else the next grant, for the leader to propose.
     pub fn next_command(&self) -> Option<Command> {
         self.next_revocation().or_else(|| self.next_grant())
     }
 
-    /// A granted machine that is not in maintenance yet and must not be taken out any more.
+    /// Returns the revocation of a grant whose machine is not in maintenance yet and must no longer
+    /// be taken out of service.
     fn next_revocation(&self) -> Option<Command> {
-        let has_outage = self
+        let has_zone_outage = self
             .summary
             .as_ref()
             .is_some_and(|summary| summary.zone_outage);
-        let is_stopped = |list: &MaintenanceList| {
+        let must_revoke_grants = |list: &MaintenanceList| {
             let summary = self.summary.as_ref();
             let is_overloaded = summary.is_some_and(|summary| list.is_overloaded(summary));
             list.withdrawn || list.paused || is_overloaded
         };
         let (_, state) = self.machines().find(|(id, state)| {
             state.phase == MachinePhase::Granted
-                && (has_outage || self.lists.get(id).is_some_and(is_stopped))
+                && (has_zone_outage || self.lists.get(id).is_some_and(must_revoke_grants))
         })?;
         let grant = state.grant?;
         Some(Command::RevokeGrant { grant })
     }
 
-    /// The first waiting machine that may be taken out: by priority, then the older list first.
+    /// Returns the grant of the first waiting machine that may be taken out of service, in order of
+    /// priority and then of the age of its list.
     fn next_grant(&self) -> Option<Command> {
         let mut lists: Vec<(&Identifier, &MaintenanceList)> = self.lists.iter().collect();
         lists.sort_by_key(|(id, list)| (Reverse(list.config.priority), list.created_index, **id));
@@ -207,7 +220,8 @@
         None
     }
 
-    /// Whether all that a command would bring about is so already, and it need not be proposed again.
+    /// Returns whether the command's whole effect is already part of the schedule, so that it need
+    /// not be proposed again.
     pub fn is_reflected(&self, command: &Command) -> bool {
         let list_of = |id: &Identifier| self.lists.get(id);
         let state_of = |grant: &Identifier| self.machine_with_grant(*grant).map(|(_, state)| state);
@@ -243,12 +257,12 @@
         }
     }
 
-    /// The schedule's bytes, for a snapshot of the log.
+    /// Encodes the schedule for a snapshot of the log.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes a snapshot; `None` if the bytes are none.
+    /// Decodes a snapshot; `None` if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/maintenance/src/schedule/apply.rs
+++ b/crates/maintenance/src/schedule/apply.rs
@@ -1,4 +1,4 @@
-//! How the schedule changes by the commands of the log.
+//! State transitions of the schedule by commands of the log.
 
 use super::{ApplyError, MaintenanceSchedule, MAX_SIDECARS};
 use crate::command::{Command, Identifier, ListConfig, Machine, MAX_LISTS, MAX_MACHINES};
@@ -7,7 +7,7 @@
 use crate::list::{MachinePhase, MachineState, MaintenanceList};
 
 impl MaintenanceSchedule {
-    /// Applies a committed command at its index in the log.
+    /// Applies a committed command with its log index.
     ///
     /// # Errors
     /// The command changes nothing, for the same reason at all readers of the log.
@@ -162,7 +162,7 @@
     fn begin_work(&mut self, grant: Identifier) -> Result<(), ApplyError> {
         let now_ms = self.now_ms;
         let state = self.machine_mut(grant, MachinePhase::InMaintenance)?;
-        // A repeated report does not restart the time of the work.
+        // A repeated report does not restart the timer of the work.
         if !state.work_began {
             state.work_began = true;
             state.since_ms = now_ms;
@@ -170,7 +170,8 @@
         Ok(())
     }
 
-    /// Only before maintenance: a machine that may be worked on comes back by its own report.
+    /// Revokes a grant, which is possible only before maintenance. A machine that may already be
+    /// worked on returns to service by its own report.
     fn revoke(&mut self, grant: Identifier) -> Result<(), ApplyError> {
         let state = self.machine_mut(grant, MachinePhase::Granted)?;
         state.phase = MachinePhase::Waiting;
@@ -208,8 +209,8 @@
             .ok_or(ApplyError::GrantNotInPhase)
     }
 
-    /// Marks machines whose work takes too long. They stay in maintenance and count as unavailable, because nobody knows what is
-    /// being done to them.
+    /// Marks machines whose work takes too long. They stay in maintenance and count as unavailable,
+    /// because the state of their work is unknown.
     fn mark_stalled(&mut self) {
         let now_ms = self.now_ms;
         for list in self.lists.values_mut() {
--- a/crates/maintenance/src/scheduler.rs
+++ b/crates/maintenance/src/scheduler.rs
@@ -1,4 +1,5 @@
-//! What the leader proposes next: from the schedule, the leases it has granted, and what it observes of the fleet.
+//! The leader's choice of the next command, based on the schedule, the granted leases and the
+//! observed fleet.
 
 use crate::command::Command;
 use crate::fleet_observation::{FleetObservation, ZoneTracker};
@@ -7,28 +8,29 @@
 use crate::schedule::MaintenanceSchedule;
 use std::time::Duration;
 
-/// How often the leader commits a summary of the fleet while there is a list.
+/// Interval at which the leader commits a summary of the fleet while there is an unfinished list.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the work on a machine has to be over before the machine can count as warm, in milliseconds of the log's time: the endpoint
-/// list may be late.
+/// Minimum time after the end of the work before a machine can count as warm, in milliseconds of
+/// log time, because the endpoint list may be delayed.
 const ENDPOINT_LIST_DELAY_MS: u64 = 1_000;
 
-/// One sidecar's time as leader of one term.
+/// The state of a sidecar as leader of one term.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
-    /// The term.
+    /// The term in which the sidecar leads.
     pub term: u64,
-    /// The leases that it has granted.
+    /// The leases granted in this term.
     pub grantor: LeaseGrantor,
     next_observation: Duration,
-    /// Whether it has committed a summary in its term: a predecessor's summary is no ground for a grant.
+    /// Whether a summary has been committed in this term; a predecessor's summary does not justify
+    /// a grant.
     observed_in_term: bool,
-    /// Index of the last command that it proposed.
+    /// Log index of the last command proposed in this term.
     proposed_index: u64,
 }
 
 impl Scheduler {
-    /// A sidecar that leads from now on.
+    /// Creates the state of a sidecar that leads from now on.
     pub fn new(now: Duration, term: u64, grantor: LeaseGrantor) -> Self {
         Self {
             term,
@@ -39,20 +41,22 @@
         }
     }
 
-    /// A command of its own is in the log at this index, committed or not.
+    /// Records that an own command is in the log at this index, committed or not.
     pub fn command_proposed(&mut self, index: u64) {
         self.proposed_index = self.proposed_index.max(index);
     }
 
-    /// Whether all commands that it proposed are applied. Until then it proposes nothing, lest it propose the same twice.
+    /// Returns whether all commands proposed in this term are applied. Until then nothing is
+    /// proposed, which avoids duplicate proposals.
     pub fn has_applied_own(&self, applied_index: u64) -> bool {
         applied_index >= self.proposed_index
     }
 
-    /// The command to propose now, for a leader that has committed a command of its own term.
+    /// Returns the command to propose now, for a leader that has committed a command of its own
+    /// term.
     ///
-    /// `log_now_ms` is the leader's clock in milliseconds of the log's time; `applied_index` is the index through which the log
-    /// is applied to the schedule.
+    /// `log_now_ms` is the leader's clock in milliseconds of log time. `applied_index` is the log
+    /// index up to which `schedule` has applied the log.
     pub fn next_command(
         &mut self,
         now: Duration,
@@ -84,14 +88,14 @@
         if matches!(next, Some(Command::RevokeGrant { .. })) {
             return next;
         }
-        self.next_known_list(schedule)
-            .or_else(|| self.next_drained_machine(now, schedule))
-            .or_else(|| next_warm_machine(schedule, observation))
+        self.next_list_known_command(schedule)
+            .or_else(|| self.next_drained_command(now, schedule))
+            .or_else(|| next_warmed_up_command(schedule, observation))
             .or(next)
     }
 
-    /// A list that all sidecars have read by now.
-    fn next_known_list(&self, schedule: &MaintenanceSchedule) -> Option<Command> {
+    /// Returns the command for a list that all sidecars have read by now.
+    fn next_list_known_command(&self, schedule: &MaintenanceSchedule) -> Option<Command> {
         let mut lists = schedule.lists().iter();
         let (list, _) = lists.find(|(_, list)| {
             let is_pending = !list.known && list.is_complete();
@@ -104,8 +108,8 @@
         Some(Command::ListKnown { list: *list })
     }
 
-    /// A granted machine that all sidecars are drained from.
-    fn next_drained_machine(
+    /// Returns the command for a granted machine that all sidecars have drained.
+    fn next_drained_command(
         &self,
         now: Duration,
         schedule: &MaintenanceSchedule,
@@ -122,8 +126,8 @@
     }
 }
 
-/// A machine that is warm again after its work.
-fn next_warm_machine(
+/// Returns the command for a machine that is warm again after its work.
+fn next_warmed_up_command(
     schedule: &MaintenanceSchedule,
     observation: &FleetObservation,
 ) -> Option<Command> {
