--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,5 +1,6 @@
-//! Repairs what gossip lost: a periodic exchange of table parts, and attempts to reach members that are not active (as
-//! Serf's reconnect), which join a new member and heal a partition.
+//! Anti-entropy: repairs what gossip lost. Members periodically exchange parts of their tables, and
+//! try to reach members that are not active (Serf's reconnect), which joins new members and heals
+//! partitions.
 
 use crate::membership::Membership;
 use crate::packet::{max_total_bytes, Broadcast, Message};
@@ -9,18 +10,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Mean probe intervals between two attempts to reach an inactive member; a member that knows no active one tries each interval.
+/// Mean number of probe intervals between two attempts to reach an inactive member. A member that
+/// knows no active member tries at every interval.
 const RECONNECT_INTERVALS: u32 = 10;
-/// Probe intervals between two exchanges.
+/// Probe intervals between two table exchanges.
 pub(crate) const SYNC_INTERVALS: u32 = 20;
-/// Members in a part of the table.
+/// Maximum number of members in a partial table.
 const SYNC_MEMBERS: usize = 16;
-/// Bytes reserved for the message and the lengths of the lists behind it.
+/// Bytes reserved in a packet for the message and the length prefixes of the lists that follow it.
 const SYNC_MESSAGE_BYTES: usize = 12;
 const TABLE_MESSAGE_BYTES: usize = 8;
 
 impl Membership {
-    /// Tries to join by one address, drawn from those of the dead and the configured seeds that no active member has.
+    /// Sends a join request to one random address among those of dead members and the configured
+    /// seeds, except addresses that an active member has.
     pub(crate) fn reconnect(&mut self, now: Duration) {
         let is_alone = self.table.active().next().is_none();
         let intervals = if is_alone { 1 } else { RECONNECT_INTERVALS };
@@ -31,7 +34,8 @@
             return;
         }
         let address = candidates[self.rng.generate_range(0..candidates.len())];
-        // It first receives its own status as known here, so that it can refute that.
+        // The receiver is first told its own status as this member knows it, so that it can refute
+        // it.
         let update = self
             .table
             .iter()
@@ -79,8 +83,9 @@
         }
     }
 
-    /// Sends the whole table, in as many datagrams as it takes and as the budget allows. The first one carries this member's
-    /// published state, and asks for the receiver's table if that is wanted.
+    /// Sends the whole table in as many datagrams as are needed and the budget allows. The first
+    /// datagram also carries this member's published state and, if `reply_wanted`, asks for the
+    /// receiver's table.
     pub(crate) fn send_member_table(&mut self, now: Duration, to: SocketAddr, reply_wanted: bool) {
         let mut remaining = self.shuffled_updates();
         let mut is_first = true;
@@ -104,7 +109,8 @@
         }
     }
 
-    /// Takes updates from the end that fit into `room` bytes together with the published state of their members.
+    /// Removes updates from the end of `remaining` as long as they fit into `room` bytes together
+    /// with the published state of their members.
     fn take_fitting(
         &self,
         remaining: &mut Vec<StatusUpdate>,
--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -1,13 +1,15 @@
-//! Updates that are still gossiped (SWIM, section 4.1: infection-style dissemination): each is sent a limited number of times,
-//! the least sent first and of these the newest, so that a fresh suspicion does not wait behind all that a fleet spreads
-//! at its start. memberlist calls it the transmit-limited queue.
+//! Queue of updates to gossip (infection-style dissemination, SWIM section 4.1).
+//!
+//! Each update is sent a limited number of times. The least often sent updates go first, and the
+//! newest among them, so that a new suspicion does not wait behind the many updates of a starting
+//! fleet. memberlist calls this the transmit-limited queue.
 
 use crate::packet::Broadcast;
 use crate::status::MemberName;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Updates that are queued; beyond, the one that was sent most often is dropped.
+/// Maximum number of queued updates; beyond it the update that was sent most often is dropped.
 const MAX_QUEUED: usize = 1024;
 
 struct Queued<T> {
@@ -16,9 +18,9 @@
     payload: T,
 }
 
-/// At most one update of each member.
+/// Holds at most one update for each member.
 pub(crate) struct BroadcastQueue<T> {
-    /// By number of transmits, then by age.
+    /// Sorted by number of transmits, then newest first.
     order: BTreeSet<(u32, Reverse<u64>, MemberName)>,
     queued: BTreeMap<MemberName, Queued<T>>,
     last_sequence: u64,
@@ -35,7 +37,7 @@
 }
 
 impl<T: Broadcast> BroadcastQueue<T> {
-    /// Queues an update; it replaces an older one of the same member.
+    /// Queues an update, replacing an older update of the same member.
     pub(crate) fn enqueue(&mut self, payload: T) {
         let name = payload.name().clone();
         self.remove(&name);
@@ -53,8 +55,8 @@
         );
     }
 
-    /// Updates that fit into `room` bytes. `first` goes before all others, if it has an update. One that has now been sent
-    /// `max_transmits` times leaves the queue.
+    /// Takes updates that fit into `room` bytes. The update of `first`, if one is queued, precedes
+    /// all others. An update that has now been sent `max_transmits` times leaves the queue.
     pub(crate) fn take_batch(
         &mut self,
         mut room: usize,
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration of a member and the check of it.
+//! Configuration of a member and its validation.
 
 use crate::sealer::Key;
 use crate::status::MemberName;
@@ -6,7 +6,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Shortest secret of a key, in bytes.
+/// Minimum length of a key's secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
 /// Lowest byte rate that still carries probes and some gossip.
 const MIN_BYTES_PER_SECOND: u32 = 2000;
@@ -18,40 +18,41 @@
 pub struct Config {
     /// Name of this member, unique in the fleet.
     pub name: MemberName,
-    /// When this process started, Unix time in milliseconds.
+    /// Start of this process, Unix time in milliseconds.
     pub started_at_ms: u64,
-    /// What the caller's clock showed at that moment.
+    /// Reading of the caller's clock at `started_at_ms`.
     pub started_at: Duration,
-    /// Where the other members reach this one.
+    /// Address at which the other members reach this one.
     pub address: SocketAddr,
-    /// Addresses of some members, for joining.
+    /// Addresses of some members through which this one joins the fleet.
     pub seed_addresses: Vec<SocketAddr>,
-    /// One key, or two during a rotation: the first seals, all open.
+    /// One key, or two during a rotation. The first key seals datagrams; every key opens them.
     pub keys: Vec<Key>,
     /// SWIM's protocol period: the time between two probes, 10 ms to 60 s.
     pub probe_interval: Duration,
-    /// Bytes that may be sent a second in the mean, 2000 at the least. Gossip stops above it; probes and acks do not.
+    /// Mean number of bytes that may be sent per second, at least 2000. Gossip pauses when it is
+    /// exceeded; probes and acks do not.
     pub bytes_per_second: u32,
     /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A configuration that can't be used.
+/// Reason why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// No key was given.
     #[error("no key, expected one or two")]
     NoKey,
-    /// A secret is too short: the key's number and the secret's bytes.
+    /// The secret of this key (first field) has too few bytes (second field).
     #[error("key {0} has {1} bytes, expected {MIN_SECRET_BYTES} or more")]
     ShortKey(u8, usize),
-    /// Both keys have this number.
+    /// Both keys have this id.
     #[error("two keys have the number {0}")]
     DuplicateKeyId(u8),
-    /// There are three keys or more.
+    /// There are more than two keys.
     #[error("more than two keys")]
     TooManyKeys,
-    /// The probe interval is out of its range.
+    /// The probe interval is out of range.
     #[error("a period of {0:?}, expected 10 ms to 60 s")]
     ProbeInterval(Duration),
     /// The byte rate is too low.
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,18 +1,18 @@
-//! What the host is notified of.
+//! Events reported to the host.
 
 use crate::status::MemberName;
 
-/// A change of the membership.
+/// A change in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// A member joined, restarted, refuted a suspicion or came back.
+    /// A member joined, restarted, refuted a suspicion or became reachable again.
     Up(MemberName),
-    /// A member did not answer and may still refute the suspicion.
+    /// A member did not answer a probe and may still refute the suspicion.
     Suspected(MemberName),
     /// A member did not refute a suspicion in time.
     Down(MemberName),
-    /// A member left of its own will.
+    /// A member left voluntarily.
     Left(MemberName),
-    /// Another process has this member's name and started later: this one sends nothing any more.
+    /// Another process with this member's name started later, so this member stops sending.
     Superseded,
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,6 +1,9 @@
-//! SWIM's failure detector (section 3.1): each period one member is probed, and through other members if it does not answer.
-//! Members are probed round-robin in a random order (section 4.3). Local health is Lifeguard's LHA-Probe: a member that
-//! seems to be slow itself gives the others more time. Nacks tell it whether those that it asked for help are reached.
+//! SWIM's failure detector (section 3.1): one member is probed in each period, and indirectly
+//! through other members if it does not answer.
+//!
+//! Members are probed round-robin in random order (section 4.3). Local health is Lifeguard's
+//! LHA-Probe: a member that appears to be slow itself allows the others more time. Missing nacks
+//! tell it that the members it asked for indirect probes could not be reached either.
 
 use crate::member_table::Member;
 use crate::membership::Membership;
@@ -11,34 +14,34 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members that are asked for an indirect probe.
+/// Number of members asked for an indirect probe.
 const INDIRECT_PROBES: usize = 3;
-/// Random members that receive gossip each period, beside the one that is probed.
+/// Number of random members that receive gossip in each period, in addition to the probed one.
 const GOSSIP_FANOUT: usize = 2;
-/// Worst local health; 0 is healthy. Probes then take nine times as long.
+/// Worst local health, where 0 is healthy. Probes then take nine times as long.
 const MAX_LOCAL_HEALTH: u32 = 8;
-/// Probes on behalf of others that are under way at one time.
+/// Maximum number of pending probes on behalf of other members.
 const MAX_RELAYED_PROBES: usize = 256;
-/// Part of a period after which a relayed probe is answered by a nack: before the asking member's own deadline, half a
-/// period after it asked.
+/// Fraction of a period after which an unanswered relayed probe is reported by a nack. The
+/// requesting member's own deadline is half a period after its request.
 const RELAY_TIMEOUT_PERIODS: f64 = 0.4;
 
-/// The probe of this period.
+/// The pending probe of the current period.
 struct PendingProbe {
     number: u32,
     target: MemberName,
-    /// When other members are asked to probe the target.
+    /// Time at which other members are asked to probe the target.
     indirect_at: Duration,
-    /// When the target is suspected.
+    /// Time at which the target becomes suspect.
     deadline: Duration,
-    /// Members that were asked for an indirect probe, and nacks of those.
+    /// Number of members asked for an indirect probe, and of nacks received from them.
     helpers: u32,
     nacks: u32,
 }
 
 /// A probe on behalf of another member.
 struct RelayedProbe {
-    /// The number of that member's own probe.
+    /// Number of that member's own probe.
     origin_number: u32,
     origin: SocketAddr,
     deadline: Duration,
@@ -48,9 +51,9 @@
 pub(crate) struct FailureDetector {
     next_probe: Duration,
     pending: Option<PendingProbe>,
-    /// The rest of this round's random order; the last one is next.
+    /// Remaining members of this round in random order; the last one is probed next.
     probe_order: Vec<MemberName>,
-    /// By the number of this member's probe.
+    /// Keyed by the number of this member's probe.
     relayed: BTreeMap<u32, RelayedProbe>,
     last_number: u32,
     local_health: u32,
@@ -88,7 +91,7 @@
             .fold(probe, Duration::min)
     }
 
-    /// Extends the pending probe: this process stood still, and may not have read an answer.
+    /// Extends the pending probe after this process was paused and may have missed an answer.
     pub(crate) fn postpone_probe(&mut self, delay: Duration) {
         if let Some(pending) = &mut self.pending {
             pending.indirect_at += delay;
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Drops all probes; none is due before that time.
+    /// Drops all probes and starts none before `next_probe`.
     pub(crate) fn stop(&mut self, next_probe: Duration) {
         self.next_probe = next_probe;
         self.pending = None;
@@ -131,7 +134,7 @@
 }
 
 impl Membership {
-    /// Does what the failure detector has due.
+    /// Runs the failure detector's expired timers.
     pub(crate) fn tick_failure_detector(&mut self, now: Duration) {
         self.expire_relayed_probes(now);
         self.continue_probe(now);
@@ -173,7 +176,8 @@
         }
     }
 
-    /// Probes a member, and tells it first what its status is here (Lifeguard's buddy system). Returns the probe's number.
+    /// Probes a member after telling it its status as known here (Lifeguard's buddy system).
+    /// Returns the probe's number.
     fn send_probe(&mut self, now: Duration, address: SocketAddr, target: &MemberName) -> u32 {
         let number = self.detector.next_number();
         let probe = Message::Probe {
@@ -184,7 +188,8 @@
         number
     }
 
-    /// The next active member of this round; a new round has a new random order. So none waits longer than two rounds.
+    /// Returns the next active member of this round. Each round has a new random order, so a member
+    /// waits at most two rounds.
     fn next_probe_target(&mut self) -> Option<MemberName> {
         loop {
             while let Some(name) = self.detector.probe_order.pop() {
@@ -216,12 +221,13 @@
         }
     }
 
-    /// Nobody reached the target: it is suspected.
+    /// Suspects the target of a probe that was answered neither directly nor indirectly.
     fn fail_probe(&mut self, now: Duration) {
         let Some(probe) = self.detector.pending.take() else {
             return;
         };
-        // A helper that sent neither ack nor nack was not reached either: the fault may be on this side.
+        // A helper that sent neither ack nor nack was not reached either, so the fault may be
+        // local.
         let missed_nacks = probe.helpers.saturating_sub(probe.nacks);
         self.detector.worsen_local_health(missed_nacks);
         let Some(member) = self.table.get(&probe.target) else {
@@ -234,7 +240,7 @@
         let address = suspicion.address;
         let local_name = self.local.name.clone();
         self.apply_update(now, suspicion, &local_name);
-        // The suspect is notified at once, so that it can refute.
+        // Notifies the suspect at once, so that it can refute.
         self.send_probe(now, address, &probe.target);
     }
 
@@ -250,7 +256,7 @@
         let helpers = self.random_active_addresses(INDIRECT_PROBES, Some(&target));
         if let Some(pending) = &mut self.detector.pending {
             pending.helpers = helpers.len() as u32;
-            // With nobody to ask, the target has the rest of the time to answer.
+            // Without helpers, the target has the remaining time to answer.
             pending.indirect_at = pending.deadline;
         }
         for helper in helpers {
@@ -263,7 +269,8 @@
         }
     }
 
-    /// Probes a member for another one; beyond the limit the request is dropped as if the datagram were lost.
+    /// Probes a member on behalf of another one. Above the limit the request is dropped, as if its
+    /// datagram had been lost.
     pub(crate) fn relay_probe(
         &mut self,
         now: Duration,
@@ -288,7 +295,8 @@
         self.send(now, address, Message::Probe { number, target }, None);
     }
 
-    /// An ack of a probe of this member: its own one, directly or through a helper, or one that it relayed.
+    /// Handles an ack to this member's own probe, received directly or through a helper, or to a
+    /// probe that it relays.
     pub(crate) fn handle_ack(&mut self, now: Duration, number: u32, from: &MemberName) {
         if let Some(relayed) = self.detector.relayed.remove(&number) {
             let number = relayed.origin_number;
@@ -307,7 +315,8 @@
         self.table.get(name).map(|member| member.update.address)
     }
 
-    /// Addresses of up to `count` random active members: the first places of a Fisher-Yates shuffle.
+    /// Returns the addresses of up to `count` random active members: the first elements of a
+    /// Fisher-Yates shuffle.
     pub(crate) fn random_active_addresses(
         &mut self,
         count: usize,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,24 +1,24 @@
-//! Membership of a fleet of sidecars: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health awareness (Dadgar,
-//! Phillips, Currey 2018), sans I/O: no sockets, no clock.
+//! Membership of a fleet of sidecars: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local
+//! health awareness (Dadgar, Phillips, Currey 2018). Sans I/O: it uses neither sockets nor a clock.
 //!
-//! The host passes in received datagrams ([`Membership::receive`]) and the time ([`Membership::tick`], due at
-//! [`Membership::next_deadline`]), and takes out the datagrams to send ([`Membership::take_datagram`]) and what changed
-//! ([`Membership::take_event`]).
+//! The host passes in received datagrams ([`Membership::receive`]) and the time
+//! ([`Membership::tick`], due at [`Membership::next_deadline`]), and takes out datagrams to send
+//! ([`Membership::take_datagram`]) and events ([`Membership::take_event`]).
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `sealer`, `replay_filter` | authenticates datagrams, rejects old and repeated ones |
-//! | `packet` | what a datagram carries |
+//! | `sealer`, `replay_filter` | authenticates datagrams; rejects outdated and replayed ones |
+//! | `packet` | contents of a datagram |
 //! | `receiving`, `sending` | handles a packet; fills and sends one within the byte budget |
 //! | `failure_detector` | probes, indirect probes, local health |
 //! | `suspicion` | suspicion timeouts and refutation |
-//! | `member_table` | the status of each member and which update overrides which |
-//! | `broadcast_queue` | gossip: updates that still have retransmits left |
-//! | `anti_entropy` | periodic exchange of table parts, joining, reconnecting |
-//! | `published_state` | a few bytes that each member publishes to all others |
+//! | `member_table` | status of each member, and which update overrides which |
+//! | `broadcast_queue` | gossip: updates with remaining retransmits |
+//! | `anti_entropy` | periodic exchange of partial tables, joining, reconnecting |
+//! | `published_state` | small state that each member publishes to all others |
 //!
-//! Published state ([`Membership::publish`]) and direct messages ([`Membership::send_direct`]) are opaque here. Direct
-//! messages are sealed like everything else and, like any datagram, may be lost.
+//! Published state ([`Membership::publish`]) and direct messages ([`Membership::send_direct`]) are
+//! opaque to this crate. Direct messages are sealed like all datagrams and, like them, may be lost.
 
 mod anti_entropy;
 mod broadcast_queue;
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,4 +1,5 @@
-//! The status of each member, and which of two updates overrides the other (SWIM, section 4.2).
+//! Status of each member, and the rule for which of two updates overrides the other (SWIM, section
+//! 4.2).
 
 use crate::status::{MemberName, MemberStatus, StatusUpdate};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,25 +8,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Members in the table, the dead among them; an update on one more is ignored.
+/// Maximum number of members in the table, including dead ones. Updates about further members are
+/// ignored.
 const MAX_MEMBERS: usize = 4096;
-/// How long the dead and those that left stay in the table: reconnects need the dead, and the entry of one that left keeps
-/// an old update from bringing it back.
+/// How long dead members and members that left stay in the table. Reconnects need the dead ones,
+/// and the entry of a member that left prevents an outdated update from reviving it.
 const DEAD_RETENTION: Duration = Duration::from_secs(600);
 
 /// A member in the table.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The update that prevails.
+    /// The prevailing update about the member.
     pub update: StatusUpdate,
-    /// Since when it prevails, by the caller's clock.
+    /// When the update began to prevail, by the caller's clock.
     pub status_since: Duration,
-    /// The members that suspect it independently of each other, in the order in which they were heard.
+    /// Members that independently suspect this one, in the order in which they reported it.
     pub(crate) suspected_by: Vec<MemberName>,
 }
 
 impl Member {
-    /// Alive or suspect: still a part of the group.
+    /// Returns whether the member is alive or suspect, and thus still part of the group.
     pub fn is_active(&self) -> bool {
         self.update.status.is_active()
     }
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Notes who suspects it; false if that was known.
+    /// Records a member that suspects this one. Returns false if it was already recorded.
     fn add_suspecting(&mut self, from: &MemberName) -> bool {
         if self.update.status != MemberStatus::Suspect || self.suspected_by.contains(from) {
             return false;
@@ -53,28 +55,29 @@
     }
 }
 
-/// What an update did to the table.
+/// Effect of an update on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateEffect {
-    /// Nothing: it is known, it is overridden, or the table is full.
+    /// The update is known or overridden, or the table is full.
     Ignored,
-    /// It prevails now. `previous` is the status before, if that was of the same process.
+    /// The update prevails now. `previous` is the former status if it was of the same process.
     Changed { previous: Option<MemberStatus> },
-    /// One more member suspects a suspect.
+    /// Another member confirms an existing suspicion.
     Corroborated,
 }
 
-/// The members that this one knows, without itself.
+/// Members known to this one, excluding itself.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<MemberName, Member>,
-    /// Number of active members, and the suspects among them: both are needed for each datagram.
+    /// Number of active members and the suspects among them. Cached because each datagram needs
+    /// both.
     active_count: usize,
     suspects: BTreeSet<MemberName>,
 }
 
 impl MemberTable {
-    /// Applies an update that was heard from that member.
+    /// Applies an update received from the member `from`.
     pub(crate) fn apply(
         &mut self,
         update: StatusUpdate,
@@ -127,24 +130,24 @@
         self.members.get(name)
     }
 
-    /// The member, if it is active and its process is the one that started then.
+    /// Returns the member if it is active and its process started at `started_at_ms`.
     pub(crate) fn active_process(&self, name: &MemberName, started_at_ms: u64) -> Option<&Member> {
         self.members
             .get(name)
             .filter(|member| member.is_active() && member.update.started_at_ms == started_at_ms)
     }
 
-    /// All members, by name.
+    /// Returns all members, ordered by name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The prevailing update of each member, by name.
+    /// Returns the prevailing update of each member, ordered by name.
     pub(crate) fn updates(&self) -> Vec<StatusUpdate> {
         self.iter().map(|member| member.update.clone()).collect()
     }
 
-    /// The active members, by name.
+    /// Returns the active members, ordered by name.
     pub(crate) fn active(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.is_active())
     }
@@ -153,20 +156,20 @@
         self.active_count
     }
 
-    /// The suspects, by name.
+    /// Returns the suspects, ordered by name.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = &Member> {
         self.suspects
             .iter()
             .filter_map(|name| self.members.get(name))
     }
 
-    /// Removes those that have been dead or gone for the time of retention.
+    /// Removes members that have been dead or gone for `DEAD_RETENTION`.
     pub(crate) fn remove_expired(&mut self, now: Duration) {
         self.members
             .retain(|_, member| member.is_active() || now < member.status_since + DEAD_RETENTION);
     }
 
-    /// Extends all suspicions: no suspect could refute while this process stood still.
+    /// Extends all suspicions, because no suspect could refute while this process was paused.
     pub(crate) fn postpone_suspicions(&mut self, delay: Duration) {
         for name in &self.suspects {
             if let Some(member) = self.members.get_mut(name) {
--- a/crates/membership/src/member_table/tests.rs
+++ b/crates/membership/src/member_table/tests.rs
@@ -1,4 +1,4 @@
-//! The member table converges, whatever the order of updates.
+//! Property tests: the member table converges regardless of the order of updates.
 
 use super::MemberTable;
 use crate::status::{MemberName, MemberStatus, StatusUpdate};
@@ -14,7 +14,7 @@
 ];
 const LEFT: usize = 3;
 
-/// Number of the name, start of the process, incarnation, index of the status.
+/// Number in the name, start of the process, incarnation, index of the status.
 type Drawn = (u8, u64, u32, usize);
 
 fn member_name(number: u8) -> MemberName {
@@ -31,7 +31,8 @@
     }
 }
 
-/// The table's updates after all these were applied in this order; its counts are checked against its members.
+/// Applies the updates in order and returns the table's updates. Checks the cached counts against
+/// the members.
 fn updates_after(drawn: &[Drawn]) -> Vec<StatusUpdate> {
     let from = MemberName::try_from("from".to_owned()).unwrap();
     let mut table = MemberTable::default();
@@ -48,7 +49,7 @@
 }
 
 proptest! {
-    /// The order in which updates arrive does not matter; a process that left stays gone; and the counts are those of the members.
+    /// Updates commute, and a process that left never becomes active again.
     #[test]
     fn updates_commute_and_a_process_that_left_stays_gone(
         drawn in prop::collection::vec((0u8..3, 0u64..2, 0u32..3, 0usize..4), 1..12),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! A member's state, its timers, and what the host calls.
+//! State and timers of a member, and the interface for its host.
 
 use crate::anti_entropy::SYNC_INTERVALS;
 use crate::broadcast_queue::BroadcastQueue;
@@ -16,14 +16,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members that are notified of a leave; they gossip it.
+/// Number of members notified of a leave; they gossip it to the others.
 const LEAVE_FANOUT: usize = 5;
-/// Datagrams, events and direct messages that wait for the host, of each at most.
+/// Maximum number of datagrams, of events and of direct messages that wait for the host.
 pub(crate) const MAX_QUEUED: usize = 1024;
-/// A stopped member has its next deadline so late.
+/// Interval to the next deadline of a stopped member.
 const STOPPED_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// One member of the fleet. All times are of the caller's clock, which may start anywhere.
+/// One member of the fleet. All times are of the caller's clock, whose origin is arbitrary.
 pub struct Membership {
     pub(crate) config: Config,
     /// This member's own status.
@@ -37,7 +37,7 @@
     pub(crate) budget: ByteBudget,
     pub(crate) next_reconnect: Duration,
     next_sync: Duration,
-    /// It left or was superseded: it sends nothing any more.
+    /// Set once the member has left or was superseded; it then sends nothing.
     pub(crate) stopped: bool,
     pub(crate) datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
     pub(crate) events: VecDeque<MembershipEvent>,
@@ -47,15 +47,15 @@
 }
 
 impl Membership {
-    /// A member that knows nobody yet.
+    /// Creates a member that knows no other member yet.
     ///
     /// # Errors
-    /// What of the configuration can't be used.
+    /// The configuration is invalid.
     pub fn new(now: Duration, config: Config) -> Result<Self, ConfigError> {
         config.validate()?;
         let mut rng = WyRand::new_seed(config.seed);
         let interval = config.probe_interval;
-        // Members of a fleet that starts at once don't probe at the same moment.
+        // A random phase keeps members that start together from probing at the same time.
         let first_probe = interval.mul_f64(random_fraction(&mut rng));
         let local = StatusUpdate {
             name: config.name.clone(),
@@ -85,23 +85,24 @@
         })
     }
 
-    /// The other members that are alive or suspect, by name.
+    /// Returns the other members that are alive or suspect, ordered by name.
     pub fn active_members(&self) -> impl Iterator<Item = &Member> {
         self.table.active()
     }
 
-    /// All other members in the table, the dead and those that left among them, by name.
+    /// Returns all other members in the table, including those that are dead or left, ordered by
+    /// name.
     pub fn known_members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter()
     }
 
-    /// This member's own status.
+    /// Returns this member's own status.
     pub fn local_member(&self) -> &StatusUpdate {
         &self.local
     }
 
-    /// Publishes some bytes to all members, in the place of those before; false if there are more than
-    /// [`MAX_PUBLISHED_BYTES`], which changes nothing.
+    /// Publishes bytes to all members, replacing what was published before. Returns false and
+    /// changes nothing if there are more than [`MAX_PUBLISHED_BYTES`].
     pub fn publish(&mut self, now: Duration, bytes: Vec<u8>) -> bool {
         if bytes.len() > MAX_PUBLISHED_BYTES {
             return false;
@@ -110,16 +111,17 @@
         true
     }
 
-    /// What another active member has published, and when that was received.
+    /// Returns what another active member has published, and when that was received.
     pub fn published_by(&self, name: &MemberName) -> Option<(&[u8], Duration)> {
         let (state, received_at) = self.published.get(name)?;
         self.table.active_process(name, state.started_at_ms)?;
         Some((state.bytes.as_slice(), received_at))
     }
 
-    /// Sends a message to one member, whatever its status: who is cut off from here may be reached there. False if the
-    /// member is not known or there are more than [`MAX_DIRECT_BYTES`] bytes. Direct messages don't count against the byte
-    /// budget: the caller has to limit them.
+    /// Sends a message to one member regardless of its status, because a member that the probes
+    /// cannot reach may still receive it. Returns false if the member is unknown or there are more
+    /// than [`MAX_DIRECT_BYTES`] bytes. Direct messages are not charged to the byte budget; the
+    /// caller has to limit them.
     pub fn send_direct(&mut self, now: Duration, to: &MemberName, bytes: Vec<u8>) -> bool {
         let Some(member) = self.table.get(to) else {
             return false;
@@ -138,22 +140,23 @@
         true
     }
 
-    /// The next direct message that was received, and its sender.
+    /// Takes the next received direct message and its sender.
     pub fn take_direct_message(&mut self) -> Option<(MemberName, Vec<u8>)> {
         self.direct_messages.pop_front()
     }
 
-    /// Lifeguard's local health, 0 (healthy) to 8: by so many probe intervals its probes take longer.
+    /// Returns Lifeguard's local health, 0 (healthy) to 8: the number of probe intervals by which
+    /// probes are prolonged.
     pub fn local_health(&self) -> u32 {
         self.detector.local_health()
     }
 
-    /// Bytes of all datagrams since the start.
+    /// Returns the total size of all datagrams sent so far.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Number of datagrams that were rejected, by cause.
+    /// Returns the number of rejected datagrams by reason.
     pub fn rejected_datagrams(&self) -> &BTreeMap<DatagramError, u64> {
         &self.rejected
     }
@@ -161,24 +164,24 @@
     /// Replaces the keys.
     ///
     /// # Errors
-    /// Why the keys can't be used; the old ones stay.
+    /// The keys are invalid; the current ones remain in use.
     pub fn replace_keys(&mut self, keys: Vec<Key>) -> Result<(), ConfigError> {
         validate_keys(&keys)?;
         self.sealer.replace_keys(keys);
         Ok(())
     }
 
-    /// The next datagram to send, and where to.
+    /// Takes the next datagram to send and its destination.
     pub fn take_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.datagrams.pop_front()
     }
 
-    /// The next event.
+    /// Takes the next event.
     pub fn take_event(&mut self) -> Option<MembershipEvent> {
         self.events.pop_front()
     }
 
-    /// When [`Membership::tick`] is to be called at the latest.
+    /// Returns the latest time at which [`Membership::tick`] has to be called.
     pub fn next_deadline(&self) -> Duration {
         let timers = self
             .detector
@@ -191,11 +194,12 @@
             .fold(timers, Duration::min)
     }
 
-    /// Does what is due.
+    /// Runs all expired timers.
     pub fn tick(&mut self, now: Duration) {
         let delay = now.saturating_sub(self.next_deadline());
         if delay > self.config.probe_interval {
-            // This process stood still: no other member is to blame for what was not received meanwhile.
+            // This process was paused, so other members must not be blamed for messages missed
+            // meanwhile.
             self.detector.worsen_local_health(1);
             self.table.postpone_suspicions(delay);
             self.detector.postpone_probe(delay);
@@ -223,7 +227,7 @@
             .retain(|name| name == local_name || table.get(name).is_some_and(Member::is_active));
     }
 
-    /// Leaves: notifies some members, which gossip it. Nothing is sent afterwards.
+    /// Leaves the fleet: notifies some members, which gossip it, and sends nothing afterwards.
     pub fn leave(&mut self, now: Duration) {
         self.local.status = MemberStatus::Left;
         for address in self.random_active_addresses(LEAVE_FANOUT, None) {
@@ -233,7 +237,8 @@
         self.clear_timers(now);
     }
 
-    /// Puts off all that is due, for a member that has stopped. Suspects become dead, as a suspicion is a deadline too.
+    /// Postpones all timers of a stopped member. Suspects become dead, because a suspicion has a
+    /// deadline too.
     pub(crate) fn clear_timers(&mut self, now: Duration) {
         let later = now + STOPPED_INTERVAL;
         self.detector.stop(later);
@@ -250,24 +255,24 @@
         }
     }
 
-    /// This member's clock, Unix time in milliseconds.
+    /// Returns this member's clock as Unix time in milliseconds.
     pub(crate) fn unix_time_ms(&self, now: Duration) -> u64 {
         let elapsed = now.saturating_sub(self.config.started_at);
         self.config.started_at_ms + elapsed.as_millis() as u64
     }
 
-    /// Active members, this one among them.
+    /// Returns the number of active members, including this one.
     pub(crate) fn group_size(&self) -> usize {
         self.table.active_count() + 1
     }
 
-    /// Uniform in [0, 1).
+    /// Draws a number uniformly from [0, 1).
     pub(crate) fn random_fraction(&mut self) -> f64 {
         random_fraction(&mut self.rng)
     }
 }
 
-/// Uniform in [0, 1): 53 random bits, as many as a double's mantissa has.
+/// Draws a number uniformly from [0, 1) using 53 random bits, the precision of an `f64`.
 fn random_fraction(rng: &mut WyRand) -> f64 {
     (rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/membership/src/packet.rs
+++ b/crates/membership/src/packet.rs
@@ -1,46 +1,49 @@
-//! What a datagram carries, in postcard's format: the order of fields and variants is the wire format.
+//! Contents of a datagram, encoded with postcard. The order of fields and variants is the wire
+//! format.
 
 use crate::status::{MemberName, StatusUpdate};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest datagram in bytes: common networks carry it unfragmented.
+/// Maximum size of a datagram in bytes; common networks carry it unfragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Longest payload of a direct message in bytes.
+/// Maximum payload of a direct message in bytes.
 pub const MAX_DIRECT_BYTES: usize = 1020;
-/// Longest published state in bytes.
+/// Maximum size of published state in bytes.
 pub const MAX_PUBLISHED_BYTES: usize = 256;
 
-/// Longest encodings in bytes of the parts of a packet: postcard's variable-length integers (`u64`, `u32`), the length of a
-/// name (one byte, as names have 64 at most), the length of published bytes, a variant.
+/// Maximum encoded sizes in bytes of the parts of a packet: postcard's variable-length `u64` and
+/// `u32`, the length prefix of a name (one byte, as names have at most 64 bytes), the length prefix
+/// of published bytes, and a variant's discriminant.
 const U64_BYTES: usize = 10;
 const U32_BYTES: usize = 5;
 const NAME_LENGTH_BYTES: usize = 1;
 const PUBLISHED_LENGTH_BYTES: usize = 2;
 const VARIANT_BYTES: usize = 1;
-/// An IPv6 address and a port, after the variant of the address family.
+/// An IPv6 address and a port; the discriminant of the address family is counted separately.
 const ADDRESS_BYTES: usize = 16 + 3;
 
-/// The purpose of a packet.
+/// Kind of a packet, with the fields specific to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// SWIM's ping. Only the member with the name answers, whoever else has taken over the address.
+    /// SWIM's ping. Only the member with this name answers, even if another one took over its
+    /// address.
     Probe { number: u32, target: MemberName },
-    /// Answers a probe, with the probe's number.
+    /// Answers the probe with this number.
     Ack { number: u32 },
-    /// SWIM's ping-req: probe that member and pass its ack on to the sender.
+    /// SWIM's ping-req: asks the receiver to probe the target and to relay its ack.
     IndirectProbe {
         number: u32,
         target: MemberName,
         address: SocketAddr,
     },
-    /// Lifeguard's nack: the target of the indirect probe did not answer the relaying member either.
+    /// Lifeguard's nack: the target of an indirect probe did not answer the relaying member either.
     Nack { number: u32 },
-    /// Asks for the whole member table.
+    /// Requests the whole member table.
     Join,
-    /// A part of the sender's member table.
+    /// Part of the sender's member table.
     MemberTable { reply_wanted: bool },
-    /// Carries updates and published state alone.
+    /// Carries updates and published state only.
     Gossip,
     /// Carries bytes that are opaque to membership.
     Direct { bytes: Vec<u8> },
@@ -49,17 +52,17 @@
 /// Bytes that a member publishes to all others; a higher version replaces a lower one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PublishedState {
-    /// Who published it.
+    /// The member that published the bytes.
     pub(crate) name: MemberName,
-    /// Start of the process that published it, Unix time in milliseconds.
+    /// Start of the publishing process, Unix time in milliseconds.
     pub(crate) started_at_ms: u64,
-    /// Counts the states that this process has published.
+    /// Number of states that this process published before.
     pub(crate) version: u32,
-    /// Opaque here.
+    /// The published bytes, opaque to membership.
     pub(crate) bytes: Vec<u8>,
 }
 
-/// All that one datagram carries.
+/// The complete contents of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Packet {
     pub(crate) sender: StatusUpdate,
@@ -68,11 +71,11 @@
     pub(crate) published: Vec<PublishedState>,
 }
 
-/// A part of a packet that is gossiped: the newest of each member.
+/// A gossiped part of a packet; only the newest one of each member is gossiped.
 pub(crate) trait Broadcast: Clone {
-    /// The member that it is about.
+    /// Returns the name of the member that it describes.
     fn name(&self) -> &MemberName;
-    /// An upper bound of its encoding, in bytes.
+    /// Returns an upper bound of its encoded size in bytes.
     fn max_encoded_bytes(&self) -> usize;
 }
 
@@ -99,7 +102,7 @@
     }
 }
 
-/// Upper bound in bytes for some parts of a packet.
+/// Returns an upper bound of the encoded size of all parts together, in bytes.
 pub(crate) fn max_total_bytes(parts: &[impl Broadcast]) -> usize {
     parts.iter().map(Broadcast::max_encoded_bytes).sum()
 }
--- a/crates/membership/src/published_state.rs
+++ b/crates/membership/src/published_state.rs
@@ -1,4 +1,5 @@
-//! The state that each member publishes: gossiped beside the status updates, the newest version of each member.
+//! State published by each member. The newest version of each member's state is gossiped along with
+//! the status updates.
 
 use crate::broadcast_queue::BroadcastQueue;
 use crate::packet::{Broadcast, PublishedState};
@@ -15,12 +16,12 @@
 #[derive(Default)]
 pub(crate) struct PublishedStates {
     newest: BTreeMap<MemberName, Received>,
-    /// States that still have retransmits left.
+    /// States with remaining retransmits.
     pub(crate) queue: BroadcastQueue<PublishedState>,
 }
 
 impl PublishedStates {
-    /// Publishes this member's own state in the place of the one before.
+    /// Publishes this member's own state, replacing the previous one.
     pub(crate) fn publish(&mut self, now: Duration, local: &StatusUpdate, bytes: Vec<u8>) {
         let version = self
             .newest
@@ -37,7 +38,7 @@
         );
     }
 
-    /// Takes in another member's state, if it is newer than the known one.
+    /// Stores another member's state if it is newer than the known one.
     pub(crate) fn apply(&mut self, now: Duration, state: PublishedState) {
         let is_newer = self.newest.get(&state.name).is_none_or(|known| {
             (known.state.started_at_ms, known.state.version) < (state.started_at_ms, state.version)
@@ -53,20 +54,21 @@
         self.newest.insert(name, Received { state, at: now });
     }
 
-    /// The newest state of that member, and when it was received.
+    /// Returns the newest state of a member, and when it was received.
     pub(crate) fn get(&self, name: &MemberName) -> Option<(&PublishedState, Duration)> {
         let received = self.newest.get(name)?;
         Some((&received.state, received.at))
     }
 
-    /// Upper bound of the bytes that the member's state takes in a packet; 0 if there is none.
+    /// Returns an upper bound of the bytes that the member's state takes in a packet, 0 if it has
+    /// none.
     pub(crate) fn max_encoded_bytes(&self, name: &MemberName) -> usize {
         self.newest
             .get(name)
             .map_or(0, |received| received.state.max_encoded_bytes())
     }
 
-    /// The states of the members that these updates are about, as far as they fit into `room` bytes.
+    /// Returns the states of the updated members, as far as they fit into `room` bytes.
     pub(crate) fn fitting(&self, updates: &[StatusUpdate], mut room: usize) -> Vec<PublishedState> {
         let mut fitting = Vec::new();
         for update in updates {
@@ -82,7 +84,7 @@
         fitting
     }
 
-    /// Forgets the states of all other members.
+    /// Keeps only the states of members for which `is_retained` returns true.
     pub(crate) fn retain(&mut self, is_retained: impl Fn(&MemberName) -> bool) {
         self.newest.retain(|name, _| is_retained(name));
     }
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -1,4 +1,4 @@
-//! Handles received datagrams.
+//! Handling of received datagrams.
 
 use crate::event::MembershipEvent;
 use crate::membership::{Membership, MAX_QUEUED};
@@ -12,7 +12,8 @@
     /// Handles a received datagram.
     ///
     /// # Errors
-    /// Why the datagram is rejected. Nothing of it is used then, and it is counted in [`Membership::rejected_datagrams`].
+    /// The datagram is rejected. Its contents are ignored, and it is counted in
+    /// [`Membership::rejected_datagrams`].
     pub fn receive(&mut self, now: Duration, datagram: &[u8]) -> Result<(), DatagramError> {
         let result = self.open(now, datagram);
         match result {
@@ -39,7 +40,7 @@
         Err(DatagramError::OwnName)
     }
 
-    /// Another process has this member's name and started later.
+    /// Stops this member because another process with its name started later.
     pub(crate) fn supersede(&mut self, now: Duration) {
         if !self.stopped {
             self.stopped = true;
@@ -60,7 +61,7 @@
         } = packet;
         let name = sender.name.clone();
         let address = sender.address;
-        // A member can't tell of itself that it is suspected or dead.
+        // A member cannot report itself as suspect or dead.
         if matches!(sender.status, MemberStatus::Alive | MemberStatus::Left) {
             self.apply_update(now, sender, &name);
         }
@@ -91,7 +92,8 @@
                 .active_process(&update.name, update.started_at_ms)
                 .is_some()
         };
-        // After a partition the other side's table holds many as dead that are not: they get the time to refute.
+        // After a partition the other side's table lists reachable members as dead. They become
+        // suspect here, which gives them time to refute.
         let update = if from_table && update.status == MemberStatus::Dead && is_active_here() {
             update.with_status(MemberStatus::Suspect)
         } else {
@@ -100,7 +102,7 @@
         self.apply_update(now, update, from);
     }
 
-    /// Only states of active members are stored, which bounds their number.
+    /// Stores published state of active members only, which bounds the number of states.
     fn handle_published(&mut self, now: Duration, state: PublishedState) {
         let is_active = self
             .table
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Queues the status of a member that is not alive here although it sent something, so that the reply lets it refute
-    /// (Lifeguard's buddy system). Returns its name then.
+    /// Queues the status of a sender that is not alive in this table, so that the reply lets it
+    /// refute (Lifeguard's buddy system). Returns the sender's name in that case.
     fn enqueue_doubt(&mut self, name: &MemberName) -> Option<MemberName> {
         let member = self.table.get(name)?;
         if member.update.status == MemberStatus::Alive {
@@ -145,7 +147,7 @@
             } => self.relay_probe(now, address, number, target, target_address),
             Message::Nack { number } => self.detector.record_nack(number),
             Message::Direct { bytes } => {
-                // Beyond the limit they are lost, as on the network.
+                // Above the limit messages are dropped, as if lost on the network.
                 if self.direct_messages.len() < MAX_QUEUED {
                     self.direct_messages.push_back((from.clone(), bytes));
                 }
--- a/crates/membership/src/replay_filter.rs
+++ b/crates/membership/src/replay_filter.rs
@@ -1,23 +1,23 @@
-//! Rejects datagrams that came before: a sliding window over each sender's counter, as in IPsec's anti-replay service
-//! (RFC 4303, section 3.4.3).
+//! Rejects replayed datagrams with a sliding window over each sender's counter, as in IPsec's
+//! anti-replay service (RFC 4303, section 3.4.3).
 
 use crate::sealer::DatagramError;
 use crate::status::MemberName;
 use std::collections::BTreeMap;
 
-/// How far behind the highest counter a datagram may arrive.
+/// How far a datagram's counter may be behind the highest one received.
 const WINDOW: u64 = 64;
-/// Senders that are tracked; beyond, the one with the oldest datagram is forgotten.
+/// Maximum number of tracked senders; beyond it the sender with the oldest datagram is forgotten.
 const MAX_SENDERS: usize = 4096;
 
-/// The counters of one sender's process.
+/// Counters received from one process of a sender.
 struct ReplayWindow {
     /// Start of the process, Unix time in milliseconds.
     started_at_ms: u64,
     highest: u64,
     /// Bit n is set if the counter `highest - n` was received.
     seen: u64,
-    /// Sender's clock in the datagram with the highest counter, Unix time in milliseconds.
+    /// The sender's clock in the datagram with the highest counter, Unix time in milliseconds.
     sent_ms: u64,
 }
 
@@ -52,14 +52,15 @@
     }
 }
 
-/// The windows of all senders.
+/// Replay windows of all senders.
 #[derive(Default)]
 pub(crate) struct ReplayFilter {
     windows: BTreeMap<MemberName, ReplayWindow>,
 }
 
 impl ReplayFilter {
-    /// Records a datagram of an authenticated sender; an error if it came before or is of an earlier process.
+    /// Records a datagram of an authenticated sender. Returns an error if it is a replay or comes
+    /// from an earlier process of the sender.
     pub(crate) fn record(
         &mut self,
         sender: &MemberName,
--- a/crates/membership/src/sealer.rs
+++ b/crates/membership/src/sealer.rs
@@ -1,6 +1,7 @@
-//! Seals and opens datagrams: `version key-id tag[16] counter[8] sent-ms[8] packet`, numbers little-endian. The tag is
-//! HMAC-SHA-256 (RFC 2104), cut to 16 bytes, over version, key id and all that follows it. Nothing of a datagram is decoded
-//! before its tag is verified.
+//! Seals and opens datagrams of the form `version key-id tag[16] counter[8] sent-ms[8] packet`,
+//! with little-endian numbers. The tag is HMAC-SHA-256 (RFC 2104), truncated to 16 bytes, over
+//! version, key id and everything that follows the tag. No part of a datagram is decoded before its
+//! tag is verified.
 
 use crate::packet::{Packet, MAX_DATAGRAM_BYTES};
 use crate::replay_filter::ReplayFilter;
@@ -9,56 +10,57 @@
 
 const VERSION: u8 = 1;
 const TAG_BYTES: usize = 16;
-/// Where the tag starts: after version and key id.
+/// Offset of the tag, after version and key id.
 const TAG_AT: usize = 2;
 const COUNTER_AT: usize = TAG_AT + TAG_BYTES;
 const SENT_AT: usize = COUNTER_AT + 8;
 const HEADER_BYTES: usize = SENT_AT + 8;
-/// How far a datagram's time may differ from the receiver's clock, in milliseconds. A receiver that has just started knows no
-/// counters, so age alone protects it from replays; a member whose clock is further off is not heard.
+/// Maximum difference in milliseconds between a datagram's time and the receiver's clock. A
+/// receiver that has just started knows no counters, so only this check protects it from replays.
+/// Datagrams of a member whose clock differs more are rejected.
 const MAX_CLOCK_DIFFERENCE_MS: u64 = 30_000;
-/// Longest packet of a datagram.
+/// Maximum size of the packet in a datagram.
 pub(crate) const MAX_PACKET_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
 
-/// A key of the fleet; two are known during a rotation.
+/// A key of the fleet; two are in use during a rotation.
 #[derive(Clone)]
 pub struct Key {
-    /// Tells the keys apart on the wire.
+    /// Identifies the key on the wire.
     pub id: u8,
-    /// Shared by all members, 16 bytes at the least.
+    /// Secret shared by all members, at least 16 bytes.
     pub secret: Vec<u8>,
 }
 
-/// Why a datagram is rejected.
+/// Reason why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
-    /// Shorter than the header or longer than [`MAX_DATAGRAM_BYTES`].
+    /// The datagram is shorter than its header or longer than [`MAX_DATAGRAM_BYTES`].
     #[error(
         "datagram of a wrong length, expected a header and at most {MAX_DATAGRAM_BYTES} bytes"
     )]
     Length,
-    /// Of another version of this protocol.
+    /// The datagram is of another protocol version.
     #[error("datagram of another version, expected {VERSION}")]
     Version,
-    /// Sealed with a key that this member does not have.
+    /// The datagram is sealed with a key that this member does not have.
     #[error("datagram sealed with an unknown key")]
     UnknownKey,
-    /// The tag does not match: corrupted or forged.
+    /// The tag does not match: the datagram is corrupted or forged.
     #[error("datagram with a wrong authentication tag")]
     WrongTag,
     /// The sender's time differs too much from this member's clock.
     #[error("datagram more than {MAX_CLOCK_DIFFERENCE_MS} ms old, or by a clock that is ahead")]
     Stale,
-    /// Its counter came before, or is too far behind.
+    /// The counter was already received, or is too far behind.
     #[error("replayed datagram")]
     Replayed,
-    /// The tag matches but the packet can't be decoded.
+    /// The tag matches, but the packet cannot be decoded.
     #[error("malformed packet in a datagram")]
     Malformed,
-    /// Its sender has restarted since.
+    /// The sender has restarted since.
     #[error("datagram of an earlier process of its sender")]
     EarlierProcess,
-    /// It bears this member's own name.
+    /// The sender uses this member's own name.
     #[error("datagram with this member's own name")]
     OwnName,
 }
@@ -71,7 +73,7 @@
 }
 
 impl DatagramSealer {
-    /// The first key seals; all open.
+    /// Creates a sealer that seals with the first key and opens with any of them.
     pub(crate) fn new(keys: Vec<Key>) -> Self {
         Self {
             keys,
@@ -84,7 +86,7 @@
         self.keys = keys;
     }
 
-    /// The datagram for a packet; none if it would be too long.
+    /// Seals a packet. Returns `None` if the datagram would be too long.
     pub(crate) fn seal(&mut self, packet: &Packet, unix_time_ms: u64) -> Option<Vec<u8>> {
         let key = self.keys.first()?;
         self.counter += 1;
@@ -141,13 +143,14 @@
     }
 }
 
-/// Eight bytes at that offset; the caller has checked that the header is complete.
+/// Reads eight bytes at an offset; the caller has checked that the header is complete.
 fn read_u64(datagram: &[u8], offset: usize) -> u64 {
     let bytes = datagram[offset..offset + 8].try_into();
     u64::from_le_bytes(bytes.unwrap_or_default())
 }
 
-/// The tag for what follows it; none if the key can't be used, which the check of the configuration rules out.
+/// Computes the tag of the bytes that follow it. Returns `None` if the key is unusable, which
+/// validation of the configuration rules out.
 fn compute_tag(key: &Key, authenticated: &[u8]) -> Option<[u8; TAG_BYTES]> {
     let mut mac = Hmac::<Sha256>::new_from_slice(&key.secret).ok()?;
     mac.update(&[VERSION, key.id]);
@@ -155,7 +158,8 @@
     mac.finalize().into_bytes()[..TAG_BYTES].try_into().ok()
 }
 
-/// Takes the same time wherever the two differ, so that a forger learns nothing from it.
+/// Compares in time independent of the position of a difference, so that it leaks nothing to a
+/// forger.
 fn equal_in_constant_time(left: &[u8; TAG_BYTES], right: &[u8]) -> bool {
     let difference = left
         .iter()
--- a/crates/membership/src/sending.rs
+++ b/crates/membership/src/sending.rs
@@ -1,4 +1,4 @@
-//! Fills packets with gossip and seals them into datagrams, within the byte budget.
+//! Fills packets with gossip and seals them into datagrams within the byte budget.
 
 use crate::membership::{Membership, MAX_QUEUED};
 use crate::packet::{max_total_bytes, Broadcast, Message, Packet, PublishedState};
@@ -7,14 +7,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Each update is sent this often, times the logarithm of the group's size, so that all but surely all members receive it
-/// (SWIM, section 4.1; memberlist's RetransmitMult).
+/// Transmits of each update, multiplied by the logarithm of the group's size, so that all members
+/// receive it with high probability (SWIM, section 4.1; memberlist's RetransmitMult).
 const RETRANSMIT_MULTIPLIER: f64 = 4.0;
-/// Upper bounds in bytes of a message and of the lengths of the two lists behind it.
+/// Upper bounds in bytes of a message and the length prefixes of the two lists that follow it.
 const NAMED_MESSAGE_BYTES: usize = 100;
 const OTHER_MESSAGE_BYTES: usize = 16;
 
-/// Token bucket of the bytes that may be sent: it holds those of one second at most. Probes and acks go out on credit.
+/// Token bucket of bytes to send, with a capacity of one second's rate. Probes and acks may
+/// overdraw it.
 pub(crate) struct ByteBudget {
     available: f64,
     bytes_per_second: f64,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Refills; whether anything may be sent.
+    /// Refills the bucket and returns whether it holds any bytes.
     pub(crate) fn refill(&mut self, now: Duration) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.available =
@@ -45,7 +46,8 @@
 }
 
 impl Membership {
-    /// Sends a message with as much gossip as fits; the update about `first`, if there is one, goes before all others.
+    /// Sends a message with as much gossip as fits. The update about `first`, if one is queued,
+    /// precedes all others.
     pub(crate) fn send(
         &mut self,
         now: Duration,
@@ -73,7 +75,7 @@
         (RETRANSMIT_MULTIPLIER * (self.group_size() as f64 + 1.0).log10().ceil()) as u32
     }
 
-    /// Sends a packet and charges it to the budget.
+    /// Sends a packet and charges its size to the budget.
     pub(crate) fn send_packet(
         &mut self,
         now: Duration,
@@ -86,7 +88,7 @@
         self.budget.charge(bytes);
     }
 
-    /// Sends a packet; the bytes of its datagram, 0 if it was dropped.
+    /// Sends a packet without charging it. Returns the size of its datagram, 0 if it was dropped.
     pub(crate) fn send_uncharged(
         &mut self,
         now: Duration,
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,22 +1,23 @@
-//! Names and statuses of members, and the updates that spread them.
+//! Names and statuses of members, and the updates that disseminate them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Longest name of a member, in bytes: names are repeated in each update of each datagram.
+/// Maximum length of a name in bytes. It is short because each update in each datagram repeats the
+/// name.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A member's name, 1 to 64 bytes, the same over restarts of its process.
+/// Name of a member, 1 to 64 bytes, which stays the same when its process restarts.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct MemberName(String);
 
-/// A name that is empty or too long.
+/// The name is empty or too long.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a member's name of {length} bytes, expected 1 to {MAX_NAME_BYTES}")]
 pub struct MemberNameError {
-    /// Bytes of the rejected name.
+    /// Length of the rejected name in bytes.
     pub length: usize,
 }
 
@@ -55,44 +56,46 @@
     }
 }
 
-/// Status of a member. Within one incarnation a later variant overrides an earlier one (SWIM, section 4.2); the order is
-/// also that of the wire format.
+/// Status of a member. Within one incarnation a later variant overrides an earlier one (SWIM,
+/// section 4.2). The order of variants is also the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// It answers probes, or nobody has noticed that it does not.
+    /// The member answers probes, or its failure has not been detected.
     Alive,
-    /// It did not answer a probe and may still refute the suspicion.
+    /// The member did not answer a probe and may still refute the suspicion.
     Suspect,
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It left of its own will: final for this process.
+    /// The member left voluntarily, which is final for its process.
     Left,
 }
 
 impl MemberStatus {
-    /// Alive or suspect: still a part of the group.
+    /// Returns whether the member is alive or suspect, and thus still part of the group.
     pub(crate) fn is_active(self) -> bool {
         self <= Self::Suspect
     }
 }
 
-/// The status of one member, as it is gossiped.
+/// Status of one member as it is gossiped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusUpdate {
-    /// Whose status this is.
+    /// Name of the member.
     pub name: MemberName,
-    /// When the member's process started, Unix time in milliseconds; a name that comes back has a later one.
+    /// Start of the member's process, Unix time in milliseconds; a restarted member has a later
+    /// one.
     pub started_at_ms: u64,
-    /// SWIM's incarnation number: raised only by the member itself, to refute a suspicion (SWIM, section 4.2).
+    /// SWIM's incarnation number, raised only by the member itself to refute a suspicion (SWIM,
+    /// section 4.2).
     pub incarnation: u32,
-    /// The status.
+    /// Status of the member.
     pub status: MemberStatus,
-    /// Where the member receives datagrams.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
 }
 
 impl StatusUpdate {
-    /// Of two updates on one name the one with the greater precedence overrides the other.
+    /// Returns the sort key of updates about one member: the greater one overrides the other.
     pub(crate) fn precedence(&self) -> (u64, bool, u32, MemberStatus) {
         (
             self.started_at_ms,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicion (SWIM, section 4.2) with Lifeguard's dynamic timeouts (LHA-Suspicion): the more members suspect a member
-//! independently of each other, the less time it has to refute that.
+//! Suspicion (SWIM, section 4.2) with Lifeguard's dynamic timeouts (LHA-Suspicion): the more
+//! members independently suspect a member, the less time it has to refute.
 
 use crate::event::MembershipEvent;
 use crate::member_table::{Member, UpdateEffect};
@@ -7,16 +7,18 @@
 use crate::status::{MemberName, MemberStatus, StatusUpdate};
 use std::time::Duration;
 
-/// The shortest timeout is this many probe intervals, times the logarithm of the group's size (memberlist's SuspicionMult).
+/// Shortest timeout in probe intervals, multiplied by the logarithm of the group's size
+/// (memberlist's SuspicionMult).
 const TIMEOUT_MULTIPLIER: f64 = 4.0;
-/// The longest timeout is this many times the shortest one (memberlist's SuspicionMaxTimeoutMult).
+/// Ratio of the longest to the shortest timeout (memberlist's SuspicionMaxTimeoutMult).
 const MAX_TIMEOUT_MULTIPLIER: f64 = 6.0;
-/// With this many members that confirm a suspicion the timeout is the shortest one.
+/// Number of confirmations from other members at which the timeout is the shortest.
 const CONFIRMATIONS: f64 = 3.0;
 /// Smaller groups have the timeouts of a group of this size.
 const MIN_GROUP_SIZE: f64 = 10.0;
 
-/// How long a suspect has to refute: `confirmations` members suspect it beside the first one.
+/// Returns how long a suspect has to refute if `confirmations` members suspect it in addition to
+/// the first one.
 fn suspicion_timeout(
     probe_interval: Duration,
     group_size: usize,
@@ -24,7 +26,7 @@
 ) -> Duration {
     let group_size = group_size as f64;
     let min_intervals = TIMEOUT_MULTIPLIER * group_size.max(MIN_GROUP_SIZE).log10();
-    // This member and the suspect can't confirm it.
+    // This member and the suspect cannot confirm the suspicion.
     let needed = CONFIRMATIONS.min(group_size - 2.0);
     let progress = if needed < 1.0 {
         1.0
@@ -36,14 +38,14 @@
 }
 
 impl Membership {
-    /// When a suspect is declared dead, unless it refutes.
+    /// Returns when a suspect is declared dead unless it refutes.
     pub(crate) fn suspicion_deadline(&self, suspect: &Member) -> Duration {
         let confirmations = suspect.suspected_by.len().saturating_sub(1);
         let interval = self.config.probe_interval;
         suspect.status_since + suspicion_timeout(interval, self.group_size(), confirmations)
     }
 
-    /// Declares those suspects dead that did not refute in time.
+    /// Declares suspects dead that did not refute in time.
     pub(crate) fn expire_suspicions(&mut self, now: Duration) {
         let expired: Vec<StatusUpdate> = self
             .table
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Answers an update about this member itself: with a higher incarnation, if it is suspected or declared dead.
+    /// Refutes an update that calls this member suspect or dead, by raising its incarnation.
     pub(crate) fn refute(&mut self, now: Duration, update: &StatusUpdate) {
         if update.started_at_ms > self.local.started_at_ms {
             self.supersede(now);
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Applies an update about another member, and gossips it if it is new.
+    /// Applies an update about another member and gossips it if it is new.
     pub(crate) fn apply_update(&mut self, now: Duration, update: StatusUpdate, from: &MemberName) {
         if update.name == self.local.name {
             return;
@@ -101,7 +103,7 @@
             MemberStatus::Alive | MemberStatus::Dead | MemberStatus::Left => return,
         };
         self.events.push_back(event);
-        // The host need not take events out.
+        // The host is not obliged to take events, so the queue is bounded.
         while self.events.len() > MAX_QUEUED {
             self.events.pop_front();
         }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Members accept the datagrams that were sent, once, and reject all others.
+//! Members accept each sent datagram exactly once and reject all others.
 
 use limewing_membership::{
     Config, ConfigError, DatagramError, Key, MemberName, MemberStatus, Membership, MembershipEvent,
@@ -45,7 +45,7 @@
         .expect("a valid configuration")
 }
 
-/// Lets two members exchange datagrams without faults during that time, in seconds.
+/// Exchanges datagrams between two members without faults, from one time in seconds to another.
 fn exchange(a: &mut Membership, b: &mut Membership, from: f64, to: f64) {
     let mut now = seconds(from);
     while now < seconds(to) {
@@ -105,7 +105,8 @@
     assert_eq!(a.receive(seconds(3.0 + delay), &bytes), Err(expected));
 }
 
-/// The earlier process stops sending, and a recorded datagram of it is rejected.
+/// Guards against a recorded datagram of an earlier process being accepted. The earlier process
+/// also stops sending.
 #[test]
 fn the_later_of_two_processes_with_one_name_supersedes_the_earlier() {
     let (mut a, mut old) = joined_pair();
@@ -139,7 +140,8 @@
     );
 }
 
-/// A rotation step by step: first all members open with the new key, then all seal with it, then the old one is removed.
+/// Follows the steps of a key rotation: first all members open with the new key, then all seal with
+/// it, then the old one is removed.
 #[test]
 fn keys_rotate_without_a_gap() {
     let (mut a, mut b) = joined_pair();
@@ -167,7 +169,7 @@
         .chain(b.rejected_datagrams().values())
         .sum::<u64>();
     assert_eq!(rejected, 0);
-    // Members without a common key do not hear each other.
+    // Members without a common key reject each other's datagrams.
     b.replace_keys(vec![key(3)]).unwrap();
     exchange(&mut a, &mut b, 105.0, 200.0);
     assert!(!knows(&a, &b) && !knows(&b, &a));
@@ -186,7 +188,8 @@
 }
 
 proptest! {
-    /// Arbitrary bytes, also behind a part of a valid datagram, are rejected and change nothing.
+    /// Arbitrary bytes, alone or appended to a prefix of a valid datagram, are rejected and change
+    /// nothing.
     #[test]
     fn arbitrary_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1400), head in 0usize..40) {
         let (mut a, mut b) = (member(0), member(1));
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of all that membership puts out over twenty simulated fleets with faults: datagrams,
-//! events, direct messages, refusals and the member tables. A refactoring that keeps the behaviour
-//! keeps the digest.
+//! Digest of all output of membership over twenty simulated fleets with faults: datagrams, events,
+//! direct messages, rejections and the member tables. A refactoring that preserves the behaviour
+//! preserves the digest.
 
 use limewing_fault_injection::{
     ClockOffset, Fault, LinkConditions, Script, ScriptStep, Selector, SimulatedMember, Simulation,
@@ -18,11 +18,11 @@
 const SEEDS: u64 = 20;
 const MEMBERS: usize = 12;
 const SECONDS: f64 = 60.0;
-/// The last fault comes so long before the end.
+/// Time without faults at the end of a run.
 const QUIET_SECONDS: f64 = 10.0;
 const START_MS: u64 = 1_800_000_000_000;
 const FIRST_PORT: u16 = 10_000;
-/// A member publishes or sends something so often.
+/// Interval at which a member publishes state and sends a direct message.
 const ACTION_INTERVAL: Duration = Duration::from_millis(700);
 
 thread_local! {
@@ -84,7 +84,7 @@
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + number as u16))
 }
 
-/// A member that now and then publishes state and sends a direct message.
+/// A member that periodically publishes state and sends a direct message.
 struct Node {
     number: usize,
     membership: Membership,
@@ -165,7 +165,7 @@
             seed_addresses: vec![address(0), address(1)],
             keys: vec![key(1), key(2)],
             probe_interval: Duration::from_millis(500),
-            // Some have hardly enough for their gossip.
+            // A quarter of the members have hardly enough bandwidth for their gossip.
             bytes_per_second: if number % 4 == 3 { 2_500 } else { 16_384 },
             seed,
         };
@@ -236,7 +236,7 @@
     ScriptStep { at, fault: does }
 }
 
-/// A fault and, for those that do not last, the step that ends it.
+/// Draws a fault and, for a fault that does not last, the step that ends it.
 fn draw_fault(rng: &mut WyRand, at: f64) -> Vec<ScriptStep> {
     let who = some_members(rng);
     let end = at + 0.2 + share(rng) * 8.0;
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,10 +1,10 @@
 //! Pins the bytes of membership datagrams: one of each kind, and one for each status, address
 //! family and published state.
 //!
-//! `golden/datagrams.hex` holds one datagram a line: what it shows, the member it was sent to, its
-//! bytes. Key, clock and seeds of the exchange are fixed, so the seal (an HMAC over the counter,
-//! the clock and the frame) comes out the same. `GOLDEN_WRITE=1` writes the file anew; that is for
-//! new kinds only.
+//! `golden/datagrams.hex` has one datagram per line: the case that it covers, the member it was
+//! sent to, and its bytes. Key, clock and seeds of the exchange are fixed, so the seal (an HMAC
+//! over the counter, the clock and the packet) is reproducible. `GOLDEN_WRITE=1` rewrites the file,
+//! which is only for new kinds.
 
 use limewing_membership::{Config, Key, MemberName, MemberStatus, Membership};
 use limewing_test_support::golden;
@@ -16,11 +16,11 @@
 const START_MS: u64 = 1_800_000_000_000;
 const MEMBERS: usize = 4;
 const STEP: Duration = Duration::from_millis(50);
-/// Bytes before the frame: version, key, tag, counter, sender's clock.
+/// Number of bytes before the packet: version, key, tag, counter, sender's clock.
 const HEADER: usize = 2 + 16 + 8 + 8;
 const DIRECT_PAYLOAD: [u8; 4] = [0xde, 0xad, 0x00, 0xff];
 
-/// A frame as it lies on the wire, described independently of the program's types.
+/// The wire format of a packet, described independently of the program's types.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct WireFrame {
     sender: WireUpdate,
@@ -86,7 +86,7 @@
     bytes: Vec<u8>,
 }
 
-/// Members that hear each other without delay; those that were killed are `None`.
+/// Members that receive each other's datagrams without delay. Killed members are `None`.
 struct Exchange {
     now: Duration,
     members: Vec<Option<Membership>>,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Delivers one datagram of each member; false if there was none.
+    /// Delivers one datagram of each member. Returns false if there was none.
     fn deliver(&mut self) -> bool {
         let mut any = false;
         for from in 0..MEMBERS {
@@ -155,7 +155,7 @@
     }
 }
 
-/// All datagrams of a fixed exchange: four join, one dies, one leaves.
+/// Returns all datagrams of a fixed exchange in which four members join, one dies and one leaves.
 fn exchange() -> Vec<Sent> {
     let members = (0..MEMBERS)
         .map(|number| Some(new_member(number)))
@@ -194,7 +194,8 @@
 
 type Shows = fn(&WireFrame) -> bool;
 
-/// What the lines of the file show, in order; each is the first datagram of the exchange that does.
+/// Cases in the order of the file's lines. Each line is the first datagram of the exchange that
+/// matches.
 const SHOWN: [(&str, Shows); 15] = [
     ("probe", |frame| {
         matches!(frame.kind, WireKind::Probe { .. })
@@ -251,7 +252,7 @@
     text
 }
 
-/// Name, recipient and bytes of each line.
+/// Returns the name, recipient and bytes of each line.
 fn golden_datagrams() -> Vec<(String, usize, Vec<u8>)> {
     let text = read_golden();
     let line = |line: &str| {
@@ -273,13 +274,13 @@
     datagrams
 }
 
-/// The members of the fixed exchange send the datagrams of the file, byte by byte, seal and all.
+/// The members of the fixed exchange send exactly the datagrams in the file, including the seal.
 #[test]
 fn the_exchange_sends_the_golden_datagrams() {
     assert_eq!(written_today(), read_golden());
 }
 
-/// Field order and variant numbers of the frame are those that the independent description says.
+/// Field order and variant numbers of the packets match the independent description.
 #[test]
 fn golden_frames_have_the_described_layout() {
     for ((name, _, datagram), (_, shows)) in golden_datagrams().into_iter().zip(SHOWN) {
@@ -320,7 +321,7 @@
     assert_eq!(known, *update, "{context}");
 }
 
-/// What a receiver that knows nobody replies to a frame.
+/// Returns whether `reply` is what a receiver that knows no other member replies to a packet.
 fn is_reply(kind: &WireKind, reply: Option<&WireKind>) -> bool {
     match (kind, reply) {
         (WireKind::Probe { number, .. }, Some(WireKind::Ack { number: acked })) => number == acked,
@@ -338,7 +339,7 @@
     }
 }
 
-/// A member that has just started accepts each datagram of the file, applies its updates and
+/// A member that has just started accepts each datagram in the file, applies its updates and
 /// replies to it.
 #[test]
 fn members_read_the_golden_datagrams() {
