--- a/crates/versioned-codec/tests/envelope.rs
+++ b/crates/versioned-codec/tests/envelope.rs
@@ -1,4 +1,4 @@
-//! The envelope's bytes, and what is refused.
+//! Tests of the envelope's encoding and of the rejection of invalid input.
 
 use limewing_versioned_codec::{decode, decode_prefix, encode, DecodeError};
 use rstest::rstest;
