--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,26 +1,31 @@
-//! Replicated, expiring state of the sidecars: gossip with anti-entropy, without I/O and without a clock.
+//! Replicated, expiring state of the sidecars: gossip with anti-entropy, sans I/O and without a
+//! clock.
 //!
-//! Data flow: the host publishes records of its own ([`Replica::publish`]), hands in received packets ([`Replica::receive`]) and
-//! the time ([`Replica::tick`], due at [`Replica::next_tick`]), and takes out packets to send ([`Replica::take_packet`]) and entries of
-//! other sidecars ([`Replica::take_applied`]), each entry once in the lifetime of a process. Decoded records go into
-//! [`MergedState`], which resolves them where sidecars differ.
+//! Data flow: the host publishes its own records ([`Replica::publish`]), passes in received packets
+//! ([`Replica::receive`]) and the time ([`Replica::tick`], due at [`Replica::next_tick`]), and
+//! takes out packets to send ([`Replica::take_packet`]) and entries of other sidecars
+//! ([`Replica::take_applied`]). Each entry is returned once in the lifetime of a process. Decoded
+//! records are merged into [`MergedState`], which resolves differences between sidecars.
 //!
-//! Each process of each sidecar is an [`Origin`] and numbers the entries it publishes. A [`Log`] is the local replica of one origin's
-//! entries: it knows through which sequence number it is complete and which single entries it has beyond. An entry that was applied
-//! once is never applied again, so an expired entry can't come back from a replica that returns late. Entries carry a time to live
-//! instead of an expiry time, and only the first receipt counts, so clocks need not agree.
+//! Each process of each sidecar is an [`Origin`] and numbers the entries it publishes. A [`Log`] is
+//! the local replica of one origin's entries: it records through which sequence number it is
+//! complete and which single entries it has beyond that. An entry is never applied twice, so a
+//! replica that returns late cannot bring back an expired entry. Entries carry a time to live
+//! instead of an expiry time, and only the first receipt counts, so clocks need not be
+//! synchronized.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `message` | packets between replicas, and their bounds |
 //! | `record` | contents of entries: served keys, executions of requests, rollout stages |
-//! | `log` | the entries of one origin |
+//! | `log` | entries of one origin |
 //! | `replica` | dissemination of new entries, anti-entropy, catching up after a start |
 //! | `merged_state` | merge of the records of all origins |
 //! | `stage` | rules by which rollout stages of other sidecars may only restrict this one |
-//! | `local_state` | what this sidecar publishes, and what the merged state makes it refuse |
+//! | `local_state` | records this sidecar publishes, and requests it refuses because of the merged state |
 //!
-//! Records of other sidecars only ever make a sidecar more careful; they are no evidence about the quality of a build.
+//! Records of other sidecars only ever make a sidecar more restrictive; they are not evidence about
+//! the quality of a build.
 
 mod local_state;
 mod log;
--- a/crates/replication/src/local_state.rs
+++ b/crates/replication/src/local_state.rs
@@ -1,4 +1,5 @@
-//! What a sidecar publishes of its own requests, keys and rollout stages, and what the merged state makes it refuse.
+//! Records that a sidecar publishes about its own requests, keys and rollout stages, and requests
+//! that it refuses because of the merged state.
 
 use crate::merged_state::MergedState;
 use crate::record::{ExecutionMark, Phase, Record, Stage};
@@ -6,18 +7,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time to live of a served key. In a release that lasts longer, a key that was last answered before that may go back to an older
-/// build at a sidecar that did not serve it itself.
+/// Time to live of a served key. In a release that takes longer, a sidecar that did not serve the
+/// key itself may route it back to an older build once this time has passed since its last answer.
 pub const KEY_TIME_TO_LIVE: Duration = Duration::from_secs(600);
-/// Time to live of an execution: a client that retries later than this is let through.
+/// Time to live of an execution. A client's retry after this time is not refused.
 pub const EXECUTION_TIME_TO_LIVE: Duration = Duration::from_secs(120);
 /// Time to live of a rollout stage.
 pub const STAGE_TIME_TO_LIVE: Duration = Duration::from_secs(3600);
-/// A served key is published again after this part of its time to live, so that it does not expire while it is in use.
+/// Fraction of its time to live after which a served key is published again, so that it does not
+/// expire while in use.
 const REFRESH_FRACTION: f64 = 0.5;
-/// A sidecar that has just started rejects requests that must not run twice until it has caught up, but no longer than this.
+/// Longest time after a start during which a sidecar that has not caught up refuses requests that
+/// must not run twice.
 const MAX_CATCH_UP_WAIT: Duration = Duration::from_secs(1);
-/// Published keys that are remembered at most, to bound memory.
+/// Maximum number of published keys to remember, which bounds memory.
 const MAX_KEYS: usize = 100_000;
 
 /// A request that must not run twice and has attempts in flight.
@@ -40,33 +43,34 @@
     }
 }
 
-/// Why a request is not sent.
+/// Reason why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Others may know a reason against it, and this sidecar has not caught up since its start.
+    /// Other sidecars may know a reason to refuse the request, and this one has not caught up since
+    /// its start.
     NotCaughtUp,
-    /// It must not run twice, and may have run.
+    /// The request must not run twice and may already have run.
     MayHaveRun,
 }
 
-/// The state of one sidecar from which it publishes records.
+/// State of one sidecar from which it derives the records to publish.
 #[derive(Clone, Debug)]
 pub struct LocalState {
     started_at: Duration,
-    /// Whether a key that a build served stays with that build or newer ones.
+    /// Whether a key that a build has served stays with that build or a newer one.
     sticky_keys: bool,
-    /// Cap of a build that the installer has not announced.
+    /// Cap for a build that the rollout service has not announced.
     first_cap: f64,
-    /// By the host's number of the request.
+    /// Keyed by the host's request number.
     requests: BTreeMap<u64, OpenRequest>,
     published_keys: BTreeMap<u64, PublishedKey>,
     stage: Option<Stage>,
-    /// Whether the installer announced a stage to this process.
+    /// Whether the rollout service announced a stage to this process.
     announced_directly: bool,
 }
 
 impl LocalState {
-    /// The state of a sidecar that starts now.
+    /// Creates the state of a sidecar that starts now.
     pub fn new(now: Duration, sticky_keys: bool, first_cap: f64) -> Self {
         Self {
             started_at: now,
@@ -79,12 +83,12 @@
         }
     }
 
-    /// The rollout stage that this sidecar applies.
+    /// Returns the rollout stage that this sidecar applies.
     pub fn stage(&self) -> Option<&Stage> {
         self.stage.as_ref()
     }
 
-    /// The installer announced a stage. Returns the record to publish.
+    /// Applies a stage announced by the rollout service. Returns the record to publish.
     pub fn stage_announced(&mut self, stage: Stage) -> Option<Record> {
         self.announced_directly = true;
         if self.stage.replace(stage) == Some(stage) {
@@ -93,8 +97,8 @@
         Some(Record::Stage(stage))
     }
 
-    /// Merges the stages of other sidecars, and of this sidecar's previous process, into the one it applies. `name` is its own name.
-    /// Returns the stage if it changes.
+    /// Merges the stages of other sidecars, and of the previous process of this sidecar, called
+    /// `name`, into the stage it applies. Returns the stage if it changed.
     pub fn merge_stages(&mut self, name: &str, merged: &MergedState) -> Option<Stage> {
         let current = self.stage.or_else(|| self.previous_stage(name, merged));
         let stages = merged.stages().map(|(_, stage)| stage);
@@ -106,7 +110,7 @@
         Some(stage)
     }
 
-    /// What the previous process of this sidecar knew, as far as it still holds.
+    /// Returns the stage known to this sidecar's previous process, as far as it is still valid.
     fn previous_stage(&self, name: &str, merged: &MergedState) -> Option<Stage> {
         if self.announced_directly {
             return None;
@@ -115,10 +119,11 @@
         stage_after_restart(*stage, self.first_cap)
     }
 
-    /// Whether a request must not be sent now.
+    /// Returns the reason why a request must not be sent now, if any.
     ///
-    /// `idempotency_key` is the hash of the key of a request that must not run twice. `caught_up` tells whether the replica has caught
-    /// up; until then, requests with a routing key are refused as well if the key may be bound to the newest build.
+    /// `idempotency_key` is the hash of the key of a request that must not run twice. Until the
+    /// replica has caught up (`caught_up`), requests with a routing key are refused as well if the
+    /// key may be bound to the newest build.
     pub fn refusal(
         &self,
         now: Duration,
@@ -145,7 +150,8 @@
             .is_some_and(|stage| matches!(stage.phase, Phase::OnTrial | Phase::Released))
     }
 
-    /// An attempt of a request that must not run twice is about to be sent. Returns the record to publish before.
+    /// Records that an attempt of a request that must not run twice is about to be sent. Returns
+    /// the record to publish before it is sent.
     pub fn attempt_started(&mut self, request: u64, idempotency_key: u64) -> Option<Record> {
         let is_first = !self.requests.contains_key(&request);
         let open = self.requests.entry(request).or_insert(OpenRequest {
@@ -154,7 +160,7 @@
             may_have_run: false,
         });
         open.attempts_in_flight += 1;
-        // After a record that it never ran, a further attempt has to be published again.
+        // After a `NeverRan` record, a further attempt has to be published again.
         let is_published = !is_first && (open.attempts_in_flight > 1 || open.may_have_run);
         if is_published {
             return None;
@@ -165,8 +171,9 @@
         })
     }
 
-    /// An attempt ended; `never_ran`: with proof that it did not run; `request_over`: no further attempt follows. Returns the record
-    /// to publish: once no attempt can have run, other sidecars may send the request.
+    /// Records the end of an attempt. `never_ran` means proof that it did not run, `request_over`
+    /// that no further attempt follows. Returns the record to publish: once no attempt can have
+    /// run, other sidecars may send the request.
     pub fn attempt_ended(
         &mut self,
         request: u64,
@@ -193,7 +200,7 @@
         })
     }
 
-    /// The host is done with a request; it is forgotten unless attempts are still in flight.
+    /// Forgets a request that the host has finished, unless attempts are still in flight.
     pub fn request_finished(&mut self, request: u64) {
         let open = self.requests.get(&request);
         if open.is_some_and(|open| open.attempts_in_flight == 0) {
@@ -201,9 +208,11 @@
         }
     }
 
-    /// A build answered a request of a key, given as its hash. Returns the record to publish.
+    /// Records that a build answered a request with a key, given as its hash. Returns the record to
+    /// publish.
     ///
-    /// Builds older than the announced one are not published: no key can go back to a build older still.
+    /// Builds older than the announced one are not published, because no key can return to an even
+    /// older build.
     pub fn key_served(&mut self, now: Duration, key: u64, build: u16) -> Option<Record> {
         if !self.sticky_keys || self.stage.is_none_or(|stage| build < stage.build) {
             return None;
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,15 +1,17 @@
-//! The local replica of one origin's entries.
+//! Local replica of one origin's entries.
 
 use crate::message::{Entry, SequenceRange};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Entries of one origin that are stored at most, to bound memory: beyond, the oldest are evicted and counted. With many origins the
-/// share of [`MAX_TOTAL_ENTRIES`] is the lower bound.
+/// Maximum number of stored entries of one origin, which bounds memory. Beyond it the oldest are
+/// evicted and counted. With many origins the origin's share of [`MAX_TOTAL_ENTRIES`] is the lower
+/// limit.
 pub const MAX_LOG_ENTRIES: usize = 50_000;
-/// Entries of all origins together that are stored at most.
+/// Maximum number of stored entries of all origins together.
 pub const MAX_TOTAL_ENTRIES: usize = 400_000;
-/// Sequence numbers beyond the contiguous part that are remembered at most: further entries are applied once the gap is closed.
+/// Maximum number of sequence numbers remembered beyond the contiguous part. Further entries are
+/// applied once the gap is closed.
 const MAX_OUT_OF_ORDER: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,11 +21,11 @@
     body: Vec<u8>,
 }
 
-/// The entries of one origin, as far as they were received and have not expired.
+/// Entries of one origin that were received and have not expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Log {
     contiguous_through: u64,
-    /// Sequence numbers that were received beyond the contiguous part.
+    /// Received sequence numbers beyond the contiguous part.
     out_of_order: BTreeSet<u64>,
     entries: BTreeMap<u64, StoredEntry>,
     /// Expiry time and sequence number of each stored entry.
@@ -32,22 +34,23 @@
 }
 
 impl Log {
-    /// All entries through this sequence number were received, or have expired.
+    /// Returns the sequence number through which all entries were received or have expired.
     pub fn contiguous_through(&self) -> u64 {
         self.contiguous_through
     }
 
-    /// How many entries are stored.
+    /// Returns the number of stored entries.
     pub fn live_entries(&self) -> usize {
         self.entries.len()
     }
 
-    /// How many entries were evicted before they expired.
+    /// Returns the number of entries evicted before they expired.
     pub fn evicted_entries(&self) -> u64 {
         self.evicted
     }
 
-    /// Stores an entry. Returns false if it was received before, or can't be told from one that was.
+    /// Stores an entry. Returns false if it was received before, or cannot be distinguished from
+    /// one that was.
     pub fn insert(&mut self, now: Duration, entry: &Entry) -> bool {
         let has_room = entry.sequence <= self.contiguous_through + 1
             || self.out_of_order.len() < MAX_OUT_OF_ORDER;
@@ -67,7 +70,8 @@
         entries: &[Entry],
     ) -> Vec<Entry> {
         if range.after > self.contiguous_through {
-            // A packet before this range was lost, so the range does not extend the contiguous part.
+            // A packet before this range was lost, so the range does not extend the contiguous
+            // part.
             return entries
                 .iter()
                 .filter(|entry| self.insert(now, entry))
@@ -141,7 +145,8 @@
         }
     }
 
-    /// The entry with its remaining time to live, rounded down so that passing it on never prolongs it.
+    /// Returns an entry with its remaining time to live, rounded down so that relaying never
+    /// extends it.
     pub(crate) fn get(&self, now: Duration, sequence: u64) -> Option<Entry> {
         let stored = self.entries.get(&sequence)?;
         let time_to_live_ms = stored.expires_at.checked_sub(now)?.as_millis() as u32;
@@ -153,7 +158,8 @@
         })
     }
 
-    /// Entries from a sequence number on, of at most `max_bytes` together, but at least one if there is one.
+    /// Returns entries starting at a sequence number, with at most `max_bytes` in total but at
+    /// least one entry if there is any.
     pub(crate) fn entries_from(&self, now: Duration, first: u64, max_bytes: usize) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
@@ -170,7 +176,7 @@
         entries
     }
 
-    /// Whether an entry is stored in a range.
+    /// Returns whether any entry in a range is stored.
     pub(crate) fn has_entry_in(&self, range: SequenceRange) -> bool {
         range.after < range.through
             && self
@@ -180,7 +186,7 @@
                 .is_some()
     }
 
-    /// All stored entries, by sequence number.
+    /// Returns all stored entries, ordered by sequence number.
     pub fn iter(&self, now: Duration) -> impl Iterator<Item = Entry> + '_ {
         self.entries
             .keys()
--- a/crates/replication/src/merged_state.rs
+++ b/crates/replication/src/merged_state.rs
@@ -1,12 +1,13 @@
 //! Merge of the records of all origins.
 //!
-//! Each rule is commutative and idempotent: records may come in any order and any number of times. No record makes an answer less
-//! careful, but for an origin's own later proof about its own attempts.
+//! Each rule is commutative and idempotent: records may arrive in any order and any number of
+//! times. No record makes an answer less restrictive, except an origin's own later proof about its
+//! own attempts.
 //!
 //! | record | rule |
 //! | --- | --- |
-//! | a build served a key | the newest build that served it, for as long as any of the records lives |
-//! | a request may have run | until each origin that sent it has proved later that it never ran, or the record expires |
+//! | a build served a key | the newest build that served it, as long as any of the records is live |
+//! | a request may have run | until each origin that sent it proves later that it never ran, or the record expires |
 //! | a rollout stage | the latest one of each sidecar; see [`most_restrictive_stage`](crate::most_restrictive_stage) |
 
 use crate::message::Origin;
@@ -15,8 +16,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Keys, and requests, that are stored at most, to bound memory. Records of further ones are dropped and counted, and have the same
-/// effect as if nobody had published them.
+/// Maximum number of keys, and of requests, which bounds memory. Records of further ones are
+/// counted and dropped, as if nobody had published them.
 const MAX_IDENTIFIERS: usize = 500_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,7 +26,7 @@
     expires_at: Duration,
 }
 
-/// One origin's latest record of a request.
+/// Latest record of one origin about a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ExecutionReport {
     sequence: u64,
@@ -33,34 +34,34 @@
     expires_at: Duration,
 }
 
-/// Order of a sidecar's records across its processes.
+/// Orders a sidecar's records across its processes.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct RecordVersion {
     incarnation: u64,
     sequence: u64,
 }
 
-/// What an expiry is for; keys come before requests of the same moment.
+/// Subject of an expiry; at equal times keys sort before requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Identifier {
     Key(u64),
     Request(u64),
 }
 
-/// The merged records of all origins.
+/// Merged records of all origins.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MergedState {
     dropped_records: u64,
     keys: BTreeMap<u64, ServedKey>,
-    /// By the hash of the idempotency key, then by origin.
+    /// Keyed by the hash of the idempotency key, then by origin.
     executions: BTreeMap<u64, BTreeMap<Origin, ExecutionReport>>,
-    /// By the sidecar's name.
+    /// Keyed by the sidecar's name.
     stages: BTreeMap<String, (RecordVersion, Stage)>,
     expiries: BTreeSet<(Duration, Identifier)>,
 }
 
 impl MergedState {
-    /// Merges a record that lives until `expires_at`. Returns whether it adds anything new.
+    /// Merges a record that expires at `expires_at`. Returns whether it adds anything new.
     pub fn apply(
         &mut self,
         origin: &Origin,
@@ -153,7 +154,7 @@
         is_new
     }
 
-    /// The newest build that served a key, given as its hash.
+    /// Returns the newest build that served a key, given as its hash.
     pub fn newest_build_served(&self, now: Duration, key: u64) -> Option<u16> {
         self.keys
             .get(&key)
@@ -161,7 +162,8 @@
             .map(|served| served.newest_build)
     }
 
-    /// Whether a request, given as the hash of its idempotency key, may have run through any sidecar.
+    /// Returns whether a request, given as the hash of its idempotency key, may have run through
+    /// any sidecar.
     pub fn may_have_run(&self, now: Duration, idempotency_key: u64) -> bool {
         self.executions
             .get(&idempotency_key)
@@ -170,24 +172,24 @@
             .any(|report| report.mark == ExecutionMark::MayHaveRun && now < report.expires_at)
     }
 
-    /// The latest stage of each sidecar, by the sidecar's name.
+    /// Returns the latest stage of each sidecar with the sidecar's name.
     pub fn stages(&self) -> impl Iterator<Item = (&str, &Stage)> {
         self.stages
             .iter()
             .map(|(name, (_, stage))| (name.as_str(), stage))
     }
 
-    /// How many records were dropped because the state was full.
+    /// Returns the number of records dropped because the state was full.
     pub fn dropped_records(&self) -> u64 {
         self.dropped_records
     }
 
-    /// How many keys and how many requests are stored.
+    /// Returns the number of stored keys and of stored requests.
     pub fn key_and_request_counts(&self) -> (usize, usize) {
         (self.keys.len(), self.executions.len())
     }
 
-    /// Removes what has expired.
+    /// Removes expired records.
     pub fn expire(&mut self, now: Duration) {
         while let Some((expires_at, identifier)) = self.expiries.first().copied() {
             if expires_at > now {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,68 +1,71 @@
-//! Packets between replicas, and the bounds that a received packet has to keep.
+//! Packets between replicas, and the bounds on received packets.
 //!
-//! An entry's body is opaque to the replicas that pass it on: an entry published by a later version of the program is stored and
-//! forwarded by an earlier one that can't decode it. Packets are encoded with postcard, which goes by the order of fields and
-//! variants: append, never reorder.
+//! An entry's body is opaque to the replicas that relay it: an earlier version of the program
+//! stores and relays entries published by a later version that it cannot decode. Packets are
+//! encoded with postcard, which depends on the order of fields and variants: append, never reorder.
 
 use limewing_versioned_codec::{decode, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Largest encoded packet in bytes: it has to fit into one direct message of the membership protocol.
+/// Maximum size of an encoded packet in bytes; it has to fit into one direct message of the
+/// membership protocol.
 pub const MAX_PACKET_BYTES: usize = 1000;
-/// Largest body of an entry, in bytes.
+/// Maximum size of an entry's body in bytes.
 pub const MAX_BODY_BYTES: usize = 200;
-/// Longest name of a sidecar, in bytes.
+/// Maximum length of a sidecar's name in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
-/// Longest time to live of an entry.
+/// Maximum time to live of an entry.
 pub(crate) const MAX_TIME_TO_LIVE: Duration = Duration::from_secs(86_400);
-/// Most log positions in one packet.
+/// Maximum number of log positions in one packet.
 pub(crate) const MAX_POSITIONS: usize = 8;
-/// Largest sequence number.
+/// Maximum sequence number.
 pub const MAX_SEQUENCE: u64 = 1 << 48;
-/// Bytes of an encoded entry beside its body, at most: sequence number, time to live, kind and length as variable-length integers.
+/// Maximum encoded size in bytes of an entry without its body: sequence number, time to live, kind
+/// and length as variable-length integers.
 const MAX_ENTRY_HEADER_BYTES: usize = 20;
 const FORMAT_VERSION: u8 = 1;
 
-/// One process of one sidecar: the source of a log.
+/// One process of one sidecar, the source of a log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin {
-    /// The sidecar's name.
+    /// Name of the sidecar.
     pub name: String,
-    /// When the process started, in milliseconds of its own clock: a later process of the same name has the greater one.
+    /// Start of the process in milliseconds of its own clock. A later process of the same name has
+    /// a greater one.
     pub incarnation: u64,
 }
 
 /// One numbered item of an origin's log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position in the origin's log, from 1 on.
+    /// Position in the origin's log, starting at 1.
     pub sequence: u64,
-    /// Remaining time to live, in milliseconds.
+    /// Remaining time to live in milliseconds.
     pub time_to_live_ms: u32,
-    /// Kind of the record in the body, see [`Record::kind`](crate::Record::kind).
+    /// Kind of the record in the body; see [`Record::kind`](crate::Record::kind).
     pub kind: u8,
     /// The encoded record.
     pub body: Vec<u8>,
 }
 
 impl Entry {
-    /// Upper bound of the bytes that the entry takes in a packet.
+    /// Returns an upper bound of the bytes that the entry takes in a packet.
     pub(crate) fn max_encoded_bytes(&self) -> usize {
         self.body.len() + MAX_ENTRY_HEADER_BYTES
     }
 }
 
-/// How far a replica of a log is complete.
+/// Position through which a replica of a log is complete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// Whose log it is.
+    /// Origin of the log.
     pub origin: Origin,
-    /// All entries through this sequence number were received, or have expired.
+    /// All entries through this sequence number were received or have expired.
     pub contiguous_through: u64,
 }
 
-/// Sequence numbers greater than `after`, through `through`.
+/// Sequence numbers greater than `after`, up to and including `through`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SequenceRange {
     /// Exclusive lower bound.
@@ -81,61 +84,63 @@
     }
 }
 
-/// What one replica tells another.
+/// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Entries of one origin.
     Entries {
-        /// Whose entries they are.
+        /// Origin of the entries.
         origin: Origin,
-        /// If given, these are all entries of the range that have not expired.
+        /// If set, `entries` are all entries of this range that have not expired.
         range: Option<SequenceRange>,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// Positions of all logs that the sender has in an interval of origins; the receiver answers with a `DigestReply`.
+    /// Positions of all logs that the sender has in an interval of origins. The receiver answers
+    /// with a `DigestReply`.
     Digest {
-        /// Number of the request, repeated in the reply.
+        /// Request number, repeated in the reply.
         request: u32,
-        /// Exclusive lower bound of the interval; `None`: from the first origin on.
+        /// Exclusive lower bound of the interval; `None` starts at the first origin.
         after: Option<Origin>,
-        /// Inclusive upper bound of the interval; `None`: through the last origin.
+        /// Inclusive upper bound of the interval; `None` ends at the last origin.
         through: Option<Origin>,
         /// The sender's positions.
         positions: Vec<LogPosition>,
     },
-    /// Answer to a `Digest`. Entries of the logs in which its sender is ahead follow in packets of their own.
+    /// Answer to a `Digest`. Entries of the logs in which its sender is ahead follow in separate
+    /// packets.
     DigestReply {
-        /// Number of the request.
+        /// Request number of the digest.
         request: u32,
-        /// The reply covers origins through this one; `None`: all that the digest covered.
+        /// The reply covers origins through this one; `None` means all that the digest covered.
         through: Option<Origin>,
         /// The replying replica's positions in logs in which it is behind.
         behind: Vec<LogPosition>,
-        /// Its positions in logs in which it is ahead.
+        /// The replying replica's positions in logs in which it is ahead.
         ahead: Vec<LogPosition>,
         /// Whether the replying replica has itself caught up since its start.
         caught_up: bool,
     },
 }
 
-/// The unit that is sent over the network.
+/// Unit of transmission between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// The one message in it.
+    /// The message that the packet carries.
     pub message: Message,
 }
 
-/// Why received bytes are no usable packet.
+/// Reason why received bytes are not a valid packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// The packet was written by a version with another format.
+    /// The packet has another format version.
     #[error("the replication packet has another format version than {FORMAT_VERSION}")]
     Version,
-    /// The bytes don't decode.
+    /// The bytes cannot be decoded.
     #[error("the bytes are no replication packet")]
     Malformed,
-    /// The packet decodes, but exceeds a bound of this module.
+    /// The packet can be decoded but exceeds a bound of this module.
     #[error(
         "the replication packet is longer than {MAX_PACKET_BYTES} bytes, or a name, a body, a sequence number, \
          a time to live or the number of log positions in it is out of bounds"
@@ -153,7 +158,7 @@
 }
 
 impl Packet {
-    /// The packet's bytes.
+    /// Encodes the packet.
     pub fn encode(&self) -> Vec<u8> {
         encode(FORMAT_VERSION, self)
     }
--- a/crates/replication/src/replica/anti_entropy.rs
+++ b/crates/replication/src/replica/anti_entropy.rs
@@ -1,26 +1,30 @@
-//! Anti-entropy: a replica sends a peer the positions of some of its logs, the peer replies with where it is behind and ahead, and
-//! each sends the other the entries that it lacks. A round goes through all logs in the order of their origins.
+//! Anti-entropy: a replica sends a peer its positions in some of its logs, the peer replies with
+//! the logs in which it is behind and ahead, and each sends the other the missing entries. A round
+//! covers all logs in the order of their origins.
 //!
-//! A replica that has just started compares as soon as it is answered, each time with another random peer, until it has all that a
-//! caught-up peer had when it was first asked: then it has caught up itself. Where no peer has caught up, as when a whole fleet
-//! starts at once, there is nobody to wait for.
+//! A replica that has just started requests the next comparison as soon as one is answered, each
+//! time with another random peer. It has caught up once it has everything that a caught-up peer had
+//! when that peer was first asked. If no peer has caught up, as when a whole fleet starts at once,
+//! there is nobody to wait for.
 
 use super::{Replica, MAX_BATCH_BYTES};
 use crate::message::{Entry, LogPosition, Message, Origin, SequenceRange, MAX_POSITIONS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// If this many peers have not caught up, nobody has. With random peers of a fleet of which three in ten kept running, one round
-/// in 90,000 concludes that wrongly.
+/// Number of peers that have to report that they have not caught up before a replica concludes that
+/// no peer has. With random peers of a fleet of which three in ten kept running, one round in
+/// 90,000 concludes this wrongly.
 const COLD_START_PEERS: usize = 32;
-/// Packets of entries in reply to one digest, so that one peer that is far behind does not use up the budget.
+/// Maximum number of packets with entries in reply to one digest, so that a single peer that is far
+/// behind does not use up the budget.
 const MAX_PACKETS_PER_REPLY: usize = 4;
 /// Gossip intervals between two digests.
 const SYNC_INTERVALS: u32 = 4;
-/// Gossip intervals that a reply is waited for.
+/// Gossip intervals after which a digest without a reply times out.
 const REPLY_TIMEOUT_INTERVALS: u32 = 8;
 
-/// Origins greater than `after`, through `through`; `None` is unbounded.
+/// Origins greater than `after`, up to and including `through`; `None` is unbounded.
 pub(super) struct OriginInterval {
     pub(super) after: Option<Origin>,
     pub(super) through: Option<Origin>,
@@ -44,7 +48,7 @@
     pub(super) caught_up: bool,
 }
 
-/// A digest that has not been replied to.
+/// A digest that has not been answered.
 #[derive(Clone, Debug)]
 struct PendingDigest {
     request: u32,
@@ -55,14 +59,14 @@
 /// Progress of one round through all logs.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SyncRound {
-    /// Logs through this origin are compared; `None`: none yet.
+    /// Logs through this origin have been compared; `None` if none has.
     compared_through: Option<Origin>,
     pending: Option<PendingDigest>,
     /// While catching up: positions that caught-up peers had when they were first asked.
     required: BTreeMap<Origin, u64>,
     /// Origins whose required position was reached.
     satisfied: BTreeSet<Origin>,
-    /// Peers that reported not to have caught up, since one last reported that it has.
+    /// Peers that reported that they have not caught up, since a peer last reported that it has.
     peers_not_caught_up: BTreeSet<String>,
 }
 
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Sends a digest of the next logs of the round to a random peer, if it is time.
+    /// Sends a digest of the next logs of the round to a random peer, if one is due.
     pub(super) fn start_sync(&mut self, now: Duration) {
         // After a timeout the same logs are compared with another peer.
         self.round
@@ -117,7 +121,7 @@
         self.send(&peer, digest);
     }
 
-    /// Sends a peer what it lacks of the logs in which it is behind.
+    /// Sends a peer the missing entries of the logs in which it is behind.
     pub(super) fn repair(&mut self, now: Duration, peer: &str, behind: &[LogPosition]) {
         for position in behind {
             self.record_acknowledgement(peer, position);
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Goes on with the round after the reply to the pending digest; other replies are ignored.
+    /// Continues the round after the reply to the pending digest. Other replies are ignored.
     pub(super) fn finish_sync(&mut self, now: Duration, from: &str, reply: ReplySummary) {
         let pending = &mut self.round.pending;
         let Some(digest) = pending.take_if(|pending| pending.request == reply.request) else {
@@ -142,7 +146,8 @@
         }
     }
 
-    /// While catching up: the compared logs are done once a caught-up peer is no longer ahead of what the first such peer had.
+    /// While catching up: completes the compared logs once a caught-up peer is no longer ahead of
+    /// what the first such peer had.
     fn track_catch_up(
         &mut self,
         now: Duration,
@@ -164,7 +169,7 @@
         let is_covered = |origin: &Origin| through.as_ref().is_none_or(|through| origin <= through);
         self.update_required(&ahead, is_covered);
         if self.round.required.keys().any(is_covered) {
-            // The entries are on their way.
+            // The entries are in transit.
             self.next_sync = now + self.config.gossip_interval;
             return;
         }
@@ -173,7 +178,8 @@
         self.round.satisfied.clear();
     }
 
-    /// Adds the positions of logs in which a peer is ahead to the required ones, and moves those reached to the satisfied ones.
+    /// Adds the positions of logs in which a peer is ahead to the required ones, and moves reached
+    /// origins to the satisfied ones.
     fn update_required(&mut self, ahead: &[LogPosition], is_covered: impl Fn(&Origin) -> bool) {
         let round = &mut self.round;
         for position in ahead {
@@ -198,7 +204,7 @@
         round.required = required;
     }
 
-    /// A peer reported how far it has the own log.
+    /// Records a peer's reported position in this replica's own log.
     fn record_acknowledgement(&mut self, from: &str, position: &LogPosition) {
         let is_own = position.origin == self.config.origin;
         if is_own && self.peers.iter().any(|name| name == from) {
@@ -207,7 +213,8 @@
         }
     }
 
-    /// Compares a peer's positions with the own ones, replies, and sends what the peer lacks.
+    /// Compares a peer's positions with this replica's, replies, and sends the entries the peer
+    /// lacks.
     pub(super) fn reply_to_digest(
         &mut self,
         now: Duration,
@@ -255,7 +262,7 @@
         }
     }
 
-    /// Sends a peer entries of a log from its position on, and returns how many packets that took.
+    /// Sends a peer entries of a log from its position on. Returns the number of packets sent.
     fn send_missing(
         &mut self,
         now: Duration,
@@ -281,7 +288,8 @@
         packets
     }
 
-    /// One packet's worth of entries after a sequence number, with the range that they are complete for: at most the contiguous part.
+    /// Returns one packet's worth of entries after a sequence number, with the range for which they
+    /// are complete. The range ends within the contiguous part.
     fn next_batch(
         &self,
         now: Duration,
@@ -309,7 +317,7 @@
     }
 }
 
-/// The first logs in which this replica is ahead of a peer, as many as fit into a reply.
+/// Returns the first logs in which this replica is ahead of a peer, as many as fit into a reply.
 fn positions_ahead(
     ours: &BTreeMap<Origin, u64>,
     theirs: &BTreeMap<&Origin, u64>,
@@ -324,7 +332,7 @@
         .collect()
 }
 
-/// The own positions in logs in which this replica is behind a peer.
+/// Returns this replica's positions in logs in which it is behind a peer.
 fn positions_behind(
     ours: &BTreeMap<Origin, u64>,
     theirs: &BTreeMap<&Origin, u64>,
--- a/crates/replication/src/replica/dissemination.rs
+++ b/crates/replication/src/replica/dissemination.rs
@@ -1,4 +1,4 @@
-//! Gossip of new entries: each replica passes on once what is new to it.
+//! Gossip of new entries: each replica relays an entry once, when it is new to it.
 
 use super::{Replica, MAX_BATCH_BYTES, MAX_LOGS};
 use crate::log::MAX_TOTAL_ENTRIES;
@@ -6,7 +6,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// New entries that wait to be gossiped at most: beyond, the oldest are left to anti-entropy.
+/// Maximum number of new entries waiting to be gossiped. Beyond it the oldest are left to
+/// anti-entropy.
 const MAX_GOSSIP_QUEUE: usize = 4096;
 
 impl Replica {
@@ -17,7 +18,8 @@
         self.gossip_queue.push_back((origin, sequence));
     }
 
-    /// Sends the queued entries, those of one origin together, as far as the budget allows; the others stay queued.
+    /// Sends the queued entries, grouped by origin, as far as the budget allows. The others stay
+    /// queued.
     pub(super) fn gossip(&mut self, now: Duration) {
         if self.peers.is_empty() {
             return;
@@ -65,7 +67,7 @@
         while let Some(sequence) = sequences.pop_front() {
             let log = self.logs.get(origin);
             let Some(entry) = log.and_then(|log| log.get(now, sequence)) else {
-                // Expired while it was queued.
+                // The entry expired while it was queued.
                 continue;
             };
             if bytes + entry.max_encoded_bytes() > MAX_BATCH_BYTES {
@@ -78,7 +80,8 @@
         entries
     }
 
-    /// In a small fleet an origin sends to all peers itself, and one copy from each of them is enough to make up for loss.
+    /// Returns the number of peers to send an entry to. In a small fleet the origin itself sends to
+    /// all peers, and one relayed copy from each of them is enough to make up for loss.
     fn fanout_for(&self, origin: &Origin) -> usize {
         let is_small_fleet = self.peers.len() <= self.config.gossip_fanout * 2;
         if !is_small_fleet {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Stores received entries, and queues new ones for the host and for gossip.
+    /// Stores received entries and queues new ones for the host and for gossip.
     pub(super) fn apply_entries(
         &mut self,
         now: Duration,
@@ -98,7 +101,7 @@
         range: Option<SequenceRange>,
         entries: &[Entry],
     ) {
-        // This process knows its own log best.
+        // This process is the authority on its own log.
         let is_own = *origin == self.config.origin;
         let is_beyond_limit = self.logs.len() >= MAX_LOGS && !self.logs.contains_key(origin);
         if is_own || is_beyond_limit {
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -1,12 +1,14 @@
 //! One sidecar's replica of the logs of all origins.
 //!
-//! New entries are gossiped to a few random peers, each of which passes on once what is new to it (`dissemination`). Beside that
-//! the replica compares its logs with one peer at a time, and each of the two sends what the other lacks (`anti_entropy`): this
-//! delivers what was lost, or published while a sidecar was partitioned, stopped or not running. See Demers et al., "Epidemic
-//! Algorithms for Replicated Database Maintenance", PODC 1987, for rumor mongering backed by anti-entropy.
+//! New entries are gossiped to a few random peers, each of which relays an entry once, when it is
+//! new to it (`dissemination`). In addition the replica compares its logs with one peer at a time,
+//! and each of the two sends what the other lacks (`anti_entropy`). This delivers entries that were
+//! lost, or were published while a sidecar was partitioned, stopped or not running. See Demers et
+//! al., "Epidemic Algorithms for Replicated Database Maintenance", PODC 1987, on rumor mongering
+//! backed by anti-entropy.
 //!
-//! Traffic is bounded by [`ReplicaConfig::bytes_per_second`], of which half is reserved for new entries; memory by the numbers of
-//! logs and of entries.
+//! Traffic is bounded by [`ReplicaConfig::bytes_per_second`], half of which is reserved for new
+//! entries. Memory is bounded by the number of logs and of entries.
 
 mod anti_entropy;
 mod dissemination;
@@ -20,44 +22,45 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Logs that are stored at most, to bound memory: beyond, no logs of new origins are accepted, and empty ones are removed first.
+/// Maximum number of stored logs, which bounds memory. Beyond it logs of new origins are not
+/// accepted, and empty logs are removed first.
 pub(crate) const MAX_LOGS: usize = 2048;
-/// An empty log is remembered for this long, so that entries that are still on their way are recognized as known.
+/// How long an empty log is remembered, so that entries still in transit are recognized as known.
 const EMPTY_LOG_RETENTION: Duration = Duration::from_secs(120);
-/// Packets that wait to be sent at most: beyond, packets are dropped.
+/// Maximum number of packets waiting to be sent. Beyond it packets are dropped.
 const MAX_OUTBOX: usize = 512;
-/// Bytes of entries in one packet: the rest is for the packet's own fields and the origin.
+/// Maximum bytes of entries in one packet; the rest is for the packet's own fields and the origin.
 const MAX_BATCH_BYTES: usize = MAX_PACKET_BYTES - 80;
 
 /// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// This process.
+    /// Origin of this process.
     pub origin: Origin,
-    /// How often new entries are gossiped; logs are compared at a quarter of this rate.
+    /// Interval at which new entries are gossiped. Logs are compared at a quarter of this rate.
     pub gossip_interval: Duration,
-    /// Number of peers that a new entry is sent to.
+    /// Number of peers to which a new entry is sent.
     pub gossip_fanout: usize,
-    /// Bound of the bytes sent per second.
+    /// Maximum number of bytes sent per second.
     pub bytes_per_second: u32,
     /// Seed of the random choice of peers.
     pub seed: u64,
 }
 
-/// The local replica of all origins' logs.
+/// Local replica of the logs of all origins.
 #[derive(Clone)]
 pub struct Replica {
     config: ReplicaConfig,
     logs: BTreeMap<Origin, Log>,
-    /// Since when logs have been empty.
+    /// Time since which a log has been empty.
     empty_since: BTreeMap<Origin, Duration>,
     /// Names of the other sidecars.
     peers: Vec<String>,
-    /// New entries to be gossiped.
+    /// New entries to gossip.
     gossip_queue: VecDeque<(Origin, u64)>,
-    /// New entries of other origins that the host has not taken out yet.
+    /// New entries of other origins that the host has not taken yet.
     applied: VecDeque<(Origin, Entry)>,
-    /// By peer: through which sequence number it has reported to have the own log.
+    /// The position in this replica's own log that each peer has reported.
     acknowledged: BTreeMap<String, u64>,
     round: SyncRound,
     caught_up: bool,
@@ -71,7 +74,7 @@
 }
 
 impl Replica {
-    /// A replica with an empty log of its own, and no peers.
+    /// Creates a replica with an empty log of its own and no peers.
     pub fn new(now: Duration, config: ReplicaConfig) -> Self {
         Self {
             logs: BTreeMap::from([(config.origin.clone(), Log::default())]),
@@ -93,7 +96,8 @@
         }
     }
 
-    /// Sets the names of the sidecars that are believed to be running; the own one is ignored.
+    /// Sets the names of the sidecars that are believed to be running; this one's own name is
+    /// ignored.
     pub fn set_peers(&mut self, names: impl Iterator<Item = String>) {
         self.peers = names
             .filter(|name| *name != self.config.origin.name)
@@ -102,27 +106,28 @@
             .retain(|name, _| self.peers.contains(name));
     }
 
-    /// This process.
+    /// Returns the origin of this process.
     pub fn origin(&self) -> &Origin {
         &self.config.origin
     }
 
-    /// Whether the replica has all that its peers had when it started, or none of them has caught up either.
+    /// Returns whether the replica has everything that its peers had when it started, or no peer
+    /// has caught up either.
     pub fn caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// The logs of all origins, the own one included.
+    /// Returns the logs of all origins, including its own.
     pub fn logs(&self) -> impl Iterator<Item = (&Origin, &Log)> {
         self.logs.iter()
     }
 
-    /// Bytes of all packets so far.
+    /// Returns the total size of all packets sent so far.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// How many peers have reported to have an entry of the own log.
+    /// Returns the number of peers that have reported having an entry of this replica's own log.
     pub fn acknowledgement_count(&self, sequence: u64) -> usize {
         self.acknowledged
             .values()
@@ -143,29 +148,29 @@
         };
         log.insert(now, &entry);
         self.enqueue_gossip(origin, sequence);
-        // An execution is gossiped at once, because it has to outlive this process.
+        // An execution has to survive this process, so it is gossiped at once.
         if matches!(record, Record::Execution { .. }) {
             self.next_gossip = self.next_gossip.min(now);
         }
         sequence
     }
 
-    /// The next new entry of another origin; each entry comes once.
+    /// Takes the next new entry of another origin. Each entry is returned once.
     pub fn take_applied(&mut self) -> Option<(Origin, Entry)> {
         self.applied.pop_front()
     }
 
-    /// The next packet to send, with the name of the peer to send it to.
+    /// Takes the next packet to send, with the name of the receiving peer.
     pub fn take_packet(&mut self) -> Option<(String, Packet)> {
         self.outbox.pop_front()
     }
 
-    /// When [`tick`](Self::tick) has to be called next.
+    /// Returns when [`tick`](Self::tick) has to be called next.
     pub fn next_tick(&self) -> Duration {
         self.next_gossip.min(self.next_sync_deadline())
     }
 
-    /// Does what is due by now.
+    /// Runs all timers that are due.
     pub fn tick(&mut self, now: Duration) {
         self.budget.refill(now);
         if now >= self.next_gossip {
@@ -176,7 +181,7 @@
         self.start_sync(now);
     }
 
-    /// Handles a packet from the peer of this name.
+    /// Handles a packet from the peer `from`.
     pub fn receive(&mut self, now: Duration, from: &str, packet: Packet) {
         self.budget.refill(now);
         match packet.message {
@@ -224,7 +229,7 @@
         self.outbox.push_back((to.to_owned(), packet));
     }
 
-    /// Draws at most `count` different peers, none of the name `except`.
+    /// Draws at most `count` distinct peers, excluding the name `except`.
     fn draw_peers(&mut self, count: usize, except: &str) -> Vec<String> {
         let mut drawn = Vec::new();
         let mut candidates: Vec<usize> = (0..self.peers.len())
@@ -238,7 +243,8 @@
         drawn
     }
 
-    /// Removes expired entries, and logs that have been empty for long.
+    /// Removes expired entries, and empty logs after `EMPTY_LOG_RETENTION` or at once above
+    /// `MAX_LOGS`.
     fn expire(&mut self, now: Duration) {
         let entries_per_log = MAX_TOTAL_ENTRIES / self.logs.len().max(1);
         for (origin, log) in &mut self.logs {
--- a/crates/replication/src/send_budget.rs
+++ b/crates/replication/src/send_budget.rs
@@ -1,8 +1,8 @@
-//! A token bucket over the bytes that a replica sends.
+//! Token bucket over the bytes that a replica sends.
 
 use std::time::Duration;
 
-/// Bytes that may be sent now; holds one second's worth at most. A packet may overdraw it, and the next ones wait.
+/// Holds at most one second's worth of bytes. A packet may overdraw it, which delays the next ones.
 #[derive(Clone, Debug)]
 pub(crate) struct SendBudget {
     bytes_per_second: f64,
@@ -31,12 +31,13 @@
         self.available -= bytes as f64;
     }
 
-    /// Whether a new entry may be sent.
+    /// Returns whether a new entry may be sent.
     pub(crate) fn allows_gossip(&self) -> bool {
         self.available > 0.0
     }
 
-    /// Whether a peer that is behind may be sent what it lacks: half of the budget is reserved for new entries.
+    /// Returns whether missing entries may be sent to a peer that is behind. Half of the budget is
+    /// reserved for new entries.
     pub(crate) fn allows_repair(&self) -> bool {
         self.available > self.bytes_per_second / 2.0
     }
--- a/crates/replication/src/stage.rs
+++ b/crates/replication/src/stage.rs
@@ -1,9 +1,11 @@
-//! Rules by which rollout stages known from other sidecars may only restrict what this sidecar sends to a build.
+//! Rules by which rollout stages received from other sidecars can only restrict the traffic that
+//! this sidecar sends to a build.
 
 use crate::record::{Phase, Stage};
 use std::cmp::Ordering;
 
-/// By number, if both have one. Else by build and progress: of one build a later stage is newer, and an end is newer than a trial.
+/// Compares by number if both stages have one, otherwise by build and progress. For the same build
+/// a later stage is newer, and the end of a rollout is newer than a trial.
 fn is_newer(stage: &Stage, other: &Stage) -> bool {
     if stage.number != 0 && other.number != 0 && stage.number != other.number {
         return stage.number > other.number;
@@ -11,7 +13,8 @@
     (stage.build, stage.phase, stage.stage) > (other.build, other.phase, other.stage)
 }
 
-/// Whether a stage is no older than `current` and only restricts it: the same build rolls back, or has a lower cap.
+/// Returns whether a stage is no older than `current` and only restricts it: the same build rolls
+/// back or has a lower cap.
 fn only_restricts(stage: &Stage, current: &Stage) -> bool {
     let both_on_trial = stage.phase == Phase::OnTrial && current.phase == Phase::OnTrial;
     let lowers_cap = both_on_trial && stage.cap < current.cap;
@@ -23,10 +26,11 @@
     matches!(stage.phase, Phase::RollingBack | Phase::RolledBack)
 }
 
-/// What a restarted sidecar may take over from the stage that its previous process knew, until the installer announces one.
+/// Returns the stage that a restarted sidecar takes over from its previous process until the
+/// rollout service announces one.
 ///
-/// A build on trial goes back to the first stage with at most `first_cap`, because the rollout may have been reduced meanwhile. A
-/// rollback is kept; a release is not.
+/// A build on trial returns to the first stage with at most `initial_cap`, because its cap may have
+/// been lowered meanwhile. A rollback is kept; a release is not.
 pub fn stage_after_restart(previous: Stage, first_cap: f64) -> Option<Stage> {
     match previous.phase {
         Phase::OnTrial => Some(Stage {
@@ -39,10 +43,12 @@
     }
 }
 
-/// The stage that a sidecar adopts from the other sidecars' stages, given its `current` one; `None` if nothing changes.
+/// Returns the stage that a sidecar adopts from the other sidecars' stages, given its `current`
+/// one, or `None` if nothing changes.
 ///
-/// Only stages that restrict the current one count, and of these the most restrictive wins, whatever their order. Without a
-/// current stage only a rollback is adopted. A newer stage that would allow more is left to the installer to announce.
+/// Only stages that restrict the current one count, and the most restrictive of them wins
+/// regardless of their order. Without a current stage only a rollback is adopted. A newer stage
+/// that would allow more traffic takes effect only when the rollout service announces it.
 pub fn most_restrictive_stage<'a>(
     current: Option<Stage>,
     others: impl Iterator<Item = &'a Stage>,
@@ -59,7 +65,7 @@
     }
 }
 
-/// The more restrictive stage is the greater one: a rollback over a trial, then the lower cap.
+/// Orders by restriction: a rollback is greater than a trial, then a lower cap is greater.
 fn compare_restriction(a: &Stage, b: &Stage) -> Ordering {
     is_rollback(a)
         .cmp(&is_rollback(b))
--- a/crates/replication/tests/bounds.rs
+++ b/crates/replication/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Packets and logs keep their bounds, whatever is received.
+//! Packets and logs stay within their bounds whatever is received.
 
 mod helpers;
 
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Entries and ranges in any order and with any losses: a log is contiguous only as far as it received everything.
+    /// Entries and ranges may arrive in any order and with any losses: a log is contiguous only as
+    /// far as it received everything.
     #[test]
     fn a_log_is_contiguous_only_through_what_it_received(
         singles in prop::collection::vec(1u64..30, 0..40),
--- a/crates/replication/tests/digest.rs
+++ b/crates/replication/tests/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of all that replication puts out over twenty simulated fleets with faults: packets,
-//! applied records, what each member goes by, and the logs. A refactoring that keeps the behaviour
-//! keeps the digest.
+//! Digest of all output of replication over twenty simulated fleets with faults: packets, applied
+//! records, the state of each member, and the logs. A refactoring that preserves the behaviour
+//! preserves the digest.
 
 mod helpers;
 
@@ -18,7 +18,7 @@
 const SEEDS: u64 = 20;
 const MEMBERS: usize = 12;
 const FAULT_SECONDS: f64 = 40.0;
-/// Long enough for all records that were published to expire.
+/// Long enough for all published records to expire.
 const SECONDS: u64 = 75;
 const ACTION_INTERVAL: Duration = Duration::from_millis(90);
 const KEYS: u64 = 200;
@@ -98,13 +98,13 @@
     digest.number(origin.incarnation);
 }
 
-/// A request that may not run twice, and how many attempts of it are under way.
+/// A request that must not run twice, with its number of attempts in flight.
 struct Request {
     number: u64,
     attempts: u32,
 }
 
-/// A sidecar's use of replication: it publishes what it does and goes by what it knows.
+/// A sidecar that publishes records of its actions and applies those of the other sidecars.
 struct Node {
     number: usize,
     replica: Replica,
@@ -124,7 +124,7 @@
     fn publish(&mut self, now: Duration, record: Option<Record>) {
         observe(|digest| observe_fact(digest, record.as_ref()));
         let Some(record) = record else { return };
-        // Some expire on their way.
+        // Some records expire in transit.
         let life = if self.draw(10) == 0 {
             Duration::from_millis(120)
         } else {
@@ -155,7 +155,8 @@
             Phase::RolledBack,
         ];
         let phase = phases[self.draw(4) as usize];
-        // All see about the same rollout, some of them late; some sources don't count.
+        // All members see about the same rollout, some of them late. Some sources do not number
+        // their stages.
         let progress = now.as_secs() / 6;
         let number = (progress + self.draw(2)) * u64::from(self.draw(8) > 0);
         let build = (1 + progress / 3) as u16;
@@ -213,7 +214,7 @@
         self.publish(now, record);
     }
 
-    /// Takes in what is new and goes by it.
+    /// Applies new entries and merges the stages in them.
     fn apply(&mut self, now: Duration) {
         let mut news = false;
         while let Some((origin, entry)) = self.replica.take_applied() {
--- a/crates/replication/tests/exploration.rs
+++ b/crates/replication/tests/exploration.rs
@@ -1,4 +1,5 @@
-//! Random interleavings of what may happen among three replicas that catch up with each other, with planted faults that they must find.
+//! Random interleavings of events among three replicas that catch up with each other. The checks
+//! must find deliberately injected faults.
 
 mod helpers;
 
@@ -12,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlantedFault {
     None,
-    /// Ranges claim to be complete from the beginning on, whatever was lost before.
+    /// Ranges claim to be complete from the beginning regardless of earlier losses.
     ClaimsCompleteness,
     /// An entry counts as applied a second time.
     AppliesTwice,
@@ -54,7 +55,7 @@
         replica
     }
 
-    /// Does one random thing of all that may happen next, and returns what it violates.
+    /// Performs one random event and returns the violated property, if any.
     fn step(&mut self, rng: &mut WyRand) -> Option<String> {
         let node = rng.generate_range(0..3usize);
         match rng.generate_range(0..100u32) {
@@ -105,7 +106,7 @@
         self.nodes[node] = (replica, BTreeSet::new());
     }
 
-    /// Delivers a random packet; one in four stays in transit and is delivered again.
+    /// Delivers a random packet. One in four stays in transit and is delivered again.
     fn deliver(&mut self, rng: &mut WyRand) {
         let index = rng.generate_range(0..self.in_transit.len());
         let (from, to, mut packet) = self.in_transit.swap_remove(index);
@@ -123,7 +124,7 @@
         self.nodes[to].0.receive(self.now, NAMES[from], packet);
     }
 
-    /// Takes out what the replicas send and have applied.
+    /// Takes the packets that the replicas send and the entries that they have applied.
     fn collect(&mut self) -> Option<String> {
         for (from, (replica, received)) in self.nodes.iter_mut().enumerate() {
             while let Some((to, packet)) = replica.take_packet() {
@@ -145,7 +146,8 @@
         None
     }
 
-    /// A log that is contiguous through a number has received all entries through it, or they have expired.
+    /// Checks that a log that is contiguous through a number has received all entries through it,
+    /// except expired ones.
     fn find_violation(&self) -> Option<String> {
         for (number, (replica, received)) in self.nodes.iter().enumerate() {
             for (origin, log) in replica
@@ -172,7 +174,8 @@
     }
 }
 
-/// Random interleavings of ticks, publications, losses, duplicates, restarts and passing time; the first violation, with its seed and step.
+/// Explores random interleavings of ticks, publications, losses, duplicates, restarts and passing
+/// time. Returns the first violation with its seed and step.
 fn explore(planted: PlantedFault, runs: u64) -> Option<(String, u64, usize)> {
     (0..runs).find_map(|seed| {
         let (mut simulation, mut rng) = (Simulation::new(planted), WyRand::new_seed(seed));
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Fleets of replicas in simulated time under scripts of faults: after the last fault all converge, no expired entry comes back, and
-//! an entry that two peers have survives the crash of any two members.
+//! Fleets of replicas in simulated time with scripted faults. After the last fault all replicas
+//! converge, no expired entry reappears, and an entry that two peers have survives the crash of any
+//! two members.
 
 mod helpers;
 
@@ -17,7 +18,7 @@
     Simulation::new(script, members)
 }
 
-/// The entries of a replica that have not expired, by origin.
+/// Returns the entries of a replica that have not expired, by origin.
 fn live_entries(node: &Node, now: Duration) -> BTreeMap<Origin, Vec<u64>> {
     let logs = node.replica.logs().map(|(origin, log)| {
         (
@@ -36,7 +37,7 @@
     let Some(first) = nodes.next() else {
         return true;
     };
-    // Positions alone: an entry may have expired at one replica and not yet at another.
+    // Only positions are compared: an entry may have expired at one replica and not yet at another.
     let all = |node: &Node| -> Vec<(Origin, u64)> {
         node.replica
             .logs()
@@ -48,7 +49,7 @@
     nodes.all(|node| all(node) == received)
 }
 
-/// How long after `from` all replicas have the same positions.
+/// Returns how long after `from` all replicas have the same positions.
 fn convergence_time(
     simulation: &mut Simulation<Node>,
     from: Duration,
@@ -76,7 +77,7 @@
             for sequence in all {
                 let published = PUBLISHED
                     .with(|published| published.borrow().get(&(origin.clone(), sequence)).copied());
-                // On its way an entry may wait: a line that holds it for 0.3 s, a member that stands still for 3 s.
+                // An entry may be delayed in transit: 0.3 s on a link, 3 s at a suspended member.
                 let published = published
                     .unwrap_or_else(|| panic!("nobody published {sequence} of {origin:?}"));
                 assert!(
@@ -106,7 +107,7 @@
         let took =
             took.unwrap_or_else(|| panic!("seed {seed}: not alike 20 s after the last fault"));
         worst = worst.max(took);
-        // Once all entries have expired none is stored, and none comes back.
+        // Once all entries have expired, none is stored and none reappears.
         simulation.run_until(s(34.0) + TIME_TO_LIVE + s(8.0));
         for number in 0..members {
             let held = simulation
@@ -118,7 +119,8 @@
     println!("{members} members, {seeds} scripts: alike within {worst:?} after the last fault");
 }
 
-/// An entry that two peers have acknowledged survives the crash of any two members, its origin included.
+/// Guards against the loss of an entry that two peers have acknowledged when any two members crash,
+/// including its origin.
 #[test]
 fn entries_on_two_peers_survive_any_two_crashes() {
     let mut checked = 0;
@@ -164,7 +166,8 @@
     println!("{checked} entries that two peers had outlived two members");
 }
 
-/// While restarted members catch up, new entries still reach all in time, also where the first packet is lost.
+/// While restarted members catch up, new entries still reach all members in time, even if the first
+/// packet is lost.
 #[test]
 fn new_entries_spread_in_time_while_others_catch_up() {
     let one = |n: usize| Selector::Numbers(vec![n]);
@@ -185,7 +188,7 @@
             let Some(node) = simulation.member(number) else {
                 continue;
             };
-            // Entries published before it had caught up come by the catch-up.
+            // Entries published before the member had caught up arrive by anti-entropy.
             let Some(from) = node.caught_up.map(|took| node.started + took) else {
                 continue;
             };
@@ -219,7 +222,7 @@
     assert!(part(0.999) < s(0.3), "{:?}", part(0.999));
 }
 
-/// Half the fleet cut off for ten seconds, while both halves publish.
+/// Half of the fleet is partitioned for ten seconds while both halves publish.
 #[test]
 fn halves_converge_soon_after_a_partition() {
     let mut took = Vec::new();
@@ -252,7 +255,8 @@
     assert!(took[24] < s(8.0));
 }
 
-/// Seven in ten are killed at once and restart empty a second later: those that kept running are not overloaded, and all catch up.
+/// Seven in ten members are killed at once and restart empty a second later. The members that kept
+/// running must not be overloaded, and all must catch up.
 #[rstest]
 #[case::thirty(30)]
 #[case::three_hundred(300)]
@@ -274,7 +278,8 @@
     let at_8 = simulation
         .member(last)
         .map_or(0, |node| node.replica.bytes_sent());
-    // What all that keep running had received before; what only some had may come later.
+    // Entries that all surviving members had received before. Entries that only some had may arrive
+    // later.
     let mut all: std::collections::BTreeSet<(Origin, u64)> = Default::default();
     for number in members * 7 / 10..members {
         let Some(node) = simulation.member(number) else {
@@ -304,7 +309,7 @@
     {
         let next = simulation.now() + s(0.05);
         simulation.run_until(next);
-        // A replica that reports to have caught up has all that those that kept running had.
+        // A replica that reports to have caught up has all entries that all surviving members had.
         for number in (0..members * 7 / 10).filter(|_| simulation.now() > s(9.0)) {
             let Some(node) = simulation
                 .member(number)
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Pins the bytes of replication messages and of the records in them.
 //!
-//! `golden/packets.hex` holds one packet of each kind a line, `golden/records.hex` one record of
-//! each kind with its kind number: what it shows, its bytes. `GOLDEN_WRITE=1` writes the files
-//! anew; that is for new kinds only.
+//! `golden/packets.hex` has one packet of each kind per line: the case that it covers, and its
+//! bytes. `golden/records.hex` has one record of each kind per line, with the number of its kind in
+//! between. `GOLDEN_WRITE=1` rewrites the files, which is only for new kinds.
 
 use limewing_replication::{
     Entry, ExecutionMark, LogPosition, Message, Origin, Packet, Phase, Record, SequenceRange, Stage,
@@ -83,7 +83,7 @@
         .zip(records())
         .map(|(sequence, (_, record))| entry(sequence * 100, 600_000, &record))
         .collect();
-    // Of a kind that this version does not know: passed on as it came.
+    // A kind that this version does not know is relayed unchanged.
     let unknown = Entry {
         sequence: 2,
         time_to_live_ms: 1,
@@ -163,15 +163,15 @@
         .collect()
 }
 
-/// The file's text, which must have one line for each of `today`.
+/// Returns the file's text, which must have one line for each line of `generated`.
 fn read_golden(file: &str, today: &str) -> String {
     let text = golden::read(env!("CARGO_MANIFEST_DIR"), file, today);
     assert_eq!(text.lines().count(), today.lines().count());
     text
 }
 
-/// Packets built from code are written as in the file; those of the file are read as those values,
-/// and written again alike.
+/// Packets built in code encode to the bytes in the file. The bytes in the file decode to the same
+/// packets and encode to the same bytes again.
 #[test]
 fn packets_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = packets()
--- a/crates/replication/tests/helpers/mod.rs
+++ b/crates/replication/tests/helpers/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas as members of a simulated fleet, and the scripts of faults that they go through.
+//! Replicas as members of a simulated fleet, and the fault scripts that they run under.
 
 #![allow(dead_code, reason = "each test file uses a part of the helpers")]
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A sidecar that publishes a record at intervals and merges the records that it receives.
+/// A sidecar that periodically publishes a record and merges the records that it receives.
 pub(crate) struct Node {
     pub(crate) replica: Replica,
     pub(crate) state: MergedState,
@@ -49,9 +49,9 @@
 }
 
 thread_local! {
-    /// Number of members, when they stop publishing, and the interval at which each publishes.
+    /// Number of members, time at which they stop publishing, and interval at which each publishes.
     pub(crate) static FLEET: RefCell<(usize, Duration, Duration)> = const { RefCell::new((0, Duration::ZERO, Duration::ZERO)) };
-    /// When each entry was published.
+    /// Time at which each entry was published.
     pub(crate) static PUBLISHED: RefCell<BTreeMap<(Origin, u64), Duration>> = const { RefCell::new(BTreeMap::new()) };
 }
 
@@ -174,7 +174,7 @@
     }
 }
 
-/// Random faults by a seed; in the last five seconds there are none, and all members run.
+/// Draws random faults from a seed. In the last five seconds there are none and all members run.
 pub(crate) fn drawn(seed: u64, seconds: f64) -> Script {
     let mut rng = WyRand::new_seed(seed);
     let mut fraction = move || (rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64;
@@ -224,7 +224,7 @@
     script(seconds, 0.02, steps)
 }
 
-/// Steps that end all faults.
+/// Returns the steps that end all faults.
 fn recovery(at: f64) -> Vec<ScriptStep> {
     let conditions = LinkConditions {
         delay_ms: 1.0,
--- a/crates/replication/tests/merge.rs
+++ b/crates/replication/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Records merge to the same state in any order, and only ever make a sidecar more careful.
+//! Records merge to the same state in any order, and only ever make a sidecar more restrictive.
 
 mod helpers;
 
@@ -51,7 +51,8 @@
     ]
 }
 
-/// Records as origins may have published them: a sequence number of an origin stands for one record.
+/// Generates records as origins may publish them: each sequence number of an origin identifies one
+/// record.
 fn published_records() -> impl Strategy<Value = Vec<(Origin, u64, Duration, Record)>> {
     prop::collection::vec((0u64..6, any_record(), 1u64..50), 0..20).prop_map(|all| {
         let mut next: BTreeMap<u64, u64> = BTreeMap::new();
@@ -79,7 +80,8 @@
     state
 }
 
-/// The answers of the merged state: builds of keys, and which requests may have run.
+/// Returns the answers of the merged state: the newest build of each key, and which requests may
+/// have run.
 fn answers(state: &MergedState, now: Duration) -> (Vec<Option<u16>>, Vec<bool>) {
     (
         (0..4)
@@ -103,12 +105,12 @@
             prop_assert_eq!(answers(&one, s(f64::from(at))), answers(&two, s(f64::from(at))));
         }
         prop_assert_eq!(one.stages().collect::<Vec<_>>(), two.stages().collect::<Vec<_>>());
-        // Merging the parts in the other order gives the same.
+        // Merging the two halves in reverse order gives the same answers.
         let (a, b) = records.split_at(records.len() / 2);
         prop_assert_eq!(answers(&merged(b.iter().chain(a)), s(3.0)), answers(&one, s(3.0)));
     }
 
-    /// No record makes an answer less careful, but for an origin's record on its own request.
+    /// No record makes an answer less restrictive, except an origin's record about its own request.
     #[test]
     fn no_record_makes_an_answer_less_careful(records in published_records(), more in any_record()) {
         let (mut state, now) = (merged(&records), s(2.0));
@@ -135,13 +137,13 @@
             (None, Some(adopted)) => prop_assert!(is_rollback(&adopted)),
             (_, None) => {}
         }
-        // After a restart a stage allows no more than for a build that nobody announced.
+        // After a restart a stage allows no more than a build that nobody announced.
         let restarted = current.and_then(|current| stage_after_restart(current, 0.14));
         prop_assert!(restarted.is_none_or(|restarted| is_rollback(&restarted) || (restarted.stage == 0 && restarted.cap <= 0.14)));
         let mut shuffled = others.clone();
         WyRand::new_seed(seed).shuffle(&mut shuffled);
         prop_assert_eq!(adopted, most_restrictive_stage(current, shuffled.iter()), "in another order");
-        // Applied a second time, they change nothing more.
+        // Applying the stages a second time never relaxes the result.
         if let Some(adopted) = adopted {
             WyRand::new_seed(seed).shuffle(&mut others);
             let restarted = most_restrictive_stage(Some(adopted), others.iter());
