--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! One member's part: its load report, and its view of what it is to use, from what it knows of the others.
+//! State of one member: its load report for the others, and its view derived from their reports.
 
 use crate::load_report::{LoadReport, OutlierHint, MAX_HINTS};
 use crate::outlier_hints::{find_outliers, PeerReport};
@@ -9,31 +9,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The request rate is measured over this time at the least.
+/// Minimum time over which the request rate is measured.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
-/// A report with hints or lost services is repeated after this: they expire at the others.
+/// Interval at which a report with hints or lost services is repeated, because these expire at the
+/// other members.
 const REPORT_REFRESH: Duration = Duration::from_secs(4);
-/// Time between two views at the least.
+/// Minimum time between two views.
 const VIEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Rate exponent of a member without a report.
+/// Rate exponent assumed for a member without a report.
 const DEFAULT_RATE_EXPONENT: u8 = 4;
-/// Greatest rate exponent that is reported.
+/// Maximum reported rate exponent.
 const MAX_RATE_EXPONENT: f64 = 60.0;
-/// A member without a report is in no zone.
+/// Zone assumed for a member without a report; it equals no real zone.
 const NO_ZONE: u16 = u16::MAX;
 
-/// What the decision module is to use. Pods by key.
+/// View of the fleet for the decision module. Pods are identified by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// All pods, the one to prefer first at the front, the outliers last.
+    /// All pods in order of preference, with the outliers last.
     pub preference: Vec<u64>,
-    /// How many of these, from the front, this member is to use at the least.
+    /// Minimum number of pods, from the front of `preference`, that this member is to use.
     pub min_endpoints: usize,
-    /// Ejected pods that other members health check now.
+    /// Ejected pods that other members are health checking now.
     pub probed_by_peers: BTreeSet<u64>,
 }
 
-/// Another member.
+/// Another member of the fleet.
 struct Peer {
     rate_exponent: u8,
     report: Option<PeerReport>,
@@ -68,12 +69,12 @@
     }
 }
 
-/// Requests a second.
+/// Returns the request rate per second that an exponent stands for.
 fn request_rate(rate_exponent: u8) -> f64 {
     2f64.powf(f64::from(rate_exponent) / 2.0)
 }
 
-/// This member's subset.
+/// Pods assigned to this member.
 #[derive(Clone)]
 struct Subset {
     /// Indexes of all pods, those of the subset first.
@@ -81,15 +82,15 @@
     size: usize,
 }
 
-/// One member's state. All times are of the caller's clock.
+/// Coordination state of one member. All times are of the caller's clock.
 pub struct Coordinator {
     key: u64,
     zone: u16,
-    /// By key.
+    /// Sorted by key.
     pods: Vec<Pod>,
     peers: BTreeMap<u64, Peer>,
     tracker: OutlierTracker,
-    /// Outliers by the others' hints, and since when.
+    /// Outliers according to the other members' hints, with the time since when.
     outliers_since: BTreeMap<u64, Duration>,
     polls: PollSchedule,
     /// Requests since the start of the current window.
@@ -97,14 +98,14 @@
     window_start: Duration,
     rate_exponent: u8,
     last_report: Option<(LoadReport, Duration)>,
-    /// None if it has to be assigned anew.
+    /// `None` if the subset has to be reassigned.
     subset: Option<Subset>,
     view: Option<FleetView>,
     next_view: Duration,
 }
 
 impl Coordinator {
-    /// For the member with this key ([`crate::stable_key`] of its name), in its zone.
+    /// Creates the state of the member with this key ([`crate::stable_key`] of its name) and zone.
     pub fn new(now: Duration, key: u64, zone: u16) -> Self {
         Self {
             key,
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Replaces the other members: the key of each, its report if there is one, and when that was received.
+    /// Replaces the other members: the key of each, with its report, if any, and when that was
+    /// received.
     pub fn set_peers(
         &mut self,
         peers: impl Iterator<Item = (u64, Option<(LoadReport, Duration)>)>,
@@ -149,37 +151,38 @@
         }
     }
 
-    /// Counts a request of a client.
+    /// Counts a client's request.
     pub fn record_request(&mut self) {
         self.request_count += 1;
     }
 
-    /// Takes in how an attempt at the pod with this key ended.
+    /// Records how an attempt at the pod with this key ended.
     pub fn record_outcome(&mut self, now: Duration, pod: u64, observation: OutlierObservation) {
         self.tracker.record(now, pod, observation);
     }
 
-    /// A poll of a service failed, or its watch was lost.
+    /// Records that a poll of a service failed or its watch was lost.
     pub fn record_poll_failure(&mut self, now: Duration, service: Service) {
         self.polls.record_failure(now, service);
     }
 
-    /// A service answered.
+    /// Records that a service answered.
     pub fn record_poll_success(&mut self, service: Service) {
         self.polls.record_success(service);
     }
 
-    /// When a service may be polled: now, or the time at which this is to be called again.
+    /// Returns when a service may be polled: now, or a later time at which to ask again.
     pub fn next_poll(&self, now: Duration, service: Service) -> Duration {
         self.polls.next_poll(now, service, self.key)
     }
 
-    /// When [`Coordinator::take_report`] and [`Coordinator::take_view`] are to be called at the latest.
+    /// Returns the latest time at which to call [`Coordinator::take_report`] and
+    /// [`Coordinator::take_view`].
     pub fn next_deadline(&self) -> Duration {
         self.next_view
     }
 
-    /// The load report for the others, if it changed or expires.
+    /// Returns the load report for the other members if it changed or has to be repeated.
     pub fn take_report(&mut self, now: Duration) -> Option<LoadReport> {
         self.update_request_rate(now);
         let mut hints = self.tracker.hints(now);
@@ -208,7 +211,7 @@
         let elapsed = now.saturating_sub(self.window_start).as_secs_f64();
         let rate = self.request_count as f64 / elapsed;
         let exponent = (rate.max(1.0).log2() * 2.0).min(MAX_RATE_EXPONENT);
-        // Only a clear change is reported: each moves the others' subsets.
+        // Small changes are not reported, because each one shifts the other members' subsets.
         if (exponent - f64::from(self.rate_exponent)).abs() > 1.0 {
             self.rate_exponent = exponent.round() as u8;
             self.subset = None;
@@ -218,7 +221,7 @@
         self.tracker.remove_expired(now);
     }
 
-    /// The view, if it changed: `Some(None)` if no other member is known any more.
+    /// Returns the view if it changed; `Some(None)` if no other member is known any more.
     pub fn take_view(&mut self, now: Duration) -> Option<Option<FleetView>> {
         if now < self.next_view {
             return None;
@@ -268,7 +271,8 @@
         }
     }
 
-    /// The outliers by the others' hints, without the pods that have answered this member recently.
+    /// Returns the outliers according to the other members' hints, except pods that have answered
+    /// this member recently.
     fn update_outliers(
         &mut self,
         now: Duration,
@@ -285,8 +289,8 @@
         outliers
     }
 
-    /// The ejected pods that this member is not to health check now. The rotation is among those that have ejected the pod
-    /// themselves: the others have nothing to check.
+    /// Returns the ejected pods that this member must not health check now. Only members that have
+    /// ejected the pod themselves take part in the rotation, because the others do not check it.
     fn probed_by_peers(
         &self,
         now: Duration,
@@ -332,7 +336,7 @@
     }
 }
 
-/// The others as members of the assignment, by key.
+/// Returns the other members as input of the assignment, ordered by key.
 fn as_members(peers: &BTreeMap<u64, Peer>) -> impl Iterator<Item = Member> + '_ {
     peers.iter().map(|(key, peer)| peer.as_member(*key))
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,15 +1,16 @@
-//! What the sidecars of a fleet coordinate so that the sum of their decisions is right: the pods that each uses, who health
-//! checks an ejected pod, which outlier hints count. Each decides alone, from what all know alike. Sans I/O: no sockets, no
-//! clock.
+//! Coordination of the sidecars of a fleet, so that their decisions add up: which pods each uses,
+//! which of them health check an ejected pod, and which outlier hints count. Each sidecar decides
+//! on its own from information that all share. Sans I/O: no sockets, no clock.
 //!
-//! The host tells [`Coordinator`] the pods, the members of the fleet with their load reports, requests and how attempts
-//! ended. [`Coordinator::take_report`] returns this member's load report for the others, [`Coordinator::take_view`] what the
-//! decision module is to use; both only when there is news.
+//! The host reports to a [`Coordinator`] the pods, the members of the fleet with their load
+//! reports, the requests and how attempts ended. [`Coordinator::take_report`] returns this member's
+//! load report for the others, and [`Coordinator::take_view`] the view for the decision module;
+//! both only when there is something new.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `coordinator` | one member's state, report and view |
-//! | `load_report` | what a member reports, and its encoding |
+//! | `coordinator` | state, report and view of one member |
+//! | `load_report` | report of a member, and its encoding |
 //! | `outlier_tracker` | outlier hints from a member's own outcomes |
 //! | `outlier_hints` | which hints of other members count |
 //! | `subsets` | assigns pods to members |
@@ -17,8 +18,8 @@
 //! | `poll_schedule` | when a lost service is polled again |
 //! | `stable_hash` | hashes that are the same at every member |
 //!
-//! A view moves a sidecar's choice among pods that its rules allow, or has it send fewer health checks. It never widens a
-//! limit, and is no evidence on a build.
+//! A view changes a sidecar's choice among the pods that its rules allow, or makes it send fewer
+//! health checks. It never relaxes a limit, and is not evidence about a build.
 
 mod coordinator;
 mod load_report;
--- a/crates/coordination/src/load_report.rs
+++ b/crates/coordination/src/load_report.rs
@@ -1,50 +1,53 @@
-//! What a member reports of itself and of pods, and its encoding: a version byte, the fields in postcard's format, then a
-//! byte for the lost services. The order of fields and variants is the format.
+//! Report of a member about itself and the pods, and its encoding: a version byte, the fields in
+//! postcard's format, then a byte for the lost services. The order of fields and variants is the
+//! wire format.
 
 use limewing_versioned_codec::{decode_prefix, encode, DecodeError};
 use serde::{Deserialize, Serialize};
 
-/// Pods in one member's hints: the report has to fit into its published state.
+/// Maximum number of hints of one member; the report has to fit into its published state.
 pub const MAX_HINTS: usize = 16;
 const VERSION: u8 = 1;
 
-/// What a member's own outcomes tell of a pod. That a pod is warming up all know from the endpoint list.
+/// Hint about a pod, derived from a member's own outcomes. Warming up needs no hint, because all
+/// members know it from the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum OutlierHint {
-    /// It does not answer.
+    /// The pod does not answer.
     Ejected,
-    /// It answers far slower than the others.
+    /// The pod answers far slower than the others.
     Slow,
-    /// It rejects requests.
+    /// The pod rejects requests.
     Overloaded,
-    /// It was ejected, and answered again a moment ago.
+    /// The pod was ejected and has answered again recently.
     Recovered,
 }
 
-/// One member's report.
+/// Load report of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The member's zone.
+    /// Zone of the member.
     pub zone: u16,
-    /// Twice the binary logarithm of its requests a second.
+    /// Twice the binary logarithm of the member's requests per second.
     pub rate_exponent: u8,
-    /// Pods, by key, that are outliers for this member, at most [`MAX_HINTS`].
+    /// Pods, by key, that are outliers for this member; at most [`MAX_HINTS`].
     pub hints: Vec<(u64, OutlierHint)>,
-    /// Services that the member has lost: the bits of [`crate::Service::bit`]. Reports of earlier versions end before it.
+    /// Services that the member has lost, as bits of [`crate::Service::bit`]. Reports of earlier
+    /// versions end before this field.
     #[serde(skip)]
     pub lost_services: u8,
 }
 
-/// Why a report can't be decoded.
+/// Reason why a report cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoadReportError {
-    /// Of another version: the member counts as one without a report.
+    /// The report is of another version, so the member counts as one without a report.
     #[error("load report of another version, expected {VERSION}")]
     Version,
-    /// Its bytes are no report.
+    /// The bytes are not a valid report.
     #[error("malformed load report")]
     Malformed,
-    /// It has more hints than [`MAX_HINTS`].
+    /// The report has more hints than [`MAX_HINTS`].
     #[error("load report with too many hints, expected {MAX_HINTS} at most")]
     TooManyHints,
 }
@@ -59,17 +62,18 @@
 }
 
 impl LoadReport {
-    /// The report as bytes.
+    /// Encodes the report.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = encode(VERSION, self);
         bytes.push(self.lost_services);
         bytes
     }
 
-    /// Decodes a report. Bytes behind the known fields are ignored: they are left to later versions.
+    /// Decodes a report. Bytes after the known fields are ignored; later versions may append
+    /// fields.
     ///
     /// # Errors
-    /// Why it can't be decoded.
+    /// The bytes are of another version, malformed, or contain too many hints.
     pub fn decode(bytes: &[u8]) -> Result<Self, LoadReportError> {
         let (report, rest): (Self, _) = decode_prefix(VERSION, bytes)?;
         if report.hints.len() > MAX_HINTS {
--- a/crates/coordination/src/outlier_hints.rs
+++ b/crates/coordination/src/outlier_hints.rs
@@ -1,40 +1,43 @@
-//! Which outlier hints of other members count: only those that several members of several zones give, on few pods, and not
-//! for long. Several zones, because the members of one may be cut off from a pod that is healthy for the others.
+//! Decides which outlier hints of other members count: only those that several members from several
+//! zones give, about few pods, and only for a short time. Several zones are required because the
+//! members of one zone may be cut off from a pod that is healthy for the others.
 
 use crate::load_report::OutlierHint;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Members that must hint at a pod; in a small fleet all others, but never one alone.
+/// Number of members that have to give a hint about a pod. In a small fleet all other members have
+/// to, but a single one is never enough.
 const REQUIRED_MEMBERS: usize = 3;
 const MIN_REQUIRED_MEMBERS: usize = 2;
-/// Zones these must be of; fewer if there are not so many.
+/// Number of zones that these members have to span; fewer if the fleet has fewer.
 const REQUIRED_ZONES: usize = 2;
-/// A hint counts for so long after it was received.
+/// How long a hint counts after it was received.
 pub(crate) const HINT_LIFETIME: Duration = Duration::from_secs(10);
-/// The part of the pods that one member may hint at: with more, it is taken to be cut off itself. If more than this part
-/// would be outliers in all, none is: then the fault is the fleet's.
+/// Maximum fraction of the pods that one member may give hints about; a member with more is assumed
+/// to be cut off itself. If the outliers together exceed this fraction, no pod is an outlier,
+/// because the fault then affects the whole fleet.
 const MAX_OUTLIER_FRACTION: f64 = 0.25;
-/// That part is so many pods at the least.
+/// Minimum number of pods that the fraction stands for.
 const MIN_OUTLIER_LIMIT: usize = 2;
 
-/// What another member reports.
+/// Report of another member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerReport {
     /// Key of the member.
     pub member: u64,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: u16,
     /// When the report was received.
     pub received_at: Duration,
-    /// Its hints, by the pods' keys.
+    /// The member's hints by the pods' keys.
     pub hints: Vec<(u64, OutlierHint)>,
-    /// Services that it has lost: the bits of [`crate::Service::bit`].
+    /// Services that the member has lost, as bits of [`crate::Service::bit`].
     pub lost_services: u8,
 }
 
 impl PeerReport {
-    /// Whether it is recent enough to count.
+    /// Returns whether the report is recent enough to count.
     pub(crate) fn is_fresh(&self, now: Duration) -> bool {
         now < self.received_at + HINT_LIFETIME
     }
@@ -49,7 +52,7 @@
     hint != OutlierHint::Recovered
 }
 
-/// The hints of all members at one pod.
+/// Hints of all members about one pod.
 #[derive(Default)]
 struct Tally {
     members: usize,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Ejected, if half of the members report that.
+    /// Returns `Ejected` if at least half of the members report that, otherwise `Slow`.
     fn verdict(&self) -> OutlierHint {
         if self.ejected * 2 >= self.members {
             OutlierHint::Ejected
@@ -81,7 +84,8 @@
     }
 }
 
-/// The outliers among the pods, each as ejected or slow, by the reports of the other members.
+/// Returns the outliers among the pods, each as ejected or slow, according to the other members'
+/// reports.
 pub fn find_outliers(
     reports: &[PeerReport],
     pods: &[u64],
@@ -112,14 +116,14 @@
     }
 }
 
-/// Counts the hints of the fresh reports that suspect no more than `limit` pods.
+/// Counts the hints of recent reports that suspect at most `limit` pods.
 fn count_hints(reports: &[PeerReport], limit: usize, now: Duration) -> BTreeMap<u64, Tally> {
     let mut tallies: BTreeMap<u64, Tally> = BTreeMap::new();
     for report in reports {
         if !report.is_fresh(now) || report.suspected_count() > limit {
             continue;
         }
-        // A member counts once for each pod, however often it names it.
+        // A member counts once for each pod, however often its report lists it.
         let hints: BTreeMap<u64, OutlierHint> = report.hints.iter().copied().collect();
         for (pod, hint) in hints {
             tallies.entry(pod).or_default().add(report.zone, hint);
--- a/crates/coordination/src/outlier_tracker.rs
+++ b/crates/coordination/src/outlier_tracker.rs
@@ -1,46 +1,53 @@
-//! Outlier hints from a member's own outcomes, pod by pod.
+//! Outlier hints from a member's own outcomes, tracked for each pod.
 
 use crate::load_report::OutlierHint;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How an attempt ended, as far as it tells of the pod. Errors tell of the build, and are not among these.
+/// Outcome of an attempt as far as it concerns the pod. Errors concern the build and are not
+/// included.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OutlierObservation {
-    /// Answered after so many seconds.
+    /// The attempt was answered after this many seconds.
     Answered(f64),
-    /// Reset, or without an answer until its timeout.
+    /// The attempt was reset, or not answered before its timeout.
     NoResponse,
     /// The connection could not be opened.
     ConnectFailed,
-    /// The pod rejected it.
+    /// The pod rejected the attempt.
     Rejected,
-    /// Cancelled after so many seconds: a hedged request was answered first, or the client went.
+    /// The attempt was cancelled after this many seconds, because another hedged attempt was
+    /// answered first or the client disconnected.
     Cancelled(f64),
 }
 
-/// Attempts in a row without a response that eject a pod, and rejections in a row that make it overloaded.
+/// Number of consecutive attempts without a response that eject a pod, and of consecutive
+/// rejections that mark it as overloaded.
 const CONSECUTIVE_FAILURES: u32 = 3;
-/// A pod is slow if its mean latency is this many times that of all pods.
+/// A pod is slow if its mean latency exceeds the mean of all pods by this factor.
 const SLOW_LATENCY_RATIO: f64 = 4.0;
-/// Answers in a pod's mean latency, and the least that make it slow.
+/// Number of answers in a pod's mean latency, and the minimum for it to count as slow.
 const LATENCY_SAMPLES: u32 = 8;
-/// Weight of the newest answer in the mean latency of all pods is one in this.
+/// Number of samples in the moving mean latency of all pods: the newest one has this reciprocal
+/// weight.
 const FLEET_LATENCY_SAMPLES: f64 = 50.0;
-/// The mean latency of all pods counts as this many seconds at the least: below it nothing is slow.
+/// Lower bound of the mean latency of all pods in seconds, so that pods are not called slow because
+/// of tiny differences.
 const MIN_FLEET_LATENCY_S: f64 = 0.01;
-/// A cancelled attempt counts as unanswered if it waited for this many times the mean latency of all pods.
+/// A cancelled attempt counts as unanswered if it waited longer than the mean latency of all pods
+/// times this factor.
 const CANCELLED_LATENCY_RATIO: f64 = 2.0;
-/// For so long after an answer other members' hints on the pod don't count, and it is reported as recovered.
+/// How long after a pod's answer other members' hints about it are ignored, and how long a
+/// recovered pod is reported as such.
 const ANSWER_FRESHNESS: Duration = Duration::from_secs(5);
-/// A pod without outcomes for so long is forgotten.
+/// A pod without outcomes for this long is forgotten.
 const RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct PodHistory {
     consecutive_failures: u32,
     consecutive_rejections: u32,
-    /// Seconds.
+    /// In seconds.
     mean_latency: f64,
     latency_samples: u32,
     answered_at: Option<Duration>,
@@ -94,7 +101,7 @@
 #[derive(Default)]
 pub(crate) struct OutlierTracker {
     pods: BTreeMap<u64, PodHistory>,
-    /// Moving mean over the answers of all pods, in seconds, whatever class the requests were of.
+    /// Moving mean over the answers of all pods in seconds, regardless of the requests' classes.
     fleet_latency: f64,
 }
 
@@ -110,7 +117,7 @@
             OutlierObservation::ConnectFailed => history.ejected = true,
             OutlierObservation::NoResponse => history.record_no_response(),
             OutlierObservation::Cancelled(waited) => {
-                // With hedged requests, attempts at a silent pod end so and not by their timeout.
+                // Hedged attempts at a silent pod end by cancellation instead of by their timeout.
                 if waited > CANCELLED_LATENCY_RATIO * self.fleet_latency {
                     history.record_no_response();
                 }
@@ -125,14 +132,15 @@
             .retain(|_, history| now < history.last_outcome_at + RETENTION);
     }
 
-    /// Whether the pod has answered this member so recently that other members' hints don't count.
+    /// Returns whether the pod answered this member so recently that other members' hints do not
+    /// count.
     pub(crate) fn answered_recently(&self, pod: u64, now: Duration) -> bool {
         self.pods
             .get(&pod)
             .is_some_and(|history| !history.ejected && is_fresh(history.answered_at, now))
     }
 
-    /// The hints of this member, by the pods' keys.
+    /// Returns this member's hints by the pods' keys.
     pub(crate) fn hints(&self, now: Duration) -> Vec<(u64, OutlierHint)> {
         self.pods
             .iter()
--- a/crates/coordination/src/poll_schedule.rs
+++ b/crates/coordination/src/poll_schedule.rs
@@ -1,10 +1,14 @@
-//! When a lost service is polled again. While several members have lost it, few poll at a time, in rotation, so that hundreds
-//! don't poll a service that is down or has only just come up. Once one of them has it again, the others follow within a
-//! moment, spread out. In return an update may arrive late, by [`MAX_POLL_INTERVAL`] at the most, whatever others report.
+//! Decides when a lost service is polled again.
 //!
-//! Budget: of n members that lost a service alike, [`CONCURRENT_POLLERS`] a rotation interval and one in
-//! [`MAX_POLL_INTERVAL`] of the others poll, n / 8 + 2 a second at most. With views in c disjoint parts: n / 8 + 2c. Never more
-//! than all of them, which is what they poll without coordination.
+//! While several members have lost it, a few of them poll at a time, in rotation, so that hundreds
+//! of members do not poll a service that is down or has only just started. Once one of them has
+//! recovered it, the others follow within `RECOVERY_SPREAD`, spread out. In return an update may
+//! arrive late, by at most [`MAX_POLL_INTERVAL`], whatever the other members report.
+//!
+//! Budget: of n members that lost a service together, [`CONCURRENT_POLLERS`] poll in each rotation
+//! interval, and each of the others once per [`MAX_POLL_INTERVAL`]: at most n / 8 + 2 polls per
+//! second. With views split into c disjoint parts it is n / 8 + 2c. It never exceeds the rate at
+//! which all of them would poll without coordination.
 
 use crate::probe_rotation::{is_selected, rotation_index, ROTATION_INTERVAL};
 use crate::stable_hash::rank;
@@ -14,29 +18,31 @@
 /// A service that a sidecar polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Service {
-    /// Service discovery: the endpoint list.
+    /// Service discovery, which provides the endpoint list.
     EndpointList,
-    /// The installer: stage updates and votes.
+    /// The rollout service, which sends stage updates and receives votes.
     Installer,
 }
 
 const SERVICES: [Service; 2] = [Service::EndpointList, Service::Installer];
-/// Members that poll a lost service at one time.
+/// Number of members that poll a lost service at a time.
 pub const CONCURRENT_POLLERS: usize = 2;
-/// Every member polls again this long after its last poll, rotation or not: a limit that was lowered must not wait for gossip.
+/// Every member polls again within this time after its last poll, regardless of the rotation,
+/// because a lowered limit must not depend on gossip to arrive.
 pub const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
-/// A member's own interval is at least this part of it: intervals differ, as members may have lost the service at one moment.
+/// Minimum fraction of `MAX_POLL_INTERVAL` for a member's own interval. Intervals differ because
+/// members may have lost the service at the same time.
 const MIN_INTERVAL_FRACTION: f64 = 0.6;
-/// Once one member has the service again, the others poll within this time.
+/// Once one member has recovered the service, the others poll within this time.
 pub const RECOVERY_SPREAD: Duration = Duration::from_secs(1);
 
 impl Service {
-    /// The service's bit in [`crate::LoadReport::lost_services`].
+    /// Returns the service's bit in [`crate::LoadReport::lost_services`].
     pub fn bit(self) -> u8 {
         1 << self as u8
     }
 
-    /// Of the rotation of those that poll it.
+    /// Returns the topic that identifies the rotation of the service's pollers.
     fn topic(self) -> u64 {
         rank(self as u64, u64::MAX)
     }
@@ -46,13 +52,13 @@
 struct LostService {
     lost_at: Duration,
     last_poll: Duration,
-    /// Others that reported it as lost since the last poll.
+    /// Other members that reported it as lost since the last poll.
     also_lost_by: BTreeSet<u64>,
-    /// When one of these was first seen to have it again.
+    /// When one of these members was first seen to have recovered it.
     recovered_at: Option<Duration>,
 }
 
-/// The services that this member has lost.
+/// Services that this member has lost.
 #[derive(Default)]
 pub(crate) struct PollSchedule {
     lost: BTreeMap<Service, LostService>,
@@ -76,12 +82,12 @@
         self.lost.remove(&service);
     }
 
-    /// The bits of the services that this member has lost.
+    /// Returns the bits of the services that this member has lost.
     pub(crate) fn lost_services(&self) -> u8 {
         self.lost.keys().map(|service| service.bit()).sum()
     }
 
-    /// Takes in which services the others have lost: keys of members, and bits.
+    /// Updates which services the other members have lost, given as member keys and service bits.
     pub(crate) fn update_peers(&mut self, now: Duration, peers: impl Iterator<Item = (u64, u8)>) {
         for (member, lost_services) in peers {
             for service in SERVICES {
@@ -97,7 +103,8 @@
         }
     }
 
-    /// When the member `own` may poll the service: now, or the time at which this is to be called again.
+    /// Returns when the member `own` may poll the service: now, or a later time at which to ask
+    /// again.
     pub(crate) fn next_poll(&self, now: Duration, service: Service, own: u64) -> Duration {
         let Some(lost) = self.lost.get(&service) else {
             return now;
@@ -122,7 +129,7 @@
         self.last_poll + MAX_POLL_INTERVAL.mul_f64(interval_fraction)
     }
 
-    /// Selected, and not polled yet in this rotation interval.
+    /// Returns whether the member is selected and has not polled in this rotation interval.
     fn is_turn_of(&self, own: u64, now: Duration, service: Service) -> bool {
         if self.rotation_at(self.last_poll) == self.rotation_at(now) {
             return false;
@@ -137,7 +144,7 @@
     }
 }
 
-/// A pseudorandom number in [0, 1] of the member and something else.
+/// Returns a pseudorandom number in [0, 1] derived from a member's key and a second number.
 fn fraction(own: u64, of: u64) -> f64 {
     rank(own, of) as f64 / u64::MAX as f64
 }
--- a/crates/coordination/src/probe_rotation.rs
+++ b/crates/coordination/src/probe_rotation.rs
@@ -1,20 +1,24 @@
-//! Which members do something now that few should do at a time, such as health checks of an ejected pod. For each topic the
-//! members stand in an order by hash; a few are selected, for one interval, then the next few. No messages are needed: the
-//! turn of a member that died passes by itself.
+//! Selects the members that perform a task which only few should perform at a time, such as health
+//! checks of an ejected pod. A hash orders the members for each topic. A few of them are selected
+//! for one interval, then the next few. No messages are needed, and a dead member's turn passes by
+//! itself.
 //!
-//! Bound: members count the intervals from when they learned of the topic. If those moments differ by d at most and the
-//! members' views are c disjoint parts, at most `CONCURRENT_PROBERS` x (2 + d / `ROTATION_INTERVAL`) x c are selected at one
-//! time, since intervals that began up to d apart overlap 2 + d / `ROTATION_INTERVAL` turns at most.
+//! Bound: members count intervals from when they learned of the topic. If these times differ by at
+//! most d and the members' views fall into c disjoint parts, at most `CONCURRENT_PROBERS` x (2 + d
+//! / `ROTATION_INTERVAL`) x c members are selected at a time, because intervals whose starts differ
+//! by at most d overlap at most 2 + d / `ROTATION_INTERVAL` turns.
 
 use crate::stable_hash::rank;
 use std::time::Duration;
 
-/// Members that health check one ejected pod at a time: one alone may be cut off from it.
+/// Number of members that health check one ejected pod at a time. A single one might be cut off
+/// from it.
 pub const CONCURRENT_PROBERS: usize = 2;
 /// How long a member stays selected.
 pub const ROTATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whether `own`, one of the members, may health check the pod that was ejected `elapsed` ago.
+/// Returns whether `own`, one of the members, may health check the pod that was ejected `elapsed`
+/// ago.
 pub fn is_prober(
     pod: u64,
     own: u64,
@@ -24,7 +28,8 @@
     is_selected(CONCURRENT_PROBERS, pod, own, members, elapsed)
 }
 
-/// Whether `own` is among the `count` members that are selected for a topic which began `elapsed` ago.
+/// Returns whether `own` is among the `count` members selected for a topic that began `elapsed`
+/// ago.
 pub fn is_selected(
     count: usize,
     topic: u64,
@@ -44,7 +49,7 @@
     (before_own + total - first) % total < count
 }
 
-/// Whole rotation intervals in that time.
+/// Returns the number of whole rotation intervals in `elapsed`.
 pub(crate) fn rotation_index(elapsed: Duration) -> u128 {
     elapsed.as_nanos() / ROTATION_INTERVAL.as_nanos()
 }
--- a/crates/coordination/src/subsets.rs
+++ b/crates/coordination/src/subsets.rs
@@ -1,50 +1,52 @@
-//! Which pods each member uses: rendezvous hashing (Thaler, Ravishankar 1998) with a bound on each pod's load (consistent
-//! hashing with bounded loads: Mirrokni, Thorup, Zadimoghaddam 2018). A pure function of members and pods: all that see
-//! the same assign alike, without messages.
+//! Assignment of pods to members: rendezvous hashing (Thaler, Ravishankar 1998) with a bound on
+//! each pod's load (consistent hashing with bounded loads: Mirrokni, Thorup, Zadimoghaddam 2018).
+//! It is a pure function of members and pods, so all members with the same view compute the same
+//! assignment without messages.
 
 use crate::stable_hash::rank;
 
-/// Pods that a member uses at the least, if there are so many, counted as pods of mean capacity.
+/// Minimum size of a member's subset if there are enough pods, in pods of mean capacity.
 const MIN_SUBSET: usize = 6;
-/// Pods that a member uses at the least whatever their capacity: one of them may die.
+/// Minimum number of pods in a subset regardless of their capacity, because one of them may fail.
 const MIN_PODS: usize = 4;
-/// Members that use each pod, in the mean, at the least; in a smaller fleet all members use all pods. With half of the members
-/// instead, the model check found a cold pod of a fleet of three at 5.6 times its share, with disjoint views and a heavy
-/// member's request rate reported late.
+/// Minimum mean number of members per pod; in a smaller fleet all members use all pods. With half
+/// as many members, the model check found a cold pod at 5.6 times its share in a fleet of three,
+/// with disjoint views and a heavy member's request rate reported late.
 const MIN_MEMBERS_PER_POD: usize = 8;
-/// A pod is assigned this much of its fair load at the most, and up to one grid step more.
+/// Maximum load of a pod relative to its fair load, before rounding up to the next grid step.
 const MAX_LOAD_RATIO: f64 = 1.03;
-/// What is derived from sums moves by steps of this ratio: otherwise each member that came or went would shift all bounds a
-/// little, and pods between many others.
+/// Ratio of the grid's steps, to which values derived from sums are rounded. Otherwise each member
+/// that joins or leaves would shift all bounds slightly, and move pods between many other members.
 const GRID_RATIO: f64 = 1.11;
-/// How much more likely a pod of the member's own zone is used than another.
+/// Weight of a pod in the member's own zone relative to pods in other zones.
 const SAME_ZONE_WEIGHT: f64 = 3.0;
-/// Request rates and capacities count as this at the least: sums must not be zero.
+/// Lower bound of request rates and capacities, so that their sums are not zero.
 const MIN_WEIGHT: f64 = 1e-6;
 
-/// A member, as far as it counts for the assignment.
+/// A member as input of the assignment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
-    /// Key of its name.
+    /// Key of the member's name.
     pub key: u64,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: u16,
-    /// Requests a second.
+    /// Requests per second.
     pub request_rate: f64,
 }
 
-/// A pod, as far as it counts for the assignment.
+/// A pod as input of the assignment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pod {
-    /// Key of its address.
+    /// Key of the pod's address.
     pub key: u64,
-    /// Its zone.
+    /// Zone of the pod.
     pub zone: u16,
-    /// Capacity in relation to the other pods.
+    /// Capacity relative to the other pods.
     pub capacity: f64,
 }
 
-/// The weight of a pod for a member in rendezvous hashing: an exponential draw; the lowest comes first.
+/// Returns the rendezvous-hashing score of a pod for a member, an exponential draw. Lower is
+/// preferred.
 fn score(member: &Member, pod: &Pod) -> f64 {
     let draw = ((rank(pod.key, member.key) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     let weight = if pod.zone == member.zone {
@@ -55,7 +57,7 @@
     -draw.ln() / weight
 }
 
-/// The indexes of all pods in a member's own order of preference.
+/// Returns the indexes of all pods in a member's order of preference.
 pub fn preference_order(member: &Member, pods: &[Pod]) -> Vec<usize> {
     let mut scored: Vec<(f64, u64, usize)> = pods
         .iter()
@@ -66,10 +68,12 @@
     scored.into_iter().map(|(_, _, index)| index).collect()
 }
 
-/// The indexes of the pods that each member uses, in its own order of preference. A member uses the more pods the more
-/// requests it has, so that each member brings a pod about as much; it takes the first of its order that have room for that.
-/// Within its subset a member spreads requests by capacity: so loads are counted by capacity, and pods of more capacity are
-/// not drawn more often.
+/// Returns the indexes of the pods that each member uses, in its order of preference.
+///
+/// A member with more requests uses more pods, so that each member adds about the same load to a
+/// pod. It takes the first pods in its order that have room for that load. Within its subset a
+/// member spreads requests by capacity. Loads are therefore counted per unit of capacity, and
+/// larger pods are not drawn more often.
 pub fn assign_subsets(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
     if members.is_empty() || pods.is_empty() {
         return vec![Vec::new(); members.len()];
@@ -89,13 +93,13 @@
     subsets
 }
 
-/// Figures of the whole fleet, from which the subsets' sizes are derived.
+/// Totals of the fleet from which the sizes of the subsets are derived.
 struct Sizing {
     pod_count: usize,
     mean_capacity: f64,
-    /// Requests a second that one member is to bring one pod.
+    /// Requests per second that one member is to send to one pod.
     rate_per_assignment: f64,
-    /// The load up to which a pod has room for one more member.
+    /// Load up to which a pod has room for another member.
     max_load: f64,
 }
 
@@ -107,25 +111,26 @@
         Self {
             pod_count: pods.len(),
             mean_capacity: total_capacity / pods.len() as f64,
-            // On a grid of powers of the root of two.
+            // Rounded down to a power of the square root of two.
             rate_per_assignment: 2f64.powf(((total_rate / assignments).log2() * 2.0).floor() / 2.0),
             max_load: round_up_to_grid(MAX_LOAD_RATIO * total_rate / total_capacity),
         }
     }
 
-    /// Pods of mean capacity that the member is to use.
+    /// Returns the size of the member's subset in pods of mean capacity.
     fn subset_size(&self, member: &Member) -> usize {
         ((rate_of(member) / self.rate_per_assignment).round() as usize)
             .max(MIN_SUBSET)
             .min(self.pod_count)
     }
 
-    /// Capacity that the member is to use.
+    /// Returns the capacity of the member's subset.
     fn subset_capacity(&self, member: &Member) -> f64 {
         self.subset_size(member) as f64 * self.mean_capacity
     }
 
-    /// Requests a second and unit of capacity that the member brings each pod of its subset.
+    /// Returns the load that the member adds to each pod of its subset, in requests per second and
+    /// unit of capacity.
     fn load_per_pod(&self, member: &Member) -> f64 {
         rate_of(member) / self.subset_capacity(member)
     }
@@ -143,7 +148,8 @@
     GRID_RATIO.powf((value.ln() / GRID_RATIO.ln()).ceil())
 }
 
-/// The members' indexes, those that bring a pod the most first: the light ones fill what is left.
+/// Returns the members' indexes, those with the highest load per pod first, so that light members
+/// fill the remaining room.
 fn heaviest_first(members: &[Member], sizing: &Sizing) -> Vec<usize> {
     let mut indexes: Vec<usize> = (0..members.len()).collect();
     indexes.sort_unstable_by(|a, b| {
@@ -156,7 +162,8 @@
     indexes
 }
 
-/// The first pods of the member's order that have room; if they don't suffice, the least loaded others.
+/// Returns the first pods in the member's order that have room and, if these do not suffice, the
+/// least loaded others.
 fn choose_subset(member: &Member, pods: &[Pod], sizing: &Sizing, loads: &[f64]) -> Vec<usize> {
     let added = sizing.load_per_pod(member);
     let (with_room, mut others): (Vec<usize>, Vec<usize>) = preference_order(member, pods)
@@ -176,7 +183,7 @@
     subset
 }
 
-/// No pod is left unused: the member with the best score takes it beside its own.
+/// Assigns each unused pod additionally to the member with the best score for it.
 fn assign_unused_pods(members: &[Member], pods: &[Pod], loads: &[f64], subsets: &mut [Vec<usize>]) {
     for (index, pod) in pods.iter().enumerate() {
         if loads[index] != 0.0 {
--- a/crates/coordination/tests/digest.rs
+++ b/crates/coordination/tests/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of all that coordination puts out over twenty simulated fleets with faults: load
-//! reports, views, when a lost service may be polled; and of its pure functions over fleets of many
-//! sizes. A refactoring that keeps the behaviour keeps the digest.
+//! Digest of all output of coordination over twenty simulated fleets with faults: load reports,
+//! views and when a lost service may be polled, and of its pure functions over fleets of many
+//! sizes. A refactoring that preserves the behaviour preserves the digest.
 
 mod helpers;
 
@@ -33,7 +33,7 @@
     digest.numbers(view.probed_by_peers.iter().copied());
 }
 
-/// SplitMix64.
+/// SplitMix64 generator.
 struct Random(u64);
 
 impl Random {
@@ -70,9 +70,9 @@
     key: u64,
     coordinator: Coordinator,
     view: Option<FleetView>,
-    /// The last report received from each other one, by number.
+    /// Last report received from each other sidecar, by number.
     received: BTreeMap<usize, (LoadReport, Duration)>,
-    /// When it polls each service next, if that is lost to it.
+    /// When the sidecar polls each service next; `None` if it has not lost the service.
     polls: [Option<Duration>; 2],
     requests_a_step: usize,
 }
@@ -89,9 +89,10 @@
     random: Random,
     now: Duration,
     sidecars: Vec<Sidecar>,
-    /// Of the partition that a sidecar is in; members of different parts don't hear each other.
+    /// Number of the partition that each sidecar is in. Members of different partitions receive
+    /// nothing from each other.
     parts: Vec<usize>,
-    /// Until when a sidecar is not there.
+    /// Time until which each sidecar is stopped.
     absent_until: Vec<Duration>,
     reports: Vec<ReportInFlight>,
     pods: Vec<Pod>,
@@ -215,7 +216,7 @@
         }
     }
 
-    /// All notice within a second.
+    /// Stops a service; all sidecars notice within a second.
     fn lose_service(&mut self) {
         let service = self.random.below(2);
         self.service_up[service] = false;
@@ -381,7 +382,7 @@
     ];
     let keys: Vec<u64> = pods.iter().map(|pod| pod.key).collect();
     for _ in 0..20 {
-        // A few suspects, so that several members hint at the same.
+        // There are few suspects, so that several members give hints about the same pod.
         let suspects = keys.len().min(3);
         let reports: Vec<PeerReport> = members
             .iter()
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Pins what coordination has in common between versions: the bytes of a load report, and the keys
-//! of names.
+//! Pins what versions of coordination have to agree on: the bytes of a load report, and the keys of
+//! names.
 //!
-//! `golden/reports.hex` holds one report a line, `golden/keys.txt` one name a line with its key.
-//! `GOLDEN_WRITE=1` writes the files anew; that is for new kinds only.
+//! `golden/reports.hex` has one report per line, `golden/keys.txt` one name per line with its key.
+//! `GOLDEN_WRITE=1` rewrites the files, which is only for new kinds.
 
 use limewing_coordination::{stable_key, LoadReport, OutlierHint, Service, MAX_HINTS};
 use limewing_test_support::golden;
@@ -21,7 +21,7 @@
     }
 }
 
-/// The names are those of the lines of the file.
+/// Returns reports with the names that label the lines of the file.
 fn reports() -> Vec<(&'static str, LoadReport)> {
     let one_hint = |hint| vec![(stable_key("10.0.0.1:80"), hint)];
     let all_hints = vec![
@@ -60,9 +60,9 @@
     "zone-ü",
 ];
 
-/// Reports built from code are written as in the file; those of the file are read as those values,
-/// and written again alike. So are those of an earlier version, which end before the lost services,
-/// and of a later one, which has more behind them.
+/// Reports built in code encode to the bytes in the file. The bytes in the file decode to the same
+/// reports and encode to the same bytes again. Reports of an earlier version, which end before the
+/// lost services, and of a later version, which have more bytes after them, decode as well.
 #[test]
 fn reports_are_read_and_written_as_in_the_file() {
     let lines: Vec<String> = reports()
--- a/crates/coordination/tests/helpers/mod.rs
+++ b/crates/coordination/tests/helpers/mod.rs
@@ -1,10 +1,10 @@
-//! Fleets, and figures of their assignments, for the tests. Each test file uses a part.
+//! Test fleets and statistics of their assignments. Each test file uses only some of them.
 #![allow(dead_code)]
 
 use limewing_coordination::{assign_subsets, stable_key, Member, Pod};
 use std::collections::BTreeMap;
 
-/// Members of that many zones; one in five has five times the request rate.
+/// Returns members spread over zones; one in five has five times the request rate.
 pub(crate) fn members(count: usize, zones: u16) -> Vec<Member> {
     let request_rate = |n: usize| if n.is_multiple_of(5) { 25.0 } else { 5.0 };
     let zone = |n: usize| (n % usize::from(zones)) as u16;
@@ -17,7 +17,7 @@
         .collect()
 }
 
-/// Pods of that many zones; one in three has twice the capacity.
+/// Returns pods spread over zones; one in three has twice the capacity.
 pub(crate) fn pods(count: usize, zones: u16) -> Vec<Pod> {
     let capacity = |n: usize| if n.is_multiple_of(3) { 2.0 } else { 1.0 };
     let zone = |n: usize| (n % usize::from(zones)) as u16;
@@ -31,8 +31,8 @@
         .collect()
 }
 
-/// The greatest load per capacity and number of members per pod, each over the mean; pods unused; members per pod in the
-/// mean.
+/// Returns the maximum load per capacity and the maximum number of members per pod, each relative
+/// to the mean, then the number of unused pods and the mean number of members per pod.
 pub(crate) fn balance(
     members: &[Member],
     pods: &[Pod],
@@ -75,7 +75,7 @@
         .collect()
 }
 
-/// The part of all assignments that those who stay did not have before.
+/// Returns the fraction of all assignments that the remaining members did not have before.
 pub(crate) fn moved(before: &Assignment, after: &Assignment) -> f64 {
     let all: usize = before.values().map(Vec::len).sum();
     let new = |(member, pods): (&u64, &Vec<u64>)| {
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -1,5 +1,6 @@
-//! A bounded model check of the probe rotation: three members, one topic; every order of crashes, of late or wrong views, and
-//! of learning late of the topic. Planted faults are found. And of the budgets of cold pods, over all views.
+//! Bounded model checks. For the probe rotation with three members and one topic: every order of
+//! crashes, of late or wrong views, and of learning late of the topic; injected faults have to be
+//! found. For the budgets of cold pods: all combinations of views.
 
 use limewing_coordination::{assign_subsets, is_selected, Member, Pod, ROTATION_INTERVAL};
 use rstest::rstest;
@@ -7,14 +8,14 @@
 
 const MEMBERS: [u64; 3] = [11, 22, 33];
 const TICKS: u8 = 6;
-/// Intervals by which a member may learn of the topic later than another.
+/// Number of intervals by which a member may learn of the topic later than another one.
 const LATE: u8 = 1;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct State {
     tick: u8,
     alive: [bool; 3],
-    /// Whom each member takes as present; itself always.
+    /// Members that each member considers present, always including itself.
     sees: [[bool; 3]; 3],
     learned_at: [Option<u8>; 3],
 }
@@ -39,7 +40,7 @@
     sound(topic, own, &[own], ago)
 }
 
-/// An interval lasts four times as long: three of them do not reach everybody.
+/// An interval lasts four times as long, so three intervals do not reach every member.
 fn passes_late(topic: u64, own: u64, members: &[u64], ago: u8) -> bool {
     sound(topic, own, members, ago / 4)
 }
@@ -75,7 +76,7 @@
     }
     let late = |state: State| {
         let waits: Vec<usize> = (0..3).filter(|n| state.learned_at[*n].is_none()).collect();
-        // Each that has not learned of the topic yet learns of it now, or later while it may.
+        // Each member that has not learned of the topic learns of it now, or later if it still may.
         (0..1u8 << waits.len()).map(move |hears| {
             let mut state = State {
                 tick: state.tick + 1,
@@ -92,7 +93,7 @@
     out.into_iter().flat_map(late).collect()
 }
 
-/// The property that a state violates, if any.
+/// Returns the property that a state violates, if any.
 fn violation(state: &State, rule: Rule) -> Option<&'static str> {
     let (all, agreed) = (
         [true; 3],
@@ -105,7 +106,8 @@
     if agreed && views && holders(state, rule) > 1 {
         return Some("two are selected though all see and have learned the same");
     }
-    // Nothing more happens, and nobody notices who died: a living member is selected in time.
+    // Without further events, and although nobody notices a death, a live member is selected in
+    // time.
     let reaches = |state: State| {
         (0..3).any(|on| {
             holders(
@@ -152,8 +154,9 @@
     assert_eq!(found.is_none(), holds, "{found:?} in {states} states");
 }
 
-/// More members than three: whoever is dead, however late each learned of the topic, and into whatever parts their views fall, no
-/// more are selected at one time than the bound says; and a living member is selected in time.
+/// With more than three members: whichever members are dead, however late each learned of the
+/// topic, and into whatever partitions their views fall, no more members are selected at a time
+/// than the bound allows, and a live member is selected in time.
 #[rstest]
 #[case::two(2)]
 #[case::four(4)]
@@ -162,7 +165,8 @@
     const PROBERS: usize = 2;
     let keys: Vec<u64> = (0..n as u64).map(|member| 11 * (member + 1)).collect();
     let (mut most, mut states) = (0, 0);
-    // Each member is in a part (of up to three), dead or alive, and learned of the topic at once or an interval later.
+    // Each member is in one of up to three partitions, dead or alive, and learned of the topic at
+    // once or an interval later.
     for code in 0..12usize.pow(n as u32) {
         let of = |member: usize| code / 12usize.pow(member as u32) % 12;
         let (part, alive, late) = (|m| of(m) % 3, |m| of(m) / 3 % 2 == 0, |m| of(m) / 6);
@@ -171,7 +175,8 @@
             .count();
         let holders = |tick: u32| {
             let holds = |m: &usize| {
-                // A member that died is in the views of its part until that is noticed: it never is here.
+                // A dead member stays in the views of its partition, because its death is never
+                // noticed here.
                 let view = (0..n)
                     .filter(|other| part(*other) == part(*m))
                     .map(|other| keys[other]);
@@ -193,10 +198,14 @@
     println!("{n} members, {states} states, {most} at one time at most");
 }
 
-/// The worst load of a cold pod, in sum over a few members: whichever others each sees, and whether or not the first one's request
-/// rate is reported yet. Each sends by its own share of the pods at most 1.4 times what its requests put on warm capacity; the
-/// limit is 2. What one sends depends on its own view alone, so the worst sum is that of each in its worst view: all views of all
-/// members are gone through, for up to twelve of them. Of three, deaths too: with fewer alive the fair share is less.
+/// Returns the worst total load of a cold pod relative to its fair share, and the number of views
+/// checked. The load is summed over a few members, whichever others each of them sees and whether
+/// or not the first member's request rate is already reported.
+///
+/// By its own share of the pods each member sends at most 1.4 times the load that its requests put
+/// on warm capacity; the limit is 2. What a member sends depends only on its own view, so the worst
+/// total combines each member's worst view. All views of all members are enumerated, for up to
+/// twelve members, and all sets of live members, since fewer live members lower the fair share.
 fn worst_in_any_view(n: usize, part: fn(f64) -> f64) -> (f64, usize) {
     const PODS: usize = 24;
     let pods: Vec<Pod> = (0..PODS as u64)
@@ -206,7 +215,8 @@
             capacity: 1.0,
         })
         .collect();
-    // The first has five times the others' request rate; that is reported, or not yet.
+    // The first member has five times the request rate of the others, which may not be reported
+    // yet.
     let rate = |member: usize, reported: bool| if member == 0 && reported { 25.0 } else { 5.0 };
     let mut views = 0;
     let mut loads = vec![[0.0f64; PODS]; n];
@@ -260,9 +270,10 @@
     assert_eq!(worst <= 2.0, holds, "{worst}");
 }
 
-/// Beyond eight, where not all use all pods any more: into whatever parts the fleet falls, of which each sees all of its own
-/// and nobody else, whoever is dead, and whether the first one's request rate is reported. The worst parts are found exactly, pod by
-/// pod, from what each set of members sends as a part.
+/// With more than eight members, where not all members use all pods: whatever partitions the fleet
+/// falls into, each of which sees all of its own members and nobody else, whichever members are
+/// dead, and whether or not the first member's request rate is reported. The worst partitioning is
+/// found exactly for each pod, from what each set of members sends as a partition.
 #[rstest]
 #[case::nine(9)]
 #[case::twelve(12)]
@@ -276,7 +287,8 @@
         })
         .collect();
     let own = |m: usize| if m == 0 { 25.0 } else { 5.0 };
-    // What the members of a set send each pod, as a part of their own; the worse of reported and not reported yet.
+    // Returns what the members of a set send to each pod as a partition of their own: the worse of
+    // the cases with the first member's rate reported and not yet reported.
     let loads = |set: usize| {
         let there: Vec<usize> = (0..n).filter(|m| set >> m & 1 == 1).collect();
         let mut worst = [0.0f64; PODS];
@@ -314,7 +326,8 @@
     let mut worst = 0.0f64;
     for set in 1..1usize << n {
         let lowest = set & set.wrapping_neg();
-        // The part of the set's first member, and the worst of the rest.
+        // Combines each partition that contains the set's first member with the worst case of the
+        // rest.
         let mut part = set;
         while part > 0 {
             if part & lowest != 0 {
--- a/crates/coordination/tests/outlier_hints.rs
+++ b/crates/coordination/tests/outlier_hints.rs
@@ -1,4 +1,4 @@
-//! Which outlier hints count, and how little a member that lies or is cut off can do.
+//! Tests which outlier hints count, and how little effect a lying or isolated member has.
 
 use limewing_coordination::{
     find_outliers, is_prober, Coordinator, LoadReport, Member, OutlierHint, OutlierObservation,
@@ -62,7 +62,7 @@
     );
 }
 
-/// A member among others with these reports.
+/// Returns the coordinator of a member whose peers sent these reports.
 fn coordinator(reports: &[(u64, LoadReport)], now: Duration) -> Coordinator {
     let mut coordinator = Coordinator::new(seconds(0.0), 1, 0);
     coordinator.set_pods(
@@ -120,7 +120,8 @@
     );
 }
 
-/// A member without a report (another version, or coordination off) is no further zone that would have to agree.
+/// Guards against a member without a report (another version, or coordination disabled) being
+/// counted as a further zone that would have to agree.
 #[test]
 fn members_without_a_report_do_not_keep_hints_from_counting() {
     let mut coordinator = Coordinator::new(seconds(0.0), 1, 0);
@@ -156,7 +157,8 @@
     );
 }
 
-/// In each interval so many of twelve may health check the pod, and in time each may.
+/// In each interval `CONCURRENT_PROBERS` of twelve members may health check the pod, and each gets
+/// its turn.
 #[test]
 fn every_member_is_a_prober_in_turn() {
     let members: Vec<u64> = (1..13).collect();
@@ -173,7 +175,7 @@
     assert_eq!(probers.len(), 12);
 }
 
-/// Failures make a hint until the pod answers; then it is reported as recovered for a while.
+/// Failures produce a hint until the pod answers. It is then reported as recovered for a while.
 #[test]
 fn outcomes_become_hints() {
     let mut coordinator = coordinator(&[], seconds(0.0));
@@ -218,7 +220,7 @@
         hints(14.0, &[OutlierObservation::Answered(0.1)]),
         Some(vec![(5, OutlierHint::Recovered)])
     );
-    // Cancelled early it tells nothing; cancelled late it counts as unanswered.
+    // An early cancellation means nothing; a late one counts as unanswered.
     assert_eq!(
         hints(20.0, &[OutlierObservation::Cancelled(0.0); 3]),
         Some(vec![])
@@ -231,7 +233,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
-    /// Reports decode to what was encoded; other bytes are rejected, or decode within the bounds.
+    /// Reports decode to what was encoded. Other bytes are rejected or decode within the bounds.
     #[test]
     fn reports_decode_as_encoded(zone: u16, rate_exponent: u8, lost_services: u8, pods in prop::collection::vec(any::<u64>(), 0..MAX_HINTS), noise: Vec<u8>) {
         let hints = pods.into_iter().map(|pod| (pod, OutlierHint::Slow)).collect();
@@ -244,7 +246,7 @@
         prop_assert!(LoadReport::decode(&noise).is_ok_and(|s| s.hints.len() <= MAX_HINTS) || LoadReport::decode(&noise).is_err());
     }
 
-    /// One member alone, whatever its hints, makes no pod an outlier.
+    /// A single member makes no pod an outlier, whatever its hints.
     #[test]
     fn one_member_alone_makes_no_outlier(pods in prop::collection::vec(0u64..30, 0..40), count in 1u64..12) {
         let lying = report(1, 7, &pods, OutlierHint::Ejected);
@@ -253,7 +255,7 @@
     }
 }
 
-/// Without any requests or capacity a member still has its pods.
+/// A member still has pods if there are no requests and no capacity.
 #[test]
 fn a_member_without_requests_has_pods() {
     let members = [
--- a/crates/coordination/tests/poll_schedule.rs
+++ b/crates/coordination/tests/poll_schedule.rs
@@ -1,4 +1,5 @@
-//! A service that many members have lost: how often they poll it, and how soon all have it again.
+//! A service that many members have lost: how often they poll it, and how soon all have recovered
+//! it.
 
 use limewing_coordination::{
     stable_key, Coordinator, LoadReport, Pod, Service, MAX_POLL_INTERVAL, RECOVERY_SPREAD,
@@ -11,7 +12,7 @@
 }
 
 const STEP: Duration = Duration::from_millis(50);
-/// When all members lose the service.
+/// Time at which all members lose the service.
 const LOST_AT: Duration = Duration::from_secs(5);
 
 fn member_key(number: usize) -> u64 {
@@ -28,7 +29,7 @@
 
 struct SimulatedMember {
     coordinator: Coordinator,
-    /// When it wants to poll next; none if it has the service.
+    /// When the member wants to poll next; `None` if it has the service.
     next_poll: Option<Duration>,
     report: Option<(LoadReport, Duration)>,
     recovered_at: Option<Duration>,
@@ -57,19 +58,19 @@
 #[derive(Clone, Copy)]
 struct Setup {
     members: usize,
-    /// Disjoint parts that don't hear each other.
+    /// Number of disjoint partitions that receive nothing from each other.
     parts: usize,
-    /// Whether members hear each other at all.
+    /// Whether members receive any reports.
     reports_arrive: bool,
 }
 
-/// How long a report is on its way.
+/// Time that a report is in transit.
 const GOSSIP_DELAY: Duration = Duration::from_millis(1500);
 const BACK_AT: Duration = Duration::from_secs(25);
 const END: Duration = Duration::from_secs(40);
 
-/// Members that poll a service which is gone from `LOST_AT` to `BACK_AT`; after a failure each wants to poll again within a
-/// second.
+/// Members that poll a service which is down from `LOST_AT` to `BACK_AT`. After a failure each
+/// wants to poll again within a second.
 struct Simulation {
     setup: Setup,
     members: Vec<SimulatedMember>,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Polls in that time, in seconds.
+    /// Returns the number of polls in a period given in seconds.
     fn polls_between(&self, from: f64, to: f64) -> usize {
         self.polls
             .iter()
@@ -166,7 +167,7 @@
             .count()
     }
 
-    /// Polls a second while the service is gone, after the first moments.
+    /// Returns the rate of polls per second while the service is down, after the initial phase.
     fn poll_rate(&self) -> f64 {
         self.polls_between(10.0, 25.0) as f64 / 15.0
     }
@@ -180,7 +181,8 @@
     }
 }
 
-/// The mean rate of polls while the service is gone is bounded, and all members have it soon after it is back.
+/// The mean poll rate is bounded while the service is down, and all members have it again soon
+/// after its return.
 #[rstest]
 #[case::twelve(12, 1, 4.0)]
 #[case::three_hundred(300, 1, 42.0)]
@@ -215,7 +217,7 @@
         took <= ROTATIONS + seconds(2.0) * 2 + RECOVERY_SPREAD + seconds(1.0),
         "{took:?}"
     );
-    // No crowd, while it is gone nor when it is back.
+    // Members do not poll all at once, neither while the service is down nor when it returns.
     let crowd = (100..400)
         .map(|n| simulation.polls_between(n as f64 / 10.0, (n + 1) as f64 / 10.0))
         .max()
@@ -226,7 +228,8 @@
 /// Two rotation intervals.
 const ROTATIONS: Duration = Duration::from_secs(2);
 
-/// A member polls within `MAX_POLL_INTERVAL`, even if the others report the service as lost for ever.
+/// Guards against delays beyond `MAX_POLL_INTERVAL` when the others report the service as lost
+/// forever.
 #[test]
 fn peers_that_always_report_a_service_as_lost_delay_polls_within_the_bound() {
     let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
@@ -259,7 +262,8 @@
     );
 }
 
-/// Nothing delays the poll of a service that this member alone has lost, or that only others have lost, or if reports are old.
+/// A poll is not delayed if no other member reports the service as lost, if this member has not
+/// lost it, or if the reports are outdated.
 #[rstest]
 #[case::nobody_else(0, 0.0)]
 #[case::reported_long_ago(200, 30.0)]
--- a/crates/coordination/tests/subsets.rs
+++ b/crates/coordination/tests/subsets.rs
@@ -1,4 +1,4 @@
-//! Assignment of subsets: coverage, balance, least movement.
+//! Assignment of subsets: coverage, balance, minimal movement.
 
 mod helpers;
 
@@ -7,7 +7,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Plain rendezvous hashing for comparison: five pods, and three for each request in flight at 0.1 s each.
+/// Assigns by plain rendezvous hashing for comparison: five pods, and three for each request in
+/// flight at 0.1 s each.
 fn plain_hashing(members: &[Member], pods: &[Pod]) -> Vec<Vec<usize>> {
     let many = |m: &Member| (5.0 + 3.0 * m.request_rate * 0.1).round() as usize;
     let alike: Vec<Pod> = pods
@@ -88,8 +89,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
-    /// No pod is unused or twice with one member, each member has pods, and the order of members and pods in the input
-    /// changes nothing.
+    /// Every pod is used, no member has a pod twice, each member has pods, and the order of members
+    /// and pods in the input does not matter.
     #[test]
     fn every_pod_is_used_whatever_the_order(
         traffics in prop::collection::vec(0.01f64..500.0, 1..40),
