--- a/crates/versioned-codec/src/lib.rs
+++ b/crates/versioned-codec/src/lib.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The message is of another format version.
-    #[error("version {found}, expected {expected}")]
+    #[error("unsupported message version {found}, expected {expected}")]
     Version {
         /// Version byte of the message.
         found: u8,
@@ -35,7 +35,7 @@
 /// # Errors
 /// The version differs, or the bytes are malformed.
 pub fn decode<T: DeserializeOwned>(version: u8, bytes: &[u8]) -> Result<T, DecodeError> {
-    let (message, _rest) = decode_prefix(version, bytes)?;
+    let (message, _remaining) = decode_prefix(version, bytes)?;
     Ok(message)
 }
 
@@ -47,12 +47,12 @@
     version: u8,
     bytes: &[u8],
 ) -> Result<(T, &[u8]), DecodeError> {
-    let (found, body) = bytes.split_first().ok_or(DecodeError::Malformed)?;
+    let (found, encoded) = bytes.split_first().ok_or(DecodeError::Malformed)?;
     if *found != version {
         return Err(DecodeError::Version {
             found: *found,
             expected: version,
         });
     }
-    postcard::take_from_bytes(body).map_err(|_| DecodeError::Malformed)
+    postcard::take_from_bytes(encoded).map_err(|_| DecodeError::Malformed)
 }
--- a/crates/versioned-codec/tests/envelope.rs
+++ b/crates/versioned-codec/tests/envelope.rs
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn a_message_is_its_version_byte_and_then_postcard() {
+fn a_message_is_encoded_as_its_version_byte_and_postcard() {
     let bytes = encode(VERSION, &sample());
     assert_eq!(bytes, [3, 0xac, 0x02, 1, b'a']);
     assert_eq!(decode::<Sample>(VERSION, &bytes), Ok(sample()));
 }
 
 #[test]
-fn bytes_behind_a_message_are_returned_and_otherwise_ignored() {
+fn bytes_after_a_message_are_returned_or_ignored() {
     let mut bytes = encode(VERSION, &sample());
     bytes.extend([7, 8]);
     assert_eq!(
@@ -40,9 +40,9 @@
 #[rstest]
 #[case::empty(&[], DecodeError::Malformed)]
 #[case::version_alone(&[3], DecodeError::Malformed)]
-#[case::cut_short(&[3, 0xac, 0x02, 1], DecodeError::Malformed)]
-#[case::no_text(&[3, 0xac, 0x02, 1, 0xff], DecodeError::Malformed)]
+#[case::truncated(&[3, 0xac, 0x02, 1], DecodeError::Malformed)]
+#[case::invalid_text(&[3, 0xac, 0x02, 1, 0xff], DecodeError::Malformed)]
 #[case::another_version(&[4, 0xac, 0x02, 1, b'a'], DecodeError::Version { found: 4, expected: 3 })]
-fn what_is_no_message_of_this_version_is_refused(#[case] bytes: &[u8], #[case] error: DecodeError) {
+fn invalid_messages_are_rejected(#[case] bytes: &[u8], #[case] error: DecodeError) {
     assert_eq!(decode::<Sample>(VERSION, bytes), Err(error));
 }
