--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -16,7 +16,7 @@
 /// Probe intervals between two table exchanges.
 pub(crate) const SYNC_INTERVALS: u32 = 20;
 /// Maximum number of members in a partial table.
-const SYNC_MEMBERS: usize = 16;
+const MAX_SYNC_MEMBERS: usize = 16;
 /// Bytes reserved in a packet for the message and the length prefixes of the lists that follow it.
 const SYNC_MESSAGE_BYTES: usize = 12;
 const TABLE_MESSAGE_BYTES: usize = 8;
@@ -34,8 +34,7 @@
             return;
         }
         let address = candidates[self.rng.generate_range(0..candidates.len())];
-        // The receiver is first told its own status as this member knows it, so that it can refute
-        // it.
+        // Sends the receiver its own status as known here first, so that it can refute it.
         let update = self
             .table
             .iter()
@@ -49,7 +48,7 @@
     }
 
     fn reconnect_candidates(&self) -> Vec<SocketAddr> {
-        let is_taken = |address: &SocketAddr| {
+        let is_active_address = |address: &SocketAddr| {
             *address == self.local.address
                 || self
                     .table
@@ -62,20 +61,20 @@
             .filter(|member| member.update.status == MemberStatus::Dead)
             .map(|member| member.update.address);
         dead.chain(self.config.seed_addresses.iter().copied())
-            .filter(|address| !is_taken(address))
+            .filter(|address| !is_active_address(address))
             .collect()
     }
 
     /// Sends a random part of the table to one random member.
     pub(crate) fn sync(&mut self, now: Duration) {
         let mut updates = self.shuffled_updates();
-        updates.truncate(SYNC_MEMBERS);
+        updates.truncate(MAX_SYNC_MEMBERS);
         for to in self.random_active_addresses(1, None) {
             let room = MAX_PACKET_BYTES
                 - self.local.max_encoded_bytes()
                 - SYNC_MESSAGE_BYTES
                 - max_total_bytes(&updates);
-            let published = self.published.fitting(&updates, room);
+            let published = self.published.select_fitting(&updates, room);
             let message = Message::MemberTable {
                 reply_wanted: false,
             };
@@ -93,13 +92,13 @@
             let mut room = MAX_PACKET_BYTES - self.local.max_encoded_bytes() - TABLE_MESSAGE_BYTES;
             let own_state = if is_first {
                 let local = std::slice::from_ref(&self.local);
-                self.published.fitting(local, room)
+                self.published.select_fitting(local, room)
             } else {
                 Vec::new()
             };
             room -= max_total_bytes(&own_state);
             let updates = self.take_fitting(&mut remaining, room);
-            let mut published = self.published.fitting(&updates, MAX_PACKET_BYTES);
+            let mut published = self.published.select_fitting(&updates, MAX_PACKET_BYTES);
             published.extend(own_state);
             let message = Message::MemberTable {
                 reply_wanted: reply_wanted && is_first,
--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -12,7 +12,7 @@
 /// Maximum number of queued updates; beyond it the update that was sent most often is dropped.
 const MAX_QUEUED: usize = 1024;
 
-struct Queued<T> {
+struct QueuedUpdate<T> {
     transmits: u32,
     sequence: u64,
     payload: T,
@@ -22,7 +22,7 @@
 pub(crate) struct BroadcastQueue<T> {
     /// Sorted by number of transmits, then newest first.
     order: BTreeSet<(u32, Reverse<u64>, MemberName)>,
-    queued: BTreeMap<MemberName, Queued<T>>,
+    queued: BTreeMap<MemberName, QueuedUpdate<T>>,
     last_sequence: u64,
 }
 
@@ -47,7 +47,7 @@
         self.last_sequence += 1;
         self.insert(
             name,
-            Queued {
+            QueuedUpdate {
                 transmits: 0,
                 sequence: self.last_sequence,
                 payload,
@@ -55,22 +55,23 @@
         );
     }
 
-    /// Takes updates that fit into `room` bytes. The update of `first`, if one is queued, precedes
-    /// all others. An update that has now been sent `max_transmits` times leaves the queue.
+    /// Takes updates that fit into `room` bytes. The update of `prioritized`, if one is queued,
+    /// precedes all others. An update that has now been sent `max_transmits` times leaves the
+    /// queue.
     pub(crate) fn take_batch(
         &mut self,
         mut room: usize,
         max_transmits: u32,
-        first: Option<&MemberName>,
+        prioritized: Option<&MemberName>,
     ) -> Vec<T> {
-        let first = first.filter(|name| self.queued.contains_key(*name));
+        let prioritized = prioritized.filter(|name| self.queued.contains_key(*name));
         let others = self
             .order
             .iter()
             .map(|(_, _, name)| name)
-            .filter(|name| Some(*name) != first);
+            .filter(|name| Some(*name) != prioritized);
         let mut chosen: Vec<MemberName> = Vec::new();
-        for name in first.into_iter().chain(others) {
+        for name in prioritized.into_iter().chain(others) {
             let size = self.queued[name].payload.max_encoded_bytes();
             if size > room {
                 break;
@@ -89,22 +90,22 @@
     }
 
     fn transmit(&mut self, name: MemberName, max_transmits: u32) -> Option<T> {
-        let mut sent = self.remove(&name)?;
-        let payload = sent.payload.clone();
-        sent.transmits += 1;
-        if sent.transmits < max_transmits {
-            self.insert(name, sent);
+        let mut entry = self.remove(&name)?;
+        let payload = entry.payload.clone();
+        entry.transmits += 1;
+        if entry.transmits < max_transmits {
+            self.insert(name, entry);
         }
         Some(payload)
     }
 
-    fn insert(&mut self, name: MemberName, queued: Queued<T>) {
+    fn insert(&mut self, name: MemberName, queued: QueuedUpdate<T>) {
         self.order
             .insert((queued.transmits, Reverse(queued.sequence), name.clone()));
         self.queued.insert(name, queued);
     }
 
-    fn remove(&mut self, name: &MemberName) -> Option<Queued<T>> {
+    fn remove(&mut self, name: &MemberName) -> Option<QueuedUpdate<T>> {
         let removed = self.queued.remove(name)?;
         let position = (removed.transmits, Reverse(removed.sequence), name.clone());
         self.order.remove(&position);
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -41,22 +41,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// No key was given.
-    #[error("no key, expected one or two")]
+    #[error("no key given, expected one or two")]
     NoKey,
     /// The secret of this key (first field) has too few bytes (second field).
-    #[error("key {0} has {1} bytes, expected {MIN_SECRET_BYTES} or more")]
+    #[error("the secret of key {0} has {1} bytes, expected at least {MIN_SECRET_BYTES}")]
     ShortKey(u8, usize),
     /// Both keys have this id.
     #[error("two keys have the number {0}")]
     DuplicateKeyId(u8),
     /// There are more than two keys.
-    #[error("more than two keys")]
+    #[error("more than two keys given")]
     TooManyKeys,
     /// The probe interval is out of range.
-    #[error("a period of {0:?}, expected 10 ms to 60 s")]
+    #[error("the period {0:?} is out of range, expected 10 ms to 60 s")]
     ProbeInterval(Duration),
     /// The byte rate is too low.
-    #[error("{0} bytes a second, expected {MIN_BYTES_PER_SECOND} or more")]
+    #[error("{0} bytes per second are too few, expected at least {MIN_BYTES_PER_SECOND}")]
     ByteRate(u32),
 }
 
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -22,8 +22,8 @@
 const MAX_LOCAL_HEALTH: u32 = 8;
 /// Maximum number of pending probes on behalf of other members.
 const MAX_RELAYED_PROBES: usize = 256;
-/// Fraction of a period after which an unanswered relayed probe is reported by a nack. The
-/// requesting member's own deadline is half a period after its request.
+/// Fraction of a period after which an unanswered relayed probe is reported by a nack. The nack
+/// thus arrives before the requesting member's own deadline, half a period after its request.
 const RELAY_TIMEOUT_PERIODS: f64 = 0.4;
 
 /// The pending probe of the current period.
@@ -329,9 +329,9 @@
             .map(|member| member.update.address)
             .collect();
         let count = count.min(addresses.len());
-        for place in 0..count {
-            let other = self.rng.generate_range(place..addresses.len());
-            addresses.swap(place, other);
+        for index in 0..count {
+            let other = self.rng.generate_range(index..addresses.len());
+            addresses.swap(index, other);
         }
         addresses.truncate(count);
         addresses
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -46,7 +46,7 @@
     }
 
     /// Records a member that suspects this one. Returns false if it was already recorded.
-    fn add_suspecting(&mut self, from: &MemberName) -> bool {
+    fn add_confirmation(&mut self, from: &MemberName) -> bool {
         if self.update.status != MemberStatus::Suspect || self.suspected_by.contains(from) {
             return false;
         }
@@ -63,7 +63,7 @@
     /// The update prevails now. `previous` is the former status if it was of the same process.
     Changed { previous: Option<MemberStatus> },
     /// Another member confirms an existing suspicion.
-    Corroborated,
+    Confirmed,
 }
 
 /// Members known to this one, excluding itself.
@@ -111,8 +111,8 @@
         };
         let known_precedence = known.update.precedence();
         if update.precedence() == known_precedence {
-            return if known.add_suspecting(from) {
-                UpdateEffect::Corroborated
+            return if known.add_confirmation(from) {
+                UpdateEffect::Confirmed
             } else {
                 UpdateEffect::Ignored
             };
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -240,10 +240,10 @@
     /// Postpones all timers of a stopped member. Suspects become dead, because a suspicion has a
     /// deadline too.
     pub(crate) fn clear_timers(&mut self, now: Duration) {
-        let later = now + STOPPED_INTERVAL;
-        self.detector.stop(later);
-        self.next_reconnect = later;
-        self.next_sync = later;
+        let next_deadline_after_stop = now + STOPPED_INTERVAL;
+        self.detector.stop(next_deadline_after_stop);
+        self.next_reconnect = next_deadline_after_stop;
+        self.next_sync = next_deadline_after_stop;
         let suspects: Vec<StatusUpdate> = self
             .table
             .suspects()
--- a/crates/membership/src/published_state.rs
+++ b/crates/membership/src/published_state.rs
@@ -7,15 +7,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-struct Received {
+struct ReceivedState {
     state: PublishedState,
-    at: Duration,
+    received_at: Duration,
 }
 
 /// The newest published state of this member and of each active one.
 #[derive(Default)]
 pub(crate) struct PublishedStates {
-    newest: BTreeMap<MemberName, Received>,
+    newest: BTreeMap<MemberName, ReceivedState>,
     /// States with remaining retransmits.
     pub(crate) queue: BroadcastQueue<PublishedState>,
 }
@@ -51,13 +51,19 @@
     fn replace(&mut self, now: Duration, state: PublishedState) {
         self.queue.enqueue(state.clone());
         let name = state.name.clone();
-        self.newest.insert(name, Received { state, at: now });
+        self.newest.insert(
+            name,
+            ReceivedState {
+                state,
+                received_at: now,
+            },
+        );
     }
 
     /// Returns the newest state of a member, and when it was received.
     pub(crate) fn get(&self, name: &MemberName) -> Option<(&PublishedState, Duration)> {
         let received = self.newest.get(name)?;
-        Some((&received.state, received.at))
+        Some((&received.state, received.received_at))
     }
 
     /// Returns an upper bound of the bytes that the member's state takes in a packet, 0 if it has
@@ -69,7 +75,11 @@
     }
 
     /// Returns the states of the updated members, as far as they fit into `room` bytes.
-    pub(crate) fn fitting(&self, updates: &[StatusUpdate], mut room: usize) -> Vec<PublishedState> {
+    pub(crate) fn select_fitting(
+        &self,
+        updates: &[StatusUpdate],
+        mut room: usize,
+    ) -> Vec<PublishedState> {
         let mut fitting = Vec::new();
         for update in updates {
             let Some(received) = self.newest.get(&update.name) else {
--- a/crates/membership/src/receiving.rs
+++ b/crates/membership/src/receiving.rs
@@ -72,8 +72,8 @@
         for state in published {
             self.handle_published(now, state);
         }
-        let doubted = self.enqueue_doubt(&name);
-        self.handle_message(now, message, &name, address, doubted.as_ref());
+        let not_alive = self.enqueue_unless_alive(&name);
+        self.handle_message(now, message, &name, address, not_alive.as_ref());
     }
 
     fn handle_update(
@@ -115,7 +115,7 @@
 
     /// Queues the status of a sender that is not alive in this table, so that the reply lets it
     /// refute (Lifeguard's buddy system). Returns the sender's name in that case.
-    fn enqueue_doubt(&mut self, name: &MemberName) -> Option<MemberName> {
+    fn enqueue_unless_alive(&mut self, name: &MemberName) -> Option<MemberName> {
         let member = self.table.get(name)?;
         if member.update.status == MemberStatus::Alive {
             return None;
@@ -131,12 +131,12 @@
         message: Message,
         from: &MemberName,
         address: SocketAddr,
-        doubted: Option<&MemberName>,
+        not_alive: Option<&MemberName>,
     ) {
         match message {
             Message::Probe { number, target } => {
                 if target == self.local.name {
-                    self.send(now, address, Message::Ack { number }, doubted);
+                    self.send(now, address, Message::Ack { number }, not_alive);
                 }
             }
             Message::Ack { number } => self.handle_ack(now, number, from),
--- a/crates/membership/src/sealer.rs
+++ b/crates/membership/src/sealer.rs
@@ -11,10 +11,10 @@
 const VERSION: u8 = 1;
 const TAG_BYTES: usize = 16;
 /// Offset of the tag, after version and key id.
-const TAG_AT: usize = 2;
-const COUNTER_AT: usize = TAG_AT + TAG_BYTES;
-const SENT_AT: usize = COUNTER_AT + 8;
-const HEADER_BYTES: usize = SENT_AT + 8;
+const TAG_OFFSET: usize = 2;
+const COUNTER_OFFSET: usize = TAG_OFFSET + TAG_BYTES;
+const SENT_MS_OFFSET: usize = COUNTER_OFFSET + 8;
+const HEADER_BYTES: usize = SENT_MS_OFFSET + 8;
 /// Maximum difference in milliseconds between a datagram's time and the receiver's clock. A
 /// receiver that has just started knows no counters, so only this check protects it from replays.
 /// Datagrams of a member whose clock differs more are rejected.
@@ -35,33 +35,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
     /// The datagram is shorter than its header or longer than [`MAX_DATAGRAM_BYTES`].
-    #[error(
-        "datagram of a wrong length, expected a header and at most {MAX_DATAGRAM_BYTES} bytes"
-    )]
+    #[error("invalid datagram length, expected a header and at most {MAX_DATAGRAM_BYTES} bytes")]
     Length,
     /// The datagram is of another protocol version.
-    #[error("datagram of another version, expected {VERSION}")]
+    #[error("unsupported datagram version, expected {VERSION}")]
     Version,
     /// The datagram is sealed with a key that this member does not have.
     #[error("datagram sealed with an unknown key")]
     UnknownKey,
     /// The tag does not match: the datagram is corrupted or forged.
-    #[error("datagram with a wrong authentication tag")]
+    #[error("datagram with an invalid authentication tag")]
     WrongTag,
     /// The sender's time differs too much from this member's clock.
-    #[error("datagram more than {MAX_CLOCK_DIFFERENCE_MS} ms old, or by a clock that is ahead")]
+    #[error(
+        "datagram time differs by more than {MAX_CLOCK_DIFFERENCE_MS} ms from the local clock"
+    )]
     Stale,
     /// The counter was already received, or is too far behind.
     #[error("replayed datagram")]
     Replayed,
     /// The tag matches, but the packet cannot be decoded.
-    #[error("malformed packet in a datagram")]
+    #[error("malformed packet in datagram")]
     Malformed,
     /// The sender has restarted since.
-    #[error("datagram of an earlier process of its sender")]
+    #[error("datagram from an earlier process of its sender")]
     EarlierProcess,
     /// The sender uses this member's own name.
-    #[error("datagram with this member's own name")]
+    #[error("datagram sent under this member's own name")]
     OwnName,
 }
 
@@ -91,12 +91,12 @@
         let key = self.keys.first()?;
         self.counter += 1;
         let mut datagram = vec![VERSION, key.id];
-        datagram.resize(COUNTER_AT, 0);
+        datagram.resize(COUNTER_OFFSET, 0);
         datagram.extend_from_slice(&self.counter.to_le_bytes());
         datagram.extend_from_slice(&unix_time_ms.to_le_bytes());
         let mut datagram = postcard::to_extend(packet, datagram).ok()?;
-        let tag = compute_tag(key, &datagram[COUNTER_AT..])?;
-        datagram[TAG_AT..COUNTER_AT].copy_from_slice(&tag);
+        let tag = compute_tag(key, &datagram[COUNTER_OFFSET..])?;
+        datagram[TAG_OFFSET..COUNTER_OFFSET].copy_from_slice(&tag);
         (datagram.len() <= MAX_DATAGRAM_BYTES).then_some(datagram)
     }
 
@@ -110,8 +110,8 @@
             return Err(DatagramError::Length);
         }
         self.verify_tag(datagram)?;
-        let counter = read_u64(datagram, COUNTER_AT);
-        let sent_ms = read_u64(datagram, SENT_AT);
+        let counter = read_u64(datagram, COUNTER_OFFSET);
+        let sent_ms = read_u64(datagram, SENT_MS_OFFSET);
         if sent_ms.abs_diff(unix_time_ms) > MAX_CLOCK_DIFFERENCE_MS {
             return Err(DatagramError::Stale);
         }
@@ -135,8 +135,8 @@
             .iter()
             .find(|key| key.id == datagram[1])
             .ok_or(DatagramError::UnknownKey)?;
-        let tag = compute_tag(key, &datagram[COUNTER_AT..]).ok_or(DatagramError::WrongTag)?;
-        if !equal_in_constant_time(&tag, &datagram[TAG_AT..COUNTER_AT]) {
+        let tag = compute_tag(key, &datagram[COUNTER_OFFSET..]).ok_or(DatagramError::WrongTag)?;
+        if !equal_in_constant_time(&tag, &datagram[TAG_OFFSET..COUNTER_OFFSET]) {
             return Err(DatagramError::WrongTag);
         }
         Ok(())
--- a/crates/membership/src/sending.rs
+++ b/crates/membership/src/sending.rs
@@ -46,14 +46,14 @@
 }
 
 impl Membership {
-    /// Sends a message with as much gossip as fits. The update about `first`, if one is queued,
-    /// precedes all others.
+    /// Sends a message with as much gossip as fits. The update about `prioritized`, if one is
+    /// queued, precedes all others.
     pub(crate) fn send(
         &mut self,
         now: Duration,
         to: SocketAddr,
         message: Message,
-        first: Option<&MemberName>,
+        prioritized: Option<&MemberName>,
     ) {
         let message_bytes = match &message {
             Message::Probe { .. } | Message::IndirectProbe { .. } => NAMED_MESSAGE_BYTES,
@@ -65,7 +65,9 @@
         }
         let room = MAX_PACKET_BYTES.saturating_sub(self.local.max_encoded_bytes() + message_bytes);
         let max_transmits = self.max_transmits();
-        let updates = self.update_queue.take_batch(room, max_transmits, first);
+        let updates = self
+            .update_queue
+            .take_batch(room, max_transmits, prioritized);
         let room = room.saturating_sub(max_total_bytes(&updates));
         let published = self.published.queue.take_batch(room, max_transmits, None);
         self.send_packet(now, to, message, updates, published);
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -15,7 +15,7 @@
 
 /// The name is empty or too long.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a member's name of {length} bytes, expected 1 to {MAX_NAME_BYTES}")]
+#[error("member name has {length} bytes, expected 1 to {MAX_NAME_BYTES}")]
 pub struct MemberNameError {
     /// Length of the rejected name in bytes.
     pub length: usize,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -13,7 +13,7 @@
 /// Ratio of the longest to the shortest timeout (memberlist's SuspicionMaxTimeoutMult).
 const MAX_TIMEOUT_MULTIPLIER: f64 = 6.0;
 /// Number of confirmations from other members at which the timeout is the shortest.
-const CONFIRMATIONS: f64 = 3.0;
+const REQUIRED_CONFIRMATIONS: f64 = 3.0;
 /// Smaller groups have the timeouts of a group of this size.
 const MIN_GROUP_SIZE: f64 = 10.0;
 
@@ -27,13 +27,13 @@
     let group_size = group_size as f64;
     let min_intervals = TIMEOUT_MULTIPLIER * group_size.max(MIN_GROUP_SIZE).log10();
     // This member and the suspect cannot confirm the suspicion.
-    let needed = CONFIRMATIONS.min(group_size - 2.0);
-    let progress = if needed < 1.0 {
+    let needed = REQUIRED_CONFIRMATIONS.min(group_size - 2.0);
+    let confirmation_progress = if needed < 1.0 {
         1.0
     } else {
         ((confirmations as f64 + 1.0).ln() / (needed + 1.0).ln()).min(1.0)
     };
-    let factor = MAX_TIMEOUT_MULTIPLIER - (MAX_TIMEOUT_MULTIPLIER - 1.0) * progress;
+    let factor = MAX_TIMEOUT_MULTIPLIER - (MAX_TIMEOUT_MULTIPLIER - 1.0) * confirmation_progress;
     probe_interval.mul_f64(min_intervals * factor)
 }
 
@@ -65,10 +65,10 @@
             self.supersede(now);
             return;
         }
-        let is_doubted = matches!(update.status, MemberStatus::Suspect | MemberStatus::Dead)
+        let needs_refutation = matches!(update.status, MemberStatus::Suspect | MemberStatus::Dead)
             && update.started_at_ms == self.local.started_at_ms
             && update.incarnation >= self.local.incarnation;
-        if is_doubted && self.local.status == MemberStatus::Alive {
+        if needs_refutation && self.local.status == MemberStatus::Alive {
             self.local.incarnation = update.incarnation.saturating_add(1);
             self.detector.worsen_local_health(1);
             self.update_queue.enqueue(self.local.clone());
@@ -82,7 +82,7 @@
         }
         match self.table.apply(update.clone(), from, now) {
             UpdateEffect::Ignored => {}
-            UpdateEffect::Corroborated => self.update_queue.enqueue(update),
+            UpdateEffect::Confirmed => self.update_queue.enqueue(update),
             UpdateEffect::Changed { previous } => {
                 self.notify(&update, previous);
                 self.update_queue.enqueue(update);
