--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -82,8 +82,8 @@
 }
 
 #[rstest]
-#[case::repeated(0.0, |_: &mut Vec<u8>| {}, DatagramError::Replayed)]
-#[case::late(31.0, |_: &mut Vec<u8>| {}, DatagramError::Stale)]
+#[case::replayed(0.0, |_: &mut Vec<u8>| {}, DatagramError::Replayed)]
+#[case::half_a_minute_late(31.0, |_: &mut Vec<u8>| {}, DatagramError::Stale)]
 #[case::an_hour_late(3600.0, |_: &mut Vec<u8>| {}, DatagramError::Stale)]
 #[case::flipped_bit(0.0, |bytes: &mut Vec<u8>| *bytes.last_mut().unwrap() ^= 1, DatagramError::WrongTag)]
 #[case::changed_counter(0.0, |bytes: &mut Vec<u8>| bytes[18] ^= 1, DatagramError::WrongTag)]
@@ -92,7 +92,7 @@
 #[case::long(0.0, |bytes: &mut Vec<u8>| bytes.resize(MAX_DATAGRAM_BYTES + 1, 0), DatagramError::Length)]
 #[case::another_version(0.0, |bytes: &mut Vec<u8>| bytes[0] = 9, DatagramError::Version)]
 #[case::another_key(0.0, |bytes: &mut Vec<u8>| bytes[1] = 9, DatagramError::UnknownKey)]
-fn an_altered_repeated_or_old_datagram_is_rejected(
+fn altered_replayed_and_stale_datagrams_are_rejected(
     #[case] delay: f64,
     #[case] alter: fn(&mut Vec<u8>),
     #[case] expected: DatagramError,
@@ -143,7 +143,7 @@
 /// Follows the steps of a key rotation: first all members open with the new key, then all seal with
 /// it, then the old one is removed.
 #[test]
-fn keys_rotate_without_a_gap() {
+fn key_rotation_loses_no_datagram() {
     let (mut a, mut b) = joined_pair();
     let steps = [
         [vec![key(1), key(2)], vec![key(1)]],
@@ -161,7 +161,10 @@
             5.0 + 20.0 * step as f64,
             25.0 + 20.0 * step as f64,
         );
-        assert!(knows(&a, &b) && knows(&b, &a), "after step {step}");
+        assert!(
+            knows(&a, &b) && knows(&b, &a),
+            "the members do not know each other after step {step}"
+        );
     }
     let rejected = a
         .rejected_datagrams()
@@ -180,7 +183,7 @@
 #[case::short(vec![Key { id: 1, secret: vec![1; 15] }], ConfigError::ShortKey(1, 15))]
 #[case::duplicate_id(vec![key(1), key(1)], ConfigError::DuplicateKeyId(1))]
 #[case::three(vec![key(1), key(2), key(3)], ConfigError::TooManyKeys)]
-fn unusable_keys_are_config_errors(#[case] keys: Vec<Key>, #[case] expected: ConfigError) {
+fn invalid_keys_are_config_errors(#[case] keys: Vec<Key>, #[case] expected: ConfigError) {
     assert_eq!(
         Membership::new(Duration::ZERO, config(0, START_MS, keys)).err(),
         Some(expected)
@@ -191,13 +194,13 @@
     /// Arbitrary bytes, alone or appended to a prefix of a valid datagram, are rejected and change
     /// nothing.
     #[test]
-    fn arbitrary_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1400), head in 0usize..40) {
+    fn arbitrary_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1400), prefix_length in 0usize..40) {
         let (mut a, mut b) = (member(0), member(1));
         b.tick(seconds(3.0));
         let (_, sent) = b.take_datagram().unwrap();
-        let mixed: Vec<u8> = sent.iter().take(head).chain(&bytes).copied().collect();
-        prop_assume!(mixed != sent);
-        prop_assert!(a.receive(seconds(3.0), &mixed).is_err());
+        let forged: Vec<u8> = sent.iter().take(prefix_length).chain(&bytes).copied().collect();
+        prop_assume!(forged != sent);
+        prop_assert!(a.receive(seconds(3.0), &forged).is_err());
         prop_assert!(a.known_members().next().is_none());
     }
 }
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -93,23 +93,23 @@
 }
 
 impl Node {
-    fn act(&mut self, now: Duration) {
+    fn perform_action(&mut self, now: Duration) {
         let size = self.rng.generate_range(0..300usize);
         let bytes = vec![size as u8; size];
-        let published = self.membership.publish(now, bytes.clone());
-        let all: Vec<MemberName> = self
+        let was_published = self.membership.publish(now, bytes.clone());
+        let known: Vec<MemberName> = self
             .membership
             .known_members()
             .map(|member| member.update.name.clone())
             .collect();
-        let mut sent = false;
-        if !all.is_empty() {
-            let to = self.rng.generate_range(0..all.len());
-            sent = self.membership.send_direct(now, &all[to], bytes);
+        let mut was_sent = false;
+        if !known.is_empty() {
+            let to = self.rng.generate_range(0..known.len());
+            was_sent = self.membership.send_direct(now, &known[to], bytes);
         }
         observe(|digest| {
-            digest.number(u64::from(published));
-            digest.number(u64::from(sent));
+            digest.number(u64::from(was_published));
+            digest.number(u64::from(was_sent));
         });
     }
 
@@ -153,13 +153,14 @@
 }
 
 impl SimulatedMember for Node {
-    fn start(number: usize, start: u32, now: Duration, ahead: f64) -> Self {
+    fn start(number: usize, start: u32, now: Duration, clock_ahead_s: f64) -> Self {
         let seed =
             SEED.with(|seed| *seed.borrow()) << 32 | (number as u64) << 16 | u64::from(start);
-        let ahead_ms = (ahead * 1e3) as i64;
+        let clock_ahead_ms = (clock_ahead_s * 1e3) as i64;
         let config = Config {
-            name: MemberName::try_from(format!("s{number}")).expect("a short name"),
-            started_at_ms: (START_MS + now.as_millis() as u64).saturating_add_signed(ahead_ms),
+            name: MemberName::try_from(format!("s{number}")).expect("a valid name"),
+            started_at_ms: (START_MS + now.as_millis() as u64)
+                .saturating_add_signed(clock_ahead_ms),
             started_at: now,
             address: address(number),
             seed_addresses: vec![address(0), address(1)],
@@ -192,7 +193,7 @@
         self.membership.tick(now);
         if now >= self.next_action {
             self.next_action = now + ACTION_INTERVAL;
-            self.act(now);
+            self.perform_action(now);
         }
         self.observe_events();
     }
@@ -223,57 +224,63 @@
     }
 }
 
-fn share(rng: &mut WyRand) -> f64 {
+fn random_fraction(rng: &mut WyRand) -> f64 {
     (rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn some_members(rng: &mut WyRand) -> Selector {
-    let from = share(rng) * 0.7;
-    Selector::Fraction(from, (from + 0.1 + 0.3 * share(rng)).min(1.0))
+fn random_members(rng: &mut WyRand) -> Selector {
+    let from = random_fraction(rng) * 0.7;
+    Selector::Fraction(from, (from + 0.1 + 0.3 * random_fraction(rng)).min(1.0))
 }
 
-fn step(at: f64, does: Fault) -> ScriptStep {
-    ScriptStep { at, fault: does }
+fn step(at: f64, fault: Fault) -> ScriptStep {
+    ScriptStep { at, fault }
 }
 
 /// Draws a fault and, for a fault that does not last, the step that ends it.
 fn draw_fault(rng: &mut WyRand, at: f64) -> Vec<ScriptStep> {
-    let who = some_members(rng);
-    let end = at + 0.2 + share(rng) * 8.0;
+    let selected = random_members(rng);
+    let end = at + 0.2 + random_fraction(rng) * 8.0;
     match rng.generate_range(0..9u32) {
         0 => vec![
-            step(at, Fault::Kill(who.clone())),
-            step(end, Fault::Start(who)),
+            step(at, Fault::Kill(selected.clone())),
+            step(end, Fault::Start(selected)),
         ],
         1 => vec![
-            step(at, Fault::Leave(who.clone())),
-            step(end, Fault::Start(who)),
+            step(at, Fault::Leave(selected.clone())),
+            step(end, Fault::Start(selected)),
         ],
         2 => vec![
-            step(at, Fault::Suspend(who.clone())),
-            step(end, Fault::Resume(who)),
+            step(at, Fault::Suspend(selected.clone())),
+            step(end, Fault::Resume(selected)),
         ],
         3 => {
-            let one_way = share(rng) < 0.4;
-            partition(at, end, who, Selector::All, one_way)
+            let one_way = random_fraction(rng) < 0.4;
+            partition(at, end, selected, Selector::All, one_way)
         }
         4 => {
             let (first, second) = (Selector::Fraction(0.0, 0.5), Selector::Fraction(0.5, 1.0));
             partition(at, at + 9.0, first, second, false)
         }
         5 => {
-            let jitter_ms = 900.0 * share(rng);
-            vec![step(at, lossy_and_late(who, jitter_ms))]
+            let jitter_ms = 900.0 * random_fraction(rng);
+            vec![step(at, lossy_and_delayed(selected, jitter_ms))]
         }
-        6 => vec![step(at, slow_and_corrupting(who))],
+        6 => vec![step(at, slow_and_corrupting(selected))],
         7 => {
             let ids = [vec![2, 1], vec![1, 2], vec![2]][rng.generate_range(0..3usize)].clone();
-            vec![step(at, Fault::ReplaceKeys { members: who, ids })]
+            vec![step(
+                at,
+                Fault::ReplaceKeys {
+                    members: selected,
+                    ids,
+                },
+            )]
         }
         _ => vec![step(
             at,
             Fault::SendNoise {
-                to: who,
+                to: selected,
                 datagrams: 40,
             },
         )],
@@ -287,7 +294,7 @@
     ]
 }
 
-fn lossy_and_late(from: Selector, jitter_ms: f64) -> Fault {
+fn lossy_and_delayed(from: Selector, jitter_ms: f64) -> Fault {
     Fault::ChangeLinks {
         from,
         to: Selector::All,
@@ -312,31 +319,31 @@
     }
 }
 
-fn drawn_script(seed: u64) -> Script {
+fn random_script(seed: u64) -> Script {
     let mut rng = WyRand::new_seed(seed);
     let mut steps = Vec::new();
     let mut at = 4.0;
     while at < SECONDS - QUIET_SECONDS - 9.0 {
         steps.extend(draw_fault(&mut rng, at));
-        at += 0.5 + share(&mut rng) * 3.0;
+        at += 0.5 + random_fraction(&mut rng) * 3.0;
     }
-    let sound = LinkConditions {
+    let healthy = LinkConditions {
         delay_ms: 1.0,
         jitter_ms: 5.0,
         ..LinkConditions::default()
     };
-    let last = [
+    let recovery = [
         Fault::HealPartitions,
         Fault::ChangeLinks {
             from: Selector::All,
             to: Selector::All,
-            conditions: sound,
+            conditions: healthy,
         },
         Fault::Resume(Selector::All),
     ];
-    steps.extend(last.map(|does| ScriptStep {
+    steps.extend(recovery.map(|fault| ScriptStep {
         at: SECONDS - QUIET_SECONDS,
-        fault: does,
+        fault,
     }));
     steps.sort_by(|a, b| a.at.total_cmp(&b.at));
     let conditions = LinkConditions {
@@ -372,7 +379,7 @@
 fn membership() {
     for seed in 1..=SEEDS {
         SEED.with(|current| *current.borrow_mut() = seed);
-        let script = drawn_script(seed);
+        let script = random_script(seed);
         assert_eq!(script.config_errors(), []);
         let mut simulation: Simulation<Node> = Simulation::new(&script, MEMBERS);
         for second in (5..=SECONDS as u64).step_by(5) {
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -17,14 +17,14 @@
 const MEMBERS: usize = 4;
 const STEP: Duration = Duration::from_millis(50);
 /// Number of bytes before the packet: version, key, tag, counter, sender's clock.
-const HEADER: usize = 2 + 16 + 8 + 8;
+const HEADER_BYTES: usize = 2 + 16 + 8 + 8;
 const DIRECT_PAYLOAD: [u8; 4] = [0xde, 0xad, 0x00, 0xff];
 
 /// The wire format of a packet, described independently of the program's types.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct WireFrame {
+struct WirePacket {
     sender: WireUpdate,
-    kind: WireKind,
+    message: WireMessage,
     updates: Vec<WireUpdate>,
     published: Vec<WirePublished>,
 }
@@ -32,7 +32,7 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct WireUpdate {
     name: String,
-    start_ms: u64,
+    started_at_ms: u64,
     incarnation: u32,
     status: WireStatus,
     address: SocketAddr,
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-enum WireKind {
+enum WireMessage {
     Probe {
         number: u32,
         target: String,
@@ -60,7 +60,7 @@
         target: String,
         address: SocketAddr,
     },
-    NoAck {
+    Nack {
         number: u32,
     },
     Join,
@@ -76,12 +76,12 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 struct WirePublished {
     name: String,
-    start_ms: u64,
-    number: u32,
+    started_at_ms: u64,
+    version: u32,
     bytes: Vec<u8>,
 }
 
-struct Sent {
+struct SentDatagram {
     to: usize,
     bytes: Vec<u8>,
 }
@@ -90,7 +90,7 @@
 struct Exchange {
     now: Duration,
     members: Vec<Option<Membership>>,
-    sent: Vec<Sent>,
+    sent: Vec<SentDatagram>,
 }
 
 fn address(number: usize) -> SocketAddr {
@@ -102,7 +102,7 @@
 }
 
 fn member_name(number: usize) -> MemberName {
-    MemberName::try_from(format!("s{number}")).expect("a short name")
+    MemberName::try_from(format!("s{number}")).expect("a valid name")
 }
 
 fn new_member(number: usize) -> Membership {
@@ -136,27 +136,27 @@
 
     /// Delivers one datagram of each member. Returns false if there was none.
     fn deliver(&mut self) -> bool {
-        let mut any = false;
+        let mut delivered = false;
         for from in 0..MEMBERS {
             let taken = self.members[from]
                 .as_mut()
                 .and_then(Membership::take_datagram);
             let Some((to, bytes)) = taken else { continue };
-            any = true;
+            delivered = true;
             let to = usize::from(to.port() - 10_000);
             if let Some(receiver) = &mut self.members[to] {
                 receiver
                     .receive(self.now, &bytes)
                     .expect("a datagram of a member");
             }
-            self.sent.push(Sent { to, bytes });
+            self.sent.push(SentDatagram { to, bytes });
         }
-        any
+        delivered
     }
 }
 
 /// Returns all datagrams of a fixed exchange in which four members join, one dies and one leaves.
-fn exchange() -> Vec<Sent> {
+fn exchange() -> Vec<SentDatagram> {
     let members = (0..MEMBERS)
         .map(|number| Some(new_member(number)))
         .collect();
@@ -181,72 +181,83 @@
     exchange.sent
 }
 
-fn read_frame(datagram: &[u8]) -> WireFrame {
-    let (frame, rest) =
-        postcard::take_from_bytes(&datagram[HEADER..]).expect("a frame of the described layout");
+fn decode_packet(datagram: &[u8]) -> WirePacket {
+    let (packet, rest) = postcard::take_from_bytes(&datagram[HEADER_BYTES..])
+        .expect("a packet of the described layout");
     assert!(rest.is_empty());
-    frame
+    packet
 }
 
-fn tells(frame: &WireFrame, status: WireStatus) -> bool {
-    frame.updates.iter().any(|update| update.status == status)
+fn contains_status(packet: &WirePacket, status: WireStatus) -> bool {
+    packet.updates.iter().any(|update| update.status == status)
 }
 
-type Shows = fn(&WireFrame) -> bool;
+type Matcher = fn(&WirePacket) -> bool;
 
 /// Cases in the order of the file's lines. Each line is the first datagram of the exchange that
 /// matches.
-const SHOWN: [(&str, Shows); 15] = [
-    ("probe", |frame| {
-        matches!(frame.kind, WireKind::Probe { .. })
+const CASES: [(&str, Matcher); 15] = [
+    ("probe", |packet| {
+        matches!(packet.message, WireMessage::Probe { .. })
     }),
-    ("ack", |frame| matches!(frame.kind, WireKind::Ack { .. })),
-    ("indirect-probe", |frame| {
-        matches!(frame.kind, WireKind::IndirectProbe { .. })
+    ("ack", |packet| {
+        matches!(packet.message, WireMessage::Ack { .. })
     }),
-    ("no-ack", |frame| {
-        matches!(frame.kind, WireKind::NoAck { .. })
+    ("indirect-probe", |packet| {
+        matches!(packet.message, WireMessage::IndirectProbe { .. })
     }),
-    ("join", |frame| matches!(frame.kind, WireKind::Join)),
-    ("member-table-with-reply", |frame| {
-        matches!(frame.kind, WireKind::MemberTable { reply_wanted: true })
+    ("no-ack", |packet| {
+        matches!(packet.message, WireMessage::Nack { .. })
     }),
-    ("member-table", |frame| {
+    ("join", |packet| matches!(packet.message, WireMessage::Join)),
+    ("member-table-with-reply", |packet| {
         matches!(
-            frame.kind,
-            WireKind::MemberTable {
+            packet.message,
+            WireMessage::MemberTable { reply_wanted: true }
+        )
+    }),
+    ("member-table", |packet| {
+        matches!(
+            packet.message,
+            WireMessage::MemberTable {
                 reply_wanted: false
             }
         )
     }),
-    ("gossip", |frame| matches!(frame.kind, WireKind::Gossip)),
-    ("direct-message", |frame| {
-        matches!(frame.kind, WireKind::Direct { .. })
+    ("gossip", |packet| {
+        matches!(packet.message, WireMessage::Gossip)
     }),
-    ("published-state", |frame| !frame.published.is_empty()),
-    ("ipv6-address", |frame| {
-        frame.updates.iter().any(|update| update.address.is_ipv6())
+    ("direct-message", |packet| {
+        matches!(packet.message, WireMessage::Direct { .. })
     }),
-    ("suspect", |frame| tells(frame, WireStatus::Suspect)),
-    ("dead", |frame| tells(frame, WireStatus::Dead)),
-    ("leave", |frame| frame.sender.status == WireStatus::Left),
-    ("left", |frame| tells(frame, WireStatus::Left)),
+    ("published-state", |packet| !packet.published.is_empty()),
+    ("ipv6-address", |packet| {
+        packet.updates.iter().any(|update| update.address.is_ipv6())
+    }),
+    ("suspect", |packet| {
+        contains_status(packet, WireStatus::Suspect)
+    }),
+    ("dead", |packet| contains_status(packet, WireStatus::Dead)),
+    ("leave", |packet| packet.sender.status == WireStatus::Left),
+    ("left", |packet| contains_status(packet, WireStatus::Left)),
 ];
 
 fn read_golden() -> String {
     golden::read(
         env!("CARGO_MANIFEST_DIR"),
         "datagrams.hex",
-        &written_today(),
+        &generate_file(),
     )
 }
 
-fn written_today() -> String {
+fn generate_file() -> String {
     let sent = exchange();
     let mut text = String::new();
-    for (name, shows) in SHOWN {
-        let first = sent.iter().find(|sent| shows(&read_frame(&sent.bytes)));
-        let first = first.unwrap_or_else(|| panic!("no datagram of the exchange shows {name}"));
+    for (name, is_match) in CASES {
+        let first = sent
+            .iter()
+            .find(|sent| is_match(&decode_packet(&sent.bytes)));
+        let first = first.unwrap_or_else(|| panic!("no datagram of the exchange matches {name}"));
         text += &format!("{name} {} {}\n", first.to, golden::to_hex(&first.bytes));
     }
     text
@@ -268,8 +279,8 @@
     let datagrams: Vec<_> = text.lines().map(line).collect();
     let names = datagrams.iter().map(|(name, ..)| name.as_str());
     assert!(
-        names.eq(SHOWN.iter().map(|(name, _)| *name)),
-        "a line for each"
+        names.eq(CASES.iter().map(|(name, _)| *name)),
+        "the file has a line for each case"
     );
     datagrams
 }
@@ -277,25 +288,25 @@
 /// The members of the fixed exchange send exactly the datagrams in the file, including the seal.
 #[test]
 fn the_exchange_sends_the_golden_datagrams() {
-    assert_eq!(written_today(), read_golden());
+    assert_eq!(generate_file(), read_golden());
 }
 
 /// Field order and variant numbers of the packets match the independent description.
 #[test]
-fn golden_frames_have_the_described_layout() {
-    for ((name, _, datagram), (_, shows)) in golden_datagrams().into_iter().zip(SHOWN) {
-        let frame = read_frame(&datagram);
-        assert!(shows(&frame), "{name}: {frame:?}");
+fn golden_packets_have_the_described_layout() {
+    for ((name, _, datagram), (_, is_match)) in golden_datagrams().into_iter().zip(CASES) {
+        let packet = decode_packet(&datagram);
+        assert!(is_match(&packet), "{name}: {packet:?}");
         assert_eq!(
-            postcard::to_stdvec(&frame).unwrap(),
-            datagram[HEADER..],
+            postcard::to_stdvec(&packet).unwrap(),
+            datagram[HEADER_BYTES..],
             "{name}"
         );
         assert_eq!(datagram[..2], [1, 7], "{name}: version and key");
     }
 }
 
-fn status_of(status: MemberStatus) -> WireStatus {
+fn to_wire_status(status: MemberStatus) -> WireStatus {
     match status {
         MemberStatus::Alive => WireStatus::Alive,
         MemberStatus::Suspect => WireStatus::Suspect,
@@ -313,28 +324,36 @@
         .update;
     let known = WireUpdate {
         name: known.name.to_string(),
-        start_ms: known.started_at_ms,
+        started_at_ms: known.started_at_ms,
         incarnation: known.incarnation,
-        status: status_of(known.status),
+        status: to_wire_status(known.status),
         address: known.address,
     };
     assert_eq!(known, *update, "{context}");
 }
 
 /// Returns whether `reply` is what a receiver that knows no other member replies to a packet.
-fn is_reply(kind: &WireKind, reply: Option<&WireKind>) -> bool {
-    match (kind, reply) {
-        (WireKind::Probe { number, .. }, Some(WireKind::Ack { number: acked })) => number == acked,
-        (WireKind::IndirectProbe { target, .. }, Some(WireKind::Probe { target: probed, .. })) => {
-            target == probed
-        }
-        (WireKind::Join, Some(WireKind::MemberTable { reply_wanted })) => *reply_wanted,
+fn is_reply(message: &WireMessage, reply: Option<&WireMessage>) -> bool {
+    match (message, reply) {
+        (
+            WireMessage::Probe { number, .. },
+            Some(WireMessage::Ack {
+                number: acknowledged,
+            }),
+        ) => number == acknowledged,
+        (
+            WireMessage::IndirectProbe { target, .. },
+            Some(WireMessage::Probe { target: probed, .. }),
+        ) => target == probed,
+        (WireMessage::Join, Some(WireMessage::MemberTable { reply_wanted })) => *reply_wanted,
         (
-            WireKind::MemberTable { reply_wanted: true },
-            Some(WireKind::MemberTable { reply_wanted }),
+            WireMessage::MemberTable { reply_wanted: true },
+            Some(WireMessage::MemberTable { reply_wanted }),
         ) => !reply_wanted,
-        (WireKind::Probe { .. } | WireKind::IndirectProbe { .. } | WireKind::Join, _) => false,
-        (WireKind::MemberTable { reply_wanted: true }, _) => false,
+        (WireMessage::Probe { .. } | WireMessage::IndirectProbe { .. } | WireMessage::Join, _) => {
+            false
+        }
+        (WireMessage::MemberTable { reply_wanted: true }, _) => false,
         (_, reply) => reply.is_none(),
     }
 }
@@ -342,30 +361,31 @@
 /// A member that has just started accepts each datagram in the file, applies its updates and
 /// replies to it.
 #[test]
-fn members_read_the_golden_datagrams() {
+fn members_accept_the_golden_datagrams() {
     for (name, to, datagram) in golden_datagrams() {
-        let frame = read_frame(&datagram);
-        let sent_ms = u64::from_le_bytes(datagram[HEADER - 8..HEADER].try_into().unwrap());
+        let packet = decode_packet(&datagram);
+        let sent_ms =
+            u64::from_le_bytes(datagram[HEADER_BYTES - 8..HEADER_BYTES].try_into().unwrap());
         let now = Duration::from_millis(sent_ms - START_MS);
         let mut receiver = new_member(to);
         assert_eq!(receiver.receive(now, &datagram), Ok(()), "{name}");
 
-        assert_known(&receiver, &frame.sender, &name);
+        assert_known(&receiver, &packet.sender, &name);
         let own_name = member_name(to).to_string();
-        let mentioned = [own_name.as_str(), frame.sender.name.as_str()];
-        for update in frame
+        let excluded = [own_name.as_str(), packet.sender.name.as_str()];
+        for update in packet
             .updates
             .iter()
-            .filter(|u| !mentioned.contains(&u.name.as_str()))
+            .filter(|u| !excluded.contains(&u.name.as_str()))
         {
             assert_known(&receiver, update, &name);
         }
-        let is_here = |published: &&WirePublished| {
+        let is_known = |published: &&WirePublished| {
             receiver
                 .active_members()
                 .any(|member| member.update.name.to_string() == published.name)
         };
-        for published in frame.published.iter().filter(is_here) {
+        for published in packet.published.iter().filter(is_known) {
             let member = MemberName::try_from(published.name.clone()).unwrap();
             assert_eq!(
                 receiver.published_by(&member),
@@ -373,12 +393,15 @@
                 "{name}"
             );
         }
-        let direct = matches!(frame.kind, WireKind::Direct { .. });
+        let direct = matches!(packet.message, WireMessage::Direct { .. });
         let expected = direct.then(|| (member_name(0), DIRECT_PAYLOAD.to_vec()));
         assert_eq!(receiver.take_direct_message(), expected, "{name}");
         let reply = receiver
             .take_datagram()
-            .map(|(_, bytes)| read_frame(&bytes).kind);
-        assert!(is_reply(&frame.kind, reply.as_ref()), "{name}: {reply:?}");
+            .map(|(_, bytes)| decode_packet(&bytes).message);
+        assert!(
+            is_reply(&packet.message, reply.as_ref()),
+            "{name}: {reply:?}"
+        );
     }
 }
