--- a/crates/replication/src/local_state.rs
+++ b/crates/replication/src/local_state.rs
@@ -60,7 +60,7 @@
     /// Whether a key that a build has served stays with that build or a newer one.
     sticky_keys: bool,
     /// Cap for a build that the rollout service has not announced.
-    first_cap: f64,
+    initial_cap: f64,
     /// Keyed by the host's request number.
     requests: BTreeMap<u64, OpenRequest>,
     published_keys: BTreeMap<u64, PublishedKey>,
@@ -71,11 +71,11 @@
 
 impl LocalState {
     /// Creates the state of a sidecar that starts now.
-    pub fn new(now: Duration, sticky_keys: bool, first_cap: f64) -> Self {
+    pub fn new(now: Duration, sticky_keys: bool, initial_cap: f64) -> Self {
         Self {
             started_at: now,
             sticky_keys,
-            first_cap,
+            initial_cap,
             requests: BTreeMap::new(),
             published_keys: BTreeMap::new(),
             stage: None,
@@ -116,7 +116,7 @@
             return None;
         }
         let (_, stage) = merged.stages().find(|(of, _)| *of == name)?;
-        stage_after_restart(*stage, self.first_cap)
+        stage_after_restart(*stage, self.initial_cap)
     }
 
     /// Returns the reason why a request must not be sent now, if any.
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -135,14 +135,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
     /// The packet has another format version.
-    #[error("the replication packet has another format version than {FORMAT_VERSION}")]
+    #[error("unsupported replication packet version, expected {FORMAT_VERSION}")]
     Version,
     /// The bytes cannot be decoded.
-    #[error("the bytes are no replication packet")]
+    #[error("malformed replication packet")]
     Malformed,
     /// The packet can be decoded but exceeds a bound of this module.
     #[error(
-        "the replication packet is longer than {MAX_PACKET_BYTES} bytes, or a name, a body, a sequence number, \
+        "replication packet exceeds {MAX_PACKET_BYTES} bytes, or a name, a body, a sequence number, \
          a time to live or the number of log positions in it is out of bounds"
     )]
     OutOfBounds,
--- a/crates/replication/src/replica/anti_entropy.rs
+++ b/crates/replication/src/replica/anti_entropy.rs
@@ -223,31 +223,31 @@
         interval: &OriginInterval,
         positions: &[LogPosition],
     ) {
-        let mut theirs: BTreeMap<&Origin, u64> = BTreeMap::new();
+        let mut peer_positions: BTreeMap<&Origin, u64> = BTreeMap::new();
         for position in positions {
             self.record_acknowledgement(from, position);
-            theirs.insert(&position.origin, position.contiguous_through);
+            peer_positions.insert(&position.origin, position.contiguous_through);
         }
-        let ours: BTreeMap<Origin, u64> = self
+        let own_positions: BTreeMap<Origin, u64> = self
             .logs
             .iter()
             .filter(|(origin, _)| interval.contains(origin))
             .map(|(origin, log)| (origin.clone(), log.contiguous_through()))
             .collect();
-        let ahead = positions_ahead(&ours, &theirs);
-        let is_cut_off = ahead.len() == MAX_POSITIONS;
+        let ahead = positions_ahead(&own_positions, &peer_positions);
+        let is_truncated = ahead.len() == MAX_POSITIONS;
         let last_origin = ahead.last().map(|position| position.origin.clone());
         let missing: Vec<LogPosition> = ahead
             .iter()
             .map(|position| LogPosition {
                 origin: position.origin.clone(),
-                contiguous_through: theirs.get(&position.origin).copied().unwrap_or(0),
+                contiguous_through: peer_positions.get(&position.origin).copied().unwrap_or(0),
             })
             .collect();
         let reply = Message::DigestReply {
             request,
-            through: if is_cut_off { last_origin } else { None },
-            behind: positions_behind(&ours, &theirs),
+            through: if is_truncated { last_origin } else { None },
+            behind: positions_behind(&own_positions, &peer_positions),
             ahead,
             caught_up: self.caught_up,
         };
@@ -319,11 +319,12 @@
 
 /// Returns the first logs in which this replica is ahead of a peer, as many as fit into a reply.
 fn positions_ahead(
-    ours: &BTreeMap<Origin, u64>,
-    theirs: &BTreeMap<&Origin, u64>,
+    own_positions: &BTreeMap<Origin, u64>,
+    peer_positions: &BTreeMap<&Origin, u64>,
 ) -> Vec<LogPosition> {
-    ours.iter()
-        .filter(|(origin, through)| theirs.get(origin).copied().unwrap_or(0) < **through)
+    own_positions
+        .iter()
+        .filter(|(origin, through)| peer_positions.get(origin).copied().unwrap_or(0) < **through)
         .take(MAX_POSITIONS)
         .map(|(origin, through)| LogPosition {
             origin: origin.clone(),
@@ -334,13 +335,13 @@
 
 /// Returns this replica's positions in logs in which it is behind a peer.
 fn positions_behind(
-    ours: &BTreeMap<Origin, u64>,
-    theirs: &BTreeMap<&Origin, u64>,
+    own_positions: &BTreeMap<Origin, u64>,
+    peer_positions: &BTreeMap<&Origin, u64>,
 ) -> Vec<LogPosition> {
     let mut behind = Vec::new();
-    for (origin, their_position) in theirs {
-        let own_position = ours.get(*origin).copied().unwrap_or(0);
-        if own_position < *their_position {
+    for (origin, peer_position) in peer_positions {
+        let own_position = own_positions.get(*origin).copied().unwrap_or(0);
+        if own_position < *peer_position {
             behind.push(LogPosition {
                 origin: (*origin).clone(),
                 contiguous_through: own_position,
--- a/crates/replication/src/stage.rs
+++ b/crates/replication/src/stage.rs
@@ -31,11 +31,11 @@
 ///
 /// A build on trial returns to the first stage with at most `initial_cap`, because its cap may have
 /// been lowered meanwhile. A rollback is kept; a release is not.
-pub fn stage_after_restart(previous: Stage, first_cap: f64) -> Option<Stage> {
+pub fn stage_after_restart(previous: Stage, initial_cap: f64) -> Option<Stage> {
     match previous.phase {
         Phase::OnTrial => Some(Stage {
             stage: 0,
-            cap: previous.cap.min(first_cap),
+            cap: previous.cap.min(initial_cap),
             ..previous
         }),
         Phase::RollingBack | Phase::RolledBack => Some(previous),
