--- a/crates/replication/tests/bounds.rs
+++ b/crates/replication/tests/bounds.rs
@@ -2,7 +2,7 @@
 
 mod helpers;
 
-use helpers::{replica_config, s};
+use helpers::{replica_config, secs};
 use limewing_replication::{
     Entry, Log, LogPosition, Message, Origin, Packet, PacketError, Record, Replica, SequenceRange,
     MAX_BODY_BYTES, MAX_LOG_ENTRIES, MAX_SEQUENCE, MAX_TOTAL_ENTRIES,
@@ -21,16 +21,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 600, ..ProptestConfig::default() })]
     #[test]
-    fn random_and_corrupted_bytes_do_no_harm(noise in prop::collection::vec(any::<u8>(), 0..1200), flip in 0usize..1000) {
-        let _ = Packet::decode(&noise);
+    fn random_and_corrupted_bytes_are_tolerated(random_bytes in prop::collection::vec(any::<u8>(), 0..1200), flip in 0usize..1000) {
+        let _ = Packet::decode(&random_bytes);
         let entries = vec![Entry { sequence: 3, time_to_live_ms: 900, kind: 1, body: Record::KeyServed { key: 9, build: 2 }.encode() }];
         let mut bytes = Packet { message: Message::Entries { origin: origin(4), range: Some(SequenceRange { after: 2, through: 5 }), entries } }.encode();
-        let at = flip % bytes.len();
-        bytes[at] ^= 1 << (flip % 8);
+        let index = flip % bytes.len();
+        bytes[index] ^= 1 << (flip % 8);
         if let Ok(packet) = Packet::decode(&bytes) {
-            let mut replica = Replica::new(s(0.0), replica_config("a", 1));
-            replica.receive(s(0.1), "b", packet);
-            replica.tick(s(0.2));
+            let mut replica = Replica::new(secs(0.0), replica_config("a", 1));
+            replica.receive(secs(0.1), "b", packet);
+            replica.tick(secs(0.2));
         }
     }
 
@@ -38,20 +38,20 @@
     /// far as it received everything.
     #[test]
     fn a_log_is_contiguous_only_through_what_it_received(
-        singles in prop::collection::vec(1u64..30, 0..40),
+        single_sequences in prop::collection::vec(1u64..30, 0..40),
         ranges in prop::collection::vec((0u64..25, 1u64..12), 0..12),
     ) {
         let entry = |sequence: u64| Entry { sequence, time_to_live_ms: 60_000, kind: 1, body: vec![sequence as u8] };
         let (mut log, mut received) = (Log::default(), BTreeSet::new());
-        for sequence in &singles {
-            if log.insert(s(0.0), &entry(*sequence)) {
-                prop_assert!(received.insert(*sequence), "{} is new twice", sequence);
+        for sequence in &single_sequences {
+            if log.insert(secs(0.0), &entry(*sequence)) {
+                prop_assert!(received.insert(*sequence), "{} was reported as new twice", sequence);
             }
         }
         for (after, count) in ranges {
             let all: Vec<Entry> = (after + 1..=after + count).map(entry).collect();
-            for one in log.insert_range(s(0.0), SequenceRange { after, through: after + count }, &all) {
-                prop_assert!(received.insert(one.sequence), "{} is new twice", one.sequence);
+            for stored in log.insert_range(secs(0.0), SequenceRange { after, through: after + count }, &all) {
+                prop_assert!(received.insert(stored.sequence), "{} was reported as new twice", stored.sequence);
             }
             prop_assert!((1..=log.contiguous_through()).all(|sequence| received.contains(&sequence)), "{} of {:?}", log.contiguous_through(), received);
         }
@@ -87,8 +87,8 @@
 }
 
 #[test]
-fn memory_is_bounded_when_a_peer_floods() {
-    let mut replica = Replica::new(s(0.0), replica_config("a", 1));
+fn memory_is_bounded_when_a_peer_floods_entries() {
+    let mut replica = Replica::new(secs(0.0), replica_config("a", 1));
     replica.set_peers(["b".to_owned()].into_iter());
     let mut sequence = 0;
     for _ in 0..6_000 {
@@ -108,7 +108,7 @@
             }),
             entries,
         };
-        replica.receive(s(0.1), "b", Packet { message });
+        replica.receive(secs(0.1), "b", Packet { message });
         sequence += 10;
         while replica.take_applied().is_some() {}
         while replica.take_packet().is_some() {}
@@ -132,7 +132,7 @@
             body: vec![],
         }];
         replica.receive(
-            s(0.2),
+            secs(0.2),
             "b",
             Packet {
                 message: Message::Entries {
@@ -148,10 +148,10 @@
 }
 
 #[test]
-fn entries_of_unknown_kind_are_passed_on_unchanged() {
+fn entries_of_unknown_kind_are_relayed_unchanged() {
     let (mut a, mut b) = (
-        Replica::new(s(0.0), replica_config("a", 1)),
-        Replica::new(s(0.0), replica_config("b", 1)),
+        Replica::new(secs(0.0), replica_config("a", 1)),
+        Replica::new(secs(0.0), replica_config("b", 1)),
     );
     a.set_peers(["c".to_owned()].into_iter());
     b.set_peers(["a".to_owned()].into_iter());
@@ -170,15 +170,15 @@
         range: None,
         entries: vec![unknown.clone()],
     };
-    a.receive(s(0.0), "d", Packet { message });
+    a.receive(secs(0.0), "d", Packet { message });
     assert_eq!(
         a.take_applied()
             .map(|(_, entry)| Record::decode(entry.kind, &entry.body)),
         Some(None)
     );
-    a.tick(s(0.0));
+    a.tick(secs(0.0));
     while let Some((_, packet)) = a.take_packet() {
-        b.receive(s(0.0), "a", Packet::decode(&packet.encode()).unwrap());
+        b.receive(secs(0.0), "a", Packet::decode(&packet.encode()).unwrap());
     }
     assert_eq!(b.take_applied(), Some((origin, unknown)));
 }
--- a/crates/replication/tests/digest.rs
+++ b/crates/replication/tests/digest.rs
@@ -4,7 +4,7 @@
 
 mod helpers;
 
-use helpers::{drawn, replica_config, s, TIME_TO_LIVE};
+use helpers::{random_script, replica_config, secs, TIME_TO_LIVE};
 use limewing_fault_injection::{SimulatedMember, Simulation, Traffic};
 use limewing_replication::{
     ExecutionMark, LocalState, MergedState, Origin, Packet, PacketError, Phase, Record, Refusal,
@@ -22,7 +22,7 @@
 const SECONDS: u64 = 75;
 const ACTION_INTERVAL: Duration = Duration::from_millis(90);
 const KEYS: u64 = 200;
-const TAGS: u64 = 60;
+const IDEMPOTENCY_KEYS: u64 = 60;
 const FIRST_CAP: f64 = 0.14;
 
 thread_local! {
@@ -54,7 +54,7 @@
     digest.number(stage.cap.to_bits());
 }
 
-fn observe_fact(digest: &mut Digest, record: Option<&Record>) {
+fn observe_record(digest: &mut Digest, record: Option<&Record>) {
     match record {
         None => digest.number(0),
         Some(Record::KeyServed { key, build }) => {
@@ -63,11 +63,11 @@
             digest.number(u64::from(*build));
         }
         Some(Record::Execution {
-            idempotency_key: tag,
+            idempotency_key,
             mark,
         }) => {
             digest.number(2);
-            digest.number(*tag);
+            digest.number(*idempotency_key);
             digest.number(u64::from(*mark == ExecutionMark::NeverRan));
         }
         Some(Record::Stage(stage)) => {
@@ -77,16 +77,16 @@
     }
 }
 
-fn refuses_code(refuses: Option<Refusal>) -> u64 {
-    match refuses {
+fn refusal_code(refusal: Option<Refusal>) -> u64 {
+    match refusal {
         None => 0,
         Some(Refusal::NotCaughtUp) => 1,
         Some(Refusal::MayHaveRun) => 2,
     }
 }
 
-fn unreadable_code(unreadable: PacketError) -> u64 {
-    match unreadable {
+fn error_code(error: PacketError) -> u64 {
+    match error {
         PacketError::Version => 1,
         PacketError::Malformed => 2,
         PacketError::OutOfBounds => 3,
@@ -122,21 +122,21 @@
     }
 
     fn publish(&mut self, now: Duration, record: Option<Record>) {
-        observe(|digest| observe_fact(digest, record.as_ref()));
+        observe(|digest| observe_record(digest, record.as_ref()));
         let Some(record) = record else { return };
         // Some records expire in transit.
-        let life = if self.draw(10) == 0 {
+        let time_to_live = if self.draw(10) == 0 {
             Duration::from_millis(120)
         } else {
             TIME_TO_LIVE
         };
-        let number = self.replica.publish(now, &record, life);
+        let number = self.replica.publish(now, &record, time_to_live);
         observe(|digest| digest.number(number));
     }
 
-    fn act(&mut self, now: Duration) {
+    fn perform_action(&mut self, now: Duration) {
         match self.draw(12) {
-            0 => self.be_told_a_stage(now),
+            0 => self.announce_stage(now),
             1..=4 => self.start_request(now),
             5..=7 => self.end_attempt(now),
             _ => {
@@ -147,7 +147,7 @@
         }
     }
 
-    fn be_told_a_stage(&mut self, now: Duration) {
+    fn announce_stage(&mut self, now: Duration) {
         let phases = [
             Phase::OnTrial,
             Phase::Released,
@@ -173,17 +173,17 @@
     }
 
     fn start_request(&mut self, now: Duration) {
-        let tag = self.draw(TAGS);
-        let (keyed, tagged) = (self.draw(2) == 0, self.draw(3) > 0);
-        let refuses = self.local.refusal(
+        let idempotency_key = self.draw(IDEMPOTENCY_KEYS);
+        let (has_routing_key, has_idempotency_key) = (self.draw(2) == 0, self.draw(3) > 0);
+        let refusal = self.local.refusal(
             now,
             &self.state,
             self.replica.caught_up(),
-            tagged.then_some(tag),
-            keyed,
+            has_idempotency_key.then_some(idempotency_key),
+            has_routing_key,
         );
-        observe(|digest| digest.number(refuses_code(refuses)));
-        if refuses.is_some() || !tagged {
+        observe(|digest| digest.number(refusal_code(refusal)));
+        if refusal.is_some() || !has_idempotency_key {
             return;
         }
         self.next_request += 1;
@@ -192,7 +192,7 @@
             attempts: 1 + self.draw(2) as u32,
         };
         for _ in 0..request.attempts {
-            let record = self.local.attempt_started(request.number, tag);
+            let record = self.local.attempt_started(request.number, idempotency_key);
             self.publish(now, record);
         }
         self.requests.push(request);
@@ -202,13 +202,13 @@
         if self.requests.is_empty() {
             return;
         }
-        let place = self.draw(self.requests.len() as u64) as usize;
-        let (never_ran, over) = (self.draw(3) == 0, self.draw(4) > 0);
-        let number = self.requests[place].number;
-        let record = self.local.attempt_ended(number, never_ran, over);
-        self.requests[place].attempts -= 1;
-        if self.requests[place].attempts == 0 {
-            self.requests.remove(place);
+        let index = self.draw(self.requests.len() as u64) as usize;
+        let (never_ran, request_over) = (self.draw(3) == 0, self.draw(4) > 0);
+        let number = self.requests[index].number;
+        let record = self.local.attempt_ended(number, never_ran, request_over);
+        self.requests[index].attempts -= 1;
+        if self.requests[index].attempts == 0 {
+            self.requests.remove(index);
             self.local.request_finished(number);
         }
         self.publish(now, record);
@@ -216,24 +216,25 @@
 
     /// Applies new entries and merges the stages in them.
     fn apply(&mut self, now: Duration) {
-        let mut news = false;
+        let mut has_new_entries = false;
         while let Some((origin, entry)) = self.replica.take_applied() {
-            news = true;
+            has_new_entries = true;
             let record = Record::decode(entry.kind, &entry.body);
-            let until = now + Duration::from_millis(entry.time_to_live_ms.into());
-            let fresh = record
-                .as_ref()
-                .is_some_and(|record| self.state.apply(&origin, entry.sequence, until, record));
+            let expires_at = now + Duration::from_millis(entry.time_to_live_ms.into());
+            let is_new = record.as_ref().is_some_and(|record| {
+                self.state
+                    .apply(&origin, entry.sequence, expires_at, record)
+            });
             observe(|digest| {
                 observe_origin(digest, &origin);
                 digest.number(entry.sequence);
                 digest.number(u64::from(entry.time_to_live_ms));
                 digest.number(u64::from(entry.kind));
                 digest.bytes(&entry.body);
-                digest.number(u64::from(fresh));
+                digest.number(u64::from(is_new));
             });
         }
-        if news {
+        if has_new_entries {
             let stage = self
                 .local
                 .merge_stages(&format!("m{}", self.number), &self.state);
@@ -267,17 +268,17 @@
                     .map_or(u64::MAX, u64::from),
             );
         }
-        for tag in 0..TAGS {
-            digest.number(u64::from(self.state.may_have_run(now, tag)));
+        for idempotency_key in 0..IDEMPOTENCY_KEYS {
+            digest.number(u64::from(self.state.may_have_run(now, idempotency_key)));
         }
         for (name, stage) in self.state.stages() {
             digest.bytes(name.as_bytes());
             observe_stage(digest, Some(stage));
         }
         observe_stage(digest, self.local.stage());
-        let (keys, tags) = self.state.key_and_request_counts();
+        let (keys, requests) = self.state.key_and_request_counts();
         digest.number(keys as u64);
-        digest.number(tags as u64);
+        digest.number(requests as u64);
         digest.number(self.state.dropped_records());
     }
 }
@@ -290,7 +291,7 @@
         );
         replica.set_peers((0..MEMBERS).map(|n| format!("m{n}")));
         let seed = SEED.with(|seed| *seed.borrow());
-        let own_seed = seed << 32 | (number as u64) << 16 | u64::from(start);
+        let process_seed = seed << 32 | (number as u64) << 16 | u64::from(start);
         Self {
             number,
             replica,
@@ -299,7 +300,7 @@
             requests: Vec::new(),
             next_request: 0,
             next_action: now + ACTION_INTERVAL,
-            rng: WyRand::new_seed(own_seed),
+            rng: WyRand::new_seed(process_seed),
         }
     }
 
@@ -310,15 +311,15 @@
         let from = u16::from_le_bytes([from[0], from[1]]);
         match Packet::decode(rest) {
             Ok(packet) => self.replica.receive(now, &format!("m{from}"), packet),
-            Err(error) => observe(|digest| digest.number(unreadable_code(error))),
+            Err(error) => observe(|digest| digest.number(error_code(error))),
         }
         self.apply(now);
     }
 
     fn tick(&mut self, now: Duration) {
-        while now >= self.next_action && now < s(FAULT_SECONDS) {
+        while now >= self.next_action && now < secs(FAULT_SECONDS) {
             self.next_action += ACTION_INTERVAL;
-            self.act(now);
+            self.perform_action(now);
         }
         self.state.expire(now);
         self.replica.tick(now);
@@ -326,8 +327,8 @@
     }
 
     fn next_deadline(&self) -> Duration {
-        let acts = self.next_action < s(FAULT_SECONDS);
-        let action = if acts {
+        let has_actions_left = self.next_action < secs(FAULT_SECONDS);
+        let action = if has_actions_left {
             self.next_action
         } else {
             Duration::MAX
@@ -358,7 +359,7 @@
 fn replication() {
     for seed in 1..=SEEDS {
         SEED.with(|current| *current.borrow_mut() = seed);
-        let mut script = drawn(seed, FAULT_SECONDS);
+        let mut script = random_script(seed, FAULT_SECONDS);
         script.seed = seed;
         script.conditions.corrupt = 0.005;
         assert_eq!(script.config_errors(), []);
--- a/crates/replication/tests/exploration.rs
+++ b/crates/replication/tests/exploration.rs
@@ -3,7 +3,7 @@
 
 mod helpers;
 
-use helpers::{replica_config, s};
+use helpers::{replica_config, secs};
 use limewing_replication::{Message, Origin, Packet, Record, Replica};
 use nanorand::{Rng, WyRand};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PlantedFault {
+enum InjectedFault {
     None,
     /// Ranges claim to be complete from the beginning regardless of earlier losses.
     ClaimsCompleteness,
@@ -29,23 +29,23 @@
     in_transit: Vec<(usize, usize, Packet)>,
     published: BTreeMap<(Origin, u64), (Duration, u64)>,
     incarnations: u64,
-    planted: PlantedFault,
+    injected: InjectedFault,
 }
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const TIME_TO_LIVE: Duration = Duration::from_secs(3);
 
 impl Simulation {
-    fn new(planted: PlantedFault) -> Self {
-        let node = |name: &&str| (Self::replica(name, 1, s(0.0)), BTreeSet::new());
+    fn new(injected: InjectedFault) -> Self {
+        let node = |name: &&str| (Self::replica(name, 1, secs(0.0)), BTreeSet::new());
         let nodes = NAMES.iter().map(node).collect();
         Self {
-            now: s(0.0),
+            now: secs(0.0),
             nodes,
             in_transit: Vec::new(),
             published: BTreeMap::new(),
             incarnations: 1,
-            planted,
+            injected,
         }
     }
 
@@ -60,7 +60,7 @@
         let node = rng.generate_range(0..3usize);
         match rng.generate_range(0..100u32) {
             0..30 => {
-                self.now += s(0.05);
+                self.now += secs(0.05);
                 self.nodes[node].0.tick(self.now);
             }
             30..40 if self.published.len() < 12 => {
@@ -72,7 +72,7 @@
                 let index = rng.generate_range(0..self.in_transit.len());
                 drop(self.in_transit.swap_remove(index));
             }
-            50..52 => self.now += s(1.0),
+            50..52 => self.now += secs(1.0),
             52..54 => self.restart(node),
             _ if !self.in_transit.is_empty() => self.deliver(rng),
             _ => {}
@@ -92,8 +92,8 @@
         };
         let replica = &mut self.nodes[node].0;
         let sequence = replica.publish(self.now, &record, TIME_TO_LIVE);
-        let id = (replica.origin().clone(), sequence);
-        let earlier = self.published.insert(id, (self.now, count))?;
+        let entry_id = (replica.origin().clone(), sequence);
+        let earlier = self.published.insert(entry_id, (self.now, count))?;
         Some(format!(
             "{sequence} of {:?} was published twice: {earlier:?}",
             replica.origin()
@@ -101,7 +101,7 @@
     }
 
     fn restart(&mut self, node: usize) {
-        self.incarnations += u64::from(self.planted != PlantedFault::ReusesIncarnation);
+        self.incarnations += u64::from(self.injected != InjectedFault::ReusesIncarnation);
         let replica = Self::replica(NAMES[node], self.incarnations, self.now);
         self.nodes[node] = (replica, BTreeSet::new());
     }
@@ -113,7 +113,7 @@
         if rng.generate_range(0..4u32) == 0 {
             self.in_transit.push((from, to, packet.clone()));
         }
-        if self.planted == PlantedFault::ClaimsCompleteness {
+        if self.injected == InjectedFault::ClaimsCompleteness {
             if let Message::Entries {
                 range: Some(range), ..
             } = &mut packet.message
@@ -129,13 +129,14 @@
         for (from, (replica, received)) in self.nodes.iter_mut().enumerate() {
             while let Some((to, packet)) = replica.take_packet() {
                 let to = NAMES.iter().position(|name| **name == to);
-                let to = to.expect("a packet to one of the three");
+                let to = to.expect("a packet addressed to one of the three replicas");
                 self.in_transit.push((from, to, packet));
             }
             while let Some((origin, entry)) = replica.take_applied() {
                 let is_new = received.insert((origin.clone(), entry.sequence));
-                let is_planted = self.planted == PlantedFault::AppliesTwice && entry.sequence == 2;
-                if !is_new || is_planted {
+                let is_injected =
+                    self.injected == InjectedFault::AppliesTwice && entry.sequence == 2;
+                if !is_new || is_injected {
                     return Some(format!(
                         "{} of {origin:?} was applied twice",
                         entry.sequence
@@ -162,7 +163,7 @@
                     let is_expired = published_at.is_none_or(|at| self.now >= at + TIME_TO_LIVE);
                     if !is_expired && !received.contains(&(origin.clone(), sequence)) {
                         return Some(format!(
-                            "{} is contiguous through {} of {origin:?} and lacks {sequence}",
+                            "{} is contiguous through {} of {origin:?} but lacks {sequence}",
                             NAMES[number],
                             log.contiguous_through()
                         ));
@@ -176,28 +177,28 @@
 
 /// Explores random interleavings of ticks, publications, losses, duplicates, restarts and passing
 /// time. Returns the first violation with its seed and step.
-fn explore(planted: PlantedFault, runs: u64) -> Option<(String, u64, usize)> {
+fn explore(injected: InjectedFault, runs: u64) -> Option<(String, u64, usize)> {
     (0..runs).find_map(|seed| {
-        let (mut simulation, mut rng) = (Simulation::new(planted), WyRand::new_seed(seed));
-        (0..300).find_map(|nth| {
+        let (mut simulation, mut rng) = (Simulation::new(injected), WyRand::new_seed(seed));
+        (0..300).find_map(|step_number| {
             simulation
                 .step(&mut rng)
-                .map(|violation| (violation, seed, nth))
+                .map(|violation| (violation, seed, step_number))
         })
     })
 }
 
 #[test]
 fn three_replicas_catch_up_under_any_interleaving() {
-    let violation = explore(PlantedFault::None, 1500);
+    let violation = explore(InjectedFault::None, 1500);
     assert!(violation.is_none(), "{violation:?}");
 }
 
 #[rstest]
-#[case::claims_completeness(PlantedFault::ClaimsCompleteness)]
-#[case::applies_twice(PlantedFault::AppliesTwice)]
-#[case::reuses_incarnation(PlantedFault::ReusesIncarnation)]
-fn exploration_finds_planted_faults(#[case] planted: PlantedFault) {
-    let found = explore(planted, 1500).expect("none of 1500 orders shows it");
-    println!("{planted:?}: {found:?}");
+#[case::claims_completeness(InjectedFault::ClaimsCompleteness)]
+#[case::applies_twice(InjectedFault::AppliesTwice)]
+#[case::reuses_incarnation(InjectedFault::ReusesIncarnation)]
+fn exploration_finds_injected_faults(#[case] injected: InjectedFault) {
+    let found = explore(injected, 1500).expect("no run out of 1500 found the injected fault");
+    println!("{injected:?}: {found:?}");
 }
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -4,16 +4,22 @@
 
 mod helpers;
 
-use helpers::{drawn, s, script, step, Node, FLEET, PUBLISHED, TIME_TO_LIVE};
+use helpers::{random_script, script, secs, step, Node, FLEET_SETTINGS, PUBLISHED, TIME_TO_LIVE};
 use limewing_fault_injection::{Fault, Script, Selector, Simulation};
 use limewing_replication::Origin;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn simulation(script: &Script, members: usize, publish_until: f64, every: f64) -> Simulation<Node> {
+fn simulation(
+    script: &Script,
+    members: usize,
+    publish_until: f64,
+    publish_interval: f64,
+) -> Simulation<Node> {
     assert_eq!(script.config_errors(), []);
-    FLEET.with(|fleet| *fleet.borrow_mut() = (members, s(publish_until), s(every)));
+    FLEET_SETTINGS
+        .with(|fleet| *fleet.borrow_mut() = (members, secs(publish_until), secs(publish_interval)));
     PUBLISHED.with(|published| published.borrow_mut().clear());
     Simulation::new(script, members)
 }
@@ -29,7 +35,8 @@
                 .collect::<Vec<_>>(),
         )
     });
-    logs.filter(|(_, all)| !all.is_empty()).collect()
+    logs.filter(|(_, sequences)| !sequences.is_empty())
+        .collect()
 }
 
 fn have_converged(simulation: &Simulation<Node>) -> bool {
@@ -38,29 +45,29 @@
         return true;
     };
     // Only positions are compared: an entry may have expired at one replica and not yet at another.
-    let all = |node: &Node| -> Vec<(Origin, u64)> {
+    let positions = |node: &Node| -> Vec<(Origin, u64)> {
         node.replica
             .logs()
             .map(|(origin, log)| (origin.clone(), log.contiguous_through()))
             .filter(|(_, contiguous_through)| *contiguous_through > 0)
             .collect()
     };
-    let received = all(first);
-    nodes.all(|node| all(node) == received)
+    let expected = positions(first);
+    nodes.all(|node| positions(node) == expected)
 }
 
 /// Returns how long after `from` all replicas have the same positions.
 fn convergence_time(
     simulation: &mut Simulation<Node>,
     from: Duration,
-    most: Duration,
+    max_duration: Duration,
 ) -> Option<Duration> {
     simulation.run_until(from);
-    while simulation.now() < from + most {
+    while simulation.now() < from + max_duration {
         if have_converged(simulation) {
             return Some(simulation.now() - from);
         }
-        let next = simulation.now() + s(0.02);
+        let next = simulation.now() + secs(0.02);
         simulation.run_until(next);
     }
     None
@@ -73,16 +80,16 @@
             continue;
         };
         assert!(!node.applied_twice, "m{number} applied an entry twice");
-        for (origin, all) in live_entries(node, now) {
-            for sequence in all {
+        for (origin, sequences) in live_entries(node, now) {
+            for sequence in sequences {
                 let published = PUBLISHED
                     .with(|published| published.borrow().get(&(origin.clone(), sequence)).copied());
                 // An entry may be delayed in transit: 0.3 s on a link, 3 s at a suspended member.
                 let published = published
                     .unwrap_or_else(|| panic!("nobody published {sequence} of {origin:?}"));
                 assert!(
-                    now < published + TIME_TO_LIVE + s(4.0),
-                    "m{number} holds {sequence} of {origin:?}, which has expired"
+                    now < published + TIME_TO_LIVE + secs(4.0),
+                    "m{number} stores {sequence} of {origin:?}, which has expired"
                 );
             }
         }
@@ -96,27 +103,27 @@
 fn replicas_converge_after_random_faults(#[case] members: usize, #[case] seeds: u64) {
     let mut worst = Duration::ZERO;
     for seed in 0..seeds {
-        let script = drawn(seed, 40.0);
+        let script = random_script(seed, 40.0);
         let mut simulation = simulation(&script, members, 34.0, 0.4);
         for at in 1..35 {
-            simulation.run_until(s(f64::from(at)));
+            simulation.run_until(secs(f64::from(at)));
             assert_no_expired_entries(&simulation);
         }
-        let took = convergence_time(&mut simulation, s(35.0), s(20.0));
+        let elapsed = convergence_time(&mut simulation, secs(35.0), secs(20.0));
         assert_no_expired_entries(&simulation);
-        let took =
-            took.unwrap_or_else(|| panic!("seed {seed}: not alike 20 s after the last fault"));
-        worst = worst.max(took);
+        let elapsed = elapsed
+            .unwrap_or_else(|| panic!("seed {seed}: not converged 20 s after the last fault"));
+        worst = worst.max(elapsed);
         // Once all entries have expired, none is stored and none reappears.
-        simulation.run_until(s(34.0) + TIME_TO_LIVE + s(8.0));
+        simulation.run_until(secs(34.0) + TIME_TO_LIVE + secs(8.0));
         for number in 0..members {
-            let held = simulation
+            let stored = simulation
                 .member(number)
                 .map_or(0, |node| live_entries(node, simulation.now()).len());
-            assert_eq!(held, 0, "seed {seed}: m{number} holds expired entries");
+            assert_eq!(stored, 0, "seed {seed}: m{number} stores expired entries");
         }
     }
-    println!("{members} members, {seeds} scripts: alike within {worst:?} after the last fault");
+    println!("{members} members, {seeds} scripts: converged within {worst:?} after the last fault");
 }
 
 /// Guards against the loss of an entry that two peers have acknowledged when any two members crash,
@@ -129,24 +136,24 @@
         let at = 2.0 + seed as f64 * 0.07;
         let steps = vec![step(at, Fault::Kill(Selector::Numbers(vec![one, other])))];
         let mut simulation = simulation(&script(30.0, 0.1, steps), 12, 6.0, 0.3);
-        simulation.run_until(s(at - 0.001));
+        simulation.run_until(secs(at - 0.001));
         let acknowledged: Vec<(Origin, u64)> = [one, other]
             .iter()
             .filter_map(|n| simulation.member(*n))
             .flat_map(|node| {
-                let me = node.replica.origin().clone();
+                let own = node.replica.origin().clone();
                 let contiguous_through = node
                     .replica
                     .logs()
-                    .find(|(of, _)| **of == me)
+                    .find(|(origin, _)| **origin == own)
                     .map_or(0, |(_, log)| log.contiguous_through());
                 (1..=contiguous_through)
                     .filter(|sequence| node.replica.acknowledgement_count(*sequence) >= 2)
-                    .map(|sequence| (me.clone(), sequence))
+                    .map(|sequence| (own.clone(), sequence))
                     .collect::<Vec<_>>()
             })
             .collect();
-        simulation.run_until(s(at + 3.0));
+        simulation.run_until(secs(at + 3.0));
         for (origin, sequence) in &acknowledged {
             for number in (0..12).filter(|n| *n != one && *n != other) {
                 let received = simulation.member(number).is_some_and(|node| {
@@ -163,7 +170,7 @@
         checked += acknowledged.len();
     }
     assert!(checked > 200, "{checked}");
-    println!("{checked} entries that two peers had outlived two members");
+    println!("{checked} entries that two peers had survived the crash of two members");
 }
 
 /// While restarted members catch up, new entries still reach all members in time, even if the first
@@ -180,16 +187,16 @@
     });
     let mut simulation = simulation(&script(30.0, 0.01, steps.collect()), 6, 23.0, 0.025);
     let mut known: BTreeMap<(usize, Origin, u64), Duration> = BTreeMap::new();
-    let mut late: Vec<Duration> = Vec::new();
-    while simulation.now() < s(23.0) {
-        let next = simulation.now() + s(0.01);
+    let mut delays: Vec<Duration> = Vec::new();
+    while simulation.now() < secs(23.0) {
+        let next = simulation.now() + secs(0.01);
         simulation.run_until(next);
         for number in 0..6 {
             let Some(node) = simulation.member(number) else {
                 continue;
             };
             // Entries published before the member had caught up arrive by anti-entropy.
-            let Some(from) = node.caught_up.map(|took| node.started + took) else {
+            let Some(from) = node.caught_up.map(|elapsed| node.started_at + elapsed) else {
                 continue;
             };
             for (origin, received) in &node.received {
@@ -209,23 +216,23 @@
     for ((_, origin, sequence), at) in &known {
         let published =
             PUBLISHED.with(|published| published.borrow()[&(origin.clone(), *sequence)]);
-        late.push(at.saturating_sub(published));
+        delays.push(at.saturating_sub(published));
     }
-    late.sort();
-    let part = |part: f64| late[(late.len() as f64 * part) as usize];
+    delays.sort();
+    let quantile = |fraction: f64| delays[(delays.len() as f64 * fraction) as usize];
     println!(
-        "{} tellings: {:?} in the median, 99.9% within {:?}",
-        late.len(),
-        part(0.5),
-        part(0.999)
+        "{} deliveries: median {:?}, 99.9% within {:?}",
+        delays.len(),
+        quantile(0.5),
+        quantile(0.999)
     );
-    assert!(part(0.999) < s(0.3), "{:?}", part(0.999));
+    assert!(quantile(0.999) < secs(0.3), "{:?}", quantile(0.999));
 }
 
 /// Half of the fleet is partitioned for ten seconds while both halves publish.
 #[test]
 fn halves_converge_soon_after_a_partition() {
-    let mut took = Vec::new();
+    let mut convergence_times = Vec::new();
     for seed in 0..25 {
         let half = || Selector::Fraction(0.0, 0.5);
         let steps = vec![
@@ -242,17 +249,19 @@
         let mut script = script(40.0, 0.02, steps);
         script.seed = seed;
         let mut simulation = simulation(&script, 12, 12.9, 0.2);
-        took.push(convergence_time(&mut simulation, s(13.0), s(20.0)).expect("alike"));
+        convergence_times.push(
+            convergence_time(&mut simulation, secs(13.0), secs(20.0)).expect("the halves converge"),
+        );
         assert_no_expired_entries(&simulation);
     }
-    took.sort();
+    convergence_times.sort();
     println!(
-        "12 members, a cut of 10 s: alike after {:?} (median), {:?} (worst of {})",
-        took[12],
-        took[24],
-        took.len()
+        "12 members, a partition of 10 s: converged after {:?} (median), {:?} (worst of {})",
+        convergence_times[12],
+        convergence_times[24],
+        convergence_times.len()
     );
-    assert!(took[24] < s(8.0));
+    assert!(convergence_times[24] < secs(8.0));
 }
 
 /// Seven in ten members are killed at once and restart empty a second later. The members that kept
@@ -261,91 +270,94 @@
 #[case::thirty(30)]
 #[case::three_hundred(300)]
 fn most_of_a_fleet_catches_up_after_a_restart(#[case] members: usize) {
-    let most = || Selector::Fraction(0.0, 0.7);
+    let restarted = || Selector::Fraction(0.0, 0.7);
     let steps = vec![
-        step(8.0, Fault::Kill(most())),
-        step(9.0, Fault::Start(most())),
+        step(8.0, Fault::Kill(restarted())),
+        step(9.0, Fault::Start(restarted())),
     ];
-    let every = if members > 100 { 4.0 } else { 0.5 };
-    let mut simulation = simulation(&script(40.0, 0.01, steps), members, 36.0, every);
-    simulation.run_until(s(7.9));
+    let publish_interval = if members > 100 { 4.0 } else { 0.5 };
+    let mut simulation = simulation(&script(40.0, 0.01, steps), members, 36.0, publish_interval);
+    simulation.run_until(secs(7.9));
     let sent: Vec<u64> = (0..members)
         .filter_map(|n| simulation.member(n))
         .map(|n| n.replica.bytes_sent())
         .collect();
-    let before = sent.iter().sum::<u64>() as f64 / members as f64 / 7.9;
+    let rate_before = sent.iter().sum::<u64>() as f64 / members as f64 / 7.9;
     let last = members - 1;
-    let at_8 = simulation
+    let sent_before = simulation
         .member(last)
         .map_or(0, |node| node.replica.bytes_sent());
     // Entries that all surviving members had received before. Entries that only some had may arrive
     // later.
-    let mut all: std::collections::BTreeSet<(Origin, u64)> = Default::default();
+    let mut common: std::collections::BTreeSet<(Origin, u64)> = Default::default();
     for number in members * 7 / 10..members {
         let Some(node) = simulation.member(number) else {
             continue;
         };
-        let received = node
-            .received
-            .iter()
-            .flat_map(|(of, sequences)| sequences.iter().map(|sequence| (of.clone(), *sequence)));
-        let (own, first) = (node.replica.origin().clone(), all.is_empty());
+        let received = node.received.iter().flat_map(|(origin, sequences)| {
+            sequences.iter().map(|sequence| (origin.clone(), *sequence))
+        });
+        let (own, is_first) = (node.replica.origin().clone(), common.is_empty());
         let received: std::collections::BTreeSet<(Origin, u64)> = received.collect();
-        all = if first {
+        common = if is_first {
             received
         } else {
-            all.into_iter()
-                .filter(|(of, sequence)| *of == own || received.contains(&(of.clone(), *sequence)))
+            common
+                .into_iter()
+                .filter(|(origin, sequence)| {
+                    *origin == own || received.contains(&(origin.clone(), *sequence))
+                })
                 .collect()
         };
     }
-    let mut looked_at = std::collections::BTreeSet::new();
-    let caught = |simulation: &Simulation<Node>| {
+    let mut checked = std::collections::BTreeSet::new();
+    let caught_up_count = |simulation: &Simulation<Node>| {
         (0..members)
             .filter(|n| simulation.member(*n).is_some_and(|n| n.caught_up.is_some()))
             .count()
     };
-    while simulation.now() < s(39.0) && (simulation.now() < s(9.1) || caught(&simulation) < members)
+    while simulation.now() < secs(39.0)
+        && (simulation.now() < secs(9.1) || caught_up_count(&simulation) < members)
     {
-        let next = simulation.now() + s(0.05);
+        let next = simulation.now() + secs(0.05);
         simulation.run_until(next);
         // A replica that reports to have caught up has all entries that all surviving members had.
-        for number in (0..members * 7 / 10).filter(|_| simulation.now() > s(9.0)) {
+        for number in (0..members * 7 / 10).filter(|_| simulation.now() > secs(9.0)) {
             let Some(node) = simulation
                 .member(number)
                 .filter(|node| node.caught_up.is_some())
             else {
                 continue;
             };
-            if looked_at.insert(number) {
-                let lacks = all.iter().filter(|(of, sequence)| {
+            if checked.insert(number) {
+                let missing = common.iter().filter(|(origin, sequence)| {
                     !node
                         .received
-                        .get(of)
+                        .get(origin)
                         .is_some_and(|received| received.contains(sequence))
                 });
                 assert_eq!(
-                    lacks.count(),
+                    missing.count(),
                     0,
                     "m{number} reports to have caught up, but lacks some of {}",
-                    all.len()
+                    common.len()
                 );
             }
         }
     }
-    assert_eq!(caught(&simulation), members);
-    let took = simulation.now() - s(9.0);
+    assert_eq!(caught_up_count(&simulation), members);
+    let elapsed = simulation.now() - secs(9.0);
     let rate = simulation
         .member(last)
-        .map_or(0, |n| n.replica.bytes_sent() - at_8) as f64
-        / (simulation.now() - s(7.9)).as_secs_f64();
-    let most_held = simulation.member(last).map_or(0, |n| {
+        .map_or(0, |n| n.replica.bytes_sent() - sent_before) as f64
+        / (simulation.now() - secs(7.9)).as_secs_f64();
+    let stored = simulation.member(last).map_or(0, |n| {
         n.replica
             .logs()
             .map(|(_, log)| log.live_entries())
             .sum::<usize>()
     });
-    println!("{members} members, a fact each {every} s: {before:.0} bytes/s each before; all caught up {took:?} after the return, {most_held} entries; one that stayed sent {rate:.0} bytes/s");
-    assert!(rate <= 66_000.0 && took < s(20.0));
+    println!("{members} members, a record every {publish_interval} s: {rate_before:.0} bytes/s each before; all caught up {elapsed:?} after the restart, {stored} entries; a surviving member sent {rate:.0} bytes/s");
+    assert!(rate <= 66_000.0 && elapsed < secs(20.0));
     assert_no_expired_entries(&simulation);
 }
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -127,7 +127,7 @@
         through: None,
         positions: positions.clone(),
     };
-    let digest_of_a_range = Message::Digest {
+    let partial_digest = Message::Digest {
         request: 70_000,
         after: Some(first),
         through: Some(last.clone()),
@@ -140,7 +140,7 @@
         ahead: Vec::new(),
         caught_up: false,
     };
-    let reply_of_a_range = Message::DigestReply {
+    let partial_reply = Message::DigestReply {
         request: u32::MAX,
         through: Some(last),
         behind: Vec::new(),
@@ -149,9 +149,9 @@
     };
     [
         ("digest", digest),
-        ("digest-of-a-range", digest_of_a_range),
+        ("digest-of-a-range", partial_digest),
         ("digest-reply", reply),
-        ("digest-reply-of-a-range", reply_of_a_range),
+        ("digest-reply-of-a-range", partial_reply),
     ]
 }
 
@@ -164,16 +164,16 @@
 }
 
 /// Returns the file's text, which must have one line for each line of `generated`.
-fn read_golden(file: &str, today: &str) -> String {
-    let text = golden::read(env!("CARGO_MANIFEST_DIR"), file, today);
-    assert_eq!(text.lines().count(), today.lines().count());
+fn read_golden(file: &str, generated: &str) -> String {
+    let text = golden::read(env!("CARGO_MANIFEST_DIR"), file, generated);
+    assert_eq!(text.lines().count(), generated.lines().count());
     text
 }
 
 /// Packets built in code encode to the bytes in the file. The bytes in the file decode to the same
 /// packets and encode to the same bytes again.
 #[test]
-fn packets_are_read_and_written_as_in_the_file() {
+fn packets_match_the_golden_file() {
     let lines: Vec<String> = packets()
         .iter()
         .map(|(name, packet)| format!("{name} {}\n", golden::to_hex(&packet.encode())))
@@ -181,7 +181,9 @@
     let text = read_golden("packets.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
     for (line, (_, built)) in text.lines().zip(packets()) {
-        let (name, hex) = line.split_once(' ').expect("a golden file");
+        let (name, hex) = line
+            .split_once(' ')
+            .expect("a valid line of the golden file");
         let bytes = golden::from_hex(hex);
         let packet = Packet::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(packet, built, "{name}");
@@ -191,7 +193,7 @@
 
 /// The same for records, each with the number of its kind.
 #[test]
-fn records_are_read_and_written_as_in_the_file() {
+fn records_match_the_golden_file() {
     let lines: Vec<String> = records()
         .iter()
         .map(|(name, record)| {
@@ -209,8 +211,15 @@
             panic!("{line}")
         };
         let bytes = golden::from_hex(hex);
-        let record = Record::decode(kind.parse().expect("a golden file"), &bytes);
+        let record = Record::decode(
+            kind.parse().expect("a valid line of the golden file"),
+            &bytes,
+        );
         assert_eq!(record, Some(built), "{name}");
-        assert_eq!(record.expect("a golden file").encode(), bytes, "{name}");
+        assert_eq!(
+            record.expect("a valid line of the golden file").encode(),
+            bytes,
+            "{name}"
+        );
     }
 }
--- a/crates/replication/tests/helpers/mod.rs
+++ b/crates/replication/tests/helpers/mod.rs
@@ -16,17 +16,17 @@
 pub(crate) const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
 pub(crate) const TIME_TO_LIVE: Duration = Duration::from_secs(25);
 
-pub(crate) fn s(seconds: f64) -> Duration {
+pub(crate) fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
 pub(crate) fn replica_config(name: &str, incarnation: u64) -> ReplicaConfig {
-    let me = Origin {
+    let origin = Origin {
         name: name.into(),
         incarnation,
     };
     ReplicaConfig {
-        origin: me,
+        origin,
         gossip_interval: GOSSIP_INTERVAL,
         gossip_fanout: 4,
         bytes_per_second: 32_768,
@@ -43,14 +43,14 @@
     pub(crate) applied_twice: bool,
     pub(crate) caught_up: Option<Duration>,
     number: usize,
-    pub(crate) started: Duration,
+    pub(crate) started_at: Duration,
     next_publish: Duration,
     rng: WyRand,
 }
 
 thread_local! {
     /// Number of members, time at which they stop publishing, and interval at which each publishes.
-    pub(crate) static FLEET: RefCell<(usize, Duration, Duration)> = const { RefCell::new((0, Duration::ZERO, Duration::ZERO)) };
+    pub(crate) static FLEET_SETTINGS: RefCell<(usize, Duration, Duration)> = const { RefCell::new((0, Duration::ZERO, Duration::ZERO)) };
     /// Time at which each entry was published.
     pub(crate) static PUBLISHED: RefCell<BTreeMap<(Origin, u64), Duration>> = const { RefCell::new(BTreeMap::new()) };
 }
@@ -64,26 +64,28 @@
                 .or_default()
                 .insert(entry.sequence);
             if let Some(record) = Record::decode(entry.kind, &entry.body) {
-                let until = now + Duration::from_millis(entry.time_to_live_ms.into());
-                self.state.apply(&origin, entry.sequence, until, &record);
+                let expires_at = now + Duration::from_millis(entry.time_to_live_ms.into());
+                self.state
+                    .apply(&origin, entry.sequence, expires_at, &record);
             }
         }
         if self.replica.caught_up() && self.caught_up.is_none() {
-            self.caught_up = Some(now - self.started);
+            self.caught_up = Some(now - self.started_at);
         }
     }
 }
 
 impl SimulatedMember for Node {
     fn start(number: usize, start: u32, now: Duration, _ahead: f64) -> Self {
-        let (members, _, every) = FLEET.with(|fleet| *fleet.borrow());
+        let (members, _, publish_interval) = FLEET_SETTINGS.with(|fleet| *fleet.borrow());
         let mut replica = Replica::new(
             now,
             replica_config(&format!("m{number}"), u64::from(start) + 1),
         );
         replica.set_peers((0..members).map(|n| format!("m{n}")));
         let mut rng = WyRand::new_seed(number as u64 * 1009 + u64::from(start));
-        let next_publish = now + every.mul_f64(rng.generate_range(0..1000u32) as f64 / 1e3);
+        let next_publish =
+            now + publish_interval.mul_f64(rng.generate_range(0..1000u32) as f64 / 1e3);
         let (state, received) = (MergedState::default(), BTreeMap::new());
         Self {
             replica,
@@ -92,7 +94,7 @@
             applied_twice: false,
             caught_up: None,
             number,
-            started: now,
+            started_at: now,
             next_publish,
             rng,
         }
@@ -110,9 +112,9 @@
     }
 
     fn tick(&mut self, now: Duration) {
-        let (_, until, every) = FLEET.with(|fleet| *fleet.borrow());
-        while now >= self.next_publish && self.next_publish < until {
-            self.next_publish += every;
+        let (_, publish_until, publish_interval) = FLEET_SETTINGS.with(|fleet| *fleet.borrow());
+        while now >= self.next_publish && self.next_publish < publish_until {
+            self.next_publish += publish_interval;
             let record = Record::KeyServed {
                 key: self.rng.generate_range(0..5000u64),
                 build: 2,
@@ -129,8 +131,8 @@
     }
 
     fn next_deadline(&self) -> Duration {
-        let until = FLEET.with(|fleet| fleet.borrow().1);
-        let next_publish = if self.next_publish < until {
+        let publish_until = FLEET_SETTINGS.with(|fleet| fleet.borrow().1);
+        let next_publish = if self.next_publish < publish_until {
             self.next_publish
         } else {
             Duration::MAX
@@ -152,8 +154,8 @@
     fn leave(&mut self, _now: Duration) {}
 }
 
-pub(crate) fn step(at: f64, does: Fault) -> ScriptStep {
-    ScriptStep { at, fault: does }
+pub(crate) fn step(at: f64, fault: Fault) -> ScriptStep {
+    ScriptStep { at, fault }
 }
 
 pub(crate) fn script(seconds: f64, loss: f64, steps: Vec<ScriptStep>) -> Script {
@@ -175,30 +177,31 @@
 }
 
 /// Draws random faults from a seed. In the last five seconds there are none and all members run.
-pub(crate) fn drawn(seed: u64, seconds: f64) -> Script {
+pub(crate) fn random_script(seed: u64, seconds: f64) -> Script {
     let mut rng = WyRand::new_seed(seed);
     let mut fraction = move || (rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64;
     let (mut steps, mut at) = (Vec::new(), 1.0);
     while at < seconds - 6.0 {
         let from = fraction();
-        let some = Selector::Fraction(from * 0.7, (from * 0.7 + 0.05 + 0.3 * fraction()).min(1.0));
+        let selected =
+            Selector::Fraction(from * 0.7, (from * 0.7 + 0.05 + 0.3 * fraction()).min(1.0));
         match (fraction() * 6.0) as usize {
             0 | 1 => {
-                steps.push(step(at, Fault::Kill(some.clone())));
-                steps.push(step(at + 0.1 + fraction() * 2.0, Fault::Start(some)));
+                steps.push(step(at, Fault::Kill(selected.clone())));
+                steps.push(step(at + 0.1 + fraction() * 2.0, Fault::Start(selected)));
             }
             2 => steps.push(step(
                 at,
                 Fault::Partition {
-                    from: some,
+                    from: selected,
                     to: Selector::All,
                     one_way: fraction() < 0.4,
                 },
             )),
             3 => steps.push(step(at, Fault::HealPartitions)),
             4 => {
-                steps.push(step(at, Fault::Suspend(some.clone())));
-                steps.push(step(at + fraction() * 3.0, Fault::Resume(some)));
+                steps.push(step(at, Fault::Suspend(selected.clone())));
+                steps.push(step(at + fraction() * 3.0, Fault::Resume(selected)));
             }
             _ => {
                 let conditions = LinkConditions {
@@ -210,7 +213,7 @@
                 steps.push(step(
                     at,
                     Fault::ChangeLinks {
-                        from: some,
+                        from: selected,
                         to: Selector::All,
                         conditions,
                     },
@@ -231,14 +234,14 @@
         jitter_ms: 5.0,
         ..LinkConditions::default()
     };
-    let restore_lines = Fault::ChangeLinks {
+    let restore_links = Fault::ChangeLinks {
         from: Selector::All,
         to: Selector::All,
         conditions,
     };
     vec![
         step(at, Fault::HealPartitions),
-        step(at, restore_lines),
+        step(at, restore_links),
         step(at, Fault::Resume(Selector::All)),
     ]
 }
--- a/crates/replication/tests/merge.rs
+++ b/crates/replication/tests/merge.rs
@@ -2,7 +2,7 @@
 
 mod helpers;
 
-use helpers::s;
+use helpers::secs;
 use limewing_replication::{
     most_restrictive_stage, stage_after_restart, ExecutionMark, MergedState, Origin, Phase, Record,
     Stage,
@@ -19,7 +19,7 @@
     }
 }
 
-fn any_record() -> impl Strategy<Value = Record> {
+fn arbitrary_record() -> impl Strategy<Value = Record> {
     let phases = [
         Phase::OnTrial,
         Phase::Released,
@@ -39,9 +39,9 @@
     );
     prop_oneof![
         (0u64..4, 1u16..5).prop_map(|(key, build)| Record::KeyServed { key, build }),
-        (0u64..3, any::<bool>()).prop_map(|(idempotency_key, ran)| Record::Execution {
+        (0u64..3, any::<bool>()).prop_map(|(idempotency_key, may_have_run)| Record::Execution {
             idempotency_key,
-            mark: if ran {
+            mark: if may_have_run {
                 ExecutionMark::MayHaveRun
             } else {
                 ExecutionMark::NeverRan
@@ -54,19 +54,19 @@
 /// Generates records as origins may publish them: each sequence number of an origin identifies one
 /// record.
 fn published_records() -> impl Strategy<Value = Vec<(Origin, u64, Duration, Record)>> {
-    prop::collection::vec((0u64..6, any_record(), 1u64..50), 0..20).prop_map(|all| {
+    prop::collection::vec((0u64..6, arbitrary_record(), 1u64..50), 0..20).prop_map(|records| {
         let mut next: BTreeMap<u64, u64> = BTreeMap::new();
-        let one = |(of, record, expires_at)| {
-            let sequence = next.entry(of).or_insert(0);
+        let number = |(origin_number, record, expires_at)| {
+            let sequence = next.entry(origin_number).or_insert(0);
             *sequence += 1;
             (
-                origin(of),
+                origin(origin_number),
                 *sequence,
                 Duration::from_secs(expires_at),
                 record,
             )
         };
-        all.into_iter().map(one).collect()
+        records.into_iter().map(number).collect()
     })
 }
 
@@ -100,23 +100,23 @@
         let mut rng = WyRand::new_seed(seed);
         let mut other: Vec<_> = records.iter().chain(records.iter().take(records.len() / 2)).cloned().collect();
         rng.shuffle(&mut other);
-        let (one, two) = (merged(&records), merged(&other));
+        let (merged_in_order, merged_shuffled) = (merged(&records), merged(&other));
         for at in [0, 5, 20, 60] {
-            prop_assert_eq!(answers(&one, s(f64::from(at))), answers(&two, s(f64::from(at))));
+            prop_assert_eq!(answers(&merged_in_order, secs(f64::from(at))), answers(&merged_shuffled, secs(f64::from(at))));
         }
-        prop_assert_eq!(one.stages().collect::<Vec<_>>(), two.stages().collect::<Vec<_>>());
+        prop_assert_eq!(merged_in_order.stages().collect::<Vec<_>>(), merged_shuffled.stages().collect::<Vec<_>>());
         // Merging the two halves in reverse order gives the same answers.
         let (a, b) = records.split_at(records.len() / 2);
-        prop_assert_eq!(answers(&merged(b.iter().chain(a)), s(3.0)), answers(&one, s(3.0)));
+        prop_assert_eq!(answers(&merged(b.iter().chain(a)), secs(3.0)), answers(&merged_in_order, secs(3.0)));
     }
 
     /// No record makes an answer less restrictive, except an origin's record about its own request.
     #[test]
-    fn no_record_makes_an_answer_less_careful(records in published_records(), more in any_record()) {
-        let (mut state, now) = (merged(&records), s(2.0));
+    fn no_record_makes_an_answer_less_restrictive(records in published_records(), additional in arbitrary_record()) {
+        let (mut state, now) = (merged(&records), secs(2.0));
         let before = answers(&state, now);
         let other = Origin { name: "other".into(), incarnation: 1 };
-        state.apply(&other, 1, s(30.0), &more);
+        state.apply(&other, 1, secs(30.0), &additional);
         let after = answers(&state, now);
         prop_assert!(before.0.iter().zip(&after.0).all(|(before, after)| before <= after));
         prop_assert!(before.1.iter().zip(&after.1).all(|(before, after)| before <= after));
@@ -124,11 +124,11 @@
 
     /// Whatever stages other sidecars have, the adopted one never allows more than the current one.
     #[test]
-    fn stages_of_other_sidecars_only_restrict(current in any_record(), records in prop::collection::vec(any_record(), 0..12), seed: u64) {
-        let stage = |record: &Record| match record { Record::Stage(stage) => Some(*stage), _ => None };
-        let (current, mut others) = (stage(&current), records.iter().filter_map(stage).collect::<Vec<_>>());
+    fn stages_of_other_sidecars_only_restrict(current in arbitrary_record(), records in prop::collection::vec(arbitrary_record(), 0..12), seed: u64) {
+        let to_stage = |record: &Record| match record { Record::Stage(stage) => Some(*stage), _ => None };
+        let (current, mut others) = (to_stage(&current), records.iter().filter_map(to_stage).collect::<Vec<_>>());
         let adopted = most_restrictive_stage(current, others.iter());
-        let is_rollback = |s: &Stage| matches!(s.phase, Phase::RollingBack | Phase::RolledBack);
+        let is_rollback = |stage: &Stage| matches!(stage.phase, Phase::RollingBack | Phase::RolledBack);
         match (current, adopted) {
             (Some(current), Some(adopted)) => {
                 prop_assert!(adopted.build == current.build);
@@ -146,8 +146,8 @@
         // Applying the stages a second time never relaxes the result.
         if let Some(adopted) = adopted {
             WyRand::new_seed(seed).shuffle(&mut others);
-            let restarted = most_restrictive_stage(Some(adopted), others.iter());
-            prop_assert!(restarted.is_none_or(|restarted| is_rollback(&restarted) || restarted.cap <= adopted.cap));
+            let reapplied = most_restrictive_stage(Some(adopted), others.iter());
+            prop_assert!(reapplied.is_none_or(|reapplied| is_rollback(&reapplied) || reapplied.cap <= adopted.cap));
         }
     }
 }
