--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -20,7 +20,7 @@
 const DEFAULT_RATE_EXPONENT: u8 = 4;
 /// Maximum reported rate exponent.
 const MAX_RATE_EXPONENT: f64 = 60.0;
-/// Zone assumed for a member without a report; it equals no real zone.
+/// Marks a member without a report as belonging to no zone.
 const NO_ZONE: u16 = u16::MAX;
 
 /// View of the fleet for the decision module. Pods are identified by key.
@@ -257,7 +257,7 @@
             .filter_map(|peer| peer.report.clone())
             .collect();
         let outliers = self.update_outliers(now, &reports);
-        let (last, first): (Vec<u64>, Vec<u64>) = subset
+        let (outlying, regular): (Vec<u64>, Vec<u64>) = subset
             .order
             .iter()
             .map(|index| self.pods[*index].key)
@@ -265,7 +265,7 @@
         let min_endpoints = subset.size;
         self.subset = Some(subset);
         FleetView {
-            preference: first.into_iter().chain(last).collect(),
+            preference: regular.into_iter().chain(outlying).collect(),
             min_endpoints,
             probed_by_peers: self.probed_by_peers(now, &outliers, &reports),
         }
--- a/crates/coordination/src/outlier_hints.rs
+++ b/crates/coordination/src/outlier_hints.rs
@@ -54,14 +54,14 @@
 
 /// Hints of all members about one pod.
 #[derive(Default)]
-struct Tally {
+struct HintCounts {
     members: usize,
     zones: BTreeSet<u16>,
     ejected: usize,
     recovered: bool,
 }
 
-impl Tally {
+impl HintCounts {
     fn add(&mut self, zone: u16, hint: OutlierHint) {
         if !is_suspicion(hint) {
             self.recovered = true;
@@ -75,7 +75,7 @@
     }
 
     /// Returns `Ejected` if at least half of the members report that, otherwise `Slow`.
-    fn verdict(&self) -> OutlierHint {
+    fn outlier_hint(&self) -> OutlierHint {
         if self.ejected * 2 >= self.members {
             OutlierHint::Ejected
         } else {
@@ -98,16 +98,16 @@
     let zones: BTreeSet<u16> = reports.iter().map(|report| report.zone).collect();
     let required_zones = zones.len().min(REQUIRED_ZONES);
     let known: BTreeSet<u64> = pods.iter().copied().collect();
-    let is_outlier = |pod: &u64, tally: &Tally| {
+    let is_outlier = |pod: &u64, counts: &HintCounts| {
         known.contains(pod)
-            && !tally.recovered
-            && tally.members >= required_members
-            && tally.zones.len() >= required_zones
+            && !counts.recovered
+            && counts.members >= required_members
+            && counts.zones.len() >= required_zones
     };
     let outliers: BTreeMap<u64, OutlierHint> = count_hints(reports, limit, now)
         .into_iter()
-        .filter(|(pod, tally)| is_outlier(pod, tally))
-        .map(|(pod, tally)| (pod, tally.verdict()))
+        .filter(|(pod, counts)| is_outlier(pod, counts))
+        .map(|(pod, counts)| (pod, counts.outlier_hint()))
         .collect();
     if outliers.len() > limit {
         BTreeMap::new()
@@ -117,8 +117,8 @@
 }
 
 /// Counts the hints of recent reports that suspect at most `limit` pods.
-fn count_hints(reports: &[PeerReport], limit: usize, now: Duration) -> BTreeMap<u64, Tally> {
-    let mut tallies: BTreeMap<u64, Tally> = BTreeMap::new();
+fn count_hints(reports: &[PeerReport], limit: usize, now: Duration) -> BTreeMap<u64, HintCounts> {
+    let mut counts_by_pod: BTreeMap<u64, HintCounts> = BTreeMap::new();
     for report in reports {
         if !report.is_fresh(now) || report.suspected_count() > limit {
             continue;
@@ -126,8 +126,8 @@
         // A member counts once for each pod, however often its report lists it.
         let hints: BTreeMap<u64, OutlierHint> = report.hints.iter().copied().collect();
         for (pod, hint) in hints {
-            tallies.entry(pod).or_default().add(report.zone, hint);
+            counts_by_pod.entry(pod).or_default().add(report.zone, hint);
         }
     }
-    tallies
+    counts_by_pod
 }
--- a/crates/coordination/src/outlier_tracker.rs
+++ b/crates/coordination/src/outlier_tracker.rs
@@ -28,8 +28,7 @@
 const SLOW_LATENCY_RATIO: f64 = 4.0;
 /// Number of answers in a pod's mean latency, and the minimum for it to count as slow.
 const LATENCY_SAMPLES: u32 = 8;
-/// Number of samples in the moving mean latency of all pods: the newest one has this reciprocal
-/// weight.
+/// Reciprocal weight of the newest answer in the moving mean latency of all pods.
 const FLEET_LATENCY_SAMPLES: f64 = 50.0;
 /// Lower bound of the mean latency of all pods in seconds, so that pods are not called slow because
 /// of tiny differences.
--- a/crates/coordination/src/poll_schedule.rs
+++ b/crates/coordination/src/poll_schedule.rs
@@ -111,10 +111,13 @@
         };
         let latest = lost.latest_poll(own);
         if let Some(recovered_at) = lost.recovered_at {
-            let spread = RECOVERY_SPREAD.mul_f64(fraction(own, service.topic()));
+            let spread = RECOVERY_SPREAD.mul_f64(pseudorandom_fraction(own, service.topic()));
             return (recovered_at + spread).min(latest).max(now);
         }
-        if now >= latest || lost.also_lost_by.is_empty() || lost.is_turn_of(own, now, service) {
+        if now >= latest
+            || lost.also_lost_by.is_empty()
+            || lost.is_selected_poller(own, now, service)
+        {
             return now;
         }
         let next_rotation = lost.rotation_at(now) + 1;
@@ -124,13 +127,14 @@
 
 impl LostService {
     fn latest_poll(&self, own: u64) -> Duration {
-        let drawn = fraction(own, self.last_poll.as_nanos() as u64);
-        let interval_fraction = MIN_INTERVAL_FRACTION + (1.0 - MIN_INTERVAL_FRACTION) * drawn;
+        let random_fraction = pseudorandom_fraction(own, self.last_poll.as_nanos() as u64);
+        let interval_fraction =
+            MIN_INTERVAL_FRACTION + (1.0 - MIN_INTERVAL_FRACTION) * random_fraction;
         self.last_poll + MAX_POLL_INTERVAL.mul_f64(interval_fraction)
     }
 
     /// Returns whether the member is selected and has not polled in this rotation interval.
-    fn is_turn_of(&self, own: u64, now: Duration, service: Service) -> bool {
+    fn is_selected_poller(&self, own: u64, now: Duration, service: Service) -> bool {
         if self.rotation_at(self.last_poll) == self.rotation_at(now) {
             return false;
         }
@@ -145,6 +149,6 @@
 }
 
 /// Returns a pseudorandom number in [0, 1] derived from a member's key and a second number.
-fn fraction(own: u64, of: u64) -> f64 {
-    rank(own, of) as f64 / u64::MAX as f64
+fn pseudorandom_fraction(own: u64, input: u64) -> f64 {
+    rank(own, input) as f64 / u64::MAX as f64
 }
--- a/crates/coordination/src/subsets.rs
+++ b/crates/coordination/src/subsets.rs
@@ -165,16 +165,16 @@
 /// Returns the first pods in the member's order that have room and, if these do not suffice, the
 /// least loaded others.
 fn choose_subset(member: &Member, pods: &[Pod], sizing: &Sizing, loads: &[f64]) -> Vec<usize> {
-    let added = sizing.load_per_pod(member);
+    let added_load = sizing.load_per_pod(member);
     let (with_room, mut others): (Vec<usize>, Vec<usize>) = preference_order(member, pods)
         .into_iter()
-        .partition(|pod| loads[*pod] + added <= sizing.max_load);
+        .partition(|pod| loads[*pod] + added_load <= sizing.max_load);
     others.sort_by(|a, b| loads[*a].total_cmp(&loads[*b]));
-    let wanted = sizing.subset_capacity(member);
+    let target_capacity = sizing.subset_capacity(member);
     let mut subset = Vec::new();
     let mut capacity = 0.0;
     for pod in with_room.into_iter().chain(others) {
-        if subset.len() >= MIN_PODS && capacity >= wanted - 0.5 * sizing.mean_capacity {
+        if subset.len() >= MIN_PODS && capacity >= target_capacity - 0.5 * sizing.mean_capacity {
             break;
         }
         subset.push(pod);
