--- a/crates/coordination/tests/digest.rs
+++ b/crates/coordination/tests/digest.rs
@@ -23,7 +23,7 @@
 const LOSS: f64 = 0.1;
 const SERVICES: [Service; 2] = [Service::EndpointList, Service::Installer];
 
-fn hash_view(digest: &mut Digest, view: Option<&FleetView>) {
+fn observe_view(digest: &mut Digest, view: Option<&FleetView>) {
     let Some(view) = view else {
         return digest.number(0);
     };
@@ -49,12 +49,12 @@
         (self.next() % bound as u64) as usize
     }
 
-    fn share(&mut self) -> f64 {
+    fn fraction(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     fn chance(&mut self, probability: f64) -> bool {
-        self.share() < probability
+        self.fraction() < probability
     }
 }
 
@@ -63,7 +63,7 @@
     Unreachable,
     Silent,
     Slow,
-    Full,
+    Overloaded,
 }
 
 struct Sidecar {
@@ -73,12 +73,12 @@
     /// Last report received from each other sidecar, by number.
     received: BTreeMap<usize, (LoadReport, Duration)>,
     /// When the sidecar polls each service next; `None` if it has not lost the service.
-    polls: [Option<Duration>; 2],
-    requests_a_step: usize,
+    next_polls: [Option<Duration>; 2],
+    requests_per_step: usize,
 }
 
 struct ReportInFlight {
-    arrives: Duration,
+    arrives_at: Duration,
     from: usize,
     to: usize,
     report: LoadReport,
@@ -91,7 +91,7 @@
     sidecars: Vec<Sidecar>,
     /// Number of the partition that each sidecar is in. Members of different partitions receive
     /// nothing from each other.
-    parts: Vec<usize>,
+    partitions: Vec<usize>,
     /// Time until which each sidecar is stopped.
     absent_until: Vec<Duration>,
     reports: Vec<ReportInFlight>,
@@ -109,8 +109,8 @@
         coordinator,
         view: None,
         received: BTreeMap::new(),
-        polls: [None; 2],
-        requests_a_step: if number.is_multiple_of(4) { 12 } else { 2 },
+        next_polls: [None; 2],
+        requests_per_step: if number.is_multiple_of(4) { 12 } else { 2 },
     }
 }
 
@@ -125,7 +125,7 @@
             random: Random(seed),
             now: Duration::ZERO,
             sidecars,
-            parts: vec![0; MEMBERS],
+            partitions: vec![0; MEMBERS],
             absent_until: vec![Duration::ZERO; MEMBERS],
             reports: Vec::new(),
             pods,
@@ -157,18 +157,18 @@
         match self.random.below(12) {
             0 => self.restart(number),
             1 => {
-                let parts = 1 + self.random.below(3);
-                self.parts = (0..MEMBERS)
-                    .map(|member| member * parts / MEMBERS)
+                let partitions = 1 + self.random.below(3);
+                self.partitions = (0..MEMBERS)
+                    .map(|member| member * partitions / MEMBERS)
                     .collect();
             }
-            2 => self.parts = vec![0; MEMBERS],
+            2 => self.partitions = vec![0; MEMBERS],
             3 | 4 => {
                 let faults = [
                     PodFault::Unreachable,
                     PodFault::Silent,
                     PodFault::Slow,
-                    PodFault::Full,
+                    PodFault::Overloaded,
                 ];
                 let fault = faults[self.random.below(4)];
                 self.pod_faults.insert(self.pods[pod].key, fault);
@@ -182,24 +182,24 @@
             }
             7 => self.pod_faults.clear(),
             8 => self.change_pods(pod),
-            9 => self.lose_service(),
+            9 => self.stop_service(),
             10 => self.service_up = [true; 2],
-            _ => self.sidecars[number].requests_a_step = self.random.below(20),
+            _ => self.sidecars[number].requests_per_step = self.random.below(20),
         }
     }
 
     fn restart(&mut self, number: usize) {
-        let back = self.now + Duration::from_secs(2);
-        self.absent_until[number] = back;
-        self.sidecars[number] = new_sidecar(number, back, &self.pods);
+        let restarted_at = self.now + Duration::from_secs(2);
+        self.absent_until[number] = restarted_at;
+        self.sidecars[number] = new_sidecar(number, restarted_at, &self.pods);
         for sidecar in &mut self.sidecars {
             sidecar.received.remove(&number);
         }
     }
 
-    fn change_pods(&mut self, place: usize) {
+    fn change_pods(&mut self, index: usize) {
         match self.random.below(3) {
-            0 if self.pods.len() > 4 => drop(self.pods.remove(place)),
+            0 if self.pods.len() > 4 => drop(self.pods.remove(index)),
             1 => {
                 let key = stable_key(&format!("new{}", self.random.below(1000)));
                 let zone = self.random.below(usize::from(ZONES)) as u16;
@@ -209,7 +209,7 @@
                     capacity: 0.5,
                 });
             }
-            _ => self.pods[place].capacity = 0.25 + self.random.share() * 2.0,
+            _ => self.pods[index].capacity = 0.25 + self.random.fraction() * 2.0,
         }
         for sidecar in &mut self.sidecars {
             sidecar.coordinator.set_pods(self.pods.clone());
@@ -217,12 +217,12 @@
     }
 
     /// Stops a service; all sidecars notice within a second.
-    fn lose_service(&mut self) {
+    fn stop_service(&mut self) {
         let service = self.random.below(2);
         self.service_up[service] = false;
         for sidecar in &mut self.sidecars {
-            let notices = self.now + Duration::from_secs_f64(self.random.share());
-            sidecar.polls[service].get_or_insert(notices);
+            let noticed_at = self.now + Duration::from_secs_f64(self.random.fraction());
+            sidecar.next_polls[service].get_or_insert(noticed_at);
         }
     }
 
@@ -230,7 +230,7 @@
         let now = self.now;
         let (arrived, later) = std::mem::take(&mut self.reports)
             .into_iter()
-            .partition(|report| report.arrives <= now);
+            .partition(|report| report.arrives_at <= now);
         self.reports = later;
         let arrived: Vec<ReportInFlight> = arrived;
         for ReportInFlight {
@@ -242,7 +242,7 @@
     }
 
     fn step(&mut self, number: usize) {
-        for _ in 0..self.sidecars[number].requests_a_step {
+        for _ in 0..self.sidecars[number].requests_per_step {
             self.request(number);
         }
         for service in 0..SERVICES.len() {
@@ -250,7 +250,7 @@
         }
         if self.now >= self.sidecars[number].coordinator.next_deadline() {
             self.report(number);
-            self.look(number);
+            self.update_view(number);
         }
     }
 
@@ -260,46 +260,46 @@
             |view| view.preference[..view.min_endpoints].to_vec(),
         );
         let pod = pods[self.random.below(pods.len())];
-        let sign = self.draw_sign(pod);
+        let observation = self.draw_observation(pod);
         let coordinator = &mut self.sidecars[number].coordinator;
         coordinator.record_request();
-        coordinator.record_outcome(self.now, pod, sign);
+        coordinator.record_outcome(self.now, pod, observation);
     }
 
-    fn draw_sign(&mut self, pod: u64) -> OutlierObservation {
-        let share = self.random.share();
+    fn draw_observation(&mut self, pod: u64) -> OutlierObservation {
+        let fraction = self.random.fraction();
         match self.pod_faults.get(&pod) {
             Some(PodFault::Unreachable) => OutlierObservation::ConnectFailed,
-            Some(PodFault::Silent) if share < 0.5 => OutlierObservation::NoResponse,
-            Some(PodFault::Silent) => OutlierObservation::Cancelled(2.0 * share),
-            Some(PodFault::Slow) => OutlierObservation::Answered(1.0 + share),
-            Some(PodFault::Full) if share < 0.7 => OutlierObservation::Rejected,
-            _ if share < 0.03 => OutlierObservation::Cancelled(0.02),
-            _ => OutlierObservation::Answered(0.02 + 0.05 * share),
+            Some(PodFault::Silent) if fraction < 0.5 => OutlierObservation::NoResponse,
+            Some(PodFault::Silent) => OutlierObservation::Cancelled(2.0 * fraction),
+            Some(PodFault::Slow) => OutlierObservation::Answered(1.0 + fraction),
+            Some(PodFault::Overloaded) if fraction < 0.7 => OutlierObservation::Rejected,
+            _ if fraction < 0.03 => OutlierObservation::Cancelled(0.02),
+            _ => OutlierObservation::Answered(0.02 + 0.05 * fraction),
         }
     }
 
     fn poll(&mut self, number: usize, service: usize) {
         let sidecar = &mut self.sidecars[number];
-        if sidecar.polls[service].is_none_or(|due| due > self.now) {
+        if sidecar.next_polls[service].is_none_or(|due| due > self.now) {
             return;
         }
         let allowed = sidecar.coordinator.next_poll(self.now, SERVICES[service]);
         self.digest.time(allowed);
         if allowed > self.now {
-            sidecar.polls[service] = Some(allowed);
+            sidecar.next_polls[service] = Some(allowed);
             return;
         }
         self.digest.number(number as u64);
         if self.service_up[service] {
             sidecar.coordinator.record_poll_success(SERVICES[service]);
-            sidecar.polls[service] = None;
+            sidecar.next_polls[service] = None;
         } else {
             sidecar
                 .coordinator
                 .record_poll_failure(self.now, SERVICES[service]);
-            let wait = Duration::from_secs_f64(0.3 + self.random.share());
-            sidecar.polls[service] = Some(self.now + wait);
+            let wait = Duration::from_secs_f64(0.3 + self.random.fraction());
+            sidecar.next_polls[service] = Some(self.now + wait);
         }
     }
 
@@ -311,14 +311,14 @@
         self.digest.time(self.now);
         self.digest.bytes(&report.encode());
         for to in 0..MEMBERS {
-            let cut = self.parts[to] != self.parts[number];
-            if to == number || cut || self.random.chance(LOSS) {
+            let is_partitioned = self.partitions[to] != self.partitions[number];
+            if to == number || is_partitioned || self.random.chance(LOSS) {
                 continue;
             }
-            let delay = Duration::from_secs_f64(0.05 + 1.5 * self.random.share());
+            let delay = Duration::from_secs_f64(0.05 + 1.5 * self.random.fraction());
             let report = report.clone();
             self.reports.push(ReportInFlight {
-                arrives: self.now + delay,
+                arrives_at: self.now + delay,
                 from: number,
                 to,
                 report,
@@ -326,10 +326,10 @@
         }
     }
 
-    fn look(&mut self, number: usize) {
+    fn update_view(&mut self, number: usize) {
         let present = (0..MEMBERS).filter(|other| {
             let absent = self.now < self.absent_until[*other];
-            *other != number && !absent && self.parts[*other] == self.parts[number]
+            *other != number && !absent && self.partitions[*other] == self.partitions[number]
         });
         let received = &self.sidecars[number].received;
         let others: Vec<(u64, Option<(LoadReport, Duration)>)> = present
@@ -340,7 +340,7 @@
         if let Some(view) = sidecar.coordinator.take_view(self.now) {
             self.digest.number(number as u64);
             self.digest.time(self.now);
-            hash_view(self.digest, view.as_ref());
+            observe_view(self.digest, view.as_ref());
             sidecar.view = view;
         }
         self.digest.time(sidecar.coordinator.next_deadline());
@@ -348,14 +348,14 @@
 }
 
 fn observe_subsets(digest: &mut Digest, members: &[Member], pods: &[Pod]) {
-    for share in assign_subsets(members, pods) {
-        digest.numbers(share.into_iter().map(|place| place as u64));
+    for subset in assign_subsets(members, pods) {
+        digest.numbers(subset.into_iter().map(|index| index as u64));
     }
     for member in members {
         digest.numbers(
             preference_order(member, pods)
                 .into_iter()
-                .map(|place| place as u64),
+                .map(|index| index as u64),
         );
     }
 }
@@ -364,10 +364,16 @@
     let keys = || members.iter().map(|member| member.key);
     for topic in 0..5 {
         for member in members {
-            for ago in 0..6 {
-                let ago = ROTATION_INTERVAL * ago + Duration::from_millis(topic * 210);
-                digest.number(u64::from(is_prober(topic, member.key, keys(), ago)));
-                digest.number(u64::from(is_selected(3, topic, member.key, keys(), ago)));
+            for elapsed in 0..6 {
+                let elapsed = ROTATION_INTERVAL * elapsed + Duration::from_millis(topic * 210);
+                digest.number(u64::from(is_prober(topic, member.key, keys(), elapsed)));
+                digest.number(u64::from(is_selected(
+                    3,
+                    topic,
+                    member.key,
+                    keys(),
+                    elapsed,
+                )));
             }
         }
     }
@@ -409,7 +415,7 @@
                 hints
                     .iter()
                     .position(|known| *known == hint)
-                    .expect("a known hint") as u64,
+                    .expect("the hint is one of the list") as u64,
             );
         }
     }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -33,8 +33,8 @@
     let max_hints: Vec<_> = (0..MAX_HINTS as u64)
         .map(|n| (stable_key(&format!("pod{n}")), OutlierHint::Ejected))
         .collect();
-    let list = Service::EndpointList.bit();
-    let installer = Service::Installer.bit();
+    let endpoint_list = Service::EndpointList.bit();
+    let rollout_service = Service::Installer.bit();
     let overloaded = vec![(7, OutlierHint::Overloaded)];
     vec![
         ("idle", report(0, 0, Vec::new(), 0)),
@@ -44,9 +44,12 @@
         ("open", report(4, 60, one_hint(OutlierHint::Recovered), 0)),
         ("each-hint", report(300, 255, all_hints, 0)),
         ("most-hints", report(u16::MAX, 12, max_hints, 0)),
-        ("lost-list", report(5, 6, Vec::new(), list)),
-        ("lost-installer", report(5, 6, Vec::new(), installer)),
-        ("lost-both", report(5, 6, overloaded, list | installer)),
+        ("lost-list", report(5, 6, Vec::new(), endpoint_list)),
+        ("lost-installer", report(5, 6, Vec::new(), rollout_service)),
+        (
+            "lost-both",
+            report(5, 6, overloaded, endpoint_list | rollout_service),
+        ),
     ]
 }
 
@@ -64,18 +67,18 @@
 /// reports and encode to the same bytes again. Reports of an earlier version, which end before the
 /// lost services, and of a later version, which have more bytes after them, decode as well.
 #[test]
-fn reports_are_read_and_written_as_in_the_file() {
+fn reports_match_the_golden_file() {
     let lines: Vec<String> = reports()
         .iter()
         .map(|(name, report)| format!("{name} {}\n", golden::to_hex(&report.encode())))
         .collect();
     let text = golden::read(env!("CARGO_MANIFEST_DIR"), "reports.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
-    for (line, (_, built)) in text.lines().zip(reports()) {
+    for (line, (_, expected)) in text.lines().zip(reports()) {
         let (name, hex) = line.split_once(' ').unwrap();
         let bytes = golden::from_hex(hex);
         let report = LoadReport::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error:?}"));
-        assert_eq!(report, built, "{name}");
+        assert_eq!(report, expected, "{name}");
         assert_eq!(report.encode(), bytes, "{name}");
 
         let earlier = LoadReport::decode(&bytes[..bytes.len() - 1]);
@@ -83,18 +86,18 @@
             earlier,
             Ok(LoadReport {
                 lost_services: 0,
-                ..built.clone()
+                ..expected.clone()
             }),
             "{name}"
         );
         let later = [&bytes[..], &[1, 2, 3]].concat();
-        assert_eq!(LoadReport::decode(&later), Ok(built), "{name}");
+        assert_eq!(LoadReport::decode(&later), Ok(expected), "{name}");
     }
 }
 
 /// Keys of members' names and pods' addresses are the same at every sidecar and in every version.
 #[test]
-fn names_have_the_keys_of_the_file() {
+fn keys_match_the_golden_file() {
     let lines: String = NAMES
         .iter()
         .map(|name| format!("{name} {:016x}\n", stable_key(name)))
--- a/crates/coordination/tests/helpers/mod.rs
+++ b/crates/coordination/tests/helpers/mod.rs
@@ -21,10 +21,10 @@
 pub(crate) fn pods(count: usize, zones: u16) -> Vec<Pod> {
     let capacity = |n: usize| if n.is_multiple_of(3) { 2.0 } else { 1.0 };
     let zone = |n: usize| (n % usize::from(zones)) as u16;
-    let named = |n: usize| stable_key(&format!("10.0.{}.{}:80", n / 250, n % 250));
+    let pod_key = |n: usize| stable_key(&format!("10.0.{}.{}:80", n / 250, n % 250));
     (0..count)
         .map(|n| Pod {
-            key: named(n),
+            key: pod_key(n),
             zone: zone(n),
             capacity: capacity(n),
         })
@@ -36,51 +36,51 @@
 pub(crate) fn balance(
     members: &[Member],
     pods: &[Pod],
-    shares: &[Vec<usize>],
+    subsets: &[Vec<usize>],
 ) -> (f64, f64, usize, f64) {
     let (mut loads, mut users) = (vec![0.0; pods.len()], vec![0usize; pods.len()]);
-    for (member, share) in members.iter().zip(shares) {
-        let whole: f64 = share.iter().map(|pod| pods[*pod].capacity).sum();
-        for pod in share {
-            loads[*pod] += member.request_rate * pods[*pod].capacity / whole;
+    for (member, subset) in members.iter().zip(subsets) {
+        let subset_capacity: f64 = subset.iter().map(|pod| pods[*pod].capacity).sum();
+        for pod in subset {
+            loads[*pod] += member.request_rate * pods[*pod].capacity / subset_capacity;
             users[*pod] += 1;
         }
     }
-    let fair = members.iter().map(|m| m.request_rate).sum::<f64>()
+    let mean_load = members.iter().map(|m| m.request_rate).sum::<f64>()
         / pods.iter().map(|p| p.capacity).sum::<f64>();
-    let most = loads
+    let max_load = loads
         .iter()
         .zip(pods)
-        .map(|(load, pod)| load / pod.capacity / fair)
+        .map(|(load, pod)| load / pod.capacity / mean_load)
         .fold(0.0, f64::max);
-    let mean = users.iter().sum::<usize>() as f64 / pods.len() as f64;
-    let busiest = users.iter().max().copied().unwrap_or(0) as f64 / mean;
+    let mean_users = users.iter().sum::<usize>() as f64 / pods.len() as f64;
+    let max_users = users.iter().max().copied().unwrap_or(0) as f64 / mean_users;
     (
-        most,
-        busiest,
+        max_load,
+        max_users,
         users.iter().filter(|users| **users == 0).count(),
-        mean,
+        mean_users,
     )
 }
 
 pub(crate) type Assignment = BTreeMap<u64, Vec<u64>>;
 
 pub(crate) fn assignment(members: &[Member], pods: &[Pod]) -> Assignment {
-    let shares = assign_subsets(members, pods);
-    let keys = |share: Vec<usize>| share.into_iter().map(|place| pods[place].key).collect();
+    let subsets = assign_subsets(members, pods);
+    let keys = |subset: Vec<usize>| subset.into_iter().map(|index| pods[index].key).collect();
     members
         .iter()
         .map(|m| m.key)
-        .zip(shares.into_iter().map(keys))
+        .zip(subsets.into_iter().map(keys))
         .collect()
 }
 
 /// Returns the fraction of all assignments that the remaining members did not have before.
-pub(crate) fn moved(before: &Assignment, after: &Assignment) -> f64 {
+pub(crate) fn moved_fraction(before: &Assignment, after: &Assignment) -> f64 {
     let all: usize = before.values().map(Vec::len).sum();
     let new = |(member, pods): (&u64, &Vec<u64>)| {
-        before.get(member).map_or(0, |had| {
-            pods.iter().filter(|pod| !had.contains(pod)).count()
+        before.get(member).map_or(0, |previous| {
+            pods.iter().filter(|pod| !previous.contains(pod)).count()
         })
     };
     after.iter().map(new).sum::<usize>() as f64 / all as f64
--- a/crates/coordination/tests/outlier_hints.rs
+++ b/crates/coordination/tests/outlier_hints.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn healthy(count: u64) -> Vec<PeerReport> {
+fn reports_without_hints(count: u64) -> Vec<PeerReport> {
     (0..count)
         .map(|n| report(100 + n, n as u16 % 3, &[], OutlierHint::Recovered))
         .collect()
@@ -33,7 +33,7 @@
 #[case::three_members_of_two_zones(vec![report(1, 0, &[5], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 1, &[5], OutlierHint::Ejected)], &[5])]
 #[case::two_members(vec![report(1, 0, &[5], OutlierHint::Ejected), report(2, 1, &[5], OutlierHint::Ejected)], &[])]
 #[case::three_members_of_one_zone(vec![report(1, 0, &[5], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 0, &[5], OutlierHint::Ejected)], &[])]
-#[case::one_member_had_an_answer(vec![
+#[case::one_member_received_an_answer(vec![
     report(1, 0, &[5], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 1, &[5], OutlierHint::Ejected), report(4, 1, &[5], OutlierHint::Recovered),
 ], &[])]
 #[case::one_member_repeats_itself(vec![report(1, 0, &[5, 5, 5], OutlierHint::Ejected), report(2, 1, &[5], OutlierHint::Ejected)], &[])]
@@ -41,7 +41,7 @@
     report(1, 0, &[5, 6, 7, 8, 9], OutlierHint::Ejected), report(2, 0, &[5], OutlierHint::Ejected), report(3, 1, &[5], OutlierHint::Ejected),
 ], &[])]
 #[case::unknown_pod(vec![report(1, 0, &[99], OutlierHint::Ejected), report(2, 0, &[99], OutlierHint::Ejected), report(3, 1, &[99], OutlierHint::Ejected)], &[])]
-#[case::too_many_outliers_in_all((0..3u16).flat_map(|zone| (0..3u64).map(move |n| {
+#[case::too_many_outliers_in_total((0..3u16).flat_map(|zone| (0..3u64).map(move |n| {
     let first = 5 + 4 * u64::from(zone);
     report(u64::from(zone) * 10 + n, (zone + n as u16) % 3, &[first, first + 1, first + 2, first + 3], OutlierHint::Ejected)
 })).collect(), &[])]
@@ -50,7 +50,7 @@
     #[case] expected: &[u64],
 ) {
     let pods: Vec<u64> = (5..21).collect();
-    let all = [reports, healthy(9)].concat();
+    let all = [reports, reports_without_hints(9)].concat();
     let found: Vec<u64> = find_outliers(&all, &pods, seconds(3.0))
         .into_keys()
         .collect();
@@ -82,30 +82,36 @@
     coordinator
 }
 
-fn three_hint(hint: OutlierHint) -> Vec<(u64, LoadReport)> {
+fn reports_with_three_hints(hint: OutlierHint) -> Vec<(u64, LoadReport)> {
     let report = |zone, hints| LoadReport {
         zone,
         rate_exponent: 4,
         hints,
         lost_services: 0,
     };
-    let accusers = (2..5u64).map(|n| (n, report(n as u16 % 2, vec![(5, hint)])));
-    accusers
+    let suspecting = (2..5u64).map(|n| (n, report(n as u16 % 2, vec![(5, hint)])));
+    suspecting
         .chain((5..12u64).map(|n| (n, report(n as u16 % 2, Vec::new()))))
         .collect()
 }
 
 #[test]
-fn an_outlier_comes_last_unless_it_answered_this_member() {
-    let last = |coordinator: &mut Coordinator, now| {
+fn outliers_come_last_unless_they_answered_this_member() {
+    let last_preference = |coordinator: &mut Coordinator, now| {
         coordinator
             .take_view(now)
             .flatten()
             .and_then(|v| v.preference.last().copied())
     };
-    let mut unaware = coordinator(&three_hint(OutlierHint::Ejected), seconds(1.0));
-    assert_eq!(last(&mut unaware, seconds(1.0)), Some(5));
-    let mut answered = coordinator(&three_hint(OutlierHint::Ejected), seconds(1.0));
+    let mut unaware = coordinator(
+        &reports_with_three_hints(OutlierHint::Ejected),
+        seconds(1.0),
+    );
+    assert_eq!(last_preference(&mut unaware, seconds(1.0)), Some(5));
+    let mut answered = coordinator(
+        &reports_with_three_hints(OutlierHint::Ejected),
+        seconds(1.0),
+    );
     answered.record_outcome(seconds(1.0), 5, OutlierObservation::Answered(0.1));
     let view = answered
         .take_view(seconds(1.0))
@@ -123,7 +129,7 @@
 /// Guards against a member without a report (another version, or coordination disabled) being
 /// counted as a further zone that would have to agree.
 #[test]
-fn members_without_a_report_do_not_keep_hints_from_counting() {
+fn members_without_a_report_do_not_prevent_hints_from_counting() {
     let mut coordinator = Coordinator::new(seconds(0.0), 1, 0);
     coordinator.set_pods(
         (5..21)
@@ -163,21 +169,21 @@
 fn every_member_is_a_prober_in_turn() {
     let members: Vec<u64> = (1..13).collect();
     let mut probers = std::collections::BTreeSet::new();
-    for nth in 0..6 {
-        let holders: Vec<u64> = members
+    for rotation in 0..6 {
+        let selected: Vec<u64> = members
             .iter()
             .copied()
-            .filter(|m| is_prober(5, *m, members.iter().copied(), ROTATION_INTERVAL * nth))
+            .filter(|m| is_prober(5, *m, members.iter().copied(), ROTATION_INTERVAL * rotation))
             .collect();
-        assert_eq!(holders.len(), CONCURRENT_PROBERS);
-        probers.extend(holders);
+        assert_eq!(selected.len(), CONCURRENT_PROBERS);
+        probers.extend(selected);
     }
     assert_eq!(probers.len(), 12);
 }
 
 /// Failures produce a hint until the pod answers. It is then reported as recovered for a while.
 #[test]
-fn outcomes_become_hints() {
+fn outcomes_produce_hints() {
     let mut coordinator = coordinator(&[], seconds(0.0));
     let mut hints = |now: f64, observations: &[OutlierObservation]| {
         observations
@@ -201,11 +207,11 @@
         hints(2.0, &[OutlierObservation::NoResponse]),
         Some(vec![(5, OutlierHint::Ejected)])
     );
-    assert_eq!(hints(3.0, &[]), None, "nothing new");
+    assert_eq!(hints(3.0, &[]), None, "no report without changes");
     assert_eq!(
         hints(6.1, &[]),
         Some(vec![(5, OutlierHint::Ejected)]),
-        "repeated before it expires"
+        "the hint is repeated before it expires"
     );
     assert_eq!(
         hints(7.0, &[OutlierObservation::Answered(0.1)]),
@@ -235,7 +241,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
     /// Reports decode to what was encoded. Other bytes are rejected or decode within the bounds.
     #[test]
-    fn reports_decode_as_encoded(zone: u16, rate_exponent: u8, lost_services: u8, pods in prop::collection::vec(any::<u64>(), 0..MAX_HINTS), noise: Vec<u8>) {
+    fn reports_decode_as_encoded(zone: u16, rate_exponent: u8, lost_services: u8, pods in prop::collection::vec(any::<u64>(), 0..MAX_HINTS), random_bytes: Vec<u8>) {
         let hints = pods.into_iter().map(|pod| (pod, OutlierHint::Slow)).collect();
         let report = LoadReport { zone, rate_exponent, hints, lost_services };
         prop_assert!(report.encode().len() <= 256);
@@ -243,14 +249,14 @@
         let earlier = &report.encode()[..report.encode().len() - 1];
         prop_assert_eq!(LoadReport::decode(earlier), Ok(LoadReport { lost_services: 0, ..report.clone() }));
         prop_assert_eq!(LoadReport::decode(&report.encode()), Ok(report));
-        prop_assert!(LoadReport::decode(&noise).is_ok_and(|s| s.hints.len() <= MAX_HINTS) || LoadReport::decode(&noise).is_err());
+        prop_assert!(LoadReport::decode(&random_bytes).is_ok_and(|report| report.hints.len() <= MAX_HINTS) || LoadReport::decode(&random_bytes).is_err());
     }
 
     /// A single member makes no pod an outlier, whatever its hints.
     #[test]
-    fn one_member_alone_makes_no_outlier(pods in prop::collection::vec(0u64..30, 0..40), count in 1u64..12) {
-        let lying = report(1, 7, &pods, OutlierHint::Ejected);
-        let all: Vec<PeerReport> = healthy(count).into_iter().chain([lying]).collect();
+    fn a_single_member_makes_no_outlier(pods in prop::collection::vec(0u64..30, 0..40), count in 1u64..12) {
+        let malicious = report(1, 7, &pods, OutlierHint::Ejected);
+        let all: Vec<PeerReport> = reports_without_hints(count).into_iter().chain([malicious]).collect();
         prop_assert_eq!(find_outliers(&all, &(0..30).collect::<Vec<u64>>(), seconds(1.0)).len(), 0);
     }
 }
--- a/crates/coordination/tests/poll_schedule.rs
+++ b/crates/coordination/tests/poll_schedule.rs
@@ -50,7 +50,7 @@
 }
 
 struct ReportInFlight {
-    arrives: Duration,
+    arrives_at: Duration,
     from: usize,
     report: LoadReport,
 }
@@ -59,17 +59,17 @@
 struct Setup {
     members: usize,
     /// Number of disjoint partitions that receive nothing from each other.
-    parts: usize,
+    partitions: usize,
     /// Whether members receive any reports.
     reports_arrive: bool,
 }
 
 /// Time that a report is in transit.
 const GOSSIP_DELAY: Duration = Duration::from_millis(1500);
-const BACK_AT: Duration = Duration::from_secs(25);
+const RESTORED_AT: Duration = Duration::from_secs(25);
 const END: Duration = Duration::from_secs(40);
 
-/// Members that poll a service which is down from `LOST_AT` to `BACK_AT`. After a failure each
+/// Members that poll a service which is down from `LOST_AT` to `RESTORED_AT`. After a failure each
 /// wants to poll again within a second.
 struct Simulation {
     setup: Setup,
@@ -104,7 +104,7 @@
         let in_flight = std::mem::take(&mut self.in_flight);
         let (arrived, later) = in_flight
             .into_iter()
-            .partition(|report| report.arrives <= now);
+            .partition(|report| report.arrives_at <= now);
         self.in_flight = later;
         for ReportInFlight { from, report, .. } in arrived {
             self.members[from].report = Some((report, now));
@@ -118,14 +118,14 @@
         let report = self.members[number].coordinator.take_report(now);
         if let Some(report) = report.filter(|_| self.setup.reports_arrive) {
             self.in_flight.push(ReportInFlight {
-                arrives: now + GOSSIP_DELAY,
+                arrives_at: now + GOSSIP_DELAY,
                 from: number,
                 report,
             });
         }
-        let parts = self.setup.parts;
+        let partitions = self.setup.partitions;
         let others: Vec<_> = (0..self.setup.members)
-            .filter(|other| *other != number && other % parts == number % parts)
+            .filter(|other| *other != number && other % partitions == number % partitions)
             .map(|other| (member_key(other), self.members[other].report.clone()))
             .collect();
         let coordinator = &mut self.members[number].coordinator;
@@ -144,7 +144,7 @@
             return;
         }
         self.polls.push(now);
-        if now < BACK_AT {
+        if now < RESTORED_AT {
             member
                 .coordinator
                 .record_poll_failure(now, Service::EndpointList);
@@ -175,7 +175,11 @@
     fn last_recovery(&self) -> Duration {
         self.members
             .iter()
-            .map(|member| member.recovered_at.expect("it has the service again"))
+            .map(|member| {
+                member
+                    .recovered_at
+                    .expect("the member has recovered the service")
+            })
             .max()
             .unwrap_or_default()
     }
@@ -187,15 +191,15 @@
 #[case::twelve(12, 1, 4.0)]
 #[case::three_hundred(300, 1, 42.0)]
 #[case::in_two_halves(300, 2, 44.0)]
-#[case::one_alone(1, 1, 4.0)]
-fn few_members_poll_a_service_that_is_gone(
+#[case::single_member(1, 1, 4.0)]
+fn few_members_poll_a_service_that_is_down(
     #[case] members: usize,
-    #[case] parts: usize,
+    #[case] partitions: usize,
     #[case] max_rate: f64,
 ) {
     let setup = Setup {
         members,
-        parts,
+        partitions,
         reports_arrive: true,
     };
     let simulation = Simulation::run(setup);
@@ -205,33 +209,36 @@
         ..setup
     });
     let uncoordinated_rate = uncoordinated.poll_rate();
-    let took = simulation.last_recovery() - BACK_AT;
+    let recovery_time = simulation.last_recovery() - RESTORED_AT;
     println!(
-        "{members}: {rate:.1} a second for {uncoordinated_rate:.1}, all had it after {took:?}"
+        "{members} members: {rate:.1} polls per second, {uncoordinated_rate:.1} uncoordinated; all recovered after {recovery_time:?}"
     );
     assert!(
         rate <= max_rate && rate <= uncoordinated_rate,
-        "{rate} a second, uncoordinated {uncoordinated_rate}"
+        "{rate} polls per second, {uncoordinated_rate} uncoordinated"
     );
     assert!(
-        took <= ROTATIONS + seconds(2.0) * 2 + RECOVERY_SPREAD + seconds(1.0),
-        "{took:?}"
+        recovery_time <= TWO_ROTATIONS + seconds(2.0) * 2 + RECOVERY_SPREAD + seconds(1.0),
+        "{recovery_time:?}"
     );
     // Members do not poll all at once, neither while the service is down nor when it returns.
-    let crowd = (100..400)
+    let max_burst = (100..400)
         .map(|n| simulation.polls_between(n as f64 / 10.0, (n + 1) as f64 / 10.0))
         .max()
         .unwrap_or(0);
-    assert!(crowd <= (members / 4).max(4), "{crowd} at once");
+    assert!(
+        max_burst <= (members / 4).max(4),
+        "{max_burst} polls within 0.1 s"
+    );
 }
 
 /// Two rotation intervals.
-const ROTATIONS: Duration = Duration::from_secs(2);
+const TWO_ROTATIONS: Duration = Duration::from_secs(2);
 
 /// Guards against delays beyond `MAX_POLL_INTERVAL` when the others report the service as lost
 /// forever.
 #[test]
-fn peers_that_always_report_a_service_as_lost_delay_polls_within_the_bound() {
+fn peers_cannot_delay_polls_beyond_the_maximum_interval() {
     let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
     coordinator.set_pods(one_pod());
     let lost = LoadReport {
@@ -265,9 +272,9 @@
 /// A poll is not delayed if no other member reports the service as lost, if this member has not
 /// lost it, or if the reports are outdated.
 #[rstest]
-#[case::nobody_else(0, 0.0)]
-#[case::reported_long_ago(200, 30.0)]
-fn a_member_without_fresh_reports_polls_at_once(#[case] others: u64, #[case] ago: f64) {
+#[case::no_other_member(0, 0.0)]
+#[case::outdated_reports(200, 30.0)]
+fn a_member_without_fresh_reports_polls_at_once(#[case] others: u64, #[case] report_age: f64) {
     let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
     coordinator.set_pods(one_pod());
     assert_eq!(
@@ -281,8 +288,9 @@
         hints: Vec::new(),
         lost_services: Service::Installer.bit(),
     };
-    coordinator
-        .set_peers((0..others).map(|n| (n, Some((lost.clone(), seconds(50.0) - seconds(ago))))));
+    coordinator.set_peers(
+        (0..others).map(|n| (n, Some((lost.clone(), seconds(50.0) - seconds(report_age))))),
+    );
     let _ = coordinator.take_view(seconds(50.5));
     assert_eq!(
         coordinator.next_poll(seconds(50.5), Service::Installer),
