--- a/crates/coordination/src/load_report.rs
+++ b/crates/coordination/src/load_report.rs
@@ -42,13 +42,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoadReportError {
     /// The report is of another version, so the member counts as one without a report.
-    #[error("load report of another version, expected {VERSION}")]
+    #[error("unsupported load report version, expected {VERSION}")]
     Version,
     /// The bytes are not a valid report.
     #[error("malformed load report")]
     Malformed,
     /// The report has more hints than [`MAX_HINTS`].
-    #[error("load report with too many hints, expected {MAX_HINTS} at most")]
+    #[error("load report with too many hints, expected at most {MAX_HINTS}")]
     TooManyHints,
 }
 
--- a/crates/coordination/tests/helpers/mod.rs
+++ b/crates/coordination/tests/helpers/mod.rs
@@ -77,11 +77,11 @@
 
 /// Returns the fraction of all assignments that the remaining members did not have before.
 pub(crate) fn moved_fraction(before: &Assignment, after: &Assignment) -> f64 {
-    let all: usize = before.values().map(Vec::len).sum();
+    let total: usize = before.values().map(Vec::len).sum();
     let new = |(member, pods): (&u64, &Vec<u64>)| {
         before.get(member).map_or(0, |previous| {
             pods.iter().filter(|pod| !previous.contains(pod)).count()
         })
     };
-    after.iter().map(new).sum::<usize>() as f64 / all as f64
+    after.iter().map(new).sum::<usize>() as f64 / total as f64
 }
--- a/crates/coordination/tests/outlier_hints.rs
+++ b/crates/coordination/tests/outlier_hints.rs
@@ -50,13 +50,13 @@
     #[case] expected: &[u64],
 ) {
     let pods: Vec<u64> = (5..21).collect();
-    let all = [reports, reports_without_hints(9)].concat();
-    let found: Vec<u64> = find_outliers(&all, &pods, seconds(3.0))
+    let all_reports = [reports, reports_without_hints(9)].concat();
+    let found: Vec<u64> = find_outliers(&all_reports, &pods, seconds(3.0))
         .into_keys()
         .collect();
     assert_eq!(found, expected);
     assert_eq!(
-        find_outliers(&all, &pods, seconds(10.0)).len(),
+        find_outliers(&all_reports, &pods, seconds(10.0)).len(),
         0,
         "hints expire"
     );
@@ -256,8 +256,8 @@
     #[test]
     fn a_single_member_makes_no_outlier(pods in prop::collection::vec(0u64..30, 0..40), count in 1u64..12) {
         let malicious = report(1, 7, &pods, OutlierHint::Ejected);
-        let all: Vec<PeerReport> = reports_without_hints(count).into_iter().chain([malicious]).collect();
-        prop_assert_eq!(find_outliers(&all, &(0..30).collect::<Vec<u64>>(), seconds(1.0)).len(), 0);
+        let all_reports: Vec<PeerReport> = reports_without_hints(count).into_iter().chain([malicious]).collect();
+        prop_assert_eq!(find_outliers(&all_reports, &(0..30).collect::<Vec<u64>>(), seconds(1.0)).len(), 0);
     }
 }
 
--- a/crates/replication/tests/bounds.rs
+++ b/crates/replication/tests/bounds.rs
@@ -49,8 +49,8 @@
             }
         }
         for (after, count) in ranges {
-            let all: Vec<Entry> = (after + 1..=after + count).map(entry).collect();
-            for stored in log.insert_range(secs(0.0), SequenceRange { after, through: after + count }, &all) {
+            let range_entries: Vec<Entry> = (after + 1..=after + count).map(entry).collect();
+            for stored in log.insert_range(secs(0.0), SequenceRange { after, through: after + count }, &range_entries) {
                 prop_assert!(received.insert(stored.sequence), "{} was reported as new twice", stored.sequence);
             }
             prop_assert!((1..=log.contiguous_through()).all(|sequence| received.contains(&sequence)), "{} of {:?}", log.contiguous_through(), received);
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -132,12 +132,15 @@
 fn entries_on_two_peers_survive_any_two_crashes() {
     let mut checked = 0;
     for seed in 0..40u64 {
-        let (one, other) = ((seed % 12) as usize, ((seed / 3 + 5) % 12) as usize);
+        let (first_killed, second_killed) = ((seed % 12) as usize, ((seed / 3 + 5) % 12) as usize);
         let at = 2.0 + seed as f64 * 0.07;
-        let steps = vec![step(at, Fault::Kill(Selector::Numbers(vec![one, other])))];
+        let steps = vec![step(
+            at,
+            Fault::Kill(Selector::Numbers(vec![first_killed, second_killed])),
+        )];
         let mut simulation = simulation(&script(30.0, 0.1, steps), 12, 6.0, 0.3);
         simulation.run_until(secs(at - 0.001));
-        let acknowledged: Vec<(Origin, u64)> = [one, other]
+        let acknowledged: Vec<(Origin, u64)> = [first_killed, second_killed]
             .iter()
             .filter_map(|n| simulation.member(*n))
             .flat_map(|node| {
@@ -155,7 +158,7 @@
             .collect();
         simulation.run_until(secs(at + 3.0));
         for (origin, sequence) in &acknowledged {
-            for number in (0..12).filter(|n| *n != one && *n != other) {
+            for number in (0..12).filter(|n| *n != first_killed && *n != second_killed) {
                 let received = simulation.member(number).is_some_and(|node| {
                     node.received
                         .get(origin)
@@ -177,12 +180,12 @@
 /// packet is lost.
 #[test]
 fn new_entries_spread_in_time_while_others_catch_up() {
-    let one = |n: usize| Selector::Numbers(vec![n]);
+    let member = |n: usize| Selector::Numbers(vec![n]);
     let steps = (0..6).flat_map(|n| {
         let at = 10.0 + 2.0 * n as f64;
         [
-            step(at, Fault::Kill(one(n))),
-            step(at + 0.7, Fault::Start(one(n))),
+            step(at, Fault::Kill(member(n))),
+            step(at + 0.7, Fault::Start(member(n))),
         ]
     });
     let mut simulation = simulation(&script(30.0, 0.01, steps.collect()), 6, 23.0, 0.025);
