--- a/crates/coordination/tests/poll_schedule.rs
+++ b/crates/coordination/tests/poll_schedule.rs
@@ -1,4 +1,5 @@
-//! A service that many members have lost: how often they poll it, and how soon all have it again.
+//! A service that many members have lost: how often they poll it, and how soon all have recovered
+//! it.
 
 use limewing_coordination::{
     stable_key, Coordinator, LoadReport, Pod, Service, MAX_POLL_INTERVAL, RECOVERY_SPREAD,
@@ -11,7 +12,7 @@
 }
 
 const STEP: Duration = Duration::from_millis(50);
-/// When all members lose the service.
+/// Time at which all members lose the service.
 const LOST_AT: Duration = Duration::from_secs(5);
 
 fn member_key(number: usize) -> u64 {
@@ -28,7 +29,7 @@
 
 struct SimulatedMember {
     coordinator: Coordinator,
-    /// When it wants to poll next; none if it has the service.
+    /// When the member wants to poll next; `None` if it has the service.
     next_poll: Option<Duration>,
     report: Option<(LoadReport, Duration)>,
     recovered_at: Option<Duration>,
@@ -49,7 +50,7 @@
 }
 
 struct ReportInFlight {
-    arrives: Duration,
+    arrives_at: Duration,
     from: usize,
     report: LoadReport,
 }
@@ -57,19 +58,19 @@
 #[derive(Clone, Copy)]
 struct Setup {
     members: usize,
-    /// Disjoint parts that don't hear each other.
-    parts: usize,
-    /// Whether members hear each other at all.
+    /// Number of disjoint partitions that receive nothing from each other.
+    partitions: usize,
+    /// Whether members receive any reports.
     reports_arrive: bool,
 }
 
-/// How long a report is on its way.
+/// Time that a report is in transit.
 const GOSSIP_DELAY: Duration = Duration::from_millis(1500);
-const BACK_AT: Duration = Duration::from_secs(25);
+const RESTORED_AT: Duration = Duration::from_secs(25);
 const END: Duration = Duration::from_secs(40);
 
-/// Members that poll a service which is gone from `LOST_AT` to `BACK_AT`; after a failure each wants to poll again within a
-/// second.
+/// Members that poll a service which is down from `LOST_AT` to `RESTORED_AT`. After a failure each
+/// wants to poll again within a second.
 struct Simulation {
     setup: Setup,
     members: Vec<SimulatedMember>,
@@ -103,7 +104,7 @@
         let in_flight = std::mem::take(&mut self.in_flight);
         let (arrived, later) = in_flight
             .into_iter()
-            .partition(|report| report.arrives <= now);
+            .partition(|report| report.arrives_at <= now);
         self.in_flight = later;
         for ReportInFlight { from, report, .. } in arrived {
             self.members[from].report = Some((report, now));
@@ -117,14 +118,14 @@
         let report = self.members[number].coordinator.take_report(now);
         if let Some(report) = report.filter(|_| self.setup.reports_arrive) {
             self.in_flight.push(ReportInFlight {
-                arrives: now + GOSSIP_DELAY,
+                arrives_at: now + GOSSIP_DELAY,
                 from: number,
                 report,
             });
         }
-        let parts = self.setup.parts;
+        let partitions = self.setup.partitions;
         let others: Vec<_> = (0..self.setup.members)
-            .filter(|other| *other != number && other % parts == number % parts)
+            .filter(|other| *other != number && other % partitions == number % partitions)
             .map(|other| (member_key(other), self.members[other].report.clone()))
             .collect();
         let coordinator = &mut self.members[number].coordinator;
@@ -143,7 +144,7 @@
             return;
         }
         self.polls.push(now);
-        if now < BACK_AT {
+        if now < RESTORED_AT {
             member
                 .coordinator
                 .record_poll_failure(now, Service::EndpointList);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Polls in that time, in seconds.
+    /// Returns the number of polls in a period given in seconds.
     fn polls_between(&self, from: f64, to: f64) -> usize {
         self.polls
             .iter()
@@ -166,7 +167,7 @@
             .count()
     }
 
-    /// Polls a second while the service is gone, after the first moments.
+    /// Returns the rate of polls per second while the service is down, after the initial phase.
     fn poll_rate(&self) -> f64 {
         self.polls_between(10.0, 25.0) as f64 / 15.0
     }
@@ -174,26 +175,31 @@
     fn last_recovery(&self) -> Duration {
         self.members
             .iter()
-            .map(|member| member.recovered_at.expect("it has the service again"))
+            .map(|member| {
+                member
+                    .recovered_at
+                    .expect("the member has recovered the service")
+            })
             .max()
             .unwrap_or_default()
     }
 }
 
-/// The mean rate of polls while the service is gone is bounded, and all members have it soon after it is back.
+/// The mean poll rate is bounded while the service is down, and all members have it again soon
+/// after its return.
 #[rstest]
 #[case::twelve(12, 1, 4.0)]
 #[case::three_hundred(300, 1, 42.0)]
 #[case::in_two_halves(300, 2, 44.0)]
-#[case::one_alone(1, 1, 4.0)]
-fn few_members_poll_a_service_that_is_gone(
+#[case::single_member(1, 1, 4.0)]
+fn few_members_poll_a_service_that_is_down(
     #[case] members: usize,
-    #[case] parts: usize,
+    #[case] partitions: usize,
     #[case] max_rate: f64,
 ) {
     let setup = Setup {
         members,
-        parts,
+        partitions,
         reports_arrive: true,
     };
     let simulation = Simulation::run(setup);
@@ -203,32 +209,36 @@
         ..setup
     });
     let uncoordinated_rate = uncoordinated.poll_rate();
-    let took = simulation.last_recovery() - BACK_AT;
+    let recovery_time = simulation.last_recovery() - RESTORED_AT;
     println!(
-        "{members}: {rate:.1} a second for {uncoordinated_rate:.1}, all had it after {took:?}"
+        "{members} members: {rate:.1} polls per second, {uncoordinated_rate:.1} uncoordinated; all recovered after {recovery_time:?}"
     );
     assert!(
         rate <= max_rate && rate <= uncoordinated_rate,
-        "{rate} a second, uncoordinated {uncoordinated_rate}"
+        "{rate} polls per second, {uncoordinated_rate} uncoordinated"
     );
     assert!(
-        took <= ROTATIONS + seconds(2.0) * 2 + RECOVERY_SPREAD + seconds(1.0),
-        "{took:?}"
+        recovery_time <= TWO_ROTATIONS + seconds(2.0) * 2 + RECOVERY_SPREAD + seconds(1.0),
+        "{recovery_time:?}"
     );
-    // No crowd, while it is gone nor when it is back.
-    let crowd = (100..400)
+    // Members do not poll all at once, neither while the service is down nor when it returns.
+    let max_burst = (100..400)
         .map(|n| simulation.polls_between(n as f64 / 10.0, (n + 1) as f64 / 10.0))
         .max()
         .unwrap_or(0);
-    assert!(crowd <= (members / 4).max(4), "{crowd} at once");
+    assert!(
+        max_burst <= (members / 4).max(4),
+        "{max_burst} polls within 0.1 s"
+    );
 }
 
 /// Two rotation intervals.
-const ROTATIONS: Duration = Duration::from_secs(2);
+const TWO_ROTATIONS: Duration = Duration::from_secs(2);
 
-/// A member polls within `MAX_POLL_INTERVAL`, even if the others report the service as lost for ever.
+/// Guards against delays beyond `MAX_POLL_INTERVAL` when the others report the service as lost
+/// forever.
 #[test]
-fn peers_that_always_report_a_service_as_lost_delay_polls_within_the_bound() {
+fn peers_cannot_delay_polls_beyond_the_maximum_interval() {
     let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
     coordinator.set_pods(one_pod());
     let lost = LoadReport {
@@ -259,11 +269,12 @@
     );
 }
 
-/// Nothing delays the poll of a service that this member alone has lost, or that only others have lost, or if reports are old.
+/// A poll is not delayed if no other member reports the service as lost, if this member has not
+/// lost it, or if the reports are outdated.
 #[rstest]
-#[case::nobody_else(0, 0.0)]
-#[case::reported_long_ago(200, 30.0)]
-fn a_member_without_fresh_reports_polls_at_once(#[case] others: u64, #[case] ago: f64) {
+#[case::no_other_member(0, 0.0)]
+#[case::outdated_reports(200, 30.0)]
+fn a_member_without_fresh_reports_polls_at_once(#[case] others: u64, #[case] report_age: f64) {
     let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
     coordinator.set_pods(one_pod());
     assert_eq!(
@@ -277,8 +288,9 @@
         hints: Vec::new(),
         lost_services: Service::Installer.bit(),
     };
-    coordinator
-        .set_peers((0..others).map(|n| (n, Some((lost.clone(), seconds(50.0) - seconds(ago))))));
+    coordinator.set_peers(
+        (0..others).map(|n| (n, Some((lost.clone(), seconds(50.0) - seconds(report_age))))),
+    );
     let _ = coordinator.take_view(seconds(50.5));
     assert_eq!(
         coordinator.next_poll(seconds(50.5), Service::Installer),
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,5 +1,6 @@
-//! Repairs what gossip lost: a periodic exchange of table parts, and attempts to reach members that are not active (as
-//! Serf's reconnect), which join a new member and heal a partition.
+//! Anti-entropy: repairs what gossip lost. Members periodically exchange parts of their tables, and
+//! try to reach members that are not active (Serf's reconnect), which joins new members and heals
+//! partitions.
 
 use crate::membership::Membership;
 use crate::packet::{max_total_bytes, Broadcast, Message};
@@ -9,18 +10,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Mean probe intervals between two attempts to reach an inactive member; a member that knows no active one tries each interval.
+/// Mean number of probe intervals between two attempts to reach an inactive member. A member that
+/// knows no active member tries at every interval.
 const RECONNECT_INTERVALS: u32 = 10;
-/// Probe intervals between two exchanges.
+/// Probe intervals between two table exchanges.
 pub(crate) const SYNC_INTERVALS: u32 = 20;
-/// Members in a part of the table.
-const SYNC_MEMBERS: usize = 16;
-/// Bytes reserved for the message and the lengths of the lists behind it.
+/// Maximum number of members in a partial table.
+const MAX_SYNC_MEMBERS: usize = 16;
+/// Bytes reserved in a packet for the message and the length prefixes of the lists that follow it.
 const SYNC_MESSAGE_BYTES: usize = 12;
 const TABLE_MESSAGE_BYTES: usize = 8;
 
 impl Membership {
-    /// Tries to join by one address, drawn from those of the dead and the configured seeds that no active member has.
+    /// Sends a join request to one random address among those of dead members and the configured
+    /// seeds, except addresses that an active member has.
     pub(crate) fn reconnect(&mut self, now: Duration) {
         let is_alone = self.table.active().next().is_none();
         let intervals = if is_alone { 1 } else { RECONNECT_INTERVALS };
@@ -31,7 +34,7 @@
             return;
         }
         let address = candidates[self.rng.generate_range(0..candidates.len())];
-        // It first receives its own status as known here, so that it can refute that.
+        // Sends the receiver its own status as known here first, so that it can refute it.
         let update = self
             .table
             .iter()
@@ -45,7 +48,7 @@
     }
 
     fn reconnect_candidates(&self) -> Vec<SocketAddr> {
-        let is_taken = |address: &SocketAddr| {
+        let is_active_address = |address: &SocketAddr| {
             *address == self.local.address
                 || self
                     .table
@@ -58,20 +61,20 @@
             .filter(|member| member.update.status == MemberStatus::Dead)
             .map(|member| member.update.address);
         dead.chain(self.config.seed_addresses.iter().copied())
-            .filter(|address| !is_taken(address))
+            .filter(|address| !is_active_address(address))
             .collect()
     }
 
     /// Sends a random part of the table to one random member.
     pub(crate) fn sync(&mut self, now: Duration) {
         let mut updates = self.shuffled_updates();
-        updates.truncate(SYNC_MEMBERS);
+        updates.truncate(MAX_SYNC_MEMBERS);
         for to in self.random_active_addresses(1, None) {
             let room = MAX_PACKET_BYTES
                 - self.local.max_encoded_bytes()
                 - SYNC_MESSAGE_BYTES
                 - max_total_bytes(&updates);
-            let published = self.published.fitting(&updates, room);
+            let published = self.published.select_fitting(&updates, room);
             let message = Message::MemberTable {
                 reply_wanted: false,
             };
@@ -79,8 +82,9 @@
         }
     }
 
-    /// Sends the whole table, in as many datagrams as it takes and as the budget allows. The first one carries this member's
-    /// published state, and asks for the receiver's table if that is wanted.
+    /// Sends the whole table in as many datagrams as are needed and the budget allows. The first
+    /// datagram also carries this member's published state and, if `reply_wanted`, asks for the
+    /// receiver's table.
     pub(crate) fn send_member_table(&mut self, now: Duration, to: SocketAddr, reply_wanted: bool) {
         let mut remaining = self.shuffled_updates();
         let mut is_first = true;
@@ -88,13 +92,13 @@
             let mut room = MAX_PACKET_BYTES - self.local.max_encoded_bytes() - TABLE_MESSAGE_BYTES;
             let own_state = if is_first {
                 let local = std::slice::from_ref(&self.local);
-                self.published.fitting(local, room)
+                self.published.select_fitting(local, room)
             } else {
                 Vec::new()
             };
             room -= max_total_bytes(&own_state);
             let updates = self.take_fitting(&mut remaining, room);
-            let mut published = self.published.fitting(&updates, MAX_PACKET_BYTES);
+            let mut published = self.published.select_fitting(&updates, MAX_PACKET_BYTES);
             published.extend(own_state);
             let message = Message::MemberTable {
                 reply_wanted: reply_wanted && is_first,
@@ -104,7 +108,8 @@
         }
     }
 
-    /// Takes updates from the end that fit into `room` bytes together with the published state of their members.
+    /// Removes updates from the end of `remaining` as long as they fit into `room` bytes together
+    /// with the published state of their members.
     fn take_fitting(
         &self,
         remaining: &mut Vec<StatusUpdate>,
