--- a/crates/proxy-core/src/backoff.rs
+++ b/crates/proxy-core/src/backoff.rs
@@ -1,18 +1,19 @@
-//! Delays between attempts to reach a control service that was lost.
+//! Reconnect delays for a control service whose connection was lost.
 
 use backon::{BackoffBuilder, ExponentialBackoff, ExponentialBuilder};
 use std::time::Duration;
 
-/// Delay before the first attempt, without jitter: most losses are short.
+/// Delay before the first reconnect, without jitter: most outages are short.
 const MIN_DELAY: Duration = Duration::from_millis(250);
-/// Bound of a delay, without jitter: a changed limit has to arrive soon after the service is back.
+/// Longest delay, without jitter: a changed limit must arrive soon after the service recovers.
 const MAX_DELAY: Duration = Duration::from_secs(2);
-/// Each delay is so many times the one before.
+/// Ratio of each delay to the previous one.
 const GROWTH_FACTOR: f32 = 2.0;
 
-/// Exponential backoff with a bound and jitter, so that the sidecars of a fleet don't all reconnect at once.
+/// Exponential backoff with an upper bound and jitter, so that the sidecars of a fleet do not all
+/// reconnect at once.
 ///
-/// Jitter adds up to the delay itself, so one wait is at most twice `MAX_DELAY`.
+/// Jitter adds at most the delay itself, so one wait is at most twice `MAX_DELAY`.
 #[derive(Debug)]
 pub struct Backoff {
     policy: ExponentialBuilder,
@@ -20,7 +21,7 @@
 }
 
 impl Backoff {
-    /// A backoff whose jitter is drawn from `seed`.
+    /// Creates a backoff whose jitter is generated from `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         let policy = ExponentialBuilder::new()
@@ -36,12 +37,12 @@
         }
     }
 
-    /// How long to wait before the next attempt.
+    /// Returns the delay before the next reconnect.
     pub fn next_delay(&mut self) -> Duration {
         self.delays.next().unwrap_or(MAX_DELAY)
     }
 
-    /// Starts over at the shortest delay, once the service has answered.
+    /// Returns to the shortest delay; called once the service has answered.
     pub fn reset(&mut self) {
         self.delays = self.policy.build();
     }
--- a/crates/proxy-core/src/backoff/tests.rs
+++ b/crates/proxy-core/src/backoff/tests.rs
@@ -1,4 +1,4 @@
-//! Delays grow up to their bound, differ by seed, and start over.
+//! Tests that delays grow to their bound, depend on the seed, and restart after a reset.
 
 use super::Backoff;
 use std::time::Duration;
--- a/crates/proxy-core/src/clock.rs
+++ b/crates/proxy-core/src/clock.rs
@@ -1,18 +1,18 @@
-//! The monotonic clock of a sidecar, and how times of day map to it.
+//! The monotonic clock of a sidecar, and the conversion of wall-clock times to it.
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime};
 
-/// How far before the start of the process the clock's zero lies, so that what happened shortly before the start has a
-/// time too; what is older counts as long ago.
+/// Reading of the clock at process start. It is above zero so that events from shortly before the
+/// start have a timestamp too; older events count as having happened long ago.
 pub const EPOCH_LEAD: Duration = Duration::from_secs(3600);
 
-/// Environment variable that shifts [`wall_clock_now`], in seconds.
+/// Environment variable that sets the offset of [`wall_clock_now`], in seconds.
 const WALL_CLOCK_OFFSET_VARIABLE: &str = "LIMEWING_CLOCK_AHEAD_S";
-/// Largest shift that is taken, either way: one day.
+/// Largest accepted offset, in either direction: one day.
 const MAX_WALL_CLOCK_OFFSET_S: f64 = 86_400.0;
 
-/// A monotonic clock that showed [`EPOCH_LEAD`] when it was created.
+/// A monotonic clock that reads [`EPOCH_LEAD`] when it is created.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -27,17 +27,18 @@
 }
 
 impl Clock {
-    /// The time since the clock's zero.
+    /// Returns the time since the zero of the clock.
     #[must_use]
     pub fn now(&self) -> Duration {
         EPOCH_LEAD + self.start.elapsed()
     }
 }
 
-/// The time of day.
+/// Returns the current wall-clock time.
 ///
-/// To test clocks that differ, `LIMEWING_CLOCK_AHEAD_S` in the environment sets by how many seconds this process's clock
-/// is ahead (below 0: behind), up to a day; any other value is ignored. It is read once.
+/// For tests with diverging clocks, the environment variable `LIMEWING_CLOCK_AHEAD_S` sets by how
+/// many seconds the clock of this process is ahead (negative: behind), up to a day. Any other value
+/// is ignored. The variable is read once.
 #[must_use]
 pub fn wall_clock_now() -> SystemTime {
     static OFFSET_S: OnceLock<f64> = OnceLock::new();
@@ -59,10 +60,11 @@
         .unwrap_or(0.0)
 }
 
-/// Converts a time of day to the monotonic clock.
+/// Converts a wall-clock time to the monotonic clock.
 ///
-/// `unix_seconds` counts from 1970; the monotonic clock shows `now` when the time of day is `wall_clock`. A time in the
-/// future counts as `now`; the result is `None` for one before the clock's zero.
+/// `unix_seconds` is the time to convert, in seconds since the Unix epoch (1970); the monotonic
+/// clock reads `now` when the wall clock reads `wall_clock`. A time in the future is converted to
+/// `now`; one before the zero of the monotonic clock gives `None`.
 #[must_use]
 pub fn from_wall_clock(
     unix_seconds: f64,
--- a/crates/proxy-core/src/connection_pool.rs
+++ b/crates/proxy-core/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to pods, each waiting for the next attempt.
+//! A pool of idle connections to pods.
 
 use limewing_decision::interface::PodId;
 use limewing_net::sockets::SocketId;
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One idle connection.
+/// An idle connection.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleConnection {
-    /// Its socket.
+    /// Its socket identifier.
     pub id: SocketId,
-    /// The timer that closes it when it has been idle for too long.
+    /// The timer that closes it after the idle timeout.
     pub timer: TimerKey,
-    /// When it was last used, on the sidecar's monotonic clock.
+    /// When it became idle, on the monotonic clock of the sidecar.
     pub idle_since: Duration,
 }
 
-/// The idle connections of one sidecar, by pod, in the order in which they were returned.
+/// The idle connections of one sidecar, grouped by pod, in the order in which they were returned.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: BTreeMap<PodId, Vec<IdleConnection>>,
@@ -29,12 +29,13 @@
         self.idle.entry(pod).or_default().push(connection);
     }
 
-    /// Takes the connection to `pod` that was used last, so that the others may reach their idle timeout.
+    /// Takes the most recently used connection to `pod`, so that the others can reach their idle
+    /// timeout.
     pub fn take(&mut self, pod: PodId) -> Option<IdleConnection> {
         self.take_if(pod, |_| true)
     }
 
-    /// Takes, of the connections to `pod` that `is_suitable` accepts, the one that was used last.
+    /// Takes the most recently used connection to `pod` that satisfies `is_suitable`.
     pub fn take_if(
         &mut self,
         pod: PodId,
@@ -44,14 +45,14 @@
         self.remove_at(pod, index)
     }
 
-    /// Removes a connection that was closed and returns its timer, which the caller has to cancel.
+    /// Removes a closed connection and returns its timer, which the caller must cancel.
     pub fn remove(&mut self, pod: PodId, socket: SocketId) -> Option<TimerKey> {
         let connections = self.idle.get(&pod)?;
         let index = connections.iter().position(|idle| idle.id == socket)?;
         self.remove_at(pod, index).map(|removed| removed.timer)
     }
 
-    /// The sockets of all connections to `pod`, the one idle for longest first.
+    /// Returns the sockets of all idle connections to `pod`, longest idle first.
     #[must_use]
     pub fn connections_to(&self, pod: PodId) -> Vec<SocketId> {
         self.idle
@@ -62,26 +63,27 @@
             .collect()
     }
 
-    /// The connection to close when descriptors run out: the one idle for longest, to the pod with most of them.
+    /// Returns the connection to close when file descriptors run out: the longest idle one to the
+    /// pod with the most idle connections.
     #[must_use]
     pub fn eviction_candidate(&self) -> Option<SocketId> {
         let largest = self.idle.values().max_by_key(|idle| idle.len())?;
         largest.first().map(|connection| connection.id)
     }
 
-    /// How many connections are idle, to all pods together.
+    /// Returns the number of idle connections to all pods.
     #[must_use]
     pub fn len(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Whether no connection is idle.
+    /// Whether the pool holds no connection.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
 
-    /// Takes out one connection, and the pod's entry with its last one.
+    /// Removes one connection, and the entry of the pod if it was the last one.
     fn remove_at(&mut self, pod: PodId, index: usize) -> Option<IdleConnection> {
         let connections = self.idle.get_mut(&pod)?;
         let removed = connections.remove(index);
--- a/crates/proxy-core/src/descriptor_budget.rs
+++ b/crates/proxy-core/src/descriptor_budget.rs
@@ -1,34 +1,38 @@
-//! How the process's file descriptors are shared out, and how many clients its memory bears.
+//! Limits on connections, derived from the file descriptors and the memory of the process.
 
-/// Descriptors reserved for what is no connection: poll, signals, standard streams, the state file.
+/// Descriptors reserved for uses other than connections: poll, signals, standard streams, the state
+/// file.
 const RESERVED_FOR_PROCESS: usize = 16;
-/// Descriptors reserved for the endpoint list, stage updates and votes, which have to arrive whatever the load.
+/// Descriptors reserved for the endpoint list, stage updates and votes, which must get through
+/// under any load.
 const RESERVED_FOR_CONTROL: usize = 8;
-/// One in so many of the remaining descriptors is reserved for connections to pods...
+/// The share of the remaining descriptors that is reserved for connections to pods is one over
+/// this.
 const UPSTREAM_DIVISOR: usize = 4;
-/// ...and no more than this.
+/// Maximum number of descriptors reserved for connections to pods.
 const MAX_RESERVED_FOR_UPSTREAM: usize = 1024;
-/// Connections that are left at the least: one client and one pod.
+/// Minimum number of connections: one client and one pod.
 const MIN_CONNECTIONS: usize = 2;
-/// One in so many of the granted bytes may hold clients' buffers.
+/// The share of the memory limit that client buffers may use is one over this.
 const CLIENT_MEMORY_DIVISOR: usize = 2;
 
-/// Limits on connections, so that clients leave descriptors for their requests' attempts, and both for the control
-/// services.
+/// Limits on connections. Clients leave descriptors for the attempts of their requests, and both
+/// leave some for the control services.
 ///
-/// Where the system bounds the address space, the limit on clients also keeps their buffers within it, as an allocation
-/// that fails ends the process.
+/// If the system limits the address space, the limit on clients also keeps their buffers within it,
+/// because a failed allocation aborts the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Bound of accepted connections.
+    /// Maximum number of accepted connections.
     pub max_accepted: usize,
-    /// Bound of connections of all kinds beyond which none is opened to a pod and none accepted.
+    /// Maximum number of connections of all kinds; at this number, none is opened to a pod and none
+    /// is accepted.
     pub max_connections: usize,
 }
 
 impl DescriptorBudget {
-    /// The budget of a process with `descriptors` file descriptors and `memory` bytes, of which each client may need
-    /// `client_memory` bytes.
+    /// Computes the budget for a process that may use `descriptors` file descriptors and `memory`
+    /// bytes, where each client may need `client_memory` bytes.
     #[must_use]
     pub fn new(descriptors: usize, memory: usize, client_memory: usize) -> Self {
         let max_connections = descriptors
--- a/crates/proxy-core/src/descriptor_budget/tests.rs
+++ b/crates/proxy-core/src/descriptor_budget/tests.rs
@@ -1,4 +1,4 @@
-//! Clients leave descriptors for pods and control services.
+//! Tests that clients leave descriptors for pods and control services.
 
 use super::DescriptorBudget;
 use rstest::rstest;
--- a/crates/proxy-core/src/event_loop.rs
+++ b/crates/proxy-core/src/event_loop.rs
@@ -1,12 +1,14 @@
-//! When an event loop wakes, and from when on a turn of it counts as slow.
+//! Deadlines of an event loop, and the duration from which a turn counts as slow.
 
 use crate::clock::Clock;
 use std::time::Duration;
 
-/// A longer turn is logged: requests that arrived meanwhile have waited for it.
+/// A turn that takes longer than this is logged, because requests that arrived meanwhile were
+/// delayed by it.
 pub const SLOW_TURN: Duration = Duration::from_millis(20);
 
-/// The earliest of the decision engine's next wake-up and the deadlines of the proxy's parts, which may have none.
+/// Returns the earliest of the next wake-up of the decision engine and the deadlines of the
+/// components of the proxy, which are optional.
 pub fn earliest_deadline(
     engine_wake_at: Duration,
     deadlines: impl IntoIterator<Item = Option<Duration>>,
@@ -17,8 +19,10 @@
         .fold(engine_wake_at, Duration::min)
 }
 
-/// How long to wait for sockets: until `deadline`, and not at all while events wait for the decision engine. The clock is
-/// read only where it counts.
+/// Returns how long to wait for socket events: until `deadline`, or not at all while events are
+/// queued for the decision engine.
+///
+/// The clock is read only if the result depends on it.
 #[must_use]
 pub fn poll_timeout(clock: &Clock, deadline: Duration, has_events: bool) -> Duration {
     if has_events {
--- a/crates/proxy-core/src/event_loop/tests.rs
+++ b/crates/proxy-core/src/event_loop/tests.rs
@@ -1,4 +1,4 @@
-//! When the loop wakes.
+//! Tests when the event loop wakes up.
 
 use super::*;
 use crate::clock::EPOCH_LEAD;
--- a/crates/proxy-core/src/eviction/tests.rs
+++ b/crates/proxy-core/src/eviction/tests.rs
@@ -1,4 +1,4 @@
-//! Which idle connections are closed, and how many, where descriptors run out.
+//! Tests which idle connections are closed, and how many, when file descriptors run out.
 
 use super::*;
 use crate::connection_pool::IdleConnection;
@@ -34,7 +34,7 @@
     }
 }
 
-/// A proxy with `idle` connections to one pod, all of them open, and room for `max_connections`.
+/// Creates a proxy with `idle` open connections to one pod and a limit of `max_connections`.
 fn proxy(idle: usize, max_connections: usize) -> Proxy {
     let mut sockets = Sockets::new().unwrap();
     let mut timers = TimerWheel::default();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn nothing_is_evicted_while_descriptors_are_left() {
+fn nothing_is_evicted_while_descriptors_are_available() {
     let mut proxy = proxy(4, 5);
     assert!(proxy.make_room_for_connection());
     proxy.evict_for_clients();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn oldest_idle_connection_makes_room_for_a_new_one() {
+fn oldest_idle_connection_is_evicted_for_a_new_one() {
     let mut proxy = proxy(4, 4);
     let oldest = proxy.open[0];
     assert!(proxy.make_room_for_connection());
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn there_is_no_room_where_one_eviction_is_not_enough() {
+fn no_connection_is_opened_if_one_eviction_is_not_enough() {
     let mut proxy = proxy(4, 2);
     assert!(!proxy.make_room_for_connection());
     assert_eq!(proxy.closed.len(), 1);
 }
 
 #[test]
-fn an_eighth_of_the_idle_connections_makes_room_for_clients() {
+fn an_eighth_of_the_idle_connections_is_evicted_for_clients() {
     let mut proxy = proxy(17, 17);
     let oldest = proxy.open[..3].to_vec();
     proxy.evict_for_clients();
--- a/crates/proxy-core/src/idle_timeout/tests.rs
+++ b/crates/proxy-core/src/idle_timeout/tests.rs
@@ -1,4 +1,4 @@
-//! Estimates of the idle time after which connections are dropped.
+//! Tests the estimate of the idle time after which connections are dropped.
 
 use super::{IdleTimeoutEstimator, ESTIMATE_TTL};
 use rstest::rstest;
@@ -10,11 +10,12 @@
     Duration::from_millis(ms)
 }
 
-/// Nine in ten survive whatever their age; beyond the time after which they are dropped, none.
+/// Nine in ten connections survive up to the drop time, regardless of their idle time; beyond it,
+/// none survives.
 #[rstest]
 #[case::soon(130)]
 #[case::late(2000)]
-fn learns_the_idle_time_after_which_connections_are_dropped(#[case] dropped_after: u64) {
+fn estimates_the_idle_time_after_which_connections_are_dropped(#[case] dropped_after: u64) {
     let mut estimator = IdleTimeoutEstimator::default();
     for round in 0..400 {
         let idle = [3, 9, 20, 60, 100, 150, 400, 900, 2500, 4000][round % 10];
--- a/crates/proxy-core/src/in_flight.rs
+++ b/crates/proxy-core/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! The requests that a proxy holds: each gets one final answer, and each of its attempts ends once.
+//! The requests in flight: each one gets exactly one final response, and each of its attempts ends
+//! exactly once.
 
 use limewing_decision::interface::{AttemptIndex, AttemptOutcome, AttemptResult, PodId, RequestId};
 use limewing_net::sockets::SocketId;
@@ -6,18 +7,19 @@
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// A request that has no final answer yet, or still has an active attempt. `T` is what its protocol keeps of it.
+/// A request without a final response, or with an active attempt. `T` is its protocol-specific
+/// state.
 #[derive(Debug)]
 pub struct InFlightRequest<T> {
-    /// The client's socket; `None` once the client is gone.
+    /// The socket of the client; `None` once the client has disconnected.
     pub client: Option<SocketId>,
-    /// When it has to be answered at the latest, on the sidecar's monotonic clock.
+    /// The deadline for the final response, on the monotonic clock of the sidecar.
     pub deadline: Duration,
-    /// Whether it has its final answer.
+    /// Whether it has its final response.
     pub completed: bool,
-    /// All its attempts, by [`AttemptIndex`].
+    /// All attempts, indexed by [`AttemptIndex`].
     pub attempts: Vec<Attempt>,
-    /// What its protocol keeps of it.
+    /// The protocol-specific state.
     pub protocol_state: T,
 }
 
@@ -30,16 +32,16 @@
     }
 }
 
-/// One attempt to have a request answered by a pod.
+/// One attempt to get a response from a pod.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The pod.
+    /// The pod to which it is sent.
     pub pod: PodId,
-    /// When it was started, on the sidecar's monotonic clock.
+    /// When it was started, on the monotonic clock of the sidecar.
     pub sent_at: Duration,
-    /// Its connection, while it has one.
+    /// Its connection, if one is assigned.
     pub connection: Option<SocketId>,
-    /// The timer that bounds its next step.
+    /// The timer that limits its next step.
     pub timer: Option<TimerKey>,
     /// Whether its outcome is known.
     pub ended: bool,
@@ -48,7 +50,7 @@
 /// An active attempt with its request, pod and connection.
 pub type ActiveAttempt = (RequestId, AttemptIndex, PodId, Option<SocketId>);
 
-/// All requests in flight; identifiers count up from 0.
+/// All requests in flight; identifiers are assigned in ascending order from 0.
 #[derive(Debug)]
 pub struct InFlightRequests<T> {
     requests: FxHashMap<RequestId, InFlightRequest<T>>,
@@ -64,14 +66,14 @@
     }
 }
 
-/// What came of ending an attempt.
+/// The effects of ending an attempt.
 #[derive(Debug)]
 pub struct EndedAttempt<T> {
-    /// The result, for the decision engine.
+    /// The result to report to the decision engine.
     pub result: AttemptResult,
-    /// The attempt's timer, which the caller has to cancel.
+    /// The timer of the attempt, which the caller must cancel.
     pub timer: Option<TimerKey>,
-    /// The protocol's part of the request, if this removed it.
+    /// The protocol-specific state of the request, if ending the attempt removed the request.
     pub completed_request: Option<T>,
 }
 
@@ -91,25 +93,25 @@
         id
     }
 
-    /// A request, completed or not.
+    /// Returns a request, completed or not.
     #[must_use]
     pub fn get(&self, id: RequestId) -> Option<&InFlightRequest<T>> {
         self.requests.get(&id)
     }
 
-    /// A request, completed or not, to be changed.
+    /// Returns a mutable reference to a request, completed or not.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest<T>> {
         self.requests.get_mut(&id)
     }
 
-    /// A request without its final answer, to be changed.
+    /// Returns a mutable reference to a request without a final response.
     pub fn pending_mut(&mut self, id: RequestId) -> Option<&mut InFlightRequest<T>> {
         self.requests
             .get_mut(&id)
             .filter(|request| !request.completed)
     }
 
-    /// The requests without their final answer, in ascending order.
+    /// Returns the identifiers of the requests without a final response, in ascending order.
     #[must_use]
     pub fn pending_ids(&self) -> Vec<RequestId> {
         let mut pending: Vec<RequestId> = self
@@ -122,13 +124,13 @@
         pending
     }
 
-    /// Whether any request has no final answer.
+    /// Whether any request has no final response.
     #[must_use]
     pub fn has_pending(&self) -> bool {
         self.requests.values().any(|request| !request.completed)
     }
 
-    /// The active attempts of all requests, in ascending order.
+    /// Returns the active attempts of all requests, in ascending order.
     #[must_use]
     pub fn active_attempts(&self) -> Vec<ActiveAttempt> {
         let mut active = Vec::new();
@@ -141,7 +143,7 @@
         active
     }
 
-    /// The active attempts of one request, each with its connection.
+    /// Returns the active attempts of one request, with their connections.
     #[must_use]
     pub fn active_attempts_of(&self, id: RequestId) -> Vec<(AttemptIndex, Option<SocketId>)> {
         self.requests
@@ -152,7 +154,7 @@
             .collect()
     }
 
-    /// The pods with active attempts, each as often as it has one, in no order.
+    /// Returns the pods with active attempts, once per attempt, in no particular order.
     pub fn pods_with_attempts(&self) -> impl Iterator<Item = PodId> + '_ {
         self.requests
             .values()
@@ -160,13 +162,13 @@
             .map(|(_, attempt)| attempt.pod)
     }
 
-    /// How many requests were ever added.
+    /// Returns the number of requests added so far.
     #[must_use]
     pub fn total_accepted(&self) -> u64 {
         self.next_id
     }
 
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
@@ -178,13 +180,13 @@
         self.requests.is_empty()
     }
 
-    /// An attempt, ended or not.
+    /// Returns an attempt, ended or not.
     #[must_use]
     pub fn attempt(&self, id: RequestId, index: AttemptIndex) -> Option<&Attempt> {
         self.requests.get(&id)?.attempts.get(usize::from(index.0))
     }
 
-    /// An attempt that has not ended, to be changed.
+    /// Returns a mutable reference to an attempt that has not ended.
     pub fn active_attempt_mut(
         &mut self,
         id: RequestId,
@@ -197,7 +199,7 @@
             .filter(|attempt| !attempt.ended)
     }
 
-    /// Ends an attempt; `None` if it had ended or its request is unknown.
+    /// Ends an attempt. Returns `None` if it had already ended or its request is unknown.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -225,7 +227,8 @@
         })
     }
 
-    /// Removes a request that has its final answer and no active attempt, and returns its protocol's part.
+    /// Removes a request that has its final response and no active attempt, and returns its
+    /// protocol-specific state.
     pub fn remove_if_complete(&mut self, id: RequestId) -> Option<T> {
         let request = self.requests.get(&id)?;
         if !request.completed || request.active_attempts().next().is_some() {
--- a/crates/proxy-core/src/lib.rs
+++ b/crates/proxy-core/src/lib.rs
@@ -1,17 +1,17 @@
-//! What both proxies share, whatever protocol they speak. Nothing is decided here.
+//! Protocol-independent components shared by both proxies. Routing decisions are made elsewhere.
 //!
 //! - [`in_flight`]: requests in flight and their attempts
 //! - [`connection_pool`]: idle connections to pods
 //! - [`idle_timeout`]: how long a connection may stay idle
 //! - [`send_permit`]: permission to write an attempt to its pod
-//! - [`descriptor_budget`]: how file descriptors are shared out
-//! - [`backoff`]: delays between attempts to reach a control service
-//! - [`clock`]: the monotonic clock and the time of day
-//! - [`event_loop`]: when an event loop wakes
-//! - [`signals`]: the signals that a sidecar reacts to
+//! - [`descriptor_budget`]: limits on connections
+//! - [`backoff`]: reconnect delays for control services
+//! - [`clock`]: the monotonic clock and the wall clock
+//! - [`event_loop`]: deadlines of an event loop
+//! - [`signals`]: the signals that a sidecar handles
 //! - [`shutdown`]: the steps of a graceful shutdown, and the listener that it closes
-//! - [`eviction`]: closing idle connections where descriptors run out
-//! - [`vote_call`]: one vote at the rollout service
+//! - [`eviction`]: eviction of idle connections when file descriptors run out
+//! - [`vote_call`]: the call that sends one vote to the rollout service
 
 pub mod backoff;
 pub mod clock;
--- a/crates/proxy-core/src/send_permit.rs
+++ b/crates/proxy-core/src/send_permit.rs
@@ -1,7 +1,8 @@
 //! Permission to write an attempt to its pod.
 //!
-//! Between the decision to start an attempt and its first byte, a connection has to be opened or shown to be alive;
-//! meanwhile the pod may start draining, so the decision is confirmed right before the write.
+//! Between the decision to start an attempt and its first byte, a connection has to be opened or
+//! checked. The pod may start draining in the meantime, so the decision is confirmed immediately
+//! before the write.
 
 use limewing_decision::interface::{AttemptIndex, RequestId};
 use limewing_decision::DecisionEngine;
@@ -9,7 +10,7 @@
 
 /// Confirms that an attempt may still be written.
 pub trait SendAuthority {
-    /// Whether the first byte of an attempt may be written at `now`.
+    /// Whether the first byte of an attempt may be written at time `now`.
     fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool;
 }
 
@@ -19,13 +20,13 @@
     }
 }
 
-/// Proof that an attempt may be written now. Whoever writes later has to request a new one.
+/// Proof that an attempt may be written now. A later write needs a new permit.
 #[derive(Debug)]
 #[must_use]
 pub struct SendPermit(());
 
 impl SendPermit {
-    /// Requests the permit for one attempt; `None` if it may not be written to its pod now.
+    /// Requests the permit for one attempt. Returns `None` if it may not be written to its pod now.
     pub fn request(
         authority: &(impl SendAuthority + ?Sized),
         now: Duration,
--- a/crates/proxy-core/src/shutdown.rs
+++ b/crates/proxy-core/src/shutdown.rs
@@ -1,42 +1,45 @@
 //! Graceful shutdown of a proxy.
 //!
-//! [`Shutdown`] is a state machine without I/O or a clock of its own. It owns the order of the steps (serve on, stop
-//! accepting, respond to what is left, exit) and the times by which each is taken. [`GracefulShutdown`] is the proxy's side:
-//! it says what work is pending and carries out the steps. [`ClientListener`] is closed by the first of them.
+//! [`Shutdown`] is a state machine without I/O or a clock. It defines the order of the steps (keep
+//! serving, stop accepting, respond to all pending requests, exit) and the deadline of each one.
+//! [`GracefulShutdown`] is implemented by a proxy, which reports its pending work and performs the
+//! steps. [`ClientListener`] is closed by the first step.
 
 use limewing_net::sockets::{SocketId, Sockets};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The times of a shutdown, counted from its beginning.
+/// Timeouts of a shutdown, measured from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimeouts {
-    /// Until then new connections are accepted and all goes on, as clients may not know of the shutdown yet.
+    /// Until this time, connections are accepted and served as before, because clients may not know
+    /// of the shutdown yet.
     pub stop_accepting: Duration,
-    /// By then every request has its response, whatever it waits for.
+    /// By this time, every request has its response, regardless of what it is waiting for.
     pub respond_to_all: Duration,
-    /// By then the process exits, whatever is still pending.
+    /// By this time, the process exits, regardless of pending work.
     pub exit: Duration,
 }
 
-/// What the proxy still has to do; the default is nothing.
+/// Pending work of the proxy; the default is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PendingWork {
-    /// Connections wait to be accepted.
+    /// Connections are waiting to be accepted.
     pub backlog: bool,
-    /// Requests have no response yet.
+    /// Some requests have no response yet.
     pub requests: bool,
-    /// Clients are connected whose next request may be on its way.
+    /// Clients are connected, and may have a request in transit.
     pub clients: bool,
-    /// Bytes of responses are not with the operating system, or not read by their clients yet.
+    /// Some bytes of responses have not been handed to the operating system, or have not been read
+    /// by the clients.
     pub unsent: bool,
 }
 
-/// What the proxy has to do next.
+/// The next step for the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
-    /// Accept the backlog and no connection after that, and close connections that carry nothing.
+    /// Accept the backlog and no later connection, and close connections without pending work.
     StopAccepting,
     /// Respond to every pending request at once.
     RespondToAll,
@@ -48,19 +51,19 @@
 enum Phase {
     #[default]
     Serving,
-    /// The shutdown has begun; clients still connect.
+    /// The shutdown has begun; new connections are still accepted.
     Draining {
         since: Duration,
     },
-    /// No connection is accepted; each is closed once nothing is pending on it.
+    /// No connection is accepted; existing ones are closed once they have no pending work.
     Closing {
         since: Duration,
     },
-    /// The time for responses is up: what still arrives is answered at once.
+    /// The deadline for responses has passed; requests that still arrive are answered immediately.
     Responding {
         since: Duration,
     },
-    /// The last requests were answered; the exit is next.
+    /// The last requests have been answered; the next step is the exit.
     Exiting,
     Done,
 }
@@ -73,7 +76,8 @@
 }
 
 impl Shutdown {
-    /// A shutdown that has not begun. Timeouts out of order are raised to the one before.
+    /// Creates a shutdown that has not begun. A timeout that is shorter than the preceding one is
+    /// raised to it.
     #[must_use]
     pub fn new(timeouts: ShutdownTimeouts) -> Self {
         let respond_to_all = timeouts.respond_to_all.max(timeouts.stop_accepting);
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Begins the shutdown. Returns false, and changes nothing, if it had begun.
+    /// Begins the shutdown. If it had already begun, changes nothing and returns false.
     pub fn begin(&mut self, now: Duration) -> bool {
         if self.has_begun() {
             return false;
@@ -97,7 +101,7 @@
         true
     }
 
-    /// Whether no connection is accepted any more.
+    /// Whether the proxy has stopped accepting connections.
     #[must_use]
     pub fn has_stopped_accepting(&self) -> bool {
         !matches!(self.phase, Phase::Serving | Phase::Draining { .. })
@@ -109,13 +113,14 @@
         self.phase != Phase::Serving
     }
 
-    /// Whether the process has been told to exit.
+    /// Whether the step [`ShutdownStep::Exit`] has been returned.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    /// When [`Shutdown::advance`] has to be called at the latest; `None` if it need not be.
+    /// Returns the time by which [`Shutdown::advance`] must be called again, or `None` if it need
+    /// not be.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         match self.phase {
@@ -127,7 +132,8 @@
         }
     }
 
-    /// The next step, if one is due. To be called until it returns `None`, with what is pending each time.
+    /// Returns the next step, if one is due. To be called until it returns `None`, each time with
+    /// the current pending work.
     pub fn advance(&mut self, now: Duration, pending: PendingWork) -> Option<ShutdownStep> {
         match self.phase {
             Phase::Serving | Phase::Done => None,
@@ -171,7 +177,7 @@
         let time_is_up = now >= since + self.timeouts.exit;
         if pending.requests {
             if time_is_up {
-                // Requests that arrive after this are answered as they arrive: none may be open at the exit.
+                // Requests that arrive later are answered on arrival: none may be open at the exit.
                 self.phase = Phase::Exiting;
             }
             return Some(ShutdownStep::RespondToAll);
@@ -190,26 +196,28 @@
 
 /// A proxy that can be shut down gracefully.
 pub trait GracefulShutdown {
-    /// The state of its shutdown.
+    /// Returns the state of the shutdown.
     fn shutdown(&mut self) -> &mut Shutdown;
 
-    /// The time of this turn of its event loop.
+    /// Returns the time of the current turn of the event loop.
     fn now(&self) -> Duration;
 
-    /// What it still has to do.
+    /// Returns the pending work.
     fn pending_work(&self) -> PendingWork;
 
-    /// Accepts more of the connections that wait at a listener that is being closed. Called in each turn once no
-    /// further ones are accepted; does nothing if none wait.
+    /// Accepts more of the connections that are waiting at a listener that is being closed.
+    ///
+    /// Called in each turn after [`ShutdownStep::StopAccepting`]; does nothing if no connection is
+    /// waiting.
     fn accept_backlog(&mut self);
 
-    /// Carries out [`ShutdownStep::StopAccepting`].
+    /// Performs [`ShutdownStep::StopAccepting`].
     fn stop_accepting(&mut self);
 
-    /// Carries out [`ShutdownStep::RespondToAll`].
+    /// Performs [`ShutdownStep::RespondToAll`].
     fn respond_to_all(&mut self);
 
-    /// Carries out all steps that are due. To be called at the end of each turn.
+    /// Performs all steps that are due. To be called at the end of each turn.
     fn advance_shutdown(&mut self) {
         if !self.shutdown().has_begun() {
             return;
@@ -228,7 +236,7 @@
     }
 }
 
-/// The socket on which clients are accepted.
+/// The listening socket for clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientListener {
     socket: SocketId,
@@ -240,7 +248,7 @@
     /// Listens on `address`.
     ///
     /// # Errors
-    /// The system refuses, for instance because the address is in use.
+    /// Returns the error of the operating system, for example if the address is in use.
     pub fn bind(sockets: &mut Sockets, address: SocketAddr) -> io::Result<Self> {
         let (socket, address) = sockets.listen(address)?;
         Ok(Self {
@@ -250,24 +258,26 @@
         })
     }
 
-    /// The address that it listens on, with the port that the system chose if none was given.
+    /// Returns the address that it listens on, with the port chosen by the system if none was
+    /// specified.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether connections wait that could not be accepted when it was closed.
+    /// Whether connections were still waiting to be accepted when it was closed.
     #[must_use]
     pub fn has_backlog(&self) -> bool {
         self.has_backlog
     }
 
-    /// Accepts the connections that wait and closes the listener, or keeps it while there is no room for all of them.
+    /// Accepts the waiting connections and closes the listener. If the connection limit does not
+    /// allow accepting all of them, the listener stays open.
     pub fn close(&mut self, sockets: &mut Sockets) {
         self.has_backlog = !sockets.stop_listening(self.socket);
     }
 
-    /// Tries [`ClientListener::close`] again, if connections were left waiting.
+    /// Retries [`ClientListener::close`] if connections were still waiting.
     pub fn accept_backlog(&mut self, sockets: &mut Sockets) {
         if self.has_backlog {
             self.close(sockets);
--- a/crates/proxy-core/src/shutdown/tests.rs
+++ b/crates/proxy-core/src/shutdown/tests.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown, also over random orders of events: each accepted request gets one response, and the exit is bounded in time.
+//! Tests the graceful shutdown, also with random sequences of events: each accepted request gets
+//! exactly one response, and the process exits in bounded time.
 
 use super::{
     ClientListener, GracefulShutdown, PendingWork, Shutdown, ShutdownStep, ShutdownTimeouts,
@@ -75,7 +76,7 @@
         Some(ShutdownStep::RespondToAll)
     );
     assert_eq!(shutdown.next_deadline(), Some(ms(3650)));
-    // Clients may read their responses up to the exit.
+    // Clients may read their responses until the exit.
     let unsent = PendingWork {
         unsent: true,
         ..PendingWork::default()
@@ -84,7 +85,7 @@
     assert_eq!(shutdown.advance(ms(3650), unsent), Some(ShutdownStep::Exit));
 }
 
-/// Settings with short deadlines may give timeouts out of order.
+/// Settings with short deadlines may produce timeouts in the wrong order.
 #[test]
 fn timeouts_out_of_order_stop_accepting_before_responding() {
     let mut shutdown = Shutdown::new(ShutdownTimeouts {
@@ -102,7 +103,8 @@
         shutdown.advance(ms(500), open_requests()),
         Some(ShutdownStep::RespondToAll)
     );
-    // A request that arrived at the last moment is answered too; then it exits whatever is pending.
+    // A request that arrives at the last moment is answered too; after that, the proxy exits
+    // regardless of pending work.
     assert_eq!(
         shutdown.advance(ms(500), open_requests()),
         Some(ShutdownStep::RespondToAll)
@@ -113,7 +115,7 @@
     );
 }
 
-/// A proxy that carries out the steps, with requests that arrive and are answered at random times.
+/// A proxy that performs the steps, with requests that arrive and are answered at random times.
 #[derive(Default)]
 struct FakeProxy {
     open: Vec<u32>,
@@ -126,16 +128,16 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Begin,
-    /// A request arrives on a new connection or an open one.
+    /// A request arrives on a new or an existing connection.
     Request {
         new_connection: bool,
     },
     /// The oldest open request is answered.
     Answer,
-    /// Clients read all that was sent.
+    /// Clients read everything that was sent.
     ClientsRead,
-    /// Milliseconds pass.
-    Pass(u64),
+    /// Time passes, in milliseconds.
+    AdvanceTime(u64),
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
@@ -144,7 +146,7 @@
         any::<bool>().prop_map(|new_connection| Event::Request { new_connection }),
         Just(Event::Answer),
         Just(Event::ClientsRead),
-        (0u64..900).prop_map(Event::Pass),
+        (0u64..900).prop_map(Event::AdvanceTime),
     ];
     prop::collection::vec(event, 1..80)
 }
@@ -156,8 +158,8 @@
         let mut proxy = FakeProxy { accepting: true, ..FakeProxy::default() };
         let mut now = ms(0);
         let mut begun_at = None;
-        // The random events, and then silence up to the exit.
-        let all = events.into_iter().chain([Event::Begin]).chain((0..80).map(|_| Event::Pass(50)));
+        // The random events, followed by idle time until the exit.
+        let all = events.into_iter().chain([Event::Begin]).chain((0..80).map(|_| Event::AdvanceTime(50)));
         for event in all {
             match event {
                 Event::Begin => {
@@ -176,25 +178,25 @@
                 }
                 Event::Answer => {}
                 Event::ClientsRead => proxy.unsent = 0,
-                // The event loop wakes at the next deadline at the latest.
-                Event::Pass(elapsed_ms) => now = shutdown.next_deadline().unwrap_or(Duration::MAX).min(now + ms(elapsed_ms)).max(now),
+                // The event loop wakes up no later than at the next deadline.
+                Event::AdvanceTime(elapsed_ms) => now = shutdown.next_deadline().unwrap_or(Duration::MAX).min(now + ms(elapsed_ms)).max(now),
             }
             loop {
                 let pending = PendingWork { requests: !proxy.open.is_empty(), unsent: proxy.unsent > 0, ..PendingWork::default() };
                 match shutdown.advance(now, pending) {
                     Some(ShutdownStep::StopAccepting) => {
-                        prop_assert!(now >= begun_at.expect("a shutdown that has begun") + TIMEOUTS.stop_accepting);
+                        prop_assert!(now >= begun_at.expect("the shutdown has begun") + TIMEOUTS.stop_accepting);
                         proxy.accepting = false;
                     }
                     Some(ShutdownStep::RespondToAll) => {
-                        prop_assert!(now >= begun_at.expect("a shutdown that has begun") + TIMEOUTS.respond_to_all);
+                        prop_assert!(now >= begun_at.expect("the shutdown has begun") + TIMEOUTS.respond_to_all);
                         proxy.unsent += proxy.open.len() as u32;
                         let open = std::mem::take(&mut proxy.open);
                         proxy.answered.extend(open);
                     }
                     Some(ShutdownStep::Exit) => {
-                        prop_assert!(proxy.open.is_empty(), "requests are open at the exit");
-                        prop_assert!(proxy.unsent == 0 || now >= begun_at.expect("a shutdown that has begun") + TIMEOUTS.exit);
+                        prop_assert!(proxy.open.is_empty(), "requests are pending at the exit");
+                        prop_assert!(proxy.unsent == 0 || now >= begun_at.expect("the shutdown has begun") + TIMEOUTS.exit);
                         break;
                     }
                     None => break,
@@ -204,8 +206,8 @@
                 break;
             }
         }
-        prop_assert!(shutdown.is_done(), "it does not exit");
-        prop_assert!(now <= begun_at.expect("a shutdown that has begun") + TIMEOUTS.exit);
+        prop_assert!(shutdown.is_done(), "the proxy did not exit");
+        prop_assert!(now <= begun_at.expect("the shutdown has begun") + TIMEOUTS.exit);
         prop_assert_eq!(proxy.answered.len() as u32, proxy.accepted);
         proxy.answered.sort_unstable();
         proxy.answered.dedup();
@@ -213,7 +215,7 @@
     }
 }
 
-/// A proxy that records what it is asked to do.
+/// A proxy that records the calls it receives.
 struct RecordingProxy {
     shutdown: Shutdown,
     now: Duration,
@@ -249,7 +251,7 @@
 }
 
 #[test]
-fn proxy_carries_out_the_steps_in_order() {
+fn proxy_performs_the_steps_in_order() {
     let mut proxy = RecordingProxy {
         shutdown: Shutdown::new(TIMEOUTS),
         now: ms(0),
@@ -272,7 +274,7 @@
 }
 
 #[test]
-fn listener_without_waiting_connections_is_closed_at_once() {
+fn listener_without_waiting_connections_is_closed_immediately() {
     let mut sockets = Sockets::new().unwrap();
     let mut listener = ClientListener::bind(&mut sockets, "127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.address();
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn connections_that_wait_at_a_closed_listener_are_accepted_once_there_is_room() {
+fn backlog_of_a_closed_listener_is_accepted_once_the_limit_allows() {
     let mut sockets = Sockets::new().unwrap();
     sockets.limit_connections(0, 0);
     let mut listener = ClientListener::bind(&mut sockets, "127.0.0.1:0".parse().unwrap()).unwrap();
@@ -293,7 +295,7 @@
     assert!(listener.has_backlog());
     listener.accept_backlog(&mut sockets);
     assert!(listener.has_backlog());
-    // Room for one more is needed to see that none waits.
+    // The backlog is known to be empty only if the limit leaves room for one more connection.
     sockets.limit_connections(2, 3);
     listener.accept_backlog(&mut sockets);
     assert!(!listener.has_backlog());
--- a/crates/proxy-core/src/signals.rs
+++ b/crates/proxy-core/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that a sidecar reacts to.
+//! The signals that a sidecar handles.
 
 /// SIGHUP.
 const HANGUP: i32 = 1;
@@ -7,20 +7,20 @@
 /// SIGTERM.
 const TERMINATE: i32 = 15;
 
-/// The signals to watch, by number.
+/// The numbers of the signals to watch.
 pub const WATCHED: [i32; 3] = [HANGUP, TERMINATE, INTERRUPT];
 
-/// What a watched signal asks for.
+/// The action that a watched signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// Read again what may change while the process runs (SIGHUP).
+    /// Reload the configuration that may change while the process runs (SIGHUP).
     Reload,
     /// Shut down gracefully (SIGTERM, SIGINT).
     Shutdown,
 }
 
 impl ProcessSignal {
-    /// The meaning of one of [`WATCHED`].
+    /// Returns the action requested by one of the signals in [`WATCHED`].
     #[must_use]
     pub fn from_number(number: i32) -> Self {
         if number == HANGUP {
--- a/crates/proxy-core/src/vote_call.rs
+++ b/crates/proxy-core/src/vote_call.rs
@@ -1,4 +1,5 @@
-//! One vote: a call to the rollout service on a connection of its own, whose end is an answer for the decision engine.
+//! One vote: a call to the rollout service on a separate connection, which ends with an answer for
+//! the decision engine.
 
 use bytes::BytesMut;
 use limewing_decision::interface::VoteAnswer;
@@ -6,20 +7,20 @@
 use limewing_net::sockets::{SocketId, Sockets};
 use limewing_net::timer_wheel::{TimerKey, TimerWheel};
 
-/// Bound of the body of a reply, in bytes.
+/// Maximum length of the body of a reply, in bytes.
 const MAX_REPLY: usize = 16 * 1024;
 
-/// How a vote ended. `S` is the state of the rollout in the proxy's own protocol.
+/// The outcome of a vote. `S` is the rollout state in the protocol of the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoteReply<S> {
-    /// What became of the vote.
+    /// The answer for the decision engine.
     pub answer: VoteAnswer,
-    /// The state of the rollout, if the reply has it.
+    /// The rollout state, if the reply contains it.
     pub state: Option<S>,
 }
 
 impl<S> VoteReply<S> {
-    /// The end of a vote without a reply that can be read.
+    /// Creates the outcome of a vote without a usable reply.
     #[must_use]
     pub fn without_state(answer: VoteAnswer) -> Self {
         Self {
@@ -28,7 +29,8 @@
         }
     }
 
-    /// The end of a vote whose connection was lost after `written` bytes: if any, the vote may have been counted.
+    /// Creates the outcome of a vote whose connection was lost after `written` bytes were written.
+    /// If this is not zero, the vote may have been counted.
     #[must_use]
     pub fn connection_lost(written: u64) -> Self {
         let answer = if written == 0 {
@@ -40,13 +42,13 @@
     }
 }
 
-/// A vote that has no reply yet.
+/// A vote that is waiting for its reply.
 pub struct VoteCall {
     call: HttpCall,
 }
 
 impl VoteCall {
-    /// A vote to be sent as `request`; `timer` bounds the wait for its reply.
+    /// Creates a vote that is sent as `request`; `timer` limits the wait for its reply.
     #[must_use]
     pub fn new(request: BytesMut, timer: TimerKey) -> Self {
         Self {
@@ -54,12 +56,13 @@
         }
     }
 
-    /// Sends the request, once the connection is up.
+    /// Sends the request once the connection is established.
     pub fn send(&mut self, socket: SocketId, sockets: &mut Sockets) {
         self.call.on_connected(socket, sockets);
     }
 
-    /// Reads what has arrived; `None` while the reply is incomplete. `parse` gets the reply's status and body.
+    /// Reads the received bytes and passes the status and the body of the reply to `parse`. Returns
+    /// `None` while the reply is incomplete.
     pub fn read_reply<S>(
         &mut self,
         socket: SocketId,
--- a/crates/proxy-core/src/vote_call/tests.rs
+++ b/crates/proxy-core/src/vote_call/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of a vote, over a connection to a service that replies, replies in part, or not at all.
+//! Tests the outcome of a vote when the service replies, replies in part, or does not reply.
 
 use super::*;
 use limewing_net::sockets::SocketEvent;
@@ -17,8 +17,9 @@
     }
 }
 
-/// Sends a vote to a service that writes `reply` and closes the connection, and returns how it ended.
-fn vote_answered_by(reply: &'static [u8]) -> VoteReply<Vec<u8>> {
+/// Sends a vote to a service that writes `reply` and closes the connection, and returns the
+/// outcome.
+fn vote_with_reply(reply: &'static [u8]) -> VoteReply<Vec<u8>> {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let service = std::thread::spawn(move || {
@@ -62,7 +63,7 @@
 
 #[test]
 fn complete_reply_is_parsed() {
-    let reply = vote_answered_by(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstate");
+    let reply = vote_with_reply(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstate");
     assert_eq!(reply.answer, VoteAnswer::Counted);
     assert_eq!(reply.state.as_deref(), Some(&b"state"[..]));
 }
@@ -72,7 +73,7 @@
 #[case::half(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nst")]
 #[case::no_http(b"\r\n\r\nstate\r\n\r\n")]
 fn vote_may_have_been_counted_without_a_complete_reply(#[case] reply: &'static [u8]) {
-    let reply = vote_answered_by(reply);
+    let reply = vote_with_reply(reply);
     assert_eq!(reply, VoteReply::without_state(VoteAnswer::Unanswered));
 }
 
