--- a/crates/postgres-protocol/src/backend.rs
+++ b/crates/postgres-protocol/src/backend.rs
@@ -1,14 +1,14 @@
-//! Type bytes of messages that a server sends.
+//! Type bytes of the messages that a server sends.
 
-/// Authentication, among them AuthenticationOk.
+/// Authentication messages, including AuthenticationOk.
 pub const AUTHENTICATION: u8 = b'R';
-/// BackendKeyData: what a CancelRequest has to name.
+/// BackendKeyData: the key that a CancelRequest must contain.
 pub const BACKEND_KEY_DATA: u8 = b'K';
 /// CommandComplete.
 pub const COMMAND_COMPLETE: u8 = b'C';
 /// DataRow.
 pub const DATA_ROW: u8 = b'D';
-/// EmptyQueryResponse: stands for CommandComplete after an empty query.
+/// EmptyQueryResponse: replaces CommandComplete after an empty query.
 pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
 /// ErrorResponse.
 pub const ERROR_RESPONSE: u8 = b'E';
@@ -16,7 +16,7 @@
 pub const NOTICE_RESPONSE: u8 = b'N';
 /// ParameterStatus.
 pub const PARAMETER_STATUS: u8 = b'S';
-/// ReadyForQuery: the next query may come.
+/// ReadyForQuery: the server is ready for the next query.
 pub const READY_FOR_QUERY: u8 = b'Z';
 /// RowDescription.
 pub const ROW_DESCRIPTION: u8 = b'T';
--- a/crates/postgres-protocol/src/decode.rs
+++ b/crates/postgres-protocol/src/decode.rs
@@ -1,39 +1,41 @@
-//! Reads the contents of messages, and the packet that a client sends first.
+//! Decodes the contents of messages, and the startup packet of a client.
 
 use crate::{ProtocolError, PROTOCOL_VERSION};
 use bytes::BytesMut;
 
-/// The first packet of a client. It has no type byte.
+/// The first packet that a client sends. It has no type byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
-    /// SSLRequest or GSSENCRequest: the client asks for encryption, and goes on once that is refused by one byte.
+    /// SSLRequest or GSSENCRequest: the client asks for encryption, and continues once that is
+    /// refused with a single byte.
     SslRequest,
-    /// CancelRequest: the query of another connection is to be cancelled.
+    /// CancelRequest: the client asks to cancel the query of another connection.
     CancelRequest,
-    /// StartupMessage: a session begins.
+    /// StartupMessage: the client starts a session.
     StartupMessage,
 }
 
-/// Bound of a startup packet, in bytes; PostgreSQL's own (`MAX_STARTUP_PACKET_LENGTH`).
+/// Maximum length of a startup packet, in bytes, as in PostgreSQL (`MAX_STARTUP_PACKET_LENGTH`).
 const MAX_STARTUP_PACKET: usize = 10_000;
-/// Bytes of a startup packet's length and code.
+/// Bytes of the length and the code of a startup packet.
 const STARTUP_HEADER: usize = 8;
-/// Where a startup packet's code, or version, stands in it.
+/// Offset of the code, or protocol version, in a startup packet.
 const CODE_OFFSET: usize = 4;
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
 const SSL_REQUEST_CODE: u32 = 80_877_103;
 const GSSENC_REQUEST_CODE: u32 = 80_877_104;
-/// Bytes of a column in a RowDescription behind its name: table, column, type, its size, its modifier, the format.
+/// Bytes that follow the name of a column in a RowDescription: table, column, type, type size, type
+/// modifier, format.
 const COLUMN_ATTRIBUTES: usize = 18;
-/// A count of one, as RowDescription and DataRow begin with.
-const COUNT_OF_ONE: [u8; 2] = [0, 1];
+/// The count field of a RowDescription or a DataRow with one column.
+const SINGLE_COLUMN_COUNT: [u8; 2] = [0, 1];
 /// Length of an SQLSTATE, in bytes.
 const SQLSTATE_LENGTH: usize = 5;
 
-/// Takes the startup packet off the front of `input`; `None` while it is incomplete.
+/// Takes the startup packet from the front of `input`; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// Its length, its version, or parameters that can't be read.
+/// Returns an error if the length, the protocol version or the parameters are invalid.
 pub fn startup_packet(input: &mut BytesMut) -> Result<Option<StartupPacket>, ProtocolError> {
     let Some(announced) = u32_at(input, 0) else {
         return Ok(None);
@@ -42,7 +44,7 @@
     if !(STARTUP_HEADER..=MAX_STARTUP_PACKET).contains(&length) {
         return Err(ProtocolError::InvalidLength);
     }
-    // The code is checked before all of the packet has come.
+    // The code is checked before the packet is complete.
     let packet = match u32_at(input, CODE_OFFSET) {
         None => return Ok(None),
         Some(CANCEL_REQUEST_CODE) => StartupPacket::CancelRequest,
@@ -60,14 +62,14 @@
     Ok(Some(packet))
 }
 
-/// Names and values, each ended by a zero, and one more zero.
+/// Checks names and values, each terminated by a zero byte, and the final zero byte.
 fn check_parameters(parameters: &[u8]) -> Result<(), ProtocolError> {
     let parts: Vec<&[u8]> = parameters.split(|byte| *byte == 0).collect();
     let Some((pairs, [[], []])) = parts.split_last_chunk::<2>() else {
         return Err(ProtocolError::InvalidContent);
     };
-    let are_named = pairs.iter().step_by(2).all(|name| !name.is_empty());
-    if pairs.len() % 2 != 0 || !are_named {
+    let has_names = pairs.iter().step_by(2).all(|name| !name.is_empty());
+    if pairs.len() % 2 != 0 || !has_names {
         return Err(ProtocolError::InvalidContent);
     }
     Ok(())
@@ -78,8 +80,8 @@
     field.try_into().ok().map(u32::from_be_bytes)
 }
 
-/// The text of a Query, or the tag of a CommandComplete: UTF-8 that the message's last byte ends, a zero, and that holds no
-/// other zero.
+/// Decodes the text of a Query or the tag of a CommandComplete: UTF-8 terminated by a zero byte,
+/// which is the last byte of the message and the only zero byte.
 #[must_use]
 pub fn string(body: &[u8]) -> Option<&str> {
     let (last, text) = body.split_last()?;
@@ -89,10 +91,10 @@
     std::str::from_utf8(text).ok()
 }
 
-/// The column's name in a RowDescription of one column.
+/// Decodes the column name from a RowDescription with a single column.
 #[must_use]
 pub fn single_column_name(body: &[u8]) -> Option<&str> {
-    let rest = body.strip_prefix(&COUNT_OF_ONE)?;
+    let rest = body.strip_prefix(&SINGLE_COLUMN_COUNT)?;
     let end = rest.iter().position(|byte| *byte == 0)?;
     if rest.len() != end + 1 + COLUMN_ATTRIBUTES {
         return None;
@@ -100,16 +102,17 @@
     std::str::from_utf8(&rest[..end]).ok()
 }
 
-/// The value in a DataRow of one value, which is not null.
+/// Decodes the value from a DataRow with a single non-null value.
 #[must_use]
 pub fn single_value(body: &[u8]) -> Option<&[u8]> {
-    let rest = body.strip_prefix(&COUNT_OF_ONE)?;
+    let rest = body.strip_prefix(&SINGLE_COLUMN_COUNT)?;
     let length = i32::from_be_bytes(rest.get(..4)?.try_into().ok()?);
     let length = usize::try_from(length).ok()?;
     rest.get(4..).filter(|value| value.len() == length)
 }
 
-/// The fields of an ErrorResponse or a NoticeResponse: the byte that names each, and its text.
+/// Decodes the fields of an ErrorResponse or a NoticeResponse: the type byte and the text of each
+/// one.
 #[must_use]
 pub fn error_fields(body: &[u8]) -> Option<Vec<(u8, &str)>> {
     let (last, mut rest) = body.split_last()?;
@@ -125,7 +128,7 @@
     Some(fields)
 }
 
-/// The SQLSTATE of an ErrorResponse: five letters and digits.
+/// Decodes the SQLSTATE of an ErrorResponse: five letters and digits.
 #[must_use]
 pub fn sqlstate(body: &[u8]) -> Option<&str> {
     let fields = error_fields(body)?;
@@ -135,7 +138,7 @@
     is_valid.then_some(code)
 }
 
-/// Whether an Authentication message is AuthenticationOk: no password is asked for.
+/// Whether an Authentication message is AuthenticationOk, so that no password is needed.
 #[must_use]
 pub fn is_authentication_ok(body: &[u8]) -> bool {
     body == [0; 4]
--- a/crates/postgres-protocol/src/encode.rs
+++ b/crates/postgres-protocol/src/encode.rs
@@ -1,19 +1,19 @@
-//! Writes messages to the end of a buffer.
+//! Encodes messages at the end of a buffer.
 
 use crate::{backend, frontend, PROTOCOL_VERSION};
 use bytes::{BufMut, BytesMut};
 
 /// Object identifier of the type `bytea`.
 const BYTEA_OID: u32 = 17;
-/// Transaction status of a ReadyForQuery: not in a transaction.
+/// Transaction status of a ReadyForQuery outside of a transaction.
 const IDLE: u8 = b'I';
-/// Format code of values in binary.
+/// Format code of binary values.
 const BINARY_FORMAT: u16 = 1;
 
-/// How grave the cause of an ErrorResponse is.
+/// The severity of an ErrorResponse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The query failed; the session goes on.
+    /// The query failed; the session continues.
     Error,
     /// The session ends.
     Fatal,
@@ -31,23 +31,23 @@
 /// The fields of an ErrorResponse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse<'a> {
-    /// Written as the severity both for display and for programs.
+    /// The severity, written to both the localized and the non-localized severity field.
     pub severity: Severity,
-    /// Five letters and digits that name the error.
+    /// The SQLSTATE code of the error: five letters and digits.
     pub sqlstate: &'a str,
-    /// The error in one line.
+    /// The error message, in one line.
     pub message: &'a str,
-    /// More of it; the field is left out if there is none.
+    /// Further details; the field is omitted if there are none.
     pub detail: Option<&'a str>,
 }
 
-/// Writes a message of type `kind`; `content` writes what follows the length.
+/// Writes a message of type `kind`; `content` writes the bytes that follow the length.
 pub fn message(out: &mut BytesMut, kind: u8, content: impl FnOnce(&mut BytesMut)) {
     out.put_u8(kind);
     with_length(out, content);
 }
 
-/// Writes a length that counts itself and what `content` writes.
+/// Writes a length field, which includes itself, followed by the output of `content`.
 fn with_length(out: &mut BytesMut, content: impl FnOnce(&mut BytesMut)) {
     let start = out.len();
     out.put_u32(0);
@@ -61,12 +61,12 @@
     out.put_u8(0);
 }
 
-/// Writes a message whose body was read before.
+/// Writes a message with an already encoded body.
 pub fn message_with_body(out: &mut BytesMut, kind: u8, body: &[u8]) {
     message(out, kind, |out| out.put_slice(body));
 }
 
-/// Writes a StartupMessage with these names and values.
+/// Writes a StartupMessage with these parameters.
 pub fn startup_message(out: &mut BytesMut, parameters: &[(&str, &str)]) {
     with_length(out, |out| {
         out.put_u32(PROTOCOL_VERSION);
@@ -83,8 +83,8 @@
     message(out, frontend::QUERY, |out| put_string(out, statement));
 }
 
-/// Writes all that a server sends when a session begins: AuthenticationOk, ParameterStatus for each of `parameters`,
-/// BackendKeyData, ReadyForQuery.
+/// Writes the messages with which a server starts a session: AuthenticationOk, ParameterStatus for
+/// each of `parameters`, BackendKeyData, ReadyForQuery.
 pub fn session_start(out: &mut BytesMut, parameters: &[(&str, &str)]) {
     message(out, backend::AUTHENTICATION, |out| out.put_u32(0));
     for (name, value) in parameters {
@@ -112,28 +112,28 @@
     message(out, backend::EMPTY_QUERY_RESPONSE, |_| {});
 }
 
-/// Writes a CommandComplete with its tag.
+/// Writes a CommandComplete with this tag.
 pub fn command_complete(out: &mut BytesMut, tag: &str) {
     message(out, backend::COMMAND_COMPLETE, |out| put_string(out, tag));
 }
 
-/// Writes a RowDescription of one column of type `bytea`, in binary.
+/// Writes a RowDescription with one column of type `bytea`, in binary format.
 pub fn row_description(out: &mut BytesMut, column: &str) {
     message(out, backend::ROW_DESCRIPTION, |out| {
         out.put_u16(1);
         put_string(out, column);
-        // Of no table, and no column of one.
+        // The column does not belong to a table.
         out.put_u32(0);
         out.put_u16(0);
         out.put_u32(BYTEA_OID);
-        // Of variable size, without a modifier.
+        // The type has a variable size and no modifier.
         out.put_i16(-1);
         out.put_i32(-1);
         out.put_u16(BINARY_FORMAT);
     });
 }
 
-/// Writes a DataRow of one value.
+/// Writes a DataRow with one value.
 pub fn data_row(out: &mut BytesMut, value: &[u8]) {
     message(out, backend::DATA_ROW, |out| {
         out.put_u16(1);
--- a/crates/postgres-protocol/src/frontend.rs
+++ b/crates/postgres-protocol/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Type bytes of messages that a client sends.
+//! Type bytes of the messages that a client sends.
 
 /// Bind, of the extended query protocol.
 pub const BIND: u8 = b'B';
@@ -20,7 +20,7 @@
 pub const FUNCTION_CALL: u8 = b'F';
 /// Parse, of the extended query protocol.
 pub const PARSE: u8 = b'P';
-/// PasswordMessage, and the other replies to an authentication request.
+/// PasswordMessage and the other responses to an authentication request.
 pub const PASSWORD_MESSAGE: u8 = b'p';
 /// Query, of the simple query protocol.
 pub const QUERY: u8 = b'Q';
--- a/crates/postgres-protocol/src/lib.rs
+++ b/crates/postgres-protocol/src/lib.rs
@@ -1,12 +1,13 @@
-//! Codec of PostgreSQL's frontend/backend protocol, version 3.0, for both sides and free of I/O.
+//! Codec for both sides of version 3.0 of PostgreSQL's frontend/backend protocol, without I/O.
 //!
-//! Names are those of the chapter "Frontend/Backend Protocol" of PostgreSQL's documentation. Every length is checked before
-//! a byte that it announces is buffered. `docs/platform.md` says why no library reads these messages.
+//! Names follow the chapter "Frontend/Backend Protocol" of the PostgreSQL documentation. Every
+//! length is checked before any byte that it covers is buffered. `docs/platform.md` explains why no
+//! library is used for these messages.
 //!
-//! - [`MessageDecoder`] takes messages off the bytes of a connection.
-//! - [`decode`] reads the contents of messages, and the startup packet, which has no type byte.
+//! - [`MessageDecoder`] splits the bytes of a connection into messages.
+//! - [`decode`] decodes the contents of messages, and the startup packet, which has no type byte.
 //! - [`encode`] writes messages.
-//! - [`backend`] and [`frontend`] hold the type bytes of messages of either side.
+//! - [`backend`] and [`frontend`] define the type bytes of the messages of each side.
 
 pub mod backend;
 pub mod decode;
@@ -18,5 +19,5 @@
 pub use error::ProtocolError;
 pub use message::{count_complete_messages, Message, MessageDecoder};
 
-/// Version 3.0 of the protocol, as in a StartupMessage.
+/// Version 3.0 of the protocol, as sent in a StartupMessage.
 pub const PROTOCOL_VERSION: u32 = 3 << 16;
--- a/crates/postgres-protocol/src/message.rs
+++ b/crates/postgres-protocol/src/message.rs
@@ -1,19 +1,19 @@
-//! Messages off the bytes of a connection.
+//! Splits the bytes of a connection into messages.
 
 use crate::ProtocolError;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Bytes of a message's type and length.
+/// Bytes of the type and the length of a message.
 const HEADER_LENGTH: usize = 5;
-/// Bytes of the length, which counts itself.
+/// Bytes of the length field, which includes itself.
 const LENGTH_FIELD: usize = 4;
 
-/// A message: its type byte and what follows the length.
+/// A message: its type byte and its body, which follows the length.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The type byte, see [`backend`](crate::backend) and [`frontend`](crate::frontend).
+    /// The type byte; see [`backend`](crate::backend) and [`frontend`](crate::frontend).
     pub kind: u8,
-    /// The content.
+    /// The body.
     pub body: Bytes,
 }
 
@@ -24,7 +24,7 @@
     body_length: usize,
 }
 
-/// Takes one message after the other off a connection's bytes, and buffers the one that is incomplete.
+/// Splits the bytes of a connection into messages, and buffers an incomplete one.
 #[derive(Default)]
 pub struct MessageDecoder {
     header: Option<Header>,
@@ -32,23 +32,24 @@
 }
 
 impl MessageDecoder {
-    /// Whether the header of a message was taken, and its body is incomplete.
+    /// Whether the header of a message has been read and its body is incomplete.
     #[must_use]
     pub fn is_mid_message(&self) -> bool {
         self.header.is_some()
     }
 
-    /// Bytes buffered of an incomplete body.
+    /// Returns the number of buffered bytes of an incomplete body.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.body.len()
     }
 
-    /// Takes the next message off the front of `input`; `None` while it is incomplete. `max_length` gives the bound of the
-    /// body for each type byte, in bytes, or `None` if that type has no place here.
+    /// Takes the next message from the front of `input`; returns `None` while it is incomplete.
+    /// `max_length` returns the maximum body length for a type byte, in bytes, or `None` if the
+    /// type is not allowed.
     ///
     /// # Errors
-    /// The bytes can't be a message, or not one that is allowed.
+    /// Returns an error if the bytes are not a message, or not one that is allowed.
     pub fn next_message(
         &mut self,
         input: &mut BytesMut,
@@ -67,7 +68,7 @@
     fn take_body(&mut self, input: &mut BytesMut, header: Header) -> Option<Message> {
         let Header { kind, body_length } = header;
         if self.body.is_empty() && input.len() >= body_length {
-            // Complete in the input: nothing is copied.
+            // The input contains the whole body, so nothing is copied.
             self.header = None;
             let body = input.split_to(body_length).freeze();
             return Some(Message { kind, body });
@@ -89,7 +90,7 @@
     input: &mut BytesMut,
     max_length: impl Fn(u8) -> Option<usize>,
 ) -> Result<Option<Header>, ProtocolError> {
-    // A type that has no place here is refused at its first byte.
+    // A type that is not allowed is rejected at its first byte.
     let Some(kind) = input.first().copied() else {
         return Ok(None);
     };
@@ -97,8 +98,8 @@
     if input.len() < HEADER_LENGTH {
         return Ok(None);
     }
-    let announced = i32::from_be_bytes([input[1], input[2], input[3], input[4]]);
-    let body_length = usize::try_from(announced)
+    let length_field = i32::from_be_bytes([input[1], input[2], input[3], input[4]]);
+    let body_length = usize::try_from(length_field)
         .ok()
         .and_then(|length| length.checked_sub(LENGTH_FIELD))
         .ok_or(ProtocolError::InvalidLength)?;
@@ -109,7 +110,7 @@
     Ok(Some(Header { kind, body_length }))
 }
 
-/// How many complete messages stand at the front of bytes that were not taken; counts no further than `limit`.
+/// Counts the complete messages at the front of `input`, up to `limit`.
 #[must_use]
 pub fn count_complete_messages(mut input: &[u8], limit: usize) -> usize {
     let mut count = 0;
--- a/crates/postgres-protocol/tests/messages.rs
+++ b/crates/postgres-protocol/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages are encoded and decoded, also in arbitrary pieces, and arbitrary bytes are decoded or refused.
+//! Tests that messages are encoded and decoded, also if they arrive in arbitrary pieces, and that
+//! arbitrary bytes are decoded or rejected.
 
 use bytes::{BufMut, BytesMut};
 use limewing_postgres_protocol::decode::StartupPacket;
@@ -10,10 +11,10 @@
 use proptest::{prop_assert, prop_assert_eq, proptest};
 use rstest::rstest;
 
-/// Bound of a message body, in bytes.
+/// Maximum length of a message body, in bytes.
 const MAX_BODY: usize = 1000;
 
-/// All messages that are complete in `input`; any type but `?` is allowed.
+/// Decodes all complete messages in `input`; all types except `?` are allowed.
 fn decode_all(
     decoder: &mut MessageDecoder,
     input: &mut BytesMut,
@@ -47,14 +48,17 @@
 
 #[test]
 fn encoded_messages_are_decoded() {
-    let found = decode_all(&mut MessageDecoder::default(), &mut response()).unwrap();
-    let kinds: Vec<u8> = found.iter().map(|message| message.kind).collect();
+    let messages = decode_all(&mut MessageDecoder::default(), &mut response()).unwrap();
+    let kinds: Vec<u8> = messages.iter().map(|message| message.kind).collect();
     assert_eq!(kinds, b"TDCEZ");
-    assert_eq!(decode::single_column_name(&found[0].body), Some("blob"));
-    assert_eq!(decode::single_value(&found[1].body), Some(&b"\x00red"[..]));
-    assert_eq!(decode::string(&found[2].body), Some("SELECT 1"));
-    assert_eq!(decode::sqlstate(&found[3].body), Some("53300"));
-    assert!(decode::error_fields(&found[3].body)
+    assert_eq!(decode::single_column_name(&messages[0].body), Some("blob"));
+    assert_eq!(
+        decode::single_value(&messages[1].body),
+        Some(&b"\x00red"[..])
+    );
+    assert_eq!(decode::string(&messages[2].body), Some("SELECT 1"));
+    assert_eq!(decode::sqlstate(&messages[3].body), Some("53300"));
+    assert!(decode::error_fields(&messages[3].body)
         .unwrap()
         .contains(&(b'D', "70")));
     assert_eq!(count_complete_messages(&response(), 10), 5);
@@ -62,24 +66,24 @@
 }
 
 proptest! {
-    /// However the bytes are cut, the messages are the same.
+    /// The messages do not depend on how the bytes are split.
     #[test]
-    fn messages_are_the_same_however_the_bytes_arrive(cuts in prop::collection::vec(1usize..40, 1..30)) {
-        let whole = decode_all(&mut MessageDecoder::default(), &mut response()).unwrap();
-        let (mut decoder, mut input, mut rest, mut found) =
+    fn decoded_messages_do_not_depend_on_how_bytes_are_split(cuts in prop::collection::vec(1usize..40, 1..30)) {
+        let expected = decode_all(&mut MessageDecoder::default(), &mut response()).unwrap();
+        let (mut decoder, mut input, mut rest, mut messages) =
             (MessageDecoder::default(), BytesMut::new(), &response()[..], Vec::new());
         for cut in cuts.into_iter().chain([usize::MAX]) {
-            let (now, later) = rest.split_at(cut.min(rest.len()));
-            input.extend_from_slice(now);
-            rest = later;
-            found.extend(decode_all(&mut decoder, &mut input).unwrap());
+            let (part, remaining) = rest.split_at(cut.min(rest.len()));
+            input.extend_from_slice(part);
+            rest = remaining;
+            messages.extend(decode_all(&mut decoder, &mut input).unwrap());
         }
-        prop_assert_eq!(found, whole);
+        prop_assert_eq!(messages, expected);
     }
 
-    /// No bytes bring a panic, and none are kept beyond what a message may have.
+    /// Arbitrary bytes cause no panic, and no more bytes are buffered than a message may have.
     #[test]
-    fn arbitrary_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut decoder = MessageDecoder::default();
         let _ = decode_all(&mut decoder, &mut BytesMut::from(&bytes[..]));
         prop_assert!(decoder.buffered_bytes() <= MAX_BODY);
@@ -91,17 +95,17 @@
 
 #[rstest]
 #[case::negative(b'D', -1, ProtocolError::InvalidLength)]
-#[case::below_its_own_length(b'D', 3, ProtocolError::InvalidLength)]
-#[case::over_the_bound(b'D', MAX_BODY as i32 + 5, ProtocolError::UnexpectedMessage)]
+#[case::below_field_length(b'D', 3, ProtocolError::InvalidLength)]
+#[case::above_the_maximum(b'D', MAX_BODY as i32 + 5, ProtocolError::UnexpectedMessage)]
 #[case::largest(b'D', i32::MAX, ProtocolError::UnexpectedMessage)]
 #[case::type_not_allowed(b'?', 4, ProtocolError::UnexpectedMessage)]
 fn length_is_checked_before_a_byte_is_buffered(
     #[case] kind: u8,
-    #[case] announced: i32,
+    #[case] length_field: i32,
     #[case] error: ProtocolError,
 ) {
     let mut input = BytesMut::from(&[kind][..]);
-    input.put_i32(announced);
+    input.put_i32(length_field);
     assert_eq!(
         MessageDecoder::default()
             .next_message(&mut input, |kind| (kind != b'?').then_some(MAX_BODY)),
@@ -115,8 +119,8 @@
 #[case::without_parameters(&[0, 0, 0, 9, 0, 3, 0, 0, 0], Ok(Some(StartupPacket::StartupMessage)))]
 #[case::ssl_request(&[0, 0, 0, 8, 4, 210, 22, 47], Ok(Some(StartupPacket::SslRequest)))]
 #[case::cancel_request(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 0, 0, 0, 0, 0], Ok(Some(StartupPacket::CancelRequest)))]
-#[case::version(&[0, 0, 0, 9, 0, 2, 0, 0, 0], Err(ProtocolError::InvalidContent))]
-#[case::long(&[1, 0, 0, 0, 0, 3, 0, 0], Err(ProtocolError::InvalidLength))]
+#[case::unsupported_version(&[0, 0, 0, 9, 0, 2, 0, 0, 0], Err(ProtocolError::InvalidContent))]
+#[case::length_above_the_maximum(&[1, 0, 0, 0, 0, 3, 0, 0], Err(ProtocolError::InvalidLength))]
 #[case::incomplete(&[0, 0, 0, 18, 0, 3], Ok(None))]
 fn startup_packets_are_decoded(
     #[case] bytes: &[u8],
