--- a/crates/postgres-proxy/src/config.rs
+++ b/crates/postgres-proxy/src/config.rs
@@ -1,5 +1,4 @@
-//! The file in which the platform gives a sidecar its name, addresses, limits and settings, and what is known at the
-//! start.
+//! The configuration file of a sidecar: its name, addresses, limits, settings and initial state.
 
 use crate::endpoint_listing::EndpointListing;
 use crate::stage_updates::RolloutState;
@@ -16,33 +15,33 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Bytes of a megabyte in `limits.memory_mb`.
+/// Bytes per megabyte, the unit of `limits.memory_mb`.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// What is wrong with a configuration, and what was expected.
+/// Why a configuration is invalid, and what was expected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is no JSON of the expected form; says at which line and column.
+    /// The file is not JSON of the expected form; the message gives the line and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The seed is no hexadecimal number of 64 bits.
+    /// The seed is not a hexadecimal number of up to 64 bits.
     #[error("seed {found:?}: expected up to 16 hexadecimal digits")]
     Seed {
-        /// What it is.
+        /// The value in the file.
         found: String,
     },
-    /// The settings can't be used; says which one, and what was expected.
+    /// The settings are invalid; the message names the setting and the expected value.
     #[error("settings: {0}")]
     Settings(#[from] StartSettingsError),
-    /// A request class has no name, which on sockets it needs.
+    /// A request class has no name, which is required for serving sockets.
     #[error("settings: a class has no name")]
     UnnamedClass,
 }
 
-/// A configuration file that can't be used.
+/// An invalid configuration file.
 #[derive(Debug, Error)]
 #[error("{file}: {error}")]
 pub struct ConfigFileError {
@@ -78,7 +77,8 @@
     state: Option<RolloutState>,
 }
 
-/// Where the platform's services are: all that a new configuration may change while a sidecar runs.
+/// Addresses of the platform's services, the only values that a new configuration may change while
+/// a sidecar is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceAddresses {
     /// Discovery, which lists the pods.
@@ -87,37 +87,38 @@
     pub rollouts: Option<SocketAddr>,
 }
 
-/// A configuration.
+/// A parsed configuration.
 #[derive(Debug)]
 pub struct ProxyConfig {
-    /// The sidecar's name.
+    /// The name of the sidecar.
     pub name: String,
-    /// Where clients are served.
+    /// The address on which clients are served.
     pub listen: SocketAddr,
-    /// Where the platform's services are.
+    /// The addresses of the platform's services.
     pub services: ServiceAddresses,
-    /// The seed of all that is drawn by chance.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Bound of the address space in bytes, if one is set.
+    /// Maximum size of the address space in bytes, if configured.
     pub max_memory: Option<usize>,
-    /// Bound of the file descriptors, if one is set.
+    /// Maximum number of file descriptors, if configured.
     pub max_descriptors: Option<usize>,
-    /// The state of the newest build's rollout, if it is known.
+    /// The state of the newest build's rollout, if known.
     pub rollout_state: Option<RolloutState>,
-    /// The list of pods, if it is known.
+    /// The list of pods, if known.
     pub cached_endpoints: Option<EndpointListing>,
     /// The settings of the decision engine.
     pub engine: SidecarConfig,
-    /// The settings of this proxy, and the names that the engine knows by number.
+    /// The settings of this proxy, and the names that the decision engine represents by numbers.
     pub sockets: SocketSettings,
-    /// Hash of the settings' text, which distinguishes them from others; spaces count.
+    /// Hash of the text of the settings, including whitespace, used to detect changes.
     pub settings_hash: u64,
 }
 
 /// Reads a configuration file.
 ///
 /// # Errors
-/// The file can't be read or used; the text says in one line what, where and what was expected.
+/// Returns an error if the file cannot be read or is invalid. Its text says in one line what is
+/// wrong, where, and what was expected.
 pub fn read(file: &Path) -> Result<ProxyConfig, ConfigFileError> {
     let read = || parse(&std::fs::read(file)?);
     read().map_err(|error| ConfigFileError {
@@ -129,7 +130,7 @@
 /// Parses the text of a configuration.
 ///
 /// # Errors
-/// As [`read`].
+/// Returns an error if the text is invalid, as [`read`] does.
 pub fn parse(text: &[u8]) -> Result<ProxyConfig, ConfigError> {
     let file: File = serde_json::from_slice(text)?;
     let seed = parse_seed(&file.seed)?;
@@ -168,7 +169,7 @@
 
 fn parse_engine(seed: u64, settings: &[u8]) -> Result<SidecarConfig, ConfigError> {
     let mut engine = sidecar_config(seed, settings)?;
-    // On sockets a list comes by no other way than a watch.
+    // On sockets, a list is only received through a watch.
     engine.watch_on_request = true;
     engine.endpoint_lease = Some(ENDPOINT_LEASE);
     Ok(engine)
--- a/crates/postgres-proxy/src/endpoint_list.rs
+++ b/crates/postgres-proxy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of pods as it is known, and the changes that listings make to it, as updates for the decision engine.
+//! The known list of pods, and the conversion of listings to updates for the decision engine.
 
 use crate::endpoint_listing::{
     EndpointListing, Incarnation, ListedEndpoint, ServiceState, UnusableEntry,
@@ -12,18 +12,19 @@
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
-/// The number of a pod that left is given back after this time: longer than the decision engine speaks of one.
+/// The number of a pod that left the list is released after this time, which is longer than the
+/// decision engine refers to the pod.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(300);
-/// Bound of the entries of one listing.
+/// Maximum number of entries in one listing.
 pub const MAX_ENTRIES: usize = 10_000;
 
-/// A listing that can't be used.
+/// Why a listing cannot be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ListingError {
-    /// It has more entries than a list can have.
+    /// It has more entries than the list may have.
     #[error("{entries} entries, at most {MAX_ENTRIES}")]
     TooManyEntries {
-        /// How many it has.
+        /// The number of its entries.
         entries: usize,
     },
 }
@@ -32,9 +33,10 @@
 struct Row {
     entry: ListedEndpoint,
     pod: PodId,
-    /// When it started, on the sidecar's monotonic clock; `None` if that is long ago or not known.
+    /// When it started, on the monotonic clock of the sidecar; `None` if that is long ago or
+    /// unknown.
     started_at: Option<Duration>,
-    /// Since when it is listed with its build, on the sidecar's monotonic clock.
+    /// When it was first listed with its current build, on the monotonic clock of the sidecar.
     listed_since: Duration,
 }
 
@@ -45,30 +47,30 @@
     started_at_ms: u64,
 }
 
-/// The list of pods, and the numbers by which the decision engine knows them.
+/// The list of pods, with the numbers that identify them to the decision engine.
 pub struct EndpointList {
     zones: Vec<String>,
     machine_types: Vec<String>,
     rows: BTreeMap<String, Row>,
     hosts: FxHashMap<PodId, String>,
     pods: BTreeMap<String, PodId>,
-    /// The pods that left, in that order.
+    /// The pods that left the list, in the order in which they left.
     departed: VecDeque<Departed>,
     next_pod: u64,
     version: u64,
 }
 
-/// What a listing changed.
+/// The changes made by a listing.
 pub struct ListChange {
     /// The update for the decision engine.
     pub update: EndpointUpdate,
-    /// Pods whose connections lead to where they are no longer, or to an earlier incarnation of theirs.
+    /// Pods whose open connections lead to a former address or an earlier incarnation.
     pub relocated: Vec<PodId>,
-    /// Why entries can't be used; their pods count as gone.
+    /// Errors of unusable entries, whose pods are treated as gone.
     pub errors: Vec<String>,
 }
 
-/// Rows and relocated pods gathered while a listing is applied.
+/// Changes collected while a listing is applied.
 #[derive(Default)]
 struct Changes {
     rows: Vec<Endpoint>,
@@ -76,7 +78,8 @@
 }
 
 impl EndpointList {
-    /// An empty list; zones and machine types are numbered by their place in these names.
+    /// Creates an empty list. Zones and machine types are numbered by their position in these
+    /// names.
     #[must_use]
     pub fn new(zones: &[String], machine_types: &[String]) -> Self {
         Self {
@@ -91,13 +94,13 @@
         }
     }
 
-    /// The version of the listing that was applied last.
+    /// Returns the version of the last applied listing.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes the list as it was known last, before the start.
+    /// Loads the list that was known before the start.
     pub fn load_cached(
         &mut self,
         cached: EndpointListing,
@@ -114,7 +117,7 @@
                 }
             }
         }
-        // How long it has been listed is not known.
+        // It is unknown how long the pods have been listed.
         for row in self.rows.values_mut() {
             row.listed_since = Duration::ZERO;
         }
@@ -122,14 +125,16 @@
         EndpointUpdate::Cached(endpoints)
     }
 
-    /// Applies a listing of a watch. What it repeats unchanged is left out, as the decision engine would
-    /// draw the fractional allowance of a pod that warms up anew.
+    /// Applies a listing received from a watch. Unchanged entries are left out of the update,
+    /// because the decision engine would redraw the fractional allowance of a pod that is warming
+    /// up.
     ///
-    /// A listing of an earlier version than the one applied last comes from another discovery, or one that began anew.
-    /// Nothing that was known before is forgotten by it: a pod that left or drains stays so, unless it has started since.
+    /// A listing with a lower version than the last applied one comes from another discovery
+    /// instance, or from one that restarted. It reverts nothing that was known before: a pod that
+    /// has left or is draining remains so unless it has started since.
     ///
     /// # Errors
-    /// The listing has too many entries; nothing of it is applied.
+    /// Returns an error if the listing has too many entries; none of it is applied.
     pub fn apply(
         &mut self,
         listing: EndpointListing,
@@ -209,7 +214,8 @@
         changes.rows.push(self.insert(entry, now, wall_clock));
     }
 
-    /// Whether an entry of an older listing would undo what is known of that incarnation of its pod, or a later one.
+    /// Whether an entry of an older listing would revert what is known of the same incarnation of
+    /// its pod, or of a later one.
     fn is_outdated(&self, entry: &ListedEndpoint) -> bool {
         let Some(known) = self.rows.get(&entry.host).map(|row| &row.entry) else {
             return self.departed.iter().any(|departed| {
@@ -240,7 +246,8 @@
         });
     }
 
-    /// Gives back the numbers of pods that left long ago: a name that returns later is a new pod's.
+    /// Releases the numbers of pods that left long ago. If such a name returns later, it counts as
+    /// a new pod.
     fn release_departed(&mut self, now: Duration) {
         let is_old = |departed: &mut Departed| now >= departed.at + DEPARTED_RETENTION;
         while let Some(Departed { host, .. }) = self.departed.pop_front_if(is_old) {
@@ -262,7 +269,7 @@
             .filter(|row| row.entry.build == entry.build)
             .map_or(now, |row| row.listed_since);
         let started_at = match row {
-            // Kept, so that a step of the time of day does not look like a restart.
+            // Kept, so that a step of the wall clock does not look like a restart.
             Some(row) if row.entry.started_at_ms == entry.started_at_ms => row.started_at,
             _ if entry.started_at_ms == 0 => None,
             _ => clock::from_wall_clock(entry.started_at_ms as f64 / 1e3, now, wall_clock),
@@ -300,7 +307,7 @@
         }
     }
 
-    /// The number of a pod; one that left and returns has the same.
+    /// Returns the number of a pod; a pod that returns after it left keeps its number.
     fn pod_number(&mut self, host: &str) -> PodId {
         if let Some(pod) = self.pods.get(host) {
             return *pod;
@@ -312,27 +319,27 @@
         pod
     }
 
-    /// The name by which a pod is listed.
+    /// Returns the name under which a pod is listed.
     #[must_use]
     pub fn host(&self, pod: PodId) -> Option<&str> {
         self.hosts.get(&pod).map(String::as_str)
     }
 
-    /// The incarnation of a pod that is listed now; `None` if it is not listed.
+    /// Returns the incarnation of a listed pod, or `None` if it is not listed.
     #[must_use]
     pub fn incarnation(&self, pod: PodId) -> Option<Incarnation> {
         let row = self.rows.get(self.hosts.get(&pod)?)?;
         Some(row.entry.incarnation())
     }
 
-    /// The pod to which an attempt was sent at `sent_at`, if it still runs the build that it ran then.
+    /// Returns the pod to which an attempt was sent at `sent_at`, if it still runs the same build.
     #[must_use]
     pub fn pod_listed_at(&self, host: &str, sent_at: Duration) -> Option<PodId> {
         let row = self.rows.get(host)?;
         (row.listed_since <= sent_at).then_some(row.pod)
     }
 
-    /// How many pods are listed.
+    /// Returns the number of listed pods.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
@@ -345,8 +352,8 @@
     }
 }
 
-/// The number of a name. Names that the settings don't have share the number behind the last one, and those beyond the
-/// numbers that there are the largest.
+/// Returns the number of a name. All names that are missing from the settings share the number
+/// after the last one. Numbers are limited to the largest `u16`.
 fn index_of(name: &str, names: &[String]) -> u16 {
     let index = names.iter().position(|known| known == name);
     u16::try_from(index.unwrap_or(names.len())).unwrap_or(u16::MAX)
--- a/crates/postgres-proxy/src/endpoint_listing.rs
+++ b/crates/postgres-proxy/src/endpoint_listing.rs
@@ -1,17 +1,17 @@
-//! The form in which discovery lists pods.
+//! The format in which discovery lists pods.
 
 use limewing_decision::interface::BuildId;
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// One object of a watch: the complete list, or what changed.
+/// One object of a watch: the complete list, or the changes to it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListing {
-    /// The list's version.
+    /// The version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether pods that are not in it are gone.
+    /// Whether pods that it does not contain are gone.
     #[serde(rename = "whole")]
     pub is_complete: bool,
     /// Its entries, each usable or not.
@@ -19,12 +19,12 @@
     pub entries: Vec<Result<ListedEndpoint, UnusableEntry>>,
 }
 
-/// An entry that can't be used.
+/// An unusable entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnusableEntry {
-    /// Its host, if that can be read.
+    /// Its host, if that can be parsed.
     pub host: Option<String>,
-    /// Why it can't be used.
+    /// Why it is unusable.
     pub error: String,
 }
 
@@ -32,47 +32,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceState {
-    /// It takes requests.
+    /// It accepts requests.
     InService,
-    /// It drains.
+    /// It is draining.
     Terminating,
     /// It is gone.
     Terminated,
 }
 
-/// A pod as it is listed.
+/// A listed pod.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListedEndpoint {
     /// Its name.
     pub host: String,
-    /// Where it is reached.
+    /// Its address.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
     /// The name of its zone.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// The name of its machine's type.
+    /// The name of its machine type.
     #[serde(default, rename = "class")]
     pub machine_type: String,
-    /// The cell that it is in.
+    /// The cell to which it belongs.
     #[serde(default, rename = "block")]
     pub cell: u16,
     /// Its state.
     #[serde(rename = "health")]
     pub state: ServiceState,
-    /// Its size, relative to other pods.
+    /// Its capacity, relative to other pods.
     #[serde(default = "default_weight", rename = "share")]
     pub weight: f64,
-    /// When it started, in milliseconds since 1970; 0 if that is not known.
+    /// When it started, in milliseconds since the Unix epoch (1970); 0 if unknown.
     #[serde(default, rename = "born_ms")]
     pub started_at_ms: u64,
-    /// The build that it runs.
+    /// The build that it is running.
     #[serde(default, rename = "version_no")]
     pub build: u16,
 }
 
 impl ListedEndpoint {
-    /// What distinguishes this start of the pod from others.
+    /// Returns what distinguishes this start of the pod from others.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
@@ -83,14 +83,15 @@
     }
 }
 
-/// One start of a pod at one address: connections and attempts that were meant for another one are of no use to it.
+/// One start of a pod at one address. Connections and attempts to another incarnation are not valid
+/// for this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
-    /// When it started, in milliseconds since 1970; 0 if that is not known.
+    /// When it started, in milliseconds since the Unix epoch (1970); 0 if unknown.
     pub started_at_ms: u64,
-    /// The build that it runs.
+    /// The build that it is running.
     pub build: BuildId,
 }
 
@@ -98,13 +99,13 @@
     1.0
 }
 
-/// The part of an entry by which one that can't be used is named.
+/// The part of an entry that identifies it in errors.
 #[derive(Deserialize)]
 struct EntryName {
     host: String,
 }
 
-/// One entry that can't be parsed spoils none of the others.
+/// Parses each entry separately, so that an invalid one does not affect the others.
 fn deserialize_entries<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<Result<ListedEndpoint, UnusableEntry>>, D::Error> {
--- a/crates/postgres-proxy/src/idle_clients.rs
+++ b/crates/postgres-proxy/src/idle_clients.rs
@@ -1,28 +1,31 @@
-//! Which clients' connections without a request are closed, and when.
+//! Selects the idle client connections to close.
 
 use std::time::Duration;
 
-/// A connection without a request may be closed after this time, where many are open.
+/// A connection may be closed after it has been without a request for this time, if many are open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection counts as idle after this time at the least: its first statement may be on its way.
+/// Minimum time without a request before a connection may be evicted: its first statement may be in
+/// transit.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(200);
-/// One in so many idle connections is closed where clients wait to be accepted.
+/// The share of the idle connections that is closed while clients wait to be accepted is one over
+/// this.
 const EVICTION_DIVISOR: usize = 8;
 
-/// A client's connection that has no request. Ordered by who is evicted first: clients that were never answered, then
-/// those idle for longest.
+/// A client's connection without a request. The order is that of eviction: clients that were never
+/// answered first, then the longest idle ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdleClient {
-    /// Whether it has had the answer to a request.
+    /// Whether it has received a response to a request.
     pub was_served: bool,
-    /// Since when it is idle, on the sidecar's monotonic clock.
+    /// When it became idle, on the monotonic clock of the sidecar.
     pub since: Duration,
 }
 
-/// Whether a connection may be closed because more than half of `max_clients` are connected: some clients keep theirs
-/// for good.
+/// Whether a connection may be closed because more than half of `max_clients` are connected and it
+/// has exceeded the idle timeout. This is needed because some clients never close their
+/// connections.
 #[must_use]
-pub fn is_idle_for_long(
+pub fn exceeds_idle_timeout(
     idle: &IdleClient,
     clients: usize,
     max_clients: usize,
@@ -31,7 +34,7 @@
     clients > max_clients / 2 && idle.was_served && now >= idle.since + IDLE_TIMEOUT
 }
 
-/// The connections to close where others wait to be accepted, in order.
+/// Returns the connections to close while others wait to be accepted, in eviction order.
 pub fn select_for_eviction<T: Ord>(idle: Vec<(IdleClient, T)>, now: Duration) -> Vec<T> {
     let mut candidates: Vec<(IdleClient, T)> = idle
         .into_iter()
--- a/crates/postgres-proxy/src/idle_clients/tests.rs
+++ b/crates/postgres-proxy/src/idle_clients/tests.rs
@@ -1,11 +1,11 @@
-//! Which idle clients are disconnected.
+//! Tests which idle clients are disconnected.
 
-use super::{is_idle_for_long, select_for_eviction, IdleClient};
+use super::{exceeds_idle_timeout, select_for_eviction, IdleClient};
 use rstest::rstest;
 use std::time::Duration;
 
 #[test]
-fn clients_without_a_request_so_far_are_evicted_first() {
+fn clients_that_were_never_served_are_evicted_first() {
     let now = Duration::from_secs(10);
     let idle = |served, ms| IdleClient {
         was_served: served,
@@ -23,7 +23,8 @@
         .map(|(s, ms)| idle(s, ms))
         .zip(0..)
         .collect();
-    // Of nine that may go two do; one that has just come may not.
+    // One in eight candidates is evicted, rounded up, so nine or more give two. The client that has
+    // been idle for only 100 ms is not a candidate.
     assert_eq!(select_for_eviction(all.clone(), now), [4]);
     let more = all.iter().chain(&all).chain(&all).copied().collect();
     assert_eq!(select_for_eviction(more, now), [4, 4]);
@@ -31,10 +32,10 @@
 
 #[rstest]
 #[case::few_clients(40, true, 9, false)]
-#[case::idle_for_long(60, true, 9, true)]
-#[case::idle_for_a_moment(60, true, 1, false)]
+#[case::idle_beyond_timeout(60, true, 9, true)]
+#[case::idle_briefly(60, true, 1, false)]
 #[case::never_served(60, false, 9, false)]
-fn only_served_clients_are_idle_for_long_and_only_when_many_are_connected(
+fn idle_timeout_applies_to_served_clients_if_many_are_connected(
     #[case] clients: usize,
     #[case] served: bool,
     #[case] idle_s: u64,
@@ -45,7 +46,7 @@
         since: Duration::from_secs(100 - idle_s),
     };
     assert_eq!(
-        is_idle_for_long(&idle, clients, 100, Duration::from_secs(100)),
+        exceeds_idle_timeout(&idle, clients, 100, Duration::from_secs(100)),
         expected
     );
 }
--- a/crates/postgres-proxy/src/lib.rs
+++ b/crates/postgres-proxy/src/lib.rs
@@ -1,14 +1,17 @@
-//! The sidecar for PostgreSQL's protocol: clients and pods speak it, discovery and the rollout service HTTP. Sockets
-//! become events of the decision engine, its actions become bytes on sockets. `docs/platform.md` has the pages.
+//! The sidecar for the PostgreSQL protocol, which it uses with clients and pods. Discovery and the
+//! rollout service are reached over HTTP. The sidecar converts socket events to events of the decision
+//! engine, and the actions of the engine to bytes on sockets. `docs/platform.md` documents the platform.
 //!
-//! Without I/O:
+//! Modules without I/O:
 //!
-//! - [`config`], [`statement`], [`endpoint_listing`] and [`rollout_messages`]: what the platform's files and messages say
-//! - [`endpoint_list`], [`stage_updates`] and [`wrong_answers`]: what is known by them
+//! - [`config`], [`statement`], [`endpoint_listing`] and [`rollout_messages`]: formats of the platform's
+//!   files and messages
+//! - [`endpoint_list`], [`stage_updates`] and [`wrong_answers`]: state derived from these messages
 //! - [`line_codec`]: streams of JSON objects over HTTP
-//! - [`timeouts`], [`unsent_attempts`] and [`idle_clients`]: what this proxy decides beside the decision engine
+//! - [`timeouts`], [`unsent_attempts`] and [`idle_clients`]: policies of this proxy that are not part of
+//!   the decision engine
 //!
-//! [`service`] drives the sockets.
+//! [`service`] performs the I/O.
 
 pub mod config;
 pub mod endpoint_list;
--- a/crates/postgres-proxy/src/line_codec.rs
+++ b/crates/postgres-proxy/src/line_codec.rs
@@ -1,33 +1,33 @@
-//! HTTP responses that stay open and hold one JSON object after the other.
+//! Long-lived HTTP responses that contain a sequence of JSON objects.
 //!
-//! [`LineReader`] reads one object a line, [`ObjectReader`] objects over any number of lines. They buffer what has come of
-//! an object; they never read a socket nor parse an object.
+//! [`LineReader`] reads one object per line, [`ObjectReader`] objects that may span several lines.
+//! Both buffer incomplete objects; neither reads from a socket nor parses the objects.
 
 use bytes::{Bytes, BytesMut};
 use limewing_net::body::BodyReader;
 use limewing_net::http::{self, HeadLimits};
 use thiserror::Error;
 
-/// Why nothing more can be read of such a response.
+/// Why the rest of a response cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StreamError {
-    /// The service answered with another status than 200.
+    /// The service answered with a status other than 200.
     #[error("status {0}")]
     Status(u16),
-    /// The head, the framing or an object can't be read.
+    /// The head, the framing or an object is malformed.
     #[error("{0}")]
     Unreadable(String),
 }
 
 impl StreamError {
-    /// Whether the service says itself that it has too much to do, or is not up yet.
+    /// Whether the service reported that it is overloaded or not ready yet.
     #[must_use]
     pub fn is_overload(&self) -> bool {
         matches!(self, Self::Status(429 | 503))
     }
 }
 
-/// The body of such a response, off a connection's bytes.
+/// The body of a response, decoded from the bytes of a connection.
 #[derive(Default)]
 struct StreamBody(Option<BodyReader>);
 
@@ -61,19 +61,19 @@
     }
 }
 
-/// What has come on such a response.
+/// The result of reading from a response.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Complete objects, or lines.
+    /// Complete objects or lines.
     pub items: Vec<Bytes>,
-    /// Whether the service is alive: the response's head, an object or a line has come. Bytes within one are no sign of
-    /// that.
+    /// Whether the service has proved to be alive, by the head of the response, an object or a
+    /// line. Bytes within an object or a line are no proof.
     pub is_alive: bool,
-    /// Why nothing more can be read of it; the items that came before are good.
+    /// Why the rest cannot be read; the items received before are valid.
     pub error: Option<StreamError>,
 }
 
-/// Reads a response of one object a line.
+/// Reads a response with one object per line.
 pub struct LineReader {
     body: StreamBody,
     buffer: BytesMut,
@@ -81,7 +81,7 @@
 }
 
 impl LineReader {
-    /// A reader for lines of up to `max_line` bytes.
+    /// Creates a reader for lines of up to `max_line` bytes.
     #[must_use]
     pub fn new(max_line: usize) -> Self {
         Self {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Takes the complete lines that have come.
+    /// Takes the complete lines received so far.
     pub fn read(&mut self, input: &mut BytesMut) -> Received {
         let mut received = Received::default();
         received.error = self.read_into(input, &mut received).err();
@@ -113,35 +113,35 @@
             }
             self.buffer.extend_from_slice(rest);
             if self.buffer.len() > self.max_line {
-                let error = format!("a line of over {} bytes", self.max_line);
+                let error = format!("line longer than {} bytes", self.max_line);
                 return Err(StreamError::Unreadable(error));
             }
         }
         Ok(())
     }
 
-    /// Whether the response has come to its end.
+    /// Whether the response is complete.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.body.has_ended()
     }
 }
 
-/// Reads a response of objects that may go over several lines.
+/// Reads a response with objects that may span several lines.
 pub struct ObjectReader {
     body: StreamBody,
     buffer: BytesMut,
     max_object: usize,
-    /// How many brackets are open.
+    /// Number of open brackets.
     depth: u32,
-    /// Whether within a string.
+    /// Whether the current position is within a string.
     in_string: bool,
-    /// Whether behind a backslash in a string.
+    /// Whether the previous byte in the string is an escaping backslash.
     is_escaped: bool,
 }
 
 impl ObjectReader {
-    /// A reader for objects of up to `max_object` bytes.
+    /// Creates a reader for objects of up to `max_object` bytes.
     #[must_use]
     pub fn new(max_object: usize) -> Self {
         Self {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Takes the complete objects that have come.
+    /// Takes the complete objects received so far.
     pub fn read(&mut self, input: &mut BytesMut) -> Received {
         let mut received = Received::default();
         let had_begun = self.body.has_begun();
@@ -171,7 +171,7 @@
         while let Some(piece) = self.body.next(input)? {
             self.split_objects(&piece, received)?;
             if self.buffer.len() > self.max_object {
-                let error = format!("an object of over {} bytes", self.max_object);
+                let error = format!("object larger than {} bytes", self.max_object);
                 return Err(StreamError::Unreadable(error));
             }
         }
@@ -183,13 +183,13 @@
         for (index, byte) in piece.iter().enumerate() {
             if self.depth == 0 && !byte.is_ascii_whitespace() {
                 if *byte != b'{' {
-                    let error = format!("byte {byte:#04x} between objects, expected {{");
+                    let error = format!("unexpected byte {byte:#04x} between objects, expected {{");
                     return Err(StreamError::Unreadable(error));
                 }
                 start = index;
             }
             received.is_alive |= self.depth == 0 && *byte == b'\n';
-            if self.is_end_of_object(*byte) {
+            if self.completes_object(*byte) {
                 self.buffer.extend_from_slice(&piece[start..=index]);
                 received.items.push(self.buffer.split().freeze());
                 received.is_alive = true;
@@ -202,10 +202,10 @@
         Ok(())
     }
 
-    /// Whether an object is complete with this byte.
-    fn is_end_of_object(&mut self, byte: u8) -> bool {
+    /// Processes one byte; returns whether it completes an object.
+    fn completes_object(&mut self, byte: u8) -> bool {
         if self.in_string {
-            self.step_in_string(byte);
+            self.process_string_byte(byte);
             return false;
         }
         match byte {
@@ -220,7 +220,7 @@
         false
     }
 
-    fn step_in_string(&mut self, byte: u8) {
+    fn process_string_byte(&mut self, byte: u8) {
         let was_escaped = std::mem::replace(&mut self.is_escaped, false);
         match byte {
             b'\\' if !was_escaped => self.is_escaped = true,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Whether the response has come to its end.
+    /// Whether the response is complete.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.body.has_ended()
--- a/crates/postgres-proxy/src/rollout_messages.rs
+++ b/crates/postgres-proxy/src/rollout_messages.rs
@@ -1,4 +1,5 @@
-//! Messages between the rollout service and a sidecar: lines of the service's stream, votes and the replies to them.
+//! Messages between the rollout service and a sidecar: lines of the service's stream, votes, and
+//! replies to votes.
 
 use crate::stage_updates::RolloutState;
 use crate::wrong_answers::WrongAnswer;
@@ -15,11 +16,11 @@
     Stage(RolloutState),
     /// A pod gave a wrong answer.
     WrongAnswer(WrongAnswer),
-    /// A sign of life, or a message of another type.
+    /// A keep-alive, or a message of another type.
     Ignored,
 }
 
-/// A line that is not the JSON that its type has.
+/// A line that is not JSON of the form required by its type.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct MessageError(#[from] serde_json::Error);
@@ -35,7 +36,7 @@
 /// Parses a line of the stream.
 ///
 /// # Errors
-/// It is not the JSON that its type has.
+/// Returns an error if the line is not JSON of the form required by its type.
 pub fn parse_message(line: &[u8]) -> Result<RolloutMessage, MessageError> {
     if line.trim_ascii().is_empty() {
         return Ok(RolloutMessage::Ignored);
@@ -59,7 +60,7 @@
     decision: &'static str,
 }
 
-/// The body of a vote.
+/// Encodes the body of a vote.
 #[must_use]
 pub fn encode_vote(verdict: Verdict, build: BuildId, stage: StageIndex) -> Vec<u8> {
     let decision = match verdict {
@@ -76,7 +77,7 @@
     serde_json::to_vec(&vote).unwrap_or_default()
 }
 
-/// What the reply to a vote says.
+/// Parses the reply to a vote.
 #[must_use]
 pub fn parse_vote_reply(status: u16, body: &[u8]) -> VoteReply<RolloutState> {
     let answer = match status {
--- a/crates/postgres-proxy/src/service/attempt_writer.rs
+++ b/crates/postgres-proxy/src/service/attempt_writer.rs
@@ -1,7 +1,8 @@
-//! Writes attempts to connections: first an empty query and all but the last byte, then, once the connection has proved to
-//! be alive, the last byte.
+//! Writes attempts to connections: first an empty query and all but the last byte of the statement;
+//! then, once the connection has proved to be alive, the last byte.
 //!
-//! Whoever writes bytes of an attempt needs a [`SendPermit`], which is requested in that moment.
+//! Writing bytes of an attempt requires a [`SendPermit`], which is requested immediately before the
+//! write.
 
 use super::pod_connection::{CarriedAttempt, PartialAnswer, Phase};
 use super::upstream::replace_phase_timer;
@@ -15,16 +16,17 @@
 
 /// The last byte of every Query.
 const LAST_BYTE: &[u8] = &[0];
-/// What the empty query and the statement's message take beside the statement, in bytes.
+/// Length of the empty query and of the framing of the statement, in bytes.
 const MESSAGE_OVERHEAD: usize = 24;
 
 impl Service {
-    /// Permission to write an attempt now.
+    /// Requests permission to write an attempt now.
     pub(super) fn send_permit(&self, id: RequestId, index: AttemptIndex) -> Option<SendPermit> {
         SendPermit::request(&self.engine, self.now, id, index)
     }
 
-    /// Writes an attempt to a connection that carries nothing, or ends the attempt if it is no longer permitted.
+    /// Writes an attempt to a connection without one, or ends the attempt if it is no longer
+    /// permitted.
     pub(super) fn begin_writing(&mut self, socket: SocketId, carried: CarriedAttempt) {
         if let Some(permit) = self.send_permit(carried.request, carried.index) {
             self.write_first_bytes(socket, carried, permit);
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Writes all but the last byte.
+    /// Writes the empty query and all but the last byte of the statement.
     fn write_first_bytes(
         &mut self,
         socket: SocketId,
@@ -72,7 +74,8 @@
             .send(socket, &out[..out.len() - LAST_BYTE.len()]);
     }
 
-    /// The empty query is answered: what breaks the connection may still be on its way.
+    /// Handles the answer to the empty query. The last byte is held back, because a reset of the
+    /// connection may still be in transit.
     pub(super) fn hold_last_byte(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Pod(connection)) = self.connections.get_mut(&socket) else {
             return;
@@ -86,7 +89,8 @@
         replace_phase_timer(&mut self.timers, connection, deadline, event);
     }
 
-    /// The connection is alive: the last byte goes, and the pod begins, unless the attempt is no longer permitted.
+    /// Sends the last byte, with which the pod starts processing, unless the attempt is no longer
+    /// permitted.
     pub(super) fn send_last_byte(&mut self, socket: SocketId) {
         let Some(connection) = self.pod_connection(socket) else {
             return;
--- a/crates/postgres-proxy/src/service/attempts.rs
+++ b/crates/postgres-proxy/src/service/attempts.rs
@@ -1,9 +1,11 @@
-//! The life of an attempt, from the decision to start it to its outcome.
+//! Lifecycle of an attempt, from the decision to start it to its outcome.
 //!
-//! What proves that an attempt never ran: its connection never came up, or broke before the last byte of the attempt was
-//! with the system, or the pod says that it rejected it. So the last byte is held back until the pod has answered an empty
-//! query that goes before it on the same connection (`attempt_writer`): a connection that is dead, or that breaks under the
-//! first bytes, then proves that nothing ran, and another one carries the attempt.
+//! An attempt is proved not to have run if its connection was never established, if the connection
+//! broke before the last byte of the attempt was handed to the operating system, or if the pod
+//! reports that it rejected the attempt. Therefore the last byte is held back until the pod has
+//! answered an empty query that precedes the attempt on the same connection (`attempt_writer`). If
+//! the connection is dead, or breaks under the first bytes, this proves that nothing ran, and
+//! another connection carries the attempt.
 
 use super::pod_connection::{CarriedAttempt, Phase};
 use super::{ConnectionRole, Service, TimerEvent};
@@ -53,7 +55,8 @@
         self.dispatch_attempt(id, index, 0);
     }
 
-    /// Gives an attempt to a connection, after so many that broke under it before it was written.
+    /// Assigns an attempt to a connection. `broken_connections` is the number of connections that
+    /// broke under it before it was written.
     fn dispatch_attempt(&mut self, id: RequestId, index: AttemptIndex, broken_connections: u8) {
         if self.send_permit(id, index).is_none() {
             return self.end_attempt(id, index, AttemptOutcome::NeverSent);
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Goes on with an attempt whose connection is gone.
+    /// Continues an attempt whose connection was lost.
     pub(super) fn handle_failed_connection(
         &mut self,
         carried: CarriedAttempt,
@@ -87,7 +90,7 @@
     ) {
         let (id, index) = (carried.request, carried.index);
         match verdict {
-            FailureVerdict::Redial => {
+            FailureVerdict::Reconnect => {
                 self.dispatch_attempt(id, index, carried.broken_connections + 1);
             }
             FailureVerdict::Unreachable => {
@@ -109,7 +112,7 @@
         self.end_attempt(carried.request, carried.index, AttemptOutcome::NeverSent);
     }
 
-    /// Tells the decision engine how an attempt ended; each ends once.
+    /// Reports the outcome of an attempt to the decision engine; each attempt ends once.
     pub(super) fn end_attempt(
         &mut self,
         id: RequestId,
@@ -132,7 +135,8 @@
         };
         attempt.timer = None;
         let connection = attempt.connection.take();
-        // Not written for want of time: no sign of the pod, whose connection has a timeout of its own.
+        // An attempt that was not written in time is no evidence against the pod, whose connection
+        // has its own timeout.
         let outcome = if self.detach_attempt(connection) {
             AttemptOutcome::TimedOut
         } else {
@@ -151,7 +155,7 @@
     }
 
     /// Ends the attempts that were not written and are no longer permitted.
-    pub(super) fn end_forbidden_attempts(&mut self) {
+    pub(super) fn end_revoked_attempts(&mut self) {
         for (id, index, _, connection) in self.requests.active_attempts() {
             if self.send_permit(id, index).is_none() {
                 self.end_if_unwritten(id, index, connection);
@@ -159,17 +163,20 @@
         }
     }
 
-    /// Ends the attempts to these pods that were not written: they never ran.
-    pub(super) fn end_unwritten_attempts(&mut self, is_to: impl Fn(&EndpointList, PodId) -> bool) {
+    /// Ends the unwritten attempts to the pods selected by `is_affected`: they never ran.
+    pub(super) fn end_unwritten_attempts(
+        &mut self,
+        is_affected: impl Fn(&EndpointList, PodId) -> bool,
+    ) {
         for (id, index, pod, connection) in self.requests.active_attempts() {
-            if is_to(&self.discovery.endpoints, pod) {
+            if is_affected(&self.discovery.endpoints, pod) {
                 self.end_if_unwritten(id, index, connection);
             }
         }
     }
 
-    /// Ends the attempts of a request that were not written, as it has its answer, or its client is gone. Whether one that
-    /// was written may be cancelled is up to the decision engine.
+    /// Ends the unwritten attempts of a request that has its response, or whose client has
+    /// disconnected. The decision engine decides whether written attempts may be cancelled.
     pub(super) fn end_unwritten_attempts_of(&mut self, id: RequestId) {
         for (index, connection) in self.requests.active_attempts_of(id) {
             self.end_if_unwritten(id, index, connection);
@@ -192,8 +199,9 @@
         }
     }
 
-    /// Takes an attempt off its connection; returns whether it had been written. A connection that is not up yet is left to
-    /// other attempts. One with an attempt on it is closed, as its answer may still come.
+    /// Detaches an attempt from its connection; returns whether it had been written. A connection
+    /// that is not established yet remains available to other attempts. One with an attempt on it
+    /// is closed, because the answer may still arrive.
     fn detach_attempt(&mut self, connection: Option<SocketId>) -> bool {
         let Some(socket) = connection else {
             return false;
--- a/crates/postgres-proxy/src/service/client_closing.rs
+++ b/crates/postgres-proxy/src/service/client_closing.rs
@@ -1,8 +1,8 @@
-//! How clients' sessions end: by an error, by silence, by the client, or to make room.
+//! The end of client sessions: after an error, after a timeout, by the client, or for eviction.
 
 use super::clients::FatalError;
 use super::{ConnectionRole, Service, TimerEvent};
-use crate::idle_clients::{is_idle_for_long, select_for_eviction, IdleClient};
+use crate::idle_clients::{exceeds_idle_timeout, select_for_eviction, IdleClient};
 use crate::timeouts::{IDLE_CLIENT_CHECK_INTERVAL, PROTOCOL_ERROR_DELAY};
 use bytes::BytesMut;
 use limewing_net::sockets::SocketId;
@@ -14,7 +14,8 @@
 const IDLE_SESSION_SQLSTATE: &str = "57P05";
 
 impl Service {
-    /// What a client sent can't be used: it gets the error after a delay, and its session ends.
+    /// Ends a client's session because of an invalid message. The client gets the error after a
+    /// delay.
     pub(super) fn fail_session(&mut self, id: SocketId, error: FatalError) {
         tracing::debug!(
             sqlstate = error.sqlstate,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Sends the error that ends a session, without a further delay.
+    /// Sends the error that ends a session, without further delay.
     pub(super) fn send_fatal_error(&mut self, id: SocketId) {
         let Some(client) = self.client(id) else {
             return;
@@ -52,7 +53,7 @@
         self.sockets.close(id);
     }
 
-    /// A client has sent no complete message in time.
+    /// Handles a client that has not sent a complete message in time.
     pub(super) fn handle_client_timeout(&mut self, id: SocketId) {
         let Some(client) = self.client(id) else {
             return;
@@ -76,7 +77,8 @@
         self.sockets.send(id, &out);
     }
 
-    /// Closes connections that have been idle for long, where many are open, or all of them during a shutdown.
+    /// Closes connections that have exceeded the idle timeout if many are open, or all idle
+    /// connections during a shutdown.
     pub(super) fn check_idle_clients(&mut self) {
         let next_check = self.now + IDLE_CLIENT_CHECK_INTERVAL;
         self.timers
@@ -85,15 +87,18 @@
         let max_accepted = self.upstream.budget.max_accepted;
         let has_stopped_accepting = self.shutdown.has_stopped_accepting();
         for (client, id) in self.idle_clients() {
-            if has_stopped_accepting || is_idle_for_long(&client, connected, max_accepted, self.now)
+            if has_stopped_accepting
+                || exceeds_idle_timeout(&client, connected, max_accepted, self.now)
             {
                 self.close_if_idle(id);
             }
         }
     }
 
-    /// Closes a connection that has no request, unless a statement has begun to come on it or lies with the system: its
-    /// client would have to send it again. Tells whether it did. A client without a statement so far has its time for one.
+    /// Closes a connection without a request; returns whether it did. A connection stays open if a
+    /// statement has partly arrived or is buffered by the operating system, because its client
+    /// would have to send the statement again. A client that has not sent a statement yet keeps its
+    /// time to send one.
     pub(super) fn close_if_idle(&mut self, id: SocketId) -> bool {
         let Some(client) = self.client(id) else {
             return false;
@@ -124,7 +129,7 @@
         idle_clients
     }
 
-    /// Closes connections where others wait to be accepted.
+    /// Evicts connections while others wait to be accepted.
     pub(super) fn make_room_for_clients(&mut self) {
         for id in select_for_eviction(self.idle_clients(), self.now) {
             let client = self.client(id);
@@ -133,12 +138,12 @@
             } else if !self.sockets.has_unread_input(id) {
                 self.close_client(id);
             }
-            // A statement that lies with the system is read next.
+            // A statement buffered by the operating system is read next.
         }
         self.evict_for_clients();
     }
 
-    /// Closes the connections that carry nothing, those that were never served first.
+    /// Closes the idle connections, those that were never served first.
     pub(super) fn close_idle_clients(&mut self) {
         let mut idle_clients = self.idle_clients();
         idle_clients.sort_unstable();
@@ -147,7 +152,7 @@
         }
     }
 
-    /// The client is gone, and its request is over, if it has one.
+    /// Handles the disconnect of a client, which ends its request, if any.
     pub(super) fn disconnect_client(&mut self, id: SocketId) {
         let request = self.client(id).and_then(|client| client.request.take());
         self.remove_client(id);
@@ -157,7 +162,8 @@
         }
     }
 
-    /// The client sends more while its request is out than it may: the request is over, and the session ends.
+    /// Handles a client that sends more statements during its request than allowed: the request and
+    /// the session end.
     pub(super) fn abandon_flooding_client(&mut self, id: SocketId) {
         let request = self.client(id).and_then(|client| client.request.take());
         if let Some(request) = request {
@@ -166,7 +172,7 @@
         self.fail_session(id, FatalError::too_many_statements());
     }
 
-    /// Closes a connection once all that was written to it is sent.
+    /// Closes a connection once everything written to it has been sent.
     fn close_client(&mut self, id: SocketId) {
         self.remove_client(id);
         self.sockets.close_when_sent(id);
--- a/crates/postgres-proxy/src/service/clients.rs
+++ b/crates/postgres-proxy/src/service/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' sessions: their connections, startup packets and messages.
+//! Client sessions: connections, startup packets and messages.
 
 use super::{ConnectionRole, Service, TimerEvent, MAX_UNSENT};
 use crate::statement::{StatementParser, MAX_STATEMENT};
@@ -16,14 +16,14 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// Bound of a client's message that is no Query, in bytes.
+/// Maximum length of a client message other than a Query, in bytes.
 const MAX_OTHER_MESSAGE: usize = 4 * 1024;
-/// Statements that may wait behind the one that is served. A client that sends more does not wait for its answers, and
-/// would fill its buffers here.
+/// Maximum number of statements that may be queued behind the one being served. A client that sends
+/// more is not waiting for its responses, and would fill its buffers here.
 const MAX_PIPELINED_STATEMENTS: usize = 8;
-/// The reply to an SSLRequest or a GSSENCRequest: no encryption.
+/// Reply to an SSLRequest or a GSSENCRequest: encryption is refused.
 const ENCRYPTION_REFUSED: &[u8] = b"N";
-/// The parameters of a client's session.
+/// Parameters reported to a client at the start of its session.
 const SESSION_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -32,18 +32,18 @@
     ("integer_datetimes", "on"),
     ("standard_conforming_strings", "on"),
 ];
-/// Bytes of all that a client gets when its session starts, rounded up.
+/// Length of the messages that start a session, in bytes, rounded up.
 const SESSION_START_CAPACITY: usize = 256;
 
-/// What is known of the clients beside each one's state.
+/// State shared by all clients.
 pub(super) struct ClientState {
     pub(super) listener: ClientListener,
-    /// How many are connected.
+    /// Number of connected clients.
     pub(super) connected: usize,
-    /// Connections could not be accepted in this turn, for want of room.
+    /// Whether connections could not be accepted in this turn because of a lack of resources.
     pub(super) needs_room: bool,
     pub(super) parser: StatementParser,
-    /// The clients' ids of the requests in flight.
+    /// The ids that clients gave to the requests in flight.
     pub(super) request_ids: FxHashSet<String>,
 }
 
@@ -59,18 +59,18 @@
     }
 }
 
-/// One client's connection.
+/// The connection of a client.
 pub(super) struct Client {
     pub(super) decoder: MessageDecoder,
     /// Whether its session has started.
     has_session: bool,
-    /// Whether it has had the answer to a request.
+    /// Whether it has received a response to a request.
     pub(super) was_served: bool,
-    /// Its request that has no answer yet.
+    /// Its pending request.
     pub(super) request: Option<RequestId>,
-    /// Since when it has no request and no message, on the sidecar's monotonic clock.
+    /// When it last had a request or a message, on the monotonic clock of the sidecar.
     pub(super) idle_since: Duration,
-    /// Ends the wait for a complete message, or the delay of an error that ends the session.
+    /// Limits the wait for a complete message, or delays the error that ends the session.
     pub(super) timer: Option<TimerKey>,
     /// The error that ends its session, until it is sent.
     pub(super) fatal_error: Option<FatalError>,
@@ -93,12 +93,12 @@
         Self::new("0A000", message)
     }
 
-    /// `syntax_error`: a statement that is no request.
-    pub(super) fn bad_statement(message: impl Into<String>) -> Self {
+    /// `syntax_error`: the statement is not a request.
+    pub(super) fn invalid_statement(message: impl Into<String>) -> Self {
         Self::new("42601", message)
     }
 
-    /// `program_limit_exceeded`: more statements were sent than wait for their answers.
+    /// `program_limit_exceeded`: the client has sent more statements than may be queued.
     pub(super) fn too_many_statements() -> Self {
         Self::new("54000", "too many statements at once")
     }
@@ -109,7 +109,8 @@
     }
 }
 
-/// Bound of a message's body by its type, in bytes; `None` if a client sends no such message.
+/// Returns the maximum body length for a type byte, in bytes, or `None` if clients do not send this
+/// type.
 fn max_message(kind: u8) -> Option<usize> {
     match kind {
         frontend::QUERY => Some(MAX_STATEMENT),
@@ -157,12 +158,12 @@
         }
     }
 
-    /// Takes what a client has sent, up to its next request.
+    /// Processes the input of a client, up to its next request.
     pub(super) fn read_from_client(&mut self, id: SocketId) {
         while self.read_client_message(id).is_continue() {}
     }
 
-    /// Takes one message, if one may be taken and is complete.
+    /// Processes one message, if one is allowed now and complete.
     fn read_client_message(&mut self, id: SocketId) -> ControlFlow<()> {
         let has_ended = self.sockets.has_ended(id);
         let Some(client) = self.client(id) else {
@@ -176,7 +177,7 @@
             self.check_waiting_client(id);
             return ControlFlow::Break(());
         }
-        // Nothing more is taken off a client that does not read its answers.
+        // Nothing more is read from a client that does not read its responses.
         if self.sockets.unsent_bytes(id) > MAX_UNSENT {
             return ControlFlow::Break(());
         }
@@ -187,7 +188,8 @@
         }
     }
 
-    /// What comes behind a request waits for its answer. A client that closed its side is gone, whatever it left unread.
+    /// Checks a client with a pending request, whose further messages wait. A client that closed
+    /// its side counts as disconnected, even if input is still unread.
     fn check_waiting_client(&mut self, id: SocketId) {
         if self.sockets.has_peer_closed(id) {
             self.disconnect_client(id);
@@ -268,7 +270,8 @@
         ControlFlow::Break(())
     }
 
-    /// No complete message is left. One that has begun is complete in time.
+    /// Waits for more input after all complete messages were processed. A message that has begun
+    /// must be completed in time.
     fn await_more_from_client(&mut self, id: SocketId, had_input: bool) {
         let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
             return;
@@ -281,7 +284,7 @@
                 .schedule(deadline, TimerEvent::ClientTimeout(id));
             client.timer = Some(timer);
         }
-        // What was buffered is taken over by now: the system may have more.
+        // All buffered input has been processed, and the operating system may have more.
         self.sockets.resume_reading(id);
     }
 
@@ -295,7 +298,8 @@
         self.sockets.send(id, &out);
     }
 
-    /// Answers the statements that a client's driver sends beside requests; any other one is a request.
+    /// Answers statements that client drivers send besides requests; any other statement is a
+    /// request.
     fn handle_statement(&mut self, id: SocketId, text: &str) {
         let trimmed = text.trim().trim_end_matches(';').trim();
         let verb = trimmed.split_ascii_whitespace().next().unwrap_or_default();
@@ -310,7 +314,7 @@
         self.end_wait_for_message(id);
     }
 
-    /// A client has sent a complete message: the wait for one is over.
+    /// Ends the wait for a message, because the client has sent a complete one.
     pub(super) fn end_wait_for_message(&mut self, id: SocketId) {
         let now = self.now;
         let Some(client) = self.client(id) else {
--- a/crates/postgres-proxy/src/service/config_reload.rs
+++ b/crates/postgres-proxy/src/service/config_reload.rs
@@ -1,5 +1,5 @@
-//! Reading the configuration again on SIGHUP. Of it only the addresses of the platform's services change while a sidecar
-//! runs.
+//! Reloads the configuration on SIGHUP. Only the addresses of the platform's services can change
+//! while a sidecar is running.
 
 use super::{Service, TimerEvent};
 use crate::config::{self, ConfigFileError, ProxyConfig, ServiceAddresses};
@@ -7,12 +7,12 @@
 use limewing_net::timer_wheel::TimerKey;
 use std::path::PathBuf;
 
-/// The configuration's file, and whether it is to be read again.
+/// The configuration file, and the state of retries.
 pub(super) struct ConfigReload {
     file: PathBuf,
-    /// When a configuration that could not be used is read again.
+    /// The timer for reading an invalid configuration again.
     timer: Option<TimerKey>,
-    /// How often in a row it could not be used.
+    /// Number of consecutive failures to use the file.
     failures: u32,
 }
 
@@ -27,17 +27,18 @@
 }
 
 impl Service {
-    /// The configuration was replaced: the services may have moved.
+    /// Handles a replaced configuration, in which the services may have new addresses.
     pub(super) fn reload_config(&mut self) {
         if let Some(timer) = self.config_reload.timer.take() {
             self.timers.cancel(timer);
         }
         self.config_reload.failures = 0;
-        self.read_config_again();
+        self.apply_config_file();
     }
 
-    /// Reads the file. One that can't be used changes nothing; it may be half written, and is read again some times.
-    pub(super) fn read_config_again(&mut self) {
+    /// Reads the file. An invalid one changes nothing; it may be only partly written, so reading it
+    /// is retried a limited number of times.
+    pub(super) fn apply_config_file(&mut self) {
         self.config_reload.timer = None;
         match config::read(&self.config_reload.file) {
             Ok(config) if config.name != self.settings.name => {
--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -1,5 +1,5 @@
-//! The watch on discovery's list of pods. It may be lost for long: the sidecar goes on with what it knows, and the decision
-//! engine asks for a new one.
+//! The watch on the endpoint list of discovery. It may be lost for a long time: the sidecar
+//! continues with the known list, and the decision engine requests a new watch.
 
 use super::http_request::encode_request;
 use super::service_connection::{EndedConnection, ServiceConnections};
@@ -18,14 +18,15 @@
 use std::time::{Duration, SystemTime};
 use thiserror::Error;
 
-/// Bound of one object of a watch, in bytes.
+/// Maximum length of one object of a watch, in bytes.
 const MAX_OBJECT: usize = 4 * 1024 * 1024;
 
-/// The list of pods, and the watch that keeps it up to date.
+/// The endpoint list, and the watch that keeps it up to date.
 pub(super) struct DiscoveryState {
     pub(super) endpoints: EndpointList,
     watches: ServiceConnections,
-    /// When discovery was last heard, on the sidecar's monotonic clock. What it sends from then on may be missed.
+    /// When something was last received from discovery, on the monotonic clock of the sidecar.
+    /// Later updates may have been missed.
     last_heard: Duration,
 }
 
@@ -42,43 +43,43 @@
 /// The connection of a watch.
 pub(super) struct WatchConnection {
     reader: ObjectReader,
-    /// Ends the wait for the answer, or for the next line or object.
+    /// Limits the wait for the response, or for the next line or object.
     timer: TimerKey,
-    /// When the call was made, on the sidecar's monotonic clock.
+    /// When the call was made, on the monotonic clock of the sidecar.
     called_at: Duration,
     has_answer: bool,
-    /// Whether a complete list or change has come.
+    /// Whether a complete object has been received.
     has_object: bool,
 }
 
-/// Why a watch is over.
+/// Why a watch ended.
 #[derive(Debug, Error)]
 pub(super) enum WatchError {
     /// The connection broke.
-    #[error("the connection was lost")]
+    #[error("connection lost")]
     ConnectionLost,
     /// The connection was refused.
-    #[error("no connection: there is nobody at its address")]
+    #[error("connection refused")]
     Unreachable,
-    /// The response came to its end.
-    #[error("the watch ended")]
+    /// The response was complete.
+    #[error("end of the response")]
     Ended,
-    /// The answer, or the next line or object, did not come in time.
-    #[error("the watch says nothing")]
+    /// The response, or the next line or object, did not arrive in time.
+    #[error("no data received in time")]
     Silent,
-    /// The response can't be read.
+    /// The response is malformed.
     #[error(transparent)]
     Stream(#[from] StreamError),
-    /// An object is no listing.
-    #[error("an object of the list: {0}")]
+    /// An object is not a listing.
+    #[error("invalid listing: {0}")]
     Json(#[from] serde_json::Error),
-    /// A listing can't be used.
-    #[error("an object of the list: {0}")]
+    /// A listing cannot be applied.
+    #[error("unusable listing: {0}")]
     Listing(#[from] ListingError),
 }
 
 impl WatchError {
-    /// The error of a connection that ended, or never came up.
+    /// Returns the error for a connection that was lost or not established.
     pub(super) fn from_connection_error(error: ErrorKind) -> Self {
         match error {
             ErrorKind::ConnectionRefused => Self::Unreachable,
@@ -86,14 +87,14 @@
         }
     }
 
-    /// What it means for the list.
+    /// Returns the cause of the loss, for the decision engine.
     fn cause(&self, watch: &WatchConnection) -> WatchLossCause {
         match self {
             Self::Stream(error) if error.is_overload() => WatchLossCause::Refused,
-            // A call that discovery can't take may end by a reset, too.
+            // Discovery may also reset a call that it cannot accept.
             Self::ConnectionLost if !watch.has_answer => WatchLossCause::Refused,
             Self::Silent if !watch.has_answer => WatchLossCause::TimedOut,
-            // A part of an object, and no more of it.
+            // Part of an object was received, but not the rest.
             Self::Silent if !watch.has_object => WatchLossCause::NoService,
             Self::Unreachable | Self::Stream(_) | Self::Json(_) | Self::Listing(_) => {
                 WatchLossCause::NoService
@@ -146,7 +147,8 @@
         };
         let received = watch.reader.read(input);
         let is_over = has_ended || watch.reader.has_ended();
-        // Bytes within an object are no sign of life: what it should tell is not known by them.
+        // Bytes within an object are no proof that discovery is alive, because they carry no update
+        // until it is complete.
         if received.is_alive {
             self.discovery.last_heard = self.now;
             let deadline = self.now + WATCH_SILENCE_TIMEOUT;
@@ -163,7 +165,7 @@
             tracing::debug!(waited_ms, objects, "endpoint watch answered");
         }
         watch.has_object |= !received.items.is_empty();
-        // What came complete before something that can't be read counts.
+        // Complete objects before invalid bytes are applied.
         let result = self
             .apply_listings(&received.items)
             .and(received.error.map_or(Ok(()), |error| Err(error.into())));
@@ -209,7 +211,8 @@
             "endpoint list applied"
         );
         self.events.push(Event::Endpoints(change.update));
-        // An attempt to a pod that drains or left is ended by the decision engine, which does not know of addresses.
+        // The decision engine, which does not know addresses, ends attempts to pods that drain or
+        // left.
         for pod in &change.relocated {
             for socket in self.upstream.pool.connections_to(*pod) {
                 self.close_pod_connection(socket);
@@ -219,8 +222,9 @@
         Ok(())
     }
 
-    /// Follows discovery to a new address: that one is asked first, and the former watch read to its end. What it sends
-    /// meanwhile counts as known, and is not sent again.
+    /// Moves the watch to a new address of discovery. A watch is opened there immediately, and the
+    /// former one is read to its end, because updates that were sent on it count as known and are
+    /// not sent again.
     pub(super) fn move_watch(&mut self) {
         if let Some(socket) = self.discovery.watches.begin_move() {
             self.close_watch(socket);
--- a/crates/postgres-proxy/src/service/event_loop.rs
+++ b/crates/postgres-proxy/src/service/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop. In each turn timers fire after what was read, so that an answer that came while the process stood still
-//! is known before the timeout that it beats.
+//! The event loop. In each turn, expired timers are handled after the input, so that an answer that
+//! arrived while the process was suspended is processed before its timeout.
 
 use super::discovery::WatchError;
 use super::rollouts::StageStreamError;
@@ -24,7 +24,8 @@
         self.now = self.clock.now();
         self.log_late_turn(deadline);
         self.handle_socket_events(socket_events);
-        // After all that was read: a client that has just sent a statement is not taken for idle.
+        // Run after all input is processed, so that a client that has just sent a statement does
+        // not count as idle.
         if std::mem::take(&mut self.clients.needs_room) {
             self.make_room_for_clients();
         }
@@ -53,8 +54,9 @@
         }
     }
 
-    /// What discovery and the rollout service say is known before anything is written to a pod: after a standstill a
-    /// connection that came up meanwhile would carry an attempt to a pod that has been draining for long.
+    /// Handles the events of control services before anything is written to a pod. Otherwise, after
+    /// the process was suspended, a connection established meanwhile could carry an attempt to a
+    /// pod that has long been draining.
     fn handle_socket_events(&mut self, events: Vec<SocketEvent>) {
         let (control, rest): (Vec<_>, Vec<_>) =
             events.into_iter().partition(|event| self.is_control(event));
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Whether it happened on a connection to discovery or the rollout service.
+    /// Whether the event occurred on a connection to discovery or the rollout service.
     fn is_control(&self, event: &SocketEvent) -> bool {
         let (SocketEvent::Connected(socket)
         | SocketEvent::Readable(socket)
@@ -83,16 +85,17 @@
         )
     }
 
-    /// Brings endpoint and stage updates to the decision engine, and ends the attempts that these no longer permit.
+    /// Passes endpoint and stage updates to the decision engine, and ends the attempts that are no
+    /// longer permitted.
     fn apply_control_events(&mut self) {
         if self.events.is_empty() {
             return;
         }
         let events = std::mem::take(&mut self.events);
         for action in self.engine.apply_events(self.now, events) {
-            self.carry_out(action);
+            self.execute_action(action);
         }
-        self.end_forbidden_attempts();
+        self.end_revoked_attempts();
     }
 
     fn run_engine(&mut self) {
@@ -101,7 +104,7 @@
         }
         let events = std::mem::take(&mut self.events);
         for action in self.engine.handle(self.now, events) {
-            self.carry_out(action);
+            self.execute_action(action);
         }
     }
 
@@ -125,7 +128,7 @@
                 tracing::debug!(%error, open, "can't accept; tried again in 100 ms");
                 self.clients.needs_room = true;
             }
-            // No socket for datagrams is ever opened here.
+            // The proxy opens no datagram sockets.
             SocketEvent::Datagram { .. } => {}
             SocketEvent::Signal(signal) => match ProcessSignal::from_number(signal) {
                 ProcessSignal::Reload => self.reload_config(),
@@ -184,7 +187,7 @@
             TimerEvent::SendFatalError(socket) => self.send_fatal_error(socket),
             TimerEvent::CheckIdleClients => self.check_idle_clients(),
             TimerEvent::WatchTimeout(socket) => self.handle_watch_end(socket, &WatchError::Silent),
-            TimerEvent::ReloadConfig => self.read_config_again(),
+            TimerEvent::ReloadConfig => self.apply_config_file(),
             TimerEvent::OpenStageStream => self.open_stage_stream(),
             TimerEvent::StageStreamTimeout(socket) => {
                 self.handle_stage_stream_end(socket, &StageStreamError::Silent);
@@ -196,7 +199,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         match action {
             Action::StartAttempt {
                 request,
--- a/crates/postgres-proxy/src/service/graceful_shutdown.rs
+++ b/crates/postgres-proxy/src/service/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! This proxy's side of a graceful shutdown: it serves clients that still come, then answers what is in flight and exits,
-//! in bounded time.
+//! Implements the graceful shutdown of this proxy: it serves clients that still connect, then
+//! answers pending requests and exits, in bounded time.
 
 use super::Service;
 use limewing_decision::interface::Event;
@@ -37,7 +37,8 @@
         self.clients.listener.accept_backlog(&mut self.sockets);
     }
 
-    /// Clients that wait are accepted first; from now on each connection is closed once nothing is open on it.
+    /// Accepts the waiting clients first; from now on, each connection is closed once it has no
+    /// pending request.
     fn stop_accepting(&mut self) {
         self.clients.listener.close(&mut self.sockets);
         self.close_idle_clients();
--- a/crates/postgres-proxy/src/service/http_request.rs
+++ b/crates/postgres-proxy/src/service/http_request.rs
@@ -1,13 +1,13 @@
-//! Requests to discovery and the rollout service.
+//! HTTP requests to discovery and the rollout service.
 
 use bytes::BytesMut;
 use limewing_net::body::Framing;
 use limewing_net::http;
 
-/// What the requests name as their sender.
+/// Value of the `User-Agent` header.
 const USER_AGENT: &str = "limewing";
 
-/// The bytes of a request.
+/// Encodes a request.
 pub(super) fn encode_request(method: &str, target: &str, host: &str, body: &[u8]) -> BytesMut {
     let fields = [
         ("host", host),
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -1,9 +1,11 @@
-//! Drives sockets, clock and the decision engine: the one event loop of a sidecar for PostgreSQL's protocol.
+//! The service: the event loop that connects sockets, clock and decision engine of a sidecar for
+//! the PostgreSQL protocol.
 //!
-//! All state is owned by [`Service`]. Its methods are split by what they deal with: `event_loop` (turns, dispatch),
-//! `clients`, `client_closing` and `requests` (the clients' side), `attempts`, `attempt_writer`, `upstream`,
-//! `upstream_pool` and `pod_connection` (the pods' side), `discovery`, `rollouts`, `votes`, `service_connection` and
-//! `http_request` (the platform's services), `config_reload` and `graceful_shutdown` (signals).
+//! All state is owned by [`Service`], whose methods are grouped by topic: `event_loop` (turns and
+//! dispatch), `clients`, `client_closing` and `requests` (clients), `attempts`, `attempt_writer`,
+//! `upstream`, `upstream_pool` and `pod_connection` (pods), `discovery`, `rollouts`, `votes`,
+//! `service_connection` and `http_request` (services of the platform), `config_reload` and
+//! `graceful_shutdown` (signals).
 
 mod attempt_writer;
 mod attempts;
@@ -50,29 +52,29 @@
 use thiserror::Error;
 use upstream_pool::UpstreamState;
 
-/// Bytes that may wait to be sent to a client before it is read no further.
+/// Maximum number of unsent bytes to a client before reading from it is suspended.
 const MAX_UNSENT: usize = 64 * 1024;
 
-/// Why a sidecar can't start.
+/// Why a sidecar cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The address is in use, or not this machine's.
+    /// The address is in use, or not an address of this machine.
     #[error("can't listen on {address}: {error}")]
     Listen {
-        /// Where clients were to be served.
+        /// The address on which clients were to be served.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The system refuses to poll sockets or to watch signals.
-    #[error("the system gives no poll or signals: {0}")]
+    /// The operating system refused to set up polling or signal handling.
+    #[error("cannot set up polling or signal handling: {0}")]
     System(#[from] io::Error),
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigFileError),
 }
 
-/// What a connection is for, with its state.
+/// The purpose of a connection, with its state.
 enum ConnectionRole {
     Client(Box<Client>),
     Pod(Box<PodConnection>),
@@ -81,15 +83,15 @@
     Vote(Box<VoteCall>),
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy)]
 enum TimerEvent {
     AttemptTimeout(RequestId, AttemptIndex),
-    /// The phase of a connection to a pod has taken too long.
+    /// The phase of a connection to a pod has timed out.
     PodPhaseTimeout(SocketId),
     SendLastByte(SocketId),
     PodIdleTimeout(SocketId),
-    /// A client has sent no complete message in time.
+    /// A client has not sent a complete message in time.
     ClientTimeout(SocketId),
     SendFatalError(SocketId),
     CheckIdleClients,
@@ -100,13 +102,13 @@
     VoteTimeout(SocketId),
 }
 
-/// What the loop uses of the configuration; it stays as it is until the next start.
+/// Configuration values used by the event loop, which do not change until the next start.
 struct Settings {
     name: String,
     listen: SocketAddr,
     settings_hash: u64,
     connect_timeout: Duration,
-    /// After how long pods close idle connections.
+    /// Time after which pods close idle connections.
     pod_idle_timeout: Duration,
     max_attempts: usize,
     vote_timeout: Duration,
@@ -126,19 +128,19 @@
     }
 }
 
-/// One sidecar.
+/// A running sidecar.
 pub struct Service {
     settings: Settings,
     services: ServiceAddresses,
     sockets: Sockets,
     timers: TimerWheel<TimerEvent>,
     clock: Clock,
-    /// The time of this turn of the loop, on the monotonic clock.
+    /// The time of the current turn, on the monotonic clock.
     now: Duration,
     connections: FxHashMap<SocketId, ConnectionRole>,
     engine: DecisionEngine,
     engine_wake_at: Duration,
-    /// What the decision engine gets in this turn.
+    /// Events to be passed to the decision engine in this turn.
     events: Vec<Event>,
     clients: ClientState,
     requests: InFlightRequests<Statement>,
@@ -150,19 +152,20 @@
 }
 
 impl Service {
-    /// Reads the configuration and listens.
+    /// Reads the configuration and starts listening.
     ///
     /// # Errors
-    /// The file can't be used, the address is in use, or the system refuses.
+    /// Returns an error if the file is invalid, the address is in use, or the operating system
+    /// refuses a resource.
     pub fn start(file: PathBuf) -> Result<Self, StartError> {
         let config = config::read(&file)?;
         Self::start_with_config(file, config)
     }
 
-    /// Listens as `config` says; `file` is what is read again on SIGHUP.
+    /// Starts listening as specified by `config`; `file` is read again on SIGHUP.
     ///
     /// # Errors
-    /// The address is in use, or the system refuses.
+    /// Returns an error if the address is in use or the operating system refuses a resource.
     pub fn start_with_config(file: PathBuf, config: ProxyConfig) -> Result<Self, StartError> {
         let mut sockets = Sockets::new()?;
         sockets.watch_signals(&signals::WATCHED)?;
@@ -208,7 +211,8 @@
         Ok(service)
     }
 
-    /// Starts with the list as it was known last, or else asks for it; the decision engine asks for changes.
+    /// Loads the cached endpoint list, or requests the list if there is none. After loading a
+    /// cached list, the decision engine requests changes.
     fn load_endpoints(&mut self, cached: Option<EndpointListing>) {
         let Some(cached) = cached else {
             return self.watch_endpoints();
@@ -218,22 +222,22 @@
         self.events.push(Event::Endpoints(update));
     }
 
-    /// Where clients are served.
+    /// Returns the address on which clients are served.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.clients.listener.address()
     }
 
-    /// The sidecar's name.
+    /// Returns the name of the sidecar.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.settings.name
     }
 
-    /// Serves until a signal begins the shutdown, and the shutdown is done.
+    /// Serves until a signal starts the shutdown and the shutdown is complete.
     ///
     /// # Errors
-    /// The sockets can't be polled.
+    /// Returns an error if the sockets cannot be polled.
     pub fn run(mut self) -> io::Result<()> {
         while !self.shutdown.is_done() {
             self.turn()?;
@@ -242,7 +246,8 @@
     }
 }
 
-/// The budget within the limits of the configuration and of the system, whichever are smaller.
+/// Computes the connection limits from the configured limits and those of the system, whichever are
+/// lower.
 fn descriptor_budget(config: &ProxyConfig) -> DescriptorBudget {
     let (descriptors, memory) = resource_limits();
     let descriptors = config
--- a/crates/postgres-proxy/src/service/pod_connection.rs
+++ b/crates/postgres-proxy/src/service/pod_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a pod, without I/O: a state machine of its session and of the attempt on it.
+//! State machine of one connection to a pod, without I/O: its session and its attempt.
 
 use crate::endpoint_listing::Incarnation;
 use bytes::Bytes;
@@ -8,35 +8,37 @@
 use std::mem;
 use std::time::Duration;
 
-/// The SQLSTATE `too_many_connections`, by which a pod says that it has not begun a request.
+/// The SQLSTATE `too_many_connections`, with which a pod reports that it has not started a request.
 const REJECTED_SQLSTATE: &str = "53300";
 
 /// A connection to a pod; it carries at most one attempt at a time.
 pub(super) struct PodConnection {
     pub(super) pod: PodId,
-    /// The incarnation of the pod that it was opened to.
+    /// The incarnation of the pod at the time of connecting.
     pub(super) incarnation: Incarnation,
     pub(super) phase: Phase,
     pub(super) decoder: MessageDecoder,
-    /// Bounds the present phase.
+    /// Limits the current phase.
     pub(super) timer: Option<TimerKey>,
-    /// How long it had been idle before the present attempt, if it came from the pool.
+    /// How long it had been idle before the current attempt, if it came from the pool.
     pub(super) idle_time: Option<Duration>,
 }
 
-/// Where a connection stands, with the attempt that it carries.
+/// The phase of a connection, with the attempt that it carries.
 pub(super) enum Phase {
-    /// It is opened, or its session starts. The attempt that it was opened for may have ended since.
+    /// The connection or its session is being established. The attempt for which it was opened may
+    /// have ended.
     Connecting(Option<CarriedAttempt>),
-    /// It waits for the next attempt.
+    /// The connection is available for the next attempt.
     Idle,
-    /// All but the last byte of the attempt is written, behind an empty query that has no answer yet.
+    /// All but the last byte of the attempt is written, after an empty query that has not been
+    /// answered yet.
     Verifying(CarriedAttempt),
-    /// The empty query is answered, and the last byte is held back for a moment.
+    /// The empty query is answered; the last byte is held back for a short time.
     HoldingLastByte(CarriedAttempt),
-    /// All of the attempt is written.
+    /// The whole attempt is written.
     AwaitingAnswer(CarriedAttempt, PartialAnswer),
-    /// The answer has come, but not yet ReadyForQuery.
+    /// The answer is complete; ReadyForQuery has not arrived.
     AwaitingReady,
 }
 
@@ -45,39 +47,39 @@
 pub(super) struct CarriedAttempt {
     pub(super) request: RequestId,
     pub(super) index: AttemptIndex,
-    /// How many bytes are written on this connection once all of the attempt is.
+    /// The number of bytes written on this connection when the whole attempt is written.
     pub(super) end_offset: u64,
-    /// Connections that broke under it before it was written.
+    /// Number of connections that broke under it before it was written.
     pub(super) broken_connections: u8,
 }
 
-/// What has come of an answer.
+/// The part of an answer received so far.
 #[derive(Default)]
 pub(super) struct PartialAnswer {
     row_description: Option<Bytes>,
     data_row: Option<Bytes>,
 }
 
-/// The bodies of a complete answer's messages.
+/// The bodies of the messages of a complete answer.
 pub(super) struct Answer {
     pub(super) row_description: Bytes,
     pub(super) data_row: Bytes,
     pub(super) command_complete: Bytes,
 }
 
-/// What a message of a pod means.
+/// The result of processing a message from a pod.
 pub(super) enum Progress {
-    /// Nothing yet, or nothing of interest.
+    /// No change.
     Pending,
-    /// The connection takes the next attempt.
+    /// The connection is available for the next attempt.
     Ready,
-    /// The empty query is answered.
+    /// The empty query was answered.
     Verified,
     /// The answer is complete.
     Answered(CarriedAttempt, Answer),
     /// The pod answered with an error.
     Failed(Option<CarriedAttempt>, AttemptOutcome),
-    /// The message has no place here.
+    /// The message is not allowed in this phase.
     ProtocolViolation,
 }
 
@@ -107,7 +109,8 @@
         matches!(self, Self::Connecting(_))
     }
 
-    /// Whether the pod can't have begun what the connection carries: its last byte is not written.
+    /// Whether the pod cannot have started what the connection carries, because its last byte is
+    /// not written.
     pub(super) fn is_unwritten(&self) -> bool {
         matches!(
             self,
@@ -115,12 +118,12 @@
         )
     }
 
-    /// Whether bytes that come belong to an answer, or to nothing.
+    /// Whether received bytes can only belong to an answer, if to anything.
     pub(super) fn expects_answer_only(&self) -> bool {
         !matches!(self, Self::Connecting(_) | Self::AwaitingReady)
     }
 
-    /// Whether a part of an answer has come.
+    /// Whether part of an answer has been received.
     pub(super) fn has_partial_answer(&self) -> bool {
         matches!(self, Self::AwaitingAnswer(_, answer) if answer.row_description.is_some())
     }
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Takes the attempt off a connection that is not up yet.
+    /// Removes the attempt from a connection that is not established yet.
     pub(super) fn take_waiting_attempt(&mut self) -> Option<CarriedAttempt> {
         match &mut self.phase {
             Phase::Connecting(attempt) => attempt.take(),
@@ -146,11 +149,11 @@
         }
     }
 
-    /// Takes a message, which may end the attempt.
+    /// Processes a message, which may end the attempt.
     pub(super) fn handle_message(&mut self, message: Message) -> Progress {
         let Message { kind, body } = message;
         match (&mut self.phase, kind) {
-            // These may come at any time.
+            // These messages may arrive at any time.
             (_, backend::NOTICE_RESPONSE | backend::PARAMETER_STATUS) => Progress::Pending,
             (Phase::Connecting(_), backend::AUTHENTICATION)
                 if decode::is_authentication_ok(&body) =>
@@ -223,7 +226,8 @@
     }
 }
 
-/// A pod that takes no more connections has not begun anything.
+/// Returns the outcome for a refused session: a pod that accepts no more connections has not
+/// started anything.
 fn outcome_of_refused_session(body: &Bytes) -> AttemptOutcome {
     match decode::sqlstate(body) {
         Some(REJECTED_SQLSTATE) => AttemptOutcome::Rejected,
--- a/crates/postgres-proxy/src/service/requests.rs
+++ b/crates/postgres-proxy/src/service/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: each is taken from a client's statement, and gets one final answer.
+//! Requests: each one comes from a statement of a client and gets one final response.
 
 use super::clients::FatalError;
 use super::Service;
@@ -10,25 +10,25 @@
 use limewing_postgres_protocol::encode::{self, ErrorResponse, Severity};
 use std::time::Duration;
 
-/// `too_many_connections`: the request has had no effect.
+/// `too_many_connections`: the request had no effect.
 const REJECTED_SQLSTATE: &str = "53300";
-/// `query_canceled`: the request's deadline has passed.
+/// `query_canceled`: the deadline of the request has passed.
 const TIMED_OUT_SQLSTATE: &str = "57014";
 /// `system_error`: the request failed.
 const FAILED_SQLSTATE: &str = "58000";
 
 impl Service {
-    /// Takes a request from a client's statement.
+    /// Accepts a request from a statement of a client.
     pub(super) fn handle_request(&mut self, client: SocketId, text: &str) {
         let statement = match self.clients.parser.parse(text) {
             Ok(statement) => statement,
             Err(error) => {
-                let error = FatalError::bad_statement(error.to_string());
+                let error = FatalError::invalid_statement(error.to_string());
                 return self.fail_session(client, error);
             }
         };
         if self.clients.request_ids.contains(&statement.id) {
-            let error = FatalError::bad_statement("the id is that of another hit that is open");
+            let error = FatalError::invalid_statement("the id is that of another hit that is open");
             return self.fail_session(client, error);
         }
         if self.has_too_many_statements(client) {
@@ -53,10 +53,10 @@
         }
     }
 
-    /// Answers that a request had no effect, and when it may be retried.
+    /// Responds that a request had no effect, and when it may be retried.
     pub(super) fn reject_request(&mut self, id: RequestId, retry_after: Duration) {
         let mut digits = itoa::Buffer::new();
-        // Zero is no advice.
+        // Zero means that no retry delay is recommended.
         let retry_after_ms = if retry_after.is_zero() {
             None
         } else {
@@ -73,7 +73,7 @@
         self.complete_request(id, out);
     }
 
-    /// Answers that a request failed, and may have had an effect.
+    /// Responds that a request failed and may have had an effect.
     pub(super) fn fail_request(&mut self, id: RequestId) {
         let has_timed_out = self
             .requests
@@ -95,7 +95,7 @@
         self.complete_request(id, out);
     }
 
-    /// Sends the final answer of a request, and ReadyForQuery behind it.
+    /// Sends the final response to a request, followed by ReadyForQuery.
     pub(super) fn complete_request(&mut self, id: RequestId, mut answer: BytesMut) {
         let Some(request) = self.requests.pending_mut(id) else {
             return;
@@ -115,14 +115,15 @@
         client.request = None;
         client.idle_since = now;
         client.was_served = true;
-        // The client of a sidecar that shuts down is to find another one. What it sent behind is still served.
+        // During a shutdown, an idle client is disconnected so that it finds another sidecar.
+        // Statements that it has already sent are still served.
         let is_closed = is_shutting_down && self.close_if_idle(socket);
         if !is_closed {
             self.read_from_client(socket);
         }
     }
 
-    /// The client of a request is gone, or no longer waits for it.
+    /// Abandons a request whose client has disconnected or no longer waits for it.
     pub(super) fn abandon_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -142,7 +143,7 @@
         self.release_request_id(statement);
     }
 
-    /// The client's id of a request that was removed may be used again.
+    /// Allows the client id of a removed request to be used again.
     pub(super) fn release_request_id(&mut self, removed: Option<Statement>) {
         if let Some(statement) = removed {
             self.clients.request_ids.remove(&statement.id);
--- a/crates/postgres-proxy/src/service/rollouts.rs
+++ b/crates/postgres-proxy/src/service/rollouts.rs
@@ -1,5 +1,5 @@
-//! The rollout service's stream: stage updates and reports of wrong answers. It may be lost for long: the sidecar goes on
-//! with what it knows, and asks again after a backoff.
+//! The stream of the rollout service: stage updates and reports of wrong answers. It may be lost
+//! for a long time: the sidecar continues with the known state, and reconnects after a backoff.
 
 use super::http_request::encode_request;
 use super::service_connection::{EndedConnection, ServiceConnections};
@@ -16,21 +16,21 @@
 use limewing_proxy_core::backoff::Backoff;
 use thiserror::Error;
 
-/// Bound of one line of the stream, in bytes.
+/// Maximum length of one line of the stream, in bytes.
 const MAX_LINE: usize = 16 * 1024;
 
-/// What is known of the newest build's rollout, and the stream that keeps it up to date.
+/// The known state of the newest build's rollout, and the stream that keeps it up to date.
 pub(super) struct RolloutTracker {
     streams: ServiceConnections,
     latest: LatestState,
     wrong_answers: WrongAnswerLog<SocketId>,
     backoff: Backoff,
-    /// The names of the classes, in the order of their numbers.
+    /// The names of the request classes, indexed by number.
     classes: Vec<String>,
 }
 
 impl RolloutTracker {
-    /// A tracker that knows nothing; the backoff's jitter is drawn from `seed`.
+    /// Creates a tracker without a known state; the jitter of the backoff is generated from `seed`.
     pub(super) fn new(classes: Vec<String>, seed: u64) -> Self {
         Self {
             streams: ServiceConnections::default(),
@@ -45,35 +45,36 @@
 /// The connection of a stream.
 pub(super) struct StageStream {
     reader: LineReader,
-    /// Ends the wait for the next line.
+    /// Limits the wait for the next line.
     timer: TimerKey,
 }
 
-/// Why a stream is over.
+/// Why a stream ended.
 #[derive(Debug, Error)]
 pub(super) enum StageStreamError {
     /// No connection could be opened.
-    #[error("no connection")]
+    #[error("cannot connect")]
     Unreachable,
     /// The connection broke.
-    #[error("the connection was lost")]
+    #[error("connection lost")]
     ConnectionLost,
-    /// The next line did not come in time.
-    #[error("the stream says nothing")]
+    /// The next line did not arrive in time.
+    #[error("no data received in time")]
     Silent,
-    /// The response came to its end.
-    #[error("the stream ended")]
+    /// The response was complete.
+    #[error("end of the response")]
     Ended,
-    /// The response can't be read.
+    /// The response is malformed.
     #[error(transparent)]
     Stream(#[from] StreamError),
-    /// A line can't be parsed.
+    /// A line cannot be parsed.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
 impl Service {
-    /// Takes the state of the newest build's rollout, from the stream or from the reply to a vote.
+    /// Applies the state of the newest build's rollout, received on the stream or in the reply to a
+    /// vote.
     pub(super) fn apply_rollout_state(
         &mut self,
         state: RolloutState,
@@ -84,7 +85,8 @@
             Some(accepted) => tracing::info!(update = ?accepted.update, "stage update"),
             None => tracing::warn!(?state, "outdated stage update dropped"),
         }
-        // What was permitted by the state before and was not sent is ended; the decision engine starts it anew.
+        // Unwritten attempts that were permitted under the previous state are ended; the decision
+        // engine starts them again.
         if let Some(closed) = accepted.and_then(|accepted| accepted.closed_build) {
             self.end_unwritten_attempts(|endpoints, pod| {
                 endpoints
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Opens a stream, if there is a rollout service and no stream.
+    /// Opens a stream, if there is a rollout service and no open stream.
     pub(super) fn open_stage_stream(&mut self) {
         let Some(address) = self.services.rollouts else {
             return;
@@ -143,7 +145,7 @@
         };
         let received = stream.reader.read(input);
         let is_over = has_ended || stream.reader.has_ended();
-        // Bytes within one line are no sign of life.
+        // Bytes within a line are no proof that the service is alive.
         if received.is_alive {
             let deadline = self.now + STAGE_STREAM_SILENCE_TIMEOUT;
             let timer = self
@@ -206,8 +208,9 @@
         }
     }
 
-    /// Follows the rollout service to a new address: that one is asked first, and the former stream read to its end. What
-    /// it sends meanwhile counts as known, and is not sent again.
+    /// Moves the stream to a new address of the rollout service. A stream is opened there
+    /// immediately, and the former one is read to its end, because messages that were sent on it
+    /// count as known and are not sent again.
     pub(super) fn move_stage_stream(&mut self) {
         if let Some(socket) = self.rollouts.streams.begin_move() {
             self.close_stage_stream(socket);
--- a/crates/postgres-proxy/src/service/service_connection.rs
+++ b/crates/postgres-proxy/src/service/service_connection.rs
@@ -1,22 +1,22 @@
-//! The connection to one of the platform's services, which may move while the connection is open.
+//! Connections to a service of the platform, whose address may change while a connection is open.
 
 use limewing_net::sockets::SocketId;
 
-/// The connections to a service that sends all the time. After a move the one to the former address is read to its end
-/// beside the new one.
+/// The connections to a service that streams updates. After a change of address, the connection to
+/// the former address is read to its end beside the new one.
 #[derive(Default)]
 pub(super) struct ServiceConnections {
     current: Option<SocketId>,
     former: Option<SocketId>,
 }
 
-/// Which of a service's connections has ended.
+/// Which connection to a service has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndedConnection {
     Current,
-    /// The one to the former address.
+    /// The connection to the former address.
     Former,
-    /// One that was given up before.
+    /// A connection that was abandoned before.
     Unknown,
 }
 
@@ -29,14 +29,14 @@
         self.current = Some(socket);
     }
 
-    /// The service has moved: the current connection becomes the former one. Returns the one that was the former one until
-    /// now, which the caller has to close.
+    /// Handles a change of address: the current connection becomes the former one. Returns the
+    /// previous former connection, which the caller must close.
     pub(super) fn begin_move(&mut self) -> Option<SocketId> {
         let current = self.current.take();
         std::mem::replace(&mut self.former, current)
     }
 
-    /// Forgets a connection that has ended.
+    /// Removes a connection that has ended.
     pub(super) fn remove(&mut self, socket: SocketId) -> EndedConnection {
         if self.former == Some(socket) {
             self.former = None;
--- a/crates/postgres-proxy/src/service/service_connection/tests.rs
+++ b/crates/postgres-proxy/src/service/service_connection/tests.rs
@@ -1,4 +1,4 @@
-//! Connections to a service that moves.
+//! Tests connections to a service whose address changes.
 
 use super::{EndedConnection, ServiceConnections};
 use limewing_net::sockets::{SocketId, Sockets};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn second_move_gives_up_the_connection_of_the_first() {
+fn second_move_abandons_the_former_connection() {
     let [first, second, _] = socket_ids();
     let mut connections = ServiceConnections::default();
     connections.set_current(first);
--- a/crates/postgres-proxy/src/service/upstream.rs
+++ b/crates/postgres-proxy/src/service/upstream.rs
@@ -1,4 +1,4 @@
-//! What comes on connections to pods: sessions, answers, losses.
+//! Input on connections to pods: sessions, answers, connection losses.
 
 use super::pod_connection::{Answer, CarriedAttempt, Phase, PodConnection, Progress};
 use super::{ConnectionRole, Service, TimerEvent};
@@ -12,16 +12,18 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-/// Bound of a DataRow, in bytes: a value and the lengths before it.
+/// Maximum length of a DataRow, in bytes: a value and the preceding lengths.
 const MAX_DATA_ROW: usize = 64 * 1024 + 64;
-/// Bound of any other message of a pod, in bytes.
+/// Maximum length of any other message from a pod, in bytes.
 const MAX_OTHER_MESSAGE: usize = 8 * 1024;
-/// Bytes of an answer beside the bodies of its three messages and of ReadyForQuery.
+/// Capacity for an answer beyond the bodies of its three messages: their headers and ReadyForQuery,
+/// in bytes.
 const ANSWER_OVERHEAD: usize = 32;
-/// The parameters of a session with a pod.
+/// Parameters of a session with a pod.
 const SESSION_PARAMETERS: [(&str, &str); 2] = [("user", "api"), ("database", "ledger")];
 
-/// Bound of a message's body by its type, in bytes; `None` if a pod sends no such message.
+/// Returns the maximum body length for a type byte, in bytes, or `None` if pods do not send this
+/// type.
 fn max_message(kind: u8) -> Option<usize> {
     match kind {
         backend::DATA_ROW => Some(MAX_DATA_ROW),
@@ -38,7 +40,7 @@
     }
 }
 
-/// Replaces the timer that bounds the present phase of a connection.
+/// Replaces the timer that limits the current phase of a connection.
 pub(super) fn replace_phase_timer(
     timers: &mut TimerWheel<TimerEvent>,
     connection: &mut PodConnection,
@@ -65,7 +67,7 @@
         self.sockets.send(socket, &out);
     }
 
-    /// The present phase of a connection has taken too long.
+    /// Handles the timeout of the current phase of a connection.
     pub(super) fn handle_pod_phase_timeout(&mut self, socket: SocketId) {
         let Some(connection) = self.pod_connection(socket) else {
             return;
@@ -75,12 +77,12 @@
             self.handle_pod_connection_lost(socket, 0, ErrorKind::TimedOut);
             self.sockets.close(socket);
         } else {
-            // The answer was not completed, or ReadyForQuery does not come.
+            // The answer or ReadyForQuery is overdue.
             self.handle_protocol_violation(socket);
         }
     }
 
-    /// A connection is gone after `written` bytes were with the system.
+    /// Handles the loss of a connection after `written` bytes were handed to the operating system.
     pub(super) fn handle_pod_connection_lost(
         &mut self,
         socket: SocketId,
@@ -146,7 +148,8 @@
         self.handle_pod_connection_lost(socket, written, ErrorKind::ConnectionReset);
     }
 
-    /// No complete message is left. An answer that has begun is complete soon.
+    /// Waits for more input after all complete messages were processed. An answer that has begun
+    /// must be completed in time.
     fn await_more_from_pod(&mut self, socket: SocketId, has_input: bool) {
         let Some(ConnectionRole::Pod(connection)) = self.connections.get_mut(&socket) else {
             return;
@@ -165,7 +168,7 @@
         self.sockets.resume_reading(socket);
     }
 
-    /// The pod takes the next attempt.
+    /// Handles ReadyForQuery: the connection is available for the next attempt.
     fn handle_ready_for_query(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Pod(connection)) = self.connections.get_mut(&socket) else {
             return;
@@ -175,13 +178,14 @@
         }
         let waiting = connection.take_waiting_attempt();
         connection.phase = Phase::Idle;
-        // More bytes than an answer has would be taken for the next one's.
+        // Extra bytes after an answer would be taken for the next answer.
         let has_more = self
             .sockets
             .input(socket)
             .is_none_or(|input| !input.is_empty())
             || self.sockets.has_peer_closed(socket);
-        // A connection to where the pod was, or to an earlier incarnation of it, is not for the next attempt.
+        // A connection to a former address or an earlier incarnation of the pod is not used for
+        // further attempts.
         let current = self.discovery.endpoints.incarnation(connection.pod);
         let is_stale = current != Some(connection.incarnation);
         match waiting {
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Bounds the time in which ReadyForQuery has to come.
+    /// Limits the wait for ReadyForQuery.
     fn await_ready_for_query(&mut self, socket: SocketId) {
         let deadline = self.now + READY_FOR_QUERY_TIMEOUT;
         let Some(ConnectionRole::Pod(connection)) = self.connections.get_mut(&socket) else {
@@ -230,7 +234,7 @@
         self.end_attempt(carried.request, carried.index, AttemptOutcome::Succeeded);
     }
 
-    /// The pod answered with an error, or takes no more connections.
+    /// Handles an error from a pod, or its refusal of further connections.
     fn handle_error_response(
         &mut self,
         socket: SocketId,
@@ -250,7 +254,7 @@
         }
     }
 
-    /// What came can't be an answer: the request may have run, and the connection is of no more use.
+    /// Handles invalid bytes from a pod: the request may have run, and the connection is closed.
     fn handle_protocol_violation(&mut self, socket: SocketId) {
         let Some(connection) = self.pod_connection(socket) else {
             return;
--- a/crates/postgres-proxy/src/service/upstream_pool.rs
+++ b/crates/postgres-proxy/src/service/upstream_pool.rs
@@ -1,8 +1,8 @@
-//! Opens connections to pods, and pools those that carry nothing.
+//! Opens connections to pods, and pools idle ones.
 
 use super::pod_connection::PodConnection;
 use super::{ConnectionRole, Service, TimerEvent};
-use crate::timeouts::{upstream_idle_timeout, CONNECTION_REST};
+use crate::timeouts::{upstream_idle_timeout, MIN_REUSE_DELAY};
 use limewing_decision::interface::{AttemptOutcome, PodId};
 use limewing_net::sockets::{is_resource_exhaustion, SocketId};
 use limewing_proxy_core::connection_pool::{ConnectionPool, IdleConnection};
@@ -10,7 +10,7 @@
 use limewing_proxy_core::eviction::IdleConnectionOwner;
 use limewing_proxy_core::idle_timeout::IdleTimeoutEstimator;
 
-/// What is known of connections to pods beside each one's state.
+/// State shared by all connections to pods.
 pub(super) struct UpstreamState {
     pub(super) pool: ConnectionPool,
     pub(super) idle_timeout: IdleTimeoutEstimator,
@@ -46,13 +46,14 @@
 }
 
 impl Service {
-    /// Takes a pooled connection on which nothing has come since it was idle: what a pod sends unasked would be taken for
-    /// the answer. Those that can't be used are closed.
+    /// Takes a pooled connection on which nothing has been received while it was idle, because
+    /// unsolicited bytes would be taken for the answer. Unusable connections are closed.
     pub(super) fn take_idle_connection(&mut self, pod: PodId) -> Option<SocketId> {
         loop {
             let now = self.now;
-            let has_rested = |idle: &IdleConnection| now >= idle.idle_since + CONNECTION_REST;
-            let idle = self.upstream.pool.take_if(pod, has_rested)?;
+            let is_past_reuse_delay =
+                |idle: &IdleConnection| now >= idle.idle_since + MIN_REUSE_DELAY;
+            let idle = self.upstream.pool.take_if(pod, is_past_reuse_delay)?;
             let socket = idle.id;
             self.timers.cancel(idle.timer);
             let idle_time = now.saturating_sub(idle.idle_since);
@@ -61,7 +62,7 @@
             let Some(connection) = self.pod_connection(socket) else {
                 continue;
             };
-            // A part of a message that came unasked is none of the next answer.
+            // A partly received unsolicited message does not belong to the next answer.
             let is_clean = !connection.decoder.is_mid_message() && connection.timer.is_none();
             if is_reusable && is_clean {
                 connection.idle_time = Some(idle_time);
@@ -71,9 +72,9 @@
         }
     }
 
-    /// Opens a connection; fails with the outcome of the attempt that it was for.
+    /// Opens a connection. On failure, returns the outcome for the attempt that needed it.
     pub(super) fn connect_to_pod(&mut self, pod: PodId) -> Result<SocketId, AttemptOutcome> {
-        // The descriptors that are left are for discovery, the rollout service and votes.
+        // The remaining descriptors are reserved for discovery, the rollout service and votes.
         if !self.make_room_for_connection() {
             return Err(AttemptOutcome::NeverSent);
         }
@@ -83,7 +84,8 @@
             .incarnation(pod)
             .ok_or(AttemptOutcome::ConnectFailed)?;
         let socket = self.sockets.connect(incarnation.address).map_err(|error| {
-            // Resources that this machine lacks are no sign of the pod: it must not be ejected for it.
+            // A lack of resources on this machine is no evidence against the pod, which must not be
+            // ejected for it.
             let is_local = is_resource_exhaustion(&error);
             tracing::warn!(%error, local = is_local, endpoint = pod.0, "cannot connect to pod");
             if is_local {
@@ -102,7 +104,7 @@
         Ok(socket)
     }
 
-    /// Keeps a connection that carries nothing for the next attempt to its pod.
+    /// Returns an idle connection to the pool, for the next attempt to its pod.
     pub(super) fn return_to_pool(&mut self, socket: SocketId) {
         let Some(pod) = self.pod_connection(socket).map(|c| c.pod) else {
             return;
@@ -120,7 +122,7 @@
         self.upstream.pool.insert(pod, idle);
     }
 
-    /// Closes a connection; what it carried is ended by the caller.
+    /// Closes a connection; the caller ends the attempt on it.
     pub(super) fn close_pod_connection(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Pod(connection)) = self.connections.remove(&socket) else {
             return;
--- a/crates/postgres-proxy/src/service/votes.rs
+++ b/crates/postgres-proxy/src/service/votes.rs
@@ -1,4 +1,4 @@
-//! Votes on the build on trial, each a call to the rollout service.
+//! Votes on the build on trial; each one is a call to the rollout service.
 
 use super::http_request::encode_request;
 use super::{ConnectionRole, Service, TimerEvent};
--- a/crates/postgres-proxy/src/stage_updates.rs
+++ b/crates/postgres-proxy/src/stage_updates.rs
@@ -1,13 +1,13 @@
-//! The state of the newest build's rollout, as the rollout service reports it.
+//! The state of the newest build's rollout, as reported by the rollout service.
 
 use limewing_decision::interface::{BuildId, Phase, StageIndex, StageUpdate};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Bound of an age in a message, in milliseconds; keeps it a number that a `Duration` can hold.
+/// Maximum age in a message, in milliseconds; it fits into a `Duration`.
 const MAX_AGE_MS: f64 = 1e9;
 
-/// An age of a message, in milliseconds; one below zero or no number counts as zero.
+/// Converts an age from a message, in milliseconds. A negative value or NaN counts as zero.
 pub(crate) fn age_from_ms(milliseconds: f64) -> Duration {
     Duration::from_millis(milliseconds.clamp(0.0, MAX_AGE_MS) as u64)
 }
@@ -37,7 +37,7 @@
 }
 
 impl RolloutState {
-    /// The state as an update for the decision engine.
+    /// Converts the state to an update for the decision engine.
     #[must_use]
     pub fn to_update(self) -> StageUpdate {
         StageUpdate {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// How far a rollout has come: it never goes back to a lower value.
+    /// Returns a measure of the progress of a rollout, which never decreases.
     fn progress(self) -> (u16, u8, u8) {
         let status = match self.status {
             Status::Progressing => 0,
@@ -75,23 +75,24 @@
     }
 }
 
-/// A state that is no older than those before it.
+/// A state that is not older than the previous ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AcceptedState {
     /// The update for the decision engine.
     pub update: StageUpdate,
-    /// The build that is closed to attempts that were not sent yet: one that is rolled back, or whose cap was lowered. That
-    /// binds soon, and an attempt that was permitted before may be on its way for longer.
+    /// A build to which no unsent attempt may be sent any more, because it is being rolled back or
+    /// its cap was lowered. Such a change takes effect soon, while an attempt permitted before may
+    /// remain unsent for longer.
     pub closed_build: Option<BuildId>,
 }
 
-/// Drops states that were overtaken: the stream and the replies to votes come on connections of their own, and a late reply
-/// may have a cap that has been lowered since.
+/// Drops outdated states. The stream and the replies to votes arrive on separate connections, and a
+/// late reply may contain a cap that has been lowered since.
 #[derive(Debug, Default)]
 pub struct LatestState(Option<RolloutState>);
 
 impl LatestState {
-    /// Takes a state; `None` if it was overtaken.
+    /// Records a state; returns `None` if it is outdated.
     pub fn accept(&mut self, state: RolloutState) -> Option<AcceptedState> {
         let previous = self.0;
         if previous.is_some_and(|previous| previous.progress() > state.progress()) {
--- a/crates/postgres-proxy/src/statement.rs
+++ b/crates/postgres-proxy/src/statement.rs
@@ -1,4 +1,5 @@
-//! The one form of statement that is a request, and its comment. What has another form goes to no pod.
+//! Parses the statements that are requests, with their comments. No other statement is sent to a
+//! pod.
 
 use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
 use std::collections::BTreeMap;
@@ -7,63 +8,63 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bound of a row's value, in bytes.
+/// Maximum length of the value of a row, in bytes.
 const MAX_VALUE: usize = 64 * 1024;
-/// Bytes of a statement beside the value.
+/// Maximum length of a statement apart from the value, in bytes.
 const MAX_OVERHEAD: usize = 4 * 1024;
-/// Bound of a statement, in bytes: a value in hexadecimal digits, and the words round it.
+/// Maximum length of a statement, in bytes: a value in hexadecimal digits and the surrounding text.
 pub const MAX_STATEMENT: usize = 2 * MAX_VALUE + MAX_OVERHEAD;
-/// Bound of an id, an idempotency key or a row's handle, in bytes.
+/// Maximum length of an id, an idempotency key or the handle of a row, in bytes.
 const MAX_TOKEN: usize = 64;
-/// What the comment begins and ends with.
+/// Delimiters of the comment.
 const COMMENT_START: &str = " /* ";
 const COMMENT_END: &str = " */";
 
-/// Why a statement is no request; the client gets this text.
+/// Why a statement is not a request; the text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StatementError {
-    /// Its words are others than those of the two forms.
+    /// It is neither of the two supported statements.
     #[error("the statement has not the form that is served")]
-    Form,
-    /// It has no comment, or more behind it.
+    UnsupportedStatement,
+    /// It has no comment, or text after the comment.
     #[error("the statement does not end with its comment")]
-    NoComment,
-    /// A part of the comment is no `name=value`.
+    MissingComment,
+    /// A field of the comment is not of the form `name=value`.
     #[error("the comment holds no name and value")]
-    NoNameAndValue,
-    /// The comment has a field that is not defined.
+    InvalidField,
+    /// The comment has an undefined field.
     #[error("the comment holds a name that is not known")]
-    UnknownName,
+    UnknownField,
     /// The comment has a field twice.
     #[error("the comment holds a name twice")]
-    RepeatedName,
-    /// `id` is missing, empty, too long, or no token.
+    DuplicateField,
+    /// `id` is missing, empty, too long, or not a token.
     #[error("the comment has no id that can be used")]
-    Id,
+    InvalidId,
     /// `c` is missing.
     #[error("the comment names no class")]
-    NoClass,
-    /// `c` is no class of the settings.
+    MissingClass,
+    /// `c` is not a class of the settings.
     #[error("the class is not known")]
     UnknownClass,
-    /// `t` is missing, and the settings have tenants.
+    /// `t` is missing, although the settings define tenants.
     #[error("the comment names no tenant")]
-    NoTenant,
-    /// `t` is no tenant of the settings.
+    MissingTenant,
+    /// `t` is not a tenant of the settings.
     #[error("the tenant is not known")]
     UnknownTenant,
-    /// `k` is no token, or is missing where its class needs one.
+    /// `k` is not a token, or is missing although its class requires one.
     #[error("the comment has no idempotency key that can be used")]
-    IdempotencyKey,
+    InvalidIdempotencyKey,
     /// `d` is missing.
     #[error("the comment has no deadline")]
-    NoDeadline,
-    /// `d` is no number of milliseconds below 2^32.
+    MissingDeadline,
+    /// `d` is not a number of milliseconds below 2^32.
     #[error("the deadline is not a number of milliseconds")]
-    Deadline,
+    InvalidDeadline,
 }
 
-/// What a statement does.
+/// The operation of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
     /// Reads a row.
@@ -72,29 +73,30 @@
     Insert,
 }
 
-/// A request's statement.
+/// The statement of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// What it does.
+    /// Its operation.
     pub verb: Verb,
-    /// The request's id, as its client names it.
+    /// The id that the client gave to the request.
     pub id: String,
-    /// The class that it names.
+    /// The request class.
     pub class: ClassId,
-    /// The tenant that it names, if the settings have tenants.
+    /// The tenant, if the settings define tenants.
     pub tenant: Option<TenantId>,
-    /// A hash of the row's handle.
+    /// A hash of the handle of the row.
     pub routing_key: Option<RoutingKey>,
-    /// How long its client waits for the answer.
+    /// How long the client waits for the response.
     pub timeout: Duration,
-    /// The statement as it came.
+    /// The original text of the statement.
     pub text: String,
-    /// Where in `text` the timeout's digits stand.
+    /// Range of the digits of the timeout in `text`.
     timeout_range: Range<usize>,
 }
 
 impl Statement {
-    /// The statement with another timeout, as a pod gets it. Fractions of a millisecond are left out.
+    /// Returns the statement with another timeout, as it is sent to a pod. Fractions of a
+    /// millisecond are dropped.
     #[must_use]
     pub fn with_timeout(&self, timeout: Duration) -> String {
         let mut digits = itoa::Buffer::new();
@@ -105,22 +107,22 @@
     }
 }
 
-/// A class as a comment names it.
+/// A class that a comment may name.
 #[derive(Clone, Copy)]
 struct ClassEntry {
     id: ClassId,
     needs_idempotency_key: bool,
 }
 
-/// Parses statements by the names of the settings.
+/// Parses statements, using the class and tenant names of the settings.
 pub struct StatementParser {
     classes: BTreeMap<String, ClassEntry>,
     tenants: BTreeMap<String, TenantId>,
 }
 
 impl StatementParser {
-    /// A parser for classes and tenants in the order of their numbers. `needs_idempotency_key` says for each class
-    /// whether its statements have to have a key.
+    /// Creates a parser for classes and tenants in the order of their numbers.
+    /// `needs_idempotency_key` specifies for each class whether its statements must have a key.
     #[must_use]
     pub fn new(classes: &[String], needs_idempotency_key: &[bool], tenants: &[String]) -> Self {
         let class_entry = |index: usize| ClassEntry {
@@ -143,35 +145,35 @@
     /// Parses a statement.
     ///
     /// # Errors
-    /// Why it is no request.
+    /// Returns an error if the statement is not a request.
     pub fn parse(&self, text: &str) -> Result<Statement, StatementError> {
-        let words = parse_words(text).ok_or(StatementError::Form)?;
-        let comment = words
+        let sql = parse_sql(text).ok_or(StatementError::UnsupportedStatement)?;
+        let comment = sql
             .rest
             .strip_prefix(COMMENT_START)
             .and_then(|rest| rest.strip_suffix(COMMENT_END))
-            .ok_or(StatementError::NoComment)?;
+            .ok_or(StatementError::MissingComment)?;
         let offset = text.len() - comment.len() - COMMENT_END.len();
         let fields = CommentFields::parse(comment, offset)?;
         let id = fields
             .id
             .filter(|id| is_token(id))
-            .ok_or(StatementError::Id)?;
+            .ok_or(StatementError::InvalidId)?;
         let class = self.class(fields.class)?;
         let tenant = self.tenant(fields.tenant)?;
         let has_valid_key = fields
             .idempotency_key
             .map_or(!class.needs_idempotency_key, is_token);
         if !has_valid_key {
-            return Err(StatementError::IdempotencyKey);
+            return Err(StatementError::InvalidIdempotencyKey);
         }
-        let timeout = fields.timeout.ok_or(StatementError::NoDeadline)?;
+        let timeout = fields.timeout.ok_or(StatementError::MissingDeadline)?;
         Ok(Statement {
-            verb: words.verb,
+            verb: sql.verb,
             id: id.to_owned(),
             class: class.id,
             tenant,
-            routing_key: Some(routing_key(words.handle)),
+            routing_key: Some(routing_key(sql.handle)),
             timeout: parse_timeout(timeout.text)?,
             text: text.to_owned(),
             timeout_range: timeout.range,
@@ -179,7 +181,7 @@
     }
 
     fn class(&self, name: Option<&str>) -> Result<ClassEntry, StatementError> {
-        let name = name.ok_or(StatementError::NoClass)?;
+        let name = name.ok_or(StatementError::MissingClass)?;
         let class = self.classes.get(name);
         class.copied().ok_or(StatementError::UnknownClass)
     }
@@ -188,7 +190,7 @@
         if self.tenants.is_empty() {
             return Ok(None);
         }
-        let name = name.ok_or(StatementError::NoTenant)?;
+        let name = name.ok_or(StatementError::MissingTenant)?;
         let tenant = self.tenants.get(name);
         tenant
             .copied()
@@ -197,7 +199,7 @@
     }
 }
 
-/// The value of `d`, and where it stands in the statement.
+/// The value of `d`, and its position in the statement.
 struct TimeoutField<'a> {
     text: &'a str,
     range: Range<usize>,
@@ -214,12 +216,12 @@
 }
 
 impl<'a> CommentFields<'a> {
-    /// Parses a comment that begins at `offset` of its statement.
+    /// Parses a comment that starts at `offset` in its statement.
     fn parse(comment: &'a str, offset: usize) -> Result<Self, StatementError> {
         let mut fields = Self::default();
         let mut pair_start = offset;
         for pair in comment.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(StatementError::NoNameAndValue)?;
+            let (name, value) = pair.split_once('=').ok_or(StatementError::InvalidField)?;
             let value_start = pair_start + name.len() + 1;
             pair_start += pair.len() + 1;
             let is_repeated = match name {
@@ -232,55 +234,55 @@
                     let timeout = TimeoutField { text: value, range };
                     fields.timeout.replace(timeout).is_some()
                 }
-                // A mark that the client repeats the request.
+                // Set if the client is repeating the request.
                 "r" if value == "1" => false,
-                _ => return Err(StatementError::UnknownName),
+                _ => return Err(StatementError::UnknownField),
             };
             if is_repeated {
-                return Err(StatementError::RepeatedName);
+                return Err(StatementError::DuplicateField);
             }
         }
         Ok(fields)
     }
 }
 
-/// No time left is a timeout too: such a request is taken, and given up at once.
+/// Parses a timeout. Zero is valid: such a request is accepted and immediately fails.
 fn parse_timeout(text: &str) -> Result<Duration, StatementError> {
     let has_only_digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     if !has_only_digits {
-        return Err(StatementError::Deadline);
+        return Err(StatementError::InvalidDeadline);
     }
-    let milliseconds: u32 = text.parse().map_err(|_| StatementError::Deadline)?;
+    let milliseconds: u32 = text.parse().map_err(|_| StatementError::InvalidDeadline)?;
     Ok(Duration::from_millis(milliseconds.into()))
 }
 
-/// A statement's words before its comment.
-struct Words<'a> {
+/// The SQL of a statement, without its comment.
+struct ParsedSql<'a> {
     verb: Verb,
-    /// The row's handle.
+    /// The handle of the row.
     handle: &'a str,
-    /// What follows the words.
+    /// The text that follows the SQL.
     rest: &'a str,
 }
 
-fn parse_words(text: &str) -> Option<Words<'_>> {
-    let words = match text.strip_prefix("SELECT blob FROM rows WHERE handle = '") {
+fn parse_sql(text: &str) -> Option<ParsedSql<'_>> {
+    let sql = match text.strip_prefix("SELECT blob FROM rows WHERE handle = '") {
         Some(rest) => parse_select(rest)?,
         None => parse_insert(text)?,
     };
-    is_token(words.handle).then_some(words)
+    is_token(sql.handle).then_some(sql)
 }
 
-fn parse_select(rest: &str) -> Option<Words<'_>> {
+fn parse_select(rest: &str) -> Option<ParsedSql<'_>> {
     let (handle, rest) = rest.split_once('\'')?;
-    Some(Words {
+    Some(ParsedSql {
         verb: Verb::Select,
         handle,
         rest,
     })
 }
 
-fn parse_insert(text: &str) -> Option<Words<'_>> {
+fn parse_insert(text: &str) -> Option<ParsedSql<'_>> {
     let rest = text.strip_prefix("INSERT INTO rows (handle, blob) VALUES ('")?;
     let (handle, rest) = rest.split_once('\'')?;
     let (value, rest) = rest.strip_prefix(", '\\x")?.split_once('\'')?;
@@ -289,7 +291,7 @@
     if !is_hex || value.len() > 2 * MAX_VALUE {
         return None;
     }
-    Some(Words {
+    Some(ParsedSql {
         verb: Verb::Insert,
         handle,
         rest,
--- a/crates/postgres-proxy/src/timeouts.rs
+++ b/crates/postgres-proxy/src/timeouts.rs
@@ -1,69 +1,78 @@
-//! How long this proxy waits for each party, and by when its own steps are due. No I/O and no clock.
+//! Timeouts of this proxy, and deadlines of its own steps. No I/O and no clock.
 
 use limewing_proxy_core::shutdown::ShutdownTimeouts;
 use std::time::Duration;
 
-/// A client whose connection is idle for longer, without a complete message, is disconnected.
+/// A client is disconnected if its connection is idle for longer than this without a complete
+/// message.
 pub const CLIENT_MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often clients' connections are looked through for those that have been idle for long.
+/// Interval between searches for client connections that exceed the idle timeout.
 pub const IDLE_CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A client that can't be understood gets its error after this time, and is read no further meanwhile, so that one that
-/// sends the same again at once does not take the processor from the others.
+/// Delay before a client gets the error for an invalid message. Nothing is read from it during this
+/// time, so that a client that resends the same message immediately does not take processor time
+/// from others.
 pub const PROTOCOL_ERROR_DELAY: Duration = Duration::from_millis(1000);
-/// The final answer of a request is on its way this long before its deadline, or an eighth of its timeout, if that is
-/// less.
+/// The final response to a request is sent this long before its deadline, or an eighth of its
+/// timeout before it if that is less.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
-/// See [`RESPONSE_MARGIN`].
+/// Divisor of the timeout; see [`RESPONSE_MARGIN`].
 const RESPONSE_MARGIN_DIVISOR: u32 = 8;
 
-/// How long before its client's deadline a request with this timeout has to be answered.
+/// Returns how long before the deadline of its client a request with this timeout must be answered.
 #[must_use]
 pub fn response_margin(timeout: Duration) -> Duration {
     RESPONSE_MARGIN.min(timeout / RESPONSE_MARGIN_DIVISOR)
 }
 
-/// How long a pod may take for ReadyForQuery, once it has answered.
+/// Maximum time between the answer of a pod and ReadyForQuery.
 pub const READY_FOR_QUERY_TIMEOUT: Duration = Duration::from_millis(200);
-/// An answer that has begun is complete within this time, as a pod writes it in one go. Bounds the wait for lengths that
-/// don't fit, for which nothing more ever comes; a pod that stalls in the middle of an answer is cut off by it.
+/// Maximum time between the beginning and the end of an answer, which a pod writes at once. Limits
+/// the wait for bytes that never arrive because a length is wrong; a pod that stalls in the middle
+/// of an answer is disconnected.
 pub const ANSWER_COMPLETION_TIMEOUT: Duration = Duration::from_millis(150);
-/// A connection that has just carried an answer carries no attempt for this time. A duplicate of the answer, which some
-/// pods send some milliseconds late, then is seen, instead of being taken for the next answer.
-pub const CONNECTION_REST: Duration = Duration::from_millis(50);
-/// How long the last byte of an attempt is held back once the empty query before it is answered: a reset that the first
-/// bytes caused comes right behind that answer.
+/// Minimum time between an answer on a connection and the next attempt. Some pods send a duplicate
+/// of the answer some milliseconds later; within this time it is detected, instead of being taken
+/// for the next answer.
+pub const MIN_REUSE_DELAY: Duration = Duration::from_millis(50);
+/// How long the last byte of an attempt is held back after the preceding empty query is answered: a
+/// reset caused by the first bytes arrives immediately after that answer.
 pub const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
-/// The part of the pods' idle timeout after which idle connections are closed from this side, so that the pod's own close
-/// does not cross an attempt.
+/// Fraction of the idle timeout of the pods after which this side closes idle connections, so that
+/// a pod does not close one while an attempt is being sent.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
-/// How long an idle connection to a pod is kept, where pods close theirs after `pod_idle_timeout`.
+/// Returns how long an idle connection to a pod is kept, where pods close theirs after
+/// `pod_idle_timeout`.
 #[must_use]
 pub fn upstream_idle_timeout(pod_idle_timeout: Duration) -> Duration {
     pod_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION)
 }
 
-/// What discovery has to tell counts as known after this time, whether it arrived or not: a list whose watch is lost is
-/// relied on for so long.
+/// How long an endpoint list is relied on after its watch is lost: after this time, the sidecar is
+/// expected to know what discovery has sent, whether it arrived or not.
 pub const ENDPOINT_LEASE: Duration = Duration::from_secs(6);
-/// The same once a new configuration has moved discovery.
+/// The same as [`ENDPOINT_LEASE`], after a new configuration has changed the address of discovery.
 pub const ENDPOINT_LEASE_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// An empty line comes on a watch every two seconds; a watch without a complete line or object for longer is lost.
+/// Discovery sends an empty line on a watch every two seconds; a watch without a complete line or
+/// object for this time is lost.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2300);
-/// The answer to a watch begins within this time; its first object is then waited for as any other. Discovery works
-/// through its calls in turn, and refuses one that waited for two seconds; to give up sooner would leave the call in its
-/// queue, to be worked on for nobody.
+/// Maximum time until the response to a watch request begins; its first object is then subject to
+/// [`WATCH_SILENCE_TIMEOUT`]. Discovery processes its calls in turn, and rejects one that has
+/// waited for two seconds. With a shorter timeout, an abandoned call would stay in its queue and be
+/// processed in vain.
 pub const WATCH_ANSWER_TIMEOUT: Duration = Duration::from_millis(2100);
-/// The stream of rollouts has a line every second; without one for longer it is lost.
+/// The rollout service sends a line on its stream every second; a stream without one for this time
+/// is lost.
 pub const STAGE_STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A new configuration may be half written when its signal comes: one that can't be used is read again after this delay,
-/// then after twice as long each time. What it moves binds after 4 s.
+/// Delay before an invalid configuration is read again; doubled after each failure. The file may be
+/// only partly written when the signal arrives. A changed address takes effect after 4 s.
 const RELOAD_DELAY: Duration = Duration::from_millis(50);
-/// How often such a configuration is read again.
+/// Maximum number of times that an invalid configuration is read again.
 const MAX_RELOADS: u32 = 6;
 
-/// The delay before a configuration that could not be used is read again; `None` after too many `failures`.
+/// Returns the delay before an invalid configuration is read again, or `None` after too many
+/// `failures`.
 #[must_use]
 pub fn reload_delay(failures: u32) -> Option<Duration> {
     if failures >= MAX_RELOADS {
@@ -72,21 +81,22 @@
     Some(RELOAD_DELAY * (1 << failures))
 }
 
-/// How long connections are accepted after the shutdown has begun: clients still come for 0.2 to 0.4 s by the platform's
-/// protocol, and some are on their way.
+/// How long connections are accepted after the shutdown has begun: under the platform protocol,
+/// clients still connect for 0.2 to 0.4 s, and some connections are in transit.
 pub const STOP_ACCEPTING_TIMEOUT: Duration = Duration::from_millis(550);
-/// A sidecar that shuts down is killed no sooner than the longest deadline, counted as this where it is longer, and
-/// [`KILL_DELAY`] more.
+/// A sidecar that is shutting down is killed no earlier than after the longest deadline, but at
+/// most this, plus [`KILL_DELAY`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// See [`MAX_COUNTED_DEADLINE`].
+/// Time between the longest deadline and the kill; see [`MAX_COUNTED_DEADLINE`].
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// So long before the kill every request is answered, as its client still has to read the answer.
+/// Every request is answered this long before the kill, because its client still has to read the
+/// response.
 const RESPOND_BEFORE_KILL: Duration = Duration::from_millis(200);
-/// So long before the kill the process exits.
+/// The process exits this long before the kill.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(50);
 
-/// The times of a shutdown, from the longest timeout that the settings name. A request with a longer one of its own is cut
-/// short.
+/// Returns the timeouts of a shutdown, given the longest client timeout in the settings. A request
+/// with a longer timeout is cut short.
 #[must_use]
 pub fn shutdown_timeouts(longest_client_timeout: Duration) -> ShutdownTimeouts {
     let kill = longest_client_timeout.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
--- a/crates/postgres-proxy/src/timeouts/tests.rs
+++ b/crates/postgres-proxy/src/timeouts/tests.rs
@@ -1,4 +1,4 @@
-//! The times of this proxy fit those of the platform's protocol.
+//! Tests that the timeouts of this proxy are compatible with the platform protocol.
 
 use super::{
     reload_delay, response_margin, shutdown_timeouts, ENDPOINT_LEASE, WATCH_ANSWER_TIMEOUT,
@@ -12,17 +12,19 @@
     Duration::from_millis(ms)
 }
 
-/// What a silent watch misses binds after 6 s: a first retry that is silent too leaves time for a second one.
+/// An update missed by a silent watch takes effect after 6 s: if the first retry gets no response
+/// either, there is time for a second one.
 #[test]
 fn silent_watch_is_retried_twice_within_the_lease() {
-    let second =
+    let second_retry =
         WATCH_SILENCE_TIMEOUT + WATCH_RETRY_DELAY + WATCH_ANSWER_TIMEOUT + WATCH_RETRY_DELAY;
-    assert!(second < ENDPOINT_LEASE, "{second:?}");
+    assert!(second_retry < ENDPOINT_LEASE, "{second_retry:?}");
 }
 
-/// What a new configuration moves binds after 4 s: the last look at a file that is half written comes before.
+/// A changed address takes effect after 4 s: the last attempt to read a partly written file comes
+/// before that.
 #[test]
-fn configuration_is_reloaded_in_time_and_not_for_ever() {
+fn configuration_reload_is_retried_in_time_and_a_limited_number_of_times() {
     let delays: Vec<Duration> = (0..100).map_while(reload_delay).collect();
     assert!(
         delays.len() > 1 && delays.iter().sum::<Duration>() < ms(4000),
@@ -30,7 +32,7 @@
     );
 }
 
-/// The kill comes no sooner than the longest deadline, 3 s at most, and 0.7 s.
+/// The kill comes no earlier than 0.7 s after the longest deadline, which counts as at most 3 s.
 #[rstest]
 #[case::short(100, 800)]
 #[case::usual(2500, 3200)]
--- a/crates/postgres-proxy/src/unsent_attempts.rs
+++ b/crates/postgres-proxy/src/unsent_attempts.rs
@@ -1,24 +1,27 @@
-//! What becomes of an attempt whose connection failed: what the failure proves, and whether another connection is tried.
+//! Handling of attempts whose connection failed: what the failure proves, and whether another
+//! connection is tried.
 
 use std::io::ErrorKind;
 
-/// Connections that may break under an attempt before it is written; then the pod counts as unreachable. More than one, as
-/// a pod, or a middlebox before it, may have forgotten idle connections.
+/// Maximum number of connections that break under an unwritten attempt before the pod counts as
+/// unreachable. It is more than one because a pod, or a middlebox in front of it, may have dropped
+/// idle connections.
 const MAX_BROKEN_CONNECTIONS: u8 = 3;
 
-/// What becomes of an attempt whose connection ended, or brought what can't be an answer.
+/// How to continue an attempt whose connection was lost, or delivered an invalid answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureVerdict {
-    /// It was not written: another connection to the same pod carries it.
-    Redial,
-    /// It was not written, and the pod counts as unreachable.
+    /// The attempt was not written: retry it on another connection to the same pod.
+    Reconnect,
+    /// The attempt was not written, and the pod counts as unreachable.
     Unreachable,
-    /// It may have run.
+    /// The pod may have run the attempt.
     MayHaveRun,
 }
 
-/// A connection ended under an attempt. `is_unwritten` means that the attempt's last byte was not with the system by then;
-/// `broken_connections` had ended under it before.
+/// Returns the verdict for a lost connection. `is_unwritten` means that the last byte of the
+/// attempt had not been handed to the operating system; `broken_connections` is the number of
+/// connections that broke under the attempt before.
 #[must_use]
 pub fn after_connection_loss(
     is_unwritten: bool,
@@ -28,17 +31,18 @@
     if !is_unwritten {
         return FailureVerdict::MayHaveRun;
     }
-    // A pod that refuses or is silent will do so again; a broken connection may be at fault alone.
+    // A pod that refuses connections or does not respond will do so again; a reset may concern a
+    // single connection only.
     let is_persistent = matches!(error, ErrorKind::ConnectionRefused | ErrorKind::TimedOut);
     if is_persistent || broken_connections >= MAX_BROKEN_CONNECTIONS {
         FailureVerdict::Unreachable
     } else {
-        FailureVerdict::Redial
+        FailureVerdict::Reconnect
     }
 }
 
-/// A pod sent what can't be an answer: while the session was set up (`is_connecting`), while the last byte was held back
-/// (`is_unwritten`), or after it.
+/// Returns the verdict for an invalid message from a pod, received during session startup
+/// (`is_connecting`), while the last byte was held back (`is_unwritten`), or after it was sent.
 #[must_use]
 pub fn after_protocol_violation(
     is_connecting: bool,
@@ -46,12 +50,13 @@
     broken_connections: u8,
 ) -> FailureVerdict {
     if !is_unwritten {
-        // As after a reset: stray bytes don't speak against a build.
+        // Treated like a reset: unexpected bytes are no evidence against a build.
         return FailureVerdict::MayHaveRun;
     }
-    // What comes before the answer to the empty query is left from the request before: the connection's fault.
+    // Bytes before the answer to the empty query are left over from the previous request, which is
+    // a fault of this connection.
     if !is_connecting && broken_connections < MAX_BROKEN_CONNECTIONS {
-        FailureVerdict::Redial
+        FailureVerdict::Reconnect
     } else {
         FailureVerdict::Unreachable
     }
--- a/crates/postgres-proxy/src/unsent_attempts/tests.rs
+++ b/crates/postgres-proxy/src/unsent_attempts/tests.rs
@@ -1,4 +1,4 @@
-//! What the failure of a connection proves about its attempt.
+//! Tests what the failure of a connection proves about its attempt.
 
 use super::{after_connection_loss, after_protocol_violation, FailureVerdict};
 use rstest::rstest;
@@ -7,7 +7,7 @@
 #[rstest]
 #[case::refused(true, ErrorKind::ConnectionRefused, 0, FailureVerdict::Unreachable)]
 #[case::timed_out(true, ErrorKind::TimedOut, 0, FailureVerdict::Unreachable)]
-#[case::reset_early(true, ErrorKind::ConnectionReset, 0, FailureVerdict::Redial)]
+#[case::reset_early(true, ErrorKind::ConnectionReset, 0, FailureVerdict::Reconnect)]
 #[case::reset_early_too_often(true, ErrorKind::ConnectionReset, 3, FailureVerdict::Unreachable)]
 #[case::reset_late(false, ErrorKind::ConnectionReset, 0, FailureVerdict::MayHaveRun)]
 #[case::refused_late(false, ErrorKind::ConnectionRefused, 0, FailureVerdict::MayHaveRun)]
@@ -24,7 +24,7 @@
 }
 
 #[rstest]
-#[case::left_from_the_request_before(false, true, 0, FailureVerdict::Redial)]
+#[case::left_from_the_previous_request(false, true, 0, FailureVerdict::Reconnect)]
 #[case::too_often(false, true, 3, FailureVerdict::Unreachable)]
 #[case::during_session_start(true, true, 0, FailureVerdict::Unreachable)]
 #[case::instead_of_an_answer(false, false, 0, FailureVerdict::MayHaveRun)]
--- a/crates/postgres-proxy/src/wrong_answers.rs
+++ b/crates/postgres-proxy/src/wrong_answers.rs
@@ -1,44 +1,46 @@
-//! Reports that a pod gave a wrong answer, as the rollout service passes them on.
+//! Reports of wrong answers from pods, relayed by the rollout service.
 
 use serde::Deserialize;
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// A wrong answer: of which pod, in which class, and how long ago its attempt was sent.
+/// A wrong answer: its pod, its request class, and the age of its attempt.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WrongAnswer {
-    /// The pod's name in the endpoint list.
+    /// The name of the pod in the endpoint list.
     #[serde(rename = "InstanceId")]
     pub host: String,
-    /// The class's name in the settings.
+    /// The name of the request class in the settings.
     #[serde(rename = "Lane")]
     pub class: String,
-    /// Milliseconds since its attempt was sent.
+    /// Time since its attempt was sent, in milliseconds.
     #[serde(default)]
     pub age_ms: f64,
 }
 
-/// Two streams report the same wrong answer within this time...
+/// Maximum time between the reports of the same wrong answer on two streams.
 const DUPLICATE_WINDOW: Duration = Duration::from_secs(3);
-/// ...and with times of the attempt no further apart than this.
+/// Maximum difference between the send times in these reports.
 const SENT_AT_TOLERANCE: Duration = Duration::from_millis(20);
-/// Reports that are remembered: some of each pod of a large fleet, and no more of a stream that reports without end. Beyond it
-/// the oldest is forgotten, and may count twice.
-const MAX_REMEMBERED: usize = 4096;
+/// Maximum number of stored reports: enough for several from each pod of a large fleet, and a limit
+/// for a stream that reports without end. Beyond it, the oldest report is dropped, and its wrong
+/// answer may be counted twice.
+const MAX_STORED_REPORTS: usize = 4096;
 
-struct Remembered<S> {
+struct StoredReport<S> {
     stream: S,
-    /// A hash of the names in the report: names may be as long as a line.
+    /// A hash of the names in the report, which may be as long as a line.
     names_hash: u64,
     sent_at: Duration,
     received_at: Duration,
 }
 
-/// Recognizes wrong answers that two streams report: while the stream of the rollout service's former address stands beside
-/// the new one, each may report the same. `S` identifies a stream.
-pub struct WrongAnswerLog<S>(VecDeque<Remembered<S>>);
+/// Detects wrong answers that are reported on two streams. While the stream from the former address
+/// of the rollout service is open beside the new one, both may report the same wrong answer. `S`
+/// identifies a stream.
+pub struct WrongAnswerLog<S>(VecDeque<StoredReport<S>>);
 
 impl<S> Default for WrongAnswerLog<S> {
     fn default() -> Self {
@@ -55,9 +57,9 @@
         sent_at: Duration,
         now: Duration,
     ) -> bool {
-        self.forget_old(now);
+        self.remove_expired(now);
         let names_hash = hash_names(report);
-        let is_duplicate = |other: &Remembered<S>| {
+        let is_duplicate = |other: &StoredReport<S>| {
             other.stream != stream
                 && other.names_hash == names_hash
                 && other.sent_at.abs_diff(sent_at) <= SENT_AT_TOLERANCE
@@ -66,10 +68,10 @@
             self.0.remove(index);
             return false;
         }
-        if self.0.len() >= MAX_REMEMBERED {
+        if self.0.len() >= MAX_STORED_REPORTS {
             self.0.pop_front();
         }
-        self.0.push_back(Remembered {
+        self.0.push_back(StoredReport {
             stream,
             names_hash,
             sent_at,
@@ -78,9 +80,9 @@
         true
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        let is_old = |report: &mut Remembered<S>| now > report.received_at + DUPLICATE_WINDOW;
-        while self.0.pop_front_if(is_old).is_some() {}
+    fn remove_expired(&mut self, now: Duration) {
+        let is_expired = |report: &mut StoredReport<S>| now > report.received_at + DUPLICATE_WINDOW;
+        while self.0.pop_front_if(is_expired).is_some() {}
     }
 }
 
--- a/crates/postgres-proxy/tests/sockets/pods.rs
+++ b/crates/postgres-proxy/tests/sockets/pods.rs
@@ -5,7 +5,7 @@
     answer, listing, Answer, Client, Config, Discovery, Does, Listed, Pod,
 };
 use limewing_postgres_protocol::encode;
-use limewing_postgres_proxy::timeouts::{ANSWER_COMPLETION_TIMEOUT, CONNECTION_REST};
+use limewing_postgres_proxy::timeouts::{ANSWER_COMPLETION_TIMEOUT, MIN_REUSE_DELAY};
 use rstest::rstest;
 use std::net::TcpListener;
 use std::thread::sleep;
@@ -119,7 +119,7 @@
     for row in ["7f3a", "7f3b", "7f3c"] {
         client.asks(&ask_of(row, "pay", 2000));
         assert_eq!(client.hears(), Answer::Row("red".into()));
-        sleep(CONNECTION_REST * 2);
+        sleep(MIN_REUSE_DELAY * 2);
     }
     assert_eq!(pod.links(), 1);
 }
@@ -138,7 +138,7 @@
     for value in ["red", "blue"] {
         client.asks(&ask("pay", 2000));
         assert_eq!(client.hears(), Answer::Row(value.into()));
-        sleep(CONNECTION_REST * 2);
+        sleep(MIN_REUSE_DELAY * 2);
     }
     assert_eq!(pod.links(), links);
 }
@@ -160,7 +160,7 @@
     for _ in 0..5 {
         client.asks(&ask("look", 2000));
         assert_eq!(client.hears(), Answer::Row("red".into()));
-        sleep(CONNECTION_REST * 2);
+        sleep(MIN_REUSE_DELAY * 2);
     }
     assert_eq!(pod.links(), 1);
 }
@@ -223,7 +223,7 @@
     client.asks(&ask("pay", 2000));
     assert_eq!(client.hears(), Answer::Row("red".into()));
     assert!(pod.hears().starts_with("SELECT"));
-    sleep(CONNECTION_REST * 2);
+    sleep(MIN_REUSE_DELAY * 2);
     pod.go_on.send(()).unwrap();
     assert_eq!(pod.hears(), "said");
     client.asks(&ask("pay", 5000));
