--- a/crates/postgres-proxy/tests/endpoint_list.rs
+++ b/crates/postgres-proxy/tests/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! What discovery's listings change, whatever their order and state.
+//! Tests the changes that listings from discovery make to the endpoint list, in any order and
+//! state.
 
 use limewing_decision::interface::{EndpointUpdate, PodState};
 use limewing_emulators::platform::{listing, Listed};
@@ -8,90 +9,99 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-fn at(port: u16) -> SocketAddr {
+fn local_address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn told(seq: u64, whole: bool, pods: &[Listed]) -> EndpointListing {
-    serde_json::from_str(&listing(seq, whole, pods)).unwrap()
+fn parse_listing(seq: u64, is_complete: bool, pods: &[Listed]) -> EndpointListing {
+    serde_json::from_str(&listing(seq, is_complete, pods)).unwrap()
 }
 
-fn list_of(pods: &[Listed]) -> EndpointList {
+fn list_with(pods: &[Listed]) -> EndpointList {
     let mut list = EndpointList::new(&["a".into()], &["m".into()]);
     list.load_cached(
-        told(7, true, pods),
+        parse_listing(7, true, pods),
         Duration::from_secs(3600),
         SystemTime::now(),
     );
     list
 }
 
-fn change(list: &mut EndpointList, told: EndpointListing) -> Vec<(u64, PodState)> {
+fn apply_listing(list: &mut EndpointList, update: EndpointListing) -> Vec<(u64, PodState)> {
     let EndpointUpdate::Delta(rows) = list
-        .apply(told, Duration::from_secs(3610), SystemTime::now())
+        .apply(update, Duration::from_secs(3610), SystemTime::now())
         .unwrap()
         .update
     else {
-        panic!("a change")
+        panic!("expected a delta update")
     };
     rows.iter().map(|row| (row.pod.0, row.state)).collect()
 }
 
-fn drains(of: &Listed) -> Listed {
+fn draining(pod: &Listed) -> Listed {
     Listed {
         health: "terminating",
-        ..of.clone()
+        ..pod.clone()
     }
 }
 
-/// A pod that returns soon has the same number; one that returns late has another.
+/// A pod that returns soon keeps its number; one that returns later gets a new number.
 #[rstest]
 #[case::soon(299, true)]
-#[case::late(301, false)]
-fn pod_number_is_released_some_time_after_the_pod_left(#[case] later: u64, #[case] same: bool) {
-    let (mut list, today) = (EndpointList::new(&[], &[]), SystemTime::now());
-    let dial = SocketAddr::from(([127, 0, 0, 1], 9));
-    let mut told = |seq, pods: &[Listed], s| {
-        let told: EndpointListing = serde_json::from_str(&listing(seq, true, pods)).unwrap();
-        list.apply(told, Duration::from_secs(s), today).unwrap();
-        list.pod_listed_at("p1", Duration::from_secs(s))
+#[case::later(301, false)]
+fn pod_number_is_released_some_time_after_the_pod_left(
+    #[case] absent_s: u64,
+    #[case] keeps_number: bool,
+) {
+    let (mut list, wall_clock) = (EndpointList::new(&[], &[]), SystemTime::now());
+    let address = SocketAddr::from(([127, 0, 0, 1], 9));
+    let mut apply = |seq, pods: &[Listed], now_s| {
+        let update: EndpointListing = serde_json::from_str(&listing(seq, true, pods)).unwrap();
+        list.apply(update, Duration::from_secs(now_s), wall_clock)
+            .unwrap();
+        list.pod_listed_at("p1", Duration::from_secs(now_s))
     };
-    let first = told(1, &[Listed::new("p1", dial)], 1000).unwrap();
-    assert_eq!(told(2, &[], 1000), None);
-    told(3, &[Listed::new("p2", dial)], 1000 + later);
+    let original = apply(1, &[Listed::new("p1", address)], 1000).unwrap();
+    assert_eq!(apply(2, &[], 1000), None);
+    apply(3, &[Listed::new("p2", address)], 1000 + absent_s);
     assert_eq!(
-        told(4, &[Listed::new("p1", dial)], 1000 + later).unwrap() == first,
-        same
+        apply(4, &[Listed::new("p1", address)], 1000 + absent_s).unwrap() == original,
+        keeps_number
     );
 }
 
-/// Unchanged entries are left out of the update, also of a complete listing; what is missing from one is gone.
+/// Unchanged entries are omitted from the update, also for a complete listing; pods missing from a
+/// complete listing are gone.
 #[test]
-fn listing_changes_only_what_differs() {
-    let (one, two, three) = (
-        Listed::new("p1", at(1)),
-        Listed::new("p2", at(2)),
-        Listed::new("p3", at(3)),
+fn update_contains_only_changed_entries() {
+    let (first, second, third) = (
+        Listed::new("p1", local_address(1)),
+        Listed::new("p2", local_address(2)),
+        Listed::new("p3", local_address(3)),
     );
-    let mut list = list_of(&[one.clone(), two.clone()]);
+    let mut list = list_with(&[first.clone(), second.clone()]);
     let moved = Listed {
-        dial: at(9),
+        dial: local_address(9),
         build: 2,
-        ..two.clone()
+        ..second.clone()
     };
     let now = Duration::from_secs(3610);
     let change = list
-        .apply(told(9, true, &[moved, three]), now, SystemTime::now())
+        .apply(
+            parse_listing(9, true, &[moved, third]),
+            now,
+            SystemTime::now(),
+        )
         .unwrap();
     let EndpointUpdate::Delta(rows) = change.update else {
-        panic!("a change")
+        panic!("expected a delta update")
     };
-    let told: Vec<_> = rows
+    let updated: Vec<_> = rows
         .iter()
         .map(|row| (row.pod.0, row.state, row.build.0))
         .collect();
     assert_eq!(
-        told,
+        updated,
         [
             (1, PodState::Gone, 1),
             (2, PodState::Ready, 2),
@@ -104,106 +114,125 @@
             list.version(),
             list.incarnation(rows[1].pod).unwrap().address
         ),
-        (9, at(9))
+        (9, local_address(9))
     );
 }
 
-/// An attempt that was sent before the pod came back with another build was answered by the build before.
+/// An attempt sent before the pod restarted with another build was answered by the previous build.
 #[test]
-fn wrong_answer_of_an_earlier_build_is_not_blamed_on_the_present_one() {
-    let mut list = list_of(&[Listed::new("p1", at(1))]);
-    let (before, then, after) = (
+fn wrong_answer_of_an_earlier_build_is_not_attributed_to_the_current_one() {
+    let mut list = list_with(&[Listed::new("p1", local_address(1))]);
+    let (before, restart, after) = (
         Duration::from_secs(3605),
         Duration::from_secs(3610),
         Duration::from_secs(3615),
     );
     assert!(list.pod_listed_at("p1", before).is_some());
-    let next = Listed {
+    let restarted = Listed {
         build: 2,
-        ..Listed::new("p1", at(1))
+        ..Listed::new("p1", local_address(1))
     };
-    list.apply(told(8, false, &[next]), then, SystemTime::now())
-        .unwrap();
+    list.apply(
+        parse_listing(8, false, &[restarted]),
+        restart,
+        SystemTime::now(),
+    )
+    .unwrap();
     assert!(
         list.pod_listed_at("p1", before).is_none() && list.pod_listed_at("p1", after).is_some()
     );
 }
 
-/// A listing of an earlier version, of a discovery that began anew or lags behind, undoes nothing: what drains, left or
-/// started since stays so; a pod that has started since then is as it is listed.
+/// A listing with a lower version, from a discovery instance that restarted or lags behind, reverts
+/// nothing: pods that are draining, have left or have restarted remain so. A pod that has restarted
+/// since then is updated.
 #[test]
-fn older_listing_restores_nothing() {
-    let [one, two, three] =
-        [("p1", 1), ("p2", 2), ("p3", 3)].map(|(host, port)| Listed::new(host, at(port)));
-    let mut list = list_of(&[one.clone(), two.clone(), three.clone()]);
-    let started = Listed {
+fn older_listing_reverts_nothing() {
+    let [first, second, third] = [("p1", 1), ("p2", 2), ("p3", 3)]
+        .map(|(host, port)| Listed::new(host, local_address(port)));
+    let mut list = list_with(&[first.clone(), second.clone(), third.clone()]);
+    let restarted = Listed {
         born_ms: 5000,
         build: 2,
-        ..three.clone()
+        ..third.clone()
     };
-    change(&mut list, told(9, true, &[drains(&one), started.clone()]));
+    apply_listing(
+        &mut list,
+        parse_listing(9, true, &[draining(&first), restarted.clone()]),
+    );
     assert_eq!(
-        change(&mut list, told(3, true, &[one.clone(), two.clone(), three])),
+        apply_listing(
+            &mut list,
+            parse_listing(3, true, &[first.clone(), second.clone(), third])
+        ),
         []
     );
     assert_eq!(list.version(), 3);
-    let again = Listed {
+    let restarted_later = Listed {
         born_ms: 6000,
-        ..one
+        ..first
     };
     assert_eq!(
-        change(&mut list, told(2, true, &[again, started])),
+        apply_listing(
+            &mut list,
+            parse_listing(2, true, &[restarted_later, restarted])
+        ),
         [(1, PodState::Ready)]
     );
-    // From then on versions count from that one.
+    // Later versions are compared with this one.
     assert_eq!(
-        change(&mut list, told(4, false, &[two])),
+        apply_listing(&mut list, parse_listing(4, false, &[second])),
         [(2, PodState::Ready)]
     );
 }
 
-/// What it removes or drains counts.
+/// An older listing still applies where it removes or drains a pod.
 #[test]
 fn older_listing_still_removes_and_drains_pods() {
-    let (one, two) = (Listed::new("p1", at(1)), Listed::new("p2", at(2)));
-    let mut list = list_of(&[one.clone(), two]);
-    let told = change(&mut list, told(3, true, &[drains(&one)]));
-    assert_eq!(told, [(2, PodState::Gone), (1, PodState::Draining)]);
+    let (first, second) = (
+        Listed::new("p1", local_address(1)),
+        Listed::new("p2", local_address(2)),
+    );
+    let mut list = list_with(&[first.clone(), second]);
+    let updated = apply_listing(&mut list, parse_listing(3, true, &[draining(&first)]));
+    assert_eq!(updated, [(2, PodState::Gone), (1, PodState::Draining)]);
 }
 
-/// An entry that can't be parsed removes its pod alone, and is reported.
+/// An invalid entry removes only its own pod, and is reported.
 #[rstest]
 #[case::health("\"in_service\"", "\"resting\"")]
 #[case::build("\"version_no\":1", "\"version_no\":70000")]
 #[case::address("127.0.0.1:2", "somewhere")]
 #[case::negative("\"born_ms\":0", "\"born_ms\":-1")]
-fn unusable_entry_removes_its_pod_alone(#[case] from: &str, #[case] to: &str) {
-    let (one, two) = (Listed::new("p1", at(1)), Listed::new("p2", at(2)));
-    let entry = |of: &Listed| listing(1, false, std::slice::from_ref(of));
-    let entry = |of: &Listed| {
-        entry(of)
+fn invalid_entry_removes_only_its_own_pod(#[case] from: &str, #[case] to: &str) {
+    let (first, second) = (
+        Listed::new("p1", local_address(1)),
+        Listed::new("p2", local_address(2)),
+    );
+    let single_listing = |pod: &Listed| listing(1, false, std::slice::from_ref(pod));
+    let entry = |pod: &Listed| {
+        single_listing(pod)
             .split_once('[')
             .unwrap()
             .1
             .trim_end_matches("]}")
             .to_owned()
     };
-    let (good, bad) = (entry(&one), entry(&two).replacen(from, to, 1));
-    let text = format!(r#"{{"seq":9,"whole":true,"hosts":[{good},{bad},17]}}"#);
-    let read: EndpointListing = serde_json::from_str(&text).unwrap();
-    let mut list = list_of(&[one, two]);
-    let changed = list
-        .apply(read.clone(), Duration::from_secs(3610), SystemTime::now())
+    let (valid, invalid) = (entry(&first), entry(&second).replacen(from, to, 1));
+    let object = format!(r#"{{"seq":9,"whole":true,"hosts":[{valid},{invalid},17]}}"#);
+    let parsed: EndpointListing = serde_json::from_str(&object).unwrap();
+    let mut list = list_with(&[first, second]);
+    let change = list
+        .apply(parsed.clone(), Duration::from_secs(3610), SystemTime::now())
         .unwrap();
     assert!(
-        matches!(&changed.update, EndpointUpdate::Delta(rows) if rows.len() == 1 && rows[0].state == PodState::Gone)
+        matches!(&change.update, EndpointUpdate::Delta(rows) if rows.len() == 1 && rows[0].state == PodState::Gone)
     );
     assert!(
-        changed.errors[0].starts_with("host p2: ")
-            && changed.errors[1].starts_with("host unknown: ")
+        change.errors[0].starts_with("host p2: ") && change.errors[1].starts_with("host unknown: ")
     );
-    // The same in the list that was known before the start.
+    // The same applies to the cached list.
     let mut list = EndpointList::new(&[], &[]);
-    let held = list.load_cached(read, Duration::from_secs(3600), SystemTime::now());
-    assert!(matches!(held, EndpointUpdate::Cached(rows) if rows.len() == 1));
+    let cached = list.load_cached(parsed, Duration::from_secs(3600), SystemTime::now());
+    assert!(matches!(cached, EndpointUpdate::Cached(rows) if rows.len() == 1));
 }
--- a/crates/postgres-proxy/tests/sockets/helpers.rs
+++ b/crates/postgres-proxy/tests/sockets/helpers.rs
@@ -1,4 +1,4 @@
-//! A sidecar on a thread, and statements for it.
+//! Helpers that start a sidecar on a thread, and statements for it.
 
 use limewing_emulators::platform::{Config, Does, Listed, Pod};
 use limewing_postgres_proxy::config;
@@ -7,41 +7,44 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A statement of a class, with an id and a row of its own.
-pub(crate) fn ask(class: &str, waits_ms: u64) -> String {
-    let n = NEXT.fetch_add(1, Ordering::Relaxed);
-    ask_of(&format!("{n:x}"), class, waits_ms)
+/// Returns a statement of a request class, with a unique id and row.
+pub(crate) fn statement_of_class(class: &str, timeout_ms: u64) -> String {
+    let row = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+    statement_for_row(&format!("{row:x}"), class, timeout_ms)
 }
 
-/// A statement of a class about this row, with an id of its own.
-pub(crate) fn ask_of(row: &str, class: &str, waits_ms: u64) -> String {
-    let id = NEXT.fetch_add(1, Ordering::Relaxed);
-    statement(&format!("id={id:016x},c={class},t=acme,d={waits_ms},k=abc")).replace("7f3a", row)
+/// Returns a statement of a request class for this row, with a unique id.
+pub(crate) fn statement_for_row(row: &str, class: &str, timeout_ms: u64) -> String {
+    let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+    statement_with_comment(&format!(
+        "id={id:016x},c={class},t=acme,d={timeout_ms},k=abc"
+    ))
+    .replace("7f3a", row)
 }
 
-/// A statement with this comment.
-pub(crate) fn statement(comment: &str) -> String {
+/// Returns a statement with this comment.
+pub(crate) fn statement_with_comment(comment: &str) -> String {
     format!("SELECT blob FROM rows WHERE handle = '7f3a' /* {comment} */")
 }
 
-/// Starts a sidecar; it runs until the test's process ends.
-pub(crate) fn sidecar(config: &Config) -> SocketAddr {
-    sidecar_of(PathBuf::from("none"), config)
+/// Starts a sidecar, which runs until the test process ends.
+pub(crate) fn start_sidecar(config: &Config) -> SocketAddr {
+    start_sidecar_with_file(PathBuf::from("none"), config)
 }
 
-pub(crate) fn sidecar_of(file: PathBuf, config: &Config) -> SocketAddr {
-    let told = config::parse(config.json().as_bytes()).unwrap();
-    let service = Service::start_with_config(file, told).unwrap();
+pub(crate) fn start_sidecar_with_file(file: PathBuf, config: &Config) -> SocketAddr {
+    let parsed = config::parse(config.json().as_bytes()).unwrap();
+    let service = Service::start_with_config(file, parsed).unwrap();
     let address = service.address();
     std::thread::spawn(move || service.run());
     address
 }
 
-/// A sidecar that knows one pod, which follows this script.
-pub(crate) fn with_pod(script: Vec<Does>) -> (Pod, SocketAddr) {
+/// Starts a pod that follows this script, and a sidecar that knows it.
+pub(crate) fn start_sidecar_with_pod(script: Vec<Does>) -> (Pod, SocketAddr) {
     let pod = Pod::new(script);
-    let at = sidecar(&Config::new(vec![Listed::new("p1", pod.at)]));
-    (pod, at)
+    let address = start_sidecar(&Config::new(vec![Listed::new("p1", pod.at)]));
+    (pod, address)
 }
--- a/crates/postgres-proxy/tests/sockets/large_fleet.rs
+++ b/crates/postgres-proxy/tests/sockets/large_fleet.rs
@@ -1,6 +1,6 @@
-//! The largest fleet that is tested: 350 sidecars, of which one runs, and 1,100 pods.
+//! Tests the largest fleet: 350 sidecars, of which one runs, and 1,100 pods.
 
-use crate::helpers::{ask, sidecar};
+use crate::helpers::{start_sidecar, statement_of_class};
 use limewing_emulators::platform::{listing, Answer, Client, Config, Discovery, Does, Listed, Pod};
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -8,67 +8,69 @@
 const SIDECARS: u32 = 350;
 const PODS: usize = 1100;
 
-/// The pods of the fleet, all at one address.
-fn pods(at: SocketAddr) -> Vec<Listed> {
+/// The pods of the fleet, all with the same address.
+fn pods(address: SocketAddr) -> Vec<Listed> {
     (0..PODS)
-        .map(|n| Listed::new(&format!("pod-{n:04}"), at))
+        .map(|n| Listed::new(&format!("pod-{n:04}"), address))
         .collect()
 }
 
-fn answer_of(at: SocketAddr) -> Answer {
-    let mut client = Client::new(at);
-    client.asks(&ask("look", 10_000));
+fn request_once(address: SocketAddr) -> Answer {
+    let mut client = Client::new(address);
+    client.asks(&statement_of_class("look", 10_000));
     client.hears()
 }
 
-/// In a complete listing, in one chunk or in thousands, all pods but one drain: a request finds that one only if each entry
-/// is read.
+/// A complete listing, in one chunk or in thousands, lists all pods but one as draining: a request
+/// reaches that pod only if each entry is read.
 #[rstest]
-#[case::first_in_one(0, usize::MAX)]
-#[case::last_in_one(PODS - 1, usize::MAX)]
-#[case::first_in_pieces(0, 60)]
-#[case::last_in_pieces(PODS - 1, 60)]
-fn listing_is_read_to_its_last_entry(#[case] serves: usize, #[case] piece: usize) {
+#[case::first_in_one_chunk(0, usize::MAX)]
+#[case::last_in_one_chunk(PODS - 1, usize::MAX)]
+#[case::first_in_small_chunks(0, 60)]
+#[case::last_in_small_chunks(PODS - 1, 60)]
+fn listing_is_read_to_its_last_entry(#[case] ready_pod: usize, #[case] chunk_size: usize) {
     let (pod, other) = (
         Pod::new(vec![Does::Serves("red")]),
         Pod::new(vec![Does::Serves("drains")]),
     );
-    let drains = |of: Listed| Listed {
+    let draining = |pod: Listed| Listed {
         health: "terminating",
-        ..of
+        ..pod
     };
-    let mut listed: Vec<Listed> = pods(other.at).into_iter().map(drains).collect();
-    listed[serves] = Listed::new(&listed[serves].host, pod.at);
+    let mut listed: Vec<Listed> = pods(other.at).into_iter().map(draining).collect();
+    listed[ready_pod] = Listed::new(&listed[ready_pod].host, pod.at);
     let discovery = Discovery::new(String::new());
-    let none = Config {
+    let config = Config {
         discovery: discovery.at,
         sidecars: (SIDECARS, 17),
         ..Config::new(Vec::new())
     };
-    let at = sidecar(&none);
+    let address = start_sidecar(&config);
     discovery.is_asked();
-    // A pod that drains may have had a request in its grace.
+    // A draining pod may still receive a request during its drain period.
     let object = listing(8, true, &listed);
     object
         .as_bytes()
-        .chunks(piece)
-        .for_each(|part| discovery.says_part(std::str::from_utf8(part).unwrap()));
-    assert!(answer_within(at, "red"));
+        .chunks(chunk_size)
+        .for_each(|chunk| discovery.says_part(std::str::from_utf8(chunk).unwrap()));
+    assert!(is_answered_with(address, "red"));
     assert!(
         discovery.calls.try_recv().is_err(),
-        "the watch is asked for again"
+        "the watch was reopened"
     );
 }
 
-/// Sends requests until the answer is `wanted`, a bounded number of times.
-fn answer_within(at: SocketAddr, wanted: &str) -> bool {
-    (0..TRIES).any(|_| answer_of(at) == Answer::Row(wanted.into()))
+/// Sends requests until the answer is `expected`, up to a limit.
+fn is_answered_with(address: SocketAddr, expected: &str) -> bool {
+    (0..MAX_REQUESTS).any(|_| request_once(address) == Answer::Row(expected.into()))
 }
 
-/// A request waits seconds for a pod that serves; so many are enough where a listing is on its way.
-const TRIES: usize = 20;
+/// Maximum number of requests. Each one waits several seconds for a ready pod, so this is enough
+/// while a listing is being received.
+const MAX_REQUESTS: usize = 20;
 
-/// All pods move in one object: from then on none of the old connections is used, and the watch goes on.
+/// The addresses of all pods change in one object: from then on, no former connection is used, and
+/// the watch continues.
 #[test]
 fn all_pods_may_move_at_once() {
     let (old, new) = (
@@ -81,41 +83,43 @@
         sidecars: (SIDECARS, 349),
         ..Config::new(pods(old.at))
     };
-    let at = sidecar(&config);
+    let address = start_sidecar(&config);
     discovery.is_asked();
-    assert_eq!(answer_of(at), Answer::Row("old".into()));
+    assert_eq!(request_once(address), Answer::Row("old".into()));
     discovery.says(&listing(9, true, &pods(new.at)));
-    assert!(answer_within(at, "new"));
-    let links = old.links();
-    assert!((0..TRIES).all(|_| answer_of(at) == Answer::Row("new".into())));
-    assert_eq!(old.links(), links);
+    assert!(is_answered_with(address, "new"));
+    let connections = old.links();
+    assert!((0..MAX_REQUESTS).all(|_| request_once(address) == Answer::Row("new".into())));
+    assert_eq!(old.links(), connections);
     assert!(
         discovery.calls.try_recv().is_err(),
-        "the watch is asked for again"
+        "the watch was reopened"
     );
 }
 
-/// Descriptors that a sidecar may have, of which its connections to clients and pods take 24 fewer.
+/// Descriptor limit of a sidecar, of which 24 are not available for connections to clients and
+/// pods.
 const FEW_DESCRIPTORS: usize = 64;
-/// Clients at once, each with a request open: that many use more pods than there are connections to spare.
+/// Concurrent clients, each with a pending request. Their requests need connections to more pods
+/// than the limit allows.
 const CLIENTS: usize = 12;
-/// Requests of each client.
+/// Number of requests per client.
 const REQUESTS: usize = 250;
 
-/// With far fewer descriptors than pods, idle connections make room for others: each request is answered, over more connections
-/// than could be open together.
+/// With far fewer descriptors than pods, idle connections are evicted for others: each request is
+/// answered, over more connections than can be open at the same time.
 #[test]
 fn few_descriptors_serve_many_pods() {
     let pod = Pod::new(vec![Does::Serves("red")]);
-    let at = sidecar(&Config {
+    let address = start_sidecar(&Config {
         sidecars: (SIDECARS, 17),
         descriptors: FEW_DESCRIPTORS,
         ..Config::new(pods(pod.at))
     });
-    let asks = || {
-        let mut client = Client::new(at);
+    let send_requests = || {
+        let mut client = Client::new(address);
         let answers = (0..REQUESTS).map(|_| {
-            client.asks(&ask("look", 10_000));
+            client.asks(&statement_of_class("look", 10_000));
             client.hears()
         });
         answers
@@ -123,7 +127,7 @@
             .count()
     };
     let unserved: usize = std::thread::scope(|scope| {
-        let clients: Vec<_> = (0..CLIENTS).map(|_| scope.spawn(asks)).collect();
+        let clients: Vec<_> = (0..CLIENTS).map(|_| scope.spawn(send_requests)).collect();
         clients
             .into_iter()
             .map(|client| client.join().unwrap())
--- a/crates/postgres-proxy/tests/sockets/main.rs
+++ b/crates/postgres-proxy/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! A sidecar on real sockets, with emulated clients, pods, discovery and rollout service.
+//! Tests a sidecar over real sockets, with emulated clients, pods, discovery and rollout service.
 
 mod clients;
 mod helpers;
--- a/crates/postgres-proxy/tests/stage_updates.rs
+++ b/crates/postgres-proxy/tests/stage_updates.rs
@@ -1,4 +1,4 @@
-//! Which states of a rollout are taken, and when one closes a build.
+//! Tests which rollout states are accepted, and when one closes a build.
 
 use limewing_decision::interface::{Phase, StageIndex};
 use limewing_emulators::platform::state;
@@ -9,24 +9,24 @@
     serde_json::from_str(&state(build, stage, name, 0.3)).unwrap()
 }
 
-/// States come on more than one connection: those that were overtaken are dropped.
+/// States arrive on several connections; outdated ones are dropped.
 #[test]
 fn outdated_rollout_states_are_dropped() {
     let mut latest = LatestState::default();
-    let mut take = |build, stage, name| {
+    let mut accept = |build, stage, name| {
         let accepted = latest.accept(rollout_state(build, stage, name));
         accepted.map(|accepted| accepted.update)
     };
-    assert_eq!(take(4, 1, "Progressing").unwrap().stage, StageIndex(1));
-    assert!(take(4, 0, "Progressing").is_none());
-    assert!(take(3, 2, "Healthy").is_none());
-    assert_eq!(take(4, 2, "Healthy").unwrap().phase, Phase::Released);
-    assert_eq!(take(4, 2, "Aborting").unwrap().phase, Phase::RollingBack);
-    assert!(take(4, 1, "Progressing").is_none());
-    assert!(take(5, 0, "Progressing").is_some());
+    assert_eq!(accept(4, 1, "Progressing").unwrap().stage, StageIndex(1));
+    assert!(accept(4, 0, "Progressing").is_none());
+    assert!(accept(3, 2, "Healthy").is_none());
+    assert_eq!(accept(4, 2, "Healthy").unwrap().phase, Phase::Released);
+    assert_eq!(accept(4, 2, "Aborting").unwrap().phase, Phase::RollingBack);
+    assert!(accept(4, 1, "Progressing").is_none());
+    assert!(accept(5, 0, "Progressing").is_some());
 }
 
-/// A state closes a build to unsent attempts if the build is rolled back, or its cap is lower than before.
+/// A state closes a build to unsent attempts if it rolls the build back or lowers its cap.
 #[rstest]
 #[case::new_build(2, "Progressing", 0.3, None)]
 #[case::higher(1, "Progressing", 0.6, None)]
@@ -40,9 +40,9 @@
     #[case] cap: f64,
     #[case] closes: Option<u16>,
 ) {
-    let told = |build, name, cap| serde_json::from_str(&state(build, 0, name, cap)).unwrap();
+    let parse_state = |build, name, cap| serde_json::from_str(&state(build, 0, name, cap)).unwrap();
     let mut latest = LatestState::default();
-    latest.accept(told(1, "Progressing", 0.3)).unwrap();
-    let accepted = latest.accept(told(build, name, cap)).unwrap();
+    latest.accept(parse_state(1, "Progressing", 0.3)).unwrap();
+    let accepted = latest.accept(parse_state(build, name, cap)).unwrap();
     assert_eq!(accepted.closed_build.map(|build| build.0), closes);
 }
--- a/crates/postgres-proxy/tests/wrong_answers.rs
+++ b/crates/postgres-proxy/tests/wrong_answers.rs
@@ -1,10 +1,10 @@
-//! Wrong answers that two streams tell count once.
+//! Tests that wrong answers reported on two streams count once.
 
 use limewing_postgres_proxy::wrong_answers::{WrongAnswer, WrongAnswerLog};
 use std::time::Duration;
 
-/// While the stream of the former address stands beside the new one, both report a wrong answer: it counts once. One stream
-/// that reports two alike reports two.
+/// While the stream from the former address is open beside the new one, both report a wrong answer,
+/// which counts once. Two equal reports on one stream count twice.
 #[test]
 fn wrong_answer_from_two_streams_counts_once() {
     let report = |pod: &str| WrongAnswer {
