--- a/crates/postgres-proxy/src/idle_clients.rs
+++ b/crates/postgres-proxy/src/idle_clients.rs
@@ -7,8 +7,7 @@
 /// Minimum time without a request before a connection may be evicted: its first statement may be in
 /// transit.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(200);
-/// The share of the idle connections that is closed while clients wait to be accepted is one over
-/// this.
+/// One in this many idle connections is closed while clients wait to be accepted.
 const EVICTION_DIVISOR: usize = 8;
 
 /// A client's connection without a request. The order is that of eviction: clients that were never
--- a/crates/postgres-proxy/src/service/discovery.rs
+++ b/crates/postgres-proxy/src/service/discovery.rs
@@ -211,8 +211,8 @@
             "endpoint list applied"
         );
         self.events.push(Event::Endpoints(change.update));
-        // The decision engine, which does not know addresses, ends attempts to pods that drain or
-        // left.
+        // The decision engine ends attempts to pods that are draining or have left, but does not
+        // know addresses, so connections to former addresses are closed here.
         for pod in &change.relocated {
             for socket in self.upstream.pool.connections_to(*pod) {
                 self.close_pod_connection(socket);
--- a/crates/postgres-proxy/src/service/mod.rs
+++ b/crates/postgres-proxy/src/service/mod.rs
@@ -211,8 +211,8 @@
         Ok(service)
     }
 
-    /// Loads the cached endpoint list, or requests the list if there is none. After loading a
-    /// cached list, the decision engine requests changes.
+    /// Loads the cached endpoint list, for which the decision engine then requests the changes, or
+    /// requests the whole list if there is none.
     fn load_endpoints(&mut self, cached: Option<EndpointListing>) {
         let Some(cached) = cached else {
             return self.watch_endpoints();
--- a/crates/proxy-core/src/descriptor_budget.rs
+++ b/crates/proxy-core/src/descriptor_budget.rs
@@ -6,14 +6,13 @@
 /// Descriptors reserved for the endpoint list, stage updates and votes, which must get through
 /// under any load.
 const RESERVED_FOR_CONTROL: usize = 8;
-/// The share of the remaining descriptors that is reserved for connections to pods is one over
-/// this.
+/// One in this many of the remaining descriptors is reserved for connections to pods.
 const UPSTREAM_DIVISOR: usize = 4;
 /// Maximum number of descriptors reserved for connections to pods.
 const MAX_RESERVED_FOR_UPSTREAM: usize = 1024;
 /// Minimum number of connections: one client and one pod.
 const MIN_CONNECTIONS: usize = 2;
-/// The share of the memory limit that client buffers may use is one over this.
+/// Client buffers may use the memory limit divided by this.
 const CLIENT_MEMORY_DIVISOR: usize = 2;
 
 /// Limits on connections. Clients leave descriptors for the attempts of their requests, and both
--- a/crates/proxy-core/src/event_loop.rs
+++ b/crates/proxy-core/src/event_loop.rs
@@ -7,8 +7,8 @@
 /// delayed by it.
 pub const SLOW_TURN: Duration = Duration::from_millis(20);
 
-/// Returns the earliest of the next wake-up of the decision engine and the deadlines of the
-/// components of the proxy, which are optional.
+/// Returns the earliest of the next wake-up of the decision engine and the optional deadlines of
+/// the components of the proxy.
 pub fn earliest_deadline(
     engine_wake_at: Duration,
     deadlines: impl IntoIterator<Item = Option<Duration>>,
--- a/crates/proxy-core/src/eviction.rs
+++ b/crates/proxy-core/src/eviction.rs
@@ -4,8 +4,7 @@
 use crate::descriptor_budget::DescriptorBudget;
 use limewing_net::sockets::SocketId;
 
-/// The share of the idle connections that is closed while clients wait to be accepted is one over
-/// this.
+/// One in this many idle connections is closed while clients wait to be accepted.
 const EVICTION_DIVISOR: usize = 8;
 
 /// A proxy that closes idle connections to pods to free descriptors for others.
