--- a/crates/http-proxy/src/service/attempt_token.rs
+++ b/crates/http-proxy/src/service/attempt_token.rs
@@ -1,34 +1,35 @@
-//! Tokens that identify attempts towards pods and clients.
+//! Tokens that identify attempts to pods and clients.
 
 use limewing_decision::interface::{AttemptIndex, RequestId};
 
-/// Field with an attempt's token: pods get it with the request, clients with the response, and reports of wrong answers
-/// return it.
+/// Header field that carries an attempt's token. Pods receive it with the request, clients with the response; a report
+/// of a wrong answer returns it.
 pub(super) const ATTEMPT_FIELD: &str = "limewing-forward";
 
-/// One attempt of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     /// The request.
     pub(super) request: RequestId,
-    /// The attempt's number within it.
+    /// The attempt's index within the request.
     pub(super) index: AttemptIndex,
 }
 
-/// Makes and reads tokens: the sidecar's name and incarnation, the request's and the attempt's number.
+/// Encodes and decodes tokens, which consist of the sidecar's name and incarnation, the request ID and the attempt
+/// index.
 pub(super) struct AttemptTokens {
     prefix: String,
 }
 
 impl AttemptTokens {
-    /// The tokens of one sidecar; `incarnation` tells them from those of its earlier processes.
+    /// Creates the codec of one sidecar. `incarnation` distinguishes its tokens from those of earlier processes.
     pub(super) fn new(name: &str, incarnation: u32) -> Self {
         Self {
             prefix: format!("{name}.{incarnation}."),
         }
     }
 
-    /// An attempt's token.
+    /// Encodes an attempt as a token.
     pub(super) fn encode(&self, attempt: AttemptId) -> String {
         let mut request = itoa::Buffer::new();
         let mut index = itoa::Buffer::new();
@@ -41,7 +42,7 @@
         parts.concat()
     }
 
-    /// The attempt of a token; `None` if it is no token of this process.
+    /// Decodes a token. Returns `None` if this process did not issue it.
     pub(super) fn decode(&self, token: &str) -> Option<AttemptId> {
         let (request, index) = token.strip_prefix(&self.prefix)?.split_once('.')?;
         Some(AttemptId {
--- a/crates/http-proxy/src/service/clients/mod.rs
+++ b/crates/http-proxy/src/service/clients/mod.rs
@@ -1,11 +1,11 @@
-//! The clients' side: their connections, and what is kept of their requests.
+//! The client side: connections, and the state of requests in flight.
 //!
-//! - `requests` reads requests and starts them
-//! - `request_bodies` streams bodies that are too large for memory
-//! - `responses` writes the responses of pods
-//! - `own_responses` writes the responses that are this sidecar's own
-//! - `pages` serves this sidecar's own pages
-//! - `wrong_answers` takes reports of wrong answers
+//! - `requests` reads requests and passes them to the decision engine
+//! - `request_bodies` streams bodies that are too large to buffer
+//! - `responses` writes responses from pods
+//! - `own_responses` writes responses that this sidecar generates
+//! - `pages` serves this sidecar's status and administration pages
+//! - `wrong_answers` handles reports of wrong answers
 
 mod own_responses;
 mod pages;
@@ -27,24 +27,24 @@
 pub(super) use responses::{streamed_framing, StreamEnd};
 use wrong_answers::ResponseOrigins;
 
-/// Output that may wait for a peer before the other side of the request is read no further, in bytes.
+/// Output that may be queued for a peer before the sidecar stops reading from the other side of the request, in bytes.
 pub(super) const MAX_UNSENT_BYTES: usize = 64 * 1024;
-/// The chunk that ends a chunked body.
+/// The final chunk of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 const HEAD_METHOD: &str = "HEAD";
 
-/// The clients of one sidecar.
+/// The client connections of one sidecar.
 pub(super) struct Clients {
-    /// Where they are accepted.
+    /// The listener that accepts them.
     pub(super) listener: ClientListener,
-    /// How many are connected.
+    /// Number of connected clients.
     pub(super) connected: usize,
-    /// Where responses came from.
+    /// The pods that recent responses came from.
     response_origins: ResponseOrigins,
 }
 
 impl Clients {
-    /// No client yet.
+    /// Starts without connected clients.
     pub(super) fn new(listener: ClientListener) -> Self {
         Self {
             listener,
@@ -57,11 +57,11 @@
 /// A client's connection.
 pub(super) struct Client {
     reader: RequestReader,
-    /// The request in flight; requests that are pipelined behind it wait.
+    /// The request in flight. Requests pipelined behind it wait.
     request: Option<RequestId>,
-    /// Reads the rest of a body that is streamed.
+    /// Reads the remainder of a streamed request body.
     body_rest: Option<BodyReader>,
-    /// The connection closes after the present response.
+    /// Whether the connection closes after the current response.
     close_after_response: bool,
     request_timer: Option<TimerKey>,
     stall_timer: Option<TimerKey>,
@@ -84,41 +84,42 @@
         self.request.is_none()
     }
 
-    /// Whether a part of its request's body has not been read.
+    /// Whether part of the request body is still unread.
     pub(super) fn has_body_rest(&self) -> bool {
         self.body_rest.is_some()
     }
 }
 
-/// What is kept of a request in flight.
+/// HTTP state of a request in flight.
 pub(super) struct ClientRequest {
-    /// Its head.
+    /// The request head.
     pub(super) head: RequestHead,
-    /// Its body, or as much of it as was buffered.
+    /// The body, or the part of it that was buffered.
     pub(super) body: Bytes,
-    /// Whether the body is complete; the rest of an incomplete one is streamed, so that only one attempt can have it.
+    /// Whether the body is complete. The remainder of an incomplete body is streamed, so only one attempt can receive
+    /// it.
     pub(super) is_body_complete: bool,
-    /// The attempt that the rest of the body is streamed to.
+    /// The attempt that receives the remainder of the body.
     pub(super) body_attempt: Option<AttemptIndex>,
-    /// Its class.
+    /// The request class.
     pub(super) class: ClassId,
-    /// The hash of its routing key.
+    /// Hash of the routing key.
     pub(super) routing_key: Option<RoutingKey>,
-    /// The hash of its idempotency key, if it may not run twice.
+    /// Hash of the idempotency key, for requests that must not run twice.
     pub(super) idempotency_hash: Option<u64>,
     /// The attempt whose response is streamed to the client.
     pub(super) streamed_attempt: Option<AttemptIndex>,
 }
 
 impl ClientRequest {
-    /// Whether its responses have no body.
+    /// Whether the method is HEAD, whose responses have no body.
     pub(super) fn is_head(&self) -> bool {
         self.head.method == HEAD_METHOD
     }
 }
 
 impl Service {
-    /// Takes up a client, or rejects it where there are too many.
+    /// Accepts a client, or rejects it when the connection limit is reached or shutdown has begun.
     pub(super) fn accept_client(&mut self, id: SocketId) {
         if self.clients.connected >= self.settings.max_clients || self.shutdown.has_begun() {
             return self.reject_client(id);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// All that waited for a client is with the system: what waited for that goes on.
+    /// Resumes reading after all output queued for a client was passed to the operating system.
     pub(super) fn client_flushed(&mut self, id: SocketId) {
         self.stop_stall_timer(id);
         let Some(client) = self.client_mut(id) else {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// The client has not read its response for too long.
+    /// Disconnects a client that has not read its response for too long.
     pub(super) fn client_stalled(&mut self, id: SocketId) {
         if let Some(client) = self.client_mut(id) {
             client.stall_timer = None;
@@ -185,7 +186,7 @@
         }
     }
 
-    /// The client is gone, and with it its request, if it has one without its final response.
+    /// Cleans up after a client that disconnected. A request without a final response is abandoned.
     pub(super) fn client_disconnected(&mut self, id: SocketId) {
         let request = self.client_mut(id).and_then(|client| client.request.take());
         self.remove_client(id);
@@ -213,7 +214,7 @@
         self.requests.remove_if_complete(id);
     }
 
-    /// Closes a client's connection once all that was written to it is sent.
+    /// Closes a client's connection once its queued output is sent.
     pub(super) fn close_client(&mut self, id: SocketId) {
         self.remove_client(id);
         self.sockets.close_when_sent(id);
--- a/crates/http-proxy/src/service/clients/own_responses.rs
+++ b/crates/http-proxy/src/service/clients/own_responses.rs
@@ -1,4 +1,4 @@
-//! Responses that are this sidecar's own: rejections, failures, its pages.
+//! Responses that this sidecar generates: rejections, failures and its own pages.
 
 use crate::http_status;
 use crate::service::Service;
@@ -12,25 +12,25 @@
 
 const PROXY_STATUS: &str = "proxy-status";
 const RETRY_AFTER: &str = "retry-after";
-/// `Retry-After` where there is no better figure, in seconds.
+/// Default value of `Retry-After`, in seconds.
 const SHORT_RETRY_AFTER: &str = "1";
 
-/// A field's name and value.
+/// A header field's name and value.
 type Field<'a> = (&'a str, &'a str);
 
-/// What a response of this sidecar's own says of the request.
+/// Whether a request that this sidecar answers itself may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
-    /// It did not run, and will not.
+    /// It did not run and will not run.
     None,
     /// It may have run.
     Unknown,
 }
 
 impl Service {
-    /// Completes a request that had no effect; a `retry_after` of zero gives no advice.
+    /// Rejects a request that did not run. A `retry_after` of zero omits the `Retry-After` field.
     pub(in crate::service) fn reject_request(&mut self, id: RequestId, retry_after: Duration) {
-        // Whole seconds are all that the field can say.
+        // Retry-After holds whole seconds only.
         let seconds = retry_after.as_secs_f64().ceil().to_string();
         let status = self.proxy_status(Effect::None);
         let mut fields = vec![(PROXY_STATUS, status.as_str())];
@@ -40,7 +40,7 @@
         self.complete_request(id, http_status::SERVICE_UNAVAILABLE, &fields);
     }
 
-    /// Completes a request that may have had an effect.
+    /// Fails a request that may have run.
     pub(in crate::service) fn fail_request(&mut self, id: RequestId) {
         let request = self.requests.get(id);
         let is_late = request.is_some_and(|request| self.now >= request.deadline);
@@ -66,7 +66,7 @@
         self.requests.remove_if_complete(id);
     }
 
-    /// Responds to a client that is not taken up.
+    /// Responds to a client whose connection is not accepted, and closes the connection.
     pub(super) fn reject_client(&mut self, id: SocketId) {
         let status = self.proxy_status(Effect::None);
         let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
@@ -74,14 +74,14 @@
         self.sockets.close_when_sent(id);
     }
 
-    /// Responds to a request that has arrived during the shutdown.
+    /// Rejects a request that arrived during shutdown.
     pub(super) fn reject_during_shutdown(&mut self, id: SocketId) {
         let status = self.proxy_status(Effect::None);
         let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
         self.respond(id, http_status::SERVICE_UNAVAILABLE, &fields, b"");
     }
 
-    /// Responds to a request that replicated state forbids to send.
+    /// Responds to a request that must not be sent because of replicated state.
     pub(super) fn respond_to_refusal(
         &mut self,
         id: SocketId,
@@ -89,7 +89,7 @@
         is_non_idempotent: bool,
     ) {
         let (code, effect) = match refusal {
-            // Whether it ran by way of another sidecar is not known here yet.
+            // Until replication has caught up, another sidecar may have run the request without this one knowing.
             Refusal::NotCaughtUp if is_non_idempotent => {
                 (http_status::BAD_GATEWAY, Effect::Unknown)
             }
@@ -100,15 +100,15 @@
         self.respond(id, code, &[(PROXY_STATUS, &status)], b"");
     }
 
-    /// Responds to a request that is not HTTP/1.1, and closes the connection.
+    /// Rejects input that is not a valid HTTP/1.1 request, and closes the connection.
     pub(super) fn refuse_request(&mut self, id: SocketId, error: HttpError) {
-        tracing::debug!(%error, "request refused");
+        tracing::debug!(%error, "malformed request rejected");
         let text = format!("{error}\n");
         self.write_own_response(id, error.status(), &[], text.as_bytes(), false);
         self.close_client(id);
     }
 
-    /// The request has not arrived in time.
+    /// Handles a request that was not received in time.
     pub(in crate::service) fn request_timed_out(&mut self, id: SocketId) {
         let Some(client) = self.client_mut(id) else {
             return;
@@ -119,7 +119,7 @@
         self.close_client(id);
     }
 
-    /// Responds to a client's present request, and closes the connection if that was its last.
+    /// Responds to a client's current request, and closes the connection if that request was its last.
     pub(super) fn respond(&mut self, id: SocketId, status: u16, fields: &[Field], body: &[u8]) {
         let keep_alive = self
             .client_mut(id)
@@ -148,7 +148,7 @@
         self.sockets.send(id, &out);
     }
 
-    /// The value of `Proxy-Status` (RFC 9209).
+    /// Returns the value of the `Proxy-Status` field (RFC 9209).
     fn proxy_status(&self, effect: Effect) -> String {
         let name = &self.settings.name;
         match effect {
--- a/crates/http-proxy/src/service/clients/pages.rs
+++ b/crates/http-proxy/src/service/clients/pages.rs
@@ -1,4 +1,4 @@
-//! This sidecar's own pages: its state for operators, maintenance requests, reports of wrong answers.
+//! This sidecar's own pages: operational state, maintenance requests and reports of wrong answers.
 
 use crate::http_status;
 use crate::request_classifier::path_of;
@@ -7,7 +7,7 @@
 use limewing_net::http::RequestHead;
 use limewing_net::sockets::SocketId;
 
-/// Where clients report wrong answers.
+/// Path for client reports of wrong answers.
 const REPORTS_PATH: &str = "/limewing/reports";
 const STATUS_PATH: &str = "/limewing/status";
 const MEMBERSHIP_PATH: &str = "/limewing/fleet";
@@ -16,14 +16,14 @@
 
 const JSON_TYPE: (&str, &str) = ("content-type", "application/json");
 
-/// What the pages say where the settings don't ask for what they are about.
+/// Response bodies for pages whose feature is not configured.
 const NO_MEMBERSHIP: &[u8] = b"this sidecar knows of no others: no peers in its settings\n";
 const NO_REPLICATION: &[u8] =
     b"nothing is kept for others here: no `peers.replicas` in its settings\n";
 const NO_MAINTENANCE: &[u8] = b"no machine goes out for work here: no `work` in its settings\n";
 
 impl Service {
-    /// Serves a request for one of this sidecar's own pages; returns false for any other.
+    /// Serves a request for one of this sidecar's own pages. Returns `false` for any other request.
     pub(super) fn serve_own_page(&mut self, id: SocketId, head: &RequestHead, body: &[u8]) -> bool {
         match (head.method.as_str(), path_of(&head.target)) {
             ("POST", REPORTS_PATH) => self.handle_wrong_answer_report(id, body),
--- a/crates/http-proxy/src/service/clients/request_bodies.rs
+++ b/crates/http-proxy/src/service/clients/request_bodies.rs
@@ -1,4 +1,4 @@
-//! Streams request bodies that are too large for memory to the pods.
+//! Streams request bodies that are too large to buffer to pods.
 
 use super::{ClientRequest, LAST_CHUNK, MAX_UNSENT_BYTES};
 use crate::service::{ConnectionRole, Service};
@@ -8,14 +8,14 @@
 use limewing_net::sockets::SocketId;
 use limewing_proxy_core::in_flight::InFlightRequests;
 
-/// Where the rest of a body is streamed to.
+/// The connection that the remainder of a body is streamed to.
 struct BodyTarget {
     connection: SocketId,
     framing: Framing,
 }
 
 impl Service {
-    /// Streams what has arrived of a client's body, as fast as the pod takes it.
+    /// Streams the received part of a client's body, as fast as the pod accepts it.
     pub(in crate::service) fn stream_request_body(&mut self, id: SocketId) {
         let ended = self.sockets.has_ended(id);
         let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
@@ -24,7 +24,7 @@
         let (Some(request), Some(reader)) = (client.request, client.body_rest.as_mut()) else {
             return;
         };
-        // Before a pod has the request, or while it takes no more, the client is read no further.
+        // Until a pod has the request, and while its send queue is full, nothing more is read from the client.
         let Some(target) = body_target(&self.requests, request) else {
             if ended {
                 self.client_disconnected(id);
@@ -42,7 +42,7 @@
                 }
                 Ok(Some(piece)) => out.extend_from_slice(&piece),
                 Ok(None) => break,
-                // The rest can't be read: the pod must not take what it has for the complete body.
+                // The remainder is malformed: the pod must not take the part it has for the complete body.
                 Err(_) => return self.client_disconnected(id),
             }
         }
--- a/crates/http-proxy/src/service/clients/requests.rs
+++ b/crates/http-proxy/src/service/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Reads requests and starts them.
+//! Reads client requests and passes them to the decision engine.
 
 use super::{ClientRequest, MAX_UNSENT_BYTES};
 use crate::request_classifier::RequestTraits;
@@ -8,11 +8,11 @@
 use limewing_net::http::{HttpError, RequestHead};
 use limewing_net::sockets::SocketId;
 
-/// The response that asks a client for its body.
+/// The interim response that tells a client to send its body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 impl Service {
-    /// Reads what a client has sent.
+    /// Reads and handles the input received from a client.
     pub(in crate::service) fn read_client(&mut self, id: SocketId) {
         loop {
             let ended = self.sockets.has_ended(id);
@@ -22,7 +22,7 @@
             if client.request.is_some() {
                 return self.read_during_request(id);
             }
-            // Nothing more is read from a client that does not read its responses, and it is not waited for forever.
+            // A client that does not read its responses is not read either, and is disconnected after a timeout.
             if self.sockets.unsent_bytes(id) > MAX_UNSENT_BYTES {
                 return self.start_stall_timer(id);
             }
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The rest of a request's body is streamed. What is pipelined behind a request waits its turn; a client that closed
-    /// its side is gone, whatever it left unread.
+    /// Streams the remainder of the request body. Pipelined requests wait; a client that closed its side counts as
+    /// disconnected, even if unread input remains.
     fn read_during_request(&mut self, id: SocketId) {
         let has_body_rest = self
             .client_mut(id)
@@ -72,7 +72,7 @@
         self.sockets.resume_reading(id);
     }
 
-    /// The body is larger than what is buffered: its rest is streamed.
+    /// Handles a request whose body exceeds the buffer: the remainder is streamed.
     fn handle_large_request(&mut self, id: SocketId) {
         let Some(client) = self.client_mut(id) else {
             return;
@@ -92,7 +92,7 @@
         let Some(client) = self.client_mut(id) else {
             return;
         };
-        // Unless all of its body was read, what follows can't be told from it.
+        // With part of the body unread, the next request cannot be delimited, so the connection closes.
         client.close_after_response = !keep_alive || client.has_body_rest();
         if self.serve_own_page(id, &head, &body) {
             return;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The response is written, or the request ended without one: the next request is read.
+    /// Clears the finished request of a client and reads its next request.
     pub(super) fn end_request(&mut self, id: SocketId) {
         let Some(client) = self.client_mut(id) else {
             return;
--- a/crates/http-proxy/src/service/clients/responses.rs
+++ b/crates/http-proxy/src/service/clients/responses.rs
@@ -1,4 +1,4 @@
-//! Writes the responses of pods to clients, whole or as they arrive.
+//! Writes pod responses to clients, buffered or streamed.
 
 use super::{ClientRequest, LAST_CHUNK, MAX_UNSENT_BYTES};
 use crate::service::attempt_token::{AttemptId, ATTEMPT_FIELD};
@@ -10,21 +10,21 @@
 use limewing_net::sockets::SocketId;
 use limewing_proxy_core::in_flight::InFlightRequest;
 
-/// Bytes to allocate for a response's head.
+/// Initial capacity for a response head, in bytes.
 const HEAD_CAPACITY: usize = 1024;
-/// Bytes that a chunk's size and line ends may take.
+/// Upper bound of the size line and line endings of a chunk, in bytes.
 const CHUNK_OVERHEAD: usize = 16;
 
-/// How a streamed response ends.
+/// How a streamed response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::service) enum StreamEnd {
-    /// All of it has arrived.
+    /// The whole response was received.
     Complete,
-    /// The pod broke it off.
+    /// The response was cut short.
     Broken,
 }
 
-/// The framing of a streamed response: its length is kept; where the pod told none, chunks tell the end.
+/// Returns the framing of a streamed response. A known length is kept; otherwise the response is chunked.
 pub(in crate::service) fn streamed_framing(head: &ResponseHead) -> Framing {
     match head.framing {
         Framing::Length(length) => Framing::Length(length),
@@ -32,12 +32,12 @@
     }
 }
 
-/// Whether no response was given or begun.
+/// Whether the client has not received any part of a response.
 fn accepts_response(request: &InFlightRequest<ClientRequest>) -> bool {
     !request.completed && request.protocol_state.streamed_attempt.is_none()
 }
 
-/// The length of a response to HEAD is that of the body which GET would have had.
+/// Returns the framing of a buffered response. A response to HEAD keeps the length that GET would have returned.
 fn buffered_framing(head: &ResponseHead, body: &[u8], is_head: bool) -> Framing {
     let told = if is_head {
         head.fields
@@ -50,7 +50,7 @@
 }
 
 impl Service {
-    /// Completes a request with a buffered response, unless another one is the client's already.
+    /// Completes a request with a buffered response, unless the client already has another one.
     pub(in crate::service) fn deliver_response(
         &mut self,
         attempt: AttemptId,
@@ -71,12 +71,12 @@
         if !is_head {
             out.extend_from_slice(body);
         }
-        // Head and body at once: calls to the system are the dearest part of a request.
+        // Head and body are written together: system calls are the most expensive part of a request.
         self.sockets.send(client, &out);
         self.finish_response(client);
     }
 
-    /// Begins to stream a response.
+    /// Begins streaming a response to the client.
     pub(in crate::service) fn begin_streaming(&mut self, attempt: AttemptId, head: &ResponseHead) {
         let Some(request) = self.requests.get_mut(attempt.request) else {
             return;
@@ -88,7 +88,7 @@
         self.sockets.send(client, &out);
     }
 
-    /// Streams a piece of a response's body.
+    /// Streams part of a response body.
     pub(in crate::service) fn stream_response_piece(
         &mut self,
         request: RequestId,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Ends a streamed response. The connection of a broken one is closed, so that the client sees it.
+    /// Ends a streamed response. If it was cut short, the client's connection is closed to signal that.
     pub(in crate::service) fn end_streaming(
         &mut self,
         id: RequestId,
@@ -136,7 +136,7 @@
         self.finish_response(client_id);
     }
 
-    /// Whether the client of a request takes no more for now.
+    /// Whether the output queued for a request's client exceeds the limit.
     pub(in crate::service) fn is_client_full(&mut self, request: RequestId) -> bool {
         match self.client_of(request) {
             Some(client) => self.sockets.unsent_bytes(client) > MAX_UNSENT_BYTES,
--- a/crates/http-proxy/src/service/clients/wrong_answers.rs
+++ b/crates/http-proxy/src/service/clients/wrong_answers.rs
@@ -1,4 +1,4 @@
-//! Reports of wrong answers: which pod a response came from, by its attempt's token.
+//! Client reports of wrong answers; the attempt token identifies the pod that sent the response.
 
 use crate::http_status;
 use crate::service::attempt_token::AttemptId;
@@ -8,17 +8,17 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// How many responses are remembered; the oldest requests are forgotten first.
+/// Maximum number of remembered responses. Those of the oldest requests are evicted first.
 const MAX_ORIGINS: usize = 50_000;
 
-/// Where a response came from.
+/// The pod and request class of a response.
 #[derive(Clone, Copy, Debug)]
 struct ResponseOrigin {
     pod: PodId,
     class: ClassId,
 }
 
-/// Where recent responses came from.
+/// Origins of recent responses.
 #[derive(Default)]
 pub(super) struct ResponseOrigins {
     by_attempt: BTreeMap<AttemptId, ResponseOrigin>,
@@ -41,7 +41,7 @@
 }
 
 impl Service {
-    /// Remembers the pod that an attempt's response came from.
+    /// Records the pod that an attempt's response came from.
     pub(super) fn record_response_origin(&mut self, attempt: AttemptId) {
         let Some(request) = self.requests.get(attempt.request) else {
             return;
@@ -56,7 +56,7 @@
         self.clients.response_origins.record(attempt, origin);
     }
 
-    /// Tells the decisions of a wrong answer; each response can be reported once.
+    /// Reports a wrong answer to the decision engine. Each response can be reported once.
     pub(super) fn handle_wrong_answer_report(&mut self, id: SocketId, body: &[u8]) {
         let Ok(report) = serde_json::from_slice::<WrongAnswerReport>(body) else {
             return self.respond(
