--- a/crates/http-proxy/src/service/maintenance/applied_log.rs
+++ b/crates/http-proxy/src/service/maintenance/applied_log.rs
@@ -1,10 +1,10 @@
-//! The maintenance schedule as far as this sidecar has applied the replicated log.
+//! The maintenance schedule, built from the committed log entries that this sidecar has applied.
 
 use super::consensus_role::ConsensusRole;
 use limewing_consensus::Committed;
 use limewing_maintenance::{ApplyError, Command, MaintenanceSchedule};
 
-/// The schedule, and the index through which it has the log.
+/// The schedule and the log index through which it is applied.
 #[derive(Default)]
 pub(super) struct AppliedLog {
     pub(super) schedule: MaintenanceSchedule,
@@ -12,7 +12,7 @@
 }
 
 impl AppliedLog {
-    /// Applies everything that is committed by now.
+    /// Applies all entries that are committed so far.
     pub(super) fn apply_committed(&mut self, role: &mut ConsensusRole) {
         while let Some(committed) = role.take_committed() {
             match committed {
@@ -39,7 +39,7 @@
         match MaintenanceSchedule::decode(snapshot) {
             Some(schedule) => self.schedule = schedule,
             None => tracing::error!(
-                "cannot decode the snapshot of the maintenance schedule: it is of another version"
+                "cannot decode the maintenance schedule snapshot: it has a different format version"
             ),
         }
     }
@@ -47,7 +47,7 @@
 
 fn log_applied(index: u64, command: &Command, result: Result<(), ApplyError>) {
     match (result, command) {
-        // One twice a second while there is a list.
+        // While a list exists, this command is committed twice per second, so it is logged at debug level only.
         (Ok(()), Command::Observe { summary, .. }) => {
             tracing::debug!(index, ?summary, "command applied");
         }
--- a/crates/http-proxy/src/service/maintenance/consensus_role.rs
+++ b/crates/http-proxy/src/service/maintenance/consensus_role.rs
@@ -1,4 +1,4 @@
-//! This sidecar's role in the consensus: a voter, or a learner that only follows the log.
+//! This sidecar's role in the consensus: a voter, or a learner that only replicates the log.
 
 use super::applied_log::AppliedLog;
 use super::outbox::Outbox;
@@ -8,22 +8,22 @@
 use std::io;
 use std::time::Duration;
 
-/// Between two requests of a learner for new entries.
+/// Interval between a learner's requests for new entries.
 const LEARNER_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A voter or a learner.
+/// The role of this sidecar, with its state.
 pub(super) enum ConsensusRole {
-    /// Has a log on disk, and a vote once the group gives it one.
+    /// Stores the log on disk, and votes once the group has added it as a voter.
     Voter(Voter),
-    /// Follows the log of the voters.
+    /// Replicates the log of the voters without a vote.
     Learner(Box<Learner>),
 }
 
 impl ConsensusRole {
-    /// A voter if the settings name a folder, else a learner.
+    /// Creates a voter if the settings name a state directory, otherwise a learner.
     ///
     /// # Errors
-    /// The folder cannot be used, or another process uses it.
+    /// The state directory cannot be used, or another process uses it.
     pub(super) fn start(
         now: Duration,
         name: &str,
@@ -47,7 +47,7 @@
         Ok(Self::Learner(Box::new(learner)))
     }
 
-    /// The voter, if this sidecar is one.
+    /// Returns the voter, if this sidecar is one.
     pub(super) fn voter(&self) -> Option<&Voter> {
         match self {
             Self::Voter(voter) => Some(voter),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The voter, if this sidecar is one.
+    /// Returns the voter mutably, if this sidecar is one.
     pub(super) fn voter_mut(&mut self) -> Option<&mut Voter> {
         match self {
             Self::Voter(voter) => Some(voter),
@@ -63,12 +63,12 @@
         }
     }
 
-    /// The voter, if this sidecar leads as far as it knows.
+    /// Returns the voter, if this sidecar considers itself the leader.
     pub(super) fn leader(&self) -> Option<&Voter> {
         self.voter().filter(|voter| voter.is_leader())
     }
 
-    /// The voter, if this sidecar leads and has committed an entry of its term.
+    /// Returns the voter, if this sidecar leads and has committed an entry of its own term.
     pub(super) fn established_leader(&self) -> Option<&Voter> {
         self.leader()
             .filter(|voter| voter.node().is_established_leader())
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Index through which [`Self::take_committed`] has given out the log, once it returns nothing more.
+    /// The index through which [`Self::take_committed`] has returned the log, once it returns `None`.
     pub(super) fn applied_index(&self) -> u64 {
         match self {
             Self::Voter(voter) => voter.node().commit_index(),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Names of the voters, as the log has them.
+    /// Names of the voters according to the log.
     pub(super) fn voter_names(&self) -> Vec<String> {
         match self {
             Self::Voter(voter) => {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes in a packet.
+    /// Processes a packet from another sidecar.
     pub(super) fn receive(&mut self, now: Duration, packet: Packet) {
         match self {
             Self::Voter(voter) => voter.receive(now, packet),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Does what is due, and takes out packets.
+    /// Runs timers that are due, and moves outgoing packets to the outbox.
     pub(super) fn run(&mut self, now: Duration, applied: &AppliedLog, outbox: &mut Outbox) {
         match self {
             Self::Voter(voter) => voter.run(now, applied, outbox),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The next committed command or snapshot.
+    /// Takes the next committed command or snapshot.
     pub(super) fn take_committed(&mut self) -> Option<Committed> {
         match self {
             Self::Voter(voter) => voter.take_committed(),
--- a/crates/http-proxy/src/service/maintenance/drain.rs
+++ b/crates/http-proxy/src/service/maintenance/drain.rs
@@ -1,4 +1,4 @@
-//! Which machines this sidecar must not send to, and which of them it is drained from.
+//! Tracks which machines are closed to this sidecar, and from which of them it is drained.
 
 use super::applied_log::AppliedLog;
 use super::EndpointContext;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What the closed machines follow from, apart from the schedule itself.
+/// The inputs that determine the closed machines, apart from the schedule itself.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ClosedInputs {
     applied_index: u64,
@@ -14,19 +14,19 @@
     awaits_first_grant: bool,
 }
 
-/// The closed machines, and how far this sidecar is drained from them.
+/// The closed machines, and this sidecar's progress in draining from them.
 pub(super) struct DrainState {
-    /// `None`: all machines are closed.
+    /// Names of the closed machines. `None` means that all machines are closed.
     closed: Option<BTreeSet<String>>,
     computed_from: Option<ClosedInputs>,
     tracker: DrainTracker,
-    /// Grants whose machines this sidecar is drained from.
+    /// Grants of the machines that this sidecar is drained from.
     drained: Vec<Identifier>,
 }
 
 impl DrainState {
-    /// All machines are closed until [`Self::update_closed`] was called. `grace` is the time in which the last requests may
-    /// still be sent to a closed machine.
+    /// Starts with all machines closed, until the first call of [`Self::update_closed`]. During the `grace` period, the
+    /// last requests may still be sent to a closed machine.
     pub(super) fn new(grace: Duration) -> Self {
         Self {
             closed: None,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether the decisions have to see a machine's pods as draining.
+    /// Whether a machine's pods must appear as draining to the decision engine.
     pub(super) fn is_closed(&self, machine: &str) -> bool {
         match &self.closed {
             Some(closed) => closed.contains(machine),
@@ -44,17 +44,17 @@
         }
     }
 
-    /// Names of the closed machines; empty if all are closed.
+    /// Names of the closed machines. Empty if all machines are closed.
     pub(super) fn closed_names(&self) -> Vec<String> {
         self.closed.iter().flatten().cloned().collect()
     }
 
-    /// Grants whose machines this sidecar is drained from.
+    /// Grants of the machines that this sidecar is drained from.
     pub(super) fn drained(&self) -> &[Identifier] {
         &self.drained
     }
 
-    /// Computes anew which machines are closed. Returns whether that has changed.
+    /// Recomputes which machines are closed. Returns whether that changed.
     pub(super) fn update_closed(
         &mut self,
         now: Duration,
@@ -80,8 +80,8 @@
         has_changed
     }
 
-    /// Computes anew which machines this sidecar is drained from: the decisions know that they drain, the grace period is
-    /// over, and no request is in flight there. Returns whether there is something new to report.
+    /// Recomputes which machines this sidecar is drained from: those that the decision engine sees as draining, whose
+    /// grace period is over, and that have no requests in flight. Returns whether there is a change to report.
     pub(super) fn update_drained(
         &mut self,
         now: Duration,
@@ -91,7 +91,7 @@
         let past_grace: Vec<(&str, Identifier)> = self.tracker.past_grace(now, schedule).collect();
         let is_drained = |grant: &Identifier| self.drained.contains(grant);
         if past_grace.iter().all(|(_, grant)| is_drained(grant)) {
-            // Only grants that ended are left out: no need to look at the requests in flight.
+            // No grant was added, so there is no need to scan the requests in flight; only ended grants are removed.
             self.drained
                 .retain(|grant| past_grace.iter().any(|(_, other)| other == grant));
             return false;
--- a/crates/http-proxy/src/service/maintenance/leadership.rs
+++ b/crates/http-proxy/src/service/maintenance/leadership.rs
@@ -1,4 +1,4 @@
-//! What this sidecar does while it leads: grants leases and proposes the next command (`limewing_maintenance::Scheduler`).
+//! The leader's duties: granting leases and proposing the next command (`limewing_maintenance::Scheduler`).
 
 use super::applied_log::AppliedLog;
 use super::consensus_role::ConsensusRole;
@@ -11,44 +11,44 @@
 use limewing_proxy_core::clock::wall_clock_now;
 use std::time::{Duration, SystemTime};
 
-/// How long leases hold, and what a new leader has to wait for.
+/// The duration of leases, and the periods that a new leader has to wait for.
 #[derive(Clone, Copy)]
 pub(super) struct LeaseTimings {
-    /// A lease holds for this long.
+    /// Validity of a lease.
     pub(super) duration: Duration,
-    /// How long a predecessor may have led beside a new leader.
+    /// Maximum time for which a former leader may still act as leader beside a new one.
     pub(super) leader_overlap: Duration,
-    /// How long a request in flight may last after the lease under which it was sent has expired.
+    /// Maximum time that a request may remain in flight after the lease under which it was sent has expired.
     pub(super) completion: Duration,
 }
 
-/// A sidecar requests its lease.
+/// A sidecar's request for a lease.
 pub(super) struct LeaseRequest<'a> {
-    /// Its name.
+    /// Name of the sidecar.
     pub(super) name: &'a str,
-    /// Number of its process.
+    /// Incarnation of its process.
     pub(super) incarnation: u64,
-    /// Index through which it has applied the log.
+    /// Log index through which the sidecar has applied the log.
     pub(super) applied_index: u64,
-    /// Grants whose machines it is drained from.
+    /// Grants of the machines that the sidecar is drained from.
     pub(super) drained: &'a [Identifier],
-    /// Of a thousand of its recent requests, how many it rejected.
+    /// Share of its recent requests that the sidecar rejected, per thousand.
     pub(super) rejected_per_mille: u16,
 }
 
-/// What a leader decides on a request for a lease.
+/// The decision on a lease request.
 pub(super) enum LeaseDecision {
-    /// The lease holds once the sidecar has applied the log through this index.
+    /// Granted: the lease is valid once the sidecar has applied the log through this index.
     Granted { commit_index: u64 },
-    /// Not before the log names the sidecar: this command is to be proposed.
+    /// Not granted until the log contains the sidecar's process. The command registers it and has to be proposed.
     Register(Command),
-    /// This sidecar does not lead, or waits for its own commands.
+    /// Not granted: this sidecar does not lead, or has not yet applied its own commands.
     Denied,
 }
 
-/// The leader's side, idle at sidecars that do not lead.
+/// The leader's state. Idle on sidecars that do not lead.
 pub(super) struct Leadership {
-    /// `None`: this sidecar does not lead.
+    /// The scheduler of the current term. `None` if this sidecar does not lead.
     scheduler: Option<Scheduler>,
     timings: LeaseTimings,
     zones: ZoneTracker,
@@ -57,7 +57,7 @@
 }
 
 impl Leadership {
-    /// A sidecar that does not lead; `warm_up` is how long a started pod counts as cold.
+    /// Creates the state of a sidecar that does not lead. A pod counts as cold for `warm_up` after its start.
     pub(super) fn new(timings: LeaseTimings, warm_up: Duration) -> Self {
         Self {
             scheduler: None,
@@ -68,31 +68,31 @@
         }
     }
 
-    /// The leases that this sidecar has granted, if it leads.
+    /// Returns the granted leases, if this sidecar leads.
     pub(super) fn grantor(&self) -> Option<&LeaseGrantor> {
         self.scheduler.as_ref().map(|scheduler| &scheduler.grantor)
     }
 
-    /// Whether a build is on trial or is being rolled back.
+    /// Sets whether a build is on trial or is being rolled back.
     pub(super) fn set_release_on_trial(&mut self, on_trial: bool) {
         self.release_on_trial = on_trial;
     }
 
-    /// Takes in which zones serve now.
+    /// Updates which zones currently have serving endpoints.
     pub(super) fn observe_zones(&mut self, endpoints: &[EndpointRecord]) {
         let serving = endpoints.iter().filter(|endpoint| !endpoint.draining);
         self.zones
             .observe_serving(serving.map(|endpoint| endpoint.zone.as_str()));
     }
 
-    /// A command of this leader is in the log at this index.
+    /// Records that a command of this leader was appended to the log at `index`.
     pub(super) fn command_proposed(&mut self, index: u64) {
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.command_proposed(index);
         }
     }
 
-    /// Begins or ends the leadership of a term, as the consensus has it. Returns the command to propose now.
+    /// Adopts leadership changes from the consensus. Returns the command to propose now, if any.
     pub(super) fn next_command(
         &mut self,
         now: Duration,
@@ -144,7 +144,7 @@
         });
     }
 
-    /// Decides on a request for a lease.
+    /// Decides on a lease request.
     pub(super) fn decide_lease(
         &mut self,
         now: Duration,
@@ -152,7 +152,8 @@
         applied: &AppliedLog,
         request: &LeaseRequest,
     ) -> LeaseDecision {
-        // A leader that doesn't know yet what its predecessors committed would grant a lease too early.
+        // Before it has committed an entry of its own term, a leader may lack entries that its predecessors committed,
+        // and would grant leases too early.
         let Some(voter) = role.established_leader() else {
             return LeaseDecision::Denied;
         };
--- a/crates/http-proxy/src/service/maintenance/lease_client.rs
+++ b/crates/http-proxy/src/service/maintenance/lease_client.rs
@@ -1,12 +1,12 @@
-//! This sidecar's own lease: when it is requested, and of whom.
+//! Renews this sidecar's own lease: when to request it, and from whom.
 
 use limewing_maintenance::Lease;
 use std::time::Duration;
 
-/// After so many requests without a response all sidecars that may lead are asked.
+/// Unanswered requests after which the lease is requested from all possible leaders.
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
-/// The lease, and the sidecar that granted it last.
+/// The lease, and the sidecar that last granted it.
 pub(super) struct LeaseClient {
     lease: Lease,
     next_request: Duration,
@@ -15,7 +15,7 @@
 }
 
 impl LeaseClient {
-    /// A sidecar that starts now, without a lease.
+    /// Starts without a lease; the first request is due at once.
     pub(super) fn new(now: Duration, duration: Duration) -> Self {
         Self {
             lease: Lease::new(now, duration),
@@ -25,33 +25,33 @@
         }
     }
 
-    /// The lease.
+    /// Returns the lease.
     pub(super) fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// When the lease is to be requested next.
+    /// When the next request is due.
     pub(super) fn next_request(&self) -> Duration {
         self.next_request
     }
 
-    /// The sidecar that granted the lease last.
+    /// Name of the sidecar that last granted the lease.
     pub(super) fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
     }
 
-    /// Requests the lease now: with the request this sidecar reports what has changed.
+    /// Makes the next request due at once, because the request also reports changes to the leader.
     pub(super) fn request_at_once(&mut self, now: Duration) {
         self.next_request = self.next_request.min(now);
     }
 
-    /// A request is sent now. Returns its number.
+    /// Begins a request. Returns its number.
     pub(super) fn begin_request(&mut self, now: Duration) -> u64 {
         self.next_request = now + self.lease.request_interval();
         self.lease.request(now)
     }
 
-    /// Whom to send the request to that has begun: the known leader, or else all `candidates`.
+    /// Returns the receivers of the current request: the known leader while it responds, otherwise all `candidates`.
     pub(super) fn receivers(&mut self, candidates: Vec<String>) -> Vec<String> {
         let answers = self.unanswered_requests < MAX_UNANSWERED_REQUESTS;
         let leader = self.leader.clone().filter(|_| answers);
@@ -62,12 +62,12 @@
         }
     }
 
-    /// This sidecar leads and granted its own request.
+    /// Records that this sidecar granted its own request as leader.
     pub(super) fn granted_locally(&mut self, request: u64, commit_index: u64) {
         self.lease.granted(request, commit_index);
     }
 
-    /// Another sidecar granted a request.
+    /// Records that another sidecar granted a request.
     pub(super) fn granted_by(&mut self, leader: &str, request: u64, commit_index: u64) {
         self.lease.granted(request, commit_index);
         self.leader = Some(leader.to_owned());
--- a/crates/http-proxy/src/service/maintenance/list_commands.rs
+++ b/crates/http-proxy/src/service/maintenance/list_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that create a maintenance list: from the list as an operator writes it, and the endpoint list.
+//! Builds the commands that create a maintenance list from an operator's list and the endpoint list.
 
 use super::request::RequestError;
 use crate::endpoint_list::EndpointRecord;
@@ -8,15 +8,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Most machines in one command.
+/// Maximum number of machines in one command.
 const MAX_MACHINES_PER_COMMAND: usize = 8;
-/// Windows are in seconds in the settings, in milliseconds in the log.
+/// Converts windows from seconds, as in the settings, to milliseconds, as in the log.
 const MS_PER_SECOND: f64 = 1e3;
 
-/// The commands that create a list and add its machines, in their order.
+/// Returns the commands that create a list and add its machines, in the order to propose them.
 ///
 /// # Errors
-/// A machine is unknown, none is selected, or a command would be too long for the log.
+/// A machine is unknown, no machine is selected, or a command would exceed the size limit of log entries.
 pub(super) fn create_list(
     list: Identifier,
     settings: &WorkList,
@@ -54,7 +54,7 @@
     Ok(commands)
 }
 
-/// Machines that the list names or selects, by name; a machine's capacity is that of its pods together.
+/// Returns the machines that the list names or selects, by name. A machine's capacity is the sum over its pods.
 fn selected_machines(
     settings: &WorkList,
     endpoints: &[EndpointRecord],
@@ -99,7 +99,7 @@
     }
 }
 
-/// 0 stands for no limit in the log.
+/// Converts limits for the log, where 0 means no limit.
 fn disruption_limits(settings: &WorkLimits) -> DisruptionLimits {
     DisruptionLimits {
         max_unavailable: settings.max_unavailable,
@@ -122,7 +122,7 @@
     }
 }
 
-/// How many machines from `first` on go into one command; `None`: not even one.
+/// Returns how many machines from `first` on fit into one command, or `None` if not even one does.
 fn largest_part(list: Identifier, machines: &[Machine], first: usize) -> Option<usize> {
     (1..=MAX_MACHINES_PER_COMMAND)
         .take_while(|count| fits_log(&add_machines(list, machines, first, *count)))
--- a/crates/http-proxy/src/service/maintenance/mod.rs
+++ b/crates/http-proxy/src/service/maintenance/mod.rs
@@ -1,18 +1,20 @@
-//! Maintenance of machines: drives `limewing_consensus`, which orders the commands, and `limewing_maintenance`, which
-//! decides by them which machines are taken out; the decisions see the pods of closed machines as draining.
+//! Maintenance of machines. This module drives `limewing_consensus`, which orders commands, and `limewing_maintenance`,
+//! which uses them to decide which machines are taken out of service. The decision engine sees the pods of closed
+//! machines as draining.
 //!
-//! Data flow of a turn: packets and finished writes go into the consensus, committed commands into the schedule; the leader
-//! proposes the next command; commands that were asked of this sidecar are proposed again until they are committed; each
-//! sidecar requests its lease from the leader, and reports with it from which machines it is drained.
+//! Data flow of a turn: received packets and completed writes enter the consensus, and committed commands update the
+//! schedule. The leader proposes the next command. Commands requested through this sidecar are proposed again until
+//! they are committed. Each sidecar requests its lease from the leader, and reports in the request from which machines
+//! it is drained.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `consensus_role`, `voter` | this sidecar's part in the consensus, and its log on disk |
-//! | `applied_log` | committed commands into the schedule |
-//! | `leadership` | leases that this sidecar grants, and commands that it proposes, while it leads |
-//! | `lease_client` | its own lease |
-//! | `drain` | closed machines, and which of them it is drained from |
-//! | `request`, `list_commands` | what operators and the machines' agents ask |
+//! | `consensus_role`, `voter` | this sidecar's role in the consensus, and its log on disk |
+//! | `applied_log` | applies committed commands to the schedule |
+//! | `leadership` | grants leases and proposes commands while this sidecar leads |
+//! | `lease_client` | renews this sidecar's own lease |
+//! | `drain` | tracks closed machines, and from which of them this sidecar is drained |
+//! | `request`, `list_commands` | requests from operators and machine agents |
 //! | `pending` | commands and voter changes that are not committed yet |
 //! | `receiving`, `outbox` | messages from and to other sidecars |
 //! | `view` | `GET /limewing/work` |
@@ -53,26 +55,26 @@
 pub use request::{MaintenanceRequest, WorkReport};
 pub use view::{ListView, MachineView, MaintenanceView};
 
-/// While a write is in flight it is checked this often whether it is durable.
+/// Interval at which a write in flight is checked for durability.
 const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// Two leaders of different terms may overlap for this many election timeouts.
+/// Maximum overlap of two leaders of different terms, in election timeouts.
 const MAX_LEADER_OVERLAP: u32 = 2;
 
-/// Times of the traffic that maintenance has to wait for.
+/// Durations of client traffic that maintenance has to wait for.
 pub(super) struct TrafficTimings {
-    /// For this long requests may still be sent to a machine that was closed.
+    /// Period after closing a machine in which requests may still be sent to it.
     pub(super) drain_grace: Duration,
-    /// No request takes longer.
+    /// Upper bound of a request's duration.
     pub(super) longest_request: Duration,
-    /// A started pod counts as cold for this long.
+    /// Period after its start in which a pod counts as cold.
     pub(super) warm_up: Duration,
 }
 
-/// The endpoints and the requests in flight, as a turn sees them.
+/// The endpoints and requests in flight during a turn.
 pub(super) struct EndpointContext<'a> {
-    /// The endpoint list, as the list service has it.
+    /// The endpoint list as the service sent it.
     pub(super) endpoints: &'a [EndpointRecord],
-    /// Addresses of endpoints with attempts in flight.
+    /// Returns the addresses of endpoints with attempts in flight.
     pub(super) busy_addresses: &'a dyn Fn() -> BTreeSet<SocketAddr>,
 }
 
@@ -88,12 +90,12 @@
     }
 }
 
-/// This sidecar's part in the maintenance of machines.
+/// Maintenance of machines, as seen by this sidecar.
 pub(super) struct Maintenance {
     name: String,
-    /// Number of this process: milliseconds since 1970 at its start.
+    /// Incarnation of this process: its start in Unix milliseconds.
     incarnation: u64,
-    /// Names of the voters that found the group, by the settings.
+    /// Names of the initial voters according to the settings.
     configured_voters: Vec<String>,
     role: ConsensusRole,
     applied: AppliedLog,
@@ -106,10 +108,10 @@
 }
 
 impl Maintenance {
-    /// Starts without a lease; `seed` makes elections repeatable.
+    /// Starts without a lease. `seed` makes election timing reproducible.
     ///
     /// # Errors
-    /// The voter's folder cannot be used.
+    /// The voter's state directory cannot be used.
     pub(super) fn start(
         now: Duration,
         name: &str,
@@ -120,7 +122,7 @@
         let role = ConsensusRole::start(now, name, settings, seed)?;
         let lease_duration = Duration::from(settings.lease_duration);
         let lease = LeaseClient::new(now, lease_duration);
-        // A sidecar closes its machines at the next request after its lease has expired, at the latest.
+        // A sidecar closes its machines no later than its next lease request after the lease has expired.
         let close_delay = lease.lease().request_interval();
         let timings = LeaseTimings {
             duration: lease_duration,
@@ -147,27 +149,27 @@
         self.role.next_deadline().min(self.lease.next_request())
     }
 
-    /// When the event loop has to come round at the latest.
+    /// When the event loop has to run its next turn at the latest.
     pub(super) fn next_wake(&self, now: Duration) -> Duration {
         self.next_deadline().max(now + WRITE_CHECK_INTERVAL)
     }
 
-    /// Counts requests of clients, and those that were rejected.
+    /// Records numbers of client requests and of rejected requests.
     pub(super) fn record_requests(&mut self, now: Duration, requests: u32, rejected: u32) {
         self.rejections.record(now, requests, rejected);
     }
 
-    /// Whether a build is on trial or is being rolled back.
+    /// Sets whether a build is on trial or is being rolled back.
     pub(super) fn set_release_on_trial(&mut self, on_trial: bool) {
         self.leadership.set_release_on_trial(on_trial);
     }
 
-    /// Whether the decisions have to see a machine's pods as draining.
+    /// Whether a machine's pods must appear as draining to the decision engine.
     pub(super) fn is_closed(&self, machine: &str) -> bool {
         self.drain.is_closed(machine)
     }
 
-    /// Decides on a request for a lease. Returns the commit index if this sidecar leads and grants it.
+    /// Decides on a lease request. Returns the commit index if this sidecar leads and grants the lease.
     fn grant_lease(&mut self, now: Duration, request: &LeaseRequest) -> Option<u64> {
         let decision = self
             .leadership
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Does what is due, and sends messages through membership. Returns whether other machines are closed than before.
+    /// Runs due work and sends messages through membership. Returns whether the set of closed machines changed.
     pub(super) fn turn(
         &mut self,
         now: Duration,
@@ -243,7 +245,7 @@
         self.pending.retry(now, context);
     }
 
-    /// Requests this sidecar's lease, of itself if it leads.
+    /// Requests this sidecar's lease, from itself if it leads.
     fn request_lease(&mut self, now: Duration) {
         let number = self.lease.begin_request(now);
         let drained = self.drain.drained().to_vec();
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Names of the other sidecars that may lead, by the settings and by the log.
+    /// Names of the other sidecars that may lead, according to the settings and the log.
     fn possible_leaders(&self) -> Vec<String> {
         let mut names: BTreeSet<String> = self.role.voter_names().into_iter().collect();
         names.extend(self.configured_voters.iter().cloned());
@@ -283,7 +285,7 @@
         names.into_iter().collect()
     }
 
-    /// Notifies the voters that this sidecar shuts down and sends nothing more.
+    /// Notifies the voters that this sidecar shuts down and sends no more requests.
     pub(super) fn leave(&mut self, now: Duration, membership: &mut FleetMembership) {
         let message = Message::Leave {
             incarnation: self.incarnation,
@@ -294,10 +296,10 @@
         self.send_messages(now, membership);
     }
 
-    /// Takes in a request of an operator or of a machine's agent. Returns the number of a new list.
+    /// Handles a request of an operator or a machine agent. Returns the number of a new list, if one is created.
     ///
     /// # Errors
-    /// What of the request cannot be used.
+    /// The part of the request that is invalid.
     pub(super) fn handle_request(
         &mut self,
         now: Duration,
--- a/crates/http-proxy/src/service/maintenance/pending.rs
+++ b/crates/http-proxy/src/service/maintenance/pending.rs
@@ -1,4 +1,4 @@
-//! What was asked of this sidecar and is not committed yet: proposed again until it shows in the log, or expires.
+//! Commands and voter changes that are not committed yet: they are proposed again until they show in the log or expire.
 
 use super::consensus_role::ConsensusRole;
 use super::outbox::Outbox;
@@ -7,11 +7,11 @@
 use limewing_maintenance::{Command, MaintenanceSchedule, Message};
 use std::time::Duration;
 
-/// Between two proposals of the same commands.
+/// Interval between proposals of the same commands.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Commands that are not committed after this are given up.
+/// Time after which uncommitted commands are dropped.
 const EXPIRY: Duration = Duration::from_secs(20);
-/// Most commands that wait at a time.
+/// Maximum number of pending commands.
 const MAX_COMMANDS: usize = 256;
 
 struct PendingCommand {
@@ -25,24 +25,24 @@
     expires_at: Duration,
 }
 
-/// Commands and changes of voters that wait.
+/// Pending commands and voter changes.
 pub(super) struct PendingRequests {
     commands: Vec<PendingCommand>,
     voter_changes: Vec<PendingVoterChange>,
     next_attempt: Duration,
 }
 
-/// The sidecar's own parts that a retry goes through.
+/// The components that a retry uses.
 pub(super) struct RetryContext<'a> {
     pub(super) role: &'a mut ConsensusRole,
     pub(super) schedule: &'a MaintenanceSchedule,
-    /// Whom a learner sends its commands to.
+    /// The sidecar that a learner sends its commands to.
     pub(super) contact: Option<&'a str>,
     pub(super) outbox: &'a mut Outbox,
 }
 
 impl PendingRequests {
-    /// Nothing waits.
+    /// Starts without pending commands.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             commands: Vec::new(),
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Whether so many more commands may wait.
+    /// Whether `count` more commands can be added.
     pub(super) fn has_room_for(&self, count: usize) -> bool {
         self.commands.len() + count <= MAX_COMMANDS
     }
 
-    /// Adds commands, to be proposed with the next attempt.
+    /// Adds commands. They are proposed with the next retry.
     pub(super) fn add_commands(&mut self, now: Duration, commands: Vec<Command>) {
         let expires_at = now + EXPIRY;
         let pending = commands.into_iter().map(|command| PendingCommand {
@@ -66,8 +66,8 @@
         self.commands.extend(pending);
     }
 
-    /// Adds a change of voters in the place of an earlier one of the same sidecar. There are no more than the group may
-    /// have voters.
+    /// Adds a voter change, replacing an earlier one for the same sidecar. Changes beyond the maximum number of voters
+    /// are dropped.
     pub(super) fn add_voter_change(&mut self, now: Duration, name: String, is_voter: bool) {
         self.voter_changes.retain(|change| change.name != name);
         if self.voter_changes.len() < MAX_VOTERS {
@@ -79,12 +79,12 @@
         }
     }
 
-    /// Makes the next attempt due.
+    /// Makes the next retry due at once.
     pub(super) fn retry_at_once(&mut self, now: Duration) {
         self.next_attempt = now;
     }
 
-    /// Proposes again what waits, if that is due.
+    /// Proposes pending commands and voter changes again, if a retry is due.
     pub(super) fn retry(&mut self, now: Duration, context: RetryContext) {
         let is_empty = self.commands.is_empty() && self.voter_changes.is_empty();
         if is_empty || now < self.next_attempt {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A learner leaves changes of voters to a sidecar that may lead.
+    /// Sends voter changes from a learner to a sidecar that may lead, and drops them here.
     fn hand_over_voter_changes(&mut self, contact: Option<&str>, outbox: &mut Outbox) {
         for change in self.voter_changes.drain(..) {
             if let Some(contact) = contact {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Makes the next change of voters as leader, or sends it to the leader.
+    /// Makes the next voter change as leader, or sends it to the leader.
     fn change_voters(&mut self, now: Duration, voter: &mut Voter, outbox: &mut Outbox) {
         self.voter_changes.retain(|change| {
             now < change.expires_at && !voter.has_voter_change(&change.name, change.is_voter)
--- a/crates/http-proxy/src/service/maintenance/receiving.rs
+++ b/crates/http-proxy/src/service/maintenance/receiving.rs
@@ -1,4 +1,4 @@
-//! Messages from other sidecars.
+//! Handles messages from other sidecars.
 
 use super::leadership::LeaseRequest;
 use super::Maintenance;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Maintenance {
-    /// Takes in a direct message of another sidecar; one that cannot be read is ignored.
+    /// Handles a direct message from another sidecar. A malformed message is ignored.
     pub(in crate::service) fn receive(&mut self, now: Duration, from: &str, bytes: &[u8]) {
         match bytes.split_first() {
             Some((&CONSENSUS, rest)) => self.receive_packet(now, from, rest),
@@ -25,14 +25,14 @@
         let Ok(packet) = Packet::decode(bytes) else {
             return;
         };
-        // Membership vouches for the sender: no sidecar may vote for another.
+        // Membership authenticates the sender: a sidecar must not send packets in the name of another.
         if packet.from.name == from {
             self.role.receive(now, packet);
         }
     }
 
     fn receive_message(&mut self, now: Duration, from: &str, message: Message) {
-        // A leader that was suspended learns first that it no longer leads.
+        // Run timers first, so that a leader that was suspended steps down before it grants a lease.
         if let Some(voter) = self.role.voter_mut() {
             voter.tick(now);
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Every voter notes that a sidecar left: the leader may be the one that leaves.
+    /// Every voter records that a sidecar left, because the leader may be the one that leaves.
     fn sidecar_left(&mut self, now: Duration, name: &str, incarnation: u64) {
         let known = self.applied.schedule.sidecars().get(name);
         if known == Some(&incarnation) && self.pending.has_room_for(1) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Only commands that can be decoded get into the log.
+    /// Submits a received proposal, if its command can be decoded.
     fn proposal_received(&mut self, now: Duration, command: Vec<u8>) {
         if Command::decode(&command).is_err() {
             return;
--- a/crates/http-proxy/src/service/maintenance/request.rs
+++ b/crates/http-proxy/src/service/maintenance/request.rs
@@ -1,4 +1,4 @@
-//! What operators and the machines' agents ask of a sidecar over `POST /limewing/work`.
+//! Requests from operators and machine agents through `POST /limewing/work`.
 
 use super::list_commands;
 use crate::endpoint_list::EndpointRecord;
@@ -7,106 +7,106 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest name of a sidecar, in bytes.
+/// Maximum length of a sidecar name, in bytes.
 const MAX_SIDECAR_NAME_BYTES: usize = 32;
 
-/// A request. The names are the page's format.
+/// A maintenance request. The serialized names are part of the HTTP API.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MaintenanceRequest {
-    /// Takes the machines of a list out for maintenance.
+    /// Creates a list of machines that are taken out of service for maintenance.
     #[serde(rename = "ask")]
     CreateList(Box<WorkList>),
-    /// No more machines of the list are taken out.
+    /// Pauses a list: no more of its machines are taken out of service.
     #[serde(rename = "hold")]
     PauseList(u64),
-    /// Ends a pause.
+    /// Resumes a paused list.
     #[serde(rename = "go_on")]
     ResumeList(u64),
-    /// No more machines of the list are taken out; those that are out come back when their work ends.
+    /// Withdraws a list: no more of its machines are taken out of service, and the others return when their work ends.
     #[serde(rename = "withdraw")]
     WithdrawList(u64),
-    /// The sidecar of this name does not run any more, and did not leave by itself.
+    /// Declares that the named sidecar no longer runs and did not announce its departure.
     #[serde(rename = "gone")]
     SidecarGone(String),
-    /// The sidecar of this name becomes a voter once it has caught up.
+    /// Makes the named sidecar a voter once it has caught up.
     #[serde(rename = "vote")]
     AddVoter(String),
-    /// The sidecar of this name becomes a non-voter.
+    /// Removes the named sidecar from the voters.
     #[serde(rename = "unvote")]
     RemoveVoter(String),
-    /// A machine's agent reports how its work goes.
+    /// Reports the progress of the work on a machine; sent by its agent.
     #[serde(rename = "report")]
     ReportWork {
         /// The machine's grant.
         grant: u64,
-        /// How the work goes.
+        /// The reported progress.
         #[serde(rename = "said")]
         report: WorkReport,
     },
 }
 
-/// How the work on a machine goes.
+/// Progress of the work on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkReport {
-    /// It began.
+    /// The work began.
     Began,
-    /// It ended well.
+    /// The work succeeded.
     #[serde(rename = "worked")]
     Succeeded,
-    /// It ended, and the machine is not to be used for this list again.
+    /// The work failed. This list does not take the machine out of service again.
     Failed,
 }
 
-/// Why a request is not taken. The texts are the page's format.
+/// Why a request is rejected. The messages are part of the HTTP API.
 #[derive(Debug, PartialEq, Error)]
 pub(in crate::service) enum RequestError {
-    /// The list's settings cannot be used.
+    /// The list's settings are invalid.
     #[error("at {}: {}", .0.path, .0.expected)]
     InvalidList(ConfigError),
-    /// Machines of these names are not on the endpoint list.
+    /// The named machines are not on the endpoint list.
     #[error("machines that are not on the node list: {0:?}")]
     UnknownMachines(Vec<String>),
-    /// The list selects no machine.
+    /// The list selects no machine from the endpoint list.
     #[error("no machine on the node list fits `select`")]
     NoMachineSelected,
-    /// A machine does not fit into a command.
+    /// A machine exceeds the size limit of a command.
     #[error("a machine's name, zone or kind is too long")]
     MachineTooLong,
-    /// The list's settings do not fit into a command.
+    /// The list's settings exceed the size limit of a command.
     #[error("limits, pairs and windows are too long together")]
     ListConfigTooLong,
-    /// There is no list of this number.
+    /// No list has this number.
     #[error("no list {0}")]
     UnknownList(u64),
-    /// The log names no sidecar of this name.
+    /// The log contains no sidecar of this name.
     #[error("no sidecar {0}")]
     UnknownSidecar(String),
-    /// There is no grant of this number.
+    /// No grant has this number.
     #[error("no grant {0}")]
     UnknownGrant(u64),
-    /// The text is not a sidecar's name.
+    /// The text is not a valid sidecar name.
     #[error("expected a sidecar's name of 1 to {MAX_SIDECAR_NAME_BYTES} letters")]
     InvalidSidecarName,
-    /// Too many commands wait already.
+    /// Too many commands are pending.
     #[error("too much is asked for at once")]
     TooManyRequests,
 }
 
-/// What follows from a request.
+/// The effect of a request.
 #[derive(Debug, PartialEq)]
 pub(super) enum Effect {
     /// Commands to propose.
     Propose(Vec<Command>),
-    /// Commands that create a list of this number.
+    /// A new list.
     CreateList {
-        /// The list's number.
+        /// Number of the list.
         list: u64,
-        /// The commands to propose.
+        /// Commands to propose that create the list.
         commands: Vec<Command>,
     },
-    /// A change of the voters.
+    /// A voter change.
     ChangeVoter {
         /// The sidecar's name.
         name: String,
@@ -116,10 +116,10 @@
 }
 
 impl MaintenanceRequest {
-    /// What follows from the request, by the schedule and the endpoint list as this sidecar knows them.
+    /// Returns the effect of the request, given this sidecar's view of the schedule and the endpoint list.
     ///
     /// # Errors
-    /// What of the request cannot be used.
+    /// The part of the request that is invalid.
     pub(super) fn effect(
         &self,
         schedule: &MaintenanceSchedule,
@@ -151,7 +151,7 @@
     if let Some(error) = settings.config_errors().into_iter().next() {
         return Err(RequestError::InvalidList(error));
     }
-    // Short enough to be typed; a number that another list has is rejected by the schedule.
+    // 32 bits are short enough to type. The schedule rejects a number that another list already has.
     let list = u64::from(rand::random::<u32>());
     let commands = list_commands::create_list(Identifier(list), settings, endpoints)?;
     Ok(Effect::CreateList { list, commands })
--- a/crates/http-proxy/src/service/maintenance/tests.rs
+++ b/crates/http-proxy/src/service/maintenance/tests.rs
@@ -157,7 +157,7 @@
     error.unwrap_err().to_string()
 }
 
-/// The texts are part of the page.
+/// The messages are part of the HTTP API.
 #[test]
 fn requests_about_what_is_not_known_are_refused() {
     let report = MaintenanceRequest::ReportWork {
--- a/crates/http-proxy/src/service/maintenance/view.rs
+++ b/crates/http-proxy/src/service/maintenance/view.rs
@@ -1,4 +1,4 @@
-//! The answer to `GET /limewing/work`.
+//! The response to `GET /limewing/work`.
 
 use super::consensus_role::ConsensusRole;
 use super::Maintenance;
@@ -9,87 +9,87 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The page's word for a learner's role.
+/// The text for a learner's role on the page.
 const LEARNER_TEXT: &str = "asks";
 
-/// One sidecar's view of the maintenance.
+/// One sidecar's view of maintenance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MaintenanceView {
     /// Name of the sidecar.
     pub name: String,
-    /// Its role in the consensus: `free`, `follows`, `tries`, `stands` or `leads` for a voter, `asks` for a learner.
+    /// Role in the consensus: `free`, `follows`, `tries`, `stands` or `leads` for a voter, `asks` for a learner.
     #[serde(rename = "standing")]
     pub role: String,
-    /// Name of the sidecar that leads, as far as this one knows.
+    /// Name of the leader, if known to this sidecar.
     pub leader: Option<String>,
-    /// The consensus's term; 0 at a learner.
+    /// Term of the consensus; 0 on a learner.
     pub term: u64,
     /// Index through which the log is applied.
     #[serde(rename = "settled")]
     pub applied_index: u64,
-    /// Names of the voters; empty at a learner.
+    /// Names of the voters; empty on a learner.
     #[serde(rename = "members")]
     pub voters: Vec<String>,
     /// Name of the sidecar that becomes a voter once it has caught up.
     #[serde(default, rename = "awaited")]
     pub pending_voter: Option<String>,
-    /// Whether it holds a lease; without one it sends to no machine on a list.
+    /// Whether this sidecar holds a lease. Without one it sends no requests to machines on a list.
     #[serde(rename = "lease")]
     pub has_lease: bool,
-    /// Names of the running sidecars, as the log has them.
+    /// Names of the running sidecars according to the log.
     pub sidecars: Vec<String>,
-    /// Names of the machines that it must not send to.
+    /// Names of the machines that this sidecar must not send requests to.
     #[serde(rename = "closed")]
     pub closed_machines: Vec<String>,
-    /// The lists, by their numbers.
+    /// The maintenance lists, in the order of their numbers.
     pub lists: Vec<ListView>,
 }
 
-/// One list of machines.
+/// One maintenance list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListView {
-    /// Its number.
+    /// Number of the list.
     #[serde(rename = "list")]
     pub id: u64,
-    /// Its name.
+    /// Name of the list.
     pub name: String,
-    /// Whether no more machines are taken out until it is resumed.
+    /// Whether the list is paused: no more machines are taken out of service until it is resumed.
     #[serde(rename = "held")]
     pub paused: bool,
-    /// Whether no more machines are taken out at all.
+    /// Whether the list is withdrawn: no more machines are taken out of service.
     pub withdrawn: bool,
-    /// Whether there is nothing left to do.
+    /// Whether the list is finished.
     #[serde(rename = "over")]
     pub finished: bool,
-    /// Sidecars that do not know the list yet, as far as the leader knows; empty elsewhere.
+    /// Sidecars that have not applied the list yet, as known to the leader; empty on other sidecars.
     #[serde(rename = "unknown_to")]
     pub sidecars_behind: Vec<String>,
-    /// Its machines.
+    /// Machines on the list.
     pub machines: Vec<MachineView>,
 }
 
-/// One machine on a list.
+/// One machine on a maintenance list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineView {
-    /// Its name.
+    /// Name of the machine.
     pub machine: String,
-    /// `waits`, `granted`, `out`, `back`, `done` or `failed`.
+    /// Phase of the machine: `waits`, `granted`, `out`, `back`, `done` or `failed`.
     #[serde(rename = "step")]
     pub phase: String,
-    /// Its grant, if it has one.
+    /// Number of its grant, if it has one.
     pub grant: Option<u64>,
     /// Whether it has been in maintenance for longer than expected.
     pub stalled: bool,
-    /// Sidecars that may still send to it, as far as the leader knows; empty elsewhere.
+    /// Sidecars that may still send requests to the machine, as known to the leader; empty on other sidecars.
     #[serde(rename = "not_clear")]
     pub sidecars_not_drained: Vec<String>,
-    /// Why a waiting machine may not be taken out now.
+    /// Why a waiting machine cannot be taken out of service now.
     #[serde(rename = "why")]
     pub blocked_reason: Option<String>,
 }
 
 impl Maintenance {
-    /// The answer to `GET /limewing/work`.
+    /// Returns the response to `GET /limewing/work`.
     pub(in crate::service) fn view(&self, now: Duration) -> MaintenanceView {
         let lists = ListsView {
             now,
@@ -113,7 +113,7 @@
     }
 }
 
-/// The consensus's part of the page.
+/// The part of the page about the consensus.
 struct ConsensusView {
     role: &'static str,
     leader: Option<String>,
@@ -123,7 +123,7 @@
 }
 
 impl ConsensusView {
-    /// `granted_by` is the sidecar that granted the lease last: a learner knows the leader by it.
+    /// Creates the view. `granted_by` is the sidecar that last granted a lease; a learner takes it for the leader.
     fn new(role: &ConsensusRole, granted_by: Option<&str>) -> Self {
         let Some(voter) = role.voter() else {
             return Self {
@@ -145,7 +145,7 @@
     }
 }
 
-/// The page's word for a voter's role; its readers match on it.
+/// Returns the text for a voter's role on the page. Clients of the page match on it.
 const fn role_text(role: Role) -> &'static str {
     match role {
         Role::Unjoined => "free",
@@ -156,11 +156,11 @@
     }
 }
 
-/// What the lists' part of the page is made from.
+/// Builds the part of the page about the lists.
 struct ListsView<'a> {
     now: Duration,
     schedule: &'a MaintenanceSchedule,
-    /// The leases that this sidecar has granted, if it leads.
+    /// Leases granted by this sidecar, if it leads.
     grantor: Option<&'a LeaseGrantor>,
 }
 
--- a/crates/http-proxy/src/service/maintenance/voter.rs
+++ b/crates/http-proxy/src/service/maintenance/voter.rs
@@ -1,4 +1,4 @@
-//! A voter of the consensus: drives `limewing_consensus::RaftNode` and keeps its log on disk.
+//! A voter of the consensus: drives `limewing_consensus::RaftNode` and stores its log on disk.
 
 use super::applied_log::AppliedLog;
 use super::outbox::Outbox;
@@ -9,32 +9,32 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// With more entries than this the log is compacted.
+/// Number of entries above which the log is compacted.
 const MAX_UNCOMPACTED_ENTRIES: u64 = 400;
-/// Heartbeats in one election timeout, so that a follower outlasts lost ones.
+/// Heartbeats per election timeout, so that lost heartbeats do not trigger an election.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: u32 = 6;
 
-/// How a voter's node is configured.
+/// Configuration of a voter.
 pub(super) struct VoterConfig<'a> {
-    /// Names of the voters that found the group.
+    /// Names of the initial voters.
     pub(super) voters: &'a [String],
-    /// Without a leader for this long, up to twice that by chance, a voter stands for election.
+    /// Minimum time without a leader before a voter starts an election; the actual time is randomized up to twice this.
     pub(super) election_timeout: Duration,
     /// Seed of the node's random number generator.
     pub(super) seed: u64,
 }
 
-/// A node and its log.
+/// A consensus node and its log on disk.
 pub(super) struct Voter {
     node: Box<RaftNode>,
     log: VoteLog,
 }
 
 impl Voter {
-    /// Starts with the log that earlier processes left in a folder.
+    /// Opens the log that earlier processes stored in `folder`, or creates one.
     ///
     /// # Errors
-    /// The folder cannot be used, or another process uses it.
+    /// The directory cannot be used, or another process uses it.
     pub(super) fn open(
         now: Duration,
         name: &str,
@@ -55,12 +55,12 @@
         })
     }
 
-    /// The node, for what it knows.
+    /// Returns the consensus node.
     pub(super) fn node(&self) -> &RaftNode {
         &self.node
     }
 
-    /// Whether this voter leads, as far as it knows.
+    /// Whether this voter considers itself the leader.
     pub(super) fn is_leader(&self) -> bool {
         self.node.role() == Role::Leader
     }
@@ -70,25 +70,26 @@
         if self.log.is_idle() {
             self.node.next_deadline()
         } else {
-            // A write is in flight: whether it is durable is checked at each turn.
+            // A write is in flight: each turn checks whether it is durable.
             Duration::ZERO
         }
     }
 
-    /// Ticks the node if that is due.
+    /// Ticks the node if its deadline has passed.
     pub(super) fn tick(&mut self, now: Duration) {
         if now >= self.node.next_deadline() {
             self.node.tick(now);
         }
     }
 
-    /// Takes in a packet. A voter that was suspended learns first that it no longer leads.
+    /// Processes a packet. Timers run first, so that a leader that was suspended steps down before it handles the
+    /// packet.
     pub(super) fn receive(&mut self, now: Duration, packet: Packet) {
         self.tick(now);
         self.node.receive(now, packet);
     }
 
-    /// Handles finished writes and timers, compacts and writes the log, and takes out packets.
+    /// Handles completed writes and timers, compacts and writes the log, and moves outgoing packets to the outbox.
     pub(super) fn run(&mut self, now: Duration, applied: &AppliedLog, outbox: &mut Outbox) {
         if let Some(number) = self.log.take_durable() {
             self.node.persisted(now, number);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Replaces a long log by a snapshot of the schedule, if that has all committed commands.
+    /// Replaces a long log with a snapshot of the schedule, if all committed commands are applied to it.
     fn compact(&mut self, applied: &AppliedLog) {
         let is_long = self.node.uncompacted_entries() > MAX_UNCOMPACTED_ENTRIES;
         let is_applied = self.node.commit_index() == applied.index;
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The next committed command or snapshot.
+    /// Takes the next committed command or snapshot.
     pub(super) fn take_committed(&mut self) -> Option<Committed> {
         self.node.take_committed()
     }
@@ -135,20 +136,20 @@
         Ok(position.index)
     }
 
-    /// Proposes an encoded command, or passes it on to the leader. Whether it is committed shows in the log alone.
+    /// Proposes an encoded command, or sends it to the leader. Only the log shows whether it is committed.
     pub(super) fn submit(&mut self, now: Duration, command: Vec<u8>) {
         if self.is_leader() {
-            // One that is too long is never committed, which its sender sees.
+            // A command that is too long is never committed; its sender notices that and drops it after its expiry.
             let _ = self.node.propose(now, command);
         } else {
             self.node.forward_proposal(command);
         }
     }
 
-    /// Makes a sidecar a voter, or a non-voter, as leader.
+    /// Adds or removes a voter as leader.
     ///
     /// # Errors
-    /// Why it cannot be done now.
+    /// The change is not possible now.
     pub(super) fn change_voter(
         &mut self,
         now: Duration,
@@ -163,7 +164,8 @@
         Ok(())
     }
 
-    /// Whether a sidecar is a voter, or is to become one; or neither, for `is_voter` false.
+    /// Whether a voter change is in effect or under way: for `is_voter`, the sidecar is a voter or pending voter;
+    /// otherwise it is neither.
     pub(super) fn has_voter_change(&self, name: &str, is_voter: bool) -> bool {
         let is_member = self.node.members().iter().any(|id| id.name == name);
         let is_pending = self.node.pending_voter() == Some(name);
