--- a/crates/http-proxy/src/service/membership/coordination.rs
+++ b/crates/http-proxy/src/service/membership/coordination.rs
@@ -1,5 +1,6 @@
-//! Coordination with the other sidecars on which pods to use and to health-check (`limewing_coordination`): observes the
-//! events of the decisions, exchanges load reports through membership, and gives the resulting view to the decisions.
+//! Coordinates with other sidecars which pods to use and to health-check (`limewing_coordination`). This module
+//! observes the events of the decision engine, exchanges load reports through membership, and passes the resulting view
+//! to the decision engine.
 
 use super::view::EndpointSelectionView;
 use limewing_coordination::{
@@ -13,24 +14,24 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A ready pod.
+/// A ready pod and its fleet-wide key.
 struct KnownPod {
     endpoint: Endpoint,
-    /// The same at all sidecars: it is derived from the address.
+    /// Derived from the pod's address, so it is the same on all sidecars.
     key: u64,
 }
 
-/// The coordinator, and the pods that it knows by their keys alone.
+/// The coordinator, which identifies pods by key, and the pods with these keys.
 pub(super) struct EndpointCoordination {
     coordinator: Coordinator,
     pods: BTreeMap<PodId, KnownPod>,
-    /// Whether `pods` changed since they were given to the coordinator.
+    /// Whether `pods` changed since they were last passed to the coordinator.
     pods_changed: bool,
     view: Option<FleetView>,
 }
 
 impl EndpointCoordination {
-    /// For the sidecar with this name, in its zone.
+    /// Creates the coordination of the named sidecar in its zone.
     pub(super) fn new(now: Duration, name: &str, zone: u16) -> Self {
         Self {
             coordinator: Coordinator::new(now, stable_key(name), zone),
@@ -45,7 +46,7 @@
         self.coordinator.next_deadline()
     }
 
-    /// Whether a service answered its last poll, or its watch stands.
+    /// Records whether a control service answered its last poll, or whether its watch is established.
     pub(super) fn record_poll(&mut self, now: Duration, service: Service, answered: bool) {
         if answered {
             self.coordinator.record_poll_success(service);
@@ -54,12 +55,12 @@
         }
     }
 
-    /// When a service may be polled: now, or the time at which this is to be called again.
+    /// When this sidecar may poll a service: `now`, or a later time at which to call this method again.
     pub(super) fn next_poll(&self, now: Duration, service: Service) -> Duration {
         self.coordinator.next_poll(now, service)
     }
 
-    /// Takes in an event of the decisions; `address` is where a pod is reached.
+    /// Observes an event for the decision engine. `address` returns a pod's address.
     pub(super) fn observe_event(
         &mut self,
         now: Duration,
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Publishes what is to be published. Returns the view for the decisions if it changed: `Some(None)` if no other
-    /// sidecar is known any more.
+    /// Publishes the load report if it is due. Returns the view for the decision engine if it changed; `Some(None)`
+    /// means that no other sidecar is known any more.
     pub(super) fn update(
         &mut self,
         now: Duration,
@@ -175,7 +176,7 @@
         );
     }
 
-    /// The selection as `GET /limewing/fleet` has it; `address` is where a pod is reached.
+    /// Returns the selection for `GET /limewing/fleet`. `address` returns a pod's address.
     pub(super) fn selection(
         &self,
         address: impl Fn(PodId) -> Option<SocketAddr>,
@@ -190,7 +191,7 @@
     }
 }
 
-/// What an attempt says about its pod; `None`: nothing.
+/// Returns what the result of an attempt reveals about its pod, or `None` if it reveals nothing.
 fn observation_of(result: &AttemptResult) -> Option<OutlierObservation> {
     let seconds = result.duration.as_secs_f64();
     match result.outcome {
--- a/crates/http-proxy/src/service/membership/key_file.rs
+++ b/crates/http-proxy/src/service/membership/key_file.rs
@@ -1,22 +1,22 @@
-//! The file of the keys that seal datagrams; it is read at the start and again on SIGHUP.
+//! The file with the keys that authenticate datagrams. It is read at startup and again on SIGHUP.
 
 use limewing_membership::{ConfigError, Key, Membership};
 use limewing_settings::{self as settings, ConfigFileError};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why new keys are not used.
+/// Why new keys are rejected.
 #[derive(Debug, Error)]
 enum ReloadError {
     /// The file cannot be read.
     #[error(transparent)]
     File(#[from] ConfigFileError),
-    /// Membership does not take the keys.
+    /// Membership rejected the keys.
     #[error(transparent)]
     Keys(#[from] ConfigError),
 }
 
-/// The key file, and which of its keys are in use.
+/// The key file, and the IDs of the keys in use.
 pub(super) struct KeyFile {
     path: PathBuf,
     ids: Vec<u8>,
@@ -24,7 +24,7 @@
 }
 
 impl KeyFile {
-    /// Reads the file. Returns it with its keys.
+    /// Reads the file. Returns the key file and its keys.
     ///
     /// # Errors
     /// The file cannot be read.
@@ -38,17 +38,17 @@
         Ok((key_file, keys))
     }
 
-    /// Numbers of the keys in use, the one that seals first.
+    /// IDs of the keys in use, starting with the one that outgoing datagrams are sealed with.
     pub(super) fn ids(&self) -> &[u8] {
         &self.ids
     }
 
-    /// How often the file could not be used since the start.
+    /// Number of failed reloads since startup.
     pub(super) fn failed_reloads(&self) -> u64 {
         self.failed_reloads
     }
 
-    /// Reads the file again and replaces the keys. Keys that cannot be used change nothing.
+    /// Reads the file again and replaces the keys. On an error, the old keys stay in use.
     pub(super) fn reload(&mut self, membership: &mut Membership) {
         match self.replace_keys(membership) {
             Ok(()) => tracing::info!("membership keys reloaded"),
--- a/crates/http-proxy/src/service/membership/mod.rs
+++ b/crates/http-proxy/src/service/membership/mod.rs
@@ -1,10 +1,10 @@
-//! The other sidecars of the fleet: passes datagrams between the socket and `limewing_membership`, which decides who is
-//! there, and delivers direct messages between sidecars.
+//! Membership of the fleet: passes datagrams between the socket and `limewing_membership`, which tracks the other
+//! sidecars, and delivers direct messages between sidecars.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `key_file` | the keys that seal datagrams, read again on SIGHUP |
-//! | `coordination` | which pods this sidecar uses and health-checks beside the others |
+//! | `key_file` | the keys that authenticate datagrams, reloaded on SIGHUP |
+//! | `coordination` | which pods this sidecar uses and health-checks, coordinated with other sidecars |
 //! | `view` | `GET /limewing/fleet` |
 
 mod coordination;
@@ -26,39 +26,39 @@
 use std::time::Duration;
 pub use view::{EndpointSelectionView, MemberView, MembershipView};
 
-/// The sidecar that joins the fleet.
+/// The local sidecar, which joins the fleet.
 pub(super) struct LocalMember<'a> {
-    /// Its name, by which the others know it.
+    /// Its name, which identifies it to other sidecars.
     pub(super) name: &'a str,
-    /// Number of its zone.
+    /// Index of its zone.
     pub(super) zone: u16,
-    /// Seed of membership's random number generator.
+    /// Seed of the random number generator of membership.
     pub(super) seed: u64,
 }
 
-/// A message that another sidecar sent to this one.
+/// A direct message from another sidecar.
 pub(super) struct ReceivedMessage {
-    /// Name of the sender.
+    /// Name of the sending sidecar.
     pub(super) from: String,
-    /// The protocol's byte and the encoded message.
+    /// The protocol byte and the encoded message.
     pub(super) bytes: Vec<u8>,
 }
 
-/// Membership of the fleet, and its socket.
+/// Membership of the fleet, with its socket and keys.
 pub(super) struct FleetMembership {
     membership: Membership,
     socket: SocketId,
     listen_address: SocketAddr,
     keys: KeyFile,
-    /// `None`: this sidecar chooses its pods alone.
+    /// `None` if this sidecar selects its pods without coordination.
     coordination: Option<EndpointCoordination>,
 }
 
 impl FleetMembership {
-    /// Listens for datagrams, and begins to join the fleet.
+    /// Binds the datagram socket and begins to join the fleet.
     ///
     /// # Errors
-    /// The keys, the address or the name cannot be used.
+    /// The keys, the address or the name are invalid, or the socket cannot be bound.
     pub(super) fn start(
         now: Duration,
         local: &LocalMember,
@@ -85,7 +85,7 @@
             seed: local.seed,
         };
         let membership = Membership::new(now, config).map_err(StartError::Membership)?;
-        tracing::info!(address = %listen_address, "membership listens for datagrams");
+        tracing::info!(address = %listen_address, "membership is listening for datagrams");
         let coordination = settings
             .coordination
             .then(|| EndpointCoordination::new(now, local.name, local.zone));
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Takes in the events that the decisions are about to get; `address` is where a pod is reached. Returns the event that
-    /// follows from the other sidecars' load reports.
+    /// Observes the events that the decision engine is about to receive. `address` returns a pod's address. Returns the
+    /// event that results from the load reports of other sidecars, if any.
     pub(super) fn observe_events(
         &mut self,
         now: Duration,
@@ -123,14 +123,14 @@
         Some(Event::Fleet(view))
     }
 
-    /// Whether a service answered its last poll, or its watch stands.
+    /// Records whether a control service answered its last poll, or whether its watch is established.
     pub(super) fn record_poll(&mut self, now: Duration, service: Service, answered: bool) {
         if let Some(coordination) = &mut self.coordination {
             coordination.record_poll(now, service, answered);
         }
     }
 
-    /// When a service may be polled: now, or the time at which this is to be called again.
+    /// When this sidecar may poll a service: `now`, or a later time at which to call this method again.
     pub(super) fn next_poll(&self, now: Duration, service: Service) -> Duration {
         match &self.coordination {
             Some(coordination) => coordination.next_poll(now, service),
@@ -138,14 +138,14 @@
         }
     }
 
-    /// Takes in a datagram.
+    /// Processes a received datagram.
     pub(super) fn receive(&mut self, now: Duration, bytes: &[u8]) {
         if let Err(error) = self.membership.receive(now, bytes) {
             tracing::debug!(%error, "datagram rejected");
         }
     }
 
-    /// Does what is due, and sends the datagrams that follow.
+    /// Runs timers that are due, and sends outgoing datagrams.
     pub(super) fn turn(&mut self, now: Duration, sockets: &mut Sockets) {
         if now >= self.membership.next_deadline() {
             self.membership.tick(now);
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Sends a message to another sidecar; nothing, if that is not known.
+    /// Sends a message to another sidecar. Does nothing if that sidecar is not known.
     pub(super) fn send_direct(&mut self, now: Duration, message: DirectMessage) {
         if let Ok(name) = MemberName::try_from(message.to) {
             self.membership.send_direct(now, &name, message.bytes);
         }
     }
 
-    /// The next message that another sidecar sent to this one.
+    /// Takes the next received direct message.
     pub(super) fn take_direct_message(&mut self) -> Option<ReceivedMessage> {
         let (from, bytes) = self.membership.take_direct_message()?;
         Some(ReceivedMessage {
@@ -174,20 +174,20 @@
         })
     }
 
-    /// Names of the other members that are alive or suspect.
+    /// Names of the other members with status alive or suspect.
     pub(super) fn active_names(&self) -> impl Iterator<Item = String> + '_ {
         self.membership
             .active_members()
             .map(|member| member.update.name.to_string())
     }
 
-    /// Leaves the fleet: notifies some members.
+    /// Leaves the fleet and notifies some of the other members.
     pub(super) fn leave(&mut self, now: Duration, sockets: &mut Sockets) {
         self.membership.leave(now);
         self.turn(now, sockets);
     }
 
-    /// Reads the key file again. Keys that cannot be used change nothing.
+    /// Reloads the key file. On an error, the old keys stay in use.
     pub(super) fn reload_keys(&mut self) {
         self.keys.reload(&mut self.membership);
     }
--- a/crates/http-proxy/src/service/membership/view.rs
+++ b/crates/http-proxy/src/service/membership/view.rs
@@ -1,4 +1,4 @@
-//! The answer to `GET /limewing/fleet`.
+//! The response to `GET /limewing/fleet`.
 
 use super::FleetMembership;
 use limewing_decision::interface::PodId;
@@ -12,40 +12,40 @@
 pub struct MembershipView {
     /// Name of the sidecar.
     pub name: String,
-    /// Where the other sidecars reach it.
+    /// Address at which other sidecars reach it.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// Where it listens for datagrams; differs from `address` if that is advertised.
+    /// Local address of its datagram socket. Differs from `address` if another address is advertised.
     #[serde(rename = "listens")]
     pub listen_address: SocketAddr,
-    /// When its process started, Unix time in milliseconds.
+    /// Start of its process, in Unix milliseconds.
     #[serde(rename = "start")]
     pub started_at_ms: u64,
-    /// SWIM's incarnation number.
+    /// SWIM incarnation number.
     pub incarnation: u32,
-    /// Lifeguard's local health, 0 (healthy) to 8.
+    /// Lifeguard local health score, from 0 (healthy) to 8.
     #[serde(rename = "slowness")]
     pub local_health: u32,
-    /// Bytes of all datagrams sent since the start.
+    /// Total size of the datagrams sent since startup, in bytes.
     pub bytes_sent: u64,
-    /// Numbers of the known keys, the one that seals first.
+    /// IDs of the keys in use, starting with the one that outgoing datagrams are sealed with.
     pub keys: Vec<u8>,
-    /// How often a new key file could not be used.
+    /// Number of key file reloads that failed.
     pub keys_unusable: u64,
-    /// Rejected datagrams by cause.
+    /// Numbers of rejected datagrams by cause.
     #[serde(rename = "refused")]
     pub rejected: Vec<(String, u64)>,
-    /// The other members that it knows.
+    /// The other known members.
     pub members: Vec<MemberView>,
-    /// How the fleet moves its choice of pods; `None`: it does not.
+    /// The pod selection by coordination with the fleet; `None` if it has no effect.
     #[serde(default, rename = "chosen")]
     pub selection: Option<EndpointSelectionView>,
 }
 
-/// The pods that a sidecar uses and health-checks, as the fleet shares them out.
+/// The pods that a sidecar uses and health-checks, as coordinated with the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EndpointSelectionView {
-    /// Addresses of the pods to use, the preferred one first.
+    /// Addresses of the pods to use, in order of preference.
     #[serde(rename = "uses")]
     pub used: Vec<String>,
     /// Addresses of ejected pods that other sidecars health-check.
@@ -53,23 +53,23 @@
     pub probed_by_peers: Vec<String>,
 }
 
-/// Another member, as this sidecar knows it.
+/// Another member, as seen by this sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberView {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Where it is reached.
+    /// Address at which it is reached.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// `alive`, `suspect`, `dead` or `left`.
+    /// Status: `alive`, `suspect`, `dead` or `left`.
     #[serde(rename = "standing")]
     pub status: String,
-    /// When its process started, Unix time in milliseconds.
+    /// Start of its process, in Unix milliseconds.
     #[serde(rename = "start")]
     pub started_at_ms: u64,
-    /// SWIM's incarnation number.
+    /// SWIM incarnation number.
     pub incarnation: u32,
-    /// For how long it has had this status.
+    /// Time since its last change of status, in seconds.
     #[serde(rename = "for_s")]
     pub seconds_in_status: f64,
 }
@@ -88,7 +88,7 @@
 }
 
 impl FleetMembership {
-    /// The answer to `GET /limewing/fleet`; `address` is where a pod is reached.
+    /// Returns the response to `GET /limewing/fleet`. `address` returns a pod's address.
     pub(in crate::service) fn view(
         &self,
         now: Duration,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The word for a status on `GET /limewing/fleet`; its readers match on it.
+/// Returns the text for a status on `GET /limewing/fleet`. Clients of the page match on it.
 const fn status_text(status: MemberStatus) -> &'static str {
     match status {
         MemberStatus::Alive => "alive",
@@ -130,7 +130,7 @@
     }
 }
 
-/// The text for a rejected datagram on `GET /limewing/fleet`; its readers match on it.
+/// Returns the text for a cause of rejection on `GET /limewing/fleet`. Clients of the page match on it.
 const fn rejection_text(cause: DatagramError) -> &'static str {
     match cause {
         DatagramError::Length => "it is too short or too long",
--- a/crates/http-proxy/src/service/peers/mod.rs
+++ b/crates/http-proxy/src/service/peers/mod.rs
@@ -1,5 +1,5 @@
-//! What the sidecars of a fleet share, as the event loop uses it: membership, replicated state and maintenance, each only
-//! where the settings ask for it.
+//! The event loop's interface to the other sidecars of the fleet: membership, replicated state and maintenance. Each is
+//! active only if configured.
 
 mod turn;
 
@@ -18,33 +18,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What this sidecar shares with the others of its fleet.
+/// The components that communicate with the other sidecars of the fleet.
 pub(super) struct Peers {
     membership: Option<FleetMembership>,
     maintenance: Option<Maintenance>,
     replication: Option<Replication>,
-    /// Maintenance has received messages since its last turn.
+    /// Whether maintenance has received messages since its last turn.
     maintenance_message_received: bool,
 }
 
-/// What became of a maintenance request.
+/// The outcome of a maintenance request.
 pub(super) enum MaintenanceResponse {
-    /// The settings ask for no maintenance.
+    /// Maintenance is not configured.
     NotConfigured,
-    /// It is carried out.
+    /// The request is accepted.
     Accepted {
-        /// The number of the maintenance list that it creates, if it does.
+        /// Number of the maintenance list that the request creates, if it creates one.
         list: Option<u64>,
     },
-    /// It can't be carried out, for this cause.
+    /// The request is rejected, with the reason.
     Rejected(String),
 }
 
 impl Peers {
-    /// Starts what the settings ask for. `max_client_timeout` is the longest that a request may be in flight.
+    /// Starts the configured components. `max_client_timeout` is the longest time that a request may be in flight.
     ///
     /// # Errors
-    /// The settings can't be used, or the system refuses the socket or the vote log.
+    /// The settings are invalid, or the socket or the vote log cannot be opened.
     pub(super) fn start(
         settings: &SidecarSettings,
         now: Duration,
@@ -87,7 +87,7 @@
         })
     }
 
-    /// When each part has something due.
+    /// Returns when each component is due.
     pub(super) fn next_deadlines(&self, clock: &Clock) -> [Option<Duration>; 3] {
         let membership = self.membership.as_ref();
         let replication = self.replication.as_ref();
@@ -99,7 +99,7 @@
         ]
     }
 
-    /// Takes a datagram of another sidecar.
+    /// Processes a datagram from another sidecar.
     pub(super) fn receive_datagram(&mut self, now: Duration, bytes: &[u8]) {
         if let Some(membership) = &mut self.membership {
             membership.receive(now, bytes);
@@ -113,15 +113,15 @@
         }
     }
 
-    /// Reads the fleet's keys again.
+    /// Reloads the fleet's keys.
     pub(super) fn reload_keys(&mut self) {
         if let Some(membership) = &mut self.membership {
             membership.reload_keys();
         }
     }
 
-    /// Says farewell as the shutdown begins. Where machines go out for maintenance that waits for the exit, as maintenance
-    /// says farewell itself once all is settled.
+    /// Leaves the fleet at the beginning of the shutdown. With maintenance configured, the sidecar leaves at exit
+    /// instead, because maintenance announces the departure once all requests are complete.
     pub(super) fn leave_at_shutdown(&mut self, now: Duration, sockets: &mut Sockets) {
         if self.maintenance.is_some() {
             return;
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Says farewell at the exit, where the shutdown did not.
+    /// Leaves the fleet at exit, unless [`Self::leave_at_shutdown`] did.
     pub(super) fn leave_at_exit(&mut self, now: Duration, sockets: &mut Sockets) {
         if let (Some(maintenance), Some(membership)) = (&mut self.maintenance, &mut self.membership)
         {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// When a control service is to be polled, if that is other sidecars' turn now.
+    /// Returns when to try to poll a control service again, if only other sidecars may poll it now.
     pub(super) fn deferred_poll(&self, now: Duration, service: ControlService) -> Option<Duration> {
         let at = self.membership.as_ref()?.next_poll(now, service);
         if at > now {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Records whether a control service responded.
+    /// Records whether a control service responded to a poll.
     pub(super) fn record_poll(&mut self, now: Duration, service: ControlService, responded: bool) {
         if let Some(membership) = &mut self.membership {
             membership.record_poll(now, service, responded);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Why a request must not be sent now, if it must not: it may have run by way of another sidecar.
+    /// Returns why a request must not be sent now, if that is the case: it may have run through another sidecar.
     pub(super) fn refusal(
         &self,
         now: Duration,
@@ -175,7 +175,7 @@
         replication.refusal(now, idempotency_hash, has_routing_key)
     }
 
-    /// Records the start of an attempt of a request that may not run twice.
+    /// Records the start of an attempt of a request that must not run twice.
     pub(super) fn attempt_started(
         &mut self,
         now: Duration,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Records that a request has no further attempt.
+    /// Records that a request gets no further attempt.
     pub(super) fn request_finished(&mut self, request: RequestId) {
         if let Some(replication) = &mut self.replication {
             replication.request_finished(request);
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The page about the members of the fleet, as JSON; `None` without membership.
+    /// Returns the membership page as JSON, or `None` if membership is not configured.
     pub(super) fn membership_page(
         &self,
         now: Duration,
@@ -233,19 +233,19 @@
         serde_json::to_vec(&view).ok()
     }
 
-    /// The page about the replicated state, as JSON; `None` without replication.
+    /// Returns the replication page as JSON, or `None` if replication is not configured.
     pub(super) fn replication_page(&self) -> Option<Vec<u8>> {
         let view = self.replication.as_ref()?.view();
         serde_json::to_vec(&view).ok()
     }
 
-    /// The page about maintenance, as JSON; `None` without maintenance.
+    /// Returns the maintenance page as JSON, or `None` if maintenance is not configured.
     pub(super) fn maintenance_page(&self, now: Duration) -> Option<Vec<u8>> {
         let view = self.maintenance.as_ref()?.view(now);
         serde_json::to_vec(&view).ok()
     }
 
-    /// Handles a request of an operator or of a machine's agent, as JSON.
+    /// Handles a JSON request of an operator or a machine agent.
     pub(super) fn handle_maintenance_request(
         &mut self,
         now: Duration,
--- a/crates/http-proxy/src/service/peers/turn.rs
+++ b/crates/http-proxy/src/service/peers/turn.rs
@@ -1,4 +1,4 @@
-//! What the sidecars of a fleet share, within a turn of the event loop: messages in, events for the decisions out.
+//! The peers' part of an event loop turn: receives messages, and produces events for the decision engine.
 
 use crate::service::direct_message;
 use crate::service::maintenance::{EndpointContext, Maintenance};
@@ -10,8 +10,9 @@
 use std::time::Duration;
 
 impl Service {
-    /// Brings endpoint and stage updates, also those of other sidecars, to the decisions, and ends the attempts that are no
-    /// longer allowed. Each event is shown to replication, maintenance and membership once: here, or later in the turn.
+    /// Applies endpoint and stage updates, including those of other sidecars, to the decision engine, and ends attempts
+    /// that are no longer allowed. Replication, maintenance and membership observe each event exactly once: here or
+    /// later in the turn.
     pub(in crate::service) fn apply_control_events(&mut self) {
         self.receive_direct_messages();
         self.run_replication();
@@ -26,7 +27,7 @@
         self.withdraw_forbidden_attempts();
     }
 
-    /// Shows coordination the events that the decisions get next, and adds the fleet's view if that changed.
+    /// Passes pending events to coordination, and adds the fleet view as an event if it changed.
     pub(in crate::service) fn notify_coordination(&mut self) {
         let Some(membership) = &mut self.peers.membership else {
             return;
@@ -36,7 +37,7 @@
         self.events.extend(view);
     }
 
-    /// Hands the messages of other sidecars to the parts that they are for.
+    /// Dispatches direct messages from other sidecars to replication and maintenance.
     pub(in crate::service) fn receive_direct_messages(&mut self) {
         let peers = &mut self.peers;
         let Some(membership) = &mut peers.membership else {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Exchanges replicated state with other sidecars, and takes up what the decisions do not know.
+    /// Exchanges replicated state with other sidecars, and adds the resulting events for the decision engine.
     pub(in crate::service) fn run_replication(&mut self) {
         let peers = &mut self.peers;
         let (Some(replication), Some(membership)) = (&mut peers.replication, &mut peers.membership)
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Advances maintenance if it has messages or something due, and announces the machines that it closed or opened.
+    /// Runs maintenance if it has messages or due work, and announces the machines that it closed or opened.
     pub(in crate::service) fn run_maintenance(&mut self) {
         let peers = &mut self.peers;
         let (Some(maintenance), Some(membership)) = (&mut peers.maintenance, &mut peers.membership)
--- a/crates/http-proxy/src/service/replication.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -1,5 +1,5 @@
-//! State that other sidecars replicate: publishes what this sidecar does through `limewing_replication`, and turns what
-//! others publish into events of the decisions and into refusals of requests that may have run already.
+//! State that sidecars replicate through `limewing_replication`: publishes this sidecar's records, and converts records
+//! of other sidecars to events for the decision engine and to refusals of requests that may already have run.
 
 mod stage_format;
 mod view;
@@ -22,38 +22,39 @@
 use std::time::Duration;
 pub use view::{LogView, ReplicationView};
 
-/// Between two rounds of gossip.
+/// Interval between gossip rounds.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(50);
-/// New entries go to so many other sidecars a round.
+/// Number of other sidecars that receive new entries in each round.
 const GOSSIP_FANOUT: usize = 4;
-/// Between two updates of the peers, and of what has expired.
+/// Interval at which the list of peers is updated and expired records are removed.
 const MEMBERSHIP_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// Pods whose build is remembered at most; beyond, the next endpoint updates tell them anew.
+/// Maximum number of pods with a remembered build. Above it all are forgotten, and endpoint updates supply them again.
 const MAX_KNOWN_BUILDS: usize = 10_000;
-/// Replication may use this part of the bytes a second that the sidecar may send to others; the rest is for membership.
+/// Replication may use the fraction `1 / BANDWIDTH_DIVISOR` of the sidecar's bandwidth to other sidecars. The rest is
+/// left to membership.
 const BANDWIDTH_DIVISOR: u32 = 2;
 
-/// This sidecar's replicas, and what it publishes itself.
+/// The replicated state of this sidecar, and the records that it publishes.
 pub(super) struct Replication {
     replica: Replica,
     merged: MergedState,
     local: LocalState,
-    /// Which build each pod runs, by the endpoint list.
+    /// The build of each pod according to the endpoint list.
     builds: BTreeMap<PodId, BuildId>,
     next_refresh: Duration,
 }
 
-/// What a turn brought from other sidecars.
+/// Updates from other sidecars that a turn produced.
 #[derive(Default)]
 pub(super) struct ReplicationUpdate {
-    /// Events for the decisions.
+    /// Events for the decision engine.
     pub(super) events: Vec<Event>,
-    /// A rollout stage, to be handled as if the installer had announced it.
+    /// A rollout stage, to be handled as if the rollout service had announced it.
     pub(super) stage: Option<StageMessage>,
 }
 
 impl Replication {
-    /// Starts without replicas; `seed` makes the choice of peers repeatable.
+    /// Starts without replicas. `seed` makes the choice of peers reproducible.
     pub(super) fn start(
         now: Duration,
         settings: &SidecarSettings,
@@ -87,7 +88,7 @@
         self.replica.next_tick().min(self.next_refresh)
     }
 
-    /// Takes in a packet of another sidecar, without the protocol's byte.
+    /// Processes a packet from another sidecar, without the protocol byte.
     pub(super) fn receive(&mut self, now: Duration, from: &str, bytes: &[u8]) {
         match Packet::decode(bytes) {
             Ok(packet) => self.replica.receive(now, from, packet),
@@ -102,7 +103,8 @@
             .apply(&origin, sequence, now + time_to_live, record);
     }
 
-    /// An attempt of a request with a non-idempotent key is about to be sent. `idempotency_key` is the key's hash.
+    /// Records that an attempt of a non-idempotent request is about to be sent. `idempotency_key` is the hash of the
+    /// request's key.
     pub(super) fn attempt_started(
         &mut self,
         now: Duration,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Learns from an endpoint update which build each pod runs.
+    /// Records the build of each pod from an endpoint update.
     pub(super) fn observe_event(&mut self, event: &Event) {
         let Event::Endpoints(update) = event else {
             return;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// An attempt ended; `key` is the request's routing key.
+    /// Records the end of an attempt. `key` is the routing key of the request.
     pub(super) fn attempt_ended(
         &mut self,
         now: Duration,
@@ -158,12 +160,13 @@
         }
     }
 
-    /// No further attempt of a request is sent.
+    /// Records that no further attempt of a request is sent.
     pub(super) fn request_finished(&mut self, request: RequestId) {
         self.local.request_finished(request.0);
     }
 
-    /// Why a request must not be sent now; `None`: it may. `idempotency_key` is the hash of a non-idempotent request's key.
+    /// Returns why a request must not be sent now, or `None` if it may be sent. `idempotency_key` is the hash of a
+    /// non-idempotent request's key.
     pub(super) fn refusal(
         &self,
         now: Duration,
@@ -180,7 +183,7 @@
         )
     }
 
-    /// The installer announced a stage: publishes it.
+    /// Publishes a stage that the rollout service announced.
     pub(super) fn stage_announced(&mut self, now: Duration, message: &StageMessage) {
         let stage = stage_format::to_record(message);
         if let Some(record) = self.local.stage_announced(stage) {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Does what is due, and sends packets through membership. Returns what other sidecars' entries brought.
+    /// Runs due work and sends packets through membership. Returns the updates from other sidecars' entries.
     pub(super) fn turn(
         &mut self,
         now: Duration,
@@ -214,7 +217,7 @@
         update
     }
 
-    /// Applies other sidecars' entries, and adds the events that follow. Returns whether a stage was among the entries.
+    /// Applies entries of other sidecars and adds the resulting events. Returns whether the entries contained a stage.
     fn apply_entries(&mut self, now: Duration, events: &mut Vec<Event>) -> bool {
         let mut stages_changed = false;
         while let Some((origin, entry)) = self.replica.take_applied() {
@@ -243,7 +246,7 @@
         Some(stage_format::to_message(&stage))
     }
 
-    /// The answer to `GET /limewing/state`.
+    /// Returns the response to `GET /limewing/state`.
     pub(super) fn view(&self) -> ReplicationView {
         let origin = self.replica.origin();
         let (keys, requests) = self.merged.key_and_request_counts();
--- a/crates/http-proxy/src/service/replication/stage_format.rs
+++ b/crates/http-proxy/src/service/replication/stage_format.rs
@@ -1,9 +1,9 @@
-//! Rollout stages between the installer's messages and replicated records.
+//! Converts rollout stages between messages of the rollout service and replicated records.
 
 use crate::stage_updates::{StageMessage, StagePhase};
 use limewing_replication::{Phase, Stage};
 
-/// The record of an announced stage.
+/// Converts an announced stage to a record.
 pub(super) fn to_record(message: &StageMessage) -> Stage {
     Stage {
         number: message.number,
@@ -19,7 +19,7 @@
     }
 }
 
-/// The announcement that a record was made of.
+/// Converts a record back to the announcement.
 pub(super) fn to_message(stage: &Stage) -> StageMessage {
     StageMessage {
         number: stage.number,
@@ -32,7 +32,7 @@
             Phase::RolledBack => StagePhase::RolledBack,
         },
         cap: stage.cap,
-        // Records don't tell since when a stage holds, so its windows start anew.
+        // Records do not contain the age of a stage, so its time windows restart.
         age_ms: 0.0,
     }
 }
--- a/crates/http-proxy/src/service/replication/tests.rs
+++ b/crates/http-proxy/src/service/replication/tests.rs
@@ -39,7 +39,7 @@
     assert!((to_record(&with_cap(2.0)).cap - 1.0).abs() < f64::EPSILON);
 }
 
-/// The installer's clock is not replicated: the receiver counts from when it hears of the stage.
+/// The age of a stage is not replicated: the receiver counts from the time at which it receives the record.
 #[test]
 fn a_replicated_stage_has_no_age() {
     let message = StageMessage {
--- a/crates/http-proxy/src/service/replication/view.rs
+++ b/crates/http-proxy/src/service/replication/view.rs
@@ -1,29 +1,29 @@
-//! The answer to `GET /limewing/state`.
+//! The response to `GET /limewing/state`.
 
 use limewing_replication::{Log, Origin};
 use serde::{Deserialize, Serialize};
 
-/// One sidecar's replicas.
+/// One sidecar's view of the replicated state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReplicationView {
     /// Name of the sidecar.
     pub name: String,
-    /// Number of its process: milliseconds since 1970 at its start.
+    /// Incarnation of its process: its start in Unix milliseconds.
     #[serde(rename = "start")]
     pub incarnation: u64,
-    /// Whether it has the entries that other sidecars published before it started.
+    /// Whether it has received the entries that other sidecars published before it started.
     pub caught_up: bool,
-    /// Bytes of packets sent since the start.
+    /// Total size of the packets sent since startup, in bytes.
     pub bytes_sent: u64,
-    /// Routing keys that a build has served.
+    /// Number of routing keys that a build has served.
     pub keys: usize,
-    /// Requests that may have run.
+    /// Number of requests that may have run.
     #[serde(rename = "hits")]
     pub requests: usize,
-    /// Records that were dropped because a bound was reached.
+    /// Number of records dropped because a limit was reached.
     #[serde(rename = "left_out")]
     pub dropped_records: u64,
-    /// The replicas, one for each process of each sidecar.
+    /// The replicated logs, one for each process of each sidecar.
     pub logs: Vec<LogView>,
     /// The rollout stage that each sidecar has announced, as text.
     pub stages: Vec<String>,
@@ -31,21 +31,21 @@
     pub stage: Option<String>,
 }
 
-/// The replica of one process's entries.
+/// The replicated log of one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogView {
     /// Name of the sidecar that published the entries.
     pub name: String,
-    /// Number of its process.
+    /// Incarnation of its process.
     #[serde(rename = "start")]
     pub incarnation: u64,
-    /// The replica is complete through this sequence number.
+    /// Sequence number through which the replica is complete.
     #[serde(rename = "upto")]
     pub contiguous_through: u64,
-    /// Entries that have not expired.
+    /// Number of entries that have not expired.
     #[serde(rename = "live")]
     pub live_entries: usize,
-    /// Entries that were evicted because a bound was reached.
+    /// Number of entries evicted because a limit was reached.
     #[serde(rename = "given_up")]
     pub evicted_entries: u64,
 }
