--- a/crates/http-proxy/src/service/upstream/attempts.rs
+++ b/crates/http-proxy/src/service/upstream/attempts.rs
@@ -22,7 +22,7 @@
 }
 
 impl Service {
-    /// Starts an attempt of a request at a pod; a `timeout` of zero leaves it the request's time.
+    /// Starts an attempt of a request at a pod. With a `timeout` of zero, only the request's deadline applies.
     pub(in crate::service) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -75,7 +75,7 @@
         Some(attempt)
     }
 
-    /// Whether a request can be sent once more: it needs a response, and a body that was streamed is gone.
+    /// Whether another attempt of a request can be sent: the request still needs a response, and its body is available.
     fn can_be_sent(&self, request: RequestId) -> bool {
         let Some(in_flight) = self.requests.get(request) else {
             return false;
@@ -87,15 +87,15 @@
         needs_response && has_attempts_left && !is_body_gone
     }
 
-    /// An idle connection to a pod, or one that is being established.
+    /// Returns an idle connection to a pod, or opens a new one.
     ///
     /// # Errors
-    /// The outcome of the attempt that there is no connection for.
+    /// No connection is available. The error is the outcome of the attempt.
     fn connection_to(&mut self, pod: PodId) -> Result<SocketId, AttemptOutcome> {
         if let Some(socket) = self.take_idle_connection(pod) {
             return Ok(socket);
         }
-        // What is left is for the control services.
+        // The remaining descriptors are reserved for the control services.
         if !self.make_room_for_connection() {
             return Err(AttemptOutcome::NeverSent);
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Tells the decisions how an attempt ended; does nothing if it had ended.
+    /// Reports the outcome of an attempt to the decision engine. Does nothing if the attempt had already ended.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
         let AttemptId { request, index } = attempt;
         let ended = self.requests.end_attempt(request, index, outcome, self.now);
@@ -162,7 +162,7 @@
         self.events.push(Event::AttemptFinished(ended.result));
     }
 
-    /// The attempt has no response in time.
+    /// Ends an attempt that has not received its response in time.
     pub(in crate::service) fn attempt_timed_out(&mut self, attempt: AttemptId) {
         let sent = self
             .requests
@@ -176,7 +176,7 @@
         self.end_attempt(attempt, outcome);
     }
 
-    /// The response is the client's from here on: the attempt's timeout no longer holds.
+    /// Cancels the timeout of an attempt whose response is being streamed to the client.
     pub(super) fn stop_attempt_timer(&mut self, attempt: AttemptId) {
         let timer = self
             .requests
@@ -206,7 +206,7 @@
         self.end_attempt(AttemptId { request, index }, outcome);
     }
 
-    /// Ends an attempt whose response was streamed to a client that is gone.
+    /// Ends an attempt whose response was being streamed to a client that disconnected.
     pub(in crate::service) fn abort_streamed_attempt(&mut self, attempt: AttemptId) {
         let connection = self
             .requests
@@ -216,7 +216,7 @@
         self.end_attempt(attempt, AttemptOutcome::Cancelled);
     }
 
-    /// Ends the attempts that are not written yet and are no longer allowed: they never run.
+    /// Ends attempts that are not written yet and are no longer allowed, so that they never run.
     pub(in crate::service) fn withdraw_forbidden_attempts(&mut self) {
         for (request, index, pod, connection) in self.requests.active_attempts() {
             let Some(socket) = connection else { continue };
@@ -235,8 +235,8 @@
     }
 }
 
-/// The outcome where no connection could be opened. A lack of this machine's own is no sign of the pod, which must not be
-/// ejected for it.
+/// Returns the outcome of an attempt when no connection could be opened. A lack of local resources says nothing about
+/// the pod, which must not be ejected for it.
 fn connect_failure(pod: PodId, error: Option<io::Error>) -> AttemptOutcome {
     let local = error.as_ref().is_some_and(is_resource_exhaustion);
     tracing::warn!(?error, local, endpoint = pod.0, "cannot connect to pod");
--- a/crates/http-proxy/src/service/upstream/connections.rs
+++ b/crates/http-proxy/src/service/upstream/connections.rs
@@ -1,4 +1,4 @@
-//! The life of a connection to a pod, in use and idle.
+//! Manages connections to pods, both in use and idle.
 
 use crate::service::{ConnectionRole, Service, TimerEvent};
 use limewing_decision::interface::{AttemptOutcome, PodId};
@@ -8,7 +8,7 @@
 use limewing_proxy_core::eviction::IdleConnectionOwner;
 
 impl Service {
-    /// A connection is established: its attempt is written, or it is idle.
+    /// Handles an established connection: writes its attempt, or adds the connection to the pool.
     pub(in crate::service) fn upstream_connected(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A connection was not established in time.
+    /// Handles a connection that was not established in time.
     pub(in crate::service) fn connect_timed_out(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
             return;
@@ -35,7 +35,7 @@
         self.sockets.close(socket);
     }
 
-    /// A connection is gone after `written` bytes.
+    /// Handles a connection that was lost after `written` bytes.
     pub(in crate::service) fn upstream_lost(&mut self, socket: SocketId, written: u64) {
         let Some(ConnectionRole::Upstream(connection)) = self.connections.remove(&socket) else {
             return;
@@ -54,10 +54,10 @@
         self.end_broken_attempt(&exchange, outcome);
     }
 
-    /// Takes an attempt off its connection, and returns the outcome that proves that it never ran, if any does.
+    /// Detaches an attempt from its connection. Returns an outcome if the attempt provably never ran.
     ///
-    /// A connection that is being established is left for other attempts. Any other is closed, as the response may still
-    /// come.
+    /// A connection that is still being established stays open for other attempts. Any other connection is closed,
+    /// because the response may still arrive on it.
     pub(super) fn detach_exchange(&mut self, socket: Option<SocketId>) -> Option<AttemptOutcome> {
         let socket = socket?;
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether no byte of the attempt on a connection has left.
+    /// Whether no byte of the attempt on a connection was written.
     pub(super) fn is_unwritten(&mut self, socket: SocketId) -> bool {
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get(&socket) else {
             return false;
@@ -89,8 +89,8 @@
             || self.sockets.bytes_written(socket) <= exchange.written_before
     }
 
-    /// An idle connection on which nothing has come since, neither a byte nor the end: what a pod sends unasked would be
-    /// taken for the response, and a request that is written to a closed connection may have run for all that is known.
+    /// Takes an idle connection on which the pod has sent nothing and has not closed. Unsolicited bytes would be taken
+    /// for the response, and a request written to a closed connection may have run.
     pub(super) fn take_idle_connection(&mut self, pod: PodId) -> Option<SocketId> {
         loop {
             let IdleConnection { id, timer, .. } = self.upstream.pool.take(pod)?;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Keeps a connection that carries nothing for the next attempt.
+    /// Adds an idle connection to the pool for the next attempt.
     pub(super) fn return_to_pool(&mut self, socket: SocketId, pod: PodId) {
         let timer = self.timers.schedule(
             self.now + self.settings.idle_timeout,
--- a/crates/http-proxy/src/service/upstream/exchange.rs
+++ b/crates/http-proxy/src/service/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt on a connection: reads its response off the connection's bytes.
+//! One attempt on a connection, and the parsing of its response.
 
 use crate::http_status;
 use crate::service::attempt_token::AttemptId;
@@ -7,62 +7,62 @@
 use limewing_net::body::BodyReader;
 use limewing_net::http::{self, HeadLimits, HttpError, ResponseHead};
 
-/// A pod says with this field that it has not begun a request.
+/// Header field by which a pod declares that it has not started a request.
 const NOT_STARTED_FIELD: &str = "limewing-not-begun";
 
 /// One attempt on a connection.
 pub(super) struct Exchange {
-    /// The attempt.
+    /// The attempt that the connection carries.
     pub(super) attempt: AttemptId,
-    /// Bytes that were written on the connection before it.
+    /// Bytes written to the connection before the attempt.
     pub(super) written_before: u64,
-    /// The response, once its head was read.
+    /// The response, once its head was parsed.
     pub(super) response: Option<Response>,
-    /// What of the response's body was read and is not streamed.
+    /// The part of the response body that is buffered, not streamed.
     pub(super) buffered: BytesMut,
     /// Whether the response is streamed to the client.
     pub(super) is_streamed: bool,
 }
 
-/// A response that is being read.
+/// A response that is being received.
 pub(super) struct Response {
-    /// Its head.
+    /// The response head.
     pub(super) head: ResponseHead,
     body: BodyReader,
 }
 
-/// How far the reading of a response is.
+/// Progress in reading a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseProgress {
-    /// More has to arrive.
+    /// More input is needed.
     Incomplete,
-    /// All has arrived.
+    /// The whole response was received.
     Complete,
-    /// It ended early, or can't be read.
+    /// The response was truncated or is malformed.
     Broken,
-    /// It is too large to be buffered, and the client has another response.
+    /// The response is too large to buffer, and the client already receives another one.
     Unneeded,
 }
 
-/// What decides whether a response is streamed.
+/// Conditions that determine whether a response is streamed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamingRules {
-    /// Responses of the request's class are streamed from their first byte.
+    /// Whether responses of the request class are streamed from their first byte.
     pub(super) class_is_streamed: bool,
-    /// The client has no response, and none has begun.
+    /// Whether the client has not received any part of a response.
     pub(super) client_is_free: bool,
-    /// Bound of what is buffered, in bytes.
+    /// Maximum size of the buffered body, in bytes.
     pub(super) max_buffered: usize,
 }
 
-/// What was read of a response's body.
+/// Result of reading part of a response body.
 #[derive(Debug, Default)]
 pub(super) struct BodyRead {
-    /// The response is streamed from here on.
+    /// Whether streaming starts with this part.
     pub(super) starts_streaming: bool,
-    /// What is to be streamed.
+    /// Parts of the body to stream.
     pub(super) pieces: Vec<Bytes>,
-    /// The body is too large to be buffered, and must not be streamed.
+    /// Whether the body is too large to buffer and must not be streamed.
     pub(super) is_too_large: bool,
 }
 
@@ -71,7 +71,7 @@
         self.head.status >= http_status::FIRST_SERVER_ERROR
     }
 
-    /// What a complete response says of its attempt.
+    /// Returns the outcome of the attempt for a complete response.
     pub(super) fn outcome(&self) -> AttemptOutcome {
         let says_not_started = self.head.fields.get(NOT_STARTED_FIELD).is_some();
         if self.head.status == http_status::SERVICE_UNAVAILABLE && says_not_started {
@@ -85,7 +85,7 @@
 }
 
 impl Exchange {
-    /// An attempt on a connection on which `written_before` bytes were written before.
+    /// Creates the exchange of an attempt. `written_before` is the number of bytes written to the connection before it.
     pub(super) fn new(attempt: AttemptId, written_before: u64) -> Self {
         Self {
             attempt,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Whether the response's head was read, now or before.
+    /// Parses the response head if that was not done before. Returns whether the head was parsed.
     pub(super) fn read_head(
         &mut self,
         input: &mut BytesMut,
@@ -114,7 +114,7 @@
         Ok(true)
     }
 
-    /// Reads what has arrived of the body, into the buffer or to be streamed.
+    /// Reads the received part of the body, either to buffer or to stream it.
     pub(super) fn read_body(
         &mut self,
         input: &mut BytesMut,
@@ -125,7 +125,7 @@
             return Ok(read);
         };
         let may_start = rules.client_is_free && !response.is_server_error();
-        // A streamed response is the client's from its first byte.
+        // Responses of streamed classes are passed to the client from their first byte.
         read.starts_streaming = may_start && rules.class_is_streamed;
         while let Some(piece) = response.body.next(input)? {
             if self.is_streamed || read.starts_streaming {
@@ -133,7 +133,7 @@
                 continue;
             }
             self.buffered.extend_from_slice(&piece);
-            // Too large to be buffered: it is streamed from here on, if it may be.
+            // Too large to buffer: switch to streaming if that is allowed.
             if self.buffered.len() > rules.max_buffered {
                 if !may_start {
                     read.is_too_large = true;
@@ -150,7 +150,7 @@
         Ok(read)
     }
 
-    /// How far the reading is, where the body is not too large. `ended` tells that no more bytes will come.
+    /// Returns the progress of a response whose body is not too large. `ended` means that no more bytes will arrive.
     pub(super) fn progress(&mut self, ended: bool) -> ResponseProgress {
         let Some(response) = &mut self.response else {
             return ResponseProgress::Incomplete;
@@ -164,8 +164,8 @@
         }
     }
 
-    /// What a body that is too large to be buffered means: an error's long page says no more than that it is one; another
-    /// response is the client's already.
+    /// Returns the progress of a response whose body is too large to buffer. A server error fails the attempt whatever
+    /// its body contains; any other response is no longer needed, because the client already receives another one.
     pub(super) fn progress_when_too_large(&self) -> ResponseProgress {
         match &self.response {
             Some(response) if !response.is_server_error() => ResponseProgress::Unneeded,
--- a/crates/http-proxy/src/service/upstream/mod.rs
+++ b/crates/http-proxy/src/service/upstream/mod.rs
@@ -1,13 +1,14 @@
-//! The pods' side: attempts, and the connections that carry them.
+//! The pod side: attempts, and the connections that carry them.
 //!
-//! What proves that an attempt never ran: no connection was established, not one byte of it was written, or the pod says
-//! so. A pod that closes an idle connection just as a request is written to it proves nothing: the bytes may have arrived.
+//! An attempt provably never ran if no connection was established, if not one byte of it was written, or if the pod
+//! says so. A pod that closes an idle connection just as a request is written to it proves nothing: the bytes may have
+//! arrived.
 //!
 //! - `attempts` starts and ends attempts
-//! - `request_writer` writes a request to a pod
-//! - `connections` is the life of a connection, in use and idle
-//! - `exchange` reads one response off a connection's bytes
-//! - `responses` passes responses on to clients
+//! - `request_writer` writes requests to pods
+//! - `connections` manages connections, in use and idle
+//! - `exchange` parses the response of one attempt
+//! - `responses` passes responses to clients
 
 mod attempts;
 mod connections;
@@ -22,16 +23,16 @@
 use limewing_proxy_core::connection_pool::ConnectionPool;
 use limewing_proxy_core::descriptor_budget::DescriptorBudget;
 
-/// The connections to pods that carry nothing, and what attempts need.
+/// Idle connections to pods, and resources that attempts share.
 pub(super) struct Upstream {
     pool: ConnectionPool,
     budget: DescriptorBudget,
-    /// Tokens of attempts.
+    /// Encodes and decodes attempt tokens.
     pub(super) tokens: AttemptTokens,
 }
 
 impl Upstream {
-    /// No connection yet.
+    /// Starts without connections.
     pub(super) fn new(budget: DescriptorBudget, tokens: AttemptTokens) -> Self {
         Self {
             pool: ConnectionPool::default(),
@@ -44,8 +45,8 @@
 /// A connection to a pod.
 pub(super) struct UpstreamConnection {
     pod: PodId,
-    /// Runs until the connection is established.
+    /// The connect timeout; `None` once the connection is established.
     connect_timer: Option<TimerKey>,
-    /// The attempt that it carries.
+    /// The attempt that the connection carries; `None` if it is idle.
     exchange: Option<Exchange>,
 }
--- a/crates/http-proxy/src/service/upstream/request_writer.rs
+++ b/crates/http-proxy/src/service/upstream/request_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a request to a pod.
+//! Writes requests to pods.
 
 use super::Exchange;
 use crate::service::attempt_token::{AttemptId, ATTEMPT_FIELD};
@@ -12,11 +12,11 @@
 use limewing_proxy_core::in_flight::InFlightRequest;
 use limewing_proxy_core::send_permit::SendPermit;
 
-/// Bytes to allocate for a request's head.
+/// Initial capacity for a request head, in bytes.
 const HEAD_CAPACITY: usize = 512;
 
 impl Service {
-    /// What a connection to a pod carries.
+    /// Returns the exchange on a connection to a pod, if there is one.
     pub(super) fn exchange(&self, socket: SocketId) -> Option<&Exchange> {
         match self.connections.get(&socket) {
             Some(ConnectionRole::Upstream(connection)) => connection.exchange.as_ref(),
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Writes the request of the attempt on a connection, or as much of it as has arrived from the client. An attempt that
-    /// is not allowed at this moment never runs.
+    /// Writes the request of the attempt on a connection, or the part of it that was received from the client. An
+    /// attempt that is not allowed at this moment is withdrawn and never runs.
     pub(super) fn write_request(&mut self, socket: SocketId) {
         let Some(exchange) = self.exchange(socket) else {
             return;
@@ -67,7 +67,8 @@
             (ATTEMPT_FIELD.as_bytes(), token.as_bytes()),
             (&b"via"[..], self.settings.via.as_bytes()),
         ];
-        // A pod that begins a request only while it is waited for can't run it after the request was forgotten here.
+        // With the remaining time, a pod can skip an expired request, so that it does not run after this sidecar has
+        // forgotten it.
         let deadline_field = self.classifier.deadline_field().map(str::as_bytes);
         let mut digits = itoa::Buffer::new();
         let remaining = request.deadline.saturating_sub(self.now);
@@ -103,14 +104,14 @@
         out
     }
 
-    /// The pod takes more of a request's body.
+    /// Continues to stream a request body when the pod accepts more of it.
     pub(in crate::service) fn upstream_flushed(&mut self, socket: SocketId) {
         if let Some(client) = self.streaming_client(socket) {
             self.stream_request_body(client);
         }
     }
 
-    /// Whether a part of the request's body on a connection has not been read from its client.
+    /// Whether part of the request body on a connection has not been read from the client yet.
     pub(super) fn has_request_body_rest(&self, socket: SocketId) -> bool {
         let client = self
             .streaming_client(socket)
@@ -118,7 +119,7 @@
         matches!(client, Some(ConnectionRole::Client(client)) if client.has_body_rest())
     }
 
-    /// The client whose request's body is streamed on a connection.
+    /// Returns the client whose request body is streamed on a connection.
     fn streaming_client(&self, socket: SocketId) -> Option<SocketId> {
         let exchange = self.exchange(socket)?;
         let request = self.requests.get(exchange.attempt.request)?;
@@ -128,7 +129,8 @@
         request.client
     }
 
-    /// The attempt on an established connection is not allowed and not written: it never runs, and the connection stays.
+    /// Withdraws an attempt that is not written yet and not allowed. It never runs, and the connection returns to the
+    /// pool.
     fn withdraw_unwritten(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
             return;
--- a/crates/http-proxy/src/service/upstream/responses.rs
+++ b/crates/http-proxy/src/service/upstream/responses.rs
@@ -1,4 +1,4 @@
-//! Passes the responses of pods on to clients.
+//! Passes responses from pods to clients.
 
 use super::exchange::{BodyRead, Exchange, ResponseProgress, StreamingRules};
 use crate::service::clients::{streamed_framing, StreamEnd};
@@ -8,17 +8,17 @@
 use limewing_proxy_core::eviction::IdleConnectionOwner;
 
 impl Service {
-    /// Reads what a pod has sent.
+    /// Reads and handles the input received from a pod.
     pub(in crate::service) fn read_upstream(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get(&socket) else {
             return;
         };
-        // Bytes that no request asked for, or the end of an idle connection: it is of no more use.
+        // Unsolicited bytes on an idle connection, or its end: the connection cannot be used any more.
         let Some(exchange) = &connection.exchange else {
             return self.close_idle_connection(socket);
         };
         let attempt = exchange.attempt;
-        // What a client does not read stays with its pod.
+        // Backpressure: while the client does not read its response, nothing more is read from the pod.
         if exchange.is_streamed && self.is_client_full(attempt.request) {
             return;
         }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// More bytes have come than the response has: what is complete is good, the connection is not.
+    /// Handles bytes after the end of a response: the response is used, but the connection is not reused.
     fn discard_surplus(&mut self, socket: SocketId) {
         if let Some(input) = self.sockets.input(socket) {
             input.clear();
@@ -115,7 +115,8 @@
     }
 
     fn response_complete(&mut self, socket: SocketId) {
-        // A response may come before all of the request was sent: the rest of it must not be taken for another one.
+        // The response may arrive before the whole request was sent. The rest of it must not be taken for another
+        // request.
         let is_request_sent =
             self.sockets.unsent_bytes(socket) == 0 && !self.has_request_body_rest(socket);
         let is_clean = !self.sockets.has_peer_closed(socket) && is_request_sent;
@@ -145,7 +146,7 @@
         self.end_attempt(exchange.attempt, outcome);
     }
 
-    /// A part of a response, none at all, or one that can't be read: the request may have run.
+    /// Handles a response that is missing, truncated or malformed: the request may have run.
     fn response_broken(&mut self, socket: SocketId) {
         self.sockets.close(socket);
         let Some(ConnectionRole::Upstream(connection)) = self.connections.remove(&socket) else {
@@ -156,7 +157,8 @@
         }
     }
 
-    /// Ends an attempt whose connection is gone. A streamed response is broken off; else the outcome is `outcome`.
+    /// Ends an attempt whose connection was lost. A streamed response is aborted; otherwise the attempt ends with
+    /// `outcome`.
     pub(super) fn end_broken_attempt(&mut self, exchange: &Exchange, outcome: AttemptOutcome) {
         if exchange.is_streamed {
             self.end_streamed_attempt(exchange, StreamEnd::Broken);
