--- a/crates/http-proxy/src/service/maintenance/leadership.rs
+++ b/crates/http-proxy/src/service/maintenance/leadership.rs
@@ -100,7 +100,7 @@
         applied: &AppliedLog,
         endpoints: &[EndpointRecord],
     ) -> Option<Command> {
-        self.follow_term(now, role);
+        self.update_term(now, role);
         let mut lists = applied.schedule.lists().values();
         if lists.all(MaintenanceList::is_finished) || role.established_leader().is_none() {
             return None;
@@ -126,7 +126,7 @@
         )
     }
 
-    fn follow_term(&mut self, now: Duration, role: &ConsensusRole) {
+    fn update_term(&mut self, now: Duration, role: &ConsensusRole) {
         let term = role.leader().map(|voter| voter.node().term());
         let current = self.scheduler.as_ref().map(|scheduler| scheduler.term);
         if current == term {
--- a/crates/http-proxy/src/service/maintenance/lease_client.rs
+++ b/crates/http-proxy/src/service/maintenance/lease_client.rs
@@ -53,8 +53,8 @@
 
     /// Returns the receivers of the current request: the known leader while it responds, otherwise all `candidates`.
     pub(super) fn receivers(&mut self, candidates: Vec<String>) -> Vec<String> {
-        let answers = self.unanswered_requests < MAX_UNANSWERED_REQUESTS;
-        let leader = self.leader.clone().filter(|_| answers);
+        let leader_responds = self.unanswered_requests < MAX_UNANSWERED_REQUESTS;
+        let leader = self.leader.clone().filter(|_| leader_responds);
         self.unanswered_requests += 1;
         match leader {
             Some(leader) => vec![leader],
--- a/crates/http-proxy/src/service/maintenance/list_commands.rs
+++ b/crates/http-proxy/src/service/maintenance/list_commands.rs
@@ -44,11 +44,11 @@
     }];
     let mut first = 0;
     while first < machines.len() {
-        let count = largest_part(list, &machines, first).ok_or(RequestError::MachineTooLong)?;
+        let count = largest_batch(list, &machines, first).ok_or(RequestError::MachineTooLong)?;
         commands.push(add_machines(list, &machines, first, count));
         first += count;
     }
-    if !fits_log(&commands[0]) {
+    if !fits_log_entry(&commands[0]) {
         return Err(RequestError::ListConfigTooLong);
     }
     Ok(commands)
@@ -63,7 +63,7 @@
     for endpoint in endpoints {
         let is_named = settings.machines.contains(&endpoint.machine);
         let select = settings.select.as_ref();
-        if !is_named && !select.is_some_and(|select| is_selected(select, endpoint)) {
+        if !is_named && !select.is_some_and(|select| matches_selector(select, endpoint)) {
             continue;
         }
         let machine = machines
@@ -79,7 +79,7 @@
     machines
 }
 
-fn is_selected(select: &MachineSelector, endpoint: &EndpointRecord) -> bool {
+fn matches_selector(select: &MachineSelector, endpoint: &EndpointRecord) -> bool {
     let zone = select.zone.as_ref();
     let kind = select.machine_type.as_ref();
     zone.is_none_or(|zone| *zone == endpoint.zone)
@@ -123,9 +123,9 @@
 }
 
 /// Returns how many machines from `first` on fit into one command, or `None` if not even one does.
-fn largest_part(list: Identifier, machines: &[Machine], first: usize) -> Option<usize> {
+fn largest_batch(list: Identifier, machines: &[Machine], first: usize) -> Option<usize> {
     (1..=MAX_MACHINES_PER_COMMAND)
-        .take_while(|count| fits_log(&add_machines(list, machines, first, *count)))
+        .take_while(|count| fits_log_entry(&add_machines(list, machines, first, *count)))
         .last()
 }
 
@@ -138,6 +138,6 @@
     }
 }
 
-fn fits_log(command: &Command) -> bool {
+fn fits_log_entry(command: &Command) -> bool {
     command.encode().len() <= MAX_COMMAND_BYTES
 }
--- a/crates/http-proxy/src/service/maintenance/mod.rs
+++ b/crates/http-proxy/src/service/maintenance/mod.rs
@@ -57,8 +57,8 @@
 
 /// Interval at which a write in flight is checked for durability.
 const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// Maximum overlap of two leaders of different terms, in election timeouts.
-const MAX_LEADER_OVERLAP: u32 = 2;
+/// Maximum time for which two leaders of different terms may overlap, in election timeouts.
+const MAX_LEADER_OVERLAP_ELECTION_TIMEOUTS: u32 = 2;
 
 /// Durations of client traffic that maintenance has to wait for.
 pub(super) struct TrafficTimings {
@@ -126,7 +126,8 @@
         let close_delay = lease.lease().request_interval();
         let timings = LeaseTimings {
             duration: lease_duration,
-            leader_overlap: Duration::from(settings.election_timeout) * MAX_LEADER_OVERLAP,
+            leader_overlap: Duration::from(settings.election_timeout)
+                * MAX_LEADER_OVERLAP_ELECTION_TIMEOUTS,
             completion: traffic.drain_grace + traffic.longest_request + close_delay,
         };
         Ok(Self {
@@ -299,7 +300,7 @@
     /// Handles a request of an operator or a machine agent. Returns the number of a new list, if one is created.
     ///
     /// # Errors
-    /// The part of the request that is invalid.
+    /// The request is invalid, or too many commands are pending.
     pub(super) fn handle_request(
         &mut self,
         now: Duration,
--- a/crates/http-proxy/src/service/maintenance/pending.rs
+++ b/crates/http-proxy/src/service/maintenance/pending.rs
@@ -10,9 +10,9 @@
 /// Interval between proposals of the same commands.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Time after which uncommitted commands are dropped.
-const EXPIRY: Duration = Duration::from_secs(20);
+const PENDING_EXPIRY: Duration = Duration::from_secs(20);
 /// Maximum number of pending commands.
-const MAX_COMMANDS: usize = 256;
+const MAX_PENDING_COMMANDS: usize = 256;
 
 struct PendingCommand {
     command: Command,
@@ -53,12 +53,12 @@
 
     /// Whether `count` more commands can be added.
     pub(super) fn has_room_for(&self, count: usize) -> bool {
-        self.commands.len() + count <= MAX_COMMANDS
+        self.commands.len() + count <= MAX_PENDING_COMMANDS
     }
 
     /// Adds commands. They are proposed with the next retry.
     pub(super) fn add_commands(&mut self, now: Duration, commands: Vec<Command>) {
-        let expires_at = now + EXPIRY;
+        let expires_at = now + PENDING_EXPIRY;
         let pending = commands.into_iter().map(|command| PendingCommand {
             command,
             expires_at,
@@ -74,7 +74,7 @@
             self.voter_changes.push(PendingVoterChange {
                 name,
                 is_voter,
-                expires_at: now + EXPIRY,
+                expires_at: now + PENDING_EXPIRY,
             });
         }
     }
@@ -94,7 +94,7 @@
         match context.role {
             ConsensusRole::Voter(voter) => self.change_voters(now, voter, context.outbox),
             ConsensusRole::Learner(_) => {
-                self.hand_over_voter_changes(context.contact, context.outbox)
+                self.delegate_voter_changes(context.contact, context.outbox)
             }
         }
         self.commands.retain(|pending| {
@@ -114,7 +114,7 @@
     }
 
     /// Sends voter changes from a learner to a sidecar that may lead, and drops them here.
-    fn hand_over_voter_changes(&mut self, contact: Option<&str>, outbox: &mut Outbox) {
+    fn delegate_voter_changes(&mut self, contact: Option<&str>, outbox: &mut Outbox) {
         for change in self.voter_changes.drain(..) {
             if let Some(contact) = contact {
                 outbox.push(contact, &change.message());
--- a/crates/http-proxy/src/service/maintenance/request.rs
+++ b/crates/http-proxy/src/service/maintenance/request.rs
@@ -119,7 +119,7 @@
     /// Returns the effect of the request, given this sidecar's view of the schedule and the endpoint list.
     ///
     /// # Errors
-    /// The part of the request that is invalid.
+    /// The request is invalid.
     pub(super) fn effect(
         &self,
         schedule: &MaintenanceSchedule,
@@ -128,15 +128,15 @@
         match self {
             Self::CreateList(settings) => create_list(settings, endpoints),
             Self::PauseList(list) => {
-                let list = known_list(schedule, *list)?;
+                let list = find_list(schedule, *list)?;
                 Ok(Effect::Propose(vec![Command::PauseList { list }]))
             }
             Self::ResumeList(list) => {
-                let list = known_list(schedule, *list)?;
+                let list = find_list(schedule, *list)?;
                 Ok(Effect::Propose(vec![Command::ResumeList { list }]))
             }
             Self::WithdrawList(list) => {
-                let list = known_list(schedule, *list)?;
+                let list = find_list(schedule, *list)?;
                 Ok(Effect::Propose(vec![Command::WithdrawList { list }]))
             }
             Self::SidecarGone(name) => sidecar_gone(schedule, name),
@@ -157,7 +157,7 @@
     Ok(Effect::CreateList { list, commands })
 }
 
-fn known_list(schedule: &MaintenanceSchedule, list: u64) -> Result<Identifier, RequestError> {
+fn find_list(schedule: &MaintenanceSchedule, list: u64) -> Result<Identifier, RequestError> {
     let id = Identifier(list);
     if schedule.lists().contains_key(&id) {
         Ok(id)
--- a/crates/http-proxy/src/service/maintenance/tests.rs
+++ b/crates/http-proxy/src/service/maintenance/tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_list_is_created_with_its_machines_in_parts_of_eight() {
+fn a_list_is_created_with_its_machines_in_batches_of_eight() {
     let names: Vec<String> = (0..20).map(|number| format!("node-{number:02}")).collect();
     let endpoints: Vec<EndpointRecord> = names
         .iter()
@@ -67,7 +67,7 @@
         Command::CreateList { list: LIST, machine_count: 20, config }
             if config.work_duration_ms == 60_000 && config.windows[0].start_ms == 10_500
     ));
-    let parts: Vec<(u16, usize)> = commands[1..]
+    let batches: Vec<(u16, usize)> = commands[1..]
         .iter()
         .map(|command| match command {
             Command::AddMachines {
@@ -76,12 +76,12 @@
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(parts, [(0, 8), (8, 8), (16, 4)]);
+    assert_eq!(batches, [(0, 8), (8, 8), (16, 4)]);
     assert_eq!(machine_names(&commands), names);
 }
 
 #[test]
-fn a_machines_capacity_is_that_of_its_pods_together() {
+fn a_machines_capacity_is_the_sum_over_its_pods() {
     let endpoints = [endpoint("node-0", 9000), endpoint("node-0", 9001)];
     let commands = create_list(LIST, &work_list(&["node-0"]), &endpoints).unwrap();
     let Command::AddMachines { machines, .. } = &commands[1] else {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_list_of_unknown_machines_is_refused() {
+fn a_list_of_unknown_machines_is_rejected() {
     let error = create_list(
         LIST,
         &work_list(&["node-0", "node-7"]),
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_list_that_selects_nothing_is_refused() {
+fn a_list_that_selects_nothing_is_rejected() {
     let mut list = work_list(&[]);
     list.select = Some(MachineSelector {
         zone: Some("north".into()),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_machine_that_fits_no_command_is_refused() {
+fn a_machine_that_exceeds_the_command_size_is_rejected() {
     let mut endpoint = endpoint("node-0", 9000);
     endpoint.machine_type = "x".repeat(10_000);
     let error = create_list(LIST, &work_list(&["node-0"]), &[endpoint]).unwrap_err();
@@ -159,7 +159,7 @@
 
 /// The messages are part of the HTTP API.
 #[test]
-fn requests_about_what_is_not_known_are_refused() {
+fn requests_about_unknown_items_are_rejected() {
     let report = MaintenanceRequest::ReportWork {
         grant: 4,
         report: WorkReport::Began,
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_voter_change_is_no_command() {
+fn a_voter_change_is_not_a_command() {
     let request = MaintenanceRequest::RemoveVoter("s3".into());
     let effect = request.effect(&MaintenanceSchedule::default(), &[]);
     let expected = Effect::ChangeVoter {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_machine_is_busy_while_one_of_its_pods_is() {
+fn a_machine_is_busy_while_one_of_its_pods_is_busy() {
     let endpoints = [
         endpoint("node-0", 9000),
         endpoint("node-0", 9001),
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_leader_that_does_not_answer_twice_is_given_up() {
+fn all_candidates_are_asked_after_two_unanswered_requests() {
     let now = Duration::from_secs(1);
     let mut client = LeaseClient::new(now, Duration::from_secs(2));
     let all = || vec!["s1".to_owned(), "s2".to_owned()];
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_learner_hands_a_voter_change_over_once() {
+fn a_learner_sends_a_voter_change_once() {
     let mut learner = LearnerRetries::new();
     let change = |is_voter| Message::ChangeVote {
         name: "s4".into(),
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn no_more_than_256_commands_wait() {
+fn at_most_256_commands_are_pending() {
     let mut pending = PendingRequests::new(Duration::ZERO);
     let command = Command::PauseList { list: LIST };
     pending.add_commands(Duration::ZERO, vec![command; 255]);
--- a/crates/http-proxy/src/service/maintenance/view.rs
+++ b/crates/http-proxy/src/service/maintenance/view.rs
@@ -186,7 +186,7 @@
     fn sidecars_behind(&self, list: &MaintenanceList) -> Vec<String> {
         match self.grantor {
             Some(grantor) if !list.known => {
-                to_owned(&grantor.sidecars_behind(self.schedule, list.completed_index))
+                to_owned_names(&grantor.sidecars_behind(self.schedule, list.completed_index))
             }
             _ => Vec::new(),
         }
@@ -206,7 +206,7 @@
     fn sidecars_not_drained(&self, state: &MachineState) -> Vec<String> {
         match (state.phase, state.grant, self.grantor) {
             (MachinePhase::Granted, Some(grant), Some(grantor)) => {
-                to_owned(&grantor.sidecars_not_drained(self.now, self.schedule, grant))
+                to_owned_names(&grantor.sidecars_not_drained(self.now, self.schedule, grant))
             }
             _ => Vec::new(),
         }
@@ -221,6 +221,6 @@
     }
 }
 
-fn to_owned(names: &[&str]) -> Vec<String> {
+fn to_owned_names(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
--- a/crates/http-proxy/src/service/replication/tests.rs
+++ b/crates/http-proxy/src/service/replication/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_stage_is_the_same_message_after_replication() {
+fn a_stage_message_is_unchanged_by_replication() {
     let phases = [
         (StagePhase::OnTrial, Phase::OnTrial),
         (StagePhase::RollingBack, Phase::RollingBack),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_replicated_cap_lies_between_0_and_1() {
+fn a_replicated_cap_is_clamped_between_0_and_1() {
     let with_cap = |cap| StageMessage {
         cap,
         ..announced(StagePhase::OnTrial)
