--- a/crates/http-proxy/src/service/clients/mod.rs
+++ b/crates/http-proxy/src/service/clients/mod.rs
@@ -60,7 +60,7 @@
     /// The request in flight. Requests pipelined behind it wait.
     request: Option<RequestId>,
     /// Reads the remainder of a streamed request body.
-    body_rest: Option<BodyReader>,
+    unread_body: Option<BodyReader>,
     /// Whether the connection closes after the current response.
     close_after_response: bool,
     request_timer: Option<TimerKey>,
@@ -72,7 +72,7 @@
         Self {
             reader: RequestReader::new(max_buffered_request),
             request: None,
-            body_rest: None,
+            unread_body: None,
             close_after_response: false,
             request_timer: None,
             stall_timer: None,
@@ -85,8 +85,8 @@
     }
 
     /// Whether part of the request body is still unread.
-    pub(super) fn has_body_rest(&self) -> bool {
-        self.body_rest.is_some()
+    pub(super) fn has_unread_body(&self) -> bool {
+        self.unread_body.is_some()
     }
 }
 
--- a/crates/http-proxy/src/service/clients/own_responses.rs
+++ b/crates/http-proxy/src/service/clients/own_responses.rs
@@ -13,7 +13,7 @@
 const PROXY_STATUS: &str = "proxy-status";
 const RETRY_AFTER: &str = "retry-after";
 /// Default value of `Retry-After`, in seconds.
-const SHORT_RETRY_AFTER: &str = "1";
+const DEFAULT_RETRY_AFTER_SECONDS: &str = "1";
 
 /// A header field's name and value.
 type Field<'a> = (&'a str, &'a str);
@@ -69,15 +69,21 @@
     /// Responds to a client whose connection is not accepted, and closes the connection.
     pub(super) fn reject_client(&mut self, id: SocketId) {
         let status = self.proxy_status(Effect::None);
-        let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
-        self.write_own_response(id, http_status::SERVICE_UNAVAILABLE, &fields, b"", false);
+        let fields = [
+            (RETRY_AFTER, DEFAULT_RETRY_AFTER_SECONDS),
+            (PROXY_STATUS, &status),
+        ];
+        self.write_local_response(id, http_status::SERVICE_UNAVAILABLE, &fields, b"", false);
         self.sockets.close_when_sent(id);
     }
 
     /// Rejects a request that arrived during shutdown.
     pub(super) fn reject_during_shutdown(&mut self, id: SocketId) {
         let status = self.proxy_status(Effect::None);
-        let fields = [(RETRY_AFTER, SHORT_RETRY_AFTER), (PROXY_STATUS, &status)];
+        let fields = [
+            (RETRY_AFTER, DEFAULT_RETRY_AFTER_SECONDS),
+            (PROXY_STATUS, &status),
+        ];
         self.respond(id, http_status::SERVICE_UNAVAILABLE, &fields, b"");
     }
 
@@ -101,10 +107,10 @@
     }
 
     /// Rejects input that is not a valid HTTP/1.1 request, and closes the connection.
-    pub(super) fn refuse_request(&mut self, id: SocketId, error: HttpError) {
+    pub(super) fn reject_malformed_request(&mut self, id: SocketId, error: HttpError) {
         tracing::debug!(%error, "malformed request rejected");
         let text = format!("{error}\n");
-        self.write_own_response(id, error.status(), &[], text.as_bytes(), false);
+        self.write_local_response(id, error.status(), &[], text.as_bytes(), false);
         self.close_client(id);
     }
 
@@ -115,7 +121,7 @@
         };
         client.request_timer = None;
         let text = b"the request did not come whole in time\n";
-        self.write_own_response(id, http_status::REQUEST_TIMEOUT, &[], text, false);
+        self.write_local_response(id, http_status::REQUEST_TIMEOUT, &[], text, false);
         self.close_client(id);
     }
 
@@ -124,13 +130,13 @@
         let keep_alive = self
             .client_mut(id)
             .is_some_and(|client| !client.close_after_response);
-        self.write_own_response(id, status, fields, body, keep_alive);
+        self.write_local_response(id, status, fields, body, keep_alive);
         if !keep_alive {
             self.close_client(id);
         }
     }
 
-    fn write_own_response(
+    fn write_local_response(
         &mut self,
         id: SocketId,
         status: u16,
--- a/crates/http-proxy/src/service/clients/request_bodies.rs
+++ b/crates/http-proxy/src/service/clients/request_bodies.rs
@@ -21,7 +21,7 @@
         let Some(ConnectionRole::Client(client)) = self.connections.get_mut(&id) else {
             return;
         };
-        let (Some(request), Some(reader)) = (client.request, client.body_rest.as_mut()) else {
+        let (Some(request), Some(reader)) = (client.request, client.unread_body.as_mut()) else {
             return;
         };
         // Until a pod has the request, and while its send queue is full, nothing more is read from the client.
@@ -47,7 +47,7 @@
             }
         }
         if reader.ended() {
-            client.body_rest = None;
+            client.unread_body = None;
             if target.framing == Framing::Chunked {
                 out.extend_from_slice(LAST_CHUNK);
             }
--- a/crates/http-proxy/src/service/clients/requests.rs
+++ b/crates/http-proxy/src/service/clients/requests.rs
@@ -37,7 +37,7 @@
                 Ok(None) => return self.wait_for_request(id, has_partial_input),
                 Err(HttpError::UnexpectedEnd) => return self.client_disconnected(id),
                 Err(HttpError::BodyTooLarge) => self.handle_large_request(id),
-                Err(error) => return self.refuse_request(id, error),
+                Err(error) => return self.reject_malformed_request(id, error),
             }
         }
     }
@@ -45,10 +45,10 @@
     /// Streams the remainder of the request body. Pipelined requests wait; a client that closed its side counts as
     /// disconnected, even if unread input remains.
     fn read_during_request(&mut self, id: SocketId) {
-        let has_body_rest = self
+        let has_unread_body = self
             .client_mut(id)
-            .is_some_and(|client| client.has_body_rest());
-        if has_body_rest {
+            .is_some_and(|client| client.has_unread_body());
+        if has_unread_body {
             self.stream_request_body(id);
         } else if self.sockets.has_peer_closed(id) {
             self.client_disconnected(id);
@@ -60,10 +60,10 @@
             return;
         };
         if has_partial_input && client.request_timer.is_none() {
-            let late_at = self.now + self.settings.request_timeout;
+            let times_out_at = self.now + self.settings.request_timeout;
             let timer = self
                 .timers
-                .schedule(late_at, TimerEvent::RequestTimeout(id));
+                .schedule(times_out_at, TimerEvent::RequestTimeout(id));
             client.request_timer = Some(timer);
         }
         if client.reader.wants_continue() {
@@ -81,7 +81,7 @@
             return;
         };
         if !reader.ended() {
-            client.body_rest = Some(reader);
+            client.unread_body = Some(reader);
         }
         self.handle_request(id, head, body.freeze());
     }
@@ -93,7 +93,7 @@
             return;
         };
         // With part of the body unread, the next request cannot be delimited, so the connection closes.
-        client.close_after_response = !keep_alive || client.has_body_rest();
+        client.close_after_response = !keep_alive || client.has_unread_body();
         if self.serve_own_page(id, &head, &body) {
             return;
         }
@@ -125,13 +125,13 @@
             let is_non_idempotent = traits.idempotency_hash.is_some();
             return self.respond_to_refusal(client_id, refusal, is_non_idempotent);
         }
-        let has_body_rest = self
+        let has_unread_body = self
             .client_mut(client_id)
-            .is_some_and(|client| client.has_body_rest());
+            .is_some_and(|client| client.has_unread_body());
         let request = ClientRequest {
             head,
             body,
-            is_body_complete: !has_body_rest,
+            is_body_complete: !has_unread_body,
             body_attempt: None,
             class: traits.class,
             routing_key: traits.routing_key,
--- a/crates/http-proxy/src/service/clients/responses.rs
+++ b/crates/http-proxy/src/service/clients/responses.rs
@@ -11,9 +11,9 @@
 use limewing_proxy_core::in_flight::InFlightRequest;
 
 /// Initial capacity for a response head, in bytes.
-const HEAD_CAPACITY: usize = 1024;
+const HEAD_CAPACITY_BYTES: usize = 1024;
 /// Upper bound of the size line and line endings of a chunk, in bytes.
-const CHUNK_OVERHEAD: usize = 16;
+const CHUNK_OVERHEAD_BYTES: usize = 16;
 
 /// How a streamed response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// The whole response was received.
     Complete,
     /// The response was cut short.
-    Broken,
+    Aborted,
 }
 
 /// Returns the framing of a streamed response. A known length is kept; otherwise the response is chunked.
@@ -39,14 +39,14 @@
 
 /// Returns the framing of a buffered response. A response to HEAD keeps the length that GET would have returned.
 fn buffered_framing(head: &ResponseHead, body: &[u8], is_head: bool) -> Framing {
-    let told = if is_head {
+    let content_length = if is_head {
         head.fields
             .text("content-length")
             .and_then(|text| text.parse().ok())
     } else {
         None
     };
-    Framing::Length(told.unwrap_or(body.len() as u64))
+    Framing::Length(content_length.unwrap_or(body.len() as u64))
 }
 
 impl Service {
@@ -99,7 +99,7 @@
             return;
         };
         if framing == Framing::Chunked {
-            let mut out = BytesMut::with_capacity(piece.len() + CHUNK_OVERHEAD);
+            let mut out = BytesMut::with_capacity(piece.len() + CHUNK_OVERHEAD_BYTES);
             write_chunk(&mut out, piece);
             self.sockets.send(client, &out);
         } else {
@@ -124,7 +124,7 @@
         let Some(client_id) = request.client.take() else {
             return;
         };
-        if end == StreamEnd::Broken {
+        if end == StreamEnd::Aborted {
             if let Some(client) = self.client_mut(client_id) {
                 client.request = None;
             }
@@ -137,7 +137,7 @@
     }
 
     /// Whether the output queued for a request's client exceeds the limit.
-    pub(in crate::service) fn is_client_full(&mut self, request: RequestId) -> bool {
+    pub(in crate::service) fn is_client_backlogged(&mut self, request: RequestId) -> bool {
         match self.client_of(request) {
             Some(client) => self.sockets.unsent_bytes(client) > MAX_UNSENT_BYTES,
             None => false,
@@ -159,12 +159,12 @@
             .client_mut(client)
             .is_some_and(|client| !client.close_after_response);
         let token = self.upstream.tokens.encode(attempt);
-        let own = [
+        let added_fields = [
             (ATTEMPT_FIELD.as_bytes(), token.as_bytes()),
             (&b"via"[..], self.settings.via.as_bytes()),
         ];
-        let fields = head.fields.end_to_end().chain(own);
-        let mut out = BytesMut::with_capacity(HEAD_CAPACITY);
+        let fields = head.fields.end_to_end().chain(added_fields);
+        let mut out = BytesMut::with_capacity(HEAD_CAPACITY_BYTES);
         http::write_response(&mut out, head.status, fields, framing, keep_alive);
         out
     }
--- a/crates/http-proxy/src/service/clients/wrong_answers.rs
+++ b/crates/http-proxy/src/service/clients/wrong_answers.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of remembered responses. Those of the oldest requests are evicted first.
-const MAX_ORIGINS: usize = 50_000;
+const MAX_RESPONSE_ORIGINS: usize = 50_000;
 
 /// The pod and request class of a response.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 impl ResponseOrigins {
     fn record(&mut self, attempt: AttemptId, origin: ResponseOrigin) {
         self.by_attempt.insert(attempt, origin);
-        if self.by_attempt.len() > MAX_ORIGINS {
+        if self.by_attempt.len() > MAX_RESPONSE_ORIGINS {
             self.by_attempt.pop_first();
         }
     }
--- a/crates/http-proxy/src/service/control/endpoint_watch.rs
+++ b/crates/http-proxy/src/service/control/endpoint_watch.rs
@@ -52,13 +52,13 @@
     #[error("no response in time")]
     Timeout,
     /// The response is incomplete or not valid HTTP.
-    #[error("the response is incomplete, or is not HTTP/1.1")]
-    Unreadable,
+    #[error("the response is incomplete or not valid HTTP/1.1")]
+    MalformedResponse,
     /// The response has another status than 200, or no index.
     #[error("expected status 200 and a number in X-Consul-Index")]
-    NoList,
+    UnexpectedResponse,
     /// The response body is not a valid endpoint list.
-    #[error("the response has no endpoint list that can be used")]
+    #[error("the response body is not a valid endpoint list")]
     MalformedList,
 }
 
@@ -75,7 +75,7 @@
 
     /// Stores the index of a response. Returns whether the list may have changed. An index that decreases means that
     /// the service restarted: the next query asks for the list at once.
-    fn take_index(&mut self, index: u64) -> bool {
+    fn update_index(&mut self, index: u64) -> bool {
         let changed = index != self.index;
         self.index = if index < self.index { 0 } else { index };
         changed
@@ -94,7 +94,7 @@
             None
         });
         let list = list.unwrap_or_default();
-        let update = self.endpoints.take_cached(list, &self.peers, self.now);
+        let update = self.endpoints.apply_cached(list, &self.peers, self.now);
         self.events.push(Event::Endpoints(update));
     }
 
@@ -160,7 +160,7 @@
         let (head, body) = match connection.reader.take(input, ended) {
             Ok(Some(response)) => response,
             Ok(None) if !ended => return self.sockets.resume_reading(socket),
-            _ => return self.endpoint_poll_failed(EndpointPollError::Unreadable),
+            _ => return self.endpoint_poll_failed(EndpointPollError::MalformedResponse),
         };
         if let Err(error) = self.handle_endpoint_list_response(&head, &body) {
             return self.endpoint_poll_failed(error);
@@ -178,11 +178,11 @@
             .text("x-consul-index")
             .and_then(|text| text.parse::<u64>().ok());
         let Some(index) = index.filter(|_| head.status == http_status::OK) else {
-            return Err(EndpointPollError::NoList);
+            return Err(EndpointPollError::UnexpectedResponse);
         };
         self.peers
             .record_poll(self.now, ControlService::EndpointList, true);
-        if !self.endpoint_watch.take_index(index) {
+        if !self.endpoint_watch.update_index(index) {
             return Ok(());
         }
         let list = parse_endpoint_list(body).map_err(|error| {
@@ -194,7 +194,7 @@
         for error in &list.rejected {
             tracing::warn!(%error, "endpoint cannot be used, it gets no further requests");
         }
-        let update = self.endpoints.take_received(
+        let update = self.endpoints.apply_received(
             list.endpoints,
             self.endpoint_watch.index,
             &self.peers,
--- a/crates/http-proxy/src/service/control/known_endpoints.rs
+++ b/crates/http-proxy/src/service/control/known_endpoints.rs
@@ -51,7 +51,7 @@
     }
 
     /// Updates which endpoints are draining because their machine is closed. Returns the changed endpoints.
-    pub(in crate::service) fn remark_closed_machines(
+    pub(in crate::service) fn refresh_closed_machines(
         &mut self,
         peers: &Peers,
         now: Duration,
@@ -71,7 +71,7 @@
     }
 
     /// Applies a list that an earlier process saved.
-    pub(super) fn take_cached(
+    pub(super) fn apply_cached(
         &mut self,
         list: Vec<EndpointRecord>,
         peers: &Peers,
@@ -87,7 +87,7 @@
 
     /// Applies a received list with the service's index. The first list becomes a snapshot, because it shows which
     /// cached endpoints are gone; later ones become deltas.
-    pub(super) fn take_received(
+    pub(super) fn apply_received(
         &mut self,
         list: Vec<EndpointRecord>,
         index: u64,
--- a/crates/http-proxy/src/service/control/stage_watch.rs
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -40,8 +40,8 @@
     #[error("connection lost")]
     ConnectionLost,
     /// The response is not an event stream.
-    #[error("expected status 200 and a stream of events")]
-    NoStream,
+    #[error("expected status 200 and an event stream")]
+    UnexpectedResponse,
     /// The stream was silent for too long.
     #[error("the stream was silent for too long")]
     Silent,
@@ -180,7 +180,7 @@
                 Ok(true)
             }
             Ok(None) if !ended => Ok(false),
-            _ => Err(StageStreamLoss::NoStream),
+            _ => Err(StageStreamLoss::UnexpectedResponse),
         }
     }
 
--- a/crates/http-proxy/src/service/event_loop.rs
+++ b/crates/http-proxy/src/service/event_loop.rs
@@ -88,7 +88,7 @@
     fn handle_socket_events(&mut self, socket_events: Vec<SocketEvent>) {
         let (control, other): (Vec<_>, Vec<_>) = socket_events
             .into_iter()
-            .partition(|event| self.is_control(event));
+            .partition(|event| self.is_control_event(event));
         if !control.is_empty() {
             for event in control {
                 self.handle_socket_event(event);
@@ -101,7 +101,7 @@
     }
 
     /// Whether an event may contain endpoint or stage updates: it belongs to a control connection or another sidecar.
-    fn is_control(&self, event: &SocketEvent) -> bool {
+    fn is_control_event(&self, event: &SocketEvent) -> bool {
         let id = match event {
             SocketEvent::Datagram { .. } => return true,
             SocketEvent::Connected(id)
--- a/crates/http-proxy/src/service/peers/turn.rs
+++ b/crates/http-proxy/src/service/peers/turn.rs
@@ -112,7 +112,9 @@
     }
 
     fn announce_closed_machines(&mut self) {
-        let delta = self.endpoints.remark_closed_machines(&self.peers, self.now);
+        let delta = self
+            .endpoints
+            .refresh_closed_machines(&self.peers, self.now);
         if !delta.is_empty() {
             self.events
                 .push(Event::Endpoints(EndpointUpdate::Delta(delta)));
--- a/crates/http-proxy/src/service/startup.rs
+++ b/crates/http-proxy/src/service/startup.rs
@@ -29,7 +29,7 @@
 use std::time::Duration;
 
 /// Address space that the system allocator reserves for each thread that allocates, in bytes.
-const ALLOCATOR_RESERVE: usize = 64 << 20;
+const ALLOCATOR_RESERVE_BYTES: usize = 64 << 20;
 
 impl Service {
     /// Binds the listen address, loads the saved endpoint list and begins to query the current one.
@@ -101,7 +101,7 @@
     let threads = 1
         + usize::from(settings.state_file.is_some())
         + usize::from(settings.maintenance.is_some());
-    let reserved = (threads * ALLOCATOR_RESERVE).min(memory / 4 * 3);
+    let reserved = (threads * ALLOCATOR_RESERVE_BYTES).min(memory / 4 * 3);
     DescriptorBudget::new(descriptors, memory - reserved, client_memory)
 }
 
--- a/crates/http-proxy/src/service/upstream/attempts.rs
+++ b/crates/http-proxy/src/service/upstream/attempts.rs
@@ -81,10 +81,10 @@
             return false;
         };
         let state = &in_flight.protocol_state;
-        let is_body_gone = !state.is_body_complete && state.body_attempt.is_some();
+        let is_body_consumed = !state.is_body_complete && state.body_attempt.is_some();
         let has_attempts_left = in_flight.attempts.len() <= self.settings.max_attempts;
         let needs_response = !in_flight.completed && state.streamed_attempt.is_none();
-        needs_response && has_attempts_left && !is_body_gone
+        needs_response && has_attempts_left && !is_body_consumed
     }
 
     /// Returns an idle connection to a pod, or opens a new one.
--- a/crates/http-proxy/src/service/upstream/connections.rs
+++ b/crates/http-proxy/src/service/upstream/connections.rs
@@ -14,11 +14,11 @@
             return;
         };
         let pod = connection.pod;
-        let is_free = connection.exchange.is_none();
+        let is_idle = connection.exchange.is_none();
         if let Some(timer) = connection.connect_timer.take() {
             self.timers.cancel(timer);
         }
-        if is_free {
+        if is_idle {
             self.return_to_pool(socket, pod);
         } else {
             self.write_request(socket);
@@ -51,7 +51,7 @@
         } else {
             AttemptOutcome::ConnectionReset
         };
-        self.end_broken_attempt(&exchange, outcome);
+        self.end_interrupted_attempt(&exchange, outcome);
     }
 
     /// Detaches an attempt from its connection. Returns an outcome if the attempt provably never ran.
--- a/crates/http-proxy/src/service/upstream/exchange.rs
+++ b/crates/http-proxy/src/service/upstream/exchange.rs
@@ -39,7 +39,7 @@
     /// The whole response was received.
     Complete,
     /// The response was truncated or is malformed.
-    Broken,
+    Invalid,
     /// The response is too large to buffer, and the client already receives another one.
     Unneeded,
 }
@@ -50,7 +50,7 @@
     /// Whether responses of the request class are streamed from their first byte.
     pub(super) class_is_streamed: bool,
     /// Whether the client has not received any part of a response.
-    pub(super) client_is_free: bool,
+    pub(super) no_response_started: bool,
     /// Maximum size of the buffered body, in bytes.
     pub(super) max_buffered: usize,
 }
@@ -124,7 +124,7 @@
         let Some(response) = &mut self.response else {
             return Ok(read);
         };
-        let may_start = rules.client_is_free && !response.is_server_error();
+        let may_start = rules.no_response_started && !response.is_server_error();
         // Responses of streamed classes are passed to the client from their first byte.
         read.starts_streaming = may_start && rules.class_is_streamed;
         while let Some(piece) = response.body.next(input)? {
@@ -156,7 +156,7 @@
             return ResponseProgress::Incomplete;
         };
         if ended && response.body.close().is_err() {
-            ResponseProgress::Broken
+            ResponseProgress::Invalid
         } else if response.body.ended() {
             ResponseProgress::Complete
         } else {
@@ -169,7 +169,7 @@
     pub(super) fn progress_when_too_large(&self) -> ResponseProgress {
         match &self.response {
             Some(response) if !response.is_server_error() => ResponseProgress::Unneeded,
-            _ => ResponseProgress::Broken,
+            _ => ResponseProgress::Invalid,
         }
     }
 }
--- a/crates/http-proxy/src/service/upstream/request_writer.rs
+++ b/crates/http-proxy/src/service/upstream/request_writer.rs
@@ -13,7 +13,7 @@
 use limewing_proxy_core::send_permit::SendPermit;
 
 /// Initial capacity for a request head, in bytes.
-const HEAD_CAPACITY: usize = 512;
+const HEAD_CAPACITY_BYTES: usize = 512;
 
 impl Service {
     /// Returns the exchange on a connection to a pod, if there is one.
@@ -63,7 +63,7 @@
     ) -> BytesMut {
         let state = &request.protocol_state;
         let token = self.upstream.tokens.encode(attempt);
-        let own = [
+        let added_fields = [
             (ATTEMPT_FIELD.as_bytes(), token.as_bytes()),
             (&b"via"[..], self.settings.via.as_bytes()),
         ];
@@ -81,14 +81,14 @@
             .fields
             .end_to_end()
             .filter(|(name, _)| !is_deadline(name))
-            .chain(own)
+            .chain(added_fields)
             .chain(deadline);
         let framing = if state.is_body_complete {
             Framing::Length(state.body.len() as u64)
         } else {
             state.head.framing
         };
-        let mut out = BytesMut::with_capacity(HEAD_CAPACITY + state.body.len());
+        let mut out = BytesMut::with_capacity(HEAD_CAPACITY_BYTES + state.body.len());
         http::write_request(
             &mut out,
             &state.head.method,
@@ -112,11 +112,11 @@
     }
 
     /// Whether part of the request body on a connection has not been read from the client yet.
-    pub(super) fn has_request_body_rest(&self, socket: SocketId) -> bool {
+    pub(super) fn has_unread_request_body(&self, socket: SocketId) -> bool {
         let client = self
             .streaming_client(socket)
             .and_then(|client| self.connections.get(&client));
-        matches!(client, Some(ConnectionRole::Client(client)) if client.has_body_rest())
+        matches!(client, Some(ConnectionRole::Client(client)) if client.has_unread_body())
     }
 
     /// Returns the client whose request body is streamed on a connection.
--- a/crates/http-proxy/src/service/upstream/responses.rs
+++ b/crates/http-proxy/src/service/upstream/responses.rs
@@ -19,13 +19,13 @@
         };
         let attempt = exchange.attempt;
         // Backpressure: while the client does not read its response, nothing more is read from the pod.
-        if exchange.is_streamed && self.is_client_full(attempt.request) {
+        if exchange.is_streamed && self.is_client_backlogged(attempt.request) {
             return;
         }
         match self.read_response(socket) {
             ResponseProgress::Incomplete => self.sockets.resume_reading(socket),
             ResponseProgress::Complete => self.response_complete(socket),
-            ResponseProgress::Broken => self.response_broken(socket),
+            ResponseProgress::Invalid => self.response_invalid(socket),
             ResponseProgress::Unneeded => {
                 self.detach_exchange(Some(socket));
                 self.end_attempt(attempt, AttemptOutcome::Cancelled);
@@ -42,33 +42,33 @@
             return ResponseProgress::Incomplete;
         };
         let Some(request) = self.requests.get(exchange.attempt.request) else {
-            return ResponseProgress::Broken;
+            return ResponseProgress::Invalid;
         };
         let state = &request.protocol_state;
         let Some(input) = self.sockets.input(socket) else {
-            return ResponseProgress::Broken;
+            return ResponseProgress::Invalid;
         };
         match exchange.read_head(input, state.is_head()) {
             Ok(true) => {}
             Ok(false) if !ended => return ResponseProgress::Incomplete,
-            Ok(false) | Err(_) => return ResponseProgress::Broken,
+            Ok(false) | Err(_) => return ResponseProgress::Invalid,
         }
         let rules = StreamingRules {
             class_is_streamed: self.settings.is_streamed(state.class),
-            client_is_free: !request.completed && state.streamed_attempt.is_none(),
+            no_response_started: !request.completed && state.streamed_attempt.is_none(),
             max_buffered: self.settings.max_buffered_response,
         };
         let Ok(read) = exchange.read_body(input, rules) else {
-            return ResponseProgress::Broken;
+            return ResponseProgress::Invalid;
         };
         if read.is_too_large {
             return exchange.progress_when_too_large();
         }
         let progress = exchange.progress(ended);
-        let has_surplus = progress == ResponseProgress::Complete && !input.is_empty();
+        let has_excess_input = progress == ResponseProgress::Complete && !input.is_empty();
         self.stream_response(socket, &read);
-        if has_surplus {
-            self.discard_surplus(socket);
+        if has_excess_input {
+            self.discard_excess_input(socket);
         }
         progress
     }
@@ -101,7 +101,7 @@
     }
 
     /// Handles bytes after the end of a response: the response is used, but the connection is not reused.
-    fn discard_surplus(&mut self, socket: SocketId) {
+    fn discard_excess_input(&mut self, socket: SocketId) {
         if let Some(input) = self.sockets.input(socket) {
             input.clear();
         }
@@ -118,8 +118,8 @@
         // The response may arrive before the whole request was sent. The rest of it must not be taken for another
         // request.
         let is_request_sent =
-            self.sockets.unsent_bytes(socket) == 0 && !self.has_request_body_rest(socket);
-        let is_clean = !self.sockets.has_peer_closed(socket) && is_request_sent;
+            self.sockets.unsent_bytes(socket) == 0 && !self.has_unread_request_body(socket);
+        let is_connection_clean = !self.sockets.has_peer_closed(socket) && is_request_sent;
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
             return;
         };
@@ -130,7 +130,7 @@
         let Some(response) = &exchange.response else {
             return;
         };
-        if is_clean && response.head.keep_alive && !self.shutdown.has_begun() {
+        if is_connection_clean && response.head.keep_alive && !self.shutdown.has_begun() {
             self.return_to_pool(socket, pod);
         } else {
             self.connections.remove(&socket);
@@ -147,21 +147,21 @@
     }
 
     /// Handles a response that is missing, truncated or malformed: the request may have run.
-    fn response_broken(&mut self, socket: SocketId) {
+    fn response_invalid(&mut self, socket: SocketId) {
         self.sockets.close(socket);
         let Some(ConnectionRole::Upstream(connection)) = self.connections.remove(&socket) else {
             return;
         };
         if let Some(exchange) = connection.exchange {
-            self.end_broken_attempt(&exchange, AttemptOutcome::ConnectionReset);
+            self.end_interrupted_attempt(&exchange, AttemptOutcome::ConnectionReset);
         }
     }
 
     /// Ends an attempt whose connection was lost. A streamed response is aborted; otherwise the attempt ends with
     /// `outcome`.
-    pub(super) fn end_broken_attempt(&mut self, exchange: &Exchange, outcome: AttemptOutcome) {
+    pub(super) fn end_interrupted_attempt(&mut self, exchange: &Exchange, outcome: AttemptOutcome) {
         if exchange.is_streamed {
-            self.end_streamed_attempt(exchange, StreamEnd::Broken);
+            self.end_streamed_attempt(exchange, StreamEnd::Aborted);
         } else {
             self.end_attempt(exchange.attempt, outcome);
         }
@@ -173,7 +173,7 @@
         }
         let outcome = match end {
             StreamEnd::Complete => AttemptOutcome::Succeeded,
-            StreamEnd::Broken => AttemptOutcome::ConnectionReset,
+            StreamEnd::Aborted => AttemptOutcome::ConnectionReset,
         };
         self.end_attempt(exchange.attempt, outcome);
     }
