--- a/crates/http-proxy/src/service/control/endpoint_watch.rs
+++ b/crates/http-proxy/src/service/control/endpoint_watch.rs
@@ -54,7 +54,7 @@
     /// The response is incomplete or not valid HTTP.
     #[error("the response is incomplete or not valid HTTP/1.1")]
     MalformedResponse,
-    /// The response has another status than 200, or no index.
+    /// The response status is not 200, or the index is missing or invalid.
     #[error("expected status 200 and a number in X-Consul-Index")]
     UnexpectedResponse,
     /// The response body is not a valid endpoint list.
--- a/crates/http-proxy/src/service/maintenance/mod.rs
+++ b/crates/http-proxy/src/service/maintenance/mod.rs
@@ -93,7 +93,7 @@
 /// Maintenance of machines, as seen by this sidecar.
 pub(super) struct Maintenance {
     name: String,
-    /// Incarnation of this process: its start in Unix milliseconds.
+    /// Incarnation of this process: its start, in milliseconds since 1970.
     incarnation: u64,
     /// Names of the initial voters according to the settings.
     configured_voters: Vec<String>,
--- a/crates/http-proxy/src/service/replication/view.rs
+++ b/crates/http-proxy/src/service/replication/view.rs
@@ -8,7 +8,7 @@
 pub struct ReplicationView {
     /// Name of the sidecar.
     pub name: String,
-    /// Incarnation of its process: its start in Unix milliseconds.
+    /// Incarnation of its process: its start, in milliseconds since 1970.
     #[serde(rename = "start")]
     pub incarnation: u64,
     /// Whether it has received the entries that other sidecars published before it started.
