--- a/crates/http-proxy/src/service/maintenance/list_commands.rs
+++ b/crates/http-proxy/src/service/maintenance/list_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that create a maintenance list: from the list as an operator writes it, and the endpoint list.
+//! Builds the commands that create a maintenance list from an operator's list and the endpoint list.
 
 use super::request::RequestError;
 use crate::endpoint_list::EndpointRecord;
@@ -8,15 +8,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Most machines in one command.
+/// Maximum number of machines in one command.
 const MAX_MACHINES_PER_COMMAND: usize = 8;
-/// Windows are in seconds in the settings, in milliseconds in the log.
+/// Converts windows from seconds, as in the settings, to milliseconds, as in the log.
 const MS_PER_SECOND: f64 = 1e3;
 
-/// The commands that create a list and add its machines, in their order.
+/// Returns the commands that create a list and add its machines, in the order to propose them.
 ///
 /// # Errors
-/// A machine is unknown, none is selected, or a command would be too long for the log.
+/// A machine is unknown, no machine is selected, or a command would exceed the size limit of log entries.
 pub(super) fn create_list(
     list: Identifier,
     settings: &WorkList,
@@ -44,17 +44,17 @@
     }];
     let mut first = 0;
     while first < machines.len() {
-        let count = largest_part(list, &machines, first).ok_or(RequestError::MachineTooLong)?;
+        let count = largest_batch(list, &machines, first).ok_or(RequestError::MachineTooLong)?;
         commands.push(add_machines(list, &machines, first, count));
         first += count;
     }
-    if !fits_log(&commands[0]) {
+    if !fits_log_entry(&commands[0]) {
         return Err(RequestError::ListConfigTooLong);
     }
     Ok(commands)
 }
 
-/// Machines that the list names or selects, by name; a machine's capacity is that of its pods together.
+/// Returns the machines that the list names or selects, by name. A machine's capacity is the sum over its pods.
 fn selected_machines(
     settings: &WorkList,
     endpoints: &[EndpointRecord],
@@ -63,7 +63,7 @@
     for endpoint in endpoints {
         let is_named = settings.machines.contains(&endpoint.machine);
         let select = settings.select.as_ref();
-        if !is_named && !select.is_some_and(|select| is_selected(select, endpoint)) {
+        if !is_named && !select.is_some_and(|select| matches_selector(select, endpoint)) {
             continue;
         }
         let machine = machines
@@ -79,7 +79,7 @@
     machines
 }
 
-fn is_selected(select: &MachineSelector, endpoint: &EndpointRecord) -> bool {
+fn matches_selector(select: &MachineSelector, endpoint: &EndpointRecord) -> bool {
     let zone = select.zone.as_ref();
     let kind = select.machine_type.as_ref();
     zone.is_none_or(|zone| *zone == endpoint.zone)
@@ -99,7 +99,7 @@
     }
 }
 
-/// 0 stands for no limit in the log.
+/// Converts limits for the log, where 0 means no limit.
 fn disruption_limits(settings: &WorkLimits) -> DisruptionLimits {
     DisruptionLimits {
         max_unavailable: settings.max_unavailable,
@@ -122,10 +122,10 @@
     }
 }
 
-/// How many machines from `first` on go into one command; `None`: not even one.
-fn largest_part(list: Identifier, machines: &[Machine], first: usize) -> Option<usize> {
+/// Returns how many machines from `first` on fit into one command, or `None` if not even one does.
+fn largest_batch(list: Identifier, machines: &[Machine], first: usize) -> Option<usize> {
     (1..=MAX_MACHINES_PER_COMMAND)
-        .take_while(|count| fits_log(&add_machines(list, machines, first, *count)))
+        .take_while(|count| fits_log_entry(&add_machines(list, machines, first, *count)))
         .last()
 }
 
@@ -138,6 +138,6 @@
     }
 }
 
-fn fits_log(command: &Command) -> bool {
+fn fits_log_entry(command: &Command) -> bool {
     command.encode().len() <= MAX_COMMAND_BYTES
 }
--- a/crates/http-proxy/src/service/upstream/responses.rs
+++ b/crates/http-proxy/src/service/upstream/responses.rs
@@ -1,4 +1,4 @@
-//! Passes the responses of pods on to clients.
+//! Passes responses from pods to clients.
 
 use super::exchange::{BodyRead, Exchange, ResponseProgress, StreamingRules};
 use crate::service::clients::{streamed_framing, StreamEnd};
@@ -8,24 +8,24 @@
 use limewing_proxy_core::eviction::IdleConnectionOwner;
 
 impl Service {
-    /// Reads what a pod has sent.
+    /// Reads and handles the input received from a pod.
     pub(in crate::service) fn read_upstream(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get(&socket) else {
             return;
         };
-        // Bytes that no request asked for, or the end of an idle connection: it is of no more use.
+        // Unsolicited bytes on an idle connection, or its end: the connection cannot be used any more.
         let Some(exchange) = &connection.exchange else {
             return self.close_idle_connection(socket);
         };
         let attempt = exchange.attempt;
-        // What a client does not read stays with its pod.
-        if exchange.is_streamed && self.is_client_full(attempt.request) {
+        // Backpressure: while the client does not read its response, nothing more is read from the pod.
+        if exchange.is_streamed && self.is_client_backlogged(attempt.request) {
             return;
         }
         match self.read_response(socket) {
             ResponseProgress::Incomplete => self.sockets.resume_reading(socket),
             ResponseProgress::Complete => self.response_complete(socket),
-            ResponseProgress::Broken => self.response_broken(socket),
+            ResponseProgress::Invalid => self.response_invalid(socket),
             ResponseProgress::Unneeded => {
                 self.detach_exchange(Some(socket));
                 self.end_attempt(attempt, AttemptOutcome::Cancelled);
@@ -42,33 +42,33 @@
             return ResponseProgress::Incomplete;
         };
         let Some(request) = self.requests.get(exchange.attempt.request) else {
-            return ResponseProgress::Broken;
+            return ResponseProgress::Invalid;
         };
         let state = &request.protocol_state;
         let Some(input) = self.sockets.input(socket) else {
-            return ResponseProgress::Broken;
+            return ResponseProgress::Invalid;
         };
         match exchange.read_head(input, state.is_head()) {
             Ok(true) => {}
             Ok(false) if !ended => return ResponseProgress::Incomplete,
-            Ok(false) | Err(_) => return ResponseProgress::Broken,
+            Ok(false) | Err(_) => return ResponseProgress::Invalid,
         }
         let rules = StreamingRules {
             class_is_streamed: self.settings.is_streamed(state.class),
-            client_is_free: !request.completed && state.streamed_attempt.is_none(),
+            no_response_started: !request.completed && state.streamed_attempt.is_none(),
             max_buffered: self.settings.max_buffered_response,
         };
         let Ok(read) = exchange.read_body(input, rules) else {
-            return ResponseProgress::Broken;
+            return ResponseProgress::Invalid;
         };
         if read.is_too_large {
             return exchange.progress_when_too_large();
         }
         let progress = exchange.progress(ended);
-        let has_surplus = progress == ResponseProgress::Complete && !input.is_empty();
+        let has_excess_input = progress == ResponseProgress::Complete && !input.is_empty();
         self.stream_response(socket, &read);
-        if has_surplus {
-            self.discard_surplus(socket);
+        if has_excess_input {
+            self.discard_excess_input(socket);
         }
         progress
     }
@@ -100,8 +100,8 @@
         }
     }
 
-    /// More bytes have come than the response has: what is complete is good, the connection is not.
-    fn discard_surplus(&mut self, socket: SocketId) {
+    /// Handles bytes after the end of a response: the response is used, but the connection is not reused.
+    fn discard_excess_input(&mut self, socket: SocketId) {
         if let Some(input) = self.sockets.input(socket) {
             input.clear();
         }
@@ -115,10 +115,11 @@
     }
 
     fn response_complete(&mut self, socket: SocketId) {
-        // A response may come before all of the request was sent: the rest of it must not be taken for another one.
+        // The response may arrive before the whole request was sent. The rest of it must not be taken for another
+        // request.
         let is_request_sent =
-            self.sockets.unsent_bytes(socket) == 0 && !self.has_request_body_rest(socket);
-        let is_clean = !self.sockets.has_peer_closed(socket) && is_request_sent;
+            self.sockets.unsent_bytes(socket) == 0 && !self.has_unread_request_body(socket);
+        let is_connection_clean = !self.sockets.has_peer_closed(socket) && is_request_sent;
         let Some(ConnectionRole::Upstream(connection)) = self.connections.get_mut(&socket) else {
             return;
         };
@@ -129,7 +130,7 @@
         let Some(response) = &exchange.response else {
             return;
         };
-        if is_clean && response.head.keep_alive && !self.shutdown.has_begun() {
+        if is_connection_clean && response.head.keep_alive && !self.shutdown.has_begun() {
             self.return_to_pool(socket, pod);
         } else {
             self.connections.remove(&socket);
@@ -145,21 +146,22 @@
         self.end_attempt(exchange.attempt, outcome);
     }
 
-    /// A part of a response, none at all, or one that can't be read: the request may have run.
-    fn response_broken(&mut self, socket: SocketId) {
+    /// Handles a response that is missing, truncated or malformed: the request may have run.
+    fn response_invalid(&mut self, socket: SocketId) {
         self.sockets.close(socket);
         let Some(ConnectionRole::Upstream(connection)) = self.connections.remove(&socket) else {
             return;
         };
         if let Some(exchange) = connection.exchange {
-            self.end_broken_attempt(&exchange, AttemptOutcome::ConnectionReset);
+            self.end_interrupted_attempt(&exchange, AttemptOutcome::ConnectionReset);
         }
     }
 
-    /// Ends an attempt whose connection is gone. A streamed response is broken off; else the outcome is `outcome`.
-    pub(super) fn end_broken_attempt(&mut self, exchange: &Exchange, outcome: AttemptOutcome) {
+    /// Ends an attempt whose connection was lost. A streamed response is aborted; otherwise the attempt ends with
+    /// `outcome`.
+    pub(super) fn end_interrupted_attempt(&mut self, exchange: &Exchange, outcome: AttemptOutcome) {
         if exchange.is_streamed {
-            self.end_streamed_attempt(exchange, StreamEnd::Broken);
+            self.end_streamed_attempt(exchange, StreamEnd::Aborted);
         } else {
             self.end_attempt(exchange.attempt, outcome);
         }
@@ -171,7 +173,7 @@
         }
         let outcome = match end {
             StreamEnd::Complete => AttemptOutcome::Succeeded,
-            StreamEnd::Broken => AttemptOutcome::ConnectionReset,
+            StreamEnd::Aborted => AttemptOutcome::ConnectionReset,
         };
         self.end_attempt(exchange.attempt, outcome);
     }
