--- a/crates/http-proxy/src/endpoint_directory.rs
+++ b/crates/http-proxy/src/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The numbers by which the decision engine knows endpoints, zones and machine types.
+//! Maps endpoints, zones and machine types to the numeric IDs that the decision engine uses.
 
 use crate::endpoint_list::EndpointRecord;
 use limewing_decision::interface::{
@@ -9,43 +9,44 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, SystemTime};
 
-/// How many machine types have a number of their own; any others share the last one.
+/// Number of machine types with an ID of their own; all further types share the last ID.
 const MAX_MACHINE_TYPES: usize = 255;
-/// An IPv4 address and its port take so many bits of a pod's number; a number beyond them is of any other address.
-const IPV4_POD_BITS: u32 = 48;
+/// Bits of a pod ID that hold an IPv4 address and its port; IDs with a higher bit set belong to all other addresses.
+const IPV4_POD_ID_BITS: u32 = 48;
+/// Bits of a pod ID that hold the port of an IPv4 address.
 const PORT_BITS: u32 = 16;
 
-/// A start time as the list tells it, and on the sidecar's monotonic clock.
+/// A pod's start time as listed, in seconds since 1970, and on the sidecar's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 struct StartTime {
     unix_seconds: f64,
     monotonic: Option<Duration>,
 }
 
-/// Assigns numbers to endpoints and machine types, and maps pods back to their addresses.
+/// Assigns IDs to endpoints and machine types, and maps pod IDs back to addresses.
 #[derive(Debug)]
 pub struct EndpointDirectory {
     zones: Vec<String>,
     machine_types: Vec<String>,
-    /// Pods whose address is not an IPv4 address.
-    other_pods: BTreeMap<SocketAddr, PodId>,
-    /// Kept so that a step of the time of day does not look like a restart.
+    /// IDs of the pods whose address is not an IPv4 address.
+    non_ipv4_pods: BTreeMap<SocketAddr, PodId>,
+    /// Converted once per start time, so that a step of the wall clock does not look like a restart of the pod.
     start_times: BTreeMap<SocketAddr, StartTime>,
 }
 
 impl EndpointDirectory {
-    /// An empty directory; zones are numbered in the order of `zones`.
+    /// Creates an empty directory; zone IDs follow the order of `zones`.
     #[must_use]
     pub fn new(zones: &[String]) -> Self {
         Self {
             zones: zones.to_vec(),
             machine_types: Vec::new(),
-            other_pods: BTreeMap::new(),
+            non_ipv4_pods: BTreeMap::new(),
             start_times: BTreeMap::new(),
         }
     }
 
-    /// A complete list as the decision engine's endpoints; start times of all others are forgotten.
+    /// Converts a complete list to the decision engine's endpoints, and forgets the start times of unlisted endpoints.
     pub fn snapshot(
         &mut self,
         list: &[EndpointRecord],
@@ -59,9 +60,10 @@
             .collect()
     }
 
-    /// What differs between two lists: first the endpoints that are gone, then those that are new or changed.
+    /// Returns the difference between two lists: first the removed endpoints, then the new and changed ones.
     ///
-    /// An unchanged endpoint is left out, as a repeated one would have the engine draw again for its slow start.
+    /// Unchanged endpoints are left out, because the engine makes a new random draw for the slow start of each endpoint
+    /// that it receives.
     pub fn delta(
         &mut self,
         old: &[EndpointRecord],
@@ -69,12 +71,12 @@
         now: Duration,
         wall_clock: SystemTime,
     ) -> Vec<Endpoint> {
-        let old_by_address: BTreeMap<SocketAddr, &EndpointRecord> =
+        let old_records: BTreeMap<SocketAddr, &EndpointRecord> =
             old.iter().map(|record| (record.address, record)).collect();
-        let listed: BTreeSet<SocketAddr> = new.iter().map(|record| record.address).collect();
+        let new_addresses: BTreeSet<SocketAddr> = new.iter().map(|record| record.address).collect();
         let mut delta = Vec::new();
         for record in old {
-            if !listed.contains(&record.address) {
+            if !new_addresses.contains(&record.address) {
                 let endpoint = self.endpoint(record, now, wall_clock);
                 delta.push(Endpoint {
                     state: PodState::Gone,
@@ -83,9 +85,9 @@
             }
         }
         self.start_times
-            .retain(|address, _| listed.contains(address));
+            .retain(|address, _| new_addresses.contains(address));
         for record in new {
-            if old_by_address.get(&record.address) != Some(&record) {
+            if old_records.get(&record.address) != Some(&record) {
                 delta.push(self.endpoint(record, now, wall_clock));
             }
         }
@@ -105,7 +107,7 @@
         };
         let started_at = self.started_at(record, now, wall_clock);
         let zone = self.zones.iter().position(|zone| *zone == record.zone);
-        // A zone that the settings don't name gets a number that is no other's.
+        // All zones that the settings do not name share one ID, which no configured zone has.
         let zone = zone.unwrap_or(self.zones.len());
         Endpoint {
             pod: self.pod_id(record.address),
@@ -140,7 +142,8 @@
         monotonic
     }
 
-    /// The pod at an address: an IPv4 address with its port is the number itself, any other gets the next free one.
+    /// Returns the ID of the pod at an address: it encodes an IPv4 address and port; any other address gets the next free
+    /// ID.
     pub fn pod_id(&mut self, address: SocketAddr) -> PodId {
         match address.ip() {
             IpAddr::V4(ip) => {
@@ -148,20 +151,23 @@
                 PodId(ip_bits | u64::from(address.port()))
             }
             IpAddr::V6(_) => {
-                let next = 1 << IPV4_POD_BITS | self.other_pods.len() as u64;
-                *self.other_pods.entry(address).or_insert(PodId(next))
+                let next = 1 << IPV4_POD_ID_BITS | self.non_ipv4_pods.len() as u64;
+                *self.non_ipv4_pods.entry(address).or_insert(PodId(next))
             }
         }
     }
 
-    /// A pod's address; `None` if the number is no pod's.
+    /// Returns the address of a pod, or `None` if no pod has this ID.
     #[must_use]
     pub fn address(&self, pod: PodId) -> Option<SocketAddr> {
-        if pod.0 >> IPV4_POD_BITS == 0 {
+        if pod.0 >> IPV4_POD_ID_BITS == 0 {
             let ip = Ipv4Addr::from((pod.0 >> PORT_BITS) as u32);
             return Some(SocketAddr::new(ip.into(), pod.0 as u16));
         }
-        let (address, _) = self.other_pods.iter().find(|(_, known)| **known == pod)?;
+        let (address, _) = self
+            .non_ipv4_pods
+            .iter()
+            .find(|(_, known)| **known == pod)?;
         Some(*address)
     }
 
--- a/crates/http-proxy/src/endpoint_list.rs
+++ b/crates/http-proxy/src/endpoint_list.rs
@@ -1,90 +1,90 @@
-//! The endpoint list as Consul's health API serves it (`GET /v1/health/service/NAME`, blocking queries).
+//! Parser for the endpoint list of Consul's health API (`GET /v1/health/service/NAME`, blocking queries).
 //!
-//! Of an entry are read: `Service.ID`, `Service.Address` (else `Node.Address`), `Service.Port`,
-//! `Service.Weights.Passing` (weight), `Service.Meta` (`build`, `started` in seconds since 1970, `zone`, `cell`,
-//! `kind`), `Node.Node` (the machine's name), `Node.Datacenter` (zone where Meta has none) and `Checks[].Status`: a
-//! critical check, as the maintenance mode sets one, means that the endpoint is draining.
+//! The parser reads these fields of an entry: `Service.ID`, `Service.Address` (falls back to `Node.Address`),
+//! `Service.Port`, `Service.Weights.Passing` (weight), `Service.Meta` (`build`, `started` in seconds since 1970, `zone`,
+//! `cell`, `kind`), `Node.Node` (machine name), `Node.Datacenter` (zone if Meta has none) and `Checks[].Status`. An
+//! endpoint with a critical check is draining; Consul's maintenance mode sets such a check.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Bound of entries in one response.
+/// Maximum number of entries in one response.
 const MAX_ENTRIES: usize = 10_000;
-/// Status of a check that takes its endpoint out of service.
+/// Check status that takes an endpoint out of service.
 const CRITICAL: &str = "critical";
 
-/// One endpoint as the list has it, before the decision engine's numbers: what the state file keeps.
+/// An endpoint as listed and as stored in the state file, with names in place of the decision engine's IDs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointRecord {
-    /// Where it serves.
+    /// The address and port that the pod listens on.
     pub address: SocketAddr,
-    /// Whether it takes no new requests.
+    /// Whether the endpoint gets no new requests.
     #[serde(rename = "drains")]
     pub draining: bool,
-    /// The build that it runs.
+    /// The build that the pod runs.
     pub build: u16,
-    /// Its relative capacity, over 0.
+    /// The relative capacity, greater than 0.
     #[serde(rename = "size")]
     pub weight: f64,
-    /// When it was started, in seconds since 1970.
+    /// The start time of the pod, in seconds since 1970.
     pub started: Option<f64>,
-    /// Its zone's name.
+    /// The name of the zone.
     pub zone: String,
-    /// Its cell.
+    /// The number of the cell.
     pub cell: u16,
-    /// The type of its machine.
+    /// The machine type.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// The machine's name; the endpoint's address if the list has none.
+    /// The machine name; the endpoint's address if the list has none.
     #[serde(default)]
     pub machine: String,
 }
 
-/// Why a response, or an entry of it, can't be used.
+/// The reason why a response or one of its entries is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EndpointListError {
-    /// The whole response; the text is the JSON parser's.
+    /// The response is not a JSON array; carries the message of the JSON parser.
     #[error("expected a JSON array of health entries: {0}")]
     Malformed(String),
-    /// More entries than are read.
+    /// The response has more entries than the maximum.
     #[error("expected {MAX_ENTRIES} entries at most, found {0}")]
     TooManyEntries(usize),
-    /// One entry.
+    /// One entry is invalid.
     #[error("service {id}: {cause}")]
     Entry {
-        /// `Service.ID`, or the entry's place in the list.
+        /// `Service.ID`, or the entry's position in the list.
         id: String,
-        /// What is wrong with it.
+        /// The reason why the entry is rejected.
         cause: EntryError,
     },
 }
 
-/// Why an entry can't be used.
+/// The reason why an entry is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EntryError {
-    /// It is no health entry; the text is the JSON parser's.
+    /// The entry is not a health entry; carries the message of the JSON parser.
     #[error("{0}")]
     Malformed(String),
-    /// The address is no IP address.
+    /// The address is not an IP address.
     #[error("expected an IP address, found {0:?}")]
     Address(String),
-    /// A field of `Service.Meta` is no number that fits.
+    /// A field of `Service.Meta` is not a number below 65536.
     #[error("Meta.{field}: expected a number below 65536, found {text:?}")]
     Number {
-        /// The field's name.
+        /// The name of the field.
         field: &'static str,
-        /// What it says.
+        /// The value of the field.
         text: String,
     },
-    /// The start time is no finite number.
+    /// The start time is not a finite number.
     #[error("Meta.started: expected seconds since 1970, found {0:?}")]
     Started(String),
-    /// The weight is not a finite number over 0.
+    /// The weight is not a finite number greater than 0.
     #[error("Weights.Passing: expected a finite number over 0, found {0}")]
     Weight(f64),
-    /// The build is not given.
+    /// The build is missing.
     #[error("Meta.build: expected a number below 65536, found none")]
     NoBuild,
     /// An earlier entry has the same address.
@@ -92,12 +92,12 @@
     Duplicate(SocketAddr),
 }
 
-/// What a response holds.
+/// The content of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedEndpointList {
-    /// The endpoints, in the order of their addresses.
+    /// The valid endpoints, ordered by address.
     pub endpoints: Vec<EndpointRecord>,
-    /// Why each of the other entries is left out.
+    /// The errors of all other entries.
     pub rejected: Vec<EndpointListError>,
 }
 
@@ -125,7 +125,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Service {
-    /// An entry without it is rejected, as it could not be named.
+    /// Required, because log lines name an entry by it; an entry without an ID is rejected.
     #[serde(rename = "ID")]
     _id: String,
     #[serde(default)]
@@ -138,7 +138,7 @@
 }
 
 impl Service {
-    fn meta_number(&self, field: &'static str) -> Result<Option<u16>, EntryError> {
+    fn parse_meta_number(&self, field: &'static str) -> Result<Option<u16>, EntryError> {
         let Some(text) = self.meta.get(field) else {
             return Ok(None);
         };
@@ -151,7 +151,7 @@
         }
     }
 
-    fn started(&self) -> Result<Option<f64>, EntryError> {
+    fn parse_started(&self) -> Result<Option<f64>, EntryError> {
         let Some(text) = self.meta.get("started") else {
             return Ok(None);
         };
@@ -161,7 +161,7 @@
         }
     }
 
-    fn weight(&self) -> Result<f64, EntryError> {
+    fn checked_weight(&self) -> Result<f64, EntryError> {
         let weight = self.weights.passing;
         if weight.is_finite() && weight > 0.0 {
             return Ok(weight);
@@ -188,10 +188,10 @@
     status: String,
 }
 
-/// Reads a response's body; entries that can't be used are returned beside the endpoints.
+/// Parses a response body; invalid entries are returned as errors next to the endpoints.
 ///
 /// # Errors
-/// The body is not a JSON array, or has too many entries.
+/// Fails if the body is not a JSON array or has too many entries.
 pub fn parse_endpoint_list(body: &[u8]) -> Result<ParsedEndpointList, EndpointListError> {
     let entries: Vec<serde_json::Value> = serde_json::from_slice(body)
         .map_err(|error| EndpointListError::Malformed(error.to_string()))?;
@@ -238,10 +238,12 @@
     let ip: IpAddr = address
         .parse()
         .map_err(|_| EntryError::Address(address.clone()))?;
-    let started = service.started()?;
-    let weight = service.weight()?;
-    let build = service.meta_number("build")?.ok_or(EntryError::NoBuild)?;
-    let cell = service.meta_number("cell")?.unwrap_or(0);
+    let started = service.parse_started()?;
+    let weight = service.checked_weight()?;
+    let build = service
+        .parse_meta_number("build")?
+        .ok_or(EntryError::NoBuild)?;
+    let cell = service.parse_meta_number("cell")?.unwrap_or(0);
     let zone = service.meta.get("zone").unwrap_or(&node.datacenter);
     let machine = if node.name.is_empty() {
         format!("{ip}:{}", service.port)
--- a/crates/http-proxy/src/endpoint_list_file.rs
+++ b/crates/http-proxy/src/endpoint_list_file.rs
@@ -1,11 +1,12 @@
-//! The state file: the endpoint list as last received, all that outlives a sidecar. It is replaced as a whole.
+//! The state file: the endpoint list as last received, the only state that a sidecar keeps across restarts. The file is
+//! always replaced as a whole.
 
 use crate::endpoint_list::EndpointRecord;
 use serde::{Deserialize, Serialize};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Version of the file's format.
+/// Version of the file format.
 const VERSION: u32 = 1;
 
 #[derive(Serialize, Deserialize)]
@@ -15,39 +16,39 @@
     endpoints: Vec<EndpointRecord>,
 }
 
-/// Why the state file can't be used.
+/// The reason why the state file cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The system refuses to read it.
+    /// Reading the file failed.
     #[error("{}: {cause}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The I/O error.
         cause: io::Error,
     },
-    /// It is no state file.
+    /// The file is not a valid state file.
     #[error("{}: {cause}", path.display())]
     Malformed {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the JSON parser says.
+        /// The error of the JSON parser.
         cause: serde_json::Error,
     },
-    /// Another version wrote it.
+    /// The file has another format version.
     #[error("{}: expected version {VERSION}, found {version}", path.display())]
     Version {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Its version.
+        /// The version found in the file.
         version: u32,
     },
 }
 
-/// Replaces the file by one with these endpoints, synced to disk.
+/// Atomically replaces the file with one that holds these endpoints, and syncs it to disk.
 ///
 /// # Errors
-/// The folder can't be written; the old file stays as it was.
+/// Fails if the folder cannot be written; the old file stays unchanged.
 pub fn save(path: &Path, endpoints: &[EndpointRecord]) -> io::Result<()> {
     let folder = path
         .parent()
@@ -61,32 +62,32 @@
     serde_json::to_writer(&mut new_file, &content)?;
     new_file.flush()?;
     new_file.as_file().sync_data()?;
-    new_file.persist(path).map_err(|refused| refused.error)?;
+    new_file.persist(path).map_err(|failed| failed.error)?;
     Ok(())
 }
 
-/// Reads the endpoints saved last; `None` if there is no file.
+/// Loads the endpoints that were saved last; `None` if there is no file.
 ///
 /// # Errors
-/// The file can't be read, or is not of this format and version.
+/// Fails if the file cannot be read, or has another format or version.
 pub fn load(path: &Path) -> Result<Option<Vec<EndpointRecord>>, LoadError> {
-    let path_of_error = || path.to_owned();
+    let owned_path = || path.to_owned();
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(cause) if cause.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(cause) => {
-            let path = path_of_error();
+            let path = owned_path();
             return Err(LoadError::Read { path, cause });
         }
     };
     let content: StateFile =
         serde_json::from_slice(&text).map_err(|cause| LoadError::Malformed {
-            path: path_of_error(),
+            path: owned_path(),
             cause,
         })?;
     if content.version != VERSION {
         return Err(LoadError::Version {
-            path: path_of_error(),
+            path: owned_path(),
             version: content.version,
         });
     }
--- a/crates/http-proxy/src/http_status.rs
+++ b/crates/http-proxy/src/http_status.rs
@@ -1,24 +1,24 @@
-//! Status codes of HTTP (RFC 9110, 15; RFC 6585, 4).
+//! HTTP status codes (RFC 9110, section 15; RFC 6585, section 4).
 
-/// The request was served.
+/// The request succeeded.
 pub(crate) const OK: u16 = 200;
-/// The request is carried out.
+/// The request was accepted for processing.
 pub(crate) const ACCEPTED: u16 = 202;
-/// The request cannot be read.
+/// The request is malformed.
 pub(crate) const BAD_REQUEST: u16 = 400;
-/// There is nothing here.
+/// No resource has this path.
 pub(crate) const NOT_FOUND: u16 = 404;
-/// The request did not arrive in time.
+/// The client did not send the complete request in time.
 pub(crate) const REQUEST_TIMEOUT: u16 = 408;
-/// The request may have run before.
+/// The request may already have run.
 pub(crate) const CONFLICT: u16 = 409;
-/// Too many requests.
+/// There are too many requests.
 pub(crate) const TOO_MANY_REQUESTS: u16 = 429;
-/// The least code of a server's error.
+/// The lowest code of the server error class (5xx).
 pub(crate) const FIRST_SERVER_ERROR: u16 = 500;
-/// The pod gave no response that can be used.
+/// The pod did not send a valid response.
 pub(crate) const BAD_GATEWAY: u16 = 502;
-/// The request was not sent.
+/// The request was not sent to a pod.
 pub(crate) const SERVICE_UNAVAILABLE: u16 = 503;
-/// The pod gave no response in time.
+/// The pod did not respond in time.
 pub(crate) const GATEWAY_TIMEOUT: u16 = 504;
--- a/crates/http-proxy/src/lib.rs
+++ b/crates/http-proxy/src/lib.rs
@@ -1,13 +1,14 @@
-//! The sidecar for HTTP/1.1: events of sockets become events of the decision engine, its actions become bytes on sockets.
+//! The HTTP/1.1 sidecar: translates socket events to events of the decision engine, and the engine's actions to bytes on
+//! sockets.
 //!
-//! Which pod gets a request, and when one is given up, the decision engine alone decides.
+//! The decision engine alone decides which pod gets a request and when a request is abandoned.
 //!
-//! - [`service`]: one sidecar, driven by its event loop
-//! - [`request_classifier`]: class, tenant, routing key and deadline of a request
-//! - [`endpoint_list`], [`endpoint_directory`]: the list as the service sends it, and as the decision engine knows it
-//! - [`endpoint_list_file`], [`state_store`]: the list on disk, and the thread that writes it
+//! - [`service`]: a sidecar and its event loop
+//! - [`request_classifier`]: determines class, tenant, routing key and deadline of a request
+//! - [`endpoint_list`], [`endpoint_directory`]: parse the endpoint list, and map it to the decision engine's IDs
+//! - [`endpoint_list_file`], [`state_store`]: the endpoint list on disk, and the thread that writes it
 //! - [`stage_updates`], [`votes`]: the messages of the rollout service
-//! - [`vote_log`]: a consensus voter's log on disk
+//! - [`vote_log`]: the log of a consensus voter on disk
 
 pub mod endpoint_directory;
 pub mod endpoint_list;
--- a/crates/http-proxy/src/request_classifier.rs
+++ b/crates/http-proxy/src/request_classifier.rs
@@ -1,4 +1,4 @@
-//! Classification of requests: class by method and path; tenant, routing key and deadline by header.
+//! Request classification: the class by method and path; tenant, routing key and deadline by header fields.
 
 use crate::http_status;
 use limewing_decision::interface::{ClassId, RoutingKey, TenantId};
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The field that carries a request's idempotency key.
+/// The header field that carries the idempotency key of a request.
 pub const IDEMPOTENCY_KEY_FIELD: &str = "idempotency-key";
 
-/// Classifies requests by the settings.
+/// Classifies requests according to the settings.
 pub struct RequestClassifier {
     router: Router,
     classes: Vec<ClassSettings>,
@@ -23,42 +23,42 @@
 #[derive(Debug)]
 struct ClassSettings {
     client_timeout: Duration,
-    /// Its requests need an idempotency key.
-    keyed: bool,
+    /// Whether requests of this class are rejected if they lack an idempotency key.
+    requires_idempotency_key: bool,
     non_idempotent: bool,
 }
 
-/// What the decision engine has to know of a request.
+/// The properties of a request that the decision engine needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestTraits {
-    /// Its class.
+    /// The request class.
     pub class: ClassId,
-    /// Its tenant, if the settings name it.
+    /// The tenant, if the settings name it.
     pub tenant: Option<TenantId>,
-    /// The hash of its routing key.
+    /// The hash of the routing key.
     pub routing_key: Option<RoutingKey>,
-    /// When it has to be answered at the latest, on the sidecar's monotonic clock.
+    /// The time by which the response is due, on the sidecar's monotonic clock.
     pub deadline: Duration,
-    /// The hash of the idempotency key of a request that may not run twice.
+    /// The hash of the idempotency key, if the request must not run twice.
     pub idempotency_hash: Option<u64>,
 }
 
-/// Why a request can't be forwarded.
+/// The reason why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClassificationError {
-    /// It belongs to no class.
+    /// No class has the method and path of the request.
     #[error("no path group has this method and path")]
     UnknownClass,
-    /// Its class needs an idempotency key.
+    /// The request class requires an idempotency key.
     #[error("this path group needs an Idempotency-Key")]
     NoIdempotencyKey,
-    /// Its deadline can't be read.
+    /// The deadline field is not a number of milliseconds.
     #[error("the deadline is not a number of milliseconds")]
     Deadline,
 }
 
 impl ClassificationError {
-    /// The status of the response.
+    /// Returns the status code of the response.
     #[must_use]
     pub const fn status(self) -> u16 {
         match self {
@@ -69,15 +69,15 @@
 }
 
 impl RequestClassifier {
-    /// A classifier by these settings.
+    /// Creates a classifier from the settings.
     ///
     /// # Errors
-    /// A path pattern can't be used, or two match the same paths.
+    /// Fails if a path pattern is invalid, or if two patterns match the same paths.
     pub fn new(settings: &SidecarSettings) -> Result<Self, ConfigError> {
         let router = Router::new(&settings.classes)?;
         let classes = settings.classes.iter().map(|class| ClassSettings {
             client_timeout: class.client_timeout.into(),
-            keyed: matches!(class.idempotency, Idempotency::Keyed { .. }),
+            requires_idempotency_key: matches!(class.idempotency, Idempotency::Keyed { .. }),
             non_idempotent: class.idempotency == Idempotency::NonIdempotent,
         });
         let tenants = (0u32..)
@@ -92,16 +92,18 @@
         })
     }
 
-    /// The field that tells a pod how long its response is waited for, if the settings name one.
+    /// Returns the header field that states how long the sender of a request waits for the response, if the settings name
+    /// one. Clients and the sidecar both set it.
     #[must_use]
     pub fn deadline_field(&self) -> Option<&str> {
         self.headers.deadline_ms.as_deref()
     }
 
-    /// Classifies a request that came at `now`.
+    /// Classifies a request that arrived at `now`.
     ///
     /// # Errors
-    /// The request belongs to no class, or lacks what its class needs.
+    /// Fails if no class matches the request, if the request lacks a required idempotency key, or if its deadline is
+    /// malformed.
     pub fn classify(
         &self,
         head: &RequestHead,
@@ -117,7 +119,7 @@
             .fields
             .get(IDEMPOTENCY_KEY_FIELD)
             .filter(|key| !key.is_empty());
-        if class.keyed && idempotency_key.is_none() {
+        if class.requires_idempotency_key && idempotency_key.is_none() {
             return Err(ClassificationError::NoIdempotencyKey);
         }
         let timeout = self.timeout(head, class)?;
@@ -157,7 +159,7 @@
     }
 }
 
-/// The path of a request's target, which may be an absolute URI (RFC 9112, 3.2.2).
+/// Returns the path of a request target, which may be an absolute URI (RFC 9112, section 3.2.2).
 #[must_use]
 pub fn path_of(target: &str) -> &str {
     let path = match target.split_once("://") {
@@ -174,7 +176,7 @@
     head.fields.text(name?)
 }
 
-/// A hash that is the same at all sidecars of whatever version, as they tell each other of routing and idempotency keys.
+/// Hashes a routing or idempotency key. The hash must be the same in all versions, because sidecars exchange it.
 #[must_use]
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     SipHasher13::new().hash(bytes)
--- a/crates/http-proxy/src/stage_updates.rs
+++ b/crates/http-proxy/src/stage_updates.rs
@@ -1,18 +1,18 @@
-//! Stage updates of the rollout service: a stream of server-sent events, whose format `docs/protocol.md` has.
+//! Stage updates from the rollout service: a stream of server-sent events; `docs/protocol.md` describes the format.
 
 use bytes::BytesMut;
 use limewing_decision::interface::{BuildId, Phase, StageIndex, StageUpdate};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Bound of a line and of an event's data; no stage update is longer.
+/// Maximum length of a line and of an event's data; no stage update is longer.
 const MAX_EVENT_BYTES: usize = 16 * 1024;
-/// Bound of an age that is told, in milliseconds: older is long ago.
+/// Upper bound for the age in a message, in milliseconds (about 11 days).
 const MAX_AGE_MS: f64 = 1e9;
-/// The name of the events that carry stage updates; events without a name do, too.
+/// The name of the events that carry stage updates; unnamed events carry them, too.
 const STAGE_EVENT: &str = "stage";
 
-/// A stage's phase as messages have it.
+/// The phase of a stage on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StagePhase {
@@ -39,27 +39,27 @@
     }
 }
 
-/// The state of the rollout as messages have it.
+/// The state of the rollout on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageMessage {
-    /// Grows with each change of the state; 0 from a rollout service that does not count them.
+    /// The number of the state change, increasing; 0 from a rollout service that does not number its changes.
     #[serde(default)]
     pub number: u64,
     /// The newest build.
     pub build: u16,
-    /// Its stage.
+    /// The stage of the build.
     pub stage: u8,
-    /// The stage's phase.
+    /// The phase of the stage.
     pub phase: StagePhase,
-    /// The most of a sidecar's requests that may go to the build, 0 to 1.
+    /// The maximum share of a sidecar's requests that may go to the build, from 0 to 1.
     pub cap: f64,
-    /// How long ago the state was entered, in milliseconds.
+    /// The time since the state was entered, in milliseconds.
     #[serde(default)]
     pub age_ms: f64,
 }
 
 impl StageMessage {
-    /// The update for the decision engine; a cap that is no number admits nothing.
+    /// Converts the message for the decision engine; a cap that is not a finite number becomes 0.
     #[must_use]
     pub fn to_update(self) -> StageUpdate {
         let cap = if self.cap.is_finite() {
@@ -77,17 +77,17 @@
     }
 }
 
-/// Drops updates that are older than one that came before.
+/// Drops updates that are older than one already received.
 ///
-/// The stream and the replies to votes are connections of their own, so a late reply may have a cap that was lowered
-/// since. If the rollout service lost its count, its updates are dropped until the count has caught up.
+/// The stage stream and the replies to votes use separate connections, so a late reply may carry a cap that has been
+/// lowered since. If the rollout service loses its numbering, its updates are dropped until the numbers catch up.
 #[derive(Debug, Default)]
 pub struct StageUpdateFilter {
     latest_number: u64,
 }
 
 impl StageUpdateFilter {
-    /// The message's update; `None` if the message is outdated.
+    /// Returns the update of a message, or `None` if the message is outdated.
     pub fn accept(&mut self, message: StageMessage) -> Option<StageUpdate> {
         if message.number != 0 && message.number < self.latest_number {
             return None;
@@ -97,44 +97,44 @@
     }
 }
 
-/// Why a stream of events can't be read on; a new one has to be opened.
+/// The reason why a stage stream is abandoned; the client has to open a new one.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StageStreamError {
-    /// An event's data is no stage message.
+    /// The data of an event is not a stage message.
     #[error("not a stage message: {data:?}: {cause}")]
     Malformed {
-        /// The event's data.
+        /// The data of the event.
         data: String,
-        /// What the JSON parser says.
+        /// The message of the JSON parser.
         cause: String,
     },
-    /// A line or an event exceeds the bound.
-    #[error("an event of more than {MAX_EVENT_BYTES} bytes")]
+    /// A line or an event exceeds the maximum length.
+    #[error("event exceeds {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
-/// Reads server-sent events: `data` of events that are named `stage`, or have no name.
+/// Parses server-sent events and returns the stage messages in events that are named `stage` or have no name.
 #[derive(Debug, Default)]
 pub struct StageEventReader {
-    unread: BytesMut,
+    buffer: BytesMut,
     data: String,
     event_name: String,
 }
 
 impl StageEventReader {
-    /// Takes the next piece of the stream, cut anywhere, and returns the messages that it completes.
+    /// Reads the next chunk of the stream, which may end anywhere, and returns the messages that it completes.
     ///
     /// # Errors
-    /// A line or an event is too long, or a message can't be read.
-    pub fn read(&mut self, piece: &[u8]) -> Result<Vec<StageMessage>, StageStreamError> {
-        self.unread.extend_from_slice(piece);
+    /// Fails if a line or an event is too long, or if a message is malformed.
+    pub fn read(&mut self, chunk: &[u8]) -> Result<Vec<StageMessage>, StageStreamError> {
+        self.buffer.extend_from_slice(chunk);
         let mut messages = Vec::new();
-        while let Some(end) = self.unread.iter().position(|byte| *byte == b'\n') {
-            let line = self.unread.split_to(end + 1);
+        while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+            let line = self.buffer.split_to(end + 1);
             let line = String::from_utf8_lossy(line.trim_ascii_end());
             messages.extend(self.read_line(&line)?);
         }
-        if self.unread.len() + self.data.len() > MAX_EVENT_BYTES {
+        if self.buffer.len() + self.data.len() > MAX_EVENT_BYTES {
             return Err(StageStreamError::TooLong);
         }
         Ok(messages)
@@ -142,7 +142,7 @@
 
     fn read_line(&mut self, line: &str) -> Result<Option<StageMessage>, StageStreamError> {
         if line.is_empty() {
-            return self.end_event();
+            return self.finish_event();
         }
         let (field, value) = line.split_once(':').unwrap_or((line, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
@@ -154,7 +154,7 @@
         Ok(None)
     }
 
-    fn end_event(&mut self) -> Result<Option<StageMessage>, StageStreamError> {
+    fn finish_event(&mut self) -> Result<Option<StageMessage>, StageStreamError> {
         let name = std::mem::take(&mut self.event_name);
         let data = std::mem::take(&mut self.data);
         let is_stage_event = name.is_empty() || name == STAGE_EVENT;
--- a/crates/http-proxy/src/state_store.rs
+++ b/crates/http-proxy/src/state_store.rs
@@ -1,28 +1,28 @@
-//! Writes the newest state to disk on a thread of its own, so that a slow disk delays no request.
+//! Writes the newest state to disk on a separate thread, so that a slow disk does not delay requests: a sync takes 0.06 to
+//! 0.95 s on ordinary disks.
 //!
-//! The event loop hands a state over with [`StateStore::store`] and goes on. The thread writes the newest one; states that
-//! were replaced before the thread got to them are never written. A failed write is retried until it succeeds or a newer
-//! state is there. Syncs of 0.06 to 0.95 s were measured on ordinary disks. A process that is killed before the thread has
-//! written starts again from an older state.
+//! The event loop passes each state to [`StateStore::store`], which does not block. The thread writes only the newest
+//! state; states that are replaced before their write begins are never written. A failed write is retried until it succeeds
+//! or a newer state is available. A process that is killed before the write completes restarts from an older state.
 
 use std::io;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The wait after a failed write. Without a retry a restart would begin with an older state.
+/// Delay before a failed write is retried. Without a retry a restart would begin with an older state.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Hands states to the writer thread, which ends when the store is dropped.
+/// Passes states to the writer thread, which ends when the store is dropped.
 pub struct StateStore<T>(Arc<Shared<T>>);
 
-/// What the event loop and the writer thread share.
+/// Data shared by the event loop and the writer thread.
 struct Shared<T> {
     queue: Mutex<Queue<T>>,
     changed: Condvar,
 }
 
 struct Queue<T> {
-    /// The newest state that no write has begun for.
+    /// The newest state, unless its write has begun.
     newest: Option<T>,
     is_writing: bool,
     is_closed: bool,
@@ -34,29 +34,29 @@
     }
 
     fn wait<'a>(&self, queue: MutexGuard<'a, Queue<T>>) -> MutexGuard<'a, Queue<T>> {
-        let woken = self.changed.wait(queue);
-        woken.unwrap_or_else(PoisonError::into_inner)
+        let result = self.changed.wait(queue);
+        result.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn wait_at_most<'a>(
+    fn wait_timeout<'a>(
         &self,
         queue: MutexGuard<'a, Queue<T>>,
         timeout: Duration,
     ) -> MutexGuard<'a, Queue<T>> {
-        let woken = self.changed.wait_timeout(queue, timeout);
-        woken.unwrap_or_else(PoisonError::into_inner).0
+        let result = self.changed.wait_timeout(queue, timeout);
+        result.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// Waits for the retry interval, or until the store is closed.
+    /// Waits until the retry interval has passed or the store is closed.
     fn wait_before_retry<'a>(&self, queue: MutexGuard<'a, Queue<T>>) -> MutexGuard<'a, Queue<T>> {
         let is_open = |queue: &mut Queue<T>| !queue.is_closed;
-        let woken = self
+        let result = self
             .changed
             .wait_timeout_while(queue, RETRY_INTERVAL, is_open);
-        woken.unwrap_or_else(PoisonError::into_inner).0
+        result.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// The writer thread: writes states until the store is dropped.
+    /// Runs on the writer thread: writes states until the store is dropped.
     fn run(&self, write: &mut impl FnMut(&T) -> io::Result<()>) {
         let mut queue = self.lock();
         while !queue.is_closed {
@@ -82,10 +82,10 @@
 }
 
 impl<T: Send + 'static> StateStore<T> {
-    /// Starts the writer thread; `write` puts one state on disk.
+    /// Starts the writer thread, which calls `write` to write a state to disk.
     ///
     /// # Errors
-    /// The system cannot start a thread.
+    /// Fails if the thread cannot be started.
     pub fn start(mut write: impl FnMut(&T) -> io::Result<()> + Send + 'static) -> io::Result<Self> {
         let queue = Mutex::new(Queue {
             newest: None,
@@ -103,22 +103,22 @@
         Ok(Self(shared))
     }
 
-    /// Replaces the state that is to be written next.
+    /// Sets the state to write next.
     pub fn store(&self, newest: T) {
         self.0.lock().newest = Some(newest);
         self.0.changed.notify_all();
     }
 
-    /// Waits until everything is written, at most for `timeout`. Returns whether it is.
+    /// Waits for at most `timeout` until the newest state is written. Returns whether it is.
     pub fn flush(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let mut queue = self.0.lock();
         while queue.newest.is_some() || queue.is_writing {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            queue = self.0.wait_at_most(queue, left);
+            queue = self.0.wait_timeout(queue, remaining);
         }
         true
     }
--- a/crates/http-proxy/src/vote_log.rs
+++ b/crates/http-proxy/src/vote_log.rs
@@ -1,8 +1,8 @@
-//! A voter's durable log: one file of records (`limewing_consensus`) in the folder that `work.folder` names.
+//! The durable log of a voter: a file of `limewing_consensus` records in the folder set by `work.folder`.
 //!
-//! A thread of its own writes and syncs the records; the event loop learns from [`VoteLog::take_durable`] which writes are
-//! on disk, and sends nothing that depends on one before. A damaged file is moved aside, and the voter starts as a new
-//! incarnation.
+//! A separate thread writes and syncs the records. The event loop learns from [`VoteLog::take_durable`] which writes are on
+//! disk, and sends no message that depends on a write before that write is durable. A damaged file is moved aside, and the
+//! voter starts as a new incarnation.
 
 use limewing_consensus::{read_log, Record, RecoveredLog};
 use std::fs::{File, OpenOptions};
@@ -11,55 +11,55 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// The wait after a failed write. The voter sends nothing meanwhile.
+/// Delay before a failed write is retried. The voter sends nothing meanwhile.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Locked by the process that uses the folder.
+/// File that is locked by the process that uses the folder.
 const LOCK_FILE: &str = "lock";
-/// The records.
+/// File that holds the records.
 const LOG_FILE: &str = "agree.log";
-/// A log that cannot be read is moved here.
+/// File to which a damaged log is moved.
 const DAMAGED_FILE: &str = "agree.damaged";
-/// Extension of a log that is written to replace the present one.
+/// Extension of the temporary file that replaces the log.
 const REPLACEMENT_EXTENSION: &str = "fresh";
 
-/// One write for the thread.
+/// A write for the writer thread.
 struct WriteJob {
     number: u64,
     bytes: Vec<u8>,
-    /// Whether the bytes replace the whole log; else they are appended.
+    /// Whether the bytes replace the whole log instead of being appended.
     replaces_log: bool,
 }
 
-/// A voter's log on disk.
+/// A handle to the log of a voter; writes are asynchronous.
 pub struct VoteLog {
     jobs: Sender<WriteJob>,
     durable: Receiver<u64>,
     in_flight: usize,
 }
 
-/// The files, as the writer thread owns them.
+/// The open log file, owned by the writer thread.
 struct LogFile {
     path: PathBuf,
     file: File,
-    /// Bytes of the file that are durable and valid.
+    /// Length of the durable and valid part of the file, in bytes.
     valid_length: u64,
-    /// Held for as long as the process lives: two processes must not write one log.
+    /// Held until the process ends, because two processes must not write the same log.
     _lock: File,
 }
 
 impl VoteLog {
-    /// Opens the log in a folder, which is created if it is missing. Returns the records of earlier processes.
+    /// Opens the log in a folder, which is created if it is missing. Also returns the records written by earlier processes.
     ///
     /// # Errors
-    /// The folder cannot be used, or another process uses it.
+    /// Fails if the folder cannot be used, or if another process uses it.
     pub fn open(folder: &Path) -> io::Result<(Self, Vec<Record>)> {
         std::fs::create_dir_all(folder)?;
         let (log_file, records) = LogFile::open(folder)?;
-        let (jobs, take) = channel();
-        let (report, durable) = channel();
+        let (jobs, job_receiver) = channel();
+        let (durable_sender, durable) = channel();
         std::thread::Builder::new()
             .name("vote-log".into())
-            .spawn(move || log_file.run(&take, &report))?;
+            .spawn(move || log_file.run(&job_receiver, &durable_sender))?;
         let log = Self {
             jobs,
             durable,
@@ -78,23 +78,23 @@
             bytes,
             replaces_log,
         };
-        // The thread ends with the process only.
+        // The writer thread ends only with the process.
         if self.jobs.send(job).is_ok() {
             self.in_flight += 1;
         }
     }
 
-    /// Appends records as write `number`.
+    /// Queues write `number`, which appends records.
     pub fn append(&mut self, number: u64, records: &[Record]) {
         self.submit(number, records, false);
     }
 
-    /// Replaces the whole log by records, as write `number`.
+    /// Queues write `number`, which replaces the whole log with these records.
     pub fn replace(&mut self, number: u64, records: &[Record]) {
         self.submit(number, records, true);
     }
 
-    /// The number of the last write that became durable since the last call.
+    /// Returns the number of the last write that became durable since the previous call.
     pub fn take_durable(&mut self) -> Option<u64> {
         let mut last = None;
         for number in self.durable.try_iter() {
@@ -104,7 +104,7 @@
         last
     }
 
-    /// Whether no write is in flight.
+    /// Returns whether no write is in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight == 0
     }
@@ -135,7 +135,7 @@
         Ok((log_file, recovered.records))
     }
 
-    /// The writer thread.
+    /// Runs on the writer thread: executes the queued writes.
     fn run(mut self, jobs: &Receiver<WriteJob>, durable: &Sender<u64>) {
         while let Ok(job) = jobs.recv() {
             while let Err(error) = self.write(&job) {
@@ -171,7 +171,7 @@
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        // An earlier attempt that failed halfway may have left a part behind.
+        // An earlier write that failed midway may have left partial data.
         self.file.set_len(self.valid_length)?;
         self.file.seek(SeekFrom::Start(self.valid_length))?;
         self.file.write_all(bytes)?;
--- a/crates/http-proxy/src/votes.rs
+++ b/crates/http-proxy/src/votes.rs
@@ -1,4 +1,4 @@
-//! Votes on the build on trial and the rollout service's replies, as JSON; `docs/protocol.md` has both.
+//! Votes on the canary build and the replies of the rollout service, as JSON; `docs/protocol.md` describes both.
 
 use crate::http_status;
 use crate::stage_updates::StageMessage;
@@ -6,19 +6,19 @@
 use limewing_proxy_core::vote_call::VoteReply;
 use serde::{Deserialize, Serialize};
 
-/// A verdict as messages have it.
+/// A verdict on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoteVerdict {
-    /// No opinion.
+    /// The sidecar has no verdict yet.
     #[serde(rename = "withhold")]
     Abstain,
-    /// The build may go to the next stage.
+    /// The build may advance to the next stage.
     #[serde(rename = "on")]
     Promote,
-    /// The build is to stay at its stage.
+    /// The build has to stay at its stage.
     Hold,
-    /// The build is to be withdrawn.
+    /// The build has to be withdrawn.
     #[serde(rename = "back")]
     RollBack,
 }
@@ -34,21 +34,21 @@
     }
 }
 
-/// One sidecar's vote.
+/// The vote of a sidecar on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoteMessage {
-    /// The sidecar's name.
+    /// The name of the sidecar.
     pub sidecar: String,
-    /// The build on trial.
+    /// The canary build.
     pub build: u16,
-    /// Its stage.
+    /// The stage of the build.
     pub stage: u8,
     /// The verdict.
     pub verdict: VoteVerdict,
 }
 
 impl VoteMessage {
-    /// The message of a vote.
+    /// Creates the message of a vote.
     #[must_use]
     pub fn new(sidecar: &str, verdict: Verdict, build: BuildId, stage: StageIndex) -> Self {
         Self {
@@ -60,27 +60,27 @@
     }
 }
 
-/// What became of a vote.
+/// Whether the rollout service counted a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VoteStatus {
-    /// It counts.
+    /// The vote is counted.
     Counted,
-    /// It is about a stage that is over.
+    /// The vote is for a stage that is over.
     Moot,
 }
 
 /// The body of a reply to a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoteReplyMessage {
-    /// What became of the vote.
+    /// Whether the vote was counted.
     pub answer: VoteStatus,
     /// The state of the rollout.
     #[serde(default)]
     pub stage: Option<StageMessage>,
 }
 
-/// Reads a reply to a vote; one that can't be read counts as a failed vote.
+/// Parses the reply to a vote; a malformed reply counts as a failed vote.
 #[must_use]
 pub fn parse_vote_response(status: u16, body: &[u8]) -> VoteReply<StageMessage> {
     if status == http_status::TOO_MANY_REQUESTS {
