--- a/crates/http-proxy/tests/any_bytes.rs
+++ b/crates/http-proxy/tests/any_bytes.rs
@@ -1,4 +1,4 @@
-//! Whatever services say: no panic, and nothing unbounded.
+//! Malformed responses of other services must neither cause a panic nor make the sidecar use unbounded memory.
 
 use limewing_http_proxy::endpoint_list::parse_endpoint_list;
 use limewing_http_proxy::stage_updates::StageEventReader;
@@ -6,8 +6,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// Concatenates fragments of valid messages in random order.
 fn nearly_json() -> impl Strategy<Value = String> {
-    let parts = prop::sample::select(vec![
+    let fragments = prop::sample::select(vec![
         "[",
         "]",
         "{",
@@ -30,21 +31,21 @@
         "{\"build\":1,\"stage\":0,\"phase\":\"released\",\"cap\":1}",
         "{\"answer\":\"moot\"}",
     ]);
-    prop::collection::vec(parts, 0..16).prop_map(|parts| parts.concat())
+    prop::collection::vec(fragments, 0..16).prop_map(|fragments| fragments.concat())
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn lists_votes_and_news_are_read_or_refused(text in nearly_json(), cut in 1_usize..20) {
+    fn lists_votes_and_stage_updates_are_parsed_or_rejected(text in nearly_json(), chunk_size in 1_usize..20) {
         if let Ok(list) = parse_endpoint_list(text.as_bytes()) {
             prop_assert!(list.endpoints.iter().all(|record| record.weight > 0.0));
         }
         let _ = parse_vote_response(200, text.as_bytes());
         let mut reader = StageEventReader::default();
-        for piece in text.as_bytes().chunks(cut) {
-            if reader.read(piece).is_err() {
+        for chunk in text.as_bytes().chunks(chunk_size) {
+            if reader.read(chunk).is_err() {
                 break;
             }
         }
--- a/crates/http-proxy/tests/endpoint_list.rs
+++ b/crates/http-proxy/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: parsing, the directory's numbers and deltas, the state file.
+//! Tests of the endpoint list: parsing, the directory's IDs and deltas, and the state file.
 
 use limewing_decision::interface::PodState;
 use limewing_http_proxy::endpoint_directory::EndpointDirectory;
@@ -19,20 +19,20 @@
     })
 }
 
-fn parsed(entries: &[Value]) -> Vec<EndpointRecord> {
+fn parse(entries: &[Value]) -> Vec<EndpointRecord> {
     parse_endpoint_list(json!(entries).to_string().as_bytes())
         .unwrap()
         .endpoints
 }
 
 #[test]
-fn usable_entries_are_returned_beside_the_causes_of_the_others() {
-    let mut odd = entry(3, "2", "passing");
-    odd["Service"]["Address"] = json!("nowhere");
-    let all = json!([entry(1, "1", "passing"), entry(2, "2", "critical"), odd, entry(4, "70000", "passing"),
+fn valid_entries_are_returned_next_to_the_errors_of_the_others() {
+    let mut invalid = entry(3, "2", "passing");
+    invalid["Service"]["Address"] = json!("nowhere");
+    let all = json!([entry(1, "1", "passing"), entry(2, "2", "critical"), invalid, entry(4, "70000", "passing"),
         entry(1, "1", "passing"), {"Service": 5}]);
     let list = parse_endpoint_list(all.to_string().as_bytes()).unwrap();
-    let seen: Vec<_> = list
+    let endpoints: Vec<_> = list
         .endpoints
         .iter()
         .map(|record| {
@@ -44,10 +44,10 @@
             )
         })
         .collect();
-    assert_eq!(seen, [(1, 1, false, 4.0), (2, 2, true, 4.0)]);
-    let texts: Vec<String> = list.rejected.iter().map(ToString::to_string).collect();
+    assert_eq!(endpoints, [(1, 1, false, 4.0), (2, 2, true, 4.0)]);
+    let messages: Vec<String> = list.rejected.iter().map(ToString::to_string).collect();
     assert_eq!(
-        texts[..3],
+        messages[..3],
         [
             "service web-3: expected an IP address, found \"nowhere\"",
             "service web-4: Meta.build: expected a number below 65536, found \"70000\"",
@@ -61,20 +61,20 @@
 }
 
 #[rstest]
-#[case::no_array(b"{}")]
-#[case::cut_off(b"[")]
-#[case::no_text(b"\xff\xfe")]
-fn a_body_that_is_no_list_is_rejected_as_a_whole(#[case] body: &[u8]) {
+#[case::not_an_array(b"{}")]
+#[case::truncated(b"[")]
+#[case::not_utf8(b"\xff\xfe")]
+fn a_body_that_is_not_a_list_is_rejected(#[case] body: &[u8]) {
     assert!(parse_endpoint_list(body).is_err());
 }
 
 #[test]
-fn a_step_of_the_time_of_day_does_not_look_like_a_restart() {
-    let list = parsed(&[entry(1, "1", "passing")]);
+fn a_step_of_the_wall_clock_does_not_look_like_a_restart() {
+    let list = parse(&[entry(1, "1", "passing")]);
     let mut directory = EndpointDirectory::new(&["east".into()]);
-    let day = |seconds| SystemTime::UNIX_EPOCH + Duration::from_secs_f64(seconds);
-    let first = directory.snapshot(&list, Duration::from_secs(3600), day(1002.5));
-    let later = directory.snapshot(&list, Duration::from_secs(3610), day(5.0));
+    let wall_clock = |seconds| SystemTime::UNIX_EPOCH + Duration::from_secs_f64(seconds);
+    let first = directory.snapshot(&list, Duration::from_secs(3600), wall_clock(1002.5));
+    let later = directory.snapshot(&list, Duration::from_secs(3610), wall_clock(5.0));
     assert_eq!(first[0].started_at, Some(Duration::from_secs(3598)));
     assert_eq!(
         (later[0].started_at, later[0].state),
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn a_delta_has_only_what_changed() {
-    let old = parsed(&[
+fn a_delta_holds_only_changes() {
+    let old = parse(&[
         entry(1, "1", "passing"),
         entry(2, "1", "passing"),
         entry(3, "1", "passing"),
     ]);
-    let new = parsed(&[
+    let new = parse(&[
         entry(1, "1", "passing"),
         entry(2, "1", "critical"),
         entry(4, "2", "passing"),
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn the_state_file_is_read_whole_or_not_at_all() {
+fn a_truncated_state_file_is_rejected_and_a_failed_save_keeps_the_old_file() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("state.json");
     assert_eq!(endpoint_list_file::load(&file).unwrap(), None);
-    let list = parsed(&[entry(1, "1", "passing")]);
+    let list = parse(&[entry(1, "1", "passing")]);
     endpoint_list_file::save(&file, &list).unwrap();
     assert_eq!(endpoint_list_file::load(&file).unwrap(), Some(list.clone()));
-    // A folder that is gone: the old file is not touched.
+    // Saving to a missing folder fails and leaves the old file unchanged.
     assert!(endpoint_list_file::save(&folder.path().join("none/state.json"), &list).is_err());
     assert_eq!(endpoint_list_file::load(&file).unwrap(), Some(list));
     let text = std::fs::read_to_string(&file).unwrap();
--- a/crates/http-proxy/tests/golden.rs
+++ b/crates/http-proxy/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Pins the sidecar's own formats: the state file, the installer's and the sidecar's messages, what operators and agents may
-//! ask of the work on machines, and the pages that tell of fleet, state and work. Each file was written by the program; it is
-//! read, and what is written again is the same bytes.
+//! Golden tests of the sidecar's formats: the state file, the messages of the rollout service and the sidecar, the requests
+//! of operators and agents about maintenance, and the pages on membership, replication and maintenance. The program wrote
+//! each golden file; a test parses the file, serializes the value again and expects the same bytes.
 
 use limewing_http_proxy::endpoint_list::{parse_endpoint_list, EndpointRecord};
 use limewing_http_proxy::endpoint_list_file;
@@ -20,7 +20,7 @@
         .join(name)
 }
 
-fn listed() -> Vec<EndpointRecord> {
+fn listed_endpoints() -> Vec<EndpointRecord> {
     let first = EndpointRecord {
         address: "127.0.0.1:9000".parse().unwrap(),
         draining: false,
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn the_state_file_is_written_as_before() {
+fn the_written_state_file_matches_the_golden_file() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("state.json");
-    endpoint_list_file::save(&file, &listed()).unwrap();
+    endpoint_list_file::save(&file, &listed_endpoints()).unwrap();
     let written = std::fs::read_to_string(&file).unwrap();
     assert_eq!(
         written,
@@ -59,31 +59,31 @@
 }
 
 #[test]
-fn the_state_file_is_read_as_before() {
+fn the_golden_state_file_is_parsed() {
     assert_eq!(
         endpoint_list_file::load(&golden("state.json")).unwrap(),
-        Some(listed())
+        Some(listed_endpoints())
     );
 }
 
-/// Files from before rows named their machine.
+/// Older versions wrote no machine names.
 #[test]
-fn a_state_file_without_machines_is_read() {
-    let without = listed().into_iter().map(|row| EndpointRecord {
+fn a_state_file_without_machine_names_is_parsed() {
+    let without_machines = listed_endpoints().into_iter().map(|record| EndpointRecord {
         machine: String::new(),
-        ..row
+        ..record
     });
     assert_eq!(
         endpoint_list_file::load(&golden("state-without-machines.json")).unwrap(),
-        Some(without.collect())
+        Some(without_machines.collect())
     );
 }
 
-/// What the list service answers; `size`, `zone` and `machine` also by their defaults.
+/// A response of the list service; weight, zone and machine also take their default values.
 #[test]
-fn the_node_list_is_read_as_before() {
+fn the_golden_endpoint_list_is_parsed() {
     let list = parse_endpoint_list(&std::fs::read(golden("node-list.json")).unwrap()).unwrap();
-    let by_default = EndpointRecord {
+    let with_defaults = EndpointRecord {
         address: "127.0.0.2:9002".parse().unwrap(),
         draining: false,
         build: 1,
@@ -94,13 +94,13 @@
         machine_type: String::new(),
         machine: "127.0.0.2:9002".into(),
     };
-    let mut expected = listed();
-    expected.insert(1, by_default);
+    let mut expected = listed_endpoints();
+    expected.insert(1, with_defaults);
     assert_eq!((list.endpoints, list.rejected), (expected, Vec::new()));
 }
 
-/// One line of JSON for each value, as it is written; each line is read as its value.
-fn lines_are_as_before<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
+/// Checks that the golden file has one line of JSON for each value, and that each line is parsed as that value.
+fn assert_lines_match_golden<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
     name: &str,
     values: &[T],
 ) {
@@ -138,8 +138,8 @@
 }
 
 #[test]
-fn stage_news_are_as_before() {
-    lines_are_as_before("stages.jsonl", &stages());
+fn stage_messages_match_the_golden_file() {
+    assert_lines_match_golden("stages.jsonl", &stages());
     let stream: String = std::fs::read_to_string(golden("stages.jsonl"))
         .unwrap()
         .lines()
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn votes_are_as_before() {
+fn votes_match_the_golden_file() {
     let vote = |verdict| VoteMessage {
         sidecar: "sidecar-2".into(),
         build: 3,
@@ -165,11 +165,11 @@
         VoteVerdict::Hold,
         VoteVerdict::RollBack,
     ];
-    lines_are_as_before("votes.jsonl", &verdicts.map(vote));
+    assert_lines_match_golden("votes.jsonl", &verdicts.map(vote));
 }
 
 #[test]
-fn answers_to_votes_are_as_before() {
+fn vote_replies_match_the_golden_file() {
     let replies = [
         VoteReplyMessage {
             answer: VoteStatus::Counted,
@@ -180,17 +180,17 @@
             stage: Some(stages()[1]),
         },
     ];
-    lines_are_as_before("vote-replies.jsonl", &replies);
+    assert_lines_match_golden("vote-replies.jsonl", &replies);
 }
 
-/// The work list itself is pinned by the tests of the settings.
+/// The format of the maintenance list itself is covered by the golden tests of the settings.
 #[test]
-fn what_is_asked_of_the_work_is_as_before() {
+fn maintenance_requests_match_the_golden_file() {
     let list = serde_json::from_value(serde_json::json!({
         "name": "kernel", "takes": 60.0, "stalls_after": 300.0, "limits": {"out": 6, "ready_part": 0.5}
     }));
     let report = |report| MaintenanceRequest::ReportWork { grant: 77, report };
-    let asked = [
+    let requests = [
         MaintenanceRequest::CreateList(list.unwrap()),
         MaintenanceRequest::PauseList(5),
         MaintenanceRequest::ResumeList(6),
@@ -202,9 +202,9 @@
         report(WorkReport::Succeeded),
         report(WorkReport::Failed),
     ];
-    let written: Vec<String> = asked
+    let written: Vec<String> = requests
         .iter()
-        .map(|one| serde_json::to_string(one).unwrap())
+        .map(|request| serde_json::to_string(request).unwrap())
         .collect();
     let file = std::fs::read_to_string(golden("asked.jsonl")).unwrap();
     assert_eq!(written.join("\n") + "\n", file);
@@ -214,16 +214,16 @@
     }
 }
 
-fn again<T: Serialize + DeserializeOwned>(text: &str) -> String {
+fn reserialize<T: Serialize + DeserializeOwned>(text: &str) -> String {
     serde_json::to_string(&serde_json::from_str::<T>(text).unwrap()).unwrap()
 }
 
 #[rstest]
-#[case::fleet("fleet.json", again::<MembershipView>)]
-#[case::fleet_without_choices("fleet-without-choices.json", again::<MembershipView>)]
-#[case::state("state-page.json", again::<ReplicationView>)]
-#[case::work("work.json", again::<MaintenanceView>)]
-fn pages_are_as_before(#[case] name: &str, #[case] again: fn(&str) -> String) {
+#[case::membership("fleet.json", reserialize::<MembershipView>)]
+#[case::membership_without_choices("fleet-without-choices.json", reserialize::<MembershipView>)]
+#[case::replication("state-page.json", reserialize::<ReplicationView>)]
+#[case::maintenance("work.json", reserialize::<MaintenanceView>)]
+fn pages_match_the_golden_files(#[case] name: &str, #[case] reserialize: fn(&str) -> String) {
     let page = std::fs::read_to_string(golden(name)).unwrap();
-    assert_eq!(again(&page), page);
+    assert_eq!(reserialize(&page), page);
 }
--- a/crates/http-proxy/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -1,6 +1,6 @@
-//! Pins what running sidecars tell on the pages that operators read: `/limewing/fleet`, `/limewing/state` and
-//! `/limewing/work`. Words in them (what a member is held to be, the step of a machine, a stage) are part of the format.
-//! Figures that differ from run to run are set to 0 before a page is compared with its file.
+//! Golden tests of the pages that running sidecars serve to operators: `/limewing/fleet`, `/limewing/state` and
+//! `/limewing/work`. Texts in the pages (status of a member, phase of a machine, stage) are part of the format. Values that
+//! differ between runs are set to 0 before a page is compared with its golden file.
 
 use limewing_http_proxy::endpoint_list::EndpointRecord;
 use limewing_http_proxy::endpoint_list_file;
@@ -19,13 +19,13 @@
 
 const SECRET: &str = "000102030405060708090a0b0c0d0e0f";
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// A time of day in seconds since 1970.
+/// Start time of a pod that is no longer cold, in seconds since 1970.
 const LONG_AGO: f64 = 1000.0;
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const PROBE_PERIOD: Duration = Duration::from_millis(50);
 
-/// A folder for a test's files; it stays, as sidecars run until the process ends.
-fn folder() -> std::path::PathBuf {
+/// Creates a folder for a test's files. It is not removed, because sidecars run until the process ends.
+fn create_folder() -> std::path::PathBuf {
     tempfile::tempdir().unwrap().keep()
 }
 
@@ -64,113 +64,114 @@
     address
 }
 
-/// A state file of three machines that are ready; the first one's pod starts at this time, the others have run for long.
-fn state_file(folder: &Path, first_starts: f64) -> std::path::PathBuf {
-    let row = |number: u16| EndpointRecord {
+/// Writes a state file of three ready machines. `first_start` is the start time of the first machine's pod; the pods of the
+/// others started long ago.
+fn state_file(folder: &Path, first_start: f64) -> std::path::PathBuf {
+    let record = |number: u16| EndpointRecord {
         address: SocketAddr::new([127, 0, 0, 1].into(), 9 + number),
         draining: false,
         build: 1,
         weight: 1.0,
-        started: Some(if number == 0 { first_starts } else { LONG_AGO }),
+        started: Some(if number == 0 { first_start } else { LONG_AGO }),
         zone: "east".into(),
         cell: 0,
         machine_type: "plain".into(),
         machine: format!("node-{number}"),
     };
     let file = folder.join("state.json");
-    endpoint_list_file::save(&file, &[0, 1, 2].map(row)).unwrap();
+    endpoint_list_file::save(&file, &[0, 1, 2].map(record)).unwrap();
     file
 }
 
-fn send_request(at: SocketAddr, line: &str, body: &str) -> String {
-    let mut client = TcpStream::connect(at).unwrap();
+fn send_request(sidecar: SocketAddr, request_line: &str, body: &str) -> String {
+    let mut client = TcpStream::connect(sidecar).unwrap();
     let length = body.len();
     write!(
         client,
-        "{line} HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
+        "{request_line} HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
     )
     .unwrap();
-    let mut answer = String::new();
-    client.read_to_string(&mut answer).unwrap();
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap();
-    assert!(head.starts_with("HTTP/1.1 20"), "{answer}");
+    let mut response = String::new();
+    client.read_to_string(&mut response).unwrap();
+    let (head, body) = response.split_once("\r\n\r\n").unwrap();
+    assert!(head.starts_with("HTTP/1.1 20"), "{response}");
     body.to_owned()
 }
 
-/// A page; what is read of it and written again is the same bytes.
-fn get_page<T: Serialize + DeserializeOwned>(at: SocketAddr, path: &str) -> T {
-    let text = send_request(at, &format!("GET {path}"), "");
-    let read: T = serde_json::from_str(&text).unwrap();
-    assert_eq!(serde_json::to_string(&read).unwrap(), text);
-    read
+/// Gets a page, and checks that parsing and serializing it yields the same bytes.
+fn get_page<T: Serialize + DeserializeOwned>(sidecar: SocketAddr, path: &str) -> T {
+    let text = send_request(sidecar, &format!("GET {path}"), "");
+    let page: T = serde_json::from_str(&text).unwrap();
+    assert_eq!(serde_json::to_string(&page).unwrap(), text);
+    page
 }
 
-fn get_membership(at: SocketAddr) -> MembershipView {
-    get_page(at, "/limewing/fleet")
+fn get_membership(sidecar: SocketAddr) -> MembershipView {
+    get_page(sidecar, "/limewing/fleet")
 }
 
-fn get_replication(at: SocketAddr) -> ReplicationView {
-    get_page(at, "/limewing/state")
+fn get_replication(sidecar: SocketAddr) -> ReplicationView {
+    get_page(sidecar, "/limewing/state")
 }
 
-fn get_maintenance(at: SocketAddr) -> MaintenanceView {
-    get_page(at, "/limewing/work")
+fn get_maintenance(sidecar: SocketAddr) -> MaintenanceView {
+    get_page(sidecar, "/limewing/work")
 }
 
-/// Looks until something is there.
-fn wait_until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let from = Instant::now();
-    while from.elapsed() < TIMEOUT {
-        if let Some(found) = look() {
+/// Polls until a value is returned; panics after the timeout.
+fn wait_until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let start = Instant::now();
+    while start.elapsed() < TIMEOUT {
+        if let Some(found) = poll() {
             return found;
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    panic!("waited in vain: {what}");
+    panic!("timed out waiting until {what}");
 }
 
-/// Each word that a look gives, as it comes anew, until the last one that is waited for.
-fn collect_states_until(last: &str, mut look: impl FnMut() -> Option<String>) -> Vec<String> {
+/// Polls until the state is `last`, and returns the sequence of distinct states seen.
+fn collect_states_until(last: &str, mut poll: impl FnMut() -> Option<String>) -> Vec<String> {
     let mut seen: Vec<String> = Vec::new();
     wait_until(last, || {
-        if let Some(word) = look() {
-            if seen.last() != Some(&word) {
-                seen.push(word);
+        if let Some(state) = poll() {
+            if seen.last() != Some(&state) {
+                seen.push(state);
             }
         }
-        seen.last().filter(|word| *word == last).cloned()
+        seen.last().filter(|state| *state == last).cloned()
     });
     seen
 }
 
-fn assert_matches_golden(page: impl Serialize, differs: &[&str], file: &str) {
+fn assert_matches_golden(page: impl Serialize, ignored: &[&str], golden_file: &str) {
     let mut page = serde_json::to_value(page).unwrap();
-    for path in differs {
+    for path in ignored {
         *page.pointer_mut(path).unwrap_or_else(|| panic!("{path}")) = 0.into();
     }
-    let before: Value = serde_json::from_str(file).unwrap();
-    assert_eq!(page, before, "now:\n{page:#}");
+    let golden: Value = serde_json::from_str(golden_file).unwrap();
+    assert_eq!(page, golden, "actual page:\n{page:#}");
 }
 
-/// What a member of the test's own does next.
-const RUNS: u8 = 0;
-const FALLS_SILENT: u8 = 1;
-const LEAVES: u8 = 2;
+/// Modes of an emulated member.
+const RUNNING: u8 = 0;
+const SILENT: u8 = 1;
+const LEAVING: u8 = 2;
 
-/// A member of the fleet that is no sidecar: it answers until it is told otherwise.
-fn member(name: &str, join: SocketAddr, does: Arc<AtomicU8>) {
+/// Starts a fleet member without a sidecar. It takes part in the membership protocol until its mode changes.
+fn start_member(name: &str, join: SocketAddr, mode: Arc<AtomicU8>) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
         .set_read_timeout(Some(Duration::from_millis(2)))
         .unwrap();
-    let from = Instant::now();
+    let start = Instant::now();
     let secret = (0..16).collect();
-    let today = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap();
-    let terms = Config {
+    let config = Config {
         name: MemberName::try_from(name.to_owned()).unwrap(),
-        started_at_ms: today.as_millis() as u64,
+        started_at_ms: since_epoch.as_millis() as u64,
         started_at: Duration::ZERO,
         address: socket.local_addr().unwrap(),
         seed_addresses: vec![join],
@@ -179,67 +180,70 @@
         bytes_per_second: 16_384,
         seed: 1,
     };
-    let mut peers = Membership::new(Duration::ZERO, terms).unwrap();
+    let mut membership = Membership::new(Duration::ZERO, config).unwrap();
     std::thread::spawn(move || {
         let mut datagram = [0; 2048];
         loop {
-            let does = does.load(Ordering::Relaxed);
-            if does == LEAVES {
-                peers.leave(from.elapsed());
+            let mode = mode.load(Ordering::Relaxed);
+            if mode == LEAVING {
+                membership.leave(start.elapsed());
             }
-            if does == RUNS && from.elapsed() >= peers.next_deadline() {
-                peers.tick(from.elapsed());
+            if mode == RUNNING && start.elapsed() >= membership.next_deadline() {
+                membership.tick(start.elapsed());
             }
-            while let Some((to, bytes)) = peers.take_datagram() {
+            while let Some((to, bytes)) = membership.take_datagram() {
                 let _ = socket.send_to(&bytes, to);
             }
-            if does != RUNS {
+            if mode != RUNNING {
                 return;
             }
             if let Ok((length, _)) = socket.recv_from(&mut datagram) {
-                let _ = peers.receive(from.elapsed(), &datagram[..length]);
+                let _ = membership.receive(start.elapsed(), &datagram[..length]);
             }
         }
     });
 }
 
 #[test]
-fn the_membership_page_is_unchanged() {
-    let folder = folder();
-    let at = start(&settings(&folder, "sidecar-0", |_| ()));
-    let reached = get_membership(at).address;
-    let (falls, leaves) = (Arc::new(AtomicU8::new(RUNS)), Arc::new(AtomicU8::new(RUNS)));
-    member("sidecar-1", reached, falls.clone());
-    member("sidecar-2", reached, leaves.clone());
-    let standing = |name: &str| {
-        get_membership(at)
+fn the_membership_page_matches_the_golden_file() {
+    let folder = create_folder();
+    let sidecar = start(&settings(&folder, "sidecar-0", |_| ()));
+    let membership_address = get_membership(sidecar).address;
+    let (silent_mode, leaving_mode) = (
+        Arc::new(AtomicU8::new(RUNNING)),
+        Arc::new(AtomicU8::new(RUNNING)),
+    );
+    start_member("sidecar-1", membership_address, silent_mode.clone());
+    start_member("sidecar-2", membership_address, leaving_mode.clone());
+    let status = |name: &str| {
+        get_membership(sidecar)
             .members
             .into_iter()
-            .find(|seen| seen.name == name)
-            .map(|seen| seen.status)
+            .find(|member| member.name == name)
+            .map(|member| member.status)
     };
-    wait_until("both are alive", || {
-        let members = get_membership(at).members;
+    wait_until("both members are alive", || {
+        let members = get_membership(sidecar).members;
         let alive = members.iter().all(|member| member.status == "alive");
         (members.len() == 2 && alive).then_some(())
     });
-    leaves.store(LEAVES, Ordering::Relaxed);
-    collect_states_until("left", || standing("sidecar-2"));
-    falls.store(FALLS_SILENT, Ordering::Relaxed);
-    let standings = collect_states_until("dead", || standing("sidecar-1"));
+    leaving_mode.store(LEAVING, Ordering::Relaxed);
+    collect_states_until("left", || status("sidecar-2"));
+    silent_mode.store(SILENT, Ordering::Relaxed);
+    let roles = collect_states_until("dead", || status("sidecar-1"));
     assert!(
-        standings.ends_with(&["suspect".into(), "dead".into()]),
-        "{standings:?}"
+        roles.ends_with(&["suspect".into(), "dead".into()]),
+        "{roles:?}"
     );
 
-    let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     for datagram in [vec![0; 3], vec![250; 200]] {
-        noise.send_to(&datagram, reached).unwrap();
+        sender.send_to(&datagram, membership_address).unwrap();
     }
-    let view = wait_until("both are refused", || {
-        Some(get_membership(at)).filter(|view| view.rejected.len() == 2)
+    let view = wait_until("both datagrams are rejected", || {
+        Some(get_membership(sidecar)).filter(|view| view.rejected.len() == 2)
     });
-    let differs = [
+    let ignored = [
         "/at",
         "/listens",
         "/start",
@@ -255,14 +259,14 @@
         "/members/1/incarnation",
         "/members/1/for_s",
     ];
-    assert_matches_golden(view, &differs, include_str!("golden/pages/fleet.json"));
+    assert_matches_golden(view, &ignored, include_str!("golden/pages/fleet.json"));
 }
 
-/// An installer that says these on its stream, one after another as it is told.
-fn installer() -> (SocketAddr, std::sync::mpsc::Sender<String>) {
+/// Starts a rollout service that sends each message of the returned channel on its stage stream.
+fn rollout_service() -> (SocketAddr, std::sync::mpsc::Sender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (say, said) = std::sync::mpsc::channel::<String>();
+    let (messages, receiver) = std::sync::mpsc::channel::<String>();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let _ = stream.read(&mut [0; 4096]).unwrap();
@@ -271,21 +275,21 @@
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
         )
         .unwrap();
-        for news in said {
-            write!(stream, "event: stage\ndata: {news}\n\n").unwrap();
+        for message in receiver {
+            write!(stream, "event: stage\ndata: {message}\n\n").unwrap();
         }
     });
-    (address, say)
+    (address, messages)
 }
 
 #[test]
-fn the_replication_page_is_unchanged() {
-    let folder = folder();
-    let (installer, say) = installer();
-    let at = start(&settings(&folder, "sidecar-0", |settings| {
+fn the_replication_page_matches_the_golden_file() {
+    let folder = create_folder();
+    let (rollout_service, messages) = rollout_service();
+    let sidecar = start(&settings(&folder, "sidecar-0", |settings| {
         settings["state_file"] = json!(state_file(&folder, LONG_AGO));
         settings["peers"]["replicas"] = true.into();
-        settings["installer"] = json!({"address": installer});
+        settings["installer"] = json!({"address": rollout_service});
     }));
     let stages = [
         (
@@ -309,15 +313,15 @@
             "Stage { number: 4, build: 3, stage: 1, phase: Released, cap: 1.0 }",
         ),
     ];
-    for (number, (phase, cap, told)) in (1..).zip(stages) {
-        let news = json!({"number": number, "build": 3, "stage": 1, "phase": phase, "cap": cap, "age_ms": 0.0});
-        say.send(news.to_string()).unwrap();
-        let view = wait_until(told, || {
-            Some(get_replication(at)).filter(|view| view.stage.as_deref() == Some(told))
+    for (number, (phase, cap, expected)) in (1..).zip(stages) {
+        let message = json!({"number": number, "build": 3, "stage": 1, "phase": phase, "cap": cap, "age_ms": 0.0});
+        messages.send(message.to_string()).unwrap();
+        let view = wait_until(expected, || {
+            Some(get_replication(sidecar)).filter(|view| view.stage.as_deref() == Some(expected))
         });
-        assert_eq!(view.stages, [format!("sidecar-0: {told}")]);
+        assert_eq!(view.stages, [format!("sidecar-0: {expected}")]);
     }
-    let view = get_replication(at);
+    let view = get_replication(sidecar);
     assert_matches_golden(
         view,
         &["/start", "/bytes_sent", "/logs/0/start"],
@@ -326,95 +330,101 @@
 }
 
 #[test]
-fn the_maintenance_page_is_unchanged() {
-    let folder = folder();
-    // The first is cold for so long that its way back can't be missed.
-    let today = SystemTime::now()
+fn the_maintenance_page_matches_the_golden_file() {
+    let folder = create_folder();
+    // The first pod stays cold long enough that polling cannot miss the phase `back`.
+    let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap();
-    let cold_until = (today + Duration::from_secs(4)).as_secs_f64();
-    let at = start(&settings(&folder, "sidecar-0", |settings| {
+    let cold_until = (since_epoch + Duration::from_secs(4)).as_secs_f64();
+    let sidecar = start(&settings(&folder, "sidecar-0", |settings| {
         settings["state_file"] = json!(state_file(&folder, cold_until));
         settings["work"] = json!({"voters": ["sidecar-0"], "folder": folder.join("vote-log")});
     }));
-    wait_until("it leads", || {
-        (get_maintenance(at).role == "leads").then_some(())
+    wait_until("the sidecar leads", || {
+        (get_maintenance(sidecar).role == "leads").then_some(())
     });
-    // From then on a machine that is granted waits for the grace of what was sent to it.
+    // From here on, a machine with a grant waits until the grace period of requests already sent to it is over.
     wait_until("all machines are open", || {
-        let view = get_maintenance(at);
+        let view = get_maintenance(sidecar);
         (view.has_lease && view.closed_machines.is_empty()).then_some(())
     });
     let list = json!({"ask": {
         "name": "kernel", "machines": ["node-0", "node-1", "node-2"], "takes": 60, "stalls_after": 300,
         "limits": {"out": 1, "ready_part": 0.0}
     }});
-    let answer: Value =
-        serde_json::from_str(&send_request(at, "POST /limewing/work", &list.to_string())).unwrap();
-    let number = answer["list"].as_u64().unwrap();
-    assert_eq!(answer, json!({"list": number}));
+    let response: Value = serde_json::from_str(&send_request(
+        sidecar,
+        "POST /limewing/work",
+        &list.to_string(),
+    ))
+    .unwrap();
+    let list_id = response["list"].as_u64().unwrap();
+    assert_eq!(response, json!({"list": list_id}));
 
-    let machine = |place: usize| {
-        let list = get_maintenance(at)
+    let machine = |index: usize| {
+        let list = get_maintenance(sidecar)
             .lists
             .into_iter()
-            .find(|list| list.id == number)?;
-        list.machines.into_iter().nth(place)
+            .find(|list| list.id == list_id)?;
+        list.machines.into_iter().nth(index)
     };
-    let step = |place: usize| machine(place).map(|machine| machine.phase);
-    let report = |place: usize, said: &str| {
-        let grant = wait_until("a grant", || {
-            machine(place).and_then(|machine| machine.grant)
+    let phase = |index: usize| machine(index).map(|machine| machine.phase);
+    let report = |index: usize, progress: &str| {
+        let grant = wait_until("a grant is given", || {
+            machine(index).and_then(|machine| machine.grant)
         });
-        let report = json!({"report": {"grant": grant, "said": said}});
-        let answer = send_request(at, "POST /limewing/work", &report.to_string());
-        assert_eq!(answer, r#"{"list":null}"#);
+        let report = json!({"report": {"grant": grant, "said": progress}});
+        let response = send_request(sidecar, "POST /limewing/work", &report.to_string());
+        assert_eq!(response, r#"{"list":null}"#);
     };
-    let steps = collect_states_until("out", || step(0));
+    let phases = collect_states_until("out", || phase(0));
     assert!(
-        steps.ends_with(&["granted".into(), "out".into()]),
-        "{steps:?}"
+        phases.ends_with(&["granted".into(), "out".into()]),
+        "{phases:?}"
     );
     report(0, "began");
     report(0, "worked");
-    let steps = collect_states_until("done", || step(0));
+    let phases = collect_states_until("done", || phase(0));
     assert!(
-        steps.ends_with(&["back".into(), "done".into()]),
-        "{steps:?}"
+        phases.ends_with(&["back".into(), "done".into()]),
+        "{phases:?}"
     );
-    wait_until("the second is out", || (step(1)? == "out").then_some(()));
-    // Withdrawn before the second ends, so that the third never goes out.
-    let withdraw = json!({"withdraw": number});
-    let answer = send_request(at, "POST /limewing/work", &withdraw.to_string());
-    assert_eq!(answer, r#"{"list":null}"#);
-    wait_until("it is withdrawn", || {
-        get_maintenance(at).lists[0].withdrawn.then_some(())
+    wait_until("the second machine is out", || {
+        (phase(1)? == "out").then_some(())
+    });
+    // The list is withdrawn before the second machine is done, so that the third is never taken out.
+    let withdraw = json!({"withdraw": list_id});
+    let response = send_request(sidecar, "POST /limewing/work", &withdraw.to_string());
+    assert_eq!(response, r#"{"list":null}"#);
+    wait_until("the list is withdrawn", || {
+        get_maintenance(sidecar).lists[0].withdrawn.then_some(())
     });
     report(1, "failed");
-    let view = wait_until("it is over", || {
-        Some(get_maintenance(at))
+    let view = wait_until("the list is finished", || {
+        Some(get_maintenance(sidecar))
             .filter(|view| view.lists[0].finished && view.closed_machines.is_empty())
     });
-    let differs = [
+    let ignored = [
         "/settled",
         "/lists/0/list",
         "/lists/0/machines/0/grant",
         "/lists/0/machines/1/grant",
     ];
-    assert_matches_golden(view, &differs, include_str!("golden/pages/work.json"));
+    assert_matches_golden(view, &ignored, include_str!("golden/pages/work.json"));
 }
 
-/// What voters and others are to each other: `stands` passes too soon to be seen here.
+/// The roles of voters and other sidecars; the role `stands` is too short to be observed here.
 #[test]
-fn the_roles_of_voters_on_the_maintenance_page_are_unchanged() {
+fn the_roles_of_voters_on_the_maintenance_page_keep_their_names() {
     let voters = ["sidecar-0", "sidecar-1", "sidecar-2"];
     let start = |name: &str, vote_log: Option<&Path>, join: &[SocketAddr]| {
-        start(&settings(&folder(), name, |settings| {
+        start(&settings(&create_folder(), name, |settings| {
             settings["peers"]["join"] = json!(join);
             settings["work"] = json!({"voters": voters, "folder": vote_log});
         }))
     };
-    let vote_logs = [folder(), folder(), folder()];
+    let vote_logs = [create_folder(), create_folder(), create_folder()];
     let first = start("sidecar-0", Some(&vote_logs[0]), &[]);
     assert_eq!(get_maintenance(first).role, "free");
     let join = [get_membership(first).address];
@@ -423,20 +433,24 @@
     let fourth = start("sidecar-3", None, &join);
     assert_eq!(get_maintenance(fourth).role, "asks");
 
-    let mut standings = wait_until("one leads", || {
-        let standings = [first, second, third].map(|at| get_maintenance(at).role);
-        standings.contains(&"leads".to_owned()).then_some(standings)
+    let mut roles = wait_until("one sidecar leads", || {
+        let roles = [first, second, third].map(|sidecar| get_maintenance(sidecar).role);
+        roles.contains(&"leads".to_owned()).then_some(roles)
     });
     wait_until("the others follow", || {
-        standings = [first, second, third].map(|at| get_maintenance(at).role);
-        standings.sort();
-        (standings == ["follows", "follows", "leads"]).then_some(())
+        roles = [first, second, third].map(|sidecar| get_maintenance(sidecar).role);
+        roles.sort();
+        (roles == ["follows", "follows", "leads"]).then_some(())
     });
 
-    // One that comes back with its vote log and hears nobody.
-    let alone = folder();
-    std::fs::copy(vote_logs[1].join("agree.log"), alone.join("agree.log")).unwrap();
-    let alone = start("sidecar-1", Some(&alone), &[]);
+    // A voter that restarts with its vote log and receives no messages.
+    let alone_folder = create_folder();
+    std::fs::copy(
+        vote_logs[1].join("agree.log"),
+        alone_folder.join("agree.log"),
+    )
+    .unwrap();
+    let alone = start("sidecar-1", Some(&alone_folder), &[]);
     assert_eq!(
         collect_states_until("tries", || Some(get_maintenance(alone).role))
             .last()
--- a/crates/http-proxy/tests/stage_updates.rs
+++ b/crates/http-proxy/tests/stage_updates.rs
@@ -1,4 +1,4 @@
-//! Stage updates and replies to votes as the rollout service sends them.
+//! Tests of parsing stage updates and vote replies of the rollout service.
 
 use limewing_decision::interface::VoteAnswer;
 use limewing_http_proxy::stage_updates::{
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 #[test]
-fn a_stage_message_is_read_however_the_stream_is_cut() {
+fn a_stage_message_is_parsed_from_single_bytes() {
     let text =
         ": ping\n\nevent: other\ndata: {}\n\nevent: stage\r\ndata: {\"build\":2,\"stage\":1,\r\n\
         data: \"phase\":\"on_trial\",\"cap\":0.4}\r\n\r\n";
@@ -25,9 +25,9 @@
 }
 
 #[rstest]
-#[case::no_stage_message("data: {\"build\": 99999}\n\n")]
+#[case::not_a_stage_message("data: {\"build\": 99999}\n\n")]
 #[case::endless_line(&"x".repeat(20_000))]
-fn a_stream_that_cannot_be_read_is_rejected(#[case] text: &str) {
+fn a_malformed_stream_is_rejected(#[case] text: &str) {
     assert!(StageEventReader::default().read(text.as_bytes()).is_err());
 }
 
@@ -42,12 +42,12 @@
     }
 }
 
-/// Which of some messages, given by number, are accepted.
+/// `numbers` are the numbers of consecutive messages, `expected` is whether each one is accepted.
 #[rstest]
 #[case::in_order(&[1, 2, 3], &[true, true, true])]
 #[case::repeated(&[2, 2], &[true, true])]
-#[case::a_late_reply(&[1, 3, 2, 3], &[true, true, false, true])]
-#[case::not_counted(&[0, 0], &[true, true])]
+#[case::late_reply(&[1, 3, 2, 3], &[true, true, false, true])]
+#[case::not_numbered(&[0, 0], &[true, true])]
 fn outdated_messages_are_dropped(#[case] numbers: &[u64], #[case] expected: &[bool]) {
     let mut filter = StageUpdateFilter::default();
     let accepted: Vec<bool> = numbers
@@ -60,14 +60,10 @@
 #[rstest]
 #[case::counted(200, r#"{"answer": "counted"}"#, VoteAnswer::Counted)]
 #[case::moot(200, r#"{"answer": "moot"}"#, VoteAnswer::Moot)]
-#[case::no_json(200, "thanks", VoteAnswer::Failed)]
-#[case::too_many(429, "", VoteAnswer::Full)]
+#[case::not_json(200, "thanks", VoteAnswer::Failed)]
+#[case::too_many_votes(429, "", VoteAnswer::Full)]
 #[case::server_error(500, "", VoteAnswer::Failed)]
-fn a_reply_to_a_vote_is_read(
-    #[case] status: u16,
-    #[case] body: &str,
-    #[case] expected: VoteAnswer,
-) {
+fn a_vote_reply_is_parsed(#[case] status: u16, #[case] body: &str, #[case] expected: VoteAnswer) {
     assert_eq!(
         parse_vote_response(status, body.as_bytes()).answer,
         expected
