--- a/crates/http-proxy/tests/sockets/draining.rs
+++ b/crates/http-proxy/tests/sockets/draining.rs
@@ -1,8 +1,8 @@
-//! A pod starts draining while an attempt is on its way to it: its connection is being established, or both happen in the same
-//! turn of the loop. The loop is held by its decisions, as a process that is stopped.
+//! A pod starts draining while an attempt is being sent to it: its connection is being established, or both events arrive in
+//! the same turn of the event loop. The tests pause the loop inside a decision, as if the process were stopped.
 
 use crate::support::{
-    run, settings, state_file, Client, Pod, PodAction, CHARGE, OK_RESPONSE, QUOTE,
+    settings, spawn, state_file, Client, Pod, PodAction, GET_QUOTE, OK_RESPONSE, POST_CHARGE,
 };
 use limewing_decision::interface::{Action, AttemptIndex, Event, RequestId};
 use limewing_decision::DecisionEngine;
@@ -19,39 +19,39 @@
 use std::time::{Duration, Instant};
 
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// So many served requests earn the retry budget for one attempt more.
+/// Number of served requests that add one attempt to the retry budget.
 const REQUESTS_FOR_ONE_RETRY: usize = 40;
 
-/// What the event loop under test signals.
+/// Signals of the event loop under test.
 #[derive(Debug, PartialEq)]
 enum LoopSignal {
     AttemptStarted,
     LoopHeld,
 }
 
-/// The decision engine. Signals when an attempt is started; on request it holds the loop before the actions of a call are
-/// carried out.
+/// A decision engine that signals the start of attempts. On request it pauses the event loop before the loop executes the
+/// actions of a call.
 struct HoldableDecisions {
-    real: DecisionEngine,
-    tell: Sender<LoopSignal>,
+    engine: DecisionEngine,
+    signal_sender: Sender<LoopSignal>,
     hold: Arc<AtomicBool>,
     hold_at_attempt: Arc<AtomicBool>,
-    forbids: Arc<AtomicBool>,
+    deny_permits: Arc<AtomicBool>,
     resume: Receiver<()>,
 }
 
 impl HoldableDecisions {
-    fn passes(&self, actions: Vec<Action>) -> Vec<Action> {
-        // Read first: a test that asks for a hold when it is signalled an attempt means the next call.
-        let holds = self.hold.swap(false, Ordering::SeqCst);
-        let attempts = actions
+    fn pause_if_requested(&self, actions: Vec<Action>) -> Vec<Action> {
+        // Read before signalling: a hold that the test requests in response to the signal applies to the next call.
+        let hold_requested = self.hold.swap(false, Ordering::SeqCst);
+        let starts_attempt = actions
             .iter()
             .any(|action| matches!(action, Action::StartAttempt { .. }));
-        if attempts {
-            let _ = self.tell.send(LoopSignal::AttemptStarted);
+        if starts_attempt {
+            let _ = self.signal_sender.send(LoopSignal::AttemptStarted);
         }
-        if holds || attempts && self.hold_at_attempt.swap(false, Ordering::SeqCst) {
-            let _ = self.tell.send(LoopSignal::LoopHeld);
+        if hold_requested || starts_attempt && self.hold_at_attempt.swap(false, Ordering::SeqCst) {
+            let _ = self.signal_sender.send(LoopSignal::LoopHeld);
             let _ = self.resume.recv();
         }
         actions
@@ -59,107 +59,112 @@
 }
 
 impl SendAuthority for HoldableDecisions {
-    fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
-        !self.forbids.load(Ordering::SeqCst) && self.real.may_begin(now, hit, no)
+    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
+        !self.deny_permits.load(Ordering::SeqCst) && self.engine.may_begin(now, request, attempt)
     }
 }
 
 impl Decisions for HoldableDecisions {
     fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        let actions = self.real.apply_events(now, events);
-        self.passes(actions)
+        let actions = self.engine.apply_events(now, events);
+        self.pause_if_requested(actions)
     }
 
     fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        let actions = self.real.handle(now, events);
-        self.passes(actions)
+        let actions = self.engine.handle(now, events);
+        self.pause_if_requested(actions)
     }
 }
 
-/// A sidecar with such decisions.
+/// A sidecar with a [`HoldableDecisions`].
 struct HoldableSidecar {
-    at: SocketAddr,
-    told: Receiver<LoopSignal>,
+    address: SocketAddr,
+    signals: Receiver<LoopSignal>,
     hold: Arc<AtomicBool>,
     hold_at_attempt: Arc<AtomicBool>,
-    forbids: Arc<AtomicBool>,
+    deny_permits: Arc<AtomicBool>,
     resume: Sender<()>,
 }
 
 impl HoldableSidecar {
     fn start(settings: &SidecarSettings) -> Self {
-        let ((tell, told), (resume, word)) = (channel(), channel());
+        let ((signal_sender, signals), (resume, resume_receiver)) = (channel(), channel());
         let hold = Arc::new(AtomicBool::new(false));
         let hold_at_attempt = Arc::new(AtomicBool::new(false));
-        let forbids = Arc::new(AtomicBool::new(false));
-        let (held, at_attempt, forbidden) =
-            (hold.clone(), hold_at_attempt.clone(), forbids.clone());
-        let service = Service::start_with(settings, move |now, terms| {
-            let real = DecisionEngine::new(now, terms);
+        let deny_permits = Arc::new(AtomicBool::new(false));
+        let (engine_hold, engine_hold_at_attempt, engine_deny_permits) =
+            (hold.clone(), hold_at_attempt.clone(), deny_permits.clone());
+        let service = Service::start_with(settings, move |now, config| {
+            let engine = DecisionEngine::new(now, config);
             Box::new(HoldableDecisions {
-                real,
-                tell,
-                hold: held,
-                hold_at_attempt: at_attempt,
-                forbids: forbidden,
-                resume: word,
+                engine,
+                signal_sender,
+                hold: engine_hold,
+                hold_at_attempt: engine_hold_at_attempt,
+                deny_permits: engine_deny_permits,
+                resume: resume_receiver,
             })
         });
         Self {
-            at: run(service.unwrap()),
-            told,
+            address: spawn(service.unwrap()),
+            signals,
             hold,
             hold_at_attempt,
-            forbids,
+            deny_permits,
             resume,
         }
     }
 
-    fn wait_for(&self, what: &LoopSignal) {
-        while self.told.recv_timeout(TIMEOUT).expect("a word of the loop") != *what {}
+    fn wait_for(&self, expected: &LoopSignal) {
+        while self
+            .signals
+            .recv_timeout(TIMEOUT)
+            .expect("a signal of the event loop")
+            != *expected
+        {}
     }
 }
 
-/// The list service: each response is sent when the test says so.
+/// A list service that responds when the test calls `send`.
 struct EndpointListService {
     listener: TcpListener,
-    link: Option<TcpStream>,
+    connection: Option<TcpStream>,
 }
 
 impl EndpointListService {
     fn new() -> Self {
         Self {
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
-            link: None,
+            connection: None,
         }
     }
 
-    /// Waits until it is asked. What it told before is known to the sidecar then.
+    /// Waits for a query. The sidecar has then applied the previous response.
     fn wait_for_query(&mut self) {
         loop {
-            if self.link.is_none() {
-                self.link = Some(accept_within_timeout(&self.listener));
+            if self.connection.is_none() {
+                self.connection = Some(accept_within_timeout(&self.listener));
             }
-            let mut asked = [0; 1000];
+            let mut query = [0; 1000];
             let length = self
-                .link
+                .connection
                 .as_mut()
-                .map_or(0, |link| link.read(&mut asked).unwrap_or(0));
-            if length > 0 && asked[..length].ends_with(b"\r\n\r\n") {
+                .map_or(0, |connection| connection.read(&mut query).unwrap_or(0));
+            if length > 0 && query[..length].ends_with(b"\r\n\r\n") {
                 return;
             }
-            self.link = None;
+            self.connection = None;
         }
     }
 
-    /// Tells these pods, each whether it drains.
+    /// Responds with these pods, each with whether it is draining.
     fn send(&mut self, index: u64, pods: &[(SocketAddr, bool)]) {
-        let entry = |(at, drain): &(SocketAddr, bool)| {
-            let status = if *drain { "critical" } else { "passing" };
+        let entry = |(address, draining): &(SocketAddr, bool)| {
+            let status = if *draining { "critical" } else { "passing" };
             format!(
-                r#"{{"Service":{{"ID":"{at}","Address":"{}","Port":{},"Meta":{{"build":"1"}}}},"Checks":[{{"Status":"{status}"}}]}}"#,
-                at.ip(),
-                at.port()
+                r#"{{"Service":{{"ID":"{address}","Address":"{}","Port":{},"Meta":{{"build":"1"}}}},"Checks":[{{"Status":"{status}"}}]}}"#,
+                address.ip(),
+                address.port()
             )
         };
         let body = format!("[{}]", pods.iter().map(entry).collect::<Vec<_>>().join(","));
@@ -167,7 +172,7 @@
             "HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        self.link
+        self.connection
             .as_mut()
             .unwrap()
             .write_all((head + &body).as_bytes())
@@ -175,200 +180,213 @@
     }
 }
 
-/// A pod to which no connection is established, as its backlog is full, until it accepts one.
+/// A pod whose backlog is full, so that no connection is established until it accepts one.
 struct UnacceptingPod {
     listener: TcpListener,
-    at: SocketAddr,
+    address: SocketAddr,
 }
 
 impl UnacceptingPod {
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        // Room for one connection that is not accepted.
+        let address = listener.local_addr().unwrap();
+        // A backlog of 0 holds one connection that is not accepted.
         listen(&listener, 0).unwrap();
-        TcpStream::connect(at).unwrap();
-        let full = TcpStream::connect_timeout(&at, Duration::from_millis(300));
-        assert!(full.is_err(), "the backlog is not full");
-        Self { listener, at }
+        TcpStream::connect(address).unwrap();
+        let rejected = TcpStream::connect_timeout(&address, Duration::from_millis(300));
+        assert!(rejected.is_err(), "the backlog is not full");
+        Self { listener, address }
     }
 
-    /// Lets the connection of a sidecar come up: the system dials again, a second or some after the first time.
+    /// Accepts the sidecar's connection. It is established when the kernel retransmits the SYN, one or more seconds after the
+    /// first one.
     fn accept_sidecar(&self) -> TcpStream {
         drop(accept_within_timeout(&self.listener));
         accept_within_timeout(&self.listener)
     }
 }
 
-/// The next connection; none for long is a failure, not a wait without end.
+/// Accepts the next connection; panics after a timeout instead of waiting forever.
 fn accept_within_timeout(listener: &TcpListener) -> TcpStream {
-    let end = Instant::now() + 2 * TIMEOUT;
+    let deadline = Instant::now() + 2 * TIMEOUT;
     listener.set_nonblocking(true).unwrap();
     loop {
         match listener.accept() {
-            Ok((link, _)) => {
-                link.set_nonblocking(false).unwrap();
-                link.set_read_timeout(Some(TIMEOUT)).unwrap();
-                return link;
+            Ok((connection, _)) => {
+                connection.set_nonblocking(false).unwrap();
+                connection.set_read_timeout(Some(TIMEOUT)).unwrap();
+                return connection;
             }
-            Err(_) => assert!(Instant::now() < end, "no connection came"),
+            Err(_) => assert!(
+                Instant::now() < deadline,
+                "no connection within the timeout"
+            ),
         }
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// All that arrives on a connection until the sidecar closes it.
-fn read_to_end_of(link: &mut TcpStream) -> String {
+/// Reads until the sidecar closes the connection.
+fn read_until_closed(connection: &mut TcpStream) -> String {
     let mut text = String::new();
-    link.read_to_string(&mut text).unwrap();
+    connection.read_to_string(&mut text).unwrap();
     text
 }
 
-fn settings_with_long_connect_timeout(list: &EndpointListService, grace: f64) -> SidecarSettings {
-    let seconds = |s| Seconds::try_from(s).unwrap();
+fn settings_with_long_connect_timeout(
+    list: &EndpointListService,
+    grace_period: f64,
+) -> SidecarSettings {
+    let seconds = |value| Seconds::try_from(value).unwrap();
     let mut settings = settings();
     settings.endpoint_list.address = list.listener.local_addr().unwrap();
     settings.limits.connect_timeout = seconds(30.0);
-    // A connection that carries nothing is closed: that nothing was written is known then.
+    // An unused connection is closed after this timeout, which shows the test that nothing was written to it.
     settings.limits.idle_timeout = seconds(0.2);
-    settings.safety.drain_grace = seconds(grace);
+    settings.safety.drain_grace = seconds(grace_period);
     settings
 }
 
-/// A sidecar that knows one pod, to which an attempt is connecting in vain, and whose retry budget allows another attempt.
+/// A sidecar with one pod, to which an attempt cannot connect, and with a retry budget that allows another attempt.
 struct ConnectingAttempt {
-    leaving: UnacceptingPod,
-    other: Pod,
+    draining_pod: UnacceptingPod,
+    other_pod: Pod,
     list: EndpointListService,
     sidecar: HoldableSidecar,
     client: Client,
 }
 
 impl ConnectingAttempt {
-    fn start(grace: f64) -> Self {
-        let (earlier, other) = (
+    fn start(grace_period: f64) -> Self {
+        let (first_pod, other_pod) = (
             Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
             Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
         );
-        let (leaving, mut list) = (UnacceptingPod::new(), EndpointListService::new());
-        let sidecar = HoldableSidecar::start(&settings_with_long_connect_timeout(&list, grace));
+        let (draining_pod, mut list) = (UnacceptingPod::new(), EndpointListService::new());
+        let sidecar =
+            HoldableSidecar::start(&settings_with_long_connect_timeout(&list, grace_period));
         list.wait_for_query();
-        list.send(1, &[(earlier.at, false)]);
+        list.send(1, &[(first_pod.address, false)]);
         list.wait_for_query();
-        let mut client = Client::new(sidecar.at);
+        let mut client = Client::new(sidecar.address);
         // Fills the retry budget.
         for _ in 0..REQUESTS_FOR_ONE_RETRY {
-            client.send(QUOTE);
+            client.send(GET_QUOTE);
             assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
         }
-        list.send(2, &[(leaving.at, false)]);
+        list.send(2, &[(draining_pod.address, false)]);
         list.wait_for_query();
-        sidecar.told.try_iter().for_each(drop);
-        client.send(QUOTE);
+        sidecar.signals.try_iter().for_each(drop);
+        client.send(GET_QUOTE);
         sidecar.wait_for(&LoopSignal::AttemptStarted);
         Self {
-            leaving,
-            other,
+            draining_pod,
+            other_pod,
             list,
             sidecar,
             client,
         }
     }
 
-    /// The pod on which it dials drains, and there is another.
+    /// Lists the pod of the connecting attempt as draining, and adds another pod.
     fn drain(&mut self) {
-        self.list
-            .send(3, &[(self.leaving.at, true), (self.other.at, false)]);
+        self.list.send(
+            3,
+            &[
+                (self.draining_pod.address, true),
+                (self.other_pod.address, false),
+            ],
+        );
     }
 
     fn expect_response_of_other_pod(&mut self) {
         let (head, _) = self.client.read_response();
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
-        assert_eq!(self.other.count(), 1);
+        assert_eq!(self.other_pod.request_count(), 1);
     }
 }
 
-/// An attempt that is not written when the list says that its pod drains goes to another pod: no byte of it goes to the
-/// draining one when its connection is established, neither after the grace period nor within it.
+/// If a pod starts draining before an attempt is written to it, the request goes to another pod. No byte is sent to the
+/// draining pod once its connection is established, neither after nor within the grace period.
 #[rstest]
-#[case::after_the_grace(0.1)]
-#[case::within_the_grace(60.0)]
-fn an_attempt_that_is_connecting_is_not_sent_to_a_draining_pod(#[case] grace: f64) {
-    let mut run = ConnectingAttempt::start(grace);
-    run.drain();
-    run.list.wait_for_query();
-    if grace < 1.0 {
-        // The sidecar knows of the draining from here on; the sleep is the grace period itself.
-        std::thread::sleep(Duration::from_secs_f64(grace));
+#[case::after_the_grace_period(0.1)]
+#[case::within_the_grace_period(60.0)]
+fn an_attempt_that_is_connecting_is_not_sent_to_a_draining_pod(#[case] grace_period: f64) {
+    let mut test = ConnectingAttempt::start(grace_period);
+    test.drain();
+    test.list.wait_for_query();
+    if grace_period < 1.0 {
+        // The sidecar knows that the pod is draining; the sleep is the grace period.
+        std::thread::sleep(Duration::from_secs_f64(grace_period));
     }
-    // It does not wait for the connection.
-    let answered = run
+    // The response does not wait for the connection.
+    let responded = test
         .client
         .0
         .set_read_timeout(Some(Duration::from_secs(3)))
         .is_ok()
-        && matches!(run.client.0.peek(&mut [0]), Ok(1));
-    let came = read_to_end_of(&mut run.leaving.accept_sidecar());
-    assert_eq!((answered, came.as_str()), (true, ""));
-    run.expect_response_of_other_pod();
+        && matches!(test.client.0.peek(&mut [0]), Ok(1));
+    let received = read_until_closed(&mut test.draining_pod.accept_sidecar());
+    assert_eq!((responded, received.as_str()), (true, ""));
+    test.expect_response_of_other_pod();
 }
 
-/// After a standstill the list and the established connection are found in one turn of the loop.
+/// After a pause, the event loop processes the list and the established connection in the same turn.
 #[test]
-fn a_connection_established_in_the_turn_of_the_drain_carries_nothing() {
-    let mut run = ConnectingAttempt::start(60.0);
-    run.sidecar.hold.store(true, Ordering::SeqCst);
-    run.sidecar.wait_for(&LoopSignal::LoopHeld);
-    run.drain();
-    let mut link = run.leaving.accept_sidecar();
-    run.sidecar.resume.send(()).unwrap();
-    assert_eq!(read_to_end_of(&mut link), "");
-    run.expect_response_of_other_pod();
+fn nothing_is_sent_on_a_connection_established_in_the_same_turn_as_the_drain() {
+    let mut test = ConnectingAttempt::start(60.0);
+    test.sidecar.hold.store(true, Ordering::SeqCst);
+    test.sidecar.wait_for(&LoopSignal::LoopHeld);
+    test.drain();
+    let mut connection = test.draining_pod.accept_sidecar();
+    test.sidecar.resume.send(()).unwrap();
+    assert_eq!(read_until_closed(&mut connection), "");
+    test.expect_response_of_other_pod();
 }
 
-/// A permit is requested when the connection is established, too. An attempt without it never runs, and the connection stays
-/// open for the next request.
+/// A send permit is also requested when the connection is established. An attempt without a permit never runs, and the
+/// connection stays open for the next request.
 #[test]
 fn nothing_is_written_without_a_permit() {
     let pod = TcpListener::bind("127.0.0.1:0").unwrap();
-    // It gets a query and does not respond: no list has the attempts checked.
+    // The list service gets a query and does not respond, so that no endpoint list triggers a check of the attempts.
     let mut list = EndpointListService::new();
     let mut settings = settings_with_long_connect_timeout(&list, 60.0);
     settings.limits.idle_timeout = Seconds::try_from(30.0).unwrap();
     settings.state_file = Some(state_file(&[pod.local_addr().unwrap()]));
     let sidecar = HoldableSidecar::start(&settings);
     list.wait_for_query();
-    sidecar.forbids.store(true, Ordering::SeqCst);
-    let mut client = Client::new(sidecar.at);
-    client.send(CHARGE);
-    let mut link = accept_within_timeout(&pod);
+    sidecar.deny_permits.store(true, Ordering::SeqCst);
+    let mut client = Client::new(sidecar.address);
+    client.send(POST_CHARGE);
+    let mut connection = accept_within_timeout(&pod);
     let (head, _) = client.read_response();
     assert!(
         head.starts_with("HTTP/1.1 503") && head.contains("a retry is harmless"),
         "{head}"
     );
-    sidecar.forbids.store(false, Ordering::SeqCst);
-    client.send(CHARGE);
-    serve(&mut link);
+    sidecar.deny_permits.store(false, Ordering::SeqCst);
+    client.send(POST_CHARGE);
+    serve(&mut connection);
     assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
 }
 
-/// A pod closes an idle connection after the sidecar has polled its sockets and before it writes to it: the request goes on a
-/// new connection. On the old one it may have run for all that would be known.
+/// A pod closes an idle connection after the sidecar has polled its sockets and before it writes a request. The request has
+/// to use a new connection, because on the old one it would be unknown whether the request ran.
 #[test]
 fn an_idle_connection_that_closes_in_the_same_turn_is_not_used() {
     let pod = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut settings = settings();
     settings.state_file = Some(state_file(&[pod.local_addr().unwrap()]));
     let sidecar = HoldableSidecar::start(&settings);
-    let mut client = Client::new(sidecar.at);
-    client.send(CHARGE);
+    let mut client = Client::new(sidecar.address);
+    client.send(POST_CHARGE);
     let first = accept_and_serve(&pod);
     assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
-    sidecar.told.try_iter().for_each(drop);
-    // Held at the call that starts the second request's attempt.
+    sidecar.signals.try_iter().for_each(drop);
+    // Pauses the loop at the call that starts the attempt of the second request.
     sidecar.hold_at_attempt.store(true, Ordering::SeqCst);
-    client.send(CHARGE);
+    client.send(POST_CHARGE);
     sidecar.wait_for(&LoopSignal::LoopHeld);
     drop(first);
     sidecar.resume.send(()).unwrap();
@@ -377,21 +395,21 @@
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
 }
 
-/// Accepts a connection, answers the request on it, and hands it on.
+/// Accepts a connection, responds to the request on it, and returns it.
 fn accept_and_serve(pod: &TcpListener) -> TcpStream {
-    let mut link = accept_within_timeout(pod);
-    serve(&mut link);
-    link
+    let mut connection = accept_within_timeout(pod);
+    serve(&mut connection);
+    connection
 }
 
-/// Reads one request, and answers it.
-fn serve(link: &mut TcpStream) {
-    let mut asked = Vec::new();
-    while !asked.ends_with(b"\r\n\r\nhi") {
+/// Reads one request and responds to it.
+fn serve(connection: &mut TcpStream) {
+    let mut request = Vec::new();
+    while !request.ends_with(b"\r\n\r\nhi") {
         let mut bytes = [0; 1000];
-        let length = link.read(&mut bytes).unwrap();
+        let length = connection.read(&mut bytes).unwrap();
         assert!(length > 0, "the connection ended within a request");
-        asked.extend_from_slice(&bytes[..length]);
+        request.extend_from_slice(&bytes[..length]);
     }
-    link.write_all(OK_RESPONSE.as_bytes()).unwrap();
+    connection.write_all(OK_RESPONSE.as_bytes()).unwrap();
 }
--- a/crates/http-proxy/tests/sockets/main.rs
+++ b/crates/http-proxy/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! A sidecar on sockets, with scripted pods, list service and rollout service.
+//! Socket tests of a sidecar with scripted pods, list service and rollout service.
 
 mod attempt_outcomes;
 mod canary;
--- a/crates/http-proxy/tests/sockets/resource_limits.rs
+++ b/crates/http-proxy/tests/sockets/resource_limits.rs
@@ -1,7 +1,9 @@
-//! A lack of descriptors, disk or memory is the sidecar's own and no failure of its pods; and how it recovers.
+//! Shortages of file descriptors, disk or memory in the sidecar: they must not count as pod failures, and the sidecar
+//! recovers from them.
 
 use crate::support::{
-    listing, run, settings, state_file, Client, Pod, PodAction, OK_RESPONSE, QUOTE,
+    endpoint_list_response, settings, spawn, state_file, Client, Pod, PodAction, GET_QUOTE,
+    OK_RESPONSE,
 };
 use limewing_decision::interface::{Action, AttemptIndex, AttemptOutcome, Event, RequestId};
 use limewing_decision::DecisionEngine;
@@ -15,11 +17,11 @@
 use std::sync::mpsc::{channel, Sender};
 use std::time::Duration;
 
-/// The decision engine; passes on each outcome that it is told.
+/// A decision engine that reports the outcome of each attempt to the test.
 struct ObservedDecisions(DecisionEngine, Sender<AttemptOutcome>);
 
 impl ObservedDecisions {
-    fn tell(&self, events: &[Event]) {
+    fn report(&self, events: &[Event]) {
         for event in events {
             if let Event::AttemptFinished(outcome) = event {
                 let _ = self.1.send(outcome.outcome);
@@ -29,78 +31,84 @@
 }
 
 impl SendAuthority for ObservedDecisions {
-    fn may_begin(&self, now: Duration, hit: RequestId, no: AttemptIndex) -> bool {
-        self.0.may_begin(now, hit, no)
+    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
+        self.0.may_begin(now, request, attempt)
     }
 }
 
 impl Decisions for ObservedDecisions {
     fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        self.tell(&events);
+        self.report(&events);
         self.0.apply_events(now, events)
     }
 
     fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
-        self.tell(&events);
+        self.report(&events);
         self.0.handle(now, events)
     }
 }
 
-/// Runs a test of this program in a process of its own, within limits that a shell sets.
+/// Runs a test of this binary in a separate process, with resource limits set by a shell.
 fn run_in_limited_process(limits: &str, name: &str, body: impl FnOnce()) {
     if std::env::var_os("LIMEWING_WITHIN").is_some() {
         return body();
     }
-    let exe = std::env::current_exe().unwrap();
-    let run = format!(
+    let binary = std::env::current_exe().unwrap();
+    let command = format!(
         "{limits} exec {} resource_limits::{name} --exact --nocapture",
-        exe.display()
+        binary.display()
     );
-    let out = Command::new("sh")
-        .args(["-c", &run])
+    let output = Command::new("sh")
+        .args(["-c", &command])
         .env("LIMEWING_WITHIN", "1")
         .output()
         .unwrap();
-    let text =
-        String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.success() && text.contains("1 passed"), "{text}");
+    let text = String::from_utf8_lossy(&output.stdout).into_owned()
+        + &String::from_utf8_lossy(&output.stderr);
+    assert!(
+        output.status.success() && text.contains("1 passed"),
+        "{text}"
+    );
 }
 
 #[test]
-fn a_lack_of_descriptors_is_no_failure_of_the_pod() {
+fn a_shortage_of_descriptors_is_not_a_pod_failure() {
     run_in_limited_process(
         "ulimit -n 60;",
-        "a_lack_of_descriptors_is_no_failure_of_the_pod",
+        "a_shortage_of_descriptors_is_not_a_pod_failure",
         || {
             let pods = [
                 Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
                 Pod::new(vec![PodAction::Respond(OK_RESPONSE)]),
             ];
-            // A list service that accepts and does not answer: a poll that it refused would give its descriptor back while
-            // all others are held.
+            // The list service accepts and does not respond. If it refused the query, the sidecar would get a descriptor
+            // back while the test holds all others.
             let list = TcpListener::bind("127.0.0.1:0").unwrap();
             let mut settings = settings();
             settings.endpoint_list.address = list.local_addr().unwrap();
-            settings.state_file = Some(state_file(&[pods[0].at, pods[1].at]));
-            let (tell, told) = channel();
-            let service = Service::start_with(&settings, |now, terms| {
-                Box::new(ObservedDecisions(DecisionEngine::new(now, terms), tell))
-                    as Box<dyn Decisions + Send>
+            settings.state_file = Some(state_file(&[pods[0].address, pods[1].address]));
+            let (outcome_sender, outcome_receiver) = channel();
+            let service = Service::start_with(&settings, |now, config| {
+                Box::new(ObservedDecisions(
+                    DecisionEngine::new(now, config),
+                    outcome_sender,
+                )) as Box<dyn Decisions + Send>
             });
-            let at = run(service.unwrap());
-            let (_poll, _) = list.accept().unwrap();
-            let mut client = Client::new(at);
-            // After a first response the sidecar has accepted the connection.
+            let sidecar_address = spawn(service.unwrap());
+            let (_query, _) = list.accept().unwrap();
+            let mut client = Client::new(sidecar_address);
+            // The first response shows that the sidecar has accepted the connection.
             client.send("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
             assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
-            let held: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
-            client.send(QUOTE);
+            let held_files: Vec<File> =
+                std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
+            client.send(GET_QUOTE);
             let (head, _) = client.read_response();
             assert!(
                 head.starts_with("HTTP/1.1 503") && head.contains("a retry is harmless"),
                 "{head}"
             );
-            let outcomes: Vec<AttemptOutcome> = told.try_iter().collect();
+            let outcomes: Vec<AttemptOutcome> = outcome_receiver.try_iter().collect();
             assert!(
                 !outcomes.is_empty()
                     && outcomes
@@ -108,15 +116,15 @@
                         .all(|outcome| *outcome == AttemptOutcome::NeverSent),
                 "{outcomes:?}"
             );
-            drop(held);
-            client.send(QUOTE);
+            drop(held_files);
+            client.send(GET_QUOTE);
             assert_eq!(client.read_response().1, "done");
         },
     );
 }
 
 #[test]
-fn a_list_is_saved_once_its_folder_exists() {
+fn a_list_is_saved_as_soon_as_its_folder_exists() {
     let folder = tempfile::tempdir().unwrap();
     let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
     let list = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -124,46 +132,50 @@
     settings.endpoint_list.address = list.local_addr().unwrap();
     let file = folder.path().join("not/yet/state.json");
     settings.state_file = Some(file.clone());
-    let mut client = Client::new(run(Service::start(&settings).unwrap()));
-    let (mut link, _) = list.accept().unwrap();
-    let _ = link.read(&mut [0; 500]).unwrap();
-    link.write_all(listing(7, &[pod.at]).as_bytes()).unwrap();
-    client.send(QUOTE);
+    let mut client = Client::new(spawn(Service::start(&settings).unwrap()));
+    let (mut connection, _) = list.accept().unwrap();
+    let _ = connection.read(&mut [0; 500]).unwrap();
+    connection
+        .write_all(endpoint_list_response(7, &[pod.address]).as_bytes())
+        .unwrap();
+    client.send(GET_QUOTE);
     assert_eq!(client.read_response().1, "done");
     std::fs::create_dir_all(file.parent().unwrap()).unwrap();
-    // The list does not change any more.
-    let kept = (0..500).any(|_| {
+    // The list does not change again, so that only the retry can save it.
+    let saved = (0..500).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
         limewing_http_proxy::endpoint_list_file::load(&file)
-            .is_ok_and(|rows| rows.is_some_and(|rows| rows.len() == 1))
+            .is_ok_and(|saved| saved.is_some_and(|endpoints| endpoints.len() == 1))
     });
-    assert!(kept);
+    assert!(saved);
 }
 
-/// Responses that a client does not read are not buffered without bound.
+/// The sidecar must not buffer an unbounded number of responses for a client that does not read them.
 #[rstest]
-#[case::no_hits("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n")]
+#[case::unknown_class("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n")]
 #[case::status("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n")]
-#[case::hits(QUOTE)]
-fn a_client_that_never_reads_gets_bounded_output(#[case] request: &str) {
+#[case::sent_to_a_pod(GET_QUOTE)]
+fn output_to_a_client_that_never_reads_is_bounded(#[case] request: &str) {
     let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
-    let at = run(Service::start(&{
-        let mut settings = settings();
-        settings.state_file = Some(state_file(&[pod.at]));
-        settings
-    })
-    .unwrap());
-    let client = Client::new(at);
+    let sidecar_address = spawn(
+        Service::start(&{
+            let mut settings = settings();
+            settings.state_file = Some(state_file(&[pod.address]));
+            settings
+        })
+        .unwrap(),
+    );
+    let client = Client::new(sidecar_address);
     client
         .0
         .set_write_timeout(Some(Duration::from_millis(300)))
         .unwrap();
     let text = request.repeat(1000);
-    // Until nothing more is taken, or far more than buffers hold.
-    let taken = (0..400)
+    // Writes until the sidecar reads no more, or until far more than the buffers hold is sent.
+    let written = (0..400)
         .take_while(|_| (&client.0).write_all(text.as_bytes()).is_ok())
         .count();
-    let mut other = Client::new(at);
+    let mut other = Client::new(sidecar_address);
     other.send("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
     let (_, body) = other.read_response();
     let unsent = body
@@ -172,59 +184,59 @@
         .and_then(|rest| rest.trim_end_matches('}').parse::<usize>().ok());
     assert!(
         unsent.is_some_and(|unsent| unsent < 200_000),
-        "{taken} thousand taken: {body}"
+        "{written} thousand requests written: {body}"
     );
 }
 
 #[test]
-fn a_refused_client_that_keeps_sending_delays_no_other() {
-    let at = run(Service::start(&settings()).unwrap());
+fn a_rejected_client_that_keeps_sending_does_not_delay_others() {
+    let sidecar_address = spawn(Service::start(&settings()).unwrap());
     for _ in 0..3 {
         std::thread::spawn(move || {
-            let mut client = Client::new(at);
+            let mut client = Client::new(sidecar_address);
             client.send("no request\r\n\r\n");
             while client.0.write_all(&[b'x'; 1 << 20]).is_ok() {}
         });
     }
     let mut slowest = Duration::ZERO;
     for _ in 0..40 {
-        let began = std::time::Instant::now();
-        let mut client = Client::new(at);
+        let start = std::time::Instant::now();
+        let mut client = Client::new(sidecar_address);
         client.send("GET /limewing/status HTTP/1.1\r\nHost: a\r\n\r\n");
         assert!(client.read_response().0.starts_with("HTTP/1.1 200"));
-        slowest = slowest.max(began.elapsed());
+        slowest = slowest.max(start.elapsed());
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(slowest < Duration::from_millis(500), "{slowest:?}");
 }
 
-/// All pods were just started, and the sidecar has no statistics: nothing tells what they bear, and hundreds of sidecars that
-/// each sent a little would overload them.
+/// All pods have just started and the sidecar has no statistics, so it cannot know their capacity. Hundreds of sidecars that
+/// each send a few requests would overload the pods.
 #[test]
 #[should_panic(expected = "finding 18")]
-fn a_fleet_that_is_cold_as_a_whole_is_used_before_it_is_warm() {
+fn a_fleet_of_only_cold_pods_is_used_before_the_pods_are_warm() {
     let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
-    let file = state_file(&[pod.at]);
-    let today = std::time::SystemTime::now()
+    let file = state_file(&[pod.address]);
+    let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap()
         .as_secs_f64();
     let text = std::fs::read_to_string(&file).unwrap();
     std::fs::write(
         &file,
-        text.replace("\"started\":null", &format!("\"started\":{today}")),
+        text.replace("\"started\":null", &format!("\"started\":{now}")),
     )
     .unwrap();
     let mut settings = settings();
     settings.state_file = Some(file);
-    let mut client = Client::new(run(Service::start(&settings).unwrap()));
-    let well = (0..10).filter(|_| {
+    let mut client = Client::new(spawn(Service::start(&settings).unwrap()));
+    let successes = (0..10).filter(|_| {
         client.send("GET /quotes/1 HTTP/1.1\r\nHost: a\r\nWait-Ms: 200\r\n\r\n");
         client.read_response().0.starts_with("HTTP/1.1 200")
     });
-    let well = well.count();
+    let succeeded = successes.count();
     assert!(
-        well > 0,
-        "finding 18: {well} of 10 hits answered while all pods are cold"
+        succeeded > 0,
+        "finding 18: {succeeded} of 10 requests succeeded while all pods are cold"
     );
 }
--- a/crates/http-proxy/tests/sockets/retries.rs
+++ b/crates/http-proxy/tests/sockets/retries.rs
@@ -1,6 +1,6 @@
-//! Retries over all layers: what a slowdown of all pods does to their traffic.
+//! Combined retries of clients and sidecar: the number of attempts while all pods are slow.
 
-use crate::support::{run, settings, state_file, Client};
+use crate::support::{settings, spawn, state_file, Client};
 use limewing_http_proxy::service::Service;
 use limewing_settings::Seconds;
 use std::io::{Read, Write};
@@ -9,53 +9,60 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Requests of each client, and tries of each request.
+/// Number of requests of each client.
 const REQUESTS_PER_CLIENT: usize = 3;
+/// Maximum number of times that a client sends the same request.
 const MAX_TRIES: usize = 4;
+/// Number of concurrent clients.
 const CLIENTS: usize = 30;
 
-/// A pod that responds to each request after a while; attempts and connections are counted.
-fn slow_pod(takes: Duration, forwards: &Arc<AtomicUsize>, links: &Arc<AtomicUsize>) -> SocketAddr {
+/// Starts a pod that responds to each request after a delay, and counts attempts and connections.
+fn slow_pod(
+    delay: Duration,
+    attempts: &Arc<AtomicUsize>,
+    connections: &Arc<AtomicUsize>,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    let (forwards, links) = (forwards.clone(), links.clone());
+    let address = listener.local_addr().unwrap();
+    let (attempts, connections) = (attempts.clone(), connections.clone());
     std::thread::spawn(move || {
-        for mut link in listener.incoming().map_while(Result::ok) {
-            links.fetch_add(1, Relaxed);
-            let forwards = forwards.clone();
+        for mut connection in listener.incoming().map_while(Result::ok) {
+            connections.fetch_add(1, Relaxed);
+            let attempts = attempts.clone();
             std::thread::spawn(move || {
-                while matches!(link.read(&mut [0; 4096]), Ok(1..)) {
-                    forwards.fetch_add(1, Relaxed);
-                    std::thread::sleep(takes);
-                    let _ = link.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
+                while matches!(connection.read(&mut [0; 4096]), Ok(1..)) {
+                    attempts.fetch_add(1, Relaxed);
+                    std::thread::sleep(delay);
+                    let _ =
+                        connection.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
                 }
             });
         }
     });
-    at
+    address
 }
 
 #[test]
-fn a_slowdown_of_all_pods_brings_no_more_attempts_than_the_retry_budget() {
-    let (forwards, links) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+fn a_slowdown_of_all_pods_causes_no_more_attempts_than_the_retry_budget_allows() {
+    let (attempts, connections) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let pods: Vec<SocketAddr> = (0..4)
-        .map(|_| slow_pod(Duration::from_millis(450), &forwards, &links))
+        .map(|_| slow_pod(Duration::from_millis(450), &attempts, &connections))
         .collect();
     let mut settings = settings();
     settings.state_file = Some(state_file(&pods));
     settings.limits.hedging = true;
-    for group in &mut settings.classes {
-        group.latency_objective = Seconds::try_from(0.2).unwrap();
-        group.client_timeout = Seconds::try_from(0.4).unwrap();
+    for class in &mut settings.classes {
+        class.latency_objective = Seconds::try_from(0.2).unwrap();
+        class.client_timeout = Seconds::try_from(0.4).unwrap();
     }
-    let at = run(Service::start(&settings).unwrap());
+    let sidecar_address = spawn(Service::start(&settings).unwrap());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
             std::thread::spawn(move || {
                 let mut tries = 0;
                 for _ in 0..REQUESTS_PER_CLIENT {
                     for _ in 0..MAX_TRIES {
-                        let mut client = Client::new(at);
+                        let mut client = Client::new(sidecar_address);
                         client.send("GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n");
                         tries += 1;
                         if client.read_response().0.starts_with("HTTP/1.1 200") {
@@ -71,18 +78,18 @@
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    let (forwards, links) = (forwards.load(Relaxed), links.load(Relaxed));
+    let (attempts, connections) = (attempts.load(Relaxed), connections.load(Relaxed));
     assert!(tries <= CLIENTS * REQUESTS_PER_CLIENT * MAX_TRIES);
     assert!(
-        forwards as f64 <= 1.15 * tries as f64 + 20.0,
-        "{forwards} forwards of {tries} tries"
+        attempts as f64 <= 1.15 * tries as f64 + 20.0,
+        "{attempts} attempts for {tries} tries"
     );
     assert!(
-        links <= forwards + pods.len(),
-        "{links} connections for {forwards} forwards"
+        connections <= attempts + pods.len(),
+        "{connections} connections for {attempts} attempts"
     );
     println!(
-        "{} hits, {tries} tries, {forwards} forwards, {links} connections",
+        "{} requests, {tries} tries, {attempts} attempts, {connections} connections",
         CLIENTS * REQUESTS_PER_CLIENT
     );
 }
--- a/crates/http-proxy/tests/sockets/support.rs
+++ b/crates/http-proxy/tests/sockets/support.rs
@@ -1,4 +1,4 @@
-//! A sidecar on a thread, scripted pods and rollout service, and a client that reads response by response.
+//! Test support: a sidecar on a thread, scripted pods and rollout service, and a client that reads one response at a time.
 
 use limewing_decision::interface::{Action, AttemptIndex, Event, PodId, RequestId};
 use limewing_http_proxy::endpoint_directory::EndpointDirectory;
@@ -37,24 +37,25 @@
 }"#;
 
 pub(crate) const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone";
-pub(crate) const QUOTE: &str = "GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n";
-pub(crate) const CHARGE: &str = "POST /charges HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
+pub(crate) const GET_QUOTE: &str = "GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n";
+pub(crate) const POST_CHARGE: &str =
+    "POST /charges HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
 
-/// Starts a sidecar that knows these pods; it runs until the test's process ends.
+/// Starts a sidecar with these pods; it runs until the test process ends.
 pub(crate) fn sidecar(pods: &[SocketAddr]) -> SocketAddr {
-    sidecar_with(Some(state_file(pods)))
+    sidecar_with_state_file(Some(state_file(pods)))
 }
 
-/// A state file that holds these pods.
+/// Writes a state file with these pods.
 pub(crate) fn state_file(pods: &[SocketAddr]) -> std::path::PathBuf {
-    state_file_of(&pods.iter().map(|at| (*at, 1)).collect::<Vec<_>>())
+    state_file_with_builds(&pods.iter().map(|address| (*address, 1)).collect::<Vec<_>>())
 }
 
-/// A state file that holds these pods, each with its build.
-pub(crate) fn state_file_of(pods: &[(SocketAddr, u16)]) -> std::path::PathBuf {
+/// Writes a state file with these pods and their builds.
+pub(crate) fn state_file_with_builds(pods: &[(SocketAddr, u16)]) -> std::path::PathBuf {
     let folder = tempfile::tempdir().unwrap().keep();
     let file = folder.join("state.json");
-    let row = |(address, build): &(SocketAddr, u16)| EndpointRecord {
+    let record = |(address, build): &(SocketAddr, u16)| EndpointRecord {
         machine: address.to_string(),
         address: *address,
         draining: false,
@@ -65,17 +66,17 @@
         cell: 0,
         machine_type: "plain".into(),
     };
-    endpoint_list_file::save(&file, &pods.iter().map(row).collect::<Vec<_>>()).unwrap();
+    endpoint_list_file::save(&file, &pods.iter().map(record).collect::<Vec<_>>()).unwrap();
     file
 }
 
-/// A response of the list service with these pods.
-pub(crate) fn listing(index: u64, pods: &[SocketAddr]) -> String {
-    let entry = |at: &SocketAddr| {
+/// Returns a response of the list service with these pods.
+pub(crate) fn endpoint_list_response(index: u64, pods: &[SocketAddr]) -> String {
+    let entry = |address: &SocketAddr| {
         format!(
-            r#"{{"Service":{{"ID":"{at}","Address":"{}","Port":{},"Meta":{{"build":"1"}}}}}}"#,
-            at.ip(),
-            at.port()
+            r#"{{"Service":{{"ID":"{address}","Address":"{}","Port":{},"Meta":{{"build":"1"}}}}}}"#,
+            address.ip(),
+            address.port()
         )
     };
     let body = format!("[{}]", pods.iter().map(entry).collect::<Vec<_>>().join(","));
@@ -85,17 +86,17 @@
     )
 }
 
-pub(crate) fn sidecar_with(state_file: Option<std::path::PathBuf>) -> SocketAddr {
+pub(crate) fn sidecar_with_state_file(state_file: Option<std::path::PathBuf>) -> SocketAddr {
     let mut settings = settings();
     settings.state_file = state_file;
-    run(Service::start(&settings).unwrap())
+    spawn(Service::start(&settings).unwrap())
 }
 
 pub(crate) fn settings() -> SidecarSettings {
     read_text("settings", SETTINGS).unwrap()
 }
 
-/// Starts an attempt of each request at all of these pods at once, and decides nothing else.
+/// Decisions that start an attempt of each request at all of these pods at once.
 struct SendToAll(Vec<SocketAddr>);
 
 impl SendAuthority for SendToAll {
@@ -111,68 +112,73 @@
 
     fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         let mut directory = EndpointDirectory::new(&[]);
-        let pods: Vec<PodId> = self.0.iter().map(|at| directory.pod_id(*at)).collect();
-        let forwards = events.iter().filter_map(|event| match event {
-            Event::RequestArrived(hit) => Some(hit.id),
+        let pods: Vec<PodId> = self
+            .0
+            .iter()
+            .map(|address| directory.pod_id(*address))
+            .collect();
+        let requests = events.iter().filter_map(|event| match event {
+            Event::RequestArrived(request) => Some(request.id),
             _ => None,
         });
-        let forwards = forwards.flat_map(|hit| {
+        let attempts = requests.flat_map(|request| {
             pods.iter().map(move |pod| Action::StartAttempt {
-                request: hit,
+                request,
                 pod: *pod,
                 timeout: Duration::ZERO,
             })
         });
-        let beat = Action::WakeAt {
+        let wake_up = Action::WakeAt {
             at: now + Duration::from_millis(20),
         };
-        forwards.chain([beat]).collect()
+        attempts.chain([wake_up]).collect()
     }
 }
 
-/// A sidecar that sends each request to all pods at once.
+/// Starts a sidecar that sends each request to all pods at once.
 pub(crate) fn sidecar_that_sends_to_all(pods: &[SocketAddr]) -> SocketAddr {
     let pods = pods.to_vec();
-    run(Service::start_with(&settings(), |_, _| Box::new(SendToAll(pods))).unwrap())
+    spawn(Service::start_with(&settings(), |_, _| Box::new(SendToAll(pods))).unwrap())
 }
 
-pub(crate) fn run(service: Service) -> SocketAddr {
+/// Runs a sidecar on a thread and returns its address.
+pub(crate) fn spawn(service: Service) -> SocketAddr {
     let address = service.address();
     std::thread::spawn(move || service.run());
     address
 }
 
-/// What a pod does on each connection after it has read a request's head.
+/// What a pod does after it has read the head of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum PodAction {
     Respond(&'static str),
     RespondAndClose(&'static str),
-    /// Says nothing until the peer closes.
+    /// Sends nothing until the peer closes the connection.
     StaySilent,
-    /// Says the first part, waits for a word of the test, and says the second.
+    /// Sends the first part, waits for the test's signal, and sends the second part.
     RespondInTwoParts(&'static str, &'static str),
-    /// Sends without an end.
+    /// Sends an endless response.
     SendForever,
-    /// Says how long the body was, which may come in chunks.
+    /// Responds with the length of the request body, which may be chunked.
     RespondWithBodyLength,
 }
 
 pub(crate) struct Pod {
-    pub at: SocketAddr,
-    /// The head of each request that came, and `gone` when a connection ended.
+    pub address: SocketAddr,
+    /// The head of each request received, and `gone` for each connection that ended.
     pub received: Receiver<String>,
     pub resume: Sender<()>,
-    heads: Arc<AtomicUsize>,
+    request_count: Arc<AtomicUsize>,
 }
 
 impl Pod {
-    /// A pod that does these in turn, one for each request, and the last of them ever after.
+    /// Starts a pod that performs one action of the script per request, and repeats the last one.
     pub(crate) fn new(script: Vec<PodAction>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let ((tell, received), (resume, word)) = (channel(), channel());
-        let heads = Arc::new(AtomicUsize::new(0));
-        let count = heads.clone();
+        let address = listener.local_addr().unwrap();
+        let ((received_sender, received), (resume, resume_receiver)) = (channel(), channel());
+        let request_count = Arc::new(AtomicUsize::new(0));
+        let count = request_count.clone();
         std::thread::spawn(move || {
             let mut script = script.into_iter().peekable();
             for stream in listener.incoming() {
@@ -181,37 +187,37 @@
                     &mut stream,
                     matches!(script.peek(), Some(PodAction::RespondWithBodyLength)),
                 ) {
-                    let does = if script.len() > 1 {
+                    let action = if script.len() > 1 {
                         script.next()
                     } else {
                         script.peek().cloned()
                     };
                     count.fetch_add(1, Ordering::Relaxed);
-                    let _ = tell.send(head);
-                    if !perform(&mut stream, does.unwrap(), &word) {
+                    let _ = received_sender.send(head);
+                    if !perform(&mut stream, action.unwrap(), &resume_receiver) {
                         break;
                     }
                 }
-                let _ = tell.send("gone".into());
+                let _ = received_sender.send("gone".into());
             }
         });
         Self {
-            at,
+            address,
             received,
             resume,
-            heads,
+            request_count,
         }
     }
 
-    pub(crate) fn read_response(&self) -> String {
+    pub(crate) fn receive(&self) -> String {
         self.received
             .recv_timeout(Duration::from_secs(10))
-            .expect("the pod hears something")
+            .expect("the pod receives a request or the end of a connection")
     }
 
-    /// Requests heard since the start.
-    pub(crate) fn count(&self) -> usize {
-        self.heads.load(Ordering::Relaxed)
+    /// Number of requests received since the start.
+    pub(crate) fn request_count(&self) -> usize {
+        self.request_count.load(Ordering::Relaxed)
     }
 
     pub(crate) fn received_nothing(&self) -> bool {
@@ -219,8 +225,8 @@
     }
 }
 
-fn perform(stream: &mut TcpStream, does: PodAction, word: &Receiver<()>) -> bool {
-    match does {
+fn perform(stream: &mut TcpStream, action: PodAction, resume: &Receiver<()>) -> bool {
+    match action {
         PodAction::Respond(text) => stream.write_all(text.as_bytes()).is_ok(),
         PodAction::RespondAndClose(text) => {
             let _ = stream.write_all(text.as_bytes());
@@ -232,10 +238,10 @@
         }
         PodAction::RespondInTwoParts(first, second) => {
             let _ = stream.write_all(first.as_bytes());
-            let _ = word.recv();
+            let _ = resume.recv();
             stream.write_all(second.as_bytes()).is_ok()
         }
-        PodAction::RespondWithBodyLength => unreachable!("answered as it was read"),
+        PodAction::RespondWithBodyLength => unreachable!("answered by read_head"),
         PodAction::SendForever => {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n");
             while stream.write_all(&[b'x'; 65_536]).is_ok() {}
@@ -244,8 +250,9 @@
     }
 }
 
+/// Reads a chunked body and returns its length; `None` if the connection ends before.
 fn read_chunks(stream: &mut TcpStream) -> Option<usize> {
-    let mut whole = 0;
+    let mut total = 0;
     loop {
         let (mut line, mut byte) = (Vec::new(), [0]);
         while !line.ends_with(b"\r\n") {
@@ -254,14 +261,16 @@
         }
         let size = usize::from_str_radix(String::from_utf8(line).ok()?.trim(), 16).ok()?;
         stream.read_exact(&mut vec![0; size + 2]).ok()?;
-        whole += size;
+        total += size;
         if size == 0 {
-            return Some(whole);
+            return Some(total);
         }
     }
 }
 
-fn read_head(stream: &mut TcpStream, counts: bool) -> Option<String> {
+/// Reads a request and returns its head; `None` if the connection ends before. With `responds_with_length`, it responds
+/// with the length of the body and reads the next request.
+fn read_head(stream: &mut TcpStream, responds_with_length: bool) -> Option<String> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -286,7 +295,7 @@
     if !text.contains("chunked") {
         stream.read_exact(&mut vec![0; length]).ok()?;
     }
-    if counts {
+    if responds_with_length {
         let body = length.to_string();
         write!(
             stream,
@@ -294,7 +303,7 @@
             body.len()
         )
         .ok()?;
-        return read_head(stream, counts);
+        return read_head(stream, responds_with_length);
     }
     Some(text)
 }
@@ -302,8 +311,8 @@
 pub(crate) struct Client(pub TcpStream);
 
 impl Client {
-    pub(crate) fn new(to: SocketAddr) -> Self {
-        let stream = TcpStream::connect(to).unwrap();
+    pub(crate) fn new(sidecar: SocketAddr) -> Self {
+        let stream = TcpStream::connect(sidecar).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
             .unwrap();
@@ -314,7 +323,7 @@
         self.0.write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next answer: its head and its body, which must have a length.
+    /// Reads the next response and returns its head and body; the body is empty without a Content-Length.
     pub(crate) fn read_response(&mut self) -> (String, String) {
         let mut head = self.read_until("\r\n\r\n");
         let length = head.split("content-length: ").nth(1).map_or(0, |rest| {
@@ -337,13 +346,13 @@
         String::from_utf8(text).unwrap()
     }
 
-    /// Whether nothing more comes and the other side has closed.
+    /// Returns whether the sidecar has closed the connection without sending more.
     pub(crate) fn is_closed_by_sidecar(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-/// What the rollout service does with a vote.
+/// How the rollout service handles a vote.
 #[derive(Clone, Debug)]
 pub(crate) enum VoteAction {
     Counted,
@@ -352,50 +361,53 @@
     Respond(&'static str),
     RespondAndClose(&'static str),
     StaySilent,
-    /// Counts it, and says so at a word of the test.
+    /// Replies that the vote is counted, once the test signals it.
     CountOnSignal,
 }
 
 pub(crate) struct RolloutService {
-    at: SocketAddr,
+    address: SocketAddr,
     votes: Receiver<(Instant, String)>,
     pub resume: Sender<()>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl RolloutService {
-    /// Says this state on each stream; does these with votes in turn, and the last of them ever after.
+    /// Starts a rollout service that sends this state on each stream. It performs one action of the script per vote, and
+    /// repeats the last one.
     pub(crate) fn new(state: &'static str, script: Vec<VoteAction>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let ((tell_vote, votes), (resume, word)) = (channel(), channel());
-        let word = Arc::new(Mutex::new(word));
+        let address = listener.local_addr().unwrap();
+        let ((vote_sender, votes), (resume, resume_receiver)) = (channel(), channel());
+        let resume_receiver = Arc::new(Mutex::new(resume_receiver));
         let streams = Arc::new(Mutex::new(Vec::new()));
-        let kept = streams.clone();
+        let open_streams = streams.clone();
         std::thread::spawn(move || {
             let mut script = script.into_iter().peekable();
-            for mut link in listener.incoming().map_while(Result::ok) {
-                let mut asked = vec![0; 2000];
-                let length = link.read(&mut asked).unwrap_or(0);
-                let text = String::from_utf8_lossy(&asked[..length]).into_owned();
+            for mut connection in listener.incoming().map_while(Result::ok) {
+                let mut request = vec![0; 2000];
+                let length = connection.read(&mut request).unwrap_or(0);
+                let text = String::from_utf8_lossy(&request[..length]).into_owned();
                 if text.starts_with("GET") {
                     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-                    let _ = write!(link, "{head}data: {state}\n\n");
-                    kept.lock().unwrap().push(link);
+                    let _ = write!(connection, "{head}data: {state}\n\n");
+                    open_streams.lock().unwrap().push(connection);
                 } else if !text.is_empty() {
-                    let _ = tell_vote.send((Instant::now(), text));
-                    let does = if script.len() > 1 {
+                    let _ = vote_sender.send((Instant::now(), text));
+                    let action = if script.len() > 1 {
                         script.next()
                     } else {
                         script.peek().cloned()
                     };
-                    let word = word.clone();
-                    std::thread::spawn(move || reply_to_vote(link, does.unwrap(), &word));
+                    let resume_receiver = resume_receiver.clone();
+                    std::thread::spawn(move || {
+                        reply_to_vote(connection, action.unwrap(), &resume_receiver)
+                    });
                 }
             }
         });
         Self {
-            at,
+            address,
             votes,
             resume,
             streams,
@@ -405,47 +417,49 @@
     pub(crate) fn settings(&self) -> limewing_settings::RolloutService {
         let silence_timeout = limewing_settings::Seconds::try_from(30.0).unwrap();
         limewing_settings::RolloutService {
-            address: self.at,
+            address: self.address,
             silence_timeout,
         }
     }
 
-    /// Waits until stage news have been read: the first vote on them comes.
+    /// Waits for the first vote, which shows that the sidecar has read the stage message.
     pub(crate) fn wait_for_first_vote(&self) {
-        self.vote(Duration::from_secs(10)).expect("a vote");
+        self.next_vote(Duration::from_secs(10)).expect("a vote");
     }
 
+    /// Sends a stage message on all open streams.
     pub(crate) fn send(&self, state: &str) {
-        for link in self.streams.lock().unwrap().iter_mut() {
-            let _ = write!(link, "data: {state}\n\n");
+        for connection in self.streams.lock().unwrap().iter_mut() {
+            let _ = write!(connection, "data: {state}\n\n");
         }
     }
 
-    pub(crate) fn vote(&self, timeout: Duration) -> Option<(Instant, String)> {
+    /// Waits for the next vote; returns its time of arrival and its text.
+    pub(crate) fn next_vote(&self, timeout: Duration) -> Option<(Instant, String)> {
         self.votes.recv_timeout(timeout).ok()
     }
 }
 
-fn reply_to_vote(mut link: TcpStream, does: VoteAction, word: &Mutex<Receiver<()>>) {
-    let send = |link: &mut TcpStream, what: &str| {
-        let body = format!(r#"{{"answer":"{what}"}}"#);
+fn reply_to_vote(mut connection: TcpStream, action: VoteAction, resume: &Mutex<Receiver<()>>) {
+    let send = |connection: &mut TcpStream, answer: &str| {
+        let body = format!(r#"{{"answer":"{answer}"}}"#);
         write!(
-            link,
+            connection,
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         )
     };
-    let _ = match does {
-        VoteAction::Counted => send(&mut link, "counted"),
-        VoteAction::Moot => send(&mut link, "moot"),
+    let _ = match action {
+        VoteAction::Counted => send(&mut connection, "counted"),
+        VoteAction::Moot => send(&mut connection, "moot"),
         VoteAction::Close => return,
-        VoteAction::Respond(text) => link.write_all(text.as_bytes()),
-        VoteAction::RespondAndClose(text) => return drop(link.write_all(text.as_bytes())),
+        VoteAction::Respond(text) => connection.write_all(text.as_bytes()),
+        VoteAction::RespondAndClose(text) => return drop(connection.write_all(text.as_bytes())),
         VoteAction::StaySilent => Ok(()),
         VoteAction::CountOnSignal => {
-            let _ = word.lock().unwrap().recv();
-            send(&mut link, "counted")
+            let _ = resume.lock().unwrap().recv();
+            send(&mut connection, "counted")
         }
     };
-    let _ = link.read(&mut [0; 100]);
+    let _ = connection.read(&mut [0; 100]);
 }
--- a/crates/http-proxy/tests/sockets/wrong_answer_reports.rs
+++ b/crates/http-proxy/tests/sockets/wrong_answer_reports.rs
@@ -1,6 +1,6 @@
-//! Reports of wrong answers, by the token that came with the response.
+//! Reports of wrong answers, which identify a response by the token sent with it.
 
-use crate::support::{run, settings, Client, Pod, PodAction, OK_RESPONSE, QUOTE};
+use crate::support::{settings, spawn, Client, Pod, PodAction, GET_QUOTE, OK_RESPONSE};
 use limewing_decision::interface::{Action, AttemptIndex, Event, RequestId, SidecarConfig};
 use limewing_http_proxy::endpoint_directory::EndpointDirectory;
 use limewing_http_proxy::service::{Decisions, Service};
@@ -9,19 +9,19 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// Starts one attempt for each request at one pod, and tells of reported pods.
-struct ToOne {
+/// Decisions that start one attempt per request at one pod, and pass reported pods to the test.
+struct SendToOnePod {
     pod: SocketAddr,
     flagged: Sender<SocketAddr>,
 }
 
-impl SendAuthority for ToOne {
+impl SendAuthority for SendToOnePod {
     fn may_begin(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
         true
     }
 }
 
-impl Decisions for ToOne {
+impl Decisions for SendToOnePod {
     fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.handle(now, events)
     }
@@ -52,14 +52,14 @@
 fn sidecar(pod: SocketAddr) -> (SocketAddr, Receiver<SocketAddr>) {
     let (flagged, reports) = channel();
     let decisions = |_: Duration, _: SidecarConfig| -> Box<dyn Decisions + Send> {
-        Box::new(ToOne { pod, flagged })
+        Box::new(SendToOnePod { pod, flagged })
     };
     let service = Service::start_with(&settings(), decisions).unwrap();
-    (run(service), reports)
+    (spawn(service), reports)
 }
 
-fn report(to: SocketAddr, body: &str) -> String {
-    let mut client = Client::new(to);
+fn report(sidecar: SocketAddr, body: &str) -> String {
+    let mut client = Client::new(sidecar);
     client.send(&format!(
         "POST /limewing/reports HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -70,26 +70,29 @@
 #[test]
 fn a_reported_response_flags_its_pod_once() {
     let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
-    let (to, flagged) = sidecar(pod.at);
-    let mut client = Client::new(to);
-    client.send(QUOTE);
+    let (sidecar_address, flagged) = sidecar(pod.address);
+    let mut client = Client::new(sidecar_address);
+    client.send(GET_QUOTE);
     let (head, _) = client.read_response();
     let token = head
         .lines()
         .find_map(|line| line.strip_prefix("limewing-forward: "))
         .unwrap();
     let body = format!(r#"{{"forward": "{token}"}}"#);
-    assert!(report(to, &body).starts_with("HTTP/1.1 202"));
-    assert_eq!(flagged.recv_timeout(Duration::from_secs(20)), Ok(pod.at));
-    assert!(report(to, &body).starts_with("HTTP/1.1 404"));
+    assert!(report(sidecar_address, &body).starts_with("HTTP/1.1 202"));
+    assert_eq!(
+        flagged.recv_timeout(Duration::from_secs(20)),
+        Ok(pod.address)
+    );
+    assert!(report(sidecar_address, &body).starts_with("HTTP/1.1 404"));
 }
 
 #[test]
-fn a_report_that_names_no_response_is_refused() {
+fn a_report_without_a_known_response_is_rejected() {
     let pod = Pod::new(vec![PodAction::Respond(OK_RESPONSE)]);
-    let (to, _flagged) = sidecar(pod.at);
-    let unknown = report(to, r#"{"forward": "other.1.0.0"}"#);
+    let (sidecar_address, _flagged) = sidecar(pod.address);
+    let unknown = report(sidecar_address, r#"{"forward": "other.1.0.0"}"#);
     assert!(unknown.starts_with("HTTP/1.1 404"), "{unknown}");
-    let malformed = report(to, r#"{"attempt": "other.1.0.0"}"#);
+    let malformed = report(sidecar_address, r#"{"attempt": "other.1.0.0"}"#);
     assert!(malformed.starts_with("HTTP/1.1 400"), "{malformed}");
 }
