--- a/crates/http-proxy/src/http_status.rs
+++ b/crates/http-proxy/src/http_status.rs
@@ -12,7 +12,7 @@
 pub(crate) const REQUEST_TIMEOUT: u16 = 408;
 /// The request may already have run.
 pub(crate) const CONFLICT: u16 = 409;
-/// There are too many requests.
+/// The sender sent too many requests.
 pub(crate) const TOO_MANY_REQUESTS: u16 = 429;
 /// The lowest code of the server error class (5xx).
 pub(crate) const FIRST_SERVER_ERROR: u16 = 500;
--- a/crates/http-proxy/src/stage_updates.rs
+++ b/crates/http-proxy/src/stage_updates.rs
@@ -42,7 +42,7 @@
 /// The state of the rollout on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageMessage {
-    /// The number of the state change, increasing; 0 from a rollout service that does not number its changes.
+    /// Increases with each change of the state; 0 if the rollout service does not number its changes.
     #[serde(default)]
     pub number: u64,
     /// The newest build.
--- a/crates/http-proxy/tests/golden_pages.rs
+++ b/crates/http-proxy/tests/golden_pages.rs
@@ -153,9 +153,11 @@
     assert_eq!(page, golden, "actual page:\n{page:#}");
 }
 
-/// Modes of an emulated member.
+/// Mode of an emulated member that takes part in the membership protocol.
 const RUNNING: u8 = 0;
+/// Mode of an emulated member that stops without notice.
 const SILENT: u8 = 1;
+/// Mode of an emulated member that announces its leave and stops.
 const LEAVING: u8 = 2;
 
 /// Starts a fleet member without a sidecar. It takes part in the membership protocol until its mode changes.
