--- a/crates/reference-model/src/event_queue.rs
+++ b/crates/reference-model/src/event_queue.rs
@@ -1,16 +1,16 @@
-//! Events by the time at which they fall due.
+//! A queue of events ordered by due time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Events in the order in which they fall due; those of the same time in the order in which they were scheduled.
+/// A queue that returns events by due time. Events with the same due time are returned in the order of scheduling.
 pub struct EventQueue<T> {
     events: BTreeMap<(Duration, u64), T>,
     last_sequence: u64,
 }
 
 impl<T> EventQueue<T> {
-    /// A queue without events.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -19,20 +19,20 @@
         }
     }
 
-    /// Schedules an event.
+    /// Schedules an event for the given time.
     pub fn schedule(&mut self, at: Duration, event: T) {
         self.last_sequence += 1;
         self.events.insert((at, self.last_sequence), event);
     }
 
-    /// When the next event falls due.
+    /// Returns the due time of the next event.
     #[must_use]
     pub fn next_due(&self) -> Option<Duration> {
         let ((at, _), _) = self.events.first_key_value()?;
         Some(*at)
     }
 
-    /// Removes the first event that is due at `now`.
+    /// Removes and returns the first event whose due time is at or before `now`.
     pub fn pop_due(&mut self, now: Duration) -> Option<T> {
         let first = self.events.first_entry()?;
         let (at, _) = *first.key();
--- a/crates/reference-model/src/history.rs
+++ b/crates/reference-model/src/history.rs
@@ -1,5 +1,5 @@
-//! What the model remembers: all that a sidecar was told and did. Nothing is summed up or forgotten, so that each question
-//! is answered by going through it.
+//! The model's complete history of the events and actions of each sidecar. Nothing is aggregated or evicted, so each
+//! check scans the raw records.
 
 use limewing_decision::interface::{
     AttemptOutcome, BuildId, ClassId, Endpoint, EndpointUpdate, PodId, PodState, Request,
@@ -8,103 +8,104 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One attempt.
+/// An attempt, from the decision to its outcome.
 pub(crate) struct AttemptHistory {
-    /// The pod as the sidecar's list had it at the decision.
+    /// The pod's entry in the sidecar's endpoint list when the attempt was decided.
     pub(crate) endpoint: Endpoint,
     pub(crate) decided_at: Duration,
-    /// What spoke for the pod, if the lease of the endpoint list had expired by then.
+    /// The evidence for the pod, if the lease of the endpoint list had expired when the attempt was decided.
     pub(crate) expired_lease: Option<ExpiredLease>,
     pub(crate) outcome: Option<AttemptOutcome>,
-    /// The turn in which the sidecar was notified of the outcome; 0 before.
+    /// The turn in which the sidecar was notified of the outcome, or 0 if it has not been notified.
     pub(crate) outcome_turn: usize,
 }
 
-/// What spoke for the pod of a decision made after the lease of the endpoint list had expired.
+/// The evidence for a pod that was chosen after the lease of the endpoint list had expired.
 #[derive(Clone, Copy)]
 pub(crate) struct ExpiredLease {
-    /// The pod itself had served a request sent within the lease.
+    /// The chosen pod served a request sent within the lease.
     pub(crate) served: bool,
-    /// Another pod of its build that had, and could have taken the attempt.
+    /// An eligible pod of the same build that served a request sent within the lease.
     pub(crate) better: Option<PodId>,
 }
 
-/// One request.
+/// A request and its attempts.
 pub(crate) struct RequestHistory {
     pub(crate) request: Request,
     pub(crate) attempts: Vec<AttemptHistory>,
-    /// Until when it must be answered: its deadline, or later if the sidecar did not run then.
+    /// The latest time of the answer: the deadline, or the time of resumption if the sidecar was paused at the
+    /// deadline.
     pub(crate) answer_due: Duration,
-    /// The turn in which the sidecar answered it itself.
+    /// The turn in which the sidecar generated the answer.
     pub(crate) answered_turn: Option<usize>,
-    /// The turn in which the sidecar was notified that the request is over.
+    /// The turn in which the sidecar was notified that the request had finished.
     pub(crate) over_turn: Option<usize>,
-    /// The turn in which the sidecar was notified that its response streams.
+    /// The turn in which the sidecar was notified that the response had started to stream.
     pub(crate) stream_turn: Option<usize>,
 }
 
-/// A row of the endpoint list, as a sidecar learned it.
+/// A version of an endpoint, and when the sidecar received it.
 pub(crate) struct EndpointRecord {
     pub(crate) learned_at: Duration,
     pub(crate) endpoint: Endpoint,
 }
 
-/// A state of the rollout, as a sidecar learned it.
+/// A stage update, and when the sidecar received it.
 pub(crate) struct StageRecord {
     pub(crate) learned_at: Duration,
     pub(crate) update: StageUpdate,
 }
 
-/// A request that arrived, for counting.
+/// The arrival of a request, counted against the limits.
 pub(crate) struct Arrival {
     pub(crate) at: Duration,
     pub(crate) class: ClassId,
 }
 
-/// An attempt that was decided on, for counting.
+/// The decision to start an attempt, counted against the limits.
 pub(crate) struct AttemptStart {
     pub(crate) at: Duration,
     pub(crate) build: BuildId,
     pub(crate) class: ClassId,
 }
 
-/// One incarnation of a sidecar.
+/// The history of one incarnation of a sidecar.
 pub(crate) struct SidecarHistory {
     pub(crate) config: SidecarConfig,
-    /// How often it was given events.
+    /// The number of event batches delivered to the sidecar.
     pub(crate) turn: usize,
     pub(crate) requests: BTreeMap<RequestId, RequestHistory>,
-    /// All that it learned of each pod, oldest first.
+    /// All versions of each endpoint that the sidecar received, oldest first.
     pub(crate) endpoints: BTreeMap<PodId, Vec<EndpointRecord>>,
     pub(crate) stages: Vec<StageRecord>,
     pub(crate) arrivals: Vec<Arrival>,
     pub(crate) attempt_starts: Vec<AttemptStart>,
-    /// When anything was last heard of the endpoint list.
+    /// When the sidecar last received data or a keep-alive from the list service.
     pub(crate) list_heard_at: Duration,
-    /// When it last asked for the list.
+    /// When the sidecar last called the list service.
     pub(crate) list_asked_at: Duration,
-    /// That call failed.
+    /// The last call to the list service failed.
     pub(crate) list_call_failed: bool,
-    /// It watches the list.
+    /// The sidecar has an open watch on the endpoint list.
     pub(crate) is_watching: bool,
 }
 
-/// A start of a pod, and the attempts at it since.
+/// The latest start of a pod, and the attempts at the pod since.
 pub(crate) struct PodStart {
     pub(crate) at: Duration,
-    /// Requests a second that it can serve when warm.
+    /// Requests per second that the pod can serve after slow start.
     pub(crate) capacity: f64,
     pub(crate) attempts: Vec<AttemptAtPod>,
 }
 
-/// An attempt at a pod, by any sidecar.
+/// An attempt at a pod by any of the sidecars.
 pub(crate) struct AttemptAtPod {
     pub(crate) at: Duration,
-    /// The sidecar knew of this start of the pod.
+    /// The sidecar's endpoint list had this start of the pod.
     pub(crate) was_informed: bool,
 }
 
-/// The endpoint list as the list service holds it.
+/// All versions of the endpoint list in the list service.
 #[derive(Default)]
 pub(crate) struct TrueList {
     versions: Vec<ListVersion>,
@@ -115,17 +116,17 @@
     endpoints: Vec<Endpoint>,
 }
 
-/// A decision to start an attempt, before it is recorded.
+/// An attempt to be checked against the rules before it is recorded.
 pub(crate) struct ProposedAttempt<'a> {
     pub(crate) sidecar: &'a SidecarHistory,
     pub(crate) request: &'a RequestHistory,
-    /// The pod as the sidecar's list has it.
+    /// The pod's entry in the sidecar's endpoint list.
     pub(crate) endpoint: &'a Endpoint,
     pub(crate) now: Duration,
 }
 
 impl AttemptHistory {
-    /// Whether the pod may have run the request: its outcome does not prove otherwise.
+    /// Whether the pod may have run the request, i.e. the outcome does not prove that it did not.
     pub(crate) fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
@@ -174,13 +175,13 @@
         }
     }
 
-    /// What it last learned of a pod.
+    /// The latest known version of a pod's endpoint.
     pub(crate) fn endpoint(&self, pod: PodId) -> Option<&Endpoint> {
         let latest = self.endpoints.get(&pod)?.last()?;
         Some(&latest.endpoint)
     }
 
-    /// What it last learned of each pod.
+    /// The latest known version of each endpoint.
     pub(crate) fn latest_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints
             .values()
@@ -188,7 +189,7 @@
             .map(|record| &record.endpoint)
     }
 
-    /// Whether it has known for longer than the grace that a pod drains or is gone.
+    /// Whether the sidecar has known for longer than the grace period that a pod is draining or gone.
     pub(crate) fn knows_past_grace(&self, pod: PodId, now: Duration) -> bool {
         self.known_to_drain_since(pod)
             .is_some_and(|since| now > since + self.config.safety.drain_grace)
@@ -204,7 +205,7 @@
         Some(first_not_ready.learned_at)
     }
 
-    /// Records news of the endpoint list.
+    /// Records an update of the endpoint list.
     pub(crate) fn record_list(&mut self, now: Duration, update: &EndpointUpdate) {
         let changed = match update {
             EndpointUpdate::WatchLost(_) => return self.record_watch_lost(now),
@@ -230,7 +231,7 @@
     }
 
     fn record_watch_lost(&mut self, now: Duration) {
-        // What a watch would have told until now is known.
+        // Until now the watch kept the list current, which counts as a call.
         if self.is_watching {
             self.list_asked_at = now;
         }
@@ -238,7 +239,7 @@
         self.list_call_failed = true;
     }
 
-    /// The known pods that a complete list leaves out, as gone.
+    /// Known endpoints that a full snapshot omits, with their state set to gone.
     fn missing_from(&self, all: &[Endpoint]) -> Vec<Endpoint> {
         self.latest_endpoints()
             .filter(|known| known.state != PodState::Gone)
@@ -266,7 +267,7 @@
         self.versions.push(ListVersion { since, endpoints });
     }
 
-    /// The list at that time, and since when it was so.
+    /// The list version in effect at a time, and when it took effect.
     pub(crate) fn at(&self, time: Duration) -> Option<(Duration, &[Endpoint])> {
         self.versions
             .iter()
@@ -275,7 +276,7 @@
             .map(|version| (version.since, &version.endpoints[..]))
     }
 
-    /// Since when a pod drains or is gone.
+    /// Since when a pod has been draining or gone.
     pub(crate) fn not_ready_since(&self, pod: PodId) -> Option<Duration> {
         self.versions
             .iter()
--- a/crates/reference-model/src/lib.rs
+++ b/crates/reference-model/src/lib.rs
@@ -1,12 +1,12 @@
-//! The five rules once more, written to be read and slow: a model that keeps whole histories and recounts them at each
-//! step, beside a simulation that steps the real decisions. Of their code only the interface is used.
+//! A reference model of the five rules, written for clarity rather than speed. It keeps the full history and scans it
+//! at each step of a simulation that runs the real decision engine. It uses only the interface of the engine.
 //!
-//! - [`model`]: what is recorded, and which rule checks what
-//! - [`violation`]: the rules, and how a broken one is reported
-//! - [`coverage`]: how often the rules were put to the test
-//! - [`simulation`]: a fleet and its faults, drawn from a seed
-//! - [`event_queue`]: events by the time at which they fall due
-//! - [`mutation`]: sidecars that break a rule on purpose
+//! - [`model`]: records events and actions, and checks them against the rules
+//! - [`violation`]: the rules and the reports of their violations
+//! - [`coverage`]: counts how often each rule is exercised
+//! - [`simulation`]: a simulated fleet with faults, generated from a seed
+//! - [`event_queue`]: a queue of events ordered by due time
+//! - [`mutation`]: deliberate rule violations that the model has to detect
 
 pub mod coverage;
 pub mod event_queue;
--- a/crates/reference-model/src/model.rs
+++ b/crates/reference-model/src/model.rs
@@ -1,4 +1,4 @@
-//! The model: it records what sidecars are told and do, and checks each action against the rules.
+//! Records the events and actions of sidecars, and checks each action against the rules.
 
 use crate::coverage::Coverage;
 use crate::history::{
@@ -17,29 +17,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The rules over a whole fleet. Sidecars are numbered by whoever steps them; times are spans since a common start.
+/// Checks the rules over a whole fleet. The caller assigns the sidecar indices. All times are measured from a common
+/// epoch.
 #[derive(Default)]
 pub struct ReferenceModel {
     sidecars: BTreeMap<usize, SidecarHistory>,
     pod_starts: BTreeMap<PodId, PodStart>,
     true_list: TrueList,
-    /// How often each rule was put to the test.
+    /// Counts of how often each rule was exercised.
     pub coverage: Coverage,
 }
 
 impl ReferenceModel {
-    /// A sidecar starts, with no memory of earlier incarnations.
+    /// Records the start of a sidecar, and discards the history of its earlier incarnations.
     pub fn sidecar_started(&mut self, sidecar: usize, now: Duration, config: SidecarConfig) {
         self.sidecars
             .insert(sidecar, SidecarHistory::new(config, now));
     }
 
-    /// A sidecar's process ends.
+    /// Records that a sidecar's process ended.
     pub fn sidecar_stopped(&mut self, sidecar: usize) {
         self.sidecars.remove(&sidecar);
     }
 
-    /// A sidecar that stood still runs again: answers that fell due meanwhile are due now.
+    /// Records that a paused sidecar resumed. Answers that became due during the pause are due now.
     pub fn sidecar_resumed(&mut self, sidecar: usize, now: Duration) {
         let Some(history) = self.sidecars.get_mut(&sidecar) else {
             return;
@@ -49,24 +50,24 @@
         }
     }
 
-    /// A pod starts; `capacity` is how many requests a second it can serve when warm.
+    /// Records the start of a pod. `capacity` is the number of requests per second it can serve after slow start.
     pub fn pod_started(&mut self, pod: PodId, at: Duration, capacity: f64) {
         self.pod_starts.insert(pod, PodStart::new(at, capacity));
     }
 
-    /// The list service holds this list from now on.
+    /// Records a new version of the endpoint list in the list service.
     pub fn list_changed(&mut self, now: Duration, endpoints: Vec<Endpoint>) {
         self.true_list.record(now, endpoints);
     }
 
-    /// Something was heard of the endpoint list, if only that nothing has changed.
+    /// Records that a sidecar received data or a keep-alive from the list service.
     pub fn list_heard(&mut self, sidecar: usize, now: Duration) {
         if let Some(history) = self.sidecars.get_mut(&sidecar) {
             history.list_heard_at = now;
         }
     }
 
-    /// The decisions refused the first byte of an attempt.
+    /// Records that the engine refused to let the first byte of an attempt be sent.
     pub fn attempt_withheld(&mut self, sidecar: usize, now: Duration, pod: PodId) {
         let is_past_grace = self
             .sidecars
@@ -76,7 +77,7 @@
         self.coverage.withheld_past_grace += usize::from(is_past_grace);
     }
 
-    /// A sidecar is given events, which makes a new turn.
+    /// Records a batch of events delivered to a sidecar, which starts a new turn.
     pub fn record_events(&mut self, sidecar: usize, now: Duration, events: &[Event]) {
         let Some(history) = self.sidecars.get_mut(&sidecar) else {
             return;
@@ -106,11 +107,11 @@
         }
     }
 
-    /// Checks the actions of a sidecar, and records them.
+    /// Checks and records the actions of a sidecar.
     ///
     /// # Errors
     ///
-    /// The first rule that they break.
+    /// Returns the first violation.
     pub fn check_actions(
         &mut self,
         sidecar: usize,
@@ -138,11 +139,11 @@
         Ok(())
     }
 
-    /// Checks that no request is overdue. Those of `excused` sidecars are left out, which did not run.
+    /// Checks that no request is overdue. Sidecars for which `excused` returns true are skipped, as they are paused.
     ///
     /// # Errors
     ///
-    /// The first request that has no answer though its deadline has passed.
+    /// Returns a violation for the first request past its deadline without an answer.
     pub fn check_deadlines(
         &self,
         now: Duration,
@@ -160,12 +161,12 @@
         Ok(())
     }
 
-    /// Checks the first byte of an attempt as it leaves. Rules 4 and 5 count attempts when they are decided on, which
-    /// comes first: attempts that never begin are counted too, so the rules are no easier.
+    /// Checks an attempt at the moment its first byte is sent. Rules 4 and 5 count attempts earlier, when they are
+    /// decided. That includes attempts that are never sent, so these checks are at least as strict.
     ///
     /// # Errors
     ///
-    /// The rule that it breaks.
+    /// Returns the violation.
     pub fn check_first_byte(
         &mut self,
         sidecar: usize,
@@ -183,7 +184,7 @@
             .get(&request)
             .and_then(|request| request.attempts.get(usize::from(index.0)));
         let Some(attempt) = attempt else {
-            let description = format!("{index:?} of {request:?} was never decided on");
+            let description = format!("{index:?} of {request:?} was sent without a decision");
             return Err(RuleBroken::new(Rule::OneAnswer, description).by(sidecar, now));
         };
         let first_byte = FirstByte {
@@ -237,7 +238,10 @@
             .get(&request)
             .ok_or_else(|| unknown_request(request))?;
         let endpoint = history.endpoint(pod).cloned().ok_or_else(|| {
-            RuleBroken::new(Rule::Draining, format!("{pod:?} was in no endpoint list"))
+            RuleBroken::new(
+                Rule::Draining,
+                format!("{pod:?} was never in the endpoint list"),
+            )
         })?;
         let attempt = ProposedAttempt {
             sidecar: history,
@@ -249,7 +253,7 @@
         repeated_effect::check_attempt(&attempt, &mut self.coverage)?;
         draining::check_attempt(&attempt, &self.true_list, &mut self.coverage)?;
         exposure::check_attempt(&attempt, &mut self.coverage)?;
-        // Last, as it counts the attempts of all sidecars that pass the other rules.
+        // This check runs last because it records the attempt, and only attempts that pass the other rules count.
         if let Some(start) = self.pod_starts.get_mut(&pod) {
             slow_start::check_attempt(&attempt, start, &mut self.coverage)?;
         }
@@ -349,7 +353,7 @@
 fn unknown_sidecar() -> RuleBroken {
     RuleBroken::new(
         Rule::OneAnswer,
-        "a sidecar acts that does not run".to_owned(),
+        "action by a sidecar that is not running".to_owned(),
     )
 }
 
--- a/crates/reference-model/src/mutation.rs
+++ b/crates/reference-model/src/mutation.rs
@@ -1,4 +1,4 @@
-//! Mutations: each breaks one rule on purpose, between the decisions and the simulation, and the model must catch it.
+//! Mutations that change the engine's actions to violate one rule each. The model has to detect every one of them.
 
 use limewing_decision::interface::{
     Action, ClassId, DeduplicationScope, Endpoint, Idempotency, PodId, PodState, RequestId,
@@ -9,66 +9,67 @@
 
 /// A pod younger than this counts as cold for [`Mutation::FloodsColdPods`].
 const COLD_FOR: Duration = Duration::from_secs(3);
-/// One in so many turns exceeds the cap.
+/// [`Mutation::ExceedsCap`] applies to one in this many turns.
 const CAP_TURNS: u64 = 2;
-/// One in so many turns ignores guarded stages. Rare, or the cap is broken first.
+/// [`Mutation::IgnoresGuardedStages`] applies to one in this many turns. At a higher rate the cap would be exceeded
+/// first.
 const GUARDED_TURNS: u64 = 20;
-/// One in so many requests ignores its routing key.
+/// [`Mutation::IgnoresStickyKeys`] applies to one in this many requests.
 const KEY_REQUESTS: u64 = 2;
-/// Pods are numbered from 1, as they come; runs have fewer than this.
+/// An upper bound of pod IDs, which are assigned sequentially from 1.
 const MAX_PODS: u64 = 1000;
 
-/// How a sidecar misbehaves.
+/// A deliberate fault in the behaviour of the sidecars.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Not at all.
+    /// No fault.
     None,
-    /// Drops final answers. Breaks rule 1.
+    /// Drops final answers. Violates rule 1.
     DropsAnswers,
-    /// Answers twice. Breaks rule 1.
+    /// Answers a request twice. Violates rule 1.
     AnswersTwice,
-    /// Starts an attempt after the answer. Breaks rule 1.
+    /// Starts an attempt after the answer. Violates rule 1.
     StartsAfterAnswer,
-    /// Sends non-idempotent requests to two pods. Breaks rule 2.
+    /// Sends non-idempotent requests to two pods. Violates rule 2.
     RepeatsNonIdempotent,
-    /// Rejects what may have run. Breaks rule 2.
+    /// Rejects requests that may have run. Violates rule 2.
     RejectsAll,
-    /// Repeats a keyed request at a pod that does not know its key. Breaks rule 2.
+    /// Repeats a keyed request at a pod that does not share its deduplication state. Violates rule 2.
     LeavesDeduplicationScope,
-    /// Sends to pods that have left the list. Breaks rule 3.
+    /// Sends to pods that were removed from the endpoint list. Violates rule 3.
     UsesRemovedPods,
-    /// Sends everything to the youngest pod. Breaks rule 4.
+    /// Sends all requests to the most recently started pod. Violates rule 4.
     FloodsColdPods,
-    /// Sends most to the newest build. Breaks rule 5.
+    /// Sends most requests to the newest build. Violates rule 5.
     ExceedsCap,
-    /// Sends non-idempotent requests to the newest build. Breaks rule 5.
+    /// Sends non-idempotent requests to the newest build. Violates rule 5.
     IgnoresGuardedStages,
-    /// Sends keyed requests to the oldest build. Breaks rule 5.
+    /// Sends requests with a routing key to the oldest build. Violates rule 5.
     IgnoresStickyKeys,
-    /// Sends each idempotent request twice. Breaks the retry budget.
+    /// Sends each idempotent request twice. Violates the retry budget.
     DoublesAttempts,
-    /// Never asks for the endpoint list again. Breaks rule 3.
+    /// Never calls the list service again. Violates rule 3.
     NeverWatches,
-    /// Writes an attempt without asking whether it may begin. Breaks rule 3.
+    /// Sends an attempt without asking the engine whether it may begin. Violates rule 3.
     SkipsPermission,
-    /// Asks on the first connection of an attempt alone. Breaks rule 3.
+    /// Asks the engine only on the first connection of an attempt. Violates rule 3.
     SkipsPermissionOnRedial,
-    /// Relies without end on a list of which nothing is heard. Breaks rule 3.
+    /// Keeps using the endpoint list after its lease has expired. Violates rule 3.
     IgnoresEndpointLease,
 }
 
-/// What a mutation knows of the sidecar whose actions it changes.
+/// The state of the sidecar whose actions are mutated.
 pub(crate) struct MutationContext<'a> {
-    /// Counts the turns of all sidecars.
+    /// The number of turns of all sidecars so far.
     pub(crate) turn: u64,
     pub(crate) now: Duration,
     pub(crate) config: &'a SidecarConfig,
-    /// The endpoint list as the sidecar has it, without pods that are gone.
+    /// The sidecar's endpoint list without pods that are gone.
     pub(crate) endpoints: &'a [Endpoint],
     pub(crate) requests: &'a BTreeMap<RequestId, RequestKind>,
 }
 
-/// What a mutation knows of a request.
+/// The properties of a request that mutations depend on.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestKind {
     pub(crate) class: ClassId,
@@ -76,7 +77,8 @@
 }
 
 impl Mutation {
-    /// Whether the host asks before the first byte of an attempt, on a connection after so many that broke.
+    /// Whether the host asks the engine before it sends the first byte of an attempt, given the number of broken
+    /// connections.
     pub(crate) fn asks_before_first_byte(self, broken_connections: u8) -> bool {
         match self {
             Mutation::SkipsPermission => false,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The actions that the sidecar carries out in place of its own.
+    /// Returns the actions that replace those of the engine.
     pub(crate) fn apply(self, actions: Vec<Action>, context: &MutationContext<'_>) -> Vec<Action> {
         actions
             .into_iter()
@@ -218,7 +220,7 @@
         self.ready_endpoints().min_by_key(|endpoint| endpoint.build)
     }
 
-    /// A ready pod that does not share the memory of idempotency keys with the chosen one.
+    /// A ready pod that does not share deduplication state with the chosen pod.
     fn outside_scope(&self, request: RequestId, chosen: PodId) -> Option<&Endpoint> {
         let chosen = self
             .endpoints
@@ -237,7 +239,7 @@
         })
     }
 
-    /// The first pod that is no longer listed, though a later one is.
+    /// The lowest pod ID that is not listed although a higher one is.
     fn removed_pod(&self) -> Option<PodId> {
         let unlisted = (1..MAX_PODS)
             .map(PodId)
@@ -249,7 +251,7 @@
         is_later_listed.then_some(unlisted)
     }
 
-    /// The youngest cold pod of the oldest build: with a newer one the cap would be broken first.
+    /// The most recently started cold pod of the oldest build. With a newer build the cap would be exceeded first.
     fn youngest_cold_pod(&self) -> Option<PodId> {
         let base_build = self.oldest_build()?.build;
         self.ready_endpoints()
@@ -276,7 +278,7 @@
     endpoint.map(|endpoint| start_attempt(request, endpoint.pod))
 }
 
-/// An action, followed by an attempt at a pod if there is one.
+/// Appends an attempt at the endpoint, if there is one, to an action.
 fn with_attempt(action: Action, request: RequestId, endpoint: Option<&Endpoint>) -> Vec<Action> {
     let mut actions = vec![action];
     actions.extend(attempt_at(request, endpoint));
--- a/crates/reference-model/src/rules/draining.rs
+++ b/crates/reference-model/src/rules/draining.rs
@@ -1,4 +1,4 @@
-//! Rule 3: pods that drain or are gone get nothing once the grace is over.
+//! Rule 3: draining and removed pods get no attempts after the grace period.
 
 use super::endpoint_lease;
 use crate::coverage::Coverage;
@@ -7,13 +7,13 @@
 use limewing_decision::interface::{AttemptIndex, PodState, RequestId};
 use std::time::Duration;
 
-/// Within this time a sidecar that does not watch the endpoint list has to ask for it. Short beside a run, or one that
-/// never asks would not be caught within it.
+/// The time within which a sidecar without a watch has to call the list service. It is much shorter than a run, so that
+/// a sidecar that never calls is detected within the run.
 const LIST_CALL_INTERVAL: Duration = Duration::from_secs(2);
-/// How many such intervals it has after a call that failed.
+/// The number of intervals allowed after a failed call.
 const INTERVALS_AFTER_FAILURE: u32 = 4;
 
-/// The first byte of an attempt, which is the moment that rule 3 is about.
+/// The first byte of an attempt. Rule 3 applies at the moment it is sent.
 pub(crate) struct FirstByte<'a> {
     pub(crate) sidecar: &'a SidecarHistory,
     pub(crate) request: RequestId,
@@ -22,7 +22,8 @@
     pub(crate) now: Duration,
 }
 
-/// No attempt is decided on for a pod that the sidecar knows, or had to know, to have drained past the grace.
+/// Checks that the sidecar neither knew, nor had to know, that the pod had been draining for longer than the grace
+/// period.
 pub(crate) fn check_attempt(
     attempt: &ProposedAttempt<'_>,
     true_list: &TrueList,
@@ -31,7 +32,7 @@
     let sidecar = attempt.sidecar;
     let pod = attempt.endpoint.pod;
     if sidecar.knows_past_grace(pod, attempt.now) {
-        return Err(broken(format!("{pod:?} is attempted past the grace")));
+        return Err(broken(format!("attempt at {pod:?} after its grace period")));
     }
     check_list_was_asked_for(attempt, true_list)?;
     let is_one_past_grace = sidecar
@@ -42,7 +43,8 @@
     Ok(())
 }
 
-/// A sidecar that watches no list and has not asked for long counts as notified of what the list held then.
+/// Checks that a sidecar without a watch called the list service in time. If it did not, it is treated as notified of
+/// the list as it was one interval ago.
 fn check_list_was_asked_for(
     attempt: &ProposedAttempt<'_>,
     true_list: &TrueList,
@@ -74,14 +76,14 @@
         .is_some_and(|record| record.learned_at > then);
     if !was_ready && is_past_grace && !has_learned_since {
         return Err(broken(format!(
-            "{pod:?} had gone from a list that was not asked for"
+            "attempt at {pod:?}, which is no longer ready in a list that was not requested in time"
         )));
     }
     Ok(())
 }
 
-/// What was decided before may not leave any more: the pod has drained past the grace or has another build by now, or
-/// the decision rests on a list whose lease has expired.
+/// Checks that an attempt may still be sent. It may not if the pod has been draining for longer than the grace period,
+/// if its build has changed since the decision, or if the decision is based on a list whose lease has expired.
 pub(crate) fn check_first_byte(
     first_byte: &FirstByte<'_>,
     true_list: &TrueList,
@@ -93,14 +95,14 @@
     let request = first_byte.request;
     if first_byte.sidecar.knows_past_grace(pod, first_byte.now) {
         return Err(broken(format!(
-            "{index:?} of {request:?} begins at {pod:?} past the grace"
+            "{index:?} of {request:?} is sent to {pod:?} after its grace period"
         )));
     }
     let build_now = first_byte.sidecar.endpoint(pod).map(|known| known.build);
     if build_now.is_some_and(|build| build != endpoint.build) {
         return Err(RuleBroken::new(
             Rule::Exposure,
-            format!("{index:?} of {request:?} begins at {pod:?}, which has another build by now"),
+            format!("{index:?} of {request:?} is sent to {pod:?}, whose build has changed"),
         ));
     }
     endpoint_lease::check_first_byte(first_byte, true_list, coverage)
--- a/crates/reference-model/src/rules/endpoint_lease.rs
+++ b/crates/reference-model/src/rules/endpoint_lease.rs
@@ -1,6 +1,7 @@
-//! Rule 3 while the endpoint list is unavailable: once nothing has been heard of it for lease and grace, nothing begins at
-//! a pod that in truth has drained for that long, as long as another pod of its build that served within the lease could
-//! take the attempt. A pod that drains and serves all the same is excepted, as it can't be told apart.
+//! Rule 3 while the list service is unavailable. After silence for longer than the lease plus the grace period, no
+//! attempt is sent to a pod that has in fact been draining for that long, provided that another pod of the same build
+//! served a request within the lease and is eligible. A draining pod that still serves requests is exempt, because the
+//! sidecar cannot distinguish it from a ready one.
 
 use super::draining::FirstByte;
 use crate::coverage::Coverage;
@@ -9,12 +10,12 @@
 use limewing_decision::interface::{AttemptOutcome, Endpoint, PodId, PodState};
 use std::time::Duration;
 
-/// How long news may take to cross a link, or to wait for the next step.
+/// The maximum time for an update to cross a link and wait for the next step.
 const LINK_DELAY: Duration = Duration::from_millis(50);
-/// A pod with an attempt in flight for longer may be taken for silent.
+/// A pod with an attempt in flight for longer than this may be considered unresponsive.
 const SILENCE_AFTER: Duration = Duration::from_millis(150);
 
-/// What speaks for the pod of a decision; none while the lease holds.
+/// Returns the evidence for the pod of an attempt, or `None` while the lease is valid.
 pub(crate) fn assess(attempt: &ProposedAttempt<'_>) -> Option<ExpiredLease> {
     let sidecar = attempt.sidecar;
     let now = attempt.now;
@@ -38,7 +39,7 @@
     })
 }
 
-/// Nothing begins on a stale decision, nor at a pod that has left while a better one is known.
+/// Checks that the decision is not stale, and that no alternative is known to a pod that was removed.
 pub(super) fn check_first_byte(
     first_byte: &FirstByte<'_>,
     true_list: &TrueList,
@@ -61,7 +62,7 @@
         return Err(RuleBroken::new(
             Rule::Design,
             format!(
-                "{index:?} of {request:?} begins at {pod:?} on an expired list and a decision older than the grace"
+                "{index:?} of {request:?} is sent to {pod:?} on an expired lease, by a decision older than the grace period"
             ),
         ));
     }
@@ -82,7 +83,7 @@
         return Err(RuleBroken::new(
             Rule::Draining,
             format!(
-                "{index:?} of {request:?} begins at {pod:?} on an expired list, though {better:?} serves"
+                "{index:?} of {request:?} is sent to {pod:?} on an expired lease, although {better:?} serves requests"
             ),
         ));
     }
@@ -94,7 +95,7 @@
     Ok(())
 }
 
-/// Whether another pod could take an attempt in place of the chosen one.
+/// Whether another pod is eligible for an attempt in place of the chosen one.
 fn could_take(attempt: &ProposedAttempt<'_>, other: &Endpoint) -> bool {
     let chosen = attempt.endpoint;
     let earlier = &attempt.request.attempts;
@@ -110,7 +111,7 @@
     is_same_ready_build && !was_tried && is_warm && (shares_location || earlier.is_empty())
 }
 
-/// The attempts of a sidecar at a pod as it is listed: another start of it is another pod.
+/// The attempts of a sidecar at one start of a pod. A restarted pod counts as a different pod.
 fn attempts_at<'a>(
     sidecar: &'a SidecarHistory,
     endpoint: &'a Endpoint,
@@ -125,7 +126,8 @@
         })
 }
 
-/// Whether a pod served a request sent since then, as far as the sidecar knew in a turn, and has rejected none after it.
+/// Whether the sidecar knew in a turn that a pod served a request sent after `since`, and that it rejected none
+/// afterwards.
 fn served_since(
     sidecar: &SidecarHistory,
     endpoint: &Endpoint,
@@ -147,8 +149,8 @@
         .any(|attempt| attempt.decided_at >= since && attempt.outcome_turn >= last_rejection)
 }
 
-/// Whether nothing that the sidecar knows speaks against a pod: all that was sent lately was served, and nothing has been
-/// in flight for long.
+/// Whether the sidecar has no evidence against a pod: all recent attempts succeeded, and none has been in flight for
+/// too long.
 fn is_sound(sidecar: &SidecarHistory, endpoint: &Endpoint, since: Duration, now: Duration) -> bool {
     attempts_at(sidecar, endpoint)
         .filter(|attempt| attempt.decided_at >= since)
--- a/crates/reference-model/src/rules/exposure.rs
+++ b/crates/reference-model/src/rules/exposure.rs
@@ -1,5 +1,5 @@
-//! Rule 5: a build on trial gets no more than its share, nothing that is not idempotent in guarded stages, and keeps the
-//! routing keys that it has served.
+//! Rule 5: a build on trial gets no more than its share of the requests, gets only idempotent requests in guarded
+//! stages, and keeps the routing keys that it has served.
 
 use crate::coverage::Coverage;
 use crate::history::{ProposedAttempt, RequestHistory, SidecarHistory, StageRecord};
@@ -10,23 +10,23 @@
 };
 use std::time::Duration;
 
-/// For the rounding of sums of floats.
+/// Tolerance for floating-point rounding.
 const ROUNDING: f64 = 1e-9;
 
-/// What a build on trial may get.
+/// The limits of a build on trial.
 struct TrialTerms {
     cap: f64,
     stage: u8,
 }
 
-/// The cap that binds a build now.
+/// The exposure cap in effect for a build.
 pub(crate) struct BindingCap {
     pub(crate) cap: f64,
-    /// Attempts count from then on.
+    /// Only attempts from this time on count against the cap.
     counted_from: Duration,
 }
 
-/// Checks all of the rule. It does not bind before the sidecar knows a stage.
+/// Checks all parts of the rule. It does not apply before the sidecar has received a stage update.
 pub(crate) fn check_attempt(
     attempt: &ProposedAttempt<'_>,
     coverage: &mut Coverage,
@@ -39,7 +39,7 @@
     check_sticky_key(attempt, &latest.update, coverage)
 }
 
-/// Whether a request of this class may not reach the build on trial in guarded stages.
+/// Whether requests of a class are kept from the build on trial during guarded stages.
 pub(crate) fn is_guarded(sidecar: &SidecarHistory, class: ClassId) -> bool {
     sidecar.config.classes[usize::from(class.0)].idempotency != Idempotency::Idempotent
 }
@@ -56,7 +56,7 @@
     };
     if is_guarded(attempt.sidecar, request.class) && stage < rollout.guarded_stages {
         return Err(broken(format!(
-            "{:?} is attempted at {build:?} in guarded stage {stage}, known since {:?}",
+            "attempt of {:?} at {build:?} in guarded stage {stage}, known since {:?}",
             request.id, latest.learned_at
         )));
     }
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-/// A routing key that the newest build has served does not go back to an older one.
+/// Checks that a routing key served by the newest build does not return to an older one.
 fn check_sticky_key(
     attempt: &ProposedAttempt<'_>,
     update: &StageUpdate,
@@ -124,13 +124,13 @@
     coverage.sticky_attempts += usize::from(runs_older_build);
     if build < newest {
         return Err(broken(format!(
-            "{key:?} was served by {newest:?} and goes back to {build:?}"
+            "{key:?} was served by {newest:?} and returns to {build:?}"
         )));
     }
     Ok(())
 }
 
-/// Whether the sidecar knew before this turn that a build served a request of that key.
+/// Whether the sidecar knew before a turn that a build had served a request with the routing key.
 fn was_served(request: &RequestHistory, key: RoutingKey, build: BuildId, turn: usize) -> bool {
     request.request.routing_key == Some(key)
         && request.attempts.iter().any(|attempt| {
@@ -140,8 +140,8 @@
         })
 }
 
-/// The terms of a build in one state of the rollout; none for a build that is not on trial. A build newer than the
-/// announced one counts as in its first stage.
+/// Returns the limits of a build under a stage update, or `None` if the build is not on trial. A build newer than the
+/// announced one is treated as being in its first stage.
 fn trial_terms(
     rollout: &RolloutConfig,
     build: BuildId,
@@ -162,8 +162,8 @@
     })
 }
 
-/// The cap that binds a build now; none if it is not on trial. A lower cap binds after the grace, and attempts are counted
-/// anew from then on.
+/// Returns the cap in effect for a build, or `None` if the build is not on trial. A lowered cap takes effect after the
+/// grace period, and only attempts from then on count against it.
 pub(crate) fn binding_cap(
     sidecar: &SidecarHistory,
     build: BuildId,
--- a/crates/reference-model/src/rules/mod.rs
+++ b/crates/reference-model/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The rules, a module each. Each check goes through the recorded history.
+//! One module per rule. Each check scans the recorded history.
 
 pub(crate) mod draining;
 pub(crate) mod endpoint_lease;
--- a/crates/reference-model/src/rules/one_answer.rs
+++ b/crates/reference-model/src/rules/one_answer.rs
@@ -1,34 +1,35 @@
-//! Rule 1: every request gets one answer, in time, and nothing is sent or answered after it.
+//! Rule 1: every request gets exactly one answer before its deadline, and nothing is sent or answered after it.
 
 use crate::history::{ProposedAttempt, RequestHistory};
 use crate::violation::{Rule, RuleBroken};
 use std::time::Duration;
 
-/// How much later than its deadline a request may be answered: the sidecar is only stepped every few milliseconds.
+/// The tolerance on the deadline of a request, as the sidecar runs only once per simulation step.
 const ANSWER_TOLERANCE: Duration = Duration::from_millis(20);
 
-/// Nothing is sent once the request has its answer. What the sidecar learned in this very turn may have crossed.
+/// Checks that no attempt starts after the request was answered. Notifications from the current turn may have crossed
+/// the attempt and do not count.
 pub(crate) fn check_attempt(attempt: &ProposedAttempt<'_>) -> Result<(), RuleBroken> {
     let request = attempt.request;
     let id = request.request.id;
     let turn = attempt.sidecar.turn;
     if request.answered_turn.is_some() {
-        return Err(broken(format!("{id:?} is attempted after its answer")));
+        return Err(broken(format!("attempt of {id:?} after its answer")));
     }
     if is_earlier(request.over_turn, turn) {
         return Err(broken(format!(
-            "{id:?} is attempted after the sidecar knew that it is over"
+            "attempt of {id:?} after the sidecar was notified that it had finished"
         )));
     }
     if is_earlier(request.stream_turn, turn) {
         return Err(broken(format!(
-            "{id:?} is attempted while its response streams"
+            "attempt of {id:?} while its response is streaming"
         )));
     }
     Ok(())
 }
 
-/// A request is answered once, in time, and not beside another answer.
+/// Checks that a request is answered only once, on time, and not in addition to a pod's response.
 pub(crate) fn check_answer(
     request: &RequestHistory,
     turn: usize,
@@ -40,21 +41,21 @@
     }
     if is_earlier(request.over_turn, turn) {
         return Err(broken(format!(
-            "{id:?} is answered after the sidecar knew that it is over"
+            "{id:?} is answered after the sidecar was notified that it had finished"
         )));
     }
     if is_earlier(request.stream_turn, turn) {
         return Err(broken(format!(
-            "{id:?} is answered while its response streams"
+            "{id:?} is answered while its response is streaming"
         )));
     }
     if is_late(request, now) {
-        return Err(broken(format!("{id:?} is answered late")));
+        return Err(broken(format!("{id:?} is answered after its deadline")));
     }
     Ok(())
 }
 
-/// A request whose deadline has passed has an answer.
+/// Checks that a request has an answer if its deadline has passed.
 pub(crate) fn check_overdue(request: &RequestHistory, now: Duration) -> Result<(), RuleBroken> {
     let has_answer = request.answered_turn.is_some()
         || request.over_turn.is_some()
--- a/crates/reference-model/src/rules/repeated_effect.rs
+++ b/crates/reference-model/src/rules/repeated_effect.rs
@@ -1,11 +1,11 @@
-//! Rule 2: no request that is not idempotent takes effect twice.
+//! Rule 2: no non-idempotent request takes effect twice.
 
 use crate::coverage::Coverage;
 use crate::history::{AttemptHistory, ProposedAttempt, RequestHistory};
 use crate::violation::{Rule, RuleBroken};
 use limewing_decision::interface::{DeduplicationScope, Endpoint, Idempotency, SidecarConfig};
 
-/// A request that may have run is only attempted again where a repeat does no harm.
+/// Checks that a request that may have run is only retried if running it again is safe.
 pub(crate) fn check_attempt(
     attempt: &ProposedAttempt<'_>,
     coverage: &mut Coverage,
@@ -18,7 +18,9 @@
         .iter()
         .any(|earlier| earlier.outcome.is_none());
     if !config.hedging && is_one_in_flight {
-        return Err(broken(format!("{id:?} is in flight twice without hedging")));
+        return Err(broken(format!(
+            "{id:?} has two attempts in flight without hedging"
+        )));
     }
     let may_have_run: Vec<&AttemptHistory> = request.attempts_that_may_have_run().collect();
     let idempotency = idempotency_of(request, config);
@@ -27,7 +29,7 @@
         Idempotency::NonIdempotent if may_have_run.is_empty() => {}
         Idempotency::NonIdempotent => {
             return Err(broken(format!(
-                "{id:?} is attempted again though it may have run"
+                "{id:?} is retried although it may have run"
             )))
         }
         Idempotency::Keyed {
@@ -40,7 +42,7 @@
             });
             if !is_deduplicated {
                 return Err(broken(format!(
-                    "{id:?} is attempted at {:?}, which may not know its idempotency key",
+                    "{id:?} is retried at {:?}, which may not know its idempotency key",
                     attempt.endpoint.pod
                 )));
             }
@@ -54,7 +56,8 @@
     Ok(())
 }
 
-/// A request is only rejected, which promises that it took no effect, if it did not run or a repeat does no harm.
+/// Checks that a request is only rejected if it did not run or can safely run again. A rejection tells the client that
+/// the request had no effect.
 pub(crate) fn check_rejection(
     request: &RequestHistory,
     config: &SidecarConfig,
@@ -71,7 +74,7 @@
         return Ok(());
     }
     Err(broken(format!(
-        "{:?} is rejected though it may have run",
+        "{:?} is rejected although it may have run",
         request.request.id
     )))
 }
@@ -80,7 +83,7 @@
     config.classes[usize::from(request.request.class.0)].idempotency
 }
 
-/// Whether two pods share the memory of idempotency keys.
+/// Whether two pods share the deduplication state of idempotency keys.
 fn shares_memory(scope: DeduplicationScope, one: &Endpoint, other: &Endpoint) -> bool {
     match scope {
         DeduplicationScope::All => true,
--- a/crates/reference-model/src/rules/retry_budget.rs
+++ b/crates/reference-model/src/rules/retry_budget.rs
@@ -1,23 +1,23 @@
-//! A limit of the design, not one of the five rules: how many attempts the requests of a sidecar pay for.
+//! The retry budget, a limit of the design that is not one of the five rules.
 
 use crate::history::SidecarHistory;
 use crate::violation::{Rule, RuleBroken};
 
-/// Attempts that each request pays for: itself, and 15 retries for each 100 requests.
+/// Attempts allowed per request: one, and 15 retries per 100 requests.
 const ATTEMPTS_PER_REQUEST: f64 = 1.15;
-/// Retries that may be saved up.
+/// Retries allowed in addition to those earned by requests.
 const SAVED_RETRIES: f64 = 20.0;
-/// For the rounding of sums of floats.
+/// Tolerance for floating-point rounding.
 const ROUNDING: f64 = 1e-6;
 
-/// A sidecar does not start more attempts than its requests pay for.
+/// Checks that a sidecar does not start more attempts than its retry budget allows.
 pub(crate) fn check(sidecar: &SidecarHistory) -> Result<(), RuleBroken> {
     let attempts = sidecar.attempt_starts.len() as f64;
     let requests = sidecar.arrivals.len() as f64;
     if attempts > ATTEMPTS_PER_REQUEST * requests + SAVED_RETRIES + ROUNDING {
         return Err(RuleBroken::new(
             Rule::Design,
-            format!("{attempts} attempts for {requests} requests"),
+            format!("{attempts} attempts for {requests} requests exceed the retry budget"),
         ));
     }
     Ok(())
--- a/crates/reference-model/src/rules/slow_start.rs
+++ b/crates/reference-model/src/rules/slow_start.rs
@@ -1,11 +1,11 @@
-//! Rule 4: pods that are warming up get no more than they can bear, counted over all sidecars.
+//! Rule 4: pods in slow start get no more load than they can handle, counted over all sidecars.
 
 use crate::coverage::Coverage;
 use crate::history::{AttemptAtPod, PodStart, ProposedAttempt};
 use crate::violation::{Rule, RuleBroken};
 
-/// Records an attempt at a pod, and checks the load since its start. The rule only binds if at least two thirds of the
-/// attempts come from sidecars that know of the start, and allows one standard deviation for chance.
+/// Records an attempt at a pod, and checks the pod's recent load. The rule applies only if at least two thirds of the
+/// attempts come from sidecars that know of the pod's start. One standard deviation is allowed for random variation.
 pub(crate) fn check_attempt(
     attempt: &ProposedAttempt<'_>,
     start: &mut PodStart,
@@ -38,7 +38,7 @@
         return Err(RuleBroken::new(
             Rule::SlowStart,
             format!(
-                "{} attempts at cold {:?}, {allowed:.1} allowed",
+                "{} attempts at {:?} in slow start, {allowed:.1} allowed",
                 recent.len(),
                 attempt.endpoint.pod
             ),
--- a/crates/reference-model/src/simulation/attempts.rs
+++ b/crates/reference-model/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way from a sidecar to a pod and back, as the sidecar's host sees them.
+//! The attempts of a sidecar, from connecting to a pod to reporting the outcome, as seen by the emulated host.
 
 use super::event::{Attempt, ClientRequest, SimulationEvent};
 use super::pods::Pod;
@@ -11,26 +11,26 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// The share of attempts that find no idle connection and have to dial.
+/// The share of attempts that find no idle connection and need a new one.
 const DIAL_RATE: f64 = 0.1;
-/// The share of connections that break before the first byte, after so many that did.
+/// The share of connections that break before the first byte, by the number of earlier broken connections.
 const BREAK_RATES: [f64; 4] = [0.05, 0.5, 0.5, 0.0];
-/// The range of times that a connection takes to be established, in milliseconds.
+/// The range of the time to establish a connection, in milliseconds.
 const MIN_DIAL: u64 = 5;
 const MAX_DIAL: u64 = 1000;
-/// How long until a connection to no process is refused, and until one that gets no reply is given up.
+/// The time until a connection to a pod that is not running is refused, and the timeout if there is no reply.
 const REFUSED_AFTER: Duration = Duration::from_millis(2);
 const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// The duration that results report; the decisions are not tested on it.
+/// The duration in attempt results. The runs do not test how the engine uses it.
 const REPORTED_DURATION: Duration = Duration::from_millis(50);
-/// The pod that the result of a cancelled attempt names.
+/// A placeholder for the pod in the result of a cancelled attempt.
 const NO_POD: PodId = PodId(0);
 
-/// A request at a sidecar's host.
+/// A request in progress at a sidecar's host.
 pub(super) struct OpenRequest {
     pub(super) client_request: ClientRequest,
     pub(super) deadline: Duration,
-    /// For each attempt, whether it has ended.
+    /// Whether each attempt has ended, by attempt index.
     attempts_ended: Vec<bool>,
     pub(super) is_over: bool,
     is_streaming: bool,
@@ -39,7 +39,7 @@
 /// An established connection, for one attempt.
 pub(super) struct ReadyConnection {
     attempt: Attempt,
-    /// How many connections for the attempt broke before.
+    /// The number of earlier connections that broke during this attempt.
     broken_connections: u8,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether nothing may be sent for it any more.
+    /// Whether no further attempt of the request may be sent.
     fn is_closed(&self, now: Duration) -> bool {
         self.is_over || self.is_streaming || now >= self.deadline
     }
@@ -120,7 +120,7 @@
         self.report_result(&attempt, AttemptOutcome::Cancelled, is_over, STEP);
     }
 
-    /// Finds a connection for an attempt: mostly an idle one, else one that has to be dialled.
+    /// Gets a connection for an attempt. Most attempts find an idle one, the others open a new one.
     fn dial(&mut self, attempt: Attempt, broken_connections: u8) {
         if broken_connections == 0 && !self.link_rng.random_bool(DIAL_RATE) {
             let connection = ReadyConnection {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Writes the attempts whose connections are established.
+    /// Sends the attempts whose connections are established.
     pub(super) fn write_attempts(&mut self, sidecar: usize) -> Result<(), Violation> {
         let ready = std::mem::take(&mut self.sidecars[sidecar].ready_connections);
         for connection in ready {
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Writes an attempt, if the decisions still allow it. Its connection may break unused.
+    /// Sends an attempt if the engine still allows it. The connection may break before the first byte.
     fn write_attempt(&mut self, connection: ReadyConnection) -> Result<(), Violation> {
         let ReadyConnection {
             attempt,
@@ -206,7 +206,7 @@
         Ok(())
     }
 
-    /// There is no process: the connection is refused at once, or there is no reply.
+    /// Fails the connection to a pod that is not running: it is either refused quickly or times out.
     fn connect_fails(&mut self, attempt: Attempt) {
         let wait = if self.rng.random_bool(0.5) {
             REFUSED_AFTER
@@ -224,7 +224,7 @@
         self.attempt_ends(attempt, AttemptOutcome::TimedOut);
     }
 
-    /// The host learns the outcome of an attempt, unless it has ended for it before.
+    /// Passes the outcome of an attempt to the host, unless the attempt has already ended there.
     pub(super) fn attempt_ends(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
         let host = &mut self.sidecars[attempt.sidecar.index];
         if host.incarnation != attempt.sidecar.incarnation {
@@ -240,7 +240,7 @@
         let succeeded = outcome == AttemptOutcome::Succeeded;
         let may_stream = self.config.classes[usize::from(attempt.class.0)].streaming;
         if may_stream && succeeded && !open.is_over {
-            // The other attempts of this request end by themselves; their responses are dropped.
+            // Other attempts of this request run to their end, and their responses are dropped.
             open.is_streaming = true;
             host.inbox.push(Event::StreamStarted {
                 request: attempt.request,
@@ -281,7 +281,7 @@
         self.report_result(attempt, outcome, true, STEP);
     }
 
-    /// The decisions learn of a result in the next step, or now and then a little later.
+    /// Delivers a result to the engine in the next step, or occasionally a few steps later.
     fn report_result(
         &mut self,
         attempt: &Attempt,
--- a/crates/reference-model/src/simulation/discovery.rs
+++ b/crates/reference-model/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! The list service: a log of changes, and watches that deliver them late, in parts or not at all.
+//! The emulated list service: a log of changes, and watches that deliver them late, in batches or not at all.
 
 use super::event::{DiscoveryState, SidecarRef, SimulationEvent};
 use super::sidecars::by_pod;
@@ -10,13 +10,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A watch that says nothing for this long, or a call that has no answer by then, is given up.
+/// The timeout of a silent watch, and of a call without a response.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// The list service.
+/// The state of the list service.
 pub(super) struct Discovery {
     state: DiscoveryState,
-    /// How much later than usual changes arrive.
+    /// The extra delay of list updates.
     pub(super) delay: Duration,
     log: Vec<ListChange>,
 }
@@ -43,7 +43,7 @@
         self.list_at(self.log.len())
     }
 
-    /// The list after so many changes.
+    /// Returns the list after the first `position` changes.
     fn list_at(&self, position: usize) -> Vec<Endpoint> {
         let mut latest: BTreeMap<PodId, &Endpoint> = BTreeMap::new();
         for endpoint in self.log[..position]
@@ -59,7 +59,7 @@
             .collect()
     }
 
-    /// What changed between two positions.
+    /// Returns the changes between two positions of the log.
     fn changes(&self, from: usize, to: usize) -> Vec<Endpoint> {
         self.log[from..to]
             .iter()
@@ -67,7 +67,7 @@
             .collect()
     }
 
-    /// How many changes are at least as old as `lag`.
+    /// Returns the number of changes that are at least as old as `lag`.
     fn position_behind(&self, now: Duration, lag: Duration) -> usize {
         self.log
             .iter()
@@ -90,7 +90,7 @@
         self.model.list_changed(self.now, list);
     }
 
-    /// Whether a row that says that a pod is gone comes too late: it runs again.
+    /// Whether an endpoint that reports a pod as gone is outdated because the pod has restarted.
     fn has_restarted_since(&self, endpoint: &Endpoint) -> bool {
         let running = self
             .pods
@@ -100,7 +100,7 @@
             && running.is_some_and(|pod| pod.endpoint.started_at != endpoint.started_at)
     }
 
-    /// Delivers the changes that have arrived by now, over a watch or as they are pushed.
+    /// Delivers the changes that have arrived by now, over a watch or by push.
     pub(super) fn deliver_list(&mut self, sidecar: usize) {
         let host = &self.sidecars[sidecar];
         let needs_watch = self.config.watch_on_request;
@@ -123,7 +123,7 @@
         self.deliver_update(sidecar, to, update);
     }
 
-    /// How much of the log has arrived at a sidecar.
+    /// Returns the position in the log up to which changes have arrived at a sidecar.
     fn list_position(&self, sidecar: usize) -> usize {
         let host = &self.sidecars[sidecar];
         let lag = host.list_lag + self.discovery.delay;
@@ -132,7 +132,7 @@
             .max(host.list_position)
     }
 
-    /// Whether a watch says anything in this step; one that has been silent for too long is given up.
+    /// Returns whether a watch receives data or a keep-alive in this step. A watch past its silence timeout is closed.
     fn hears_watch(&mut self, sidecar: usize) -> bool {
         let host = &mut self.sidecars[sidecar];
         let answers = self.discovery.state == DiscoveryState::Answers;
@@ -146,7 +146,7 @@
         answers
     }
 
-    /// The host notifies the decisions that a watch or a call was lost.
+    /// Notifies the engine that a watch ended or a call failed.
     fn lose_watch(&mut self, sidecar: usize, cause: WatchLossCause) {
         let host = &mut self.sidecars[sidecar];
         host.is_watching = false;
@@ -166,7 +166,7 @@
         host.inbox.push(Event::Endpoints(update));
     }
 
-    /// The list service answers a call: with the changes missed, with all of the list, or not at all.
+    /// Responds to a call with the missed changes, with a full snapshot, or not at all.
     pub(super) fn answer_watch_call(&mut self, caller: SidecarRef) {
         let sidecar = caller.index;
         if !self.is_current(caller) {
@@ -206,7 +206,8 @@
         }
     }
 
-    /// A service that refuses closes the watches that are open; one that falls silent leaves that to be found out.
+    /// Changes the state of the list service. When it starts to refuse calls, it also closes the open watches. When it
+    /// becomes silent, sidecars have to detect it by timeout.
     pub(super) fn discovery_changes(&mut self, state: DiscoveryState) {
         self.discovery.state = state;
         if state != DiscoveryState::Refuses {
--- a/crates/reference-model/src/simulation/draw.rs
+++ b/crates/reference-model/src/simulation/draw.rs
@@ -1,4 +1,4 @@
-//! Drawing a fleet from a seed. The order of the draws is part of what a seed means.
+//! Generates a fleet from a seed. Changing the order of the random draws changes the run of every seed.
 
 use super::discovery::Discovery;
 use super::pods::{CORES, WORK_PER_REQUEST};
@@ -16,9 +16,9 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// How long most pods have run when a run starts.
+/// The age of the pods at the start of most runs.
 const POD_AGE: Duration = Duration::from_secs(600);
-/// How long the endpoint list has stood when a run starts.
+/// The age of the endpoint list at the start of a run.
 const LIST_AGE: Duration = Duration::from_secs(60);
 const DEDUPLICATION_SCOPES: [DeduplicationScope; 3] = [
     DeduplicationScope::All,
@@ -68,7 +68,7 @@
         simulation
     }
 
-    /// Most fleets have run for long; some are new.
+    /// Adds the initial pods. In most runs they are past slow start, in some they have just started.
     fn draw_pods(&mut self, pod_count: usize) {
         let is_new = self.rng.random_bool(0.2);
         let started_at = if is_new { START } else { START - POD_AGE };
@@ -147,7 +147,7 @@
     }
 }
 
-/// One class of each idempotency, and one whose responses stream.
+/// Returns one class for each kind of idempotency, and one with streaming responses.
 fn request_classes(deduplicated_by: DeduplicationScope) -> Vec<RequestClass> {
     let keyed = Idempotency::Keyed {
         deduplicated_by,
--- a/crates/reference-model/src/simulation/event.rs
+++ b/crates/reference-model/src/simulation/event.rs
@@ -1,18 +1,18 @@
-//! What is scheduled in a run.
+//! The events of a simulation run.
 
 use limewing_decision::interface::{
     AttemptIndex, AttemptOutcome, BuildId, ClassId, Endpoint, Event, PodId, RequestId, RoutingKey,
 };
 use std::time::Duration;
 
-/// One incarnation of a sidecar.
+/// Identifies one incarnation of a sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SidecarRef {
     pub(super) index: usize,
     pub(super) incarnation: u32,
 }
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone)]
 pub(super) struct Attempt {
     pub(super) sidecar: SidecarRef,
@@ -22,16 +22,16 @@
     pub(super) pod: PodId,
 }
 
-/// What a client asks for.
+/// A request as sent by a client.
 #[derive(Clone, Copy)]
 pub(super) struct ClientRequest {
     pub(super) class: ClassId,
     pub(super) routing_key: Option<RoutingKey>,
-    /// How often the client asks again when it gets no answer.
+    /// The number of retries left.
     pub(super) retries: u8,
 }
 
-/// How the list service behaves.
+/// The state of the emulated list service.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum DiscoveryState {
     Answers,
@@ -39,11 +39,11 @@
     Silent,
 }
 
-/// Something that falls due.
+/// A scheduled event.
 pub(super) enum SimulationEvent {
-    /// A sidecar's host learns of an event.
+    /// A sidecar's host receives an event.
     Deliver(SidecarRef, Event),
-    /// The connection of an attempt is established.
+    /// The connection for an attempt is established.
     ConnectionReady {
         attempt: Attempt,
         broken_connections: u8,
@@ -53,12 +53,12 @@
         pod_index: usize,
         attempt: Attempt,
     },
-    /// The result of an attempt comes back.
+    /// The host receives the outcome of an attempt.
     AttemptEnds {
         attempt: Attempt,
         outcome: AttemptOutcome,
     },
-    /// The client of an attempt waits no longer.
+    /// An attempt reaches the deadline of its request.
     AttemptTimesOut(Attempt),
     StreamEnds {
         attempt: Attempt,
@@ -71,20 +71,20 @@
         request: RequestId,
     },
     PodDies(usize),
-    /// A pod that died starts again; with no build given, with the one that is rolled out.
+    /// A crashed pod restarts, with the current build of the rollout if `build` is `None`.
     PodRestarts {
         pod_index: usize,
         build: Option<BuildId>,
     },
-    /// A pod that drained goes.
+    /// A drained pod is removed.
     PodRemoved(usize),
-    /// Rows of the endpoint list change.
+    /// Endpoints change in the list service.
     ListChanges(Vec<Endpoint>),
     PodHangs {
         pod_index: usize,
         hangs: bool,
     },
-    /// A pod needs so many times as long.
+    /// The service time of a pod is multiplied by `factor`.
     PodSlows {
         pod_index: usize,
         factor: f64,
@@ -104,16 +104,16 @@
     },
     SidecarDies(usize),
     SidecarStarts(usize),
-    /// The endpoint list arrives later by so much.
+    /// List updates are delayed by this time.
     ListDelayed(Duration),
-    /// Stage updates arrive later by so much.
+    /// Stage updates are delayed by this time.
     StageDelayed(Duration),
     InstallerDown(bool),
     CapLowered,
-    /// The installer looks whether the rollout goes on, if it is still in that state.
+    /// The rollout service advances the rollout, unless its state has changed since.
     RolloutStep {
         state: u64,
     },
-    /// Clients arrive so many times as often.
+    /// The request rate is multiplied by this factor.
     Overload(f64),
 }
--- a/crates/reference-model/src/simulation/faults.rs
+++ b/crates/reference-model/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Drawing what goes wrong in a run, and when. Each kind of fault can come more than once, and beside others.
+//! Generates the faults of a run. Faults of the same or different kinds can overlap.
 
 use super::event::{DiscoveryState, SimulationEvent};
 use super::{ms, Simulation, START};
@@ -8,7 +8,7 @@
 /// The earliest start of each outage of the list service, in milliseconds from the start of the run.
 const OUTAGE_STARTS: [u64; 2] = [1000, 12_000];
 
-/// Kinds of faults, as often as they are drawn.
+/// The kinds of faults, repeated according to their frequency.
 const FAULT_KINDS: [FaultKind; 14] = [
     FaultKind::PodDeaths,
     FaultKind::PodHang,
@@ -32,7 +32,7 @@
     PodHang,
     PodSlowness,
     LostAnswers,
-    /// All pods are slow at once.
+    /// All pods are slow at the same time.
     FleetSlowness,
     WatchBreak,
     SidecarStall,
@@ -44,7 +44,7 @@
     Overload,
 }
 
-/// When a fault begins and ends, and whom it befalls.
+/// The time span of a fault, and the pod and sidecar it affects.
 struct FaultDraw {
     start: Duration,
     end: Duration,
@@ -53,14 +53,14 @@
 }
 
 impl FaultDraw {
-    /// The end of faults of sidecars, which are shorter.
+    /// Returns the end of a sidecar fault. Sidecar faults are shorter than others.
     fn sidecar_end(&self) -> Duration {
         self.start + (self.end - self.start) / 3
     }
 }
 
 impl Simulation {
-    /// Schedules the start of everything and a handful of faults.
+    /// Schedules the start of the sidecars, the clients and the first rollout, and 5 to 11 faults.
     pub(super) fn draw_faults(&mut self, pod_count: usize) {
         for sidecar in 0..self.sidecars.len() {
             self.schedule(START, SimulationEvent::SidecarStarts(sidecar));
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Several pods die at once; some come back with another build under the same id.
+    /// Schedules simultaneous crashes of 1 to 3 pods. Some pods restart with a different build under the same ID.
     fn draw_pod_deaths(&mut self, fault: &FaultDraw, pod_count: usize) {
         let first = fault.pod_index;
         let end = (first + self.rng.random_range(1..4)).min(pod_count);
@@ -157,7 +157,7 @@
         self.schedule(fault.sidecar_end(), SimulationEvent::SidecarStarts(sidecar));
     }
 
-    /// A fault of the services that tell sidecars of endpoints and stages.
+    /// Schedules a fault of the list service or the rollout service.
     fn draw_control_fault(&mut self, kind: FaultKind, fault: &FaultDraw) {
         let (start, end) = (fault.start, fault.end);
         match kind {
@@ -188,7 +188,7 @@
         self.schedule(fault.end, slows(1.0));
     }
 
-    /// The list service is lost for long, once or twice.
+    /// Schedules one or two long outages of the list service.
     pub(super) fn draw_outages(&mut self) {
         let count = self.link_rng.random_range(1..=2);
         for earliest in OUTAGE_STARTS.into_iter().take(count) {
--- a/crates/reference-model/src/simulation/mod.rs
+++ b/crates/reference-model/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet drawn from a seed, with its faults, in steps of 5 ms. Pods, the list service, the installer, clients and links
-//! are emulated; the decisions are the real ones.
+//! Simulates a fleet with faults, generated from a seed, in steps of 5 ms. Pods, the list service, the rollout service,
+//! clients and links are emulated. The decision engine is the real one.
 
 mod attempts;
 mod clients;
@@ -26,25 +26,25 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The time between two steps.
+/// The simulated time between two steps.
 const STEP: Duration = Duration::from_millis(5);
-/// When a run starts, on its own clock.
+/// The simulated time at which a run starts.
 const START: Duration = Duration::from_secs(1000);
-/// How long a run lasts.
+/// The duration of a run in simulated time.
 const RUN_DURATION: Duration = Duration::from_secs(24);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// The first step of a run that broke a rule.
+/// The first rule violation in a run.
 #[derive(Debug)]
 pub struct RunFailure {
-    /// What the run was drawn from.
+    /// The seed of the run.
     pub seed: u64,
-    /// The number of the step, from 1.
+    /// The step of the violation, counted from 1.
     pub step: usize,
-    /// The rule, and how it was broken.
+    /// The violation.
     pub violation: Violation,
 }
 
@@ -62,38 +62,38 @@
 
 /// The state of one run.
 struct Simulation {
-    /// Draws the fleet, its load and its faults.
+    /// The random number generator for the fleet, its load and its faults.
     rng: StdRng,
-    /// Draws what befalls connections and the list service. It is apart, so that the rest of a run stays as its seed drew
-    /// it.
+    /// The random number generator for connections and list service outages. It is separate so that its draws do not
+    /// change the rest of a run.
     link_rng: StdRng,
     now: Duration,
     step: usize,
     queue: EventQueue<SimulationEvent>,
-    /// What the sidecars have in common.
+    /// The configuration shared by all sidecars.
     config: SidecarConfig,
     sidecars: Vec<Sidecar>,
     pods: Vec<Pod>,
     last_pod_id: u64,
-    /// Pods that drain reject new attempts; else they serve them until they go.
+    /// Whether draining pods reject new attempts. Otherwise they serve them until they are removed.
     draining_pods_reject: bool,
     discovery: Discovery,
     rollout: Rollout,
     last_request_id: u64,
-    /// Requests a second, on average, of a fleet that is not overloaded.
+    /// The mean number of requests per second without overload.
     request_rate: f64,
     overload: f64,
     model: ReferenceModel,
     mutation: Mutation,
-    /// Counts the turns of all sidecars.
+    /// The number of turns of all sidecars so far.
     turns: u64,
 }
 
-/// Plays one drawn run to its end, and adds what it put to the test.
+/// Runs the simulation of one seed, and adds its counts to `coverage`.
 ///
 /// # Errors
 ///
-/// The first step at which a rule was broken.
+/// Returns the first rule violation.
 pub fn play(seed: u64, mutation: Mutation, coverage: &mut Coverage) -> Result<(), Box<RunFailure>> {
     let mut simulation = Simulation::draw(seed, mutation);
     simulation.model.coverage = *coverage;
--- a/crates/reference-model/src/simulation/pods.rs
+++ b/crates/reference-model/src/simulation/pods.rs
@@ -1,4 +1,4 @@
-//! Pods: a queue, a few cores, and faults.
+//! Emulated pods with a request queue, a few cores and faults.
 
 use super::event::{Attempt, SimulationEvent};
 use super::{ms, Simulation};
@@ -9,34 +9,34 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Requests that a pod serves at once.
+/// The number of requests that a pod serves concurrently.
 pub(super) const CORES: usize = 2;
-/// The time that a request takes on a warm core, in seconds on average.
+/// The mean service time of a request on a warm pod, in seconds.
 pub(super) const WORK_PER_REQUEST: f64 = 0.05;
-/// Requests that wait at a pod before it rejects more.
+/// The queue length at which a pod rejects further requests.
 const MAX_QUEUE: usize = 20;
-/// How long a small message takes back over a link.
+/// The latency of a response over a link.
 const LINK_DELAY: Duration = Duration::from_millis(1);
-/// How long until the reset of a connection is noticed.
+/// The time until a connection reset is detected.
 const RESET_DELAY: Duration = Duration::from_millis(2);
-/// The share of requests that any pod ends with a reset.
+/// The share of requests that end with a connection reset at any pod.
 const RESET_RATE: f64 = 0.002;
 
-/// One process, or the place of one that died.
+/// A pod, which may have crashed and not restarted yet.
 pub(super) struct Pod {
-    /// Its row of the endpoint list, once that is up to date.
+    /// The pod's current endpoint, which the list service may not have yet.
     pub(super) endpoint: Endpoint,
     pub(super) is_running: bool,
     pub(super) started_at: Duration,
     pub(super) hangs: bool,
-    /// It needs so many times as long.
+    /// The factor on the service time.
     pub(super) slowness: f64,
     pub(super) loses_answers: bool,
     waiting: VecDeque<Attempt>,
     working: Vec<Work>,
 }
 
-/// A request on a core.
+/// A request being served by a core.
 struct Work {
     done_at: Duration,
     attempt: Attempt,
@@ -47,13 +47,13 @@
         self.is_running && self.endpoint.state == PodState::Ready
     }
 
-    /// Takes all that it has not answered.
+    /// Removes and returns all unanswered attempts.
     fn take_attempts(&mut self) -> Vec<Attempt> {
         let working = self.working.drain(..).map(|work| work.attempt);
         self.waiting.drain(..).chain(working).collect()
     }
 
-    /// Takes what its cores have finished.
+    /// Removes and returns the attempts whose service has finished.
     fn take_finished(&mut self, now: Duration) -> Vec<Attempt> {
         let (finished, working) = std::mem::take(&mut self.working)
             .into_iter()
@@ -81,7 +81,7 @@
         PodId(self.last_pod_id)
     }
 
-    /// Adds a pod at a new place.
+    /// Adds a pod. Its zone and cell follow from its position.
     pub(super) fn add_pod(&mut self, id: PodId, build: BuildId, started_at: Duration) {
         let place = self.pods.len() as u64;
         let endpoint = Endpoint {
@@ -107,7 +107,7 @@
         });
     }
 
-    /// A pod that died starts again under its id, unless it was drained.
+    /// Restarts a crashed pod under the same ID, unless it was draining.
     pub(super) fn pod_restarts(&mut self, pod_index: usize, build: Option<BuildId>) {
         let build = build.unwrap_or(self.rollout.stage.build);
         let now = self.now;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Gives free cores what waits.
+    /// Assigns queued attempts to idle cores.
     fn start_work(&mut self, pod_index: usize) {
         let safety = &self.config.safety;
         let pod = &mut self.pods[pod_index];
--- a/crates/reference-model/src/simulation/rollout.rs
+++ b/crates/reference-model/src/simulation/rollout.rs
@@ -1,4 +1,4 @@
-//! The installer: builds on trial, stages, and the sidecars' votes.
+//! The emulated rollout service: builds on trial, stages and the sidecars' votes.
 
 use super::event::SimulationEvent;
 use super::{ms, Simulation};
@@ -10,38 +10,38 @@
 use std::time::Duration;
 
 pub(super) const FIRST_BUILD: BuildId = BuildId(1);
-/// The share of the fleet that runs the new build in each stage.
+/// The share of the pods that run the new build in each stage.
 pub(super) const STAGE_SHARES: [f64; 3] = [0.15, 0.4, 1.0];
-/// The share of the requests that the new build may get in each stage.
+/// The exposure cap of the new build in each stage.
 pub(super) const EXPOSURE_CAPS: [f64; 3] = [0.2, 0.5, 1.0];
-/// How long a stage lasts.
+/// The duration of a stage.
 const STAGE_DURATION: Duration = Duration::from_secs(3);
-/// How long a rollback takes.
+/// The duration of a rollback.
 const ROLLBACK_DURATION: Duration = Duration::from_millis(2500);
-/// How soon the installer looks again when it is down.
+/// The interval at which a step is retried while the rollout service is down.
 const INSTALLER_RETRY: Duration = Duration::from_millis(500);
-/// How soon the installer looks again at a stage that is held.
+/// The interval at which a held stage is checked again.
 const HOLD_INTERVAL: Duration = Duration::from_millis(250);
-/// When an operator promotes a stage that the votes do not.
+/// The time after which an operator promotes a held stage.
 const MAX_HOLD: Duration = Duration::from_secs(6);
-/// What an operator leaves of the cap when it is lowered.
+/// The factor applied to the cap when an operator lowers it.
 const LOWERED_CAP_SHARE: f64 = 0.4;
 
-/// The rollout as the installer has it.
+/// The state of the rollout service.
 pub(super) struct Rollout {
     pub(super) stage: StageUpdate,
-    /// Counts the installer's states: a step due from an older one is void.
+    /// The number of state changes. A step scheduled in an earlier state is ignored.
     state: u64,
     pub(super) is_installer_down: bool,
-    /// How long the stage has been held.
+    /// The time for which the stage has been held.
     held_for: Duration,
-    /// How much later than usual stage updates arrive.
+    /// The extra delay of stage updates.
     pub(super) update_delay: Duration,
-    /// The share of requests that a build answers with an error.
+    /// The share of requests that each build answers with an error.
     error_rates: BTreeMap<BuildId, f64>,
 }
 
-/// A vote that counts.
+/// A counted vote.
 #[derive(Clone, Copy)]
 pub(super) struct CastVote {
     at: Duration,
@@ -51,7 +51,7 @@
 }
 
 impl Rollout {
-    /// The first build, released.
+    /// Creates a rollout whose first build is released.
     pub(super) fn new() -> Self {
         Self {
             stage: StageUpdate {
@@ -75,7 +75,7 @@
 }
 
 impl Simulation {
-    /// Changes the state of the rollout, which the sidecars learn after their lags.
+    /// Changes the state of the rollout. Each sidecar receives the update after its lag.
     fn change_stage(&mut self, stage: StageUpdate) {
         self.rollout.stage = stage;
         self.rollout.state += 1;
@@ -178,7 +178,8 @@
         self.schedule_in(wait, SimulationEvent::RolloutStep { state });
     }
 
-    /// Starts pods of a build until it has a share of the fleet; each drains the pod whose place it takes.
+    /// Starts pods of a build until it has a share of the fleet. Each new pod replaces an old one, which starts to
+    /// drain.
     fn replace_pods(&mut self, old: BuildId, new: BuildId, share: f64) {
         let ready_count = self.pods.iter().filter(|pod| pod.is_ready()).count();
         let old_pods: Vec<usize> = (0..self.pods.len())
@@ -210,13 +211,13 @@
         self.list_changes(vec![started, draining]);
         let mut wait = ms(self.rng.random_range(1500..3500));
         if self.config.endpoint_lease.is_some() {
-            // Long beside the lease, or no pod would be there that has drained for longer.
+            // Some pods have to drain for longer than the lease, so that the lease rule is exercised.
             wait += ms(self.link_rng.random_range(0..5000));
         }
         self.schedule_in(wait, SimulationEvent::PodRemoved(old_index));
     }
 
-    /// The installer looks whether the rollout goes on.
+    /// Advances the rollout, unless the stage is held or the rollout service is down.
     pub(super) fn step_rollout(&mut self, state: u64) {
         if state != self.rollout.state {
             return;
@@ -248,7 +249,7 @@
         self.schedule_step(STAGE_DURATION);
     }
 
-    /// Whether the votes keep a stage from being promoted.
+    /// Whether votes, or missing votes, prevent the promotion of the stage.
     fn is_held(&self) -> bool {
         match self.config.rollout.control {
             Control::Clock => self.has_vote(Verdict::Hold),
@@ -256,7 +257,7 @@
         }
     }
 
-    /// Whether a vote for this verdict on the present stage still counts.
+    /// Whether there is an unexpired vote with this verdict on the current stage.
     fn has_vote(&self, verdict: Verdict) -> bool {
         let stage = self.rollout.stage;
         let ttl = self.config.rollout.vote_ttl;
@@ -270,8 +271,8 @@
         })
     }
 
-    /// Puts the next build on trial. Its pods or its announcement may reach a sidecar first; an unannounced build counts as
-    /// in its first stage.
+    /// Puts the next build on trial. A sidecar may learn of the new pods before the stage update, and treats an
+    /// unannounced build as being in its first stage.
     fn offer_next_build(&mut self) {
         let build = BuildId(self.rollout.stage.build.0 + 1);
         let error_rate = if self.rng.random_bool(0.4) {
@@ -297,7 +298,7 @@
         });
     }
 
-    /// Goes on to the next stage of the build on trial.
+    /// Advances the build on trial to its next stage.
     fn promote(&mut self) {
         let stage = self.rollout.stage;
         let next = stage.stage.0 + 1;
--- a/crates/reference-model/src/simulation/sidecars.rs
+++ b/crates/reference-model/src/simulation/sidecars.rs
@@ -1,4 +1,4 @@
-//! Sidecars: the real decisions, and an emulated host that feeds them events and carries out their actions.
+//! Sidecars: the real decision engine, and an emulated host that delivers its events and executes its actions.
 
 use super::attempts::{OpenRequest, ReadyConnection};
 use super::event::{SidecarRef, SimulationEvent};
@@ -14,17 +14,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after its start a sidecar's host first asks for the endpoint list.
+/// The time from the start of a sidecar to its first call to the list service.
 const FIRST_WATCH_CALL: Duration = Duration::from_millis(100);
-/// Zones that the sidecars are spread over.
+/// The number of zones with sidecars.
 const ZONES: usize = 2;
 
-/// How events are passed to the decisions.
+/// The method of the engine that handles a batch of events.
 type Entry = fn(&mut DecisionEngine, Duration, Vec<Event>) -> Vec<Action>;
 
-/// One sidecar, and what its host knows.
+/// A sidecar and the state of its host.
 pub(super) struct Sidecar {
-    /// None while it is down.
+    /// The engine, or `None` while the sidecar is down.
     pub(super) engine: Option<DecisionEngine>,
     pub(super) incarnation: u32,
     pub(super) is_stalled: bool,
@@ -32,27 +32,27 @@
     pub(super) inbox: Vec<Event>,
     wake_at: Duration,
     pub(super) requests: BTreeMap<RequestId, OpenRequest>,
-    /// How many changes of the endpoint list it has had.
+    /// The position in the log of list changes up to which the sidecar has received them.
     pub(super) list_position: usize,
-    /// The list that these amount to; it outlives a restart.
+    /// The endpoint list at that position, which is kept over a restart.
     pub(super) endpoints: BTreeMap<PodId, Endpoint>,
     pub(super) is_watching: bool,
-    /// When anything was last heard of the list: an open watch has an empty line in each step.
+    /// When the list service was last heard from. An open watch receives a keep-alive in each step.
     pub(super) list_heard_at: Duration,
-    /// Connections that are established, each for one attempt.
+    /// Established connections, one per attempt.
     pub(super) ready_connections: Vec<ReadyConnection>,
-    /// How long a change of the list takes to arrive.
+    /// The delay of list updates.
     pub(super) list_lag: Duration,
-    /// How long a stage update takes to arrive.
+    /// The delay of stage updates.
     pub(super) stage_lag: Duration,
     known_stage: Option<StageUpdate>,
-    /// When the latest stage update arrives: they do not overtake each other.
+    /// When the latest stage update arrives. Stage updates are delivered in order.
     pub(super) stage_due: Duration,
     pub(super) vote: Option<CastVote>,
 }
 
 impl Sidecar {
-    /// A sidecar that is down and knows this list.
+    /// Creates a sidecar that is down and has a cached endpoint list.
     pub(super) fn new(list_lag: Duration, stage_lag: Duration, list: Vec<Endpoint>) -> Self {
         Self {
             engine: None,
@@ -90,7 +90,7 @@
     matches!(event, Event::Endpoints(_) | Event::Stage { .. })
 }
 
-/// Fills in for how long nothing had been heard when the loss of a watch is delivered.
+/// Sets the duration of the silence in a watch loss at the time of its delivery.
 fn set_silence(event: &mut Event, silent_for: Duration) {
     if let Event::Endpoints(EndpointUpdate::WatchLost(loss)) = event {
         loss.silent_for = silent_for;
@@ -98,7 +98,7 @@
 }
 
 impl Simulation {
-    /// The present incarnation of a sidecar.
+    /// Returns a reference to the current incarnation of a sidecar.
     pub(super) fn current(&self, sidecar: usize) -> SidecarRef {
         SidecarRef {
             index: sidecar,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Notes the stage that the next turn delivers.
+    /// Stores the stage that will be delivered in the next turn.
     pub(super) fn note_stage(&mut self, sidecar: usize) {
         let host = &mut self.sidecars[sidecar];
         for event in &host.inbox {
@@ -138,8 +138,9 @@
         self.write_attempts(sidecar)
     }
 
-    /// Lists and stage updates come over connections of their own: at times behind what came in the same step, and at times
-    /// the host delivers them first, before it writes to any pod.
+    /// Delivers the queued events. Endpoint and stage updates arrive on separate connections, so their order relative
+    /// to other events of the step varies. In some steps the host delivers them first, before it sends anything to
+    /// pods.
     fn deliver_inbox(&mut self, sidecar: usize) -> Result<(), Violation> {
         let host = &mut self.sidecars[sidecar];
         let mut events = std::mem::take(&mut host.inbox);
@@ -158,7 +159,7 @@
         self.deliver(sidecar, events, DecisionEngine::handle)
     }
 
-    /// Passes events to the decisions, and carries out their actions.
+    /// Passes events to the engine, and executes its actions.
     fn deliver(
         &mut self,
         sidecar: usize,
--- a/crates/reference-model/src/violation.rs
+++ b/crates/reference-model/src/violation.rs
@@ -1,43 +1,43 @@
-//! What a broken rule is reported as.
+//! The rules, and reports of their violations.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The rules that the model keeps, by the numbers that the pages give them.
+/// A rule that the model checks, numbered as in the documentation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Not one of the five: a limit that the design sets itself.
+    /// A limit of the design that is not one of the five rules.
     Design = 0,
-    /// Every request gets one answer, in time, and nothing after it.
+    /// Every request gets exactly one answer before its deadline, and nothing is sent after it.
     OneAnswer = 1,
-    /// No request that is not idempotent takes effect twice.
+    /// No non-idempotent request takes effect twice.
     NoRepeatedEffect = 2,
-    /// Pods that drain or are gone get nothing once the grace is over.
+    /// Draining and removed pods get no attempts after the grace period.
     Draining = 3,
-    /// Pods that are warming up get no more than they can bear.
+    /// Pods in slow start get no more load than they can handle.
     SlowStart = 4,
-    /// A build on trial gets no more than its share.
+    /// A build on trial gets no more than its share of the requests.
     Exposure = 5,
 }
 
 impl Rule {
-    /// The rule's number.
+    /// Returns the number of the rule.
     #[must_use]
     pub fn number(self) -> u8 {
         self as u8
     }
 }
 
-/// A rule that an action broke.
+/// A rule violation by a sidecar.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// The index of the sidecar that acted.
+    /// The index of the sidecar that violated the rule.
     pub sidecar: usize,
-    /// When it acted.
+    /// The time of the violation.
     pub at: Duration,
-    /// What it did, and what the rule allows.
+    /// A description of the action and of the limit it exceeds.
     pub description: String,
 }
 
@@ -56,7 +56,7 @@
 
 impl std::error::Error for Violation {}
 
-/// A broken rule, before it is known who broke it.
+/// A rule violation that is not yet attributed to a sidecar.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RuleBroken {
     rule: Rule,
