--- a/crates/reference-model/tests/digest/action_counts.rs
+++ b/crates/reference-model/tests/digest/action_counts.rs
@@ -1,21 +1,21 @@
-//! Counts of what a digest covers.
+//! Counts the actions that a digest covers.
 
 use super::hash::verdict_number;
 use limewing_decision::interface::Action;
 
-/// How often each kind of action came, so that a digest of nothing is noticed.
+/// The number of actions of each kind, to detect a digest that covers too few.
 #[derive(Default)]
 pub(super) struct ActionCounts {
     pub(super) attempts: u64,
     pub(super) cancellations: u64,
     pub(super) rejections: u64,
     pub(super) failures: u64,
-    /// By the number of the verdict.
+    /// Votes, indexed by the number of their verdict.
     pub(super) votes: [u64; 4],
     pub(super) watches: u64,
     pub(super) wakes: u64,
     pub(super) logs: u64,
-    /// First bytes that the decisions refused.
+    /// Attempts that the engine refused before the first byte.
     pub(super) refused_starts: u64,
 }
 
--- a/crates/reference-model/tests/digest/hash.rs
+++ b/crates/reference-model/tests/digest/hash.rs
@@ -1,9 +1,9 @@
-//! How actions are hashed.
+//! Hashing of actions.
 
 use limewing_decision::interface::{Action, Verdict};
 use limewing_test_support::digest::Digest;
 
-/// Adds an action: a number for its kind, and those that it carries.
+/// Adds the number of an action's kind and the action's fields to a digest.
 pub(super) fn hash_action(digest: &mut Digest, action: &Action) {
     match action {
         Action::StartAttempt {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A number for each verdict, which its name and order in the code do not change.
+/// Returns a number for a verdict that does not depend on its name or on the order of the variants.
 pub(super) fn verdict_number(verdict: Verdict) -> usize {
     match verdict {
         Verdict::Abstain => 0,
--- a/crates/reference-model/tests/digest/main.rs
+++ b/crates/reference-model/tests/digest/main.rs
@@ -1,9 +1,9 @@
-//! Digests of what the decisions put out: any change of a decision, of the order of random draws, of an iteration or of a
-//! sum of floats changes them. Numbers are hashed, never names, so that renaming leaves them alone. The text of log lines
-//! is left out; that there was one is hashed.
+//! Digests of the actions of the decision engine. A digest changes with any change of a decision, of the order of
+//! random draws, of an iteration order or of a floating-point sum. Only numbers are hashed, so renaming does not change
+//! a digest. The presence of a log line is hashed, its text is not.
 //!
-//! `decision` hashes every action, in order, of one sidecar in a small simulation of its own. `reference-model` hashes
-//! what the drawn runs of the reference model counted, and at which step it caught each mutation.
+//! `decision` hashes every action, in order, of one sidecar in a small separate simulation. `reference-model` hashes
+//! the coverage counts of the reference model's runs, and the step at which the model detects each mutation.
 
 mod action_counts;
 mod hash;
@@ -16,7 +16,7 @@
 use limewing_test_support::digest::Digest;
 use simulation::Simulation;
 
-/// Runs of each digest.
+/// The number of seeds per digest.
 const SEEDS: u64 = 20;
 
 #[test]
@@ -27,7 +27,7 @@
     for seed in 0..SEEDS {
         Simulation::new(seed).run(&mut digest, &mut counts);
     }
-    // Each kind of action was put out, or the digest would say little.
+    // Each kind of action has to occur often, otherwise the digest covers too little.
     assert!(counts.attempts > 100_000, "{} attempts", counts.attempts);
     assert!(
         counts.cancellations > 100,
@@ -41,7 +41,11 @@
         promote > 5 && hold > 5 && roll_back > 5,
         "{promote} {hold} {roll_back} votes"
     );
-    assert!(counts.watches > 100, "{} list calls", counts.watches);
+    assert!(
+        counts.watches > 100,
+        "{} list service calls",
+        counts.watches
+    );
     assert!(counts.wakes > 1000, "{} wakes", counts.wakes);
     assert!(counts.logs > 0, "{} log lines", counts.logs);
     let refused = counts.refused_starts;
@@ -49,7 +53,7 @@
     println!("digest decision {:016x}", digest.value());
 }
 
-/// Mutations that the reference model catches, each at a step that depends on every action before it.
+/// Mutations that the reference model detects, at a step that depends on every earlier action.
 const MUTATIONS: [Mutation; 16] = [
     Mutation::DropsAnswers,
     Mutation::AnswersTwice,
--- a/crates/reference-model/tests/digest/simulation/config.rs
+++ b/crates/reference-model/tests/digest/simulation/config.rs
@@ -1,4 +1,4 @@
-//! Drawing the configuration of a sidecar.
+//! Generates the random configuration of a sidecar.
 
 use super::ms;
 use limewing_decision::interface::{
--- a/crates/reference-model/tests/digest/simulation/discovery.rs
+++ b/crates/reference-model/tests/digest/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and the watch that delivers it.
+//! The endpoint list and the watch that delivers its changes.
 
 use super::servers::Server;
 use super::{ScheduledEvent, Simulation};
--- a/crates/reference-model/tests/digest/simulation/mod.rs
+++ b/crates/reference-model/tests/digest/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A small simulation of one sidecar, in steps of 10 ms. It is apart from that of the reference model, whose runs may change
-//! when a rule does.
+//! A small simulation of one sidecar, in steps of 10 ms. It is separate from the simulation of the reference model,
+//! whose runs may change with a rule.
 
 mod config;
 mod discovery;
@@ -27,7 +27,7 @@
 const START: Duration = Duration::from_secs(1000);
 const RUN_DURATION: Duration = Duration::from_secs(150);
 const PODS: u64 = 12;
-/// Requests a second, on average.
+/// The mean request rate.
 const RATE: f64 = 90.0;
 
 fn ms(ms: u64) -> Duration {
@@ -43,17 +43,17 @@
     pod: PodId,
 }
 
-/// A request that the sidecar was given and may still be working on.
+/// A request that was delivered to the sidecar and may still be in progress.
 struct OpenRequest {
     class: usize,
     deadline: Duration,
-    /// For each attempt, whether it has ended.
+    /// Whether each attempt has ended, by attempt index.
     ended: Vec<bool>,
     is_over: bool,
     is_streaming: bool,
 }
 
-/// What falls due. A number of the type `u32` is the incarnation of the sidecar, one of the type `usize` the index of a
+/// A scheduled event. A field of type `u32` is the incarnation of the sidecar, one of type `usize` is the index of a
 /// server.
 enum ScheduledEvent {
     Arrival,
@@ -66,7 +66,7 @@
     ServerFault,
     ServerRecovers(usize),
     ServerDies(usize),
-    /// With this build.
+    /// Restarts a server with the given build.
     ServerRestarts(usize, u16),
     ListCall(u32),
     WatchBreaks,
@@ -79,7 +79,7 @@
     Overload(f64),
 }
 
-/// One sidecar with servers, clients, an endpoint list and a rollout, in steps of 10 ms.
+/// A simulation of one sidecar with servers, clients, an endpoint list and a rollout, in steps of 10 ms.
 pub(super) struct Simulation {
     rng: StdRng,
     now: Duration,
@@ -154,7 +154,7 @@
         self.queue.schedule(self.now + wait, event);
     }
 
-    /// A time in milliseconds within a range.
+    /// Returns a random duration in a range of milliseconds.
     fn draw_wait(&mut self, from: u64, to: u64) -> Duration {
         ms(self.rng.random_range(from..to))
     }
@@ -269,7 +269,7 @@
         }
     }
 
-    /// The first start, or a restart: what was in flight is lost, and the list is the one held before.
+    /// Starts or restarts the sidecar. Requests in flight are lost, and the endpoint list comes from the cache.
     fn start_sidecar(&mut self) {
         self.incarnation += 1;
         self.sidecar = DecisionEngine::new(self.now, self.config.clone());
--- a/crates/reference-model/tests/digest/simulation/requests.rs
+++ b/crates/reference-model/tests/digest/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and their attempts, as the sidecar's host sees them.
+//! Requests and their attempts, as seen by the sidecar's host.
 
 use super::{ms, Attempt, OpenRequest, ScheduledEvent, Simulation, RATE, STEP};
 use crate::action_counts::ActionCounts;
@@ -97,7 +97,7 @@
         self.report_result(attempt, AttemptOutcome::Cancelled, STEP);
     }
 
-    /// The connection of an attempt is established: its first byte leaves, if the decisions still allow it.
+    /// Sends an attempt on its established connection, if the engine still allows it.
     pub(super) fn connection_ready(
         &mut self,
         attempt: Attempt,
--- a/crates/reference-model/tests/digest/simulation/rollout.rs
+++ b/crates/reference-model/tests/digest/simulation/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout service, and the view of the fleet.
+//! The rollout service, and the sidecar's view of the fleet.
 
 use super::{ScheduledEvent, Simulation, PODS};
 use limewing_decision::interface::{
@@ -72,7 +72,7 @@
         self.schedule_in(wait, ScheduledEvent::StageStep);
     }
 
-    /// Restarts servers with a build until so many run it. Every third build answers many requests with errors.
+    /// Restarts the first `count` servers with a build. Every third build answers many requests with errors.
     pub(super) fn roll_out(&mut self, build: u16, count: usize) {
         let bad = build.is_multiple_of(3);
         for at in 0..count {
--- a/crates/reference-model/tests/digest/simulation/servers.rs
+++ b/crates/reference-model/tests/digest/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Pods, and what goes wrong with them.
+//! Emulated pods and their faults.
 
 use super::{ms, Attempt, ScheduledEvent, Simulation, START};
 use limewing_decision::interface::{
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// A pod.
+/// An emulated pod.
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
     pub(super) is_running: bool,
@@ -82,7 +82,7 @@
             1 => self.servers[at].slowness = self.rng.random_range(2.0..8.0),
             2 => self.servers[at].error_rate = self.rng.random_range(0.2..1.0),
             3 => {
-                // Dies at once; the list tells of it later, and it comes back.
+                // Crashes immediately. The endpoint list is updated later, and the server restarts.
                 self.servers[at].is_running = false;
                 let build = self.servers[at].endpoint.build.0;
                 let wait = self.draw_wait(300, 2500);
--- a/crates/reference-model/tests/runs.rs
+++ b/crates/reference-model/tests/runs.rs
@@ -1,4 +1,5 @@
-//! The real decisions beside the model, over drawn runs; and mutations of each rule that the model must catch.
+//! Runs the decision engine against the reference model on generated fleets, and checks that the model detects a
+//! mutation of each rule.
 
 use limewing_reference_model::coverage::Coverage;
 use limewing_reference_model::mutation::Mutation;
@@ -6,23 +7,23 @@
 use limewing_reference_model::violation::Rule;
 use rstest::rstest;
 
-/// Runs of one case; cases run in parallel.
+/// The number of runs per test case. Cases run in parallel.
 const RUNS: u64 = 16;
-/// Runs of a mutation. Not every run has the configuration that its rule is about.
+/// The number of runs per mutation. Not every run has a configuration to which the rule applies.
 const MUTATED_RUNS: u64 = 40;
 
 #[rstest]
-fn drawn_runs_keep_the_rules_at_every_step(#[values(0, 1, 2, 3, 4, 5, 6, 7)] part: u64) {
+fn generated_runs_violate_no_rule(#[values(0, 1, 2, 3, 4, 5, 6, 7)] part: u64) {
     let mut coverage = Coverage::default();
     for seed in part * RUNS..(part + 1) * RUNS {
         if let Err(failure) = play(seed, Mutation::None, &mut coverage) {
             panic!("{failure}");
         }
     }
-    assert_every_rule_was_tested(&coverage);
+    assert_every_rule_was_exercised(&coverage);
 }
 
-fn assert_every_rule_was_tested(coverage: &Coverage) {
+fn assert_every_rule_was_exercised(coverage: &Coverage) {
     assert!(
         coverage.requests > 10_000 && coverage.answers > 500 && coverage.streams > 1_000,
         "{coverage:?}"
@@ -53,10 +54,10 @@
     );
 }
 
-/// Found among thousands of runs that were played by hand.
+/// Regression seeds that were found by running thousands of further seeds manually.
 #[rstest]
 #[case::the_only_pod_of_the_base_build_is_cold_and_ejected(20_390)]
-fn runs_that_once_broke_a_rule_keep_it(#[case] seed: u64) {
+fn seeds_of_past_violations_violate_no_rule(#[case] seed: u64) {
     if let Err(failure) = play(seed, Mutation::None, &mut Coverage::default()) {
         panic!("{failure}");
     }
@@ -67,29 +68,29 @@
 #[case::answers_twice(Mutation::AnswersTwice, Rule::OneAnswer)]
 #[case::starts_after_answer(Mutation::StartsAfterAnswer, Rule::OneAnswer)]
 #[case::repeats_non_idempotent(Mutation::RepeatsNonIdempotent, Rule::NoRepeatedEffect)]
-#[case::rejects_what_may_have_run(Mutation::RejectsAll, Rule::NoRepeatedEffect)]
+#[case::rejects_requests_that_may_have_run(Mutation::RejectsAll, Rule::NoRepeatedEffect)]
 #[case::leaves_deduplication_scope(Mutation::LeavesDeduplicationScope, Rule::NoRepeatedEffect)]
 #[case::uses_removed_pods(Mutation::UsesRemovedPods, Rule::Draining)]
 #[case::never_watches(Mutation::NeverWatches, Rule::Draining)]
 #[case::skips_permission(Mutation::SkipsPermission, Rule::Draining)]
 #[case::skips_permission_on_redial(Mutation::SkipsPermissionOnRedial, Rule::Draining)]
 #[case::ignores_endpoint_lease(Mutation::IgnoresEndpointLease, Rule::Draining)]
-#[case::ignores_that_a_permission_expires(Mutation::IgnoresEndpointLease, Rule::Design)]
+#[case::ignores_the_age_of_a_decision(Mutation::IgnoresEndpointLease, Rule::Design)]
 #[case::floods_cold_pods(Mutation::FloodsColdPods, Rule::SlowStart)]
 #[case::exceeds_cap(Mutation::ExceedsCap, Rule::Exposure)]
 #[case::ignores_guarded_stages(Mutation::IgnoresGuardedStages, Rule::Exposure)]
 #[case::ignores_sticky_keys(Mutation::IgnoresStickyKeys, Rule::Exposure)]
 #[case::exceeds_retry_budget(Mutation::DoublesAttempts, Rule::Design)]
-fn a_mutation_is_caught_by_its_rule(#[case] mutation: Mutation, #[case] rule: Rule) {
-    let is_caught = (0..MUTATED_RUNS).any(|seed| {
+fn a_mutation_is_detected_by_its_rule(#[case] mutation: Mutation, #[case] rule: Rule) {
+    let is_detected = (0..MUTATED_RUNS).any(|seed| {
         play(seed, mutation, &mut Coverage::default())
             .is_err_and(|failure| failure.violation.rule == rule)
     });
-    assert!(is_caught);
+    assert!(is_detected);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn runs_are_reproducible_from_their_seed() {
     let mut coverage = [Coverage::default(); 2];
     for coverage in &mut coverage {
         play(3, Mutation::None, coverage).unwrap();
