--- a/crates/mutants/src/duplicate_answers.rs
+++ b/crates/mutants/src/duplicate_answers.rs
@@ -1,29 +1,29 @@
-//! A relay before a sidecar that sends some of its answers twice.
+//! A TCP relay in front of a sidecar that sends some of its answers twice.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-/// One in so many answers is sent twice.
+/// One in this many answers is sent twice.
 const DUPLICATE_INTERVAL: u64 = 20;
-/// What is relayed at once, in bytes.
+/// The size of a relay buffer.
 const RELAY_BUFFER: usize = 16 * 1024;
 
-/// Counts the answers of all connections.
+/// The number of answers on all connections so far.
 static ANSWERS: AtomicU64 = AtomicU64::new(0);
 
-/// Starts a relay to a sidecar; returns the address that it listens at.
+/// Starts a relay to a sidecar, and returns the relay's listen address.
 ///
 /// # Errors
 ///
-/// No port is free.
+/// Returns an error if the listen socket cannot be bound.
 pub(crate) fn start_relay(sidecar: SocketAddr) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
         for client in listener.incoming().map_while(Result::ok) {
-            // A client that can't be relayed sees its connection closed.
+            // If the sidecar cannot be reached, dropping the connection closes it for the client.
             let _ = relay(client, sidecar);
         }
     });
@@ -49,12 +49,13 @@
     });
 }
 
-/// Copies bytes until a side closes; `duplicates` is asked for each read whether it is sent twice.
-fn copy(mut from: TcpStream, mut to: TcpStream, duplicates: impl Fn() -> bool) {
+/// Copies bytes until either side closes the connection. `should_duplicate` decides for each read whether it is sent
+/// twice.
+fn copy(mut from: TcpStream, mut to: TcpStream, should_duplicate: impl Fn() -> bool) {
     let mut buffer = [0; RELAY_BUFFER];
     while let Ok(length @ 1..) = from.read(&mut buffer) {
         let bytes = &buffer[..length];
-        let is_duplicated = duplicates();
+        let is_duplicated = should_duplicate();
         if to.write_all(bytes).is_err() {
             break;
         }
--- a/crates/mutants/src/main.rs
+++ b/crates/mutants/src/main.rs
@@ -1,5 +1,5 @@
-//! A sidecar that breaks a rule on purpose. It is called like `limewing sidecar FILE --with-parent`; which rule it breaks
-//! is told by the last part of the name that it is called by, as in `mutant-cap`.
+//! A sidecar that deliberately violates a rule. It takes the arguments of `limewing sidecar FILE --with-parent`. The
+//! last part of its program name selects the violation, as in `mutant-cap`.
 
 mod duplicate_answers;
 mod mutated_decisions;
@@ -14,9 +14,8 @@
 use std::process::{self, ExitCode};
 use std::thread;
 
-const USAGE: &str =
-    "call as mutant-resend, -bounce, -swallow, -twice, -cap, -drained or -cold: sidecar FILE";
-/// The exit code of a wrong call, and of a sidecar that could not start.
+const USAGE: &str = "usage: mutant-{resend,bounce,swallow,twice,cap,drained,cold} sidecar FILE";
+/// The exit code for invalid arguments, and for a sidecar that failed to start.
 const EXIT_NOT_STARTED: u8 = 2;
 
 fn main() -> ExitCode {
@@ -54,7 +53,7 @@
     }
 }
 
-/// The mutation and the settings file that a call names.
+/// Returns the mutation and the settings file selected by the command line.
 fn parse_arguments(arguments: &[String]) -> Option<(Mutation, &str)> {
     let [program, command, file, ..] = arguments else {
         return None;
@@ -67,7 +66,7 @@
     Some((mutation, file))
 }
 
-/// Ends the process when its standard input does, as it does with the parent.
+/// Exits the process when its standard input is closed, which happens when the parent exits.
 fn exit_with_parent() {
     thread::spawn(|| {
         let _ = io::copy(&mut io::stdin(), &mut io::sink());
--- a/crates/mutants/src/mutated_decisions.rs
+++ b/crates/mutants/src/mutated_decisions.rs
@@ -1,4 +1,4 @@
-//! The real decisions, with a rule broken in the actions that they put out.
+//! The decision engine with actions changed to violate a rule.
 
 use crate::mutation::Mutation;
 use limewing_decision::interface::{
@@ -11,35 +11,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One in so many attempts is dropped by [`Mutation::DropsRequests`].
+/// [`Mutation::DropsRequests`] drops one in this many attempts.
 const DROP_INTERVAL: u64 = 40;
-/// One in so many attempts is rejected by [`Mutation::RejectsInFlight`].
+/// [`Mutation::RejectsInFlight`] rejects one in this many attempts.
 const REJECT_INTERVAL: u64 = 5;
-/// One in so many attempts goes to the build on trial by [`Mutation::ExceedsCap`].
+/// [`Mutation::ExceedsCap`] sends one in this many attempts to the build on trial.
 const TRIAL_INTERVAL: u64 = 3;
-/// How long after the grace a drained pod is used by [`Mutation::UsesDrainedPods`]: longer than the checker tolerates.
+/// The time after the grace period from which [`Mutation::UsesDrainedPods`] uses a draining pod. It exceeds the
+/// tolerance of the rule checker.
 const PAST_GRACE: Duration = Duration::from_millis(300);
 /// A pod younger than this counts as cold for [`Mutation::FloodsColdPods`].
 const COLD_FOR: Duration = Duration::from_secs(2);
 
-/// The decisions of a sidecar that breaks a rule.
+/// The decisions of a sidecar that violates a rule.
 pub(crate) struct MutatedDecisions {
     engine: DecisionEngine,
     mutation: Mutation,
     drain_grace: Duration,
-    /// For each class of requests.
+    /// Whether requests are non-idempotent, by request class.
     is_non_idempotent: Vec<bool>,
     classes: BTreeMap<RequestId, ClassId>,
     endpoints: BTreeMap<PodId, Endpoint>,
-    /// Since when a pod is known to drain.
+    /// When the sidecar was notified that a pod is draining.
     draining_since: BTreeMap<PodId, Duration>,
     stage: Option<StageUpdate>,
-    /// Requests of which an attempt was started.
+    /// Requests with at least one attempt.
     attempted: BTreeSet<RequestId>,
     attempt_count: u64,
 }
 
-/// An attempt that the decisions want to start.
+/// An attempt that the engine decided to start.
 #[derive(Clone, Copy)]
 struct Attempt {
     request: RequestId,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Remembers what the mutations need to know.
+    /// Stores the parts of the events that the mutations depend on.
     fn observe(&mut self, now: Duration, events: &[Event]) {
         for event in events {
             match event {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Breaks the rule in what the real decisions put out.
+    /// Changes the actions of the engine to violate the rule.
     fn mutate(&mut self, now: Duration, actions: Vec<Action>) -> Vec<Action> {
         let mut mutated = Vec::new();
         for action in actions {
@@ -163,7 +164,7 @@
         actions
     }
 
-    /// The pod that an attempt is sent to instead of the chosen one.
+    /// Returns the pod that replaces the one chosen by the engine, if any.
     fn replacement_pod(&self, now: Duration, request: RequestId) -> Option<PodId> {
         match self.mutation {
             Mutation::ExceedsCap
--- a/crates/mutants/src/mutation.rs
+++ b/crates/mutants/src/mutation.rs
@@ -1,6 +1,6 @@
-//! The ways in which a sidecar can break a rule.
+//! The mutations that make a sidecar violate a rule.
 
-/// The mutations by the name that the program is called by.
+/// The suffixes of the program name and the mutations they select.
 const NAMES: [(&str, Mutation); 7] = [
     ("resend", Mutation::RepeatsNonIdempotent),
     ("bounce", Mutation::RejectsInFlight),
@@ -11,27 +11,27 @@
     ("cold", Mutation::FloodsColdPods),
 ];
 
-/// How the sidecar misbehaves.
+/// A deliberate fault in the behaviour of the sidecar.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Mutation {
-    /// Sends each non-idempotent request to two pods. Breaks rule 2.
+    /// Sends each non-idempotent request to two pods. Violates rule 2.
     RepeatsNonIdempotent,
-    /// Rejects non-idempotent requests that are in flight at a pod. Breaks rule 2.
+    /// Rejects non-idempotent requests that are in flight at a pod. Violates rule 2.
     RejectsInFlight,
-    /// Never sends some requests, so that they get no answer. Breaks rule 1.
+    /// Does not send some requests, so that they get no answer. Violates rule 1.
     DropsRequests,
-    /// Answers some requests twice. Breaks rule 1.
+    /// Answers some requests twice. Violates rule 1.
     AnswersTwice,
-    /// Sends one in three of the requests that may be repeated to the build on trial. Breaks rule 5.
+    /// Sends one in three of the attempts that are safe to repeat to the build on trial. Violates rule 5.
     ExceedsCap,
-    /// Sends to pods that have drained for longer than the grace. Breaks rule 3.
+    /// Sends to pods that have been draining for longer than the grace period. Violates rule 3.
     UsesDrainedPods,
-    /// Sends everything to a pod that has just started. Breaks rule 4.
+    /// Sends all requests to a pod that has just started. Violates rule 4.
     FloodsColdPods,
 }
 
 impl Mutation {
-    /// The mutation that the last part of a program's name tells, as `cap` in `mutant-cap`.
+    /// Returns the mutation selected by the last part of the program name, such as `cap` in `mutant-cap`.
     pub(crate) fn from_program_name(program: &str) -> Option<Self> {
         let suffix = program.rsplit('-').next()?;
         NAMES
@@ -40,7 +40,7 @@
             .map(|(_, mutation)| *mutation)
     }
 
-    /// Whether it starts attempts that the real decisions do not know, or know at another pod.
+    /// Whether the mutation starts attempts that the engine did not decide, or sends them to other pods.
     pub(crate) fn changes_attempts(self) -> bool {
         match self {
             Mutation::RepeatsNonIdempotent
--- a/crates/mutants/tests/violations_are_found.rs
+++ b/crates/mutants/tests/violations_are_found.rs
@@ -1,4 +1,5 @@
-//! Sidecars that break a rule on sockets, through a day: the rule checker finds it.
+//! Runs mutated sidecars on real sockets through a scripted day, and checks that the rule checker detects the
+//! violation.
 
 use limewing_emulators::day;
 use limewing_emulators::script::DayScript;
@@ -18,7 +19,7 @@
 #[case::drained("drained", Rule::Draining)]
 #[case::cold("cold", Rule::SlowStart)]
 #[case::cap("cap", Rule::Exposure)]
-fn the_rule_that_a_mutant_breaks_is_found(#[case] mutation: &str, #[case] rule: Rule) {
+fn the_violation_of_a_mutant_is_detected(#[case] mutation: &str, #[case] rule: Rule) {
     let folder = tempfile::tempdir().unwrap();
     let program = folder.path().join(format!("mutant-{mutation}"));
     std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_limewing-mutants"), &program).unwrap();
@@ -27,6 +28,6 @@
     let record = day::play(&script, &program, folder.path(), &mut |_| ()).unwrap();
     let lines = read(BufReader::new(File::open(record).unwrap())).unwrap();
     let report = RuleChecker::new(&lines).unwrap().report();
-    let broken: Vec<Rule> = report.broken().map(|result| result.rule).collect();
-    assert!(broken.contains(&rule), "{broken:?}");
+    let violated: Vec<Rule> = report.broken().map(|result| result.rule).collect();
+    assert!(violated.contains(&rule), "{violated:?}");
 }
