--- a/crates/mutants/src/duplicate_answers.rs
+++ b/crates/mutants/src/duplicate_answers.rs
@@ -8,10 +8,10 @@
 /// One in this many answers is sent twice.
 const DUPLICATE_INTERVAL: u64 = 20;
 /// The size of a relay buffer.
-const RELAY_BUFFER: usize = 16 * 1024;
+const RELAY_BUFFER_BYTES: usize = 16 * 1024;
 
 /// The number of answers on all connections so far.
-static ANSWERS: AtomicU64 = AtomicU64::new(0);
+static ANSWER_COUNT: AtomicU64 = AtomicU64::new(0);
 
 /// Starts a relay to a sidecar, and returns the relay's listen address.
 ///
@@ -45,14 +45,14 @@
 
 fn copy_answers(from: TcpStream, to: TcpStream) {
     copy(from, to, || {
-        ANSWERS.fetch_add(1, Ordering::Relaxed) % DUPLICATE_INTERVAL == DUPLICATE_INTERVAL - 1
+        ANSWER_COUNT.fetch_add(1, Ordering::Relaxed) % DUPLICATE_INTERVAL == DUPLICATE_INTERVAL - 1
     });
 }
 
 /// Copies bytes until either side closes the connection. `should_duplicate` decides for each read whether it is sent
 /// twice.
 fn copy(mut from: TcpStream, mut to: TcpStream, should_duplicate: impl Fn() -> bool) {
-    let mut buffer = [0; RELAY_BUFFER];
+    let mut buffer = [0; RELAY_BUFFER_BYTES];
     while let Ok(length @ 1..) = from.read(&mut buffer) {
         let bytes = &buffer[..length];
         let is_duplicated = should_duplicate();
--- a/crates/mutants/src/mutated_decisions.rs
+++ b/crates/mutants/src/mutated_decisions.rs
@@ -19,9 +19,9 @@
 const TRIAL_INTERVAL: u64 = 3;
 /// The time after the grace period from which [`Mutation::UsesDrainedPods`] uses a draining pod. It exceeds the
 /// tolerance of the rule checker.
-const PAST_GRACE: Duration = Duration::from_millis(300);
+const GRACE_MARGIN: Duration = Duration::from_millis(300);
 /// A pod younger than this counts as cold for [`Mutation::FloodsColdPods`].
-const COLD_FOR: Duration = Duration::from_secs(2);
+const COLD_DURATION: Duration = Duration::from_secs(2);
 
 /// The decisions of a sidecar that violates a rule.
 pub(crate) struct MutatedDecisions {
@@ -49,11 +49,11 @@
 }
 
 impl Attempt {
-    fn at(self, pod: PodId) -> Self {
+    fn with_pod(self, pod: PodId) -> Self {
         Self { pod, ..self }
     }
 
-    fn start(self) -> Action {
+    fn into_action(self) -> Action {
         Action::StartAttempt {
             request: self.request,
             pod: self.pod,
@@ -138,21 +138,21 @@
 
     fn mutate_attempt(&mut self, now: Duration, attempt: Attempt) -> Vec<Action> {
         self.attempt_count += 1;
-        if self.mutation == Mutation::DropsRequests && self.is_one_in(DROP_INTERVAL) {
+        if self.mutation == Mutation::DropsRequests && self.is_nth_attempt(DROP_INTERVAL) {
             return Vec::new();
         }
         let request = attempt.request;
         let pod = self.replacement_pod(now, request).unwrap_or(attempt.pod);
-        let attempt = attempt.at(pod);
+        let attempt = attempt.with_pod(pod);
         let is_first = self.attempted.insert(request);
-        let mut actions = vec![attempt.start()];
+        let mut actions = vec![attempt.into_action()];
         match self.mutation {
             Mutation::RepeatsNonIdempotent if is_first && self.is_non_idempotent(request) => {
                 let other = self.ready_endpoints().find(|other| other.pod != pod);
-                actions.extend(other.map(|other| attempt.at(other.pod).start()));
+                actions.extend(other.map(|other| attempt.with_pod(other.pod).into_action()));
             }
             Mutation::RejectsInFlight
-                if self.is_non_idempotent(request) && self.is_one_in(REJECT_INTERVAL) =>
+                if self.is_non_idempotent(request) && self.is_nth_attempt(REJECT_INTERVAL) =>
             {
                 actions.push(Action::Reject {
                     request,
@@ -168,7 +168,7 @@
     fn replacement_pod(&self, now: Duration, request: RequestId) -> Option<PodId> {
         match self.mutation {
             Mutation::ExceedsCap
-                if !self.is_non_idempotent(request) && self.is_one_in(TRIAL_INTERVAL) =>
+                if !self.is_non_idempotent(request) && self.is_nth_attempt(TRIAL_INTERVAL) =>
             {
                 self.pod_on_trial()
             }
@@ -194,7 +194,7 @@
     fn drained_pod(&self, now: Duration) -> Option<PodId> {
         self.draining_since
             .iter()
-            .find(|(_, since)| now > **since + self.drain_grace + PAST_GRACE)
+            .find(|(_, since)| now > **since + self.drain_grace + GRACE_MARGIN)
             .map(|(pod, _)| *pod)
     }
 
@@ -203,7 +203,7 @@
             .find(|endpoint| {
                 endpoint
                     .started_at
-                    .is_some_and(|started_at| now < started_at + COLD_FOR)
+                    .is_some_and(|started_at| now < started_at + COLD_DURATION)
             })
             .map(|endpoint| endpoint.pod)
     }
@@ -220,7 +220,7 @@
             .is_some_and(|class| self.is_non_idempotent[usize::from(class.0)])
     }
 
-    fn is_one_in(&self, interval: u64) -> bool {
+    fn is_nth_attempt(&self, interval: u64) -> bool {
         self.attempt_count.is_multiple_of(interval)
     }
 }
