--- a/crates/reference-model/src/history.rs
+++ b/crates/reference-model/src/history.rs
@@ -14,7 +14,7 @@
     pub(crate) endpoint: Endpoint,
     pub(crate) decided_at: Duration,
     /// The evidence for the pod, if the lease of the endpoint list had expired when the attempt was decided.
-    pub(crate) expired_lease: Option<ExpiredLease>,
+    pub(crate) expired_lease: Option<ExpiredLeaseEvidence>,
     pub(crate) outcome: Option<AttemptOutcome>,
     /// The turn in which the sidecar was notified of the outcome, or 0 if it has not been notified.
     pub(crate) outcome_turn: usize,
@@ -22,11 +22,11 @@
 
 /// The evidence for a pod that was chosen after the lease of the endpoint list had expired.
 #[derive(Clone, Copy)]
-pub(crate) struct ExpiredLease {
+pub(crate) struct ExpiredLeaseEvidence {
     /// The chosen pod served a request sent within the lease.
-    pub(crate) served: bool,
+    pub(crate) served_within_lease: bool,
     /// An eligible pod of the same build that served a request sent within the lease.
-    pub(crate) better: Option<PodId>,
+    pub(crate) alternative: Option<PodId>,
 }
 
 /// A request and its attempts.
@@ -35,24 +35,24 @@
     pub(crate) attempts: Vec<AttemptHistory>,
     /// The latest time of the answer: the deadline, or the time of resumption if the sidecar was paused at the
     /// deadline.
-    pub(crate) answer_due: Duration,
+    pub(crate) answer_deadline: Duration,
     /// The turn in which the sidecar generated the answer.
     pub(crate) answered_turn: Option<usize>,
     /// The turn in which the sidecar was notified that the request had finished.
-    pub(crate) over_turn: Option<usize>,
+    pub(crate) finished_turn: Option<usize>,
     /// The turn in which the sidecar was notified that the response had started to stream.
     pub(crate) stream_turn: Option<usize>,
 }
 
 /// A version of an endpoint, and when the sidecar received it.
 pub(crate) struct EndpointRecord {
-    pub(crate) learned_at: Duration,
+    pub(crate) received_at: Duration,
     pub(crate) endpoint: Endpoint,
 }
 
 /// A stage update, and when the sidecar received it.
 pub(crate) struct StageRecord {
-    pub(crate) learned_at: Duration,
+    pub(crate) received_at: Duration,
     pub(crate) update: StageUpdate,
 }
 
@@ -81,9 +81,9 @@
     pub(crate) arrivals: Vec<Arrival>,
     pub(crate) attempt_starts: Vec<AttemptStart>,
     /// When the sidecar last received data or a keep-alive from the list service.
-    pub(crate) list_heard_at: Duration,
+    pub(crate) last_list_contact: Duration,
     /// When the sidecar last called the list service.
-    pub(crate) list_asked_at: Duration,
+    pub(crate) last_list_call: Duration,
     /// The last call to the list service failed.
     pub(crate) list_call_failed: bool,
     /// The sidecar has an open watch on the endpoint list.
@@ -102,12 +102,12 @@
 pub(crate) struct AttemptAtPod {
     pub(crate) at: Duration,
     /// The sidecar's endpoint list had this start of the pod.
-    pub(crate) was_informed: bool,
+    pub(crate) sidecar_knew_start: bool,
 }
 
 /// All versions of the endpoint list in the list service.
 #[derive(Default)]
-pub(crate) struct TrueList {
+pub(crate) struct AuthoritativeList {
     versions: Vec<ListVersion>,
 }
 
@@ -142,11 +142,11 @@
 impl RequestHistory {
     pub(crate) fn new(request: Request, now: Duration) -> Self {
         Self {
-            answer_due: request.deadline.max(now),
+            answer_deadline: request.deadline.max(now),
             request,
             attempts: Vec::new(),
             answered_turn: None,
-            over_turn: None,
+            finished_turn: None,
             stream_turn: None,
         }
     }
@@ -168,8 +168,8 @@
             stages: Vec::new(),
             arrivals: Vec::new(),
             attempt_starts: Vec::new(),
-            list_heard_at: now,
-            list_asked_at: now,
+            last_list_contact: now,
+            last_list_call: now,
             list_call_failed: false,
             is_watching: false,
         }
@@ -190,19 +190,19 @@
     }
 
     /// Whether the sidecar has known for longer than the grace period that a pod is draining or gone.
-    pub(crate) fn knows_past_grace(&self, pod: PodId, now: Duration) -> bool {
-        self.known_to_drain_since(pod)
+    pub(crate) fn knows_drained_past_grace(&self, pod: PodId, now: Duration) -> bool {
+        self.known_draining_since(pod)
             .is_some_and(|since| now > since + self.config.safety.drain_grace)
     }
 
-    fn known_to_drain_since(&self, pod: PodId) -> Option<Duration> {
+    fn known_draining_since(&self, pod: PodId) -> Option<Duration> {
         let records = self.endpoints.get(&pod)?;
         let first_not_ready = records
             .iter()
             .rev()
             .take_while(|record| record.endpoint.state != PodState::Ready)
             .last()?;
-        Some(first_not_ready.learned_at)
+        Some(first_not_ready.received_at)
     }
 
     /// Records an update of the endpoint list.
@@ -211,20 +211,20 @@
             EndpointUpdate::WatchLost(_) => return self.record_watch_lost(now),
             EndpointUpdate::Delta(changed) => changed.clone(),
             EndpointUpdate::Snapshot(all) | EndpointUpdate::Cached(all) => {
-                let mut changed = self.missing_from(all);
+                let mut changed = self.removed_by_snapshot(all);
                 changed.extend(all.iter().cloned());
                 changed
             }
         };
         if !matches!(update, EndpointUpdate::Cached(_)) {
-            self.list_heard_at = now;
+            self.last_list_contact = now;
             self.list_call_failed = false;
             self.is_watching = true;
         }
         for endpoint in changed {
             let records = self.endpoints.entry(endpoint.pod).or_default();
             records.push(EndpointRecord {
-                learned_at: now,
+                received_at: now,
                 endpoint,
             });
         }
@@ -233,14 +233,14 @@
     fn record_watch_lost(&mut self, now: Duration) {
         // Until now the watch kept the list current, which counts as a call.
         if self.is_watching {
-            self.list_asked_at = now;
+            self.last_list_call = now;
         }
         self.is_watching = false;
         self.list_call_failed = true;
     }
 
     /// Known endpoints that a full snapshot omits, with their state set to gone.
-    fn missing_from(&self, all: &[Endpoint]) -> Vec<Endpoint> {
+    fn removed_by_snapshot(&self, all: &[Endpoint]) -> Vec<Endpoint> {
         self.latest_endpoints()
             .filter(|known| known.state != PodState::Gone)
             .filter(|known| all.iter().all(|endpoint| endpoint.pod != known.pod))
@@ -262,7 +262,7 @@
     }
 }
 
-impl TrueList {
+impl AuthoritativeList {
     pub(crate) fn record(&mut self, since: Duration, endpoints: Vec<Endpoint>) {
         self.versions.push(ListVersion { since, endpoints });
     }
--- a/crates/reference-model/src/model.rs
+++ b/crates/reference-model/src/model.rs
@@ -2,14 +2,14 @@
 
 use crate::coverage::Coverage;
 use crate::history::{
-    Arrival, AttemptHistory, AttemptStart, PodStart, ProposedAttempt, RequestHistory,
-    SidecarHistory, StageRecord, TrueList,
+    Arrival, AttemptHistory, AttemptStart, AuthoritativeList, PodStart, ProposedAttempt,
+    RequestHistory, SidecarHistory, StageRecord,
 };
 use crate::rules::draining::FirstByte;
 use crate::rules::{
     draining, endpoint_lease, exposure, one_answer, repeated_effect, retry_budget, slow_start,
 };
-use crate::violation::{Rule, RuleBroken, Violation};
+use crate::violation::{Rule, UnattributedViolation, Violation};
 use limewing_decision::interface::{
     Action, AttemptIndex, AttemptResult, Endpoint, Event, Phase, PodId, Request, RequestId,
     SidecarConfig, StageUpdate,
@@ -23,7 +23,7 @@
 pub struct ReferenceModel {
     sidecars: BTreeMap<usize, SidecarHistory>,
     pod_starts: BTreeMap<PodId, PodStart>,
-    true_list: TrueList,
+    authoritative_list: AuthoritativeList,
     /// Counts of how often each rule was exercised.
     pub coverage: Coverage,
 }
@@ -46,7 +46,7 @@
             return;
         };
         for request in history.requests.values_mut() {
-            request.answer_due = request.answer_due.max(now);
+            request.answer_deadline = request.answer_deadline.max(now);
         }
     }
 
@@ -57,13 +57,13 @@
 
     /// Records a new version of the endpoint list in the list service.
     pub fn list_changed(&mut self, now: Duration, endpoints: Vec<Endpoint>) {
-        self.true_list.record(now, endpoints);
+        self.authoritative_list.record(now, endpoints);
     }
 
     /// Records that a sidecar received data or a keep-alive from the list service.
-    pub fn list_heard(&mut self, sidecar: usize, now: Duration) {
+    pub fn list_service_contacted(&mut self, sidecar: usize, now: Duration) {
         if let Some(history) = self.sidecars.get_mut(&sidecar) {
-            history.list_heard_at = now;
+            history.last_list_contact = now;
         }
     }
 
@@ -72,7 +72,7 @@
         let is_past_grace = self
             .sidecars
             .get(&sidecar)
-            .is_some_and(|history| history.knows_past_grace(pod, now));
+            .is_some_and(|history| history.knows_drained_past_grace(pod, now));
         self.coverage.withheld += 1;
         self.coverage.withheld_past_grace += usize::from(is_past_grace);
     }
@@ -127,14 +127,14 @@
                 Action::Fail { request } => self.check_answer(sidecar, now, *request, false),
                 Action::WatchEndpoints => {
                     if let Some(history) = self.sidecars.get_mut(&sidecar) {
-                        history.list_asked_at = now;
+                        history.last_list_call = now;
                         history.list_call_failed = false;
                     }
                     Ok(())
                 }
                 _ => Ok(()),
             };
-            checked.map_err(|broken| broken.by(sidecar, now))?;
+            checked.map_err(|violation| violation.by_sidecar(sidecar, now))?;
         }
         Ok(())
     }
@@ -154,8 +154,8 @@
                 continue;
             }
             for request in history.requests.values() {
-                one_answer::check_overdue(request, now)
-                    .map_err(|broken| broken.by(*sidecar, now))?;
+                one_answer::check_deadline(request, now)
+                    .map_err(|violation| violation.by_sidecar(*sidecar, now))?;
             }
         }
         Ok(())
@@ -173,9 +173,9 @@
         now: Duration,
         request: RequestId,
         index: AttemptIndex,
-        redialled: bool,
+        is_reconnect: bool,
     ) -> Result<(), Violation> {
-        self.coverage.redials += usize::from(redialled);
+        self.coverage.reconnects += usize::from(is_reconnect);
         let Some(history) = self.sidecars.get(&sidecar) else {
             return Ok(());
         };
@@ -185,7 +185,9 @@
             .and_then(|request| request.attempts.get(usize::from(index.0)));
         let Some(attempt) = attempt else {
             let description = format!("{index:?} of {request:?} was sent without a decision");
-            return Err(RuleBroken::new(Rule::OneAnswer, description).by(sidecar, now));
+            return Err(
+                UnattributedViolation::new(Rule::OneAnswer, description).by_sidecar(sidecar, now)
+            );
         };
         let first_byte = FirstByte {
             sidecar: history,
@@ -194,8 +196,8 @@
             attempt,
             now,
         };
-        draining::check_first_byte(&first_byte, &self.true_list, &mut self.coverage)
-            .map_err(|broken| broken.by(sidecar, now))
+        draining::check_first_byte(&first_byte, &self.authoritative_list, &mut self.coverage)
+            .map_err(|violation| violation.by_sidecar(sidecar, now))
     }
 
     fn check_answer(
@@ -204,7 +206,7 @@
         now: Duration,
         request: RequestId,
         is_rejection: bool,
-    ) -> Result<(), RuleBroken> {
+    ) -> Result<(), UnattributedViolation> {
         let history = self
             .sidecars
             .get_mut(&sidecar)
@@ -217,7 +219,7 @@
         one_answer::check_answer(request, turn, now)?;
         let may_have_run = request.attempts_that_may_have_run().next().is_some();
         self.coverage.answers += 1;
-        self.coverage.answers_after_run += usize::from(may_have_run);
+        self.coverage.answers_after_possible_run += usize::from(may_have_run);
         if is_rejection {
             repeated_effect::check_rejection(request, &history.config)?;
         }
@@ -231,14 +233,14 @@
         now: Duration,
         request: RequestId,
         pod: PodId,
-    ) -> Result<(), RuleBroken> {
+    ) -> Result<(), UnattributedViolation> {
         let history = self.sidecars.get(&sidecar).ok_or_else(unknown_sidecar)?;
         let request_history = history
             .requests
             .get(&request)
             .ok_or_else(|| unknown_request(request))?;
         let endpoint = history.endpoint(pod).cloned().ok_or_else(|| {
-            RuleBroken::new(
+            UnattributedViolation::new(
                 Rule::Draining,
                 format!("{pod:?} was never in the endpoint list"),
             )
@@ -251,14 +253,14 @@
         };
         one_answer::check_attempt(&attempt)?;
         repeated_effect::check_attempt(&attempt, &mut self.coverage)?;
-        draining::check_attempt(&attempt, &self.true_list, &mut self.coverage)?;
+        draining::check_attempt(&attempt, &self.authoritative_list, &mut self.coverage)?;
         exposure::check_attempt(&attempt, &mut self.coverage)?;
         // This check runs last because it records the attempt, and only attempts that pass the other rules count.
         if let Some(start) = self.pod_starts.get_mut(&pod) {
             slow_start::check_attempt(&attempt, start, &mut self.coverage)?;
         }
         let recorded = AttemptHistory {
-            expired_lease: endpoint_lease::assess(&attempt),
+            expired_lease: endpoint_lease::evidence_for(&attempt),
             endpoint,
             decided_at: now,
             outcome: None,
@@ -272,7 +274,7 @@
         sidecar: usize,
         request: RequestId,
         attempt: AttemptHistory,
-    ) -> Result<(), RuleBroken> {
+    ) -> Result<(), UnattributedViolation> {
         let history = self
             .sidecars
             .get_mut(&sidecar)
@@ -331,7 +333,7 @@
 fn record_over(history: &mut SidecarHistory, request: RequestId) {
     let turn = history.turn;
     if let Some(request) = history.requests.get_mut(&request) {
-        request.over_turn = request.over_turn.or(Some(turn));
+        request.finished_turn = request.finished_turn.or(Some(turn));
     }
 }
 
@@ -341,22 +343,22 @@
     now: Duration,
     update: &StageUpdate,
 ) {
-    let before = exposure::binding_cap(history, update.build, now);
+    let before = exposure::effective_cap(history, update.build, now);
     let is_lowered = before.is_some_and(|before| update.cap < before.cap);
     coverage.lowered_caps += usize::from(is_lowered);
     history.stages.push(StageRecord {
-        learned_at: now,
+        received_at: now,
         update: *update,
     });
 }
 
-fn unknown_sidecar() -> RuleBroken {
-    RuleBroken::new(
+fn unknown_sidecar() -> UnattributedViolation {
+    UnattributedViolation::new(
         Rule::OneAnswer,
         "action by a sidecar that is not running".to_owned(),
     )
 }
 
-fn unknown_request(request: RequestId) -> RuleBroken {
-    RuleBroken::new(Rule::OneAnswer, format!("{request:?} never arrived"))
+fn unknown_request(request: RequestId) -> UnattributedViolation {
+    UnattributedViolation::new(Rule::OneAnswer, format!("{request:?} never arrived"))
 }
--- a/crates/reference-model/src/mutation.rs
+++ b/crates/reference-model/src/mutation.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 /// A pod younger than this counts as cold for [`Mutation::FloodsColdPods`].
-const COLD_FOR: Duration = Duration::from_secs(3);
+const COLD_DURATION: Duration = Duration::from_secs(3);
 /// [`Mutation::ExceedsCap`] applies to one in this many turns.
-const CAP_TURNS: u64 = 2;
+const CAP_TURN_INTERVAL: u64 = 2;
 /// [`Mutation::IgnoresGuardedStages`] applies to one in this many turns. At a higher rate the cap would be exceeded
 /// first.
-const GUARDED_TURNS: u64 = 20;
+const GUARDED_TURN_INTERVAL: u64 = 20;
 /// [`Mutation::IgnoresStickyKeys`] applies to one in this many requests.
-const KEY_REQUESTS: u64 = 2;
+const KEY_REQUEST_INTERVAL: u64 = 2;
 /// An upper bound of pod IDs, which are assigned sequentially from 1.
 const MAX_PODS: u64 = 1000;
 
@@ -51,9 +51,9 @@
     /// Never calls the list service again. Violates rule 3.
     NeverWatches,
     /// Sends an attempt without asking the engine whether it may begin. Violates rule 3.
-    SkipsPermission,
+    SkipsSendPermit,
     /// Asks the engine only on the first connection of an attempt. Violates rule 3.
-    SkipsPermissionOnRedial,
+    SkipsSendPermitOnReconnect,
     /// Keeps using the endpoint list after its lease has expired. Violates rule 3.
     IgnoresEndpointLease,
 }
@@ -79,10 +79,10 @@
 impl Mutation {
     /// Whether the host asks the engine before it sends the first byte of an attempt, given the number of broken
     /// connections.
-    pub(crate) fn asks_before_first_byte(self, broken_connections: u8) -> bool {
+    pub(crate) fn requests_send_permit(self, broken_connections: u8) -> bool {
         match self {
-            Mutation::SkipsPermission => false,
-            Mutation::SkipsPermissionOnRedial => broken_connections == 0,
+            Mutation::SkipsSendPermit => false,
+            Mutation::SkipsSendPermitOnReconnect => broken_connections == 0,
             _ => true,
         }
     }
@@ -166,21 +166,21 @@
                 None => vec![action],
             },
             Mutation::ExceedsCap
-                if context.turn.is_multiple_of(CAP_TURNS) && !is_non_idempotent =>
+                if context.turn.is_multiple_of(CAP_TURN_INTERVAL) && !is_non_idempotent =>
             {
                 attempt_at(request, context.newest_build())
                     .into_iter()
                     .collect()
             }
             Mutation::IgnoresGuardedStages
-                if context.turn.is_multiple_of(GUARDED_TURNS) && is_non_idempotent =>
+                if context.turn.is_multiple_of(GUARDED_TURN_INTERVAL) && is_non_idempotent =>
             {
                 attempt_at(request, context.newest_build())
                     .into_iter()
                     .collect()
             }
             Mutation::IgnoresStickyKeys
-                if request.0.is_multiple_of(KEY_REQUESTS)
+                if request.0.is_multiple_of(KEY_REQUEST_INTERVAL)
                     && is_idempotent
                     && context.has_routing_key(request) =>
             {
@@ -259,7 +259,7 @@
             .filter(|endpoint| {
                 endpoint
                     .started_at
-                    .is_some_and(|started_at| self.now < started_at + COLD_FOR)
+                    .is_some_and(|started_at| self.now < started_at + COLD_DURATION)
             })
             .max_by_key(|endpoint| endpoint.started_at)
             .map(|endpoint| endpoint.pod)
--- a/crates/reference-model/src/rules/draining.rs
+++ b/crates/reference-model/src/rules/draining.rs
@@ -2,8 +2,8 @@
 
 use super::endpoint_lease;
 use crate::coverage::Coverage;
-use crate::history::{AttemptHistory, ProposedAttempt, SidecarHistory, TrueList};
-use crate::violation::{Rule, RuleBroken};
+use crate::history::{AttemptHistory, AuthoritativeList, ProposedAttempt, SidecarHistory};
+use crate::violation::{Rule, UnattributedViolation};
 use limewing_decision::interface::{AttemptIndex, PodState, RequestId};
 use std::time::Duration;
 
@@ -26,29 +26,31 @@
 /// period.
 pub(crate) fn check_attempt(
     attempt: &ProposedAttempt<'_>,
-    true_list: &TrueList,
+    authoritative_list: &AuthoritativeList,
     coverage: &mut Coverage,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let sidecar = attempt.sidecar;
     let pod = attempt.endpoint.pod;
-    if sidecar.knows_past_grace(pod, attempt.now) {
-        return Err(broken(format!("attempt at {pod:?} after its grace period")));
+    if sidecar.knows_drained_past_grace(pod, attempt.now) {
+        return Err(violation(format!(
+            "attempt at {pod:?} after its grace period"
+        )));
     }
-    check_list_was_asked_for(attempt, true_list)?;
-    let is_one_past_grace = sidecar
+    check_list_was_requested(attempt, authoritative_list)?;
+    let any_past_grace = sidecar
         .endpoints
         .keys()
-        .any(|known| sidecar.knows_past_grace(*known, attempt.now));
-    coverage.attempts_beside_drained_pod += usize::from(is_one_past_grace);
+        .any(|known| sidecar.knows_drained_past_grace(*known, attempt.now));
+    coverage.attempts_with_drained_pod_known += usize::from(any_past_grace);
     Ok(())
 }
 
 /// Checks that a sidecar without a watch called the list service in time. If it did not, it is treated as notified of
 /// the list as it was one interval ago.
-fn check_list_was_asked_for(
+fn check_list_was_requested(
     attempt: &ProposedAttempt<'_>,
-    true_list: &TrueList,
-) -> Result<(), RuleBroken> {
+    authoritative_list: &AuthoritativeList,
+) -> Result<(), UnattributedViolation> {
     let sidecar = attempt.sidecar;
     let pod = attempt.endpoint.pod;
     let allowed = if sidecar.list_call_failed {
@@ -56,12 +58,12 @@
     } else {
         LIST_CALL_INTERVAL
     };
-    let has_to_ask = sidecar.config.watch_on_request && !sidecar.is_watching;
-    if !has_to_ask || attempt.now <= sidecar.list_asked_at + allowed {
+    let must_call = sidecar.config.watch_on_request && !sidecar.is_watching;
+    if !must_call || attempt.now <= sidecar.last_list_call + allowed {
         return Ok(());
     }
     let then = attempt.now - allowed;
-    let Some((since, endpoints)) = true_list.at(then) else {
+    let Some((since, endpoints)) = authoritative_list.at(then) else {
         return Ok(());
     };
     let was_ready = endpoints
@@ -69,13 +71,13 @@
         .find(|endpoint| endpoint.pod == pod)
         .is_some_and(|endpoint| endpoint.state == PodState::Ready);
     let is_past_grace = attempt.now > since + allowed + sidecar.config.safety.drain_grace;
-    let has_learned_since = sidecar
+    let updated_since = sidecar
         .endpoints
         .get(&pod)
         .and_then(|records| records.last())
-        .is_some_and(|record| record.learned_at > then);
-    if !was_ready && is_past_grace && !has_learned_since {
-        return Err(broken(format!(
+        .is_some_and(|record| record.received_at > then);
+    if !was_ready && is_past_grace && !updated_since {
+        return Err(violation(format!(
             "attempt at {pod:?}, which is no longer ready in a list that was not requested in time"
         )));
     }
@@ -86,28 +88,31 @@
 /// if its build has changed since the decision, or if the decision is based on a list whose lease has expired.
 pub(crate) fn check_first_byte(
     first_byte: &FirstByte<'_>,
-    true_list: &TrueList,
+    authoritative_list: &AuthoritativeList,
     coverage: &mut Coverage,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let endpoint = &first_byte.attempt.endpoint;
     let pod = endpoint.pod;
     let index = first_byte.index;
     let request = first_byte.request;
-    if first_byte.sidecar.knows_past_grace(pod, first_byte.now) {
-        return Err(broken(format!(
+    if first_byte
+        .sidecar
+        .knows_drained_past_grace(pod, first_byte.now)
+    {
+        return Err(violation(format!(
             "{index:?} of {request:?} is sent to {pod:?} after its grace period"
         )));
     }
     let build_now = first_byte.sidecar.endpoint(pod).map(|known| known.build);
     if build_now.is_some_and(|build| build != endpoint.build) {
-        return Err(RuleBroken::new(
+        return Err(UnattributedViolation::new(
             Rule::Exposure,
             format!("{index:?} of {request:?} is sent to {pod:?}, whose build has changed"),
         ));
     }
-    endpoint_lease::check_first_byte(first_byte, true_list, coverage)
+    endpoint_lease::check_first_byte(first_byte, authoritative_list, coverage)
 }
 
-fn broken(description: String) -> RuleBroken {
-    RuleBroken::new(Rule::Draining, description)
+fn violation(description: String) -> UnattributedViolation {
+    UnattributedViolation::new(Rule::Draining, description)
 }
--- a/crates/reference-model/src/rules/endpoint_lease.rs
+++ b/crates/reference-model/src/rules/endpoint_lease.rs
@@ -5,46 +5,48 @@
 
 use super::draining::FirstByte;
 use crate::coverage::Coverage;
-use crate::history::{AttemptHistory, ExpiredLease, ProposedAttempt, SidecarHistory, TrueList};
-use crate::violation::{Rule, RuleBroken};
+use crate::history::{
+    AttemptHistory, AuthoritativeList, ExpiredLeaseEvidence, ProposedAttempt, SidecarHistory,
+};
+use crate::violation::{Rule, UnattributedViolation};
 use limewing_decision::interface::{AttemptOutcome, Endpoint, PodId, PodState};
 use std::time::Duration;
 
 /// The maximum time for an update to cross a link and wait for the next step.
 const LINK_DELAY: Duration = Duration::from_millis(50);
 /// A pod with an attempt in flight for longer than this may be considered unresponsive.
-const SILENCE_AFTER: Duration = Duration::from_millis(150);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(150);
 
 /// Returns the evidence for the pod of an attempt, or `None` while the lease is valid.
-pub(crate) fn assess(attempt: &ProposedAttempt<'_>) -> Option<ExpiredLease> {
+pub(crate) fn evidence_for(attempt: &ProposedAttempt<'_>) -> Option<ExpiredLeaseEvidence> {
     let sidecar = attempt.sidecar;
     let now = attempt.now;
     let lease = sidecar.config.endpoint_lease?;
-    if now <= sidecar.list_heard_at + lease {
+    if now <= sidecar.last_list_contact + lease {
         return None;
     }
     let since = now.saturating_sub(lease);
-    let better = sidecar
+    let alternative = sidecar
         .latest_endpoints()
         .filter(|other| other.pod != attempt.endpoint.pod)
-        .filter(|other| could_take(attempt, other))
+        .filter(|other| is_eligible(attempt, other))
         .find(|other| {
             served_since(sidecar, other, since + LINK_DELAY, sidecar.turn - 1)
-                && is_sound(sidecar, other, since, now)
+                && is_healthy(sidecar, other, since, now)
         })
         .map(|other| other.pod);
-    Some(ExpiredLease {
-        served: served_since(sidecar, attempt.endpoint, since, sidecar.turn),
-        better,
+    Some(ExpiredLeaseEvidence {
+        served_within_lease: served_since(sidecar, attempt.endpoint, since, sidecar.turn),
+        alternative,
     })
 }
 
-/// Checks that the decision is not stale, and that no alternative is known to a pod that was removed.
+/// Checks that the decision is not stale, and that the pod is not long gone while an alternative is known.
 pub(super) fn check_first_byte(
     first_byte: &FirstByte<'_>,
-    true_list: &TrueList,
+    authoritative_list: &AuthoritativeList,
     coverage: &mut Coverage,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let sidecar = first_byte.sidecar;
     let now = first_byte.now;
     let index = first_byte.index;
@@ -55,48 +57,48 @@
         return Ok(());
     };
     let lease_and_grace = lease + grace;
-    if now <= sidecar.list_heard_at + lease_and_grace {
+    if now <= sidecar.last_list_contact + lease_and_grace {
         return Ok(());
     }
     if now > first_byte.attempt.decided_at + grace {
-        return Err(RuleBroken::new(
+        return Err(UnattributedViolation::new(
             Rule::Design,
             format!(
-                "{index:?} of {request:?} is sent to {pod:?} on an expired lease, by a decision older than the grace period"
+                "{index:?} of {request:?} sent to {pod:?} after lease expiry, by a decision older than the grace period"
             ),
         ));
     }
-    let Some(ExpiredLease {
-        served,
-        better: Some(better),
+    let Some(ExpiredLeaseEvidence {
+        served_within_lease,
+        alternative: Some(alternative),
     }) = first_byte.attempt.expired_lease
     else {
         return Ok(());
     };
-    coverage.begun_on_expired_list += 1;
-    let has_left = |pod: PodId| {
-        true_list
+    coverage.sent_on_expired_lease += 1;
+    let is_long_gone = |pod: PodId| {
+        authoritative_list
             .not_ready_since(pod)
             .is_some_and(|since| now > since + lease_and_grace + LINK_DELAY)
     };
-    if has_left(pod) && !served {
-        return Err(RuleBroken::new(
+    if is_long_gone(pod) && !served_within_lease {
+        return Err(UnattributedViolation::new(
             Rule::Draining,
             format!(
-                "{index:?} of {request:?} is sent to {pod:?} on an expired lease, although {better:?} serves requests"
+                "{index:?} of {request:?} sent to {pod:?} after lease expiry, although {alternative:?} serves requests"
             ),
         ));
     }
-    let is_one_stale = sidecar
+    let any_stale = sidecar
         .latest_endpoints()
         .filter(|endpoint| endpoint.state == PodState::Ready)
-        .any(|endpoint| has_left(endpoint.pod));
-    coverage.begun_beside_stale_pod += usize::from(is_one_stale);
+        .any(|endpoint| is_long_gone(endpoint.pod));
+    coverage.sent_with_stale_pod_listed += usize::from(any_stale);
     Ok(())
 }
 
 /// Whether another pod is eligible for an attempt in place of the chosen one.
-fn could_take(attempt: &ProposedAttempt<'_>, other: &Endpoint) -> bool {
+fn is_eligible(attempt: &ProposedAttempt<'_>, other: &Endpoint) -> bool {
     let chosen = attempt.endpoint;
     let earlier = &attempt.request.attempts;
     let slow_start = attempt.sidecar.config.safety.slow_start_duration;
@@ -151,11 +153,16 @@
 
 /// Whether the sidecar has no evidence against a pod: all recent attempts succeeded, and none has been in flight for
 /// too long.
-fn is_sound(sidecar: &SidecarHistory, endpoint: &Endpoint, since: Duration, now: Duration) -> bool {
+fn is_healthy(
+    sidecar: &SidecarHistory,
+    endpoint: &Endpoint,
+    since: Duration,
+    now: Duration,
+) -> bool {
     attempts_at(sidecar, endpoint)
         .filter(|attempt| attempt.decided_at >= since)
         .all(|attempt| match attempt.outcome {
-            None => now <= attempt.decided_at + SILENCE_AFTER,
+            None => now <= attempt.decided_at + UNRESPONSIVE_AFTER,
             Some(outcome) => matches!(
                 outcome,
                 AttemptOutcome::Succeeded | AttemptOutcome::NeverSent | AttemptOutcome::Cancelled
--- a/crates/reference-model/src/rules/exposure.rs
+++ b/crates/reference-model/src/rules/exposure.rs
@@ -3,7 +3,7 @@
 
 use crate::coverage::Coverage;
 use crate::history::{ProposedAttempt, RequestHistory, SidecarHistory, StageRecord};
-use crate::violation::{Rule, RuleBroken};
+use crate::violation::{Rule, UnattributedViolation};
 use limewing_decision::interface::{
     AttemptOutcome, BuildId, ClassId, Idempotency, Phase, PodState, RolloutConfig, RoutingKey,
     StageUpdate,
@@ -11,16 +11,16 @@
 use std::time::Duration;
 
 /// Tolerance for floating-point rounding.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// The limits of a build on trial.
-struct TrialTerms {
+struct TrialLimits {
     cap: f64,
     stage: u8,
 }
 
 /// The exposure cap in effect for a build.
-pub(crate) struct BindingCap {
+pub(crate) struct EffectiveCap {
     pub(crate) cap: f64,
     /// Only attempts from this time on count against the cap.
     counted_from: Duration,
@@ -30,7 +30,7 @@
 pub(crate) fn check_attempt(
     attempt: &ProposedAttempt<'_>,
     coverage: &mut Coverage,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let Some(latest) = attempt.sidecar.stages.last() else {
         return Ok(());
     };
@@ -47,27 +47,30 @@
 fn check_guarded_stage(
     attempt: &ProposedAttempt<'_>,
     latest: &StageRecord,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let rollout = &attempt.sidecar.config.rollout;
     let request = &attempt.request.request;
     let build = attempt.endpoint.build;
-    let Some(TrialTerms { stage, .. }) = trial_terms(rollout, build, &latest.update) else {
+    let Some(TrialLimits { stage, .. }) = trial_limits(rollout, build, &latest.update) else {
         return Ok(());
     };
     if is_guarded(attempt.sidecar, request.class) && stage < rollout.guarded_stages {
-        return Err(broken(format!(
+        return Err(violation(format!(
             "attempt of {:?} at {build:?} in guarded stage {stage}, known since {:?}",
-            request.id, latest.learned_at
+            request.id, latest.received_at
         )));
     }
     Ok(())
 }
 
-fn check_cap(attempt: &ProposedAttempt<'_>, coverage: &mut Coverage) -> Result<(), RuleBroken> {
+fn check_cap(
+    attempt: &ProposedAttempt<'_>,
+    coverage: &mut Coverage,
+) -> Result<(), UnattributedViolation> {
     let sidecar = attempt.sidecar;
     let now = attempt.now;
     let build = attempt.endpoint.build;
-    let Some(BindingCap { cap, counted_from }) = binding_cap(sidecar, build, now) else {
+    let Some(EffectiveCap { cap, counted_from }) = effective_cap(sidecar, build, now) else {
         return Ok(());
     };
     let rollout = &sidecar.config.rollout;
@@ -91,8 +94,8 @@
         .count();
     let attempts = earlier_attempts + 1;
     let allowed = rollout.exposure_free + cap * arrivals as f64;
-    if attempts as f64 > allowed + ROUNDING || cap <= 0.0 {
-        return Err(broken(format!(
+    if attempts as f64 > allowed + ROUNDING_TOLERANCE || cap <= 0.0 {
+        return Err(violation(format!(
             "{attempts} attempts at {build:?}, {allowed:.2} allowed by cap {cap}"
         )));
     }
@@ -105,7 +108,7 @@
     attempt: &ProposedAttempt<'_>,
     update: &StageUpdate,
     coverage: &mut Coverage,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let sidecar = attempt.sidecar;
     let newest = update.build;
     let build = attempt.endpoint.build;
@@ -123,7 +126,7 @@
         .any(|endpoint| endpoint.build < newest && endpoint.state == PodState::Ready);
     coverage.sticky_attempts += usize::from(runs_older_build);
     if build < newest {
-        return Err(broken(format!(
+        return Err(violation(format!(
             "{key:?} was served by {newest:?} and returns to {build:?}"
         )));
     }
@@ -142,21 +145,21 @@
 
 /// Returns the limits of a build under a stage update, or `None` if the build is not on trial. A build newer than the
 /// announced one is treated as being in its first stage.
-fn trial_terms(
+fn trial_limits(
     rollout: &RolloutConfig,
     build: BuildId,
     update: &StageUpdate,
-) -> Option<TrialTerms> {
+) -> Option<TrialLimits> {
     if build < update.build || (build == update.build && update.phase == Phase::Released) {
         return None;
     }
     if build == update.build {
-        return Some(TrialTerms {
+        return Some(TrialLimits {
             cap: update.cap,
             stage: update.stage.0,
         });
     }
-    Some(TrialTerms {
+    Some(TrialLimits {
         cap: rollout.exposure_caps[0],
         stage: 0,
     })
@@ -164,20 +167,20 @@
 
 /// Returns the cap in effect for a build, or `None` if the build is not on trial. A lowered cap takes effect after the
 /// grace period, and only attempts from then on count against it.
-pub(crate) fn binding_cap(
+pub(crate) fn effective_cap(
     sidecar: &SidecarHistory,
     build: BuildId,
     now: Duration,
-) -> Option<BindingCap> {
+) -> Option<EffectiveCap> {
     let grace = sidecar.config.safety.drain_grace;
     let caps: Vec<(Duration, f64)> = sidecar
         .stages
         .iter()
         .map(|record| {
-            let terms = trial_terms(&sidecar.config.rollout, build, &record.update);
+            let limits = trial_limits(&sidecar.config.rollout, build, &record.update);
             (
-                record.learned_at,
-                terms.map_or(f64::INFINITY, |terms| terms.cap),
+                record.received_at,
+                limits.map_or(f64::INFINITY, |limits| limits.cap),
             )
         })
         .collect();
@@ -198,9 +201,9 @@
     if cap.is_infinite() {
         return None;
     }
-    Some(BindingCap { cap, counted_from })
+    Some(EffectiveCap { cap, counted_from })
 }
 
-fn broken(description: String) -> RuleBroken {
-    RuleBroken::new(Rule::Exposure, description)
+fn violation(description: String) -> UnattributedViolation {
+    UnattributedViolation::new(Rule::Exposure, description)
 }
--- a/crates/reference-model/src/rules/repeated_effect.rs
+++ b/crates/reference-model/src/rules/repeated_effect.rs
@@ -2,23 +2,23 @@
 
 use crate::coverage::Coverage;
 use crate::history::{AttemptHistory, ProposedAttempt, RequestHistory};
-use crate::violation::{Rule, RuleBroken};
+use crate::violation::{Rule, UnattributedViolation};
 use limewing_decision::interface::{DeduplicationScope, Endpoint, Idempotency, SidecarConfig};
 
 /// Checks that a request that may have run is only retried if running it again is safe.
 pub(crate) fn check_attempt(
     attempt: &ProposedAttempt<'_>,
     coverage: &mut Coverage,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let config = &attempt.sidecar.config;
     let request = attempt.request;
     let id = request.request.id;
-    let is_one_in_flight = request
+    let any_in_flight = request
         .attempts
         .iter()
         .any(|earlier| earlier.outcome.is_none());
-    if !config.hedging && is_one_in_flight {
-        return Err(broken(format!(
+    if !config.hedging && any_in_flight {
+        return Err(violation(format!(
             "{id:?} has two attempts in flight without hedging"
         )));
     }
@@ -28,7 +28,7 @@
         Idempotency::Idempotent => {}
         Idempotency::NonIdempotent if may_have_run.is_empty() => {}
         Idempotency::NonIdempotent => {
-            return Err(broken(format!(
+            return Err(violation(format!(
                 "{id:?} is retried although it may have run"
             )))
         }
@@ -37,22 +37,22 @@
             window,
         } => {
             let is_deduplicated = may_have_run.iter().all(|earlier| {
-                shares_memory(deduplicated_by, &earlier.endpoint, attempt.endpoint)
+                shares_deduplication_state(deduplicated_by, &earlier.endpoint, attempt.endpoint)
                     && attempt.now <= earlier.decided_at + window
             });
             if !is_deduplicated {
-                return Err(broken(format!(
+                return Err(violation(format!(
                     "{id:?} is retried at {:?}, which may not know its idempotency key",
                     attempt.endpoint.pod
                 )));
             }
         }
     }
-    let is_proven_retry = idempotency == Idempotency::NonIdempotent
+    let is_safe_retry = idempotency == Idempotency::NonIdempotent
         && may_have_run.is_empty()
         && !request.attempts.is_empty();
     coverage.repeats += usize::from(!may_have_run.is_empty());
-    coverage.proven_retries += usize::from(is_proven_retry);
+    coverage.safe_retries += usize::from(is_safe_retry);
     Ok(())
 }
 
@@ -61,8 +61,8 @@
 pub(crate) fn check_rejection(
     request: &RequestHistory,
     config: &SidecarConfig,
-) -> Result<(), RuleBroken> {
-    let is_repeat_harmless = matches!(
+) -> Result<(), UnattributedViolation> {
+    let is_repeat_safe = matches!(
         idempotency_of(request, config),
         Idempotency::Idempotent
             | Idempotency::Keyed {
@@ -70,10 +70,10 @@
                 ..
             }
     );
-    if is_repeat_harmless || request.attempts_that_may_have_run().next().is_none() {
+    if is_repeat_safe || request.attempts_that_may_have_run().next().is_none() {
         return Ok(());
     }
-    Err(broken(format!(
+    Err(violation(format!(
         "{:?} is rejected although it may have run",
         request.request.id
     )))
@@ -84,7 +84,7 @@
 }
 
 /// Whether two pods share the deduplication state of idempotency keys.
-fn shares_memory(scope: DeduplicationScope, one: &Endpoint, other: &Endpoint) -> bool {
+fn shares_deduplication_state(scope: DeduplicationScope, one: &Endpoint, other: &Endpoint) -> bool {
     match scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Zone => one.zone == other.zone,
@@ -92,6 +92,6 @@
     }
 }
 
-fn broken(description: String) -> RuleBroken {
-    RuleBroken::new(Rule::NoRepeatedEffect, description)
+fn violation(description: String) -> UnattributedViolation {
+    UnattributedViolation::new(Rule::NoRepeatedEffect, description)
 }
--- a/crates/reference-model/src/rules/slow_start.rs
+++ b/crates/reference-model/src/rules/slow_start.rs
@@ -2,7 +2,7 @@
 
 use crate::coverage::Coverage;
 use crate::history::{AttemptAtPod, PodStart, ProposedAttempt};
-use crate::violation::{Rule, RuleBroken};
+use crate::violation::{Rule, UnattributedViolation};
 
 /// Records an attempt at a pod, and checks the pod's recent load. The rule applies only if at least two thirds of the
 /// attempts come from sidecars that know of the pod's start. One standard deviation is allowed for random variation.
@@ -10,13 +10,13 @@
     attempt: &ProposedAttempt<'_>,
     start: &mut PodStart,
     coverage: &mut Coverage,
-) -> Result<(), RuleBroken> {
+) -> Result<(), UnattributedViolation> {
     let safety = &attempt.sidecar.config.safety;
     let now = attempt.now;
-    let was_informed = attempt.endpoint.started_at == Some(start.at);
+    let sidecar_knew_start = attempt.endpoint.started_at == Some(start.at);
     start.attempts.push(AttemptAtPod {
         at: now,
-        was_informed,
+        sidecar_knew_start,
     });
     let age = now.saturating_sub(start.at);
     let warmth = (age.as_secs_f64() / safety.slow_start_duration.as_secs_f64()).min(1.0);
@@ -33,9 +33,12 @@
         .iter()
         .filter(|attempt| attempt.at + window > now)
         .collect();
-    let informed_count = recent.iter().filter(|attempt| attempt.was_informed).count();
+    let informed_count = recent
+        .iter()
+        .filter(|attempt| attempt.sidecar_knew_start)
+        .count();
     if recent.len() as f64 > allowed && informed_count * 3 >= recent.len() * 2 {
-        return Err(RuleBroken::new(
+        return Err(UnattributedViolation::new(
             Rule::SlowStart,
             format!(
                 "{} attempts at {:?} in slow start, {allowed:.1} allowed",
@@ -44,6 +47,6 @@
             ),
         ));
     }
-    coverage.attempts_at_cold_pods += usize::from(was_informed);
+    coverage.attempts_at_cold_pods += usize::from(sidecar_knew_start);
     Ok(())
 }
--- a/crates/reference-model/src/simulation/attempts.rs
+++ b/crates/reference-model/src/simulation/attempts.rs
@@ -12,15 +12,15 @@
 use std::time::Duration;
 
 /// The share of attempts that find no idle connection and need a new one.
-const DIAL_RATE: f64 = 0.1;
+const NEW_CONNECTION_RATE: f64 = 0.1;
 /// The share of connections that break before the first byte, by the number of earlier broken connections.
-const BREAK_RATES: [f64; 4] = [0.05, 0.5, 0.5, 0.0];
+const CONNECTION_BREAK_RATES: [f64; 4] = [0.05, 0.5, 0.5, 0.0];
 /// The range of the time to establish a connection, in milliseconds.
-const MIN_DIAL: u64 = 5;
-const MAX_DIAL: u64 = 1000;
+const MIN_CONNECT_MS: u64 = 5;
+const MAX_CONNECT_MS: u64 = 1000;
 /// The time until a connection to a pod that is not running is refused, and the timeout if there is no reply.
-const REFUSED_AFTER: Duration = Duration::from_millis(2);
-const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
+const CONNECT_REFUSAL_DELAY: Duration = Duration::from_millis(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The duration in attempt results. The runs do not test how the engine uses it.
 const REPORTED_DURATION: Duration = Duration::from_millis(50);
 /// A placeholder for the pod in the result of a cancelled attempt.
@@ -69,13 +69,13 @@
 
 impl Simulation {
     pub(super) fn start_attempt(&mut self, sidecar: usize, request: RequestId, pod: PodId) {
-        let sidecar_ref = self.current(sidecar);
+        let sidecar_ref = self.current_incarnation(sidecar);
         let Some(open) = self.sidecars[sidecar].requests.get_mut(&request) else {
             return;
         };
         let index = AttemptIndex(open.attempts_ended.len() as u16);
-        let is_void = open.is_closed(self.now) || index.0 >= self.config.max_attempts;
-        open.attempts_ended.push(is_void);
+        let never_sent = open.is_closed(self.now) || index.0 >= self.config.max_attempts;
+        open.attempts_ended.push(never_sent);
         let is_over = open.is_over;
         let deadline = open.deadline;
         let attempt = Attempt {
@@ -85,11 +85,11 @@
             class: open.client_request.class,
             pod,
         };
-        if is_void {
+        if never_sent {
             return self.report_result(&attempt, AttemptOutcome::NeverSent, is_over, STEP);
         }
         self.schedule(deadline, SimulationEvent::AttemptTimesOut(attempt.clone()));
-        self.dial(attempt, 0);
+        self.acquire_connection(attempt, 0);
     }
 
     pub(super) fn cancel_attempt(
@@ -98,7 +98,7 @@
         request: RequestId,
         index: AttemptIndex,
     ) {
-        let sidecar_ref = self.current(sidecar);
+        let sidecar_ref = self.current_incarnation(sidecar);
         let Some(open) = self.sidecars[sidecar].requests.get_mut(&request) else {
             return;
         };
@@ -121,8 +121,8 @@
     }
 
     /// Gets a connection for an attempt. Most attempts find an idle one, the others open a new one.
-    fn dial(&mut self, attempt: Attempt, broken_connections: u8) {
-        if broken_connections == 0 && !self.link_rng.random_bool(DIAL_RATE) {
+    fn acquire_connection(&mut self, attempt: Attempt, broken_connections: u8) {
+        if broken_connections == 0 && !self.link_rng.random_bool(NEW_CONNECTION_RATE) {
             let connection = ReadyConnection {
                 attempt,
                 broken_connections,
@@ -130,7 +130,7 @@
             let host = &mut self.sidecars[connection.attempt.sidecar.index];
             return host.ready_connections.push(connection);
         }
-        let wait = ms(self.link_rng.random_range(MIN_DIAL..=MAX_DIAL));
+        let wait = ms(self.link_rng.random_range(MIN_CONNECT_MS..=MAX_CONNECT_MS));
         let ready = SimulationEvent::ConnectionReady {
             attempt,
             broken_connections,
@@ -180,7 +180,7 @@
             self.connect_fails(attempt);
             return Ok(());
         };
-        if self.mutation.asks_before_first_byte(broken_connections)
+        if self.mutation.requests_send_permit(broken_connections)
             && !engine.may_begin(self.now, attempt.request, attempt.index)
         {
             self.model.attempt_withheld(sidecar, self.now, attempt.pod);
@@ -189,9 +189,9 @@
         }
         if self
             .link_rng
-            .random_bool(BREAK_RATES[usize::from(broken_connections)])
+            .random_bool(CONNECTION_BREAK_RATES[usize::from(broken_connections)])
         {
-            self.dial(attempt, broken_connections + 1);
+            self.acquire_connection(attempt, broken_connections + 1);
             return Ok(());
         }
         self.model.check_first_byte(
@@ -209,9 +209,9 @@
     /// Fails the connection to a pod that is not running: it is either refused quickly or times out.
     fn connect_fails(&mut self, attempt: Attempt) {
         let wait = if self.rng.random_bool(0.5) {
-            REFUSED_AFTER
+            CONNECT_REFUSAL_DELAY
         } else {
-            DIAL_TIMEOUT
+            CONNECT_TIMEOUT
         };
         let failure = SimulationEvent::AttemptEnds {
             attempt,
--- a/crates/reference-model/src/simulation/clients.rs
+++ b/crates/reference-model/src/simulation/clients.rs
@@ -14,7 +14,7 @@
 /// The maximum number of retries by a client.
 const MAX_RETRIES: u8 = 2;
 /// The time after its deadline at which a client without an answer disconnects.
-const PATIENCE_AFTER_DEADLINE: Duration = Duration::from_millis(40);
+const DISCONNECT_AFTER_DEADLINE: Duration = Duration::from_millis(40);
 
 impl Simulation {
     pub(super) fn client_arrives(&mut self) {
@@ -44,7 +44,7 @@
         }
         // Traffic is skewed: the first running sidecar gets the most requests.
         let draw: f64 = self.rng.random_range(0.0..1.0);
-        let sidecar = self.current(up[(up.len() as f64 * draw.powi(2)) as usize]);
+        let sidecar = self.current_incarnation(up[(up.len() as f64 * draw.powi(2)) as usize]);
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
         let class = client_request.class;
@@ -61,15 +61,15 @@
             routing_key: client_request.routing_key,
             deadline,
         }));
-        let leaves = |request| SimulationEvent::ClientLeaves { sidecar, request };
+        let disconnects = |request| SimulationEvent::ClientDisconnects { sidecar, request };
         if self.rng.random_bool(0.02) {
             let early = self.now + timeout.mul_f64(self.rng.random_range(0.0..0.4));
-            self.schedule(early, leaves(id));
+            self.schedule(early, disconnects(id));
         }
-        self.schedule(deadline + PATIENCE_AFTER_DEADLINE, leaves(id));
+        self.schedule(deadline + DISCONNECT_AFTER_DEADLINE, disconnects(id));
     }
 
-    pub(super) fn client_leaves(&mut self, sidecar: SidecarRef, request: RequestId) {
+    pub(super) fn client_disconnects(&mut self, sidecar: SidecarRef, request: RequestId) {
         let host = &mut self.sidecars[sidecar.index];
         if host.incarnation != sidecar.incarnation {
             return;
--- a/crates/reference-model/src/simulation/discovery.rs
+++ b/crates/reference-model/src/simulation/discovery.rs
@@ -107,7 +107,7 @@
         if !host.is_up() || (needs_watch && !host.is_watching) {
             return;
         }
-        if needs_watch && !self.hears_watch(sidecar) {
+        if needs_watch && !self.check_watch(sidecar) {
             return;
         }
         let to = self.list_position(sidecar);
@@ -133,14 +133,14 @@
     }
 
     /// Returns whether a watch receives data or a keep-alive in this step. A watch past its silence timeout is closed.
-    fn hears_watch(&mut self, sidecar: usize) -> bool {
+    fn check_watch(&mut self, sidecar: usize) -> bool {
         let host = &mut self.sidecars[sidecar];
         let answers = self.discovery.state == DiscoveryState::Answers;
         if answers && !host.is_stalled {
-            host.list_heard_at = self.now;
-            self.model.list_heard(sidecar, self.now);
+            host.last_list_contact = self.now;
+            self.model.list_service_contacted(sidecar, self.now);
         }
-        if !answers && self.now >= host.list_heard_at + WATCH_TIMEOUT {
+        if !answers && self.now >= host.last_list_contact + WATCH_TIMEOUT {
             self.lose_watch(sidecar, WatchLossCause::Ended);
         }
         answers
--- a/crates/reference-model/src/simulation/draw.rs
+++ b/crates/reference-model/src/simulation/draw.rs
@@ -1,7 +1,7 @@
 //! Generates a fleet from a seed. Changing the order of the random draws changes the run of every seed.
 
 use super::discovery::Discovery;
-use super::pods::{CORES, WORK_PER_REQUEST};
+use super::pods::{CORES_PER_POD, MEAN_SERVICE_TIME_S};
 use super::rollout::{Rollout, EXPOSURE_CAPS, FIRST_BUILD, STAGE_SHARES};
 use super::sidecars::Sidecar;
 use super::{ms, Simulation, START};
@@ -27,7 +27,7 @@
 ];
 
 impl Simulation {
-    pub(super) fn draw(seed: u64, mutation: Mutation) -> Self {
+    pub(super) fn from_seed(seed: u64, mutation: Mutation) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut link_rng = StdRng::seed_from_u64(!seed);
         let mut config = draw_config(&mut rng);
@@ -37,7 +37,7 @@
         }
         let draining_pods_reject = link_rng.random_bool(0.7);
         let pod_count = rng.random_range(6..=10usize);
-        let fleet_capacity = pod_count as f64 * CORES as f64 / WORK_PER_REQUEST;
+        let fleet_capacity = pod_count as f64 * CORES_PER_POD as f64 / MEAN_SERVICE_TIME_S;
         let request_rate = fleet_capacity * rng.random_range(0.25..0.8);
         let mut simulation = Self {
             rng,
--- a/crates/reference-model/src/simulation/event.rs
+++ b/crates/reference-model/src/simulation/event.rs
@@ -66,11 +66,11 @@
     },
     ClientArrives,
     ClientRetries(ClientRequest),
-    ClientLeaves {
+    ClientDisconnects {
         sidecar: SidecarRef,
         request: RequestId,
     },
-    PodDies(usize),
+    PodCrashes(usize),
     /// A crashed pod restarts, with the current build of the rollout if `build` is `None`.
     PodRestarts {
         pod_index: usize,
@@ -102,16 +102,16 @@
         sidecar: usize,
         stalls: bool,
     },
-    SidecarDies(usize),
+    SidecarCrashes(usize),
     SidecarStarts(usize),
     /// List updates are delayed by this time.
     ListDelayed(Duration),
     /// Stage updates are delayed by this time.
     StageDelayed(Duration),
-    InstallerDown(bool),
+    RolloutServiceDown(bool),
     CapLowered,
     /// The rollout service advances the rollout, unless its state has changed since.
-    RolloutStep {
+    RolloutAdvances {
         state: u64,
     },
     /// The request rate is multiplied by this factor.
--- a/crates/reference-model/src/simulation/faults.rs
+++ b/crates/reference-model/src/simulation/faults.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// The earliest start of each outage of the list service, in milliseconds from the start of the run.
-const OUTAGE_STARTS: [u64; 2] = [1000, 12_000];
+const OUTAGE_STARTS_MS: [u64; 2] = [1000, 12_000];
 
 /// The kinds of faults, repeated according to their frequency.
 const FAULT_KINDS: [FaultKind; 14] = [
-    FaultKind::PodDeaths,
+    FaultKind::PodCrashes,
     FaultKind::PodHang,
     FaultKind::PodSlowness,
     FaultKind::LostAnswers,
@@ -20,7 +20,7 @@
     FaultKind::SidecarRestart,
     FaultKind::ListDelay,
     FaultKind::StageDelay,
-    FaultKind::InstallerOutage,
+    FaultKind::RolloutServiceOutage,
     FaultKind::LoweredCap,
     FaultKind::Overload,
     FaultKind::FleetSlowness,
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Copy)]
 enum FaultKind {
-    PodDeaths,
+    PodCrashes,
     PodHang,
     PodSlowness,
     LostAnswers,
@@ -39,20 +39,20 @@
     SidecarRestart,
     ListDelay,
     StageDelay,
-    InstallerOutage,
+    RolloutServiceOutage,
     LoweredCap,
     Overload,
 }
 
 /// The time span of a fault, and the pod and sidecar it affects.
-struct FaultDraw {
+struct FaultPlan {
     start: Duration,
     end: Duration,
     pod_index: usize,
     sidecar: usize,
 }
 
-impl FaultDraw {
+impl FaultPlan {
     /// Returns the end of a sidecar fault. Sidecar faults are shorter than others.
     fn sidecar_end(&self) -> Duration {
         self.start + (self.end - self.start) / 3
@@ -67,7 +67,7 @@
         }
         self.schedule(START, SimulationEvent::ClientArrives);
         let first_rollout = START + ms(self.rng.random_range(1500..4000));
-        self.schedule(first_rollout, SimulationEvent::RolloutStep { state: 0 });
+        self.schedule(first_rollout, SimulationEvent::RolloutAdvances { state: 0 });
         for _ in 0..self.rng.random_range(5..12) {
             self.draw_fault(pod_count);
         }
@@ -76,7 +76,7 @@
     fn draw_fault(&mut self, pod_count: usize) {
         let start = START + ms(self.rng.random_range(500..20_000));
         let end = start + ms(self.rng.random_range(300..5000));
-        let fault = FaultDraw {
+        let fault = FaultPlan {
             start,
             end,
             pod_index: self.rng.random_range(0..pod_count),
@@ -84,7 +84,7 @@
         };
         let kind = FAULT_KINDS[self.rng.random_range(0..FAULT_KINDS.len())];
         match kind {
-            FaultKind::PodDeaths => self.draw_pod_deaths(&fault, pod_count),
+            FaultKind::PodCrashes => self.draw_pod_crashes(&fault, pod_count),
             FaultKind::PodHang | FaultKind::PodSlowness | FaultKind::LostAnswers => {
                 self.draw_pod_fault(kind, &fault);
             }
@@ -104,13 +104,13 @@
             FaultKind::WatchBreak
             | FaultKind::ListDelay
             | FaultKind::StageDelay
-            | FaultKind::InstallerOutage
+            | FaultKind::RolloutServiceOutage
             | FaultKind::LoweredCap => self.draw_control_fault(kind, &fault),
         }
     }
 
     /// Schedules simultaneous crashes of 1 to 3 pods. Some pods restart with a different build under the same ID.
-    fn draw_pod_deaths(&mut self, fault: &FaultDraw, pod_count: usize) {
+    fn draw_pod_crashes(&mut self, fault: &FaultPlan, pod_count: usize) {
         let first = fault.pod_index;
         let end = (first + self.rng.random_range(1..4)).min(pod_count);
         for pod_index in first..end {
@@ -119,12 +119,12 @@
             } else {
                 Some(self.pods[pod_index].endpoint.build)
             };
-            self.schedule(fault.start, SimulationEvent::PodDies(pod_index));
+            self.schedule(fault.start, SimulationEvent::PodCrashes(pod_index));
             self.schedule(fault.end, SimulationEvent::PodRestarts { pod_index, build });
         }
     }
 
-    fn draw_pod_fault(&mut self, kind: FaultKind, fault: &FaultDraw) {
+    fn draw_pod_fault(&mut self, kind: FaultKind, fault: &FaultPlan) {
         let pod_index = fault.pod_index;
         match kind {
             FaultKind::PodHang => {
@@ -144,21 +144,21 @@
         }
     }
 
-    fn schedule_stall(&mut self, fault: &FaultDraw) {
+    fn schedule_stall(&mut self, fault: &FaultPlan) {
         let sidecar = fault.sidecar;
         let stalls = |stalls| SimulationEvent::SidecarStalls { sidecar, stalls };
         self.schedule(fault.start, stalls(true));
         self.schedule(fault.sidecar_end(), stalls(false));
     }
 
-    fn schedule_restart(&mut self, fault: &FaultDraw) {
+    fn schedule_restart(&mut self, fault: &FaultPlan) {
         let sidecar = fault.sidecar;
-        self.schedule(fault.start, SimulationEvent::SidecarDies(sidecar));
+        self.schedule(fault.start, SimulationEvent::SidecarCrashes(sidecar));
         self.schedule(fault.sidecar_end(), SimulationEvent::SidecarStarts(sidecar));
     }
 
     /// Schedules a fault of the list service or the rollout service.
-    fn draw_control_fault(&mut self, kind: FaultKind, fault: &FaultDraw) {
+    fn draw_control_fault(&mut self, kind: FaultKind, fault: &FaultPlan) {
         let (start, end) = (fault.start, fault.end);
         match kind {
             FaultKind::WatchBreak => {
@@ -174,15 +174,15 @@
                 self.schedule(start, SimulationEvent::StageDelayed(delay));
                 self.schedule(end, SimulationEvent::StageDelayed(Duration::ZERO));
             }
-            FaultKind::InstallerOutage => {
-                self.schedule(start, SimulationEvent::InstallerDown(true));
-                self.schedule(end, SimulationEvent::InstallerDown(false));
+            FaultKind::RolloutServiceOutage => {
+                self.schedule(start, SimulationEvent::RolloutServiceDown(true));
+                self.schedule(end, SimulationEvent::RolloutServiceDown(false));
             }
             _ => self.schedule(start, SimulationEvent::CapLowered),
         }
     }
 
-    fn schedule_slowness(&mut self, pod_index: usize, factor: f64, fault: &FaultDraw) {
+    fn schedule_slowness(&mut self, pod_index: usize, factor: f64, fault: &FaultPlan) {
         let slows = |factor| SimulationEvent::PodSlows { pod_index, factor };
         self.schedule(fault.start, slows(factor));
         self.schedule(fault.end, slows(1.0));
@@ -191,7 +191,7 @@
     /// Schedules one or two long outages of the list service.
     pub(super) fn draw_outages(&mut self) {
         let count = self.link_rng.random_range(1..=2);
-        for earliest in OUTAGE_STARTS.into_iter().take(count) {
+        for earliest in OUTAGE_STARTS_MS.into_iter().take(count) {
             let states = [DiscoveryState::Refuses, DiscoveryState::Silent];
             let state = states[self.link_rng.random_range(0..states.len())];
             let start = START + ms(earliest + self.link_rng.random_range(0..4000));
--- a/crates/reference-model/src/simulation/mod.rs
+++ b/crates/reference-model/src/simulation/mod.rs
@@ -94,8 +94,12 @@
 /// # Errors
 ///
 /// Returns the first rule violation.
-pub fn play(seed: u64, mutation: Mutation, coverage: &mut Coverage) -> Result<(), Box<RunFailure>> {
-    let mut simulation = Simulation::draw(seed, mutation);
+pub fn run_seed(
+    seed: u64,
+    mutation: Mutation,
+    coverage: &mut Coverage,
+) -> Result<(), Box<RunFailure>> {
+    let mut simulation = Simulation::from_seed(seed, mutation);
     simulation.model.coverage = *coverage;
     let result = simulation.run();
     *coverage = simulation.model.coverage;
@@ -118,7 +122,7 @@
             self.step_pods();
             for sidecar in 0..self.sidecars.len() {
                 self.deliver_list(sidecar);
-                self.note_stage(sidecar);
+                self.store_known_stage(sidecar);
                 self.step_sidecar(sidecar)?;
             }
             let sidecars = &self.sidecars;
@@ -156,10 +160,10 @@
             }
             SimulationEvent::ClientArrives => self.client_arrives(),
             SimulationEvent::ClientRetries(request) => self.send_request(request),
-            SimulationEvent::ClientLeaves { sidecar, request } => {
-                self.client_leaves(sidecar, request);
+            SimulationEvent::ClientDisconnects { sidecar, request } => {
+                self.client_disconnects(sidecar, request);
             }
-            SimulationEvent::PodDies(pod_index) => self.pod_dies(pod_index),
+            SimulationEvent::PodCrashes(pod_index) => self.pod_crashes(pod_index),
             SimulationEvent::PodRestarts { pod_index, build } => {
                 self.pod_restarts(pod_index, build);
             }
@@ -181,13 +185,13 @@
             SimulationEvent::SidecarStalls { sidecar, stalls } => {
                 self.sidecar_stalls(sidecar, stalls);
             }
-            SimulationEvent::SidecarDies(sidecar) => self.sidecar_dies(sidecar),
+            SimulationEvent::SidecarCrashes(sidecar) => self.sidecar_crashes(sidecar),
             SimulationEvent::SidecarStarts(sidecar) => self.start_sidecar(sidecar),
             SimulationEvent::ListDelayed(delay) => self.discovery.delay = delay,
             SimulationEvent::StageDelayed(delay) => self.rollout.update_delay = delay,
-            SimulationEvent::InstallerDown(is_down) => self.rollout.is_installer_down = is_down,
+            SimulationEvent::RolloutServiceDown(is_down) => self.rollout.is_service_down = is_down,
             SimulationEvent::CapLowered => self.lower_cap(),
-            SimulationEvent::RolloutStep { state } => self.step_rollout(state),
+            SimulationEvent::RolloutAdvances { state } => self.advance_rollout(state),
             SimulationEvent::Overload(factor) => self.overload = factor,
         }
     }
--- a/crates/reference-model/src/simulation/pods.rs
+++ b/crates/reference-model/src/simulation/pods.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 /// The number of requests that a pod serves concurrently.
-pub(super) const CORES: usize = 2;
+pub(super) const CORES_PER_POD: usize = 2;
 /// The mean service time of a request on a warm pod, in seconds.
-pub(super) const WORK_PER_REQUEST: f64 = 0.05;
+pub(super) const MEAN_SERVICE_TIME_S: f64 = 0.05;
 /// The queue length at which a pod rejects further requests.
 const MAX_QUEUE: usize = 20;
 /// The latency of a response over a link.
@@ -72,7 +72,7 @@
 }
 
 fn warm_capacity() -> f64 {
-    CORES as f64 / WORK_PER_REQUEST
+    CORES_PER_POD as f64 / MEAN_SERVICE_TIME_S
 }
 
 impl Simulation {
@@ -127,7 +127,7 @@
         self.list_changes(vec![endpoint]);
     }
 
-    pub(super) fn pod_dies(&mut self, pod_index: usize) {
+    pub(super) fn pod_crashes(&mut self, pod_index: usize) {
         let pod = &mut self.pods[pod_index];
         if !pod.is_running {
             return;
@@ -195,12 +195,12 @@
         let warmth = age.as_secs_f64() / safety.slow_start_duration.as_secs_f64();
         let cold_share = safety.slow_start_from;
         let capacity_share = (cold_share + (1.0 - cold_share) * warmth).min(1.0);
-        while pod.working.len() < CORES {
+        while pod.working.len() < CORES_PER_POD {
             let Some(attempt) = pod.waiting.pop_front() else {
                 break;
             };
-            let work =
-                WORK_PER_REQUEST * self.rng.random_range(0.5..1.5) * pod.slowness / capacity_share;
+            let work = MEAN_SERVICE_TIME_S * self.rng.random_range(0.5..1.5) * pod.slowness
+                / capacity_share;
             pod.working.push(Work {
                 done_at: self.now + Duration::from_secs_f64(work),
                 attempt,
--- a/crates/reference-model/src/simulation/rollout.rs
+++ b/crates/reference-model/src/simulation/rollout.rs
@@ -19,20 +19,20 @@
 /// The duration of a rollback.
 const ROLLBACK_DURATION: Duration = Duration::from_millis(2500);
 /// The interval at which a step is retried while the rollout service is down.
-const INSTALLER_RETRY: Duration = Duration::from_millis(500);
+const SERVICE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// The interval at which a held stage is checked again.
 const HOLD_INTERVAL: Duration = Duration::from_millis(250);
 /// The time after which an operator promotes a held stage.
-const MAX_HOLD: Duration = Duration::from_secs(6);
+const MAX_HOLD_DURATION: Duration = Duration::from_secs(6);
 /// The factor applied to the cap when an operator lowers it.
-const LOWERED_CAP_SHARE: f64 = 0.4;
+const LOWERED_CAP_FACTOR: f64 = 0.4;
 
 /// The state of the rollout service.
 pub(super) struct Rollout {
     pub(super) stage: StageUpdate,
     /// The number of state changes. A step scheduled in an earlier state is ignored.
     state: u64,
-    pub(super) is_installer_down: bool,
+    pub(super) is_service_down: bool,
     /// The time for which the stage has been held.
     held_for: Duration,
     /// The extra delay of stage updates.
@@ -62,7 +62,7 @@
                 age: Duration::ZERO,
             },
             state: 0,
-            is_installer_down: false,
+            is_service_down: false,
             held_for: Duration::ZERO,
             update_delay: Duration::ZERO,
             error_rates: BTreeMap::new(),
@@ -89,7 +89,7 @@
                 update: Some(stage),
                 vote_answer: None,
             };
-            let delivery = SimulationEvent::Deliver(self.current(sidecar), event);
+            let delivery = SimulationEvent::Deliver(self.current_incarnation(sidecar), event);
             self.schedule(due, delivery);
         }
     }
@@ -98,7 +98,7 @@
         let stage = self.rollout.stage;
         if stage.phase == Phase::OnTrial {
             self.change_stage(StageUpdate {
-                cap: stage.cap * LOWERED_CAP_SHARE,
+                cap: stage.cap * LOWERED_CAP_FACTOR,
                 ..stage
             });
         }
@@ -140,13 +140,13 @@
             update: None,
             vote_answer: Some(answer),
         };
-        let delivery = SimulationEvent::Deliver(self.current(sidecar), event);
+        let delivery = SimulationEvent::Deliver(self.current_incarnation(sidecar), event);
         self.schedule_in(wait, delivery);
     }
 
     fn draw_vote_answer(&mut self, is_current: bool) -> VoteAnswer {
         let draw = self.rng.random_range(0..20);
-        if self.rollout.is_installer_down {
+        if self.rollout.is_service_down {
             return if self.rng.random_bool(0.5) {
                 VoteAnswer::Failed
             } else {
@@ -175,7 +175,7 @@
 
     fn schedule_step(&mut self, wait: Duration) {
         let state = self.rollout.state;
-        self.schedule_in(wait, SimulationEvent::RolloutStep { state });
+        self.schedule_in(wait, SimulationEvent::RolloutAdvances { state });
     }
 
     /// Starts pods of a build until it has a share of the fleet. Each new pod replaces an old one, which starts to
@@ -218,20 +218,23 @@
     }
 
     /// Advances the rollout, unless the stage is held or the rollout service is down.
-    pub(super) fn step_rollout(&mut self, state: u64) {
+    pub(super) fn advance_rollout(&mut self, state: u64) {
         if state != self.rollout.state {
             return;
         }
-        if self.rollout.is_installer_down {
-            return self.schedule_step(INSTALLER_RETRY);
+        if self.rollout.is_service_down {
+            return self.schedule_step(SERVICE_RETRY_INTERVAL);
         }
         let stage = self.rollout.stage;
-        if stage.phase == Phase::OnTrial && self.is_held() && self.rollout.held_for < MAX_HOLD {
+        if stage.phase == Phase::OnTrial
+            && self.is_held()
+            && self.rollout.held_for < MAX_HOLD_DURATION
+        {
             self.rollout.held_for += HOLD_INTERVAL;
             return self.schedule_step(HOLD_INTERVAL);
         }
         match stage.phase {
-            Phase::Released | Phase::RolledBack => self.offer_next_build(),
+            Phase::Released | Phase::RolledBack => self.start_next_trial(),
             Phase::OnTrial if usize::from(stage.stage.0) + 1 < STAGE_SHARES.len() => {
                 self.promote();
             }
@@ -273,7 +276,7 @@
 
     /// Puts the next build on trial. A sidecar may learn of the new pods before the stage update, and treats an
     /// unannounced build as being in its first stage.
-    fn offer_next_build(&mut self) {
+    fn start_next_trial(&mut self) {
         let build = BuildId(self.rollout.stage.build.0 + 1);
         let error_rate = if self.rng.random_bool(0.4) {
             self.rng.random_range(0.1..0.5)
--- a/crates/reference-model/src/simulation/sidecars.rs
+++ b/crates/reference-model/src/simulation/sidecars.rs
@@ -15,12 +15,12 @@
 use std::time::Duration;
 
 /// The time from the start of a sidecar to its first call to the list service.
-const FIRST_WATCH_CALL: Duration = Duration::from_millis(100);
+const FIRST_WATCH_CALL_DELAY: Duration = Duration::from_millis(100);
 /// The number of zones with sidecars.
-const ZONES: usize = 2;
+const ZONE_COUNT: usize = 2;
 
 /// The method of the engine that handles a batch of events.
-type Entry = fn(&mut DecisionEngine, Duration, Vec<Event>) -> Vec<Action>;
+type HandleEvents = fn(&mut DecisionEngine, Duration, Vec<Event>) -> Vec<Action>;
 
 /// A sidecar and the state of its host.
 pub(super) struct Sidecar {
@@ -38,7 +38,7 @@
     pub(super) endpoints: BTreeMap<PodId, Endpoint>,
     pub(super) is_watching: bool,
     /// When the list service was last heard from. An open watch receives a keep-alive in each step.
-    pub(super) list_heard_at: Duration,
+    pub(super) last_list_contact: Duration,
     /// Established connections, one per attempt.
     pub(super) ready_connections: Vec<ReadyConnection>,
     /// The delay of list updates.
@@ -64,7 +64,7 @@
             list_position: 1,
             endpoints: by_pod(list),
             is_watching: false,
-            list_heard_at: START,
+            last_list_contact: START,
             ready_connections: Vec::new(),
             list_lag,
             stage_lag,
@@ -99,7 +99,7 @@
 
 impl Simulation {
     /// Returns a reference to the current incarnation of a sidecar.
-    pub(super) fn current(&self, sidecar: usize) -> SidecarRef {
+    pub(super) fn current_incarnation(&self, sidecar: usize) -> SidecarRef {
         SidecarRef {
             index: sidecar,
             incarnation: self.sidecars[sidecar].incarnation,
@@ -114,7 +114,7 @@
     }
 
     /// Stores the stage that will be delivered in the next turn.
-    pub(super) fn note_stage(&mut self, sidecar: usize) {
+    pub(super) fn store_known_stage(&mut self, sidecar: usize) {
         let host = &mut self.sidecars[sidecar];
         for event in &host.inbox {
             if let Event::Stage {
@@ -144,7 +144,7 @@
     fn deliver_inbox(&mut self, sidecar: usize) -> Result<(), Violation> {
         let host = &mut self.sidecars[sidecar];
         let mut events = std::mem::take(&mut host.inbox);
-        let silent_for = self.now.saturating_sub(host.list_heard_at);
+        let silent_for = self.now.saturating_sub(host.last_list_contact);
         for event in &mut events {
             set_silence(event, silent_for);
         }
@@ -164,14 +164,14 @@
         &mut self,
         sidecar: usize,
         events: Vec<Event>,
-        entry: Entry,
+        handle_events: HandleEvents,
     ) -> Result<(), Violation> {
         let host = &mut self.sidecars[sidecar];
         let Some(engine) = host.engine.as_mut() else {
             return Ok(());
         };
         self.model.record_events(sidecar, self.now, &events);
-        let actions = entry(engine, self.now, events);
+        let actions = handle_events(engine, self.now, events);
         self.turns += 1;
         let endpoints: Vec<Endpoint> = host.endpoints.values().cloned().collect();
         let requests: BTreeMap<RequestId, RequestKind> = host
@@ -189,12 +189,12 @@
         let actions = self.mutation.apply(actions, &context);
         self.model.check_actions(sidecar, self.now, &actions)?;
         for action in actions {
-            self.carry_out(sidecar, action);
+            self.execute(sidecar, action);
         }
         Ok(())
     }
 
-    fn carry_out(&mut self, sidecar: usize, action: Action) {
+    fn execute(&mut self, sidecar: usize, action: Action) {
         match action {
             Action::StartAttempt { request, pod, .. } => self.start_attempt(sidecar, request, pod),
             Action::CancelAttempt { request, attempt } => {
@@ -209,7 +209,7 @@
             } => self.cast_vote(sidecar, verdict, build, stage),
             Action::WatchEndpoints => {
                 let wait = ms(self.rng.random_range(40..400));
-                let call = SimulationEvent::WatchCall(self.current(sidecar));
+                let call = SimulationEvent::WatchCall(self.current_incarnation(sidecar));
                 self.schedule_in(wait, call);
             }
             Action::WakeAt { at } => self.sidecars[sidecar].wake_at = at,
@@ -224,7 +224,7 @@
         let config = SidecarConfig {
             seed: self.rng.random_range(0..u64::MAX),
             sidecar_index: sidecar as u32,
-            zone: ZoneId((sidecar % ZONES) as u16),
+            zone: ZoneId((sidecar % ZONE_COUNT) as u16),
             ..self.config.clone()
         };
         self.model
@@ -243,7 +243,7 @@
         host.is_watching = false;
         host.wake_at = self.now;
         host.known_stage = Some(stage);
-        host.list_heard_at = self.now;
+        host.last_list_contact = self.now;
         host.inbox = vec![
             Event::Endpoints(EndpointUpdate::Cached(cached)),
             Event::Stage {
@@ -252,12 +252,12 @@
             },
         ];
         if self.config.watch_on_request {
-            let call = SimulationEvent::WatchCall(self.current(sidecar));
-            self.schedule_in(FIRST_WATCH_CALL, call);
+            let call = SimulationEvent::WatchCall(self.current_incarnation(sidecar));
+            self.schedule_in(FIRST_WATCH_CALL_DELAY, call);
         }
     }
 
-    pub(super) fn sidecar_dies(&mut self, sidecar: usize) {
+    pub(super) fn sidecar_crashes(&mut self, sidecar: usize) {
         let host = &mut self.sidecars[sidecar];
         host.engine = None;
         host.incarnation += 1;
--- a/crates/reference-model/src/violation.rs
+++ b/crates/reference-model/src/violation.rs
@@ -58,17 +58,17 @@
 
 /// A rule violation that is not yet attributed to a sidecar.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct RuleBroken {
+pub(crate) struct UnattributedViolation {
     rule: Rule,
     description: String,
 }
 
-impl RuleBroken {
+impl UnattributedViolation {
     pub(crate) fn new(rule: Rule, description: String) -> Self {
         Self { rule, description }
     }
 
-    pub(crate) fn by(self, sidecar: usize, at: Duration) -> Violation {
+    pub(crate) fn by_sidecar(self, sidecar: usize, at: Duration) -> Violation {
         Violation {
             rule: self.rule,
             sidecar,
--- a/crates/reference-model/tests/digest/main.rs
+++ b/crates/reference-model/tests/digest/main.rs
@@ -12,7 +12,7 @@
 use action_counts::ActionCounts;
 use limewing_reference_model::coverage::Coverage;
 use limewing_reference_model::mutation::Mutation;
-use limewing_reference_model::simulation::play;
+use limewing_reference_model::simulation::run_seed;
 use limewing_test_support::digest::Digest;
 use simulation::Simulation;
 
@@ -68,8 +68,8 @@
     Mutation::IgnoresStickyKeys,
     Mutation::DoublesAttempts,
     Mutation::NeverWatches,
-    Mutation::SkipsPermission,
-    Mutation::SkipsPermissionOnRedial,
+    Mutation::SkipsSendPermit,
+    Mutation::SkipsSendPermitOnReconnect,
     Mutation::IgnoresEndpointLease,
 ];
 
@@ -79,14 +79,14 @@
     let mut digest = Digest::new();
     let mut coverage = Coverage::default();
     for seed in 0..SEEDS {
-        let kept = play(seed, Mutation::None, &mut coverage).is_ok();
-        digest.number(u64::from(kept));
+        let passed = run_seed(seed, Mutation::None, &mut coverage).is_ok();
+        digest.number(u64::from(passed));
         hash_coverage(&mut digest, &coverage);
     }
     for (number, mutation) in MUTATIONS.into_iter().enumerate() {
         for seed in [number as u64, number as u64 + 100] {
             let mut coverage = Coverage::default();
-            if let Err(failure) = play(seed, mutation, &mut coverage) {
+            if let Err(failure) = run_seed(seed, mutation, &mut coverage) {
                 digest.number(failure.step as u64);
                 digest.number(failure.violation.rule.number().into());
                 digest.number(failure.violation.sidecar as u64);
@@ -104,14 +104,14 @@
         coverage.answers,
         coverage.streams,
         coverage.repeats,
-        coverage.proven_retries,
-        coverage.answers_after_run,
-        coverage.attempts_beside_drained_pod,
-        coverage.redials,
+        coverage.safe_retries,
+        coverage.answers_after_possible_run,
+        coverage.attempts_with_drained_pod_known,
+        coverage.reconnects,
         coverage.withheld,
         coverage.withheld_past_grace,
-        coverage.begun_on_expired_list,
-        coverage.begun_beside_stale_pod,
+        coverage.sent_on_expired_lease,
+        coverage.sent_with_stale_pod_listed,
         coverage.attempts_at_cold_pods,
         coverage.attempts_on_trial,
         coverage.lowered_caps,
--- a/crates/reference-model/tests/digest/simulation/discovery.rs
+++ b/crates/reference-model/tests/digest/simulation/discovery.rs
@@ -8,11 +8,11 @@
 use rand::RngExt;
 
 impl Simulation {
-    pub(super) fn list_changed(&mut self, at: usize) {
-        let endpoint = self.servers[at].endpoint.clone();
-        if self.watching || !self.config.watch_on_request {
-            let whole = self.rng.random_bool(0.15);
-            let update = if whole {
+    pub(super) fn list_changed(&mut self, index: usize) {
+        let endpoint = self.servers[index].endpoint.clone();
+        if self.is_watching || !self.config.watch_on_request {
+            let is_snapshot = self.rng.random_bool(0.15);
+            let update = if is_snapshot {
                 EndpointUpdate::Snapshot(self.list())
             } else {
                 EndpointUpdate::Delta(vec![endpoint])
@@ -21,7 +21,7 @@
             let wait = self.draw_wait(20, 1200);
             self.schedule_in(wait, ScheduledEvent::Deliver(self.incarnation, event));
         } else {
-            self.missed.push(endpoint);
+            self.missed_changes.push(endpoint);
         }
     }
 
@@ -32,25 +32,25 @@
     }
 
     pub(super) fn list_call(&mut self, incarnation: u32) {
-        if incarnation != self.incarnation || self.watching {
+        if incarnation != self.incarnation || self.is_watching {
             return;
         }
         if self.rng.random_bool(0.4) {
-            return self.lose_list();
+            return self.lose_watch();
         }
-        self.watching = true;
-        let missed = std::mem::take(&mut self.missed);
+        self.is_watching = true;
+        let missed_changes = std::mem::take(&mut self.missed_changes);
         let update = if self.rng.random_bool(0.5) {
             EndpointUpdate::Snapshot(self.list())
         } else {
-            EndpointUpdate::Delta(missed)
+            EndpointUpdate::Delta(missed_changes)
         };
         self.events.push(Event::Endpoints(update));
     }
 
-    pub(super) fn lose_list(&mut self) {
-        self.watching = false;
-        let silent_for = self.now.saturating_sub(self.last_heard);
+    pub(super) fn lose_watch(&mut self) {
+        self.is_watching = false;
+        let silent_for = self.now.saturating_sub(self.last_list_contact);
         let cause = [
             WatchLossCause::Ended,
             WatchLossCause::NoService,
@@ -63,8 +63,8 @@
     }
 
     pub(super) fn watch_breaks(&mut self) {
-        if self.watching && self.config.watch_on_request {
-            self.lose_list();
+        if self.is_watching && self.config.watch_on_request {
+            self.lose_watch();
         }
         let wait = self.draw_wait(4000, 15_000);
         self.schedule_in(wait, ScheduledEvent::WatchBreaks);
--- a/crates/reference-model/tests/digest/simulation/mod.rs
+++ b/crates/reference-model/tests/digest/simulation/mod.rs
@@ -26,9 +26,9 @@
 const STEP: Duration = Duration::from_millis(10);
 const START: Duration = Duration::from_secs(1000);
 const RUN_DURATION: Duration = Duration::from_secs(150);
-const PODS: u64 = 12;
+const POD_COUNT: u64 = 12;
 /// The mean request rate.
-const RATE: f64 = 90.0;
+const REQUESTS_PER_SECOND: f64 = 90.0;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -58,20 +58,20 @@
 enum ScheduledEvent {
     Arrival,
     Deliver(u32, Event),
-    Connected(Attempt),
-    Answer(Attempt, AttemptOutcome),
-    TimesOut(Attempt),
-    StreamEnd(Attempt, AttemptOutcome),
-    ClientLeaves(u32, RequestId),
+    ConnectionReady(Attempt),
+    AttemptEnds(Attempt, AttemptOutcome),
+    AttemptTimesOut(Attempt),
+    StreamEnds(Attempt, AttemptOutcome),
+    ClientDisconnects(u32, RequestId),
     ServerFault,
     ServerRecovers(usize),
-    ServerDies(usize),
+    ServerExits(usize),
     /// Restarts a server with the given build.
     ServerRestarts(usize, u16),
     ListCall(u32),
     WatchBreaks,
-    StageStep,
-    FleetChange,
+    StageAdvance,
+    FleetViewChange,
     KeyServed,
     Flag,
     Stall,
@@ -94,9 +94,9 @@
     requests: BTreeMap<RequestId, OpenRequest>,
     next_request: u64,
     overload: f64,
-    watching: bool,
-    last_heard: Duration,
-    missed: Vec<Endpoint>,
+    is_watching: bool,
+    last_list_contact: Duration,
+    missed_changes: Vec<Endpoint>,
     stage: StageUpdate,
     stage_since: Duration,
 }
@@ -112,7 +112,9 @@
             cap: 1.0,
             age: Duration::ZERO,
         };
-        let servers = (1..=PODS).map(|number| Server::new(number, 1)).collect();
+        let servers = (1..=POD_COUNT)
+            .map(|number| Server::new(number, 1))
+            .collect();
         let mut simulation = Self {
             rng,
             now: START,
@@ -127,16 +129,16 @@
             requests: BTreeMap::new(),
             next_request: 0,
             overload: 1.0,
-            watching: false,
-            last_heard: START,
-            missed: Vec::new(),
+            is_watching: false,
+            last_list_contact: START,
+            missed_changes: Vec::new(),
             stage,
             stage_since: START,
         };
         simulation.start_sidecar();
         simulation.schedule_in(ms(1), ScheduledEvent::Arrival);
-        simulation.schedule_in(ms(3000), ScheduledEvent::StageStep);
-        simulation.schedule_in(ms(2500), ScheduledEvent::FleetChange);
+        simulation.schedule_in(ms(3000), ScheduledEvent::StageAdvance);
+        simulation.schedule_in(ms(2500), ScheduledEvent::FleetViewChange);
         simulation.schedule_in(ms(2000), ScheduledEvent::ServerFault);
         simulation.schedule_in(ms(5000), ScheduledEvent::KeyServed);
         simulation.schedule_in(ms(4000), ScheduledEvent::Flag);
@@ -164,8 +166,8 @@
             while let Some(event) = self.queue.pop_due(self.now) {
                 self.handle(event, digest, counts);
             }
-            if self.watching || !self.config.watch_on_request {
-                self.last_heard = self.now;
+            if self.is_watching || !self.config.watch_on_request {
+                self.last_list_contact = self.now;
             }
             let is_due = !self.events.is_empty() || self.now >= self.wake_at;
             if self.now >= self.stalled_until && is_due {
@@ -190,11 +192,11 @@
         for action in actions {
             hash_action(digest, &action);
             counts.count(&action);
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::StartAttempt { request, pod, .. } => self.start_attempt(request, pod),
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
@@ -221,31 +223,33 @@
                     self.events.push(event);
                 }
             }
-            ScheduledEvent::Connected(attempt) => self.connection_ready(attempt, digest, counts),
-            ScheduledEvent::Answer(attempt, outcome) => self.attempt_ends(attempt, outcome),
-            ScheduledEvent::TimesOut(attempt) => {
+            ScheduledEvent::ConnectionReady(attempt) => {
+                self.connection_ready(attempt, digest, counts)
+            }
+            ScheduledEvent::AttemptEnds(attempt, outcome) => self.attempt_ends(attempt, outcome),
+            ScheduledEvent::AttemptTimesOut(attempt) => {
                 self.attempt_ends(attempt, AttemptOutcome::TimedOut)
             }
-            ScheduledEvent::StreamEnd(attempt, outcome) => self.stream_ends(attempt, outcome),
-            ScheduledEvent::ClientLeaves(incarnation, request) => {
-                self.client_leaves(incarnation, request);
+            ScheduledEvent::StreamEnds(attempt, outcome) => self.stream_ends(attempt, outcome),
+            ScheduledEvent::ClientDisconnects(incarnation, request) => {
+                self.client_disconnects(incarnation, request);
             }
             ScheduledEvent::ServerFault => self.draw_server_fault(),
-            ScheduledEvent::ServerRecovers(at) => {
-                self.servers[at].hangs = false;
-                self.servers[at].slowness = 1.0;
-                self.servers[at].error_rate = 0.0;
+            ScheduledEvent::ServerRecovers(index) => {
+                self.servers[index].hangs = false;
+                self.servers[index].slowness = 1.0;
+                self.servers[index].error_rate = 0.0;
             }
-            ScheduledEvent::ServerDies(at) => {
-                self.servers[at].is_running = false;
-                self.servers[at].endpoint.state = PodState::Gone;
-                self.list_changed(at);
+            ScheduledEvent::ServerExits(index) => {
+                self.servers[index].is_running = false;
+                self.servers[index].endpoint.state = PodState::Gone;
+                self.list_changed(index);
             }
-            ScheduledEvent::ServerRestarts(at, build) => self.server_restarts(at, build),
+            ScheduledEvent::ServerRestarts(index, build) => self.server_restarts(index, build),
             ScheduledEvent::ListCall(incarnation) => self.list_call(incarnation),
             ScheduledEvent::WatchBreaks => self.watch_breaks(),
-            ScheduledEvent::StageStep => self.stage_step(),
-            ScheduledEvent::FleetChange => self.fleet_change(),
+            ScheduledEvent::StageAdvance => self.advance_stage(),
+            ScheduledEvent::FleetViewChange => self.change_fleet_view(),
             ScheduledEvent::KeyServed => {
                 let key = RoutingKey(self.rng.random_range(1..80));
                 self.events.push(Event::KeyServed(key, self.stage.build));
@@ -253,7 +257,7 @@
                 self.schedule_in(wait, ScheduledEvent::KeyServed);
             }
             ScheduledEvent::Flag => {
-                let pod = PodId(self.rng.random_range(1..=PODS));
+                let pod = PodId(self.rng.random_range(1..=POD_COUNT));
                 let class = ClassId(self.rng.random_range(0..4));
                 self.events.push(Event::Flagged { pod, class });
                 let wait = self.draw_wait(200, 4000);
@@ -275,8 +279,8 @@
         self.sidecar = DecisionEngine::new(self.now, self.config.clone());
         self.requests.clear();
         self.events.clear();
-        self.watching = false;
-        self.last_heard = self.now;
+        self.is_watching = false;
+        self.last_list_contact = self.now;
         self.wake_at = self.now;
         self.stalled_until = self.now;
         let age = self.now - self.stage_since;
--- a/crates/reference-model/tests/digest/simulation/requests.rs
+++ b/crates/reference-model/tests/digest/simulation/requests.rs
@@ -1,6 +1,6 @@
 //! Requests and their attempts, as seen by the sidecar's host.
 
-use super::{ms, Attempt, OpenRequest, ScheduledEvent, Simulation, RATE, STEP};
+use super::{ms, Attempt, OpenRequest, ScheduledEvent, Simulation, REQUESTS_PER_SECOND, STEP};
 use crate::action_counts::ActionCounts;
 use limewing_decision::interface::{
     AttemptIndex, AttemptOutcome, AttemptResult, ClassId, Event, PodId, Request, RequestId,
@@ -12,15 +12,16 @@
 
 impl Simulation {
     pub(super) fn request_arrives(&mut self) {
-        let wait = -self.rng.random_range(1e-9..1.0_f64).ln() / (RATE * self.overload.min(4.0));
+        let wait = -self.rng.random_range(1e-9..1.0_f64).ln()
+            / (REQUESTS_PER_SECOND * self.overload.min(4.0));
         self.schedule_in(Duration::from_secs_f64(wait), ScheduledEvent::Arrival);
         self.next_request += 1;
         let id = RequestId(self.next_request);
         let class = [0, 0, 0, 1, 1, 2, 2, 3][self.rng.random_range(0..8)];
-        let keyed = self.rng.random_bool(0.6);
-        let key = keyed.then(|| RoutingKey(self.rng.random_range(1..80)));
-        let known = self.rng.random_bool(0.9);
-        let tenant = known.then(|| TenantId(self.rng.random_range(0..4)));
+        let has_key = self.rng.random_bool(0.6);
+        let key = has_key.then(|| RoutingKey(self.rng.random_range(1..80)));
+        let has_tenant = self.rng.random_bool(0.9);
+        let tenant = has_tenant.then(|| TenantId(self.rng.random_range(0..4)));
         let timeout = self.config.classes[class].client_timeout;
         let deadline = self.now + timeout.mul_f64(self.rng.random_range(0.3..1.0));
         let open = OpenRequest {
@@ -40,10 +41,16 @@
         }));
         if self.rng.random_bool(0.03) {
             let wait = self.draw_wait(10, 400);
-            self.schedule_in(wait, ScheduledEvent::ClientLeaves(self.incarnation, id));
+            self.schedule_in(
+                wait,
+                ScheduledEvent::ClientDisconnects(self.incarnation, id),
+            );
         }
         let wait = deadline + ms(40) - self.now;
-        self.schedule_in(wait, ScheduledEvent::ClientLeaves(self.incarnation, id));
+        self.schedule_in(
+            wait,
+            ScheduledEvent::ClientDisconnects(self.incarnation, id),
+        );
     }
 
     pub(super) fn start_attempt(&mut self, request: RequestId, pod: PodId) {
@@ -51,8 +58,9 @@
             return;
         };
         let index = AttemptIndex(open.ended.len() as u16);
-        let too_many = index.0 >= self.config.max_attempts;
-        let never_sent = open.is_over || open.is_streaming || too_many || self.now >= open.deadline;
+        let exceeds_max_attempts = index.0 >= self.config.max_attempts;
+        let never_sent =
+            open.is_over || open.is_streaming || exceeds_max_attempts || self.now >= open.deadline;
         open.ended.push(never_sent);
         let deadline = open.deadline;
         let attempt = Attempt {
@@ -66,15 +74,15 @@
         }
         self.schedule_in(
             deadline.saturating_sub(self.now),
-            ScheduledEvent::TimesOut(attempt),
+            ScheduledEvent::AttemptTimesOut(attempt),
         );
-        let dials = self.rng.random_bool(0.15);
-        let wait = if dials {
+        let needs_connection = self.rng.random_bool(0.15);
+        let wait = if needs_connection {
             self.draw_wait(5, 900)
         } else {
             Duration::ZERO
         };
-        self.schedule_in(wait, ScheduledEvent::Connected(attempt));
+        self.schedule_in(wait, ScheduledEvent::ConnectionReady(attempt));
     }
 
     pub(super) fn cancel_attempt(&mut self, request: RequestId, index: AttemptIndex) {
@@ -116,14 +124,14 @@
         if open.is_over || open.is_streaming || self.now >= open.deadline {
             return self.attempt_ends(attempt, AttemptOutcome::NeverSent);
         }
-        let Some(at) = self
+        let Some(server_index) = self
             .server_of(attempt.pod)
-            .filter(|at| self.servers[*at].is_running)
+            .filter(|index| self.servers[*index].is_running)
         else {
             let wait = [ms(2), ms(250)][usize::from(self.rng.random_bool(0.5))];
             return self.schedule_in(
                 wait,
-                ScheduledEvent::Answer(attempt, AttemptOutcome::ConnectFailed),
+                ScheduledEvent::AttemptEnds(attempt, AttemptOutcome::ConnectFailed),
             );
         };
         let allowed = self
@@ -135,16 +143,17 @@
             counts.refused_starts += 1;
             return self.attempt_ends(attempt, AttemptOutcome::NeverSent);
         }
-        self.reaches_server(at, attempt);
+        self.reaches_server(server_index, attempt);
     }
 
     pub(super) fn attempt_ends(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
-        let served = matches!(
+        let reached_server = matches!(
             outcome,
             AttemptOutcome::Succeeded | AttemptOutcome::Failed | AttemptOutcome::ConnectionReset
         );
-        if let Some(at) = self.server_of(attempt.pod).filter(|_| served) {
-            self.servers[at].open = self.servers[at].open.saturating_sub(1);
+        if let Some(server_index) = self.server_of(attempt.pod).filter(|_| reached_server) {
+            self.servers[server_index].in_flight =
+                self.servers[server_index].in_flight.saturating_sub(1);
         }
         if attempt.incarnation != self.incarnation {
             return;
@@ -156,8 +165,12 @@
         if open.ended[index] || (open.is_streaming && outcome == AttemptOutcome::TimedOut) {
             return;
         }
-        let streamed = self.config.classes[open.class].streaming;
-        if streamed && outcome == AttemptOutcome::Succeeded && !open.is_over && !open.is_streaming {
+        let is_stream_class = self.config.classes[open.class].streaming;
+        if is_stream_class
+            && outcome == AttemptOutcome::Succeeded
+            && !open.is_over
+            && !open.is_streaming
+        {
             open.is_streaming = true;
             self.events.push(Event::StreamStarted {
                 request: attempt.request,
@@ -165,7 +178,7 @@
             let stream_outcome = [AttemptOutcome::Succeeded, AttemptOutcome::ConnectionReset]
                 [usize::from(self.rng.random_bool(0.2))];
             let wait = self.draw_wait(20, 800);
-            return self.schedule_in(wait, ScheduledEvent::StreamEnd(attempt, stream_outcome));
+            return self.schedule_in(wait, ScheduledEvent::StreamEnds(attempt, stream_outcome));
         }
         open.ended[index] = true;
         let outcome = match outcome {
@@ -189,7 +202,7 @@
         self.report_result(attempt, outcome, ms(60));
     }
 
-    pub(super) fn client_leaves(&mut self, incarnation: u32, request: RequestId) {
+    pub(super) fn client_disconnects(&mut self, incarnation: u32, request: RequestId) {
         if incarnation != self.incarnation {
             return;
         }
--- a/crates/reference-model/tests/digest/simulation/rollout.rs
+++ b/crates/reference-model/tests/digest/simulation/rollout.rs
@@ -1,6 +1,6 @@
 //! The rollout service, and the sidecar's view of the fleet.
 
-use super::{ScheduledEvent, Simulation, PODS};
+use super::{ScheduledEvent, Simulation, POD_COUNT};
 use limewing_decision::interface::{
     BuildId, Event, FleetView, Phase, PodId, StageIndex, StageUpdate, VoteAnswer,
 };
@@ -9,12 +9,12 @@
 
 impl Simulation {
     pub(super) fn answer_vote(&mut self, build: BuildId, stage: StageIndex) {
-        let current = build == self.stage.build && stage == self.stage.stage;
+        let is_current = build == self.stage.build && stage == self.stage.stage;
         let answer = match self.rng.random_range(0..12) {
             0 => VoteAnswer::Full,
             1 => VoteAnswer::Unanswered,
             2 => VoteAnswer::Failed,
-            _ if !current => VoteAnswer::Moot,
+            _ if !is_current => VoteAnswer::Moot,
             _ => VoteAnswer::Counted,
         };
         let wait = match answer {
@@ -29,8 +29,8 @@
         self.schedule_in(wait, ScheduledEvent::Deliver(self.incarnation, event));
     }
 
-    pub(super) fn stage_step(&mut self) {
-        let shares = [2, 5, PODS as usize];
+    pub(super) fn advance_stage(&mut self) {
+        let shares = [2, 5, POD_COUNT as usize];
         match self.stage.phase {
             Phase::Released | Phase::RolledBack => {
                 let build = BuildId(self.stage.build.0 + 1);
@@ -46,7 +46,7 @@
             Phase::OnTrial if self.rng.random_bool(0.2) => {
                 self.stage.phase = Phase::RollingBack;
                 self.stage.cap = 0.0;
-                self.roll_out(self.stage.build.0 - 1, PODS as usize);
+                self.roll_out(self.stage.build.0 - 1, POD_COUNT as usize);
             }
             Phase::OnTrial if self.rng.random_bool(0.2) => self.stage.cap *= 0.5,
             Phase::OnTrial if self.stage.stage.0 < 2 => {
@@ -69,32 +69,32 @@
         };
         self.schedule_in(wait, ScheduledEvent::Deliver(self.incarnation, event));
         let wait = self.draw_wait(2500, 9000);
-        self.schedule_in(wait, ScheduledEvent::StageStep);
+        self.schedule_in(wait, ScheduledEvent::StageAdvance);
     }
 
     /// Restarts the first `count` servers with a build. Every third build answers many requests with errors.
     pub(super) fn roll_out(&mut self, build: u16, count: usize) {
-        let bad = build.is_multiple_of(3);
-        for at in 0..count {
-            if self.servers[at].endpoint.build.0 == build {
+        let is_faulty = build.is_multiple_of(3);
+        for index in 0..count {
+            if self.servers[index].endpoint.build.0 == build {
                 continue;
             }
-            self.servers[at].is_running = false;
-            self.servers[at].error_rate = if bad { 0.4 } else { 0.0 };
+            self.servers[index].is_running = false;
+            self.servers[index].error_rate = if is_faulty { 0.4 } else { 0.0 };
             let wait = self.draw_wait(200, 2500);
-            self.schedule_in(wait, ScheduledEvent::ServerRestarts(at, build));
+            self.schedule_in(wait, ScheduledEvent::ServerRestarts(index, build));
         }
     }
 
-    pub(super) fn fleet_change(&mut self) {
+    pub(super) fn change_fleet_view(&mut self) {
         let view = if self.rng.random_bool(0.15) {
             None
         } else {
-            let mut preference: Vec<PodId> = (1..=PODS).map(PodId).collect();
-            preference.rotate_left(self.rng.random_range(0..PODS as usize));
-            let min_endpoints = self.rng.random_range(2..=PODS as usize);
+            let mut preference: Vec<PodId> = (1..=POD_COUNT).map(PodId).collect();
+            preference.rotate_left(self.rng.random_range(0..POD_COUNT as usize));
+            let min_endpoints = self.rng.random_range(2..=POD_COUNT as usize);
             let probed_by_peers = (0..self.rng.random_range(0..3))
-                .map(|_| PodId(self.rng.random_range(1..=PODS)))
+                .map(|_| PodId(self.rng.random_range(1..=POD_COUNT)))
                 .collect();
             Some(FleetView {
                 preference,
@@ -104,6 +104,6 @@
         };
         self.events.push(Event::Fleet(view));
         let wait = self.draw_wait(1000, 6000);
-        self.schedule_in(wait, ScheduledEvent::FleetChange);
+        self.schedule_in(wait, ScheduledEvent::FleetViewChange);
     }
 }
--- a/crates/reference-model/tests/runs.rs
+++ b/crates/reference-model/tests/runs.rs
@@ -3,7 +3,7 @@
 
 use limewing_reference_model::coverage::Coverage;
 use limewing_reference_model::mutation::Mutation;
-use limewing_reference_model::simulation::play;
+use limewing_reference_model::simulation::run_seed;
 use limewing_reference_model::violation::Rule;
 use rstest::rstest;
 
@@ -16,7 +16,7 @@
 fn generated_runs_violate_no_rule(#[values(0, 1, 2, 3, 4, 5, 6, 7)] part: u64) {
     let mut coverage = Coverage::default();
     for seed in part * RUNS..(part + 1) * RUNS {
-        if let Err(failure) = play(seed, Mutation::None, &mut coverage) {
+        if let Err(failure) = run_seed(seed, Mutation::None, &mut coverage) {
             panic!("{failure}");
         }
     }
@@ -29,11 +29,13 @@
         "{coverage:?}"
     );
     assert!(
-        coverage.repeats > 100 && coverage.proven_retries > 3 && coverage.answers_after_run > 50,
+        coverage.repeats > 100
+            && coverage.safe_retries > 3
+            && coverage.answers_after_possible_run > 50,
         "{coverage:?}"
     );
     assert!(
-        coverage.attempts_beside_drained_pod > 5_000
+        coverage.attempts_with_drained_pod_known > 5_000
             && coverage.attempts_at_cold_pods > 1_000
             && coverage.attempts_on_trial > 1_000,
         "{coverage:?}"
@@ -45,11 +47,11 @@
         "{coverage:?}"
     );
     assert!(
-        coverage.redials > 500 && coverage.withheld > 100 && coverage.withheld_past_grace > 2,
+        coverage.reconnects > 500 && coverage.withheld > 100 && coverage.withheld_past_grace > 2,
         "{coverage:?}"
     );
     assert!(
-        coverage.begun_on_expired_list > 100 && coverage.begun_beside_stale_pod > 50,
+        coverage.sent_on_expired_lease > 100 && coverage.sent_with_stale_pod_listed > 50,
         "{coverage:?}"
     );
 }
@@ -58,7 +60,7 @@
 #[rstest]
 #[case::the_only_pod_of_the_base_build_is_cold_and_ejected(20_390)]
 fn seeds_of_past_violations_violate_no_rule(#[case] seed: u64) {
-    if let Err(failure) = play(seed, Mutation::None, &mut Coverage::default()) {
+    if let Err(failure) = run_seed(seed, Mutation::None, &mut Coverage::default()) {
         panic!("{failure}");
     }
 }
@@ -72,8 +74,8 @@
 #[case::leaves_deduplication_scope(Mutation::LeavesDeduplicationScope, Rule::NoRepeatedEffect)]
 #[case::uses_removed_pods(Mutation::UsesRemovedPods, Rule::Draining)]
 #[case::never_watches(Mutation::NeverWatches, Rule::Draining)]
-#[case::skips_permission(Mutation::SkipsPermission, Rule::Draining)]
-#[case::skips_permission_on_redial(Mutation::SkipsPermissionOnRedial, Rule::Draining)]
+#[case::skips_send_permit(Mutation::SkipsSendPermit, Rule::Draining)]
+#[case::skips_send_permit_on_reconnect(Mutation::SkipsSendPermitOnReconnect, Rule::Draining)]
 #[case::ignores_endpoint_lease(Mutation::IgnoresEndpointLease, Rule::Draining)]
 #[case::ignores_the_age_of_a_decision(Mutation::IgnoresEndpointLease, Rule::Design)]
 #[case::floods_cold_pods(Mutation::FloodsColdPods, Rule::SlowStart)]
@@ -83,7 +85,7 @@
 #[case::exceeds_retry_budget(Mutation::DoublesAttempts, Rule::Design)]
 fn a_mutation_is_detected_by_its_rule(#[case] mutation: Mutation, #[case] rule: Rule) {
     let is_detected = (0..MUTATED_RUNS).any(|seed| {
-        play(seed, mutation, &mut Coverage::default())
+        run_seed(seed, mutation, &mut Coverage::default())
             .is_err_and(|failure| failure.violation.rule == rule)
     });
     assert!(is_detected);
@@ -93,7 +95,7 @@
 fn runs_are_reproducible_from_their_seed() {
     let mut coverage = [Coverage::default(); 2];
     for coverage in &mut coverage {
-        play(3, Mutation::None, coverage).unwrap();
+        run_seed(3, Mutation::None, coverage).unwrap();
     }
     assert_eq!(coverage[0], coverage[1]);
 }
