--- a/crates/reference-model/src/model.rs
+++ b/crates/reference-model/src/model.rs
@@ -1,15 +1,15 @@
-//! The model: it records what sidecars are told and do, and checks each action against the rules.
+//! Records the events and actions of sidecars, and checks each action against the rules.
 
 use crate::coverage::Coverage;
 use crate::history::{
-    Arrival, AttemptHistory, AttemptStart, PodStart, ProposedAttempt, RequestHistory,
-    SidecarHistory, StageRecord, TrueList,
+    Arrival, AttemptHistory, AttemptStart, AuthoritativeList, PodStart, ProposedAttempt,
+    RequestHistory, SidecarHistory, StageRecord,
 };
 use crate::rules::draining::FirstByte;
 use crate::rules::{
     draining, endpoint_lease, exposure, one_answer, repeated_effect, retry_budget, slow_start,
 };
-use crate::violation::{Rule, RuleBroken, Violation};
+use crate::violation::{Rule, UnattributedViolation, Violation};
 use limewing_decision::interface::{
     Action, AttemptIndex, AttemptResult, Endpoint, Event, Phase, PodId, Request, RequestId,
     SidecarConfig, StageUpdate,
@@ -17,66 +17,67 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The rules over a whole fleet. Sidecars are numbered by whoever steps them; times are spans since a common start.
+/// Checks the rules over a whole fleet. The caller assigns the sidecar indices. All times are measured from a common
+/// epoch.
 #[derive(Default)]
 pub struct ReferenceModel {
     sidecars: BTreeMap<usize, SidecarHistory>,
     pod_starts: BTreeMap<PodId, PodStart>,
-    true_list: TrueList,
-    /// How often each rule was put to the test.
+    authoritative_list: AuthoritativeList,
+    /// Counts of how often each rule was exercised.
     pub coverage: Coverage,
 }
 
 impl ReferenceModel {
-    /// A sidecar starts, with no memory of earlier incarnations.
+    /// Records the start of a sidecar, and discards the history of its earlier incarnations.
     pub fn sidecar_started(&mut self, sidecar: usize, now: Duration, config: SidecarConfig) {
         self.sidecars
             .insert(sidecar, SidecarHistory::new(config, now));
     }
 
-    /// A sidecar's process ends.
+    /// Records that a sidecar's process ended.
     pub fn sidecar_stopped(&mut self, sidecar: usize) {
         self.sidecars.remove(&sidecar);
     }
 
-    /// A sidecar that stood still runs again: answers that fell due meanwhile are due now.
+    /// Records that a paused sidecar resumed. Answers that became due during the pause are due now.
     pub fn sidecar_resumed(&mut self, sidecar: usize, now: Duration) {
         let Some(history) = self.sidecars.get_mut(&sidecar) else {
             return;
         };
         for request in history.requests.values_mut() {
-            request.answer_due = request.answer_due.max(now);
+            request.answer_deadline = request.answer_deadline.max(now);
         }
     }
 
-    /// A pod starts; `capacity` is how many requests a second it can serve when warm.
+    /// Records the start of a pod. `capacity` is the number of requests per second it can serve after slow start.
     pub fn pod_started(&mut self, pod: PodId, at: Duration, capacity: f64) {
         self.pod_starts.insert(pod, PodStart::new(at, capacity));
     }
 
-    /// The list service holds this list from now on.
+    /// Records a new version of the endpoint list in the list service.
     pub fn list_changed(&mut self, now: Duration, endpoints: Vec<Endpoint>) {
-        self.true_list.record(now, endpoints);
+        self.authoritative_list.record(now, endpoints);
     }
 
-    /// Something was heard of the endpoint list, if only that nothing has changed.
-    pub fn list_heard(&mut self, sidecar: usize, now: Duration) {
+    /// Records that a sidecar received data or a keep-alive from the list service.
+    pub fn list_service_contacted(&mut self, sidecar: usize, now: Duration) {
         if let Some(history) = self.sidecars.get_mut(&sidecar) {
-            history.list_heard_at = now;
+            history.last_list_contact = now;
         }
     }
 
-    /// The decisions refused the first byte of an attempt.
+    /// Records that the engine refused to let the first byte of an attempt be sent.
     pub fn attempt_withheld(&mut self, sidecar: usize, now: Duration, pod: PodId) {
         let is_past_grace = self
             .sidecars
             .get(&sidecar)
-            .is_some_and(|history| history.knows_past_grace(pod, now));
+            .is_some_and(|history| history.knows_drained_past_grace(pod, now));
         self.coverage.withheld += 1;
         self.coverage.withheld_past_grace += usize::from(is_past_grace);
     }
 
-    /// A sidecar is given events, which makes a new turn.
+    /// Records a batch of events delivered to a sidecar, which starts a new turn.
     pub fn record_events(&mut self, sidecar: usize, now: Duration, events: &[Event]) {
         let Some(history) = self.sidecars.get_mut(&sidecar) else {
             return;
@@ -106,11 +107,11 @@
         }
     }
 
-    /// Checks the actions of a sidecar, and records them.
+    /// Checks and records the actions of a sidecar.
     ///
     /// # Errors
     ///
-    /// The first rule that they break.
+    /// Returns the first violation.
     pub fn check_actions(
         &mut self,
         sidecar: usize,
@@ -126,23 +127,23 @@
                 Action::Fail { request } => self.check_answer(sidecar, now, *request, false),
                 Action::WatchEndpoints => {
                     if let Some(history) = self.sidecars.get_mut(&sidecar) {
-                        history.list_asked_at = now;
+                        history.last_list_call = now;
                         history.list_call_failed = false;
                     }
                     Ok(())
                 }
                 _ => Ok(()),
             };
-            checked.map_err(|broken| broken.by(sidecar, now))?;
+            checked.map_err(|violation| violation.by_sidecar(sidecar, now))?;
         }
         Ok(())
     }
 
-    /// Checks that no request is overdue. Those of `excused` sidecars are left out, which did not run.
+    /// Checks that no request is overdue. Sidecars for which `excused` returns true are skipped, as they are paused.
     ///
     /// # Errors
     ///
-    /// The first request that has no answer though its deadline has passed.
+    /// Returns a violation for the first request past its deadline without an answer.
     pub fn check_deadlines(
         &self,
         now: Duration,
@@ -153,28 +154,28 @@
                 continue;
             }
             for request in history.requests.values() {
-                one_answer::check_overdue(request, now)
-                    .map_err(|broken| broken.by(*sidecar, now))?;
+                one_answer::check_deadline(request, now)
+                    .map_err(|violation| violation.by_sidecar(*sidecar, now))?;
             }
         }
         Ok(())
     }
 
-    /// Checks the first byte of an attempt as it leaves. Rules 4 and 5 count attempts when they are decided on, which
-    /// comes first: attempts that never begin are counted too, so the rules are no easier.
+    /// Checks an attempt at the moment its first byte is sent. Rules 4 and 5 count attempts earlier, when they are
+    /// decided. That includes attempts that are never sent, so these checks are at least as strict.
     ///
     /// # Errors
     ///
-    /// The rule that it breaks.
+    /// Returns the violation.
     pub fn check_first_byte(
         &mut self,
         sidecar: usize,
         now: Duration,
         request: RequestId,
         index: AttemptIndex,
-        redialled: bool,
+        is_reconnect: bool,
     ) -> Result<(), Violation> {
-        self.coverage.redials += usize::from(redialled);
+        self.coverage.reconnects += usize::from(is_reconnect);
         let Some(history) = self.sidecars.get(&sidecar) else {
             return Ok(());
         };
@@ -183,8 +184,10 @@
             .get(&request)
             .and_then(|request| request.attempts.get(usize::from(index.0)));
         let Some(attempt) = attempt else {
-            let description = format!("{index:?} of {request:?} was never decided on");
-            return Err(RuleBroken::new(Rule::OneAnswer, description).by(sidecar, now));
+            let description = format!("{index:?} of {request:?} was sent without a decision");
+            return Err(
+                UnattributedViolation::new(Rule::OneAnswer, description).by_sidecar(sidecar, now)
+            );
         };
         let first_byte = FirstByte {
             sidecar: history,
@@ -193,8 +196,8 @@
             attempt,
             now,
         };
-        draining::check_first_byte(&first_byte, &self.true_list, &mut self.coverage)
-            .map_err(|broken| broken.by(sidecar, now))
+        draining::check_first_byte(&first_byte, &self.authoritative_list, &mut self.coverage)
+            .map_err(|violation| violation.by_sidecar(sidecar, now))
     }
 
     fn check_answer(
@@ -203,7 +206,7 @@
         now: Duration,
         request: RequestId,
         is_rejection: bool,
-    ) -> Result<(), RuleBroken> {
+    ) -> Result<(), UnattributedViolation> {
         let history = self
             .sidecars
             .get_mut(&sidecar)
@@ -216,7 +219,7 @@
         one_answer::check_answer(request, turn, now)?;
         let may_have_run = request.attempts_that_may_have_run().next().is_some();
         self.coverage.answers += 1;
-        self.coverage.answers_after_run += usize::from(may_have_run);
+        self.coverage.answers_after_possible_run += usize::from(may_have_run);
         if is_rejection {
             repeated_effect::check_rejection(request, &history.config)?;
         }
@@ -230,14 +233,17 @@
         now: Duration,
         request: RequestId,
         pod: PodId,
-    ) -> Result<(), RuleBroken> {
+    ) -> Result<(), UnattributedViolation> {
         let history = self.sidecars.get(&sidecar).ok_or_else(unknown_sidecar)?;
         let request_history = history
             .requests
             .get(&request)
             .ok_or_else(|| unknown_request(request))?;
         let endpoint = history.endpoint(pod).cloned().ok_or_else(|| {
-            RuleBroken::new(Rule::Draining, format!("{pod:?} was in no endpoint list"))
+            UnattributedViolation::new(
+                Rule::Draining,
+                format!("{pod:?} was never in the endpoint list"),
+            )
         })?;
         let attempt = ProposedAttempt {
             sidecar: history,
@@ -247,14 +253,14 @@
         };
         one_answer::check_attempt(&attempt)?;
         repeated_effect::check_attempt(&attempt, &mut self.coverage)?;
-        draining::check_attempt(&attempt, &self.true_list, &mut self.coverage)?;
+        draining::check_attempt(&attempt, &self.authoritative_list, &mut self.coverage)?;
         exposure::check_attempt(&attempt, &mut self.coverage)?;
-        // Last, as it counts the attempts of all sidecars that pass the other rules.
+        // This check runs last because it records the attempt, and only attempts that pass the other rules count.
         if let Some(start) = self.pod_starts.get_mut(&pod) {
             slow_start::check_attempt(&attempt, start, &mut self.coverage)?;
         }
         let recorded = AttemptHistory {
-            expired_lease: endpoint_lease::assess(&attempt),
+            expired_lease: endpoint_lease::evidence_for(&attempt),
             endpoint,
             decided_at: now,
             outcome: None,
@@ -268,7 +274,7 @@
         sidecar: usize,
         request: RequestId,
         attempt: AttemptHistory,
-    ) -> Result<(), RuleBroken> {
+    ) -> Result<(), UnattributedViolation> {
         let history = self
             .sidecars
             .get_mut(&sidecar)
@@ -327,7 +333,7 @@
 fn record_over(history: &mut SidecarHistory, request: RequestId) {
     let turn = history.turn;
     if let Some(request) = history.requests.get_mut(&request) {
-        request.over_turn = request.over_turn.or(Some(turn));
+        request.finished_turn = request.finished_turn.or(Some(turn));
     }
 }
 
@@ -337,22 +343,22 @@
     now: Duration,
     update: &StageUpdate,
 ) {
-    let before = exposure::binding_cap(history, update.build, now);
+    let before = exposure::effective_cap(history, update.build, now);
     let is_lowered = before.is_some_and(|before| update.cap < before.cap);
     coverage.lowered_caps += usize::from(is_lowered);
     history.stages.push(StageRecord {
-        learned_at: now,
+        received_at: now,
         update: *update,
     });
 }
 
-fn unknown_sidecar() -> RuleBroken {
-    RuleBroken::new(
+fn unknown_sidecar() -> UnattributedViolation {
+    UnattributedViolation::new(
         Rule::OneAnswer,
-        "a sidecar acts that does not run".to_owned(),
+        "action by a sidecar that is not running".to_owned(),
     )
 }
 
-fn unknown_request(request: RequestId) -> RuleBroken {
-    RuleBroken::new(Rule::OneAnswer, format!("{request:?} never arrived"))
+fn unknown_request(request: RequestId) -> UnattributedViolation {
+    UnattributedViolation::new(Rule::OneAnswer, format!("{request:?} never arrived"))
 }
--- a/crates/reference-model/src/simulation/draw.rs
+++ b/crates/reference-model/src/simulation/draw.rs
@@ -1,7 +1,7 @@
-//! Drawing a fleet from a seed. The order of the draws is part of what a seed means.
+//! Generates a fleet from a seed. Changing the order of the random draws changes the run of every seed.
 
 use super::discovery::Discovery;
-use super::pods::{CORES, WORK_PER_REQUEST};
+use super::pods::{CORES_PER_POD, MEAN_SERVICE_TIME_S};
 use super::rollout::{Rollout, EXPOSURE_CAPS, FIRST_BUILD, STAGE_SHARES};
 use super::sidecars::Sidecar;
 use super::{ms, Simulation, START};
@@ -16,9 +16,9 @@
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// How long most pods have run when a run starts.
+/// The age of the pods at the start of most runs.
 const POD_AGE: Duration = Duration::from_secs(600);
-/// How long the endpoint list has stood when a run starts.
+/// The age of the endpoint list at the start of a run.
 const LIST_AGE: Duration = Duration::from_secs(60);
 const DEDUPLICATION_SCOPES: [DeduplicationScope; 3] = [
     DeduplicationScope::All,
@@ -27,7 +27,7 @@
 ];
 
 impl Simulation {
-    pub(super) fn draw(seed: u64, mutation: Mutation) -> Self {
+    pub(super) fn from_seed(seed: u64, mutation: Mutation) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut link_rng = StdRng::seed_from_u64(!seed);
         let mut config = draw_config(&mut rng);
@@ -37,7 +37,7 @@
         }
         let draining_pods_reject = link_rng.random_bool(0.7);
         let pod_count = rng.random_range(6..=10usize);
-        let fleet_capacity = pod_count as f64 * CORES as f64 / WORK_PER_REQUEST;
+        let fleet_capacity = pod_count as f64 * CORES_PER_POD as f64 / MEAN_SERVICE_TIME_S;
         let request_rate = fleet_capacity * rng.random_range(0.25..0.8);
         let mut simulation = Self {
             rng,
@@ -68,7 +68,7 @@
         simulation
     }
 
-    /// Most fleets have run for long; some are new.
+    /// Adds the initial pods. In most runs they are past slow start, in some they have just started.
     fn draw_pods(&mut self, pod_count: usize) {
         let is_new = self.rng.random_bool(0.2);
         let started_at = if is_new { START } else { START - POD_AGE };
@@ -147,7 +147,7 @@
     }
 }
 
-/// One class of each idempotency, and one whose responses stream.
+/// Returns one class for each kind of idempotency, and one with streaming responses.
 fn request_classes(deduplicated_by: DeduplicationScope) -> Vec<RequestClass> {
     let keyed = Idempotency::Keyed {
         deduplicated_by,
--- a/crates/reference-model/tests/digest/main.rs
+++ b/crates/reference-model/tests/digest/main.rs
@@ -1,9 +1,9 @@
-//! Digests of what the decisions put out: any change of a decision, of the order of random draws, of an iteration or of a
-//! sum of floats changes them. Numbers are hashed, never names, so that renaming leaves them alone. The text of log lines
-//! is left out; that there was one is hashed.
+//! Digests of the actions of the decision engine. A digest changes with any change of a decision, of the order of
+//! random draws, of an iteration order or of a floating-point sum. Only numbers are hashed, so renaming does not change
+//! a digest. The presence of a log line is hashed, its text is not.
 //!
-//! `decision` hashes every action, in order, of one sidecar in a small simulation of its own. `reference-model` hashes
-//! what the drawn runs of the reference model counted, and at which step it caught each mutation.
+//! `decision` hashes every action, in order, of one sidecar in a small separate simulation. `reference-model` hashes
+//! the coverage counts of the reference model's runs, and the step at which the model detects each mutation.
 
 mod action_counts;
 mod hash;
@@ -12,11 +12,11 @@
 use action_counts::ActionCounts;
 use limewing_reference_model::coverage::Coverage;
 use limewing_reference_model::mutation::Mutation;
-use limewing_reference_model::simulation::play;
+use limewing_reference_model::simulation::run_seed;
 use limewing_test_support::digest::Digest;
 use simulation::Simulation;
 
-/// Runs of each digest.
+/// The number of seeds per digest.
 const SEEDS: u64 = 20;
 
 #[test]
@@ -27,7 +27,7 @@
     for seed in 0..SEEDS {
         Simulation::new(seed).run(&mut digest, &mut counts);
     }
-    // Each kind of action was put out, or the digest would say little.
+    // Each kind of action has to occur often, otherwise the digest covers too little.
     assert!(counts.attempts > 100_000, "{} attempts", counts.attempts);
     assert!(
         counts.cancellations > 100,
@@ -41,7 +41,11 @@
         promote > 5 && hold > 5 && roll_back > 5,
         "{promote} {hold} {roll_back} votes"
     );
-    assert!(counts.watches > 100, "{} list calls", counts.watches);
+    assert!(
+        counts.watches > 100,
+        "{} list service calls",
+        counts.watches
+    );
     assert!(counts.wakes > 1000, "{} wakes", counts.wakes);
     assert!(counts.logs > 0, "{} log lines", counts.logs);
     let refused = counts.refused_starts;
@@ -49,7 +53,7 @@
     println!("digest decision {:016x}", digest.value());
 }
 
-/// Mutations that the reference model catches, each at a step that depends on every action before it.
+/// Mutations that the reference model detects, at a step that depends on every earlier action.
 const MUTATIONS: [Mutation; 16] = [
     Mutation::DropsAnswers,
     Mutation::AnswersTwice,
@@ -64,8 +68,8 @@
     Mutation::IgnoresStickyKeys,
     Mutation::DoublesAttempts,
     Mutation::NeverWatches,
-    Mutation::SkipsPermission,
-    Mutation::SkipsPermissionOnRedial,
+    Mutation::SkipsSendPermit,
+    Mutation::SkipsSendPermitOnReconnect,
     Mutation::IgnoresEndpointLease,
 ];
 
@@ -75,14 +79,14 @@
     let mut digest = Digest::new();
     let mut coverage = Coverage::default();
     for seed in 0..SEEDS {
-        let kept = play(seed, Mutation::None, &mut coverage).is_ok();
-        digest.number(u64::from(kept));
+        let passed = run_seed(seed, Mutation::None, &mut coverage).is_ok();
+        digest.number(u64::from(passed));
         hash_coverage(&mut digest, &coverage);
     }
     for (number, mutation) in MUTATIONS.into_iter().enumerate() {
         for seed in [number as u64, number as u64 + 100] {
             let mut coverage = Coverage::default();
-            if let Err(failure) = play(seed, mutation, &mut coverage) {
+            if let Err(failure) = run_seed(seed, mutation, &mut coverage) {
                 digest.number(failure.step as u64);
                 digest.number(failure.violation.rule.number().into());
                 digest.number(failure.violation.sidecar as u64);
@@ -100,14 +104,14 @@
         coverage.answers,
         coverage.streams,
         coverage.repeats,
-        coverage.proven_retries,
-        coverage.answers_after_run,
-        coverage.attempts_beside_drained_pod,
-        coverage.redials,
+        coverage.safe_retries,
+        coverage.answers_after_possible_run,
+        coverage.attempts_with_drained_pod_known,
+        coverage.reconnects,
         coverage.withheld,
         coverage.withheld_past_grace,
-        coverage.begun_on_expired_list,
-        coverage.begun_beside_stale_pod,
+        coverage.sent_on_expired_lease,
+        coverage.sent_with_stale_pod_listed,
         coverage.attempts_at_cold_pods,
         coverage.attempts_on_trial,
         coverage.lowered_caps,
--- a/crates/reference-model/tests/digest/simulation/mod.rs
+++ b/crates/reference-model/tests/digest/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A small simulation of one sidecar, in steps of 10 ms. It is apart from that of the reference model, whose runs may change
-//! when a rule does.
+//! A small simulation of one sidecar, in steps of 10 ms. It is separate from the simulation of the reference model,
+//! whose runs may change with a rule.
 
 mod config;
 mod discovery;
@@ -26,9 +26,9 @@
 const STEP: Duration = Duration::from_millis(10);
 const START: Duration = Duration::from_secs(1000);
 const RUN_DURATION: Duration = Duration::from_secs(150);
-const PODS: u64 = 12;
-/// Requests a second, on average.
-const RATE: f64 = 90.0;
+const POD_COUNT: u64 = 12;
+/// The mean request rate.
+const REQUESTS_PER_SECOND: f64 = 90.0;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -43,35 +43,35 @@
     pod: PodId,
 }
 
-/// A request that the sidecar was given and may still be working on.
+/// A request that was delivered to the sidecar and may still be in progress.
 struct OpenRequest {
     class: usize,
     deadline: Duration,
-    /// For each attempt, whether it has ended.
+    /// Whether each attempt has ended, by attempt index.
     ended: Vec<bool>,
     is_over: bool,
     is_streaming: bool,
 }
 
-/// What falls due. A number of the type `u32` is the incarnation of the sidecar, one of the type `usize` the index of a
+/// A scheduled event. A field of type `u32` is the incarnation of the sidecar, one of type `usize` is the index of a
 /// server.
 enum ScheduledEvent {
     Arrival,
     Deliver(u32, Event),
-    Connected(Attempt),
-    Answer(Attempt, AttemptOutcome),
-    TimesOut(Attempt),
-    StreamEnd(Attempt, AttemptOutcome),
-    ClientLeaves(u32, RequestId),
+    ConnectionReady(Attempt),
+    AttemptEnds(Attempt, AttemptOutcome),
+    AttemptTimesOut(Attempt),
+    StreamEnds(Attempt, AttemptOutcome),
+    ClientDisconnects(u32, RequestId),
     ServerFault,
     ServerRecovers(usize),
-    ServerDies(usize),
-    /// With this build.
+    ServerExits(usize),
+    /// Restarts a server with the given build.
     ServerRestarts(usize, u16),
     ListCall(u32),
     WatchBreaks,
-    StageStep,
-    FleetChange,
+    StageAdvance,
+    FleetViewChange,
     KeyServed,
     Flag,
     Stall,
@@ -79,7 +79,7 @@
     Overload(f64),
 }
 
-/// One sidecar with servers, clients, an endpoint list and a rollout, in steps of 10 ms.
+/// A simulation of one sidecar with servers, clients, an endpoint list and a rollout, in steps of 10 ms.
 pub(super) struct Simulation {
     rng: StdRng,
     now: Duration,
@@ -94,9 +94,9 @@
     requests: BTreeMap<RequestId, OpenRequest>,
     next_request: u64,
     overload: f64,
-    watching: bool,
-    last_heard: Duration,
-    missed: Vec<Endpoint>,
+    is_watching: bool,
+    last_list_contact: Duration,
+    missed_changes: Vec<Endpoint>,
     stage: StageUpdate,
     stage_since: Duration,
 }
@@ -112,7 +112,9 @@
             cap: 1.0,
             age: Duration::ZERO,
         };
-        let servers = (1..=PODS).map(|number| Server::new(number, 1)).collect();
+        let servers = (1..=POD_COUNT)
+            .map(|number| Server::new(number, 1))
+            .collect();
         let mut simulation = Self {
             rng,
             now: START,
@@ -127,16 +129,16 @@
             requests: BTreeMap::new(),
             next_request: 0,
             overload: 1.0,
-            watching: false,
-            last_heard: START,
-            missed: Vec::new(),
+            is_watching: false,
+            last_list_contact: START,
+            missed_changes: Vec::new(),
             stage,
             stage_since: START,
         };
         simulation.start_sidecar();
         simulation.schedule_in(ms(1), ScheduledEvent::Arrival);
-        simulation.schedule_in(ms(3000), ScheduledEvent::StageStep);
-        simulation.schedule_in(ms(2500), ScheduledEvent::FleetChange);
+        simulation.schedule_in(ms(3000), ScheduledEvent::StageAdvance);
+        simulation.schedule_in(ms(2500), ScheduledEvent::FleetViewChange);
         simulation.schedule_in(ms(2000), ScheduledEvent::ServerFault);
         simulation.schedule_in(ms(5000), ScheduledEvent::KeyServed);
         simulation.schedule_in(ms(4000), ScheduledEvent::Flag);
@@ -154,7 +156,7 @@
         self.queue.schedule(self.now + wait, event);
     }
 
-    /// A time in milliseconds within a range.
+    /// Returns a random duration in a range of milliseconds.
     fn draw_wait(&mut self, from: u64, to: u64) -> Duration {
         ms(self.rng.random_range(from..to))
     }
@@ -164,8 +166,8 @@
             while let Some(event) = self.queue.pop_due(self.now) {
                 self.handle(event, digest, counts);
             }
-            if self.watching || !self.config.watch_on_request {
-                self.last_heard = self.now;
+            if self.is_watching || !self.config.watch_on_request {
+                self.last_list_contact = self.now;
             }
             let is_due = !self.events.is_empty() || self.now >= self.wake_at;
             if self.now >= self.stalled_until && is_due {
@@ -190,11 +192,11 @@
         for action in actions {
             hash_action(digest, &action);
             counts.count(&action);
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::StartAttempt { request, pod, .. } => self.start_attempt(request, pod),
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
@@ -221,31 +223,33 @@
                     self.events.push(event);
                 }
             }
-            ScheduledEvent::Connected(attempt) => self.connection_ready(attempt, digest, counts),
-            ScheduledEvent::Answer(attempt, outcome) => self.attempt_ends(attempt, outcome),
-            ScheduledEvent::TimesOut(attempt) => {
+            ScheduledEvent::ConnectionReady(attempt) => {
+                self.connection_ready(attempt, digest, counts)
+            }
+            ScheduledEvent::AttemptEnds(attempt, outcome) => self.attempt_ends(attempt, outcome),
+            ScheduledEvent::AttemptTimesOut(attempt) => {
                 self.attempt_ends(attempt, AttemptOutcome::TimedOut)
             }
-            ScheduledEvent::StreamEnd(attempt, outcome) => self.stream_ends(attempt, outcome),
-            ScheduledEvent::ClientLeaves(incarnation, request) => {
-                self.client_leaves(incarnation, request);
+            ScheduledEvent::StreamEnds(attempt, outcome) => self.stream_ends(attempt, outcome),
+            ScheduledEvent::ClientDisconnects(incarnation, request) => {
+                self.client_disconnects(incarnation, request);
             }
             ScheduledEvent::ServerFault => self.draw_server_fault(),
-            ScheduledEvent::ServerRecovers(at) => {
-                self.servers[at].hangs = false;
-                self.servers[at].slowness = 1.0;
-                self.servers[at].error_rate = 0.0;
+            ScheduledEvent::ServerRecovers(index) => {
+                self.servers[index].hangs = false;
+                self.servers[index].slowness = 1.0;
+                self.servers[index].error_rate = 0.0;
             }
-            ScheduledEvent::ServerDies(at) => {
-                self.servers[at].is_running = false;
-                self.servers[at].endpoint.state = PodState::Gone;
-                self.list_changed(at);
+            ScheduledEvent::ServerExits(index) => {
+                self.servers[index].is_running = false;
+                self.servers[index].endpoint.state = PodState::Gone;
+                self.list_changed(index);
             }
-            ScheduledEvent::ServerRestarts(at, build) => self.server_restarts(at, build),
+            ScheduledEvent::ServerRestarts(index, build) => self.server_restarts(index, build),
             ScheduledEvent::ListCall(incarnation) => self.list_call(incarnation),
             ScheduledEvent::WatchBreaks => self.watch_breaks(),
-            ScheduledEvent::StageStep => self.stage_step(),
-            ScheduledEvent::FleetChange => self.fleet_change(),
+            ScheduledEvent::StageAdvance => self.advance_stage(),
+            ScheduledEvent::FleetViewChange => self.change_fleet_view(),
             ScheduledEvent::KeyServed => {
                 let key = RoutingKey(self.rng.random_range(1..80));
                 self.events.push(Event::KeyServed(key, self.stage.build));
@@ -253,7 +257,7 @@
                 self.schedule_in(wait, ScheduledEvent::KeyServed);
             }
             ScheduledEvent::Flag => {
-                let pod = PodId(self.rng.random_range(1..=PODS));
+                let pod = PodId(self.rng.random_range(1..=POD_COUNT));
                 let class = ClassId(self.rng.random_range(0..4));
                 self.events.push(Event::Flagged { pod, class });
                 let wait = self.draw_wait(200, 4000);
@@ -269,14 +273,14 @@
         }
     }
 
-    /// The first start, or a restart: what was in flight is lost, and the list is the one held before.
+    /// Starts or restarts the sidecar. Requests in flight are lost, and the endpoint list comes from the cache.
     fn start_sidecar(&mut self) {
         self.incarnation += 1;
         self.sidecar = DecisionEngine::new(self.now, self.config.clone());
         self.requests.clear();
         self.events.clear();
-        self.watching = false;
-        self.last_heard = self.now;
+        self.is_watching = false;
+        self.last_list_contact = self.now;
         self.wake_at = self.now;
         self.stalled_until = self.now;
         let age = self.now - self.stage_since;
