--- a/crates/net/src/sockets/closing.rs
+++ b/crates/net/src/sockets/closing.rs
@@ -1,4 +1,4 @@
-//! Connections that end: closed by their owner, at once or after their last bytes, or lost.
+//! Closing of connections: immediately, after pending output is sent, or because they were lost.
 
 use super::connection::LingerProgress;
 use super::event::{SocketEvent, SocketId};
@@ -8,11 +8,11 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-/// How long a closing connection may take to send its last bytes and to be closed by the peer.
+/// How long a closing connection may take to send its pending output and to be closed by the peer.
 pub(super) const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Sockets {
-    /// Closes a socket at once; no more events of it follow.
+    /// Closes a socket immediately; it causes no further events.
     pub fn close(&mut self, id: SocketId) {
         let Some(socket) = self.table.remove(self.poll.registry(), id) else {
             return;
@@ -21,14 +21,14 @@
             self.accepted_count -= usize::from(connection.accepted);
             self.lingering_count -= usize::from(connection.is_lingering());
         }
-        // There is room now for a connection that waits to be accepted.
+        // There is now room for a connection waiting in a backlog.
         if self.accept_at.is_some() {
             self.accept_at = Some(Instant::now());
         }
     }
 
-    /// Closes a connection once all is sent; no more events of it follow. Until the peer closes too, its input is read and
-    /// discarded: the system would answer unread input with a reset, which can destroy what was sent last.
+    /// Closes a connection once its output is sent; it causes no further events. Its input is read and discarded until the
+    /// peer closes too: the system would respond to unread input with a reset, which can destroy the output sent last.
     pub fn close_when_sent(&mut self, id: SocketId) {
         let Some(connection) = self.table.connection(id) else {
             return;
@@ -46,8 +46,8 @@
         self.linger(id);
     }
 
-    /// Whether connections that were closed with [`close_when_sent`](Self::close_when_sent) still send their last bytes
-    /// or wait for their peers to close.
+    /// Whether connections closed with [`close_when_sent`](Self::close_when_sent) still have output to send or wait for
+    /// their peers to close.
     #[must_use]
     pub fn has_lingering(&self) -> bool {
         self.lingering_count > 0
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Closes connections that linger for too long; returns how long until the next one is due.
+    /// Closes connections whose linger timeout has expired; returns the time until the next timeout.
     pub(super) fn close_overdue(&mut self) -> Option<Duration> {
         let now = Instant::now();
         while let Some(id) = self.lingering.front().copied() {
@@ -81,9 +81,9 @@
         None
     }
 
-    /// Notes that a connection is gone. Its last input is read first: a complete response can stand before a reset, and
-    /// still be with the system when a write fails.
-    pub(super) fn lose(&mut self, id: SocketId, error: ErrorKind) {
+    /// Marks a connection as lost. Its remaining input is read first: a complete response can precede a reset and still be
+    /// in the system's receive buffer when a write fails.
+    pub(super) fn mark_lost(&mut self, id: SocketId, error: ErrorKind) {
         let Some(connection) = self.table.connection(id) else {
             return;
         };
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Reports connections that were lost in an earlier round, whose owners could read their input since.
+    /// Reports connections lost in an earlier round, whose owners have had a chance to read their input.
     pub(super) fn report_lost(&mut self) {
         for id in std::mem::take(&mut self.lost) {
             let Some(connection) = self.table.connection(id) else {
                 continue;
             };
-            if connection.can_read_on() {
-                // Its owner has taken input, and there is more: it has another round.
+            if connection.can_resume_reading() {
+                // The owner has taken input and more is available, so the loss is reported a round later.
                 self.read(id);
                 self.newly_lost.push(id);
                 continue;
--- a/crates/net/src/sockets/connection.rs
+++ b/crates/net/src/sockets/connection.rs
@@ -1,4 +1,4 @@
-//! The state and the system calls of one TCP connection.
+//! The state and system calls of one TCP connection.
 
 use bytes::{Buf, BytesMut};
 use mio::net::TcpStream;
@@ -7,58 +7,59 @@
 use std::net::Shutdown;
 use std::time::Instant;
 
-/// The most input held for one connection, in bytes. Beyond it the rest stays with the system, so that a peer is not
-/// read faster than its bytes are used.
+/// The maximum input buffered for one connection, in bytes. Further input stays in the system's receive buffer, so that
+/// a peer is not read faster than its input is consumed.
 pub const MAX_INPUT: usize = 32 * 1024;
-/// The most input that a closing connection reads and discards, in bytes, so that a peer that sends without end can't
-/// occupy the loop. One that sends a larger message while it is refused may see a reset instead of the answer.
-const MAX_DISCARDED: usize = 1024 * 1024;
-/// How much is discarded by one system call, in bytes.
-const DISCARD_BUFFER: usize = 4096;
+/// The maximum input that a closing connection reads and discards, in bytes, so that a peer that never stops sending
+/// can't occupy the event loop. A peer that is still sending a larger message when it is rejected may see a reset instead
+/// of the response.
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
+/// The size of the buffer for discarded input, in bytes.
+const DISCARD_BUFFER_BYTES: usize = 4096;
 
 /// One TCP connection.
 pub(super) struct Connection {
     stream: TcpStream,
-    /// What has come in and was not taken yet.
+    /// Input received and not taken by the owner yet.
     pub(super) input: BytesMut,
-    /// What waits to be sent.
+    /// Output waiting to be sent.
     pub(super) output: BytesMut,
-    /// Not established yet.
+    /// The connection is not established yet.
     pub(super) connecting: bool,
-    /// Input was left with the system, as the buffer was full.
+    /// Input was left in the system's receive buffer because `input` was full.
     pub(super) has_unread_input: bool,
-    /// The end of the input was read.
+    /// The end of the input has been read.
     pub(super) input_ended: bool,
-    /// The system has reported that the peer closed its side: the end stands behind what is left to read.
+    /// The system has reported that the peer closed its side; unread input may precede the end.
     pub(super) peer_hung_up: bool,
-    /// It came through a listener.
+    /// The connection was accepted by a listener.
     pub(super) accepted: bool,
-    /// Bytes given to the system.
+    /// Bytes written to the socket.
     pub(super) written: u64,
-    /// Set once its owner closed it: until then it may send its output and read the peer's last input.
+    /// Set once the owner has closed the connection: until this time it may send its output and discard the peer's input.
     pub(super) linger_until: Option<Instant>,
     write_shut_down: bool,
-    /// Input discarded since then, in bytes.
-    discarded: usize,
-    /// It is gone. Its owner is told in the next round and can read its input until then.
+    /// Input discarded while lingering, in bytes.
+    discarded_bytes: usize,
+    /// The connection failed with this error. The owner is notified in the next round and can read the input until then.
     pub(super) lost: Option<ErrorKind>,
 }
 
-/// What became of an attempt to connect.
+/// The state of a connection attempt.
 pub(super) enum ConnectProgress {
     Pending,
     Established,
     Failed(ErrorKind),
 }
 
-/// What one turn of reading brought.
+/// The result of reading the available input.
 pub(super) struct ReadProgress {
-    /// There is new input, or its end.
-    pub(super) has_news: bool,
+    /// New input or its end has been read.
+    pub(super) has_new_input: bool,
     pub(super) error: Option<ErrorKind>,
 }
 
-/// Whether a closing connection can be closed.
+/// Whether a lingering connection can be closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LingerProgress {
     Pending,
@@ -66,7 +67,7 @@
 }
 
 impl Connection {
-    /// A connection that was begun and is not established.
+    /// Creates a connection that is being established.
     pub(super) fn connecting(stream: TcpStream) -> Self {
         Self {
             connecting: true,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// A connection that came through a listener.
+    /// Creates a connection accepted by a listener.
     pub(super) fn accepted(stream: TcpStream) -> Self {
         Self {
             accepted: true,
@@ -95,13 +96,13 @@
             written: 0,
             linger_until: None,
             write_shut_down: false,
-            discarded: 0,
+            discarded_bytes: 0,
             lost: None,
         }
     }
 
     pub(super) fn register(&mut self, registry: &Registry, token: Token) -> io::Result<()> {
-        // If it fails, small messages are merely delayed.
+        // A failure only delays small messages.
         let _ = self.stream.set_nodelay(true);
         registry.register(
             &mut self.stream,
@@ -118,22 +119,22 @@
         self.linger_until.is_some()
     }
 
-    /// Whether input was left with the system and there is room for it now.
-    pub(super) fn can_read_on(&self) -> bool {
+    /// Whether input was left in the system's receive buffer and there is room for it now.
+    pub(super) fn can_resume_reading(&self) -> bool {
         self.has_unread_input && self.input.len() < MAX_INPUT
     }
 
-    /// Whether the system holds neither input nor its end.
+    /// Whether the system's receive buffer contains neither input nor its end.
     pub(super) fn is_system_input_empty(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Whether the system holds input.
+    /// Whether the system's receive buffer contains input.
     pub(super) fn has_system_input(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Ok(1..))
     }
 
-    /// Asks the system whether the connection is established by now.
+    /// Queries the system for whether the connection is established.
     pub(super) fn connect_progress(&mut self) -> ConnectProgress {
         if let Ok(Some(error)) | Err(error) = self.stream.take_error() {
             return ConnectProgress::Failed(error.kind());
@@ -148,9 +149,9 @@
         }
     }
 
-    /// Reads what the system holds into `input`, up to [`MAX_INPUT`], through a buffer shared by all connections.
+    /// Reads the available input into `input`, up to [`MAX_INPUT`], through a buffer shared by all connections.
     pub(super) fn read_available(&mut self, buffer: &mut [u8]) -> ReadProgress {
-        let mut has_news = false;
+        let mut has_new_input = false;
         self.has_unread_input = false;
         while !self.input_ended {
             if self.input.len() >= MAX_INPUT {
@@ -159,17 +160,17 @@
             }
             let room = buffer.len().min(MAX_INPUT - self.input.len());
             match self.stream.read(&mut buffer[..room]) {
-                // The end of what a lost connection left is not an end that the peer made.
+                // After a loss, the end of the remaining input does not mean that the peer closed its side.
                 Ok(0) if self.lost.is_some() => break,
                 Ok(0) => {
                     self.input_ended = true;
-                    has_news = true;
+                    has_new_input = true;
                 }
                 Ok(length) => {
                     self.input.extend_from_slice(&buffer[..length]);
-                    has_news = true;
-                    // Less than asked for: nothing is left, and the system reports what comes next (epoll(7)). If it has
-                    // reported the end with these bytes already, the end is read now.
+                    has_new_input = true;
+                    // A short read means that no input is left, and the system reports later input (epoll(7)). If the
+                    // system has already reported the end along with these bytes, the end is read now.
                     if length < room && !self.peer_hung_up && self.lost.is_none() {
                         break;
                     }
@@ -178,19 +179,19 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
                     return ReadProgress {
-                        has_news,
+                        has_new_input,
                         error: Some(e.kind()),
                     }
                 }
             }
         }
         ReadProgress {
-            has_news,
+            has_new_input,
             error: None,
         }
     }
 
-    /// Gives bytes to the system, and keeps those that it does not take.
+    /// Writes bytes to the socket and queues those that the system does not accept.
     pub(super) fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut rest = bytes;
         if !self.connecting && self.output.is_empty() {
@@ -200,12 +201,12 @@
         Ok(())
     }
 
-    /// Gives the system what waits to be sent.
+    /// Writes the queued output.
     pub(super) fn flush(&mut self) -> io::Result<()> {
         let output = std::mem::take(&mut self.output);
         let mut rest = &output[..];
         let result = self.write(&mut rest);
-        // Once all is sent the buffer is freed: idle connections hold none.
+        // The buffer is freed once everything is sent, so that idle connections hold no memory.
         if !rest.is_empty() {
             let sent = output.len() - rest.len();
             self.output = output;
@@ -214,7 +215,7 @@
         result
     }
 
-    /// Writes what the system takes and leaves the rest in `bytes`.
+    /// Writes as many bytes as the system accepts and leaves the rest in `bytes`.
     fn write(&mut self, bytes: &mut &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             match self.stream.write(bytes) {
@@ -231,7 +232,7 @@
         Ok(())
     }
 
-    /// Shuts down the sending side once all is sent, then discards input until the peer closes.
+    /// Shuts down the sending side once all output is sent, then discards input until the peer closes.
     pub(super) fn linger(&mut self) -> LingerProgress {
         if !self.connecting && self.output.is_empty() && !self.write_shut_down {
             self.write_shut_down = true;
@@ -245,13 +246,13 @@
     }
 
     fn discard_input(&mut self) -> LingerProgress {
-        let mut buffer = [0; DISCARD_BUFFER];
+        let mut buffer = [0; DISCARD_BUFFER_BYTES];
         loop {
             match self.stream.read(&mut buffer) {
                 Ok(0) => return LingerProgress::Finished,
                 Ok(length) => {
-                    self.discarded += length;
-                    if self.discarded > MAX_DISCARDED {
+                    self.discarded_bytes += length;
+                    if self.discarded_bytes > MAX_DISCARDED_BYTES {
                         return LingerProgress::Finished;
                     }
                 }
--- a/crates/net/src/sockets/datagrams.rs
+++ b/crates/net/src/sockets/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams: unreliable by contract, so that failures to send or to receive one are not reported.
+//! Datagram sockets. Datagrams are unreliable by contract, so failures to send or receive one are not reported.
 
 use super::event::{SocketEvent, SocketId};
 use super::socket_table::Socket;
@@ -7,16 +7,16 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// Datagrams read in a row before other sockets have their turn.
+/// Datagrams read from one socket per round, so that other sockets are not starved.
 const DATAGRAM_BATCH: usize = 64;
 
 impl Sockets {
-    /// Opens a socket for datagrams; returns its id and the address that it is bound to. Each datagram that comes is
-    /// reported as [`SocketEvent::Datagram`].
+    /// Opens a datagram socket; returns its id and bound address. Each datagram received is reported as
+    /// [`SocketEvent::Datagram`].
     ///
     /// # Errors
     ///
-    /// The address is in use or not one of this machine's, or no descriptor is left.
+    /// The address is in use or not one of this machine's, or no file descriptor is left.
     pub fn bind_datagrams(&mut self, at: SocketAddr) -> io::Result<(SocketId, SocketAddr)> {
         let socket = UdpSocket::bind(at)?;
         let address = socket.local_addr()?;
@@ -24,7 +24,7 @@
         Ok((id, address))
     }
 
-    /// Sends one datagram. It is lost if the system does not take it now.
+    /// Sends one datagram. It is lost if the system does not accept it immediately.
     pub fn send_datagram(&mut self, id: SocketId, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = self.table.datagrams(id) {
             let _ = socket.send_to(bytes, to);
@@ -43,14 +43,14 @@
                     bytes: self.read_buffer[..length].to_vec(),
                 }),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // The system reports the fate of a datagram that was sent earlier.
+                // The error concerns a datagram that was sent earlier.
                 Err(_) => {}
             }
         }
         self.unread_datagrams.push(id);
     }
 
-    /// Reads on where an earlier round left datagrams.
+    /// Resumes reading from sockets with datagrams left over from an earlier round.
     pub(super) fn resume_reading_datagrams(&mut self) {
         for id in std::mem::take(&mut self.unread_datagrams) {
             self.read_datagrams(id);
--- a/crates/net/src/sockets/event.rs
+++ b/crates/net/src/sockets/event.rs
@@ -1,13 +1,13 @@
-//! What the facade tells its owner.
+//! Socket ids and the events that [`Sockets`](super::Sockets) reports.
 
 use mio::Token;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
-/// Where the generation stands in a [`SocketId`].
+/// The bit position of the generation in a [`SocketId`].
 const GENERATION_SHIFT: u32 = 32;
 
-/// One socket: the index of its slot in the low half, the slot's generation in the high half. It is not reused for
+/// The id of a socket: the slot index in the low half, the slot's generation in the high half. An id is not reused for
 /// another socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SocketId(u64);
@@ -34,7 +34,7 @@
     }
 }
 
-/// What happened to a socket, or to the process.
+/// An event on a socket, or a signal to the process.
 #[derive(Debug)]
 pub enum SocketEvent {
     /// A listener accepted a connection.
@@ -46,39 +46,41 @@
         /// The peer's address.
         from: SocketAddr,
     },
-    /// A connection that was begun with [`Sockets::connect`](super::Sockets::connect) is established.
+    /// A connection started with [`Sockets::connect`](super::Sockets::connect) is established.
     Connected(SocketId),
-    /// There is input, or it has ended (see [`Sockets::has_ended`](super::Sockets::has_ended)), or the peer has closed
-    /// its side behind input that was not read yet (see [`Sockets::has_peer_closed`](super::Sockets::has_peer_closed)).
+    /// Input is available, or it has ended (see [`Sockets::has_ended`](super::Sockets::has_ended)), or the peer has closed
+    /// its side after input that has not been read yet (see
+    /// [`Sockets::has_peer_closed`](super::Sockets::has_peer_closed)).
     Readable(SocketId),
-    /// All that was given to [`Sockets::send`](super::Sockets::send) is with the system, after some of it had to wait.
+    /// All queued output of [`Sockets::send`](super::Sockets::send) has been written to the socket.
     Flushed(SocketId),
-    /// The connection is gone: refused, reset or failed. Input that came before is reported in an earlier round and can
-    /// be read until this event.
+    /// The connection was refused, reset or failed. Input received before is reported in an earlier round and can be read
+    /// until this event.
     ConnectionLost {
         /// The connection.
         socket: SocketId,
-        /// Bytes given to the system before.
+        /// Bytes written to the socket before the loss.
         written: u64,
-        /// How it failed.
+        /// The cause.
         error: ErrorKind,
     },
-    /// A listener could not accept, as connections, descriptors or memory have run out. It tries again soon.
+    /// A listener could not accept because of a lack of connections, file descriptors or memory. It retries after a short
+    /// delay.
     AcceptFailed {
         /// The listener.
         listener: SocketId,
-        /// How it failed; [`ErrorKind::QuotaExceeded`] if the limit on connections was reached.
+        /// The cause; [`ErrorKind::QuotaExceeded`] if the connection limit was reached.
         error: ErrorKind,
     },
-    /// A datagram came.
+    /// A datagram was received.
     Datagram {
-        /// The socket that it came to.
+        /// The receiving socket.
         socket: SocketId,
         /// The sender's address.
         from: SocketAddr,
-        /// Its content.
+        /// The payload.
         bytes: Vec<u8>,
     },
-    /// A signal that is watched, by its number.
+    /// A watched signal was received; its number.
     Signal(i32),
 }
--- a/crates/net/src/sockets/listener.rs
+++ b/crates/net/src/sockets/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners: accepting within the limits on connections, and waiting when descriptors or memory have run out.
+//! Listeners: accepting within the connection limits, and pausing when file descriptors or memory have run out.
 
 use super::connection::Connection;
 use super::event::{SocketEvent, SocketId};
@@ -10,19 +10,19 @@
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
-/// Connections accepted in a row before other sockets have their turn.
+/// Connections accepted per listener and round, so that other sockets are not starved.
 pub(super) const ACCEPT_BATCH: usize = 64;
-/// How long a listener waits before it tries again when it could not accept.
+/// How long a listener waits before it retries after a failure to accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A listening TCP socket.
 pub(super) struct Listener {
     pub(super) socket: TcpListener,
-    /// Connections may be left in the backlog.
+    /// The backlog may contain connections.
     pub(super) has_backlog: bool,
 }
 
-/// How many connections may be open before accepting pauses.
+/// The numbers of open sockets at which accepting pauses.
 #[derive(Clone, Copy)]
 pub(super) struct ConnectionLimits {
     pub(super) accepted: usize,
@@ -34,18 +34,18 @@
 enum AcceptStop {
     /// The backlog is empty.
     BacklogEmpty,
-    /// Other sockets have their turn first.
+    /// The batch limit is reached; accepting continues in the next round.
     BatchDone,
-    /// There is no room for another connection, or the system refuses one.
+    /// A connection limit is reached, or the system failed to accept.
     Exhausted,
 }
 
 impl Sockets {
-    /// Opens a listener; returns its id and the address that it is bound to.
+    /// Opens a listener; returns its id and bound address.
     ///
     /// # Errors
     ///
-    /// The address is in use or not one of this machine's, or no descriptor is left.
+    /// The address is in use or not one of this machine's, or no file descriptor is left.
     pub fn listen(&mut self, at: SocketAddr) -> io::Result<(SocketId, SocketAddr)> {
         let socket = TcpListener::bind(at)?;
         let address = socket.local_addr()?;
@@ -57,14 +57,14 @@
         Ok((id, address))
     }
 
-    /// Accepts no connection while `accepted` accepted ones are open, or `all` sockets of any kind: further ones stay in
-    /// the listeners' backlogs.
+    /// Stops accepting while `accepted` accepted connections, or `all` sockets of any kind, are open. Further connections
+    /// stay in the listeners' backlogs.
     pub fn limit_connections(&mut self, accepted: usize, all: usize) {
         self.limits = ConnectionLimits { accepted, all };
     }
 
-    /// Accepts what waits at a listener, then closes it, as what is left in a backlog would be reset. Returns whether it
-    /// is closed: when there is no room for a connection that may wait, it stays open.
+    /// Accepts the connections in a listener's backlog, then closes the listener, as connections left in the backlog would
+    /// be reset. Returns whether it is closed: it stays open while a connection may wait for which there is no room.
     pub fn stop_listening(&mut self, id: SocketId) -> bool {
         while self.table.listener(id).is_some() {
             let accepted_before = self.accepted_count;
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Accepts on all listeners that had to stop, once it is time.
+    /// Resumes accepting on all listeners that had to pause, once their delay has passed.
     pub(super) fn resume_accepting(&mut self) {
         if self.accept_at.is_none_or(|at| at > Instant::now()) {
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Accepts what waits at a listener that became readable.
+    /// Accepts the connections that wait at a listener that became readable.
     pub(super) fn on_listener_readable(&mut self, id: SocketId) {
         self.accept(id);
     }
@@ -149,12 +149,12 @@
                 });
                 ControlFlow::Continue(())
             }
-            // Its peer sees it closed without an answer; the others stay in the backlog.
+            // The peer sees the connection closed without a response; other connections stay in the backlog.
             Err(e) => self.pause_accepting(listener, e.kind()),
         }
     }
 
-    /// The poll is edge-triggered and does not report again what waits, so a later round has to try again.
+    /// Schedules a retry: the poll is edge-triggered and does not report waiting connections again.
     fn pause_accepting(&mut self, id: SocketId, error: ErrorKind) -> ControlFlow<AcceptStop> {
         if let Some(listener) = self.table.listener(id) {
             listener.has_backlog = true;
--- a/crates/net/src/sockets/mod.rs
+++ b/crates/net/src/sockets/mod.rs
@@ -1,9 +1,9 @@
-//! Listeners, TCP connections and datagram sockets on one `mio` poll. It reports what happened and holds the bytes; it
-//! knows no protocol.
+//! Listeners, TCP connections and datagram sockets on one `mio` poll. The module reports events and buffers bytes; it is
+//! independent of any protocol.
 //!
-//! Reading stops while a connection's input is full and goes on with [`Sockets::resume_reading`], so that a peer is not
-//! read faster than its bytes are used. When the process has no file descriptor left, accepting pauses and is tried
-//! again: further connections stay in the backlog.
+//! Reading stops while a connection's input buffer is full and continues with [`Sockets::resume_reading`], so that a peer
+//! is not read faster than its input is consumed. When the process has no file descriptor left, accepting pauses and is
+//! retried: further connections stay in the backlog.
 
 mod closing;
 mod connection;
@@ -25,7 +25,7 @@
 use listener::ConnectionLimits;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll};
-use polling::SIGNALS;
+use polling::SIGNALS_TOKEN;
 use signal_hook_mio::v1_0::Signals;
 use socket_table::{Socket, SocketTable};
 use std::collections::VecDeque;
@@ -33,43 +33,43 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Reports of the system that are taken in one round.
+/// The maximum number of system events handled in one round.
 const EVENTS_PER_ROUND: usize = 1024;
-/// The size of the buffer that all sockets read through, in bytes.
-const READ_BUFFER: usize = 16 * 1024;
+/// The size of the read buffer shared by all sockets, in bytes.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// All sockets of a process, driven by one thread: [`wait`](Self::wait) reports what happened, the other methods act at
-/// once. Ids of sockets that were closed are ignored.
+/// All sockets of a process, driven by one thread: [`wait`](Self::wait) reports events, the other methods act
+/// immediately. Ids of closed sockets are ignored.
 pub struct Sockets {
     poll: Poll,
     system_events: Events,
     table: SocketTable,
-    /// What the next round reports.
+    /// Events to be reported by the current or next round.
     events: VecDeque<SocketEvent>,
-    /// Connections that are closing, in the order of their timeouts. Some may be closed already.
+    /// Lingering connections in the order of their timeouts. Some may be closed already.
     lingering: VecDeque<SocketId>,
     lingering_count: usize,
-    /// Connections lost in this round, whose input is reported with it.
+    /// Connections lost in this round. Their input is reported in the same round.
     newly_lost: Vec<SocketId>,
-    /// Connections lost in an earlier round, which are reported as lost next.
+    /// Connections lost in an earlier round. Their loss is reported in the next round.
     lost: Vec<SocketId>,
-    /// Open connections that came through a listener.
+    /// Number of open connections accepted by a listener.
     accepted_count: usize,
     limits: ConnectionLimits,
-    /// When listeners that had to stop accept again.
+    /// When paused listeners accept again.
     accept_at: Option<Instant>,
     signals: Option<Signals>,
     read_buffer: Box<[u8]>,
-    /// Where more datagrams wait than one round reads.
+    /// Sockets with more datagrams than one round reads.
     unread_datagrams: Vec<SocketId>,
 }
 
 impl Sockets {
-    /// A poll without sockets and without limits on connections.
+    /// Creates a poll without sockets and without connection limits.
     ///
     /// # Errors
     ///
-    /// The system gives no poll.
+    /// The system can't create a poll.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             poll: Poll::new()?,
@@ -87,12 +87,12 @@
             },
             accept_at: None,
             signals: None,
-            read_buffer: vec![0; READ_BUFFER].into_boxed_slice(),
+            read_buffer: vec![0; READ_BUFFER_BYTES].into_boxed_slice(),
             unread_datagrams: Vec::new(),
         })
     }
 
-    /// Reports these signals as [`SocketEvent::Signal`] from now on.
+    /// Starts to report these signals as [`SocketEvent::Signal`].
     ///
     /// # Errors
     ///
@@ -101,16 +101,16 @@
         let mut watched = Signals::new(signals)?;
         self.poll
             .registry()
-            .register(&mut watched, SIGNALS, Interest::READABLE)?;
+            .register(&mut watched, SIGNALS_TOKEN, Interest::READABLE)?;
         self.signals = Some(watched);
         Ok(())
     }
 
-    /// Begins a connection; [`SocketEvent::Connected`] or [`SocketEvent::ConnectionLost`] follows.
+    /// Starts to connect; [`SocketEvent::Connected`] or [`SocketEvent::ConnectionLost`] follows.
     ///
     /// # Errors
     ///
-    /// No descriptor is left, or there is no route to the address; see also [`is_resource_exhaustion`].
+    /// No file descriptor is left, or there is no route to the address; see also [`is_resource_exhaustion`].
     pub fn connect(&mut self, to: SocketAddr) -> io::Result<SocketId> {
         let stream = TcpStream::connect(to)?;
         self.insert(Socket::Connection(Box::new(Connection::connecting(stream))))
@@ -120,7 +120,7 @@
         self.table.insert(self.poll.registry(), socket)
     }
 
-    /// What has come in on a connection and was not taken yet; none once the connection is closed.
+    /// The input received on a connection and not taken yet; `None` once the connection is closed.
     pub fn input(&mut self, id: SocketId) -> Option<&mut BytesMut> {
         self.table
             .connection(id)
@@ -128,32 +128,32 @@
             .map(|connection| &mut connection.input)
     }
 
-    /// Goes on reading after input was taken.
+    /// Resumes reading after input was taken.
     pub fn resume_reading(&mut self, id: SocketId) {
-        let can_read_on = self
+        let can_resume_reading = self
             .table
             .connection(id)
-            .is_some_and(|connection| connection.can_read_on());
-        if can_read_on {
+            .is_some_and(|connection| connection.can_resume_reading());
+        if can_resume_reading {
             self.read(id);
         }
     }
 
-    /// Reads what the system holds, and reports it.
+    /// Reads the available input and reports it.
     fn read(&mut self, id: SocketId) {
         let Some(connection) = self.table.connection(id) else {
             return;
         };
         let progress = connection.read_available(&mut self.read_buffer);
-        if progress.has_news {
+        if progress.has_new_input {
             self.events.push_back(SocketEvent::Readable(id));
         }
         if let Some(error) = progress.error {
-            self.lose(id, error);
+            self.mark_lost(id, error);
         }
     }
 
-    /// Queues bytes and gives the system what it takes now. Those for a connection that is closed or lost are dropped.
+    /// Queues bytes and writes as many as the system accepts now. Bytes for a closed or lost connection are dropped.
     pub fn send(&mut self, id: SocketId, bytes: &[u8]) {
         let Some(connection) = self.table.connection(id) else {
             return;
@@ -162,25 +162,25 @@
             return;
         }
         if let Err(error) = connection.send(bytes) {
-            self.lose(id, error.kind());
+            self.mark_lost(id, error.kind());
         }
     }
 
-    /// Whether the peer has closed its side and all input before was read, or the connection is closed.
+    /// Whether the peer has closed its side and all earlier input has been read, or the connection is closed.
     pub fn has_ended(&mut self, id: SocketId) -> bool {
         self.table
             .connection(id)
             .is_none_or(|connection| connection.input_ended)
     }
 
-    /// Whether the peer has closed its side or the connection is gone, though input may be left to read before it.
+    /// Whether the peer has closed its side or the connection is lost or closed, even if input is left to read.
     pub fn has_peer_closed(&mut self, id: SocketId) -> bool {
         self.table.connection(id).is_none_or(|connection| {
             connection.input_ended || connection.peer_hung_up || connection.lost.is_some()
         })
     }
 
-    /// Whether nothing has come in, neither a byte nor the end. Asks the system, which may know more than was reported.
+    /// Whether neither input nor its end has arrived. Queries the system, which may have received more than was reported.
     pub fn is_silent(&mut self, id: SocketId) -> bool {
         let Some(connection) = self.table.connection(id) else {
             return false;
@@ -191,28 +191,28 @@
             && connection.is_system_input_empty()
     }
 
-    /// Whether the system holds input that was not read yet.
+    /// Whether the system's receive buffer contains input.
     pub fn has_unread_input(&mut self, id: SocketId) -> bool {
         self.table
             .connection(id)
             .is_some_and(|connection| connection.has_system_input())
     }
 
-    /// Bytes of a connection given to the system so far.
+    /// Number of bytes written to a connection's socket so far.
     pub fn bytes_written(&mut self, id: SocketId) -> u64 {
         self.table
             .connection(id)
             .map_or(0, |connection| connection.written)
     }
 
-    /// Bytes of a connection that wait to be sent.
+    /// Number of bytes queued on a connection.
     pub fn unsent_bytes(&mut self, id: SocketId) -> usize {
         self.table
             .connection(id)
             .map_or(0, |connection| connection.output.len())
     }
 
-    /// Bytes that wait to be sent on all connections together. It visits every socket, so it is not for each round.
+    /// Number of bytes queued on all connections together. It visits every socket, so it is too slow for each round.
     #[must_use]
     pub fn total_unsent_bytes(&self) -> usize {
         self.table
@@ -221,7 +221,7 @@
             .sum()
     }
 
-    /// Sockets of all kinds that are open now.
+    /// Number of open sockets of all kinds.
     #[must_use]
     pub fn open_count(&self) -> usize {
         self.table.len()
--- a/crates/net/src/sockets/polling.rs
+++ b/crates/net/src/sockets/polling.rs
@@ -1,4 +1,4 @@
-//! One round of the poll: waiting, and turning what the system reports into events.
+//! One round of the poll: waits and turns the system's reports into events.
 
 use super::connection::ConnectProgress;
 use super::event::{SocketEvent, SocketId};
@@ -9,10 +9,10 @@
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
-/// The poll's token of signals. No socket has it, as no slot has so high a generation.
-pub(super) const SIGNALS: Token = Token(usize::MAX);
+/// The poll token of signals. No socket has it, as generations stay below the highest bit.
+pub(super) const SIGNALS_TOKEN: Token = Token(usize::MAX);
 
-/// What the poll reports of one socket.
+/// The readiness of one socket, as reported by the poll.
 #[derive(Clone, Copy)]
 struct Readiness {
     token: Token,
@@ -33,21 +33,21 @@
 }
 
 impl Sockets {
-    /// Waits until something happens, or for `timeout`; returns what happened, in the order in which the system reported
-    /// it. No timeout means to wait without end.
+    /// Waits for events, for at most `timeout`, and returns them in the order in which the system reported them. Without a
+    /// timeout it waits indefinitely.
     ///
     /// # Errors
     ///
-    /// The poll itself failed.
+    /// The poll failed.
     pub fn wait(&mut self, timeout: Option<Duration>) -> io::Result<Vec<SocketEvent>> {
         let accept_in = self
             .accept_at
             .map(|at| at.saturating_duration_since(Instant::now()));
         self.report_lost();
-        let is_work_left = !self.events.is_empty()
+        let has_pending_work = !self.events.is_empty()
             || !self.unread_datagrams.is_empty()
             || !self.newly_lost.is_empty();
-        let timeout = if is_work_left {
+        let timeout = if has_pending_work {
             Some(Duration::ZERO)
         } else {
             timeout
@@ -57,7 +57,7 @@
             .flatten()
             .min();
         self.poll_system(timeout)?;
-        // Before what the poll reports: a batch that is cut short in this round goes on in the next one.
+        // Precedes the events of this poll, so that a batch cut short in this round continues in the next one.
         self.resume_accepting();
         self.resume_reading_datagrams();
         let reported: Vec<Readiness> = self.system_events.iter().map(Readiness::of).collect();
@@ -70,8 +70,8 @@
 
     fn poll_system(&mut self, timeout: Option<Duration>) -> io::Result<()> {
         let mut result = self.poll.poll(&mut self.system_events, timeout);
-        // An interrupted poll, as after the process was stopped and continued (signal(7)), reports nothing of what has
-        // come meanwhile. The owner has to know that before it looks at the clock.
+        // An interrupted poll, such as after the process was stopped and continued (signal(7)), reports none of the events
+        // that occurred meanwhile. The owner has to see them before it reads the clock.
         if is_interrupted(&result) {
             result = self
                 .poll
@@ -84,18 +84,18 @@
     }
 
     fn handle_readiness(&mut self, readiness: Readiness) {
-        if readiness.token == SIGNALS {
+        if readiness.token == SIGNALS_TOKEN {
             return self.report_signals();
         }
         let id = SocketId::from_token(readiness.token);
-        let hung_up_now = readiness.read_closed && self.note_hang_up(id);
+        let newly_hung_up = readiness.read_closed && self.mark_peer_hung_up(id);
         self.handle_socket(id, readiness);
-        // Behind a full buffer the end can't be read; it is reported all the same.
+        // With a full input buffer the end can't be read, but it is reported.
         let is_end_unread = self
             .table
             .connection(id)
             .is_some_and(|connection| connection.has_unread_input && !connection.is_lingering());
-        if hung_up_now && is_end_unread {
+        if newly_hung_up && is_end_unread {
             self.events.push_back(SocketEvent::Readable(id));
         }
     }
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Notes that the peer closed its side; returns whether that is new.
-    fn note_hang_up(&mut self, id: SocketId) -> bool {
+    /// Records that the peer closed its side; returns whether that is new.
+    fn mark_peer_hung_up(&mut self, id: SocketId) -> bool {
         self.table
             .connection(id)
             .is_some_and(|connection| !std::mem::replace(&mut connection.peer_hung_up, true))
@@ -133,13 +133,13 @@
         if connection.connecting {
             match connection.connect_progress() {
                 ConnectProgress::Pending => return,
-                ConnectProgress::Failed(error) => return self.lose(id, error),
+                ConnectProgress::Failed(error) => return self.mark_lost(id, error),
                 ConnectProgress::Established => self.events.push_back(SocketEvent::Connected(id)),
             }
         }
         if readiness.writable && !connection.output.is_empty() {
             if let Err(e) = connection.flush() {
-                return self.lose(id, e.kind());
+                return self.mark_lost(id, e.kind());
             }
             if connection.output.is_empty() && !connection.is_lingering() {
                 self.events.push_back(SocketEvent::Flushed(id));
--- a/crates/net/src/sockets/resource_limits.rs
+++ b/crates/net/src/sockets/resource_limits.rs
@@ -1,11 +1,11 @@
-//! What the system grants this process, and errors that mean that it is used up.
+//! Resource limits of the process, and errors that mean that a resource is exhausted.
 
 use rustix::io::Errno;
 use rustix::process::{getrlimit, Resource};
 use std::io;
 
-/// Errors of a system call that lacks something of this process or its machine.
-const EXHAUSTION: [Errno; 7] = [
+/// Errors of system calls that fail for lack of a resource of the process or its machine.
+const EXHAUSTION_ERRORS: [Errno; 7] = [
     Errno::MFILE,
     Errno::NFILE,
     Errno::NOBUFS,
@@ -15,8 +15,8 @@
     Errno::AGAIN,
 ];
 
-/// How many file descriptors, and how many bytes of address space, this process may have; `usize::MAX` where the system
-/// sets no limit.
+/// The maximum number of file descriptors and the maximum address space in bytes of this process; `usize::MAX` where the
+/// system sets no limit.
 #[must_use]
 pub fn resource_limits() -> (usize, usize) {
     (soft_limit(Resource::Nofile), soft_limit(Resource::As))
@@ -29,9 +29,9 @@
     }
 }
 
-/// Whether an operation failed because this process or its machine has run out of a resource, which says nothing of the
-/// peer.
+/// Whether an operation failed because the process or its machine has run out of a resource, which is no evidence against
+/// the peer.
 #[must_use]
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
-    Errno::from_io_error(error).is_some_and(|errno| EXHAUSTION.contains(&errno))
+    Errno::from_io_error(error).is_some_and(|errno| EXHAUSTION_ERRORS.contains(&errno))
 }
--- a/crates/net/src/sockets/socket_table.rs
+++ b/crates/net/src/sockets/socket_table.rs
@@ -1,4 +1,4 @@
-//! All open sockets by their id, and their registration with the poll.
+//! The open sockets by id, and their registration with the poll.
 
 use super::connection::Connection;
 use super::event::SocketId;
@@ -8,7 +8,7 @@
 use slab::Slab;
 use std::io;
 
-/// Keeps ids clear of the token that signals are registered under.
+/// Clears the highest bit, so that no id equals the poll token of signals.
 const GENERATION_MASK: u32 = 0x7fff_ffff;
 
 /// An open socket.
@@ -19,12 +19,12 @@
 }
 
 struct Slot {
-    /// Distinguishes the sockets that use a slot one after the other.
+    /// Distinguishes consecutive sockets in the same slot.
     generation: u32,
     socket: Socket,
 }
 
-/// The open sockets. An id whose socket was removed finds nothing.
+/// The open sockets. A lookup by the id of a removed socket finds nothing.
 pub(super) struct SocketTable {
     slots: Slab<Slot>,
     last_generation: u32,
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// The system refuses to watch it; it is then closed.
+    /// The poll can't register the socket, which is then closed.
     pub(super) fn insert(&mut self, registry: &Registry, socket: Socket) -> io::Result<SocketId> {
         self.last_generation = self.last_generation.wrapping_add(1) & GENERATION_MASK;
         let generation = self.last_generation;
@@ -60,11 +60,11 @@
         Ok(id)
     }
 
-    /// Takes a socket out and ends its registration.
+    /// Removes a socket and ends its registration.
     pub(super) fn remove(&mut self, registry: &Registry, id: SocketId) -> Option<Socket> {
         self.get_mut(id)?;
         let mut socket = self.slots.remove(id.index()).socket;
-        // It is closed next, which ends the registration too.
+        // A failure is harmless: the socket is closed next, which also ends the registration.
         let _ = socket.deregister(registry);
         Some(socket)
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Every connection, in the order of the slots.
+    /// All connections, in slot order.
     pub(super) fn connections(&self) -> impl Iterator<Item = &Connection> {
         self.slots
             .iter()
@@ -108,7 +108,7 @@
             })
     }
 
-    /// The listeners that may have more connections to accept, in the order of the slots.
+    /// The listeners whose backlog may contain connections, in slot order.
     pub(super) fn listeners_with_backlog(&self) -> Vec<SocketId> {
         self.slots
             .iter()
--- a/crates/net/src/sockets/tests.rs
+++ b/crates/net/src/sockets/tests.rs
@@ -1,4 +1,5 @@
-//! Connections that end with input unread or output unsent, listeners that close, and sockets that the poll refuses.
+//! Tests of connections that end with unread input or unsent output, of closing listeners, and of sockets that the poll
+//! can't register.
 
 use super::closing::LINGER_TIMEOUT;
 use super::connection::Connection;
@@ -13,10 +14,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a test waits before it fails.
+/// How long a test waits for an event before it fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An established connection: its id, and the peer's side.
+/// An established connection: its id and the peer's stream.
 fn connected_pair(sockets: &mut Sockets) -> (SocketId, Stream) {
     let listener = Listener::bind("127.0.0.1:0").unwrap();
     let id = sockets.connect(listener.local_addr().unwrap()).unwrap();
@@ -28,30 +29,38 @@
     (id, peer)
 }
 
-/// Waits until an event is the wanted one; returns all events up to then.
+/// Waits for an event that matches `wanted`; returns all events up to it.
 fn wait_until(sockets: &mut Sockets, wanted: impl Fn(&SocketEvent) -> bool) -> Vec<SocketEvent> {
     let end = Instant::now() + TEST_TIMEOUT;
     let mut events = Vec::new();
     while !events.iter().any(&wanted) {
-        assert!(Instant::now() < end, "only {events:?}");
+        assert!(
+            Instant::now() < end,
+            "expected event missing, got {events:?}"
+        );
         events.extend(sockets.wait(Some(TEST_TIMEOUT)).unwrap());
     }
     events
 }
 
-/// The peer sends an answer and resets the connection, as it closes with input unread.
-fn peer_answers_and_resets(sockets: &mut Sockets, id: SocketId, mut peer: Stream, answer: &[u8]) {
+/// The peer sends a response and closes with unread input, which resets the connection.
+fn peer_responds_and_resets(
+    sockets: &mut Sockets,
+    id: SocketId,
+    mut peer: Stream,
+    response: &[u8],
+) {
     sockets.send(id, b"ask");
     peer.peek(&mut [0]).unwrap();
-    peer.write_all(answer).unwrap();
+    peer.write_all(response).unwrap();
 }
 
-/// All input that comes before the connection is reported as lost.
+/// Reads all input until the loss of the connection is reported.
 fn read_until_lost(sockets: &mut Sockets, id: SocketId) -> Vec<u8> {
     let end = Instant::now() + TEST_TIMEOUT;
     let mut read = Vec::new();
     loop {
-        assert!(Instant::now() < end, "the loss is not reported");
+        assert!(Instant::now() < end, "the connection loss is not reported");
         for event in sockets.wait(Some(TEST_TIMEOUT)).unwrap() {
             match event {
                 SocketEvent::Readable(at) if at == id => {
@@ -73,8 +82,8 @@
     for length in [6, MAX_INPUT * 3] {
         let mut sockets = Sockets::new().unwrap();
         let (id, peer) = connected_pair(&mut sockets);
-        let answer = vec![b'x'; length];
-        peer_answers_and_resets(&mut sockets, id, peer, &answer);
+        let response = vec![b'x'; length];
+        peer_responds_and_resets(&mut sockets, id, peer, &response);
         assert_eq!(read_until_lost(&mut sockets, id).len(), length);
     }
 }
@@ -83,7 +92,7 @@
 fn input_before_a_failed_write_is_read() {
     let mut sockets = Sockets::new().unwrap();
     let (id, peer) = connected_pair(&mut sockets);
-    peer_answers_and_resets(&mut sockets, id, peer, b"answer");
+    peer_responds_and_resets(&mut sockets, id, peer, b"answer");
     sockets.send(id, b"more");
     sockets.send(id, b"and more");
     assert_eq!(read_until_lost(&mut sockets, id), b"answer");
@@ -93,7 +102,7 @@
 fn a_lost_connection_is_not_silent_and_its_loss_is_not_reported_after_close() {
     let mut sockets = Sockets::new().unwrap();
     let (id, peer) = connected_pair(&mut sockets);
-    peer_answers_and_resets(&mut sockets, id, peer, b"answer");
+    peer_responds_and_resets(&mut sockets, id, peer, b"answer");
     sockets.send(id, b"more");
     assert!(!sockets.is_silent(id) && sockets.has_peer_closed(id));
     sockets.close(id);
@@ -105,7 +114,7 @@
 }
 
 #[test]
-fn a_peers_close_behind_a_full_buffer_is_reported() {
+fn peer_close_after_a_full_input_buffer_is_reported() {
     let mut sockets = Sockets::new().unwrap();
     let (id, mut peer) = connected_pair(&mut sockets);
     let writer = thread::spawn(move || {
@@ -115,7 +124,7 @@
     let readable = |event: &SocketEvent| matches!(event, SocketEvent::Readable(at) if *at == id);
     wait_until(&mut sockets, readable);
     let peer = writer.join().unwrap();
-    // All of it has arrived, and the buffer is filled.
+    // All bytes have arrived; waits until the input buffer is full.
     while sockets.input(id).unwrap().len() < MAX_INPUT {
         sockets.wait(Some(TEST_TIMEOUT)).unwrap();
     }
@@ -182,7 +191,7 @@
 }
 
 #[test]
-fn a_closing_connection_discards_only_so_much_of_a_peers_input() {
+fn a_closing_connection_discards_a_bounded_amount_of_input() {
     let mut sockets = Sockets::new().unwrap();
     let (id, mut peer) = connected_pair(&mut sockets);
     sockets.close_when_sent(id);
@@ -197,9 +206,9 @@
 }
 
 #[test]
-fn a_connection_that_the_poll_refuses_leaves_nothing_behind() {
+fn a_connection_that_the_poll_cannot_register_is_removed() {
     let mut sockets = Sockets::new().unwrap();
-    // The poll can't watch a file.
+    // epoll can't watch a regular file or /dev/null.
     let file = OwnedFd::from(File::open("/dev/null").unwrap());
     let stream = TcpStream::from_std(std::net::TcpStream::from(file));
     let refused = sockets.insert(Socket::Connection(Box::new(Connection::accepted(stream))));
