--- a/crates/net/src/http/fields.rs
+++ b/crates/net/src/http/fields.rs
@@ -1,9 +1,9 @@
-//! The fields of a message's head.
+//! Header fields of a message head.
 
 use crate::error::HttpError;
 use bytes::{Bytes, BytesMut};
 
-/// Fields that concern one connection alone (RFC 9110, 7.6.1), and `content-length`, which each sender sets itself.
+/// Hop-by-hop fields (RFC 9110, 7.6.1), and `content-length`, which each sender sets itself.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -17,21 +17,21 @@
     "proxy-authorization",
 ];
 
-/// A range of a head's bytes.
+/// A byte range within a head.
 #[derive(Clone, Copy, Debug)]
 struct Span {
     start: usize,
     length: usize,
 }
 
-/// Where one field's name and value stand in a head.
+/// The positions of a field's name and value in a head.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FieldSpan {
     name: Span,
     value: Span,
 }
 
-/// The fields of one head, in the order in which they came. Names are compared without regard to case.
+/// The fields of one head, in the order received. Names are case-insensitive.
 #[derive(Clone, Debug, Default)]
 pub struct Fields {
     raw: Bytes,
@@ -67,38 +67,38 @@
         &self.raw[span.start..span.start + span.length]
     }
 
-    /// The value of the first field of that name.
+    /// The value of the first field with that name.
     pub fn get<'a>(&'a self, name: &'a str) -> Option<&'a [u8]> {
         self.all(name).next()
     }
 
-    /// The value of the first field of that name, if it is UTF-8.
+    /// The value of the first field with that name, if it is UTF-8.
     pub fn text<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         let value = self.get(name)?;
         std::str::from_utf8(value).ok()
     }
 
-    /// The values of all fields of that name.
+    /// The values of all fields with that name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         self.iter()
             .filter(move |(candidate, _)| candidate.eq_ignore_ascii_case(name.as_bytes()))
             .map(|(_, value)| value)
     }
 
-    /// Name and value of the fields that a proxy forwards: all but hop-by-hop fields, those named by `Connection`
-    /// (RFC 9110, 7.6.1), and the length, which the sender sets.
+    /// Names and values of the fields that a proxy passes on: all except hop-by-hop fields, those listed in `Connection`
+    /// (RFC 9110, 7.6.1), and `Content-Length`, which the sender sets.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
         self.iter()
             .filter(|(name, _)| !is_hop_by_hop(name) && !self.connection_lists(name))
     }
 
-    /// Whether a `Connection` field lists this token.
+    /// Whether a `Connection` field contains this token.
     pub(super) fn connection_lists(&self, token: &[u8]) -> bool {
         self.all("connection").any(|value| has_token(value, token))
     }
 }
 
-/// Where the names and values of parsed headers stand in `input`.
+/// The positions of the parsed header names and values in `input`.
 pub(super) fn field_spans(headers: &[httparse::Header<'_>], input: &[u8]) -> Vec<FieldSpan> {
     headers
         .iter()
@@ -110,7 +110,7 @@
 }
 
 fn span_within(part: &[u8], input: &[u8]) -> Span {
-    // An empty value may point anywhere.
+    // `httparse` may return an empty value that does not point into the input.
     if part.is_empty() {
         return Span {
             start: 0,
@@ -129,7 +129,7 @@
         .any(|hop_by_hop| name.eq_ignore_ascii_case(hop_by_hop.as_bytes()))
 }
 
-/// Whether a comma-separated list holds a token, without regard to case.
+/// Whether a comma-separated list contains a token, ignoring case.
 pub(super) fn has_token(value: &[u8], token: &[u8]) -> bool {
     value
         .split(|byte| *byte == b',')
--- a/crates/net/src/http/mod.rs
+++ b/crates/net/src/http/mod.rs
@@ -1,6 +1,7 @@
-//! Heads of HTTP/1.1 messages (RFC 9110, RFC 9112), parsed and written.
+//! Heads of HTTP/1.1 messages (RFC 9110, RFC 9112): parsing and serialization.
 //!
-//! A message that two readers could understand in two ways is refused: that is how requests are smuggled past a proxy.
+//! A message that two parsers could interpret differently is rejected, as it would allow request smuggling through the
+//! proxy.
 
 mod fields;
 mod parse;
--- a/crates/net/src/http/parse.rs
+++ b/crates/net/src/http/parse.rs
@@ -1,26 +1,26 @@
-//! Heads of requests and responses, parsed off the front of a buffer.
+//! Parses heads of requests and responses from the front of a buffer.
 
 use super::fields::{field_spans, has_token, Fields};
 use crate::error::HttpError;
 use crate::framing::Framing;
 use bytes::BytesMut;
 
-/// The greatest number of fields that any limit allows.
+/// Upper bound of [`HeadLimits::fields`].
 pub const MAX_FIELDS: usize = 64;
-/// The greatest size of a head, in bytes, unless another limit is given.
+/// The default maximum size of a head, in bytes.
 const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
-/// The most digits of a length, so that it fits 64 bits.
+/// The maximum number of digits in a length, so that it fits into 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
 const STATUS_SWITCHING_PROTOCOLS: u16 = 101;
 const STATUS_NO_CONTENT: u16 = 204;
 const STATUS_NOT_MODIFIED: u16 = 304;
 
-/// The most that a head may hold.
+/// Size limits of a head.
 #[derive(Clone, Copy, Debug)]
 pub struct HeadLimits {
-    /// The size with all line ends, in bytes.
+    /// The maximum size including line ends, in bytes.
     pub bytes: usize,
-    /// The number of fields; [`MAX_FIELDS`] at the most.
+    /// The maximum number of fields; at most [`MAX_FIELDS`].
     pub fields: usize,
 }
 
@@ -36,15 +36,15 @@
 /// The head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// The method, as it was sent.
+    /// The method, as sent.
     pub method: String,
-    /// The request target, as it was sent (RFC 9112, 3.2).
+    /// The request target, as sent (RFC 9112, 3.2).
     pub target: String,
-    /// The fields.
+    /// The header fields.
     pub fields: Fields,
-    /// How the body's end is marked.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the client lets the connection persist after the response.
+    /// Whether the client allows the connection to persist after the response.
     pub keep_alive: bool,
     /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
     pub expects_continue: bool,
@@ -55,24 +55,24 @@
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// The fields.
+    /// The header fields.
     pub fields: Fields,
-    /// How the body's end is marked.
+    /// The framing of the body.
     pub framing: Framing,
-    /// Whether the connection persists after the body.
+    /// Whether the connection persists after the response.
     pub keep_alive: bool,
 }
 
-/// Takes a request's head off the front of `input`; none while it is incomplete.
+/// Takes a request head from the front of `input`; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// Any [`HttpError`] of a head. The connection must be closed after the answer (RFC 9112, 9.6).
+/// Any [`HttpError`] of a head. The connection must be closed after the response (RFC 9112, 9.6).
 pub fn parse_request(
     input: &mut BytesMut,
     limits: HeadLimits,
 ) -> Result<Option<RequestHead>, HttpError> {
-    // Empty lines before a request are skipped (RFC 9112, 2.2).
+    // Empty lines before a request line are skipped (RFC 9112, 2.2).
     while input.starts_with(b"\r\n") {
         let _ = input.split_to(2);
     }
@@ -105,15 +105,15 @@
     }))
 }
 
-/// Takes a response's head off the front of `input`; none while it is incomplete. Interim responses (1xx) are skipped,
-/// except `101 Switching Protocols`. `to_head` tells that the request's method was `HEAD`, so that no body follows.
+/// Takes a response head from the front of `input`; `None` while it is incomplete. Interim responses (1xx) are skipped,
+/// except `101 Switching Protocols`. With `request_was_head`, the response has no body.
 ///
 /// # Errors
 ///
 /// Any [`HttpError`] of a head. Nothing more can be read from that connection.
 pub fn parse_response(
     input: &mut BytesMut,
-    to_head: bool,
+    request_was_head: bool,
     limits: HeadLimits,
 ) -> Result<Option<ResponseHead>, HttpError> {
     loop {
@@ -130,7 +130,7 @@
         if status / 100 == 1 && status != STATUS_SWITCHING_PROTOCOLS {
             continue;
         }
-        let framing = response_framing(&fields, status, to_head)?;
+        let framing = response_framing(&fields, status, request_was_head)?;
         let keep_alive = is_persistent(&fields, minor_version) && framing != Framing::UntilClose;
         return Ok(Some(ResponseHead {
             status,
@@ -141,8 +141,8 @@
     }
 }
 
-/// The length of a complete head, in bytes; none while more is needed. `available` is the number of bytes that were
-/// parsed.
+/// The length of a complete head, in bytes; `None` while more input is needed. `available` is the number of bytes that
+/// were parsed.
 fn head_length(
     parse_status: httparse::Result<usize>,
     available: usize,
@@ -162,17 +162,21 @@
 fn request_framing(fields: &Fields, minor_version: u8) -> Result<Framing, HttpError> {
     match (is_chunked(fields)?, content_length(fields)?) {
         (true, Some(_)) => Err(HttpError::ConflictingLengths),
-        // HTTP/1.0 knows no transfer codings.
+        // HTTP/1.0 has no transfer codings.
         (true, None) if minor_version == 0 => Err(HttpError::ConflictingLengths),
         (true, None) => Ok(Framing::Chunked),
         (false, length) => Ok(Framing::Length(length.unwrap_or(0))),
     }
 }
 
-fn response_framing(fields: &Fields, status: u16, to_head: bool) -> Result<Framing, HttpError> {
+fn response_framing(
+    fields: &Fields,
+    status: u16,
+    request_was_head: bool,
+) -> Result<Framing, HttpError> {
     let chunked = is_chunked(fields)?;
     let length = content_length(fields)?;
-    if to_head || !may_have_body(status) {
+    if request_was_head || !may_have_body(status) {
         return Ok(Framing::Length(0));
     }
     match (chunked, length) {
@@ -183,7 +187,7 @@
     }
 }
 
-/// Whether a response of this status can have a body (RFC 9112, 6.3).
+/// Whether a response with this status can have a body (RFC 9112, 6.3).
 pub(super) fn may_have_body(status: u16) -> bool {
     status != STATUS_NO_CONTENT && status != STATUS_NOT_MODIFIED
 }
@@ -208,10 +212,10 @@
     }
 }
 
-/// A length in plain digits, which `str::parse` is too lenient for: it takes a sign.
+/// Parses a length that consists of digits only; `str::parse` would also accept a sign.
 fn parse_length(digits: &[u8]) -> Option<u64> {
-    let is_plain = digits.iter().all(u8::is_ascii_digit);
-    if digits.is_empty() || digits.len() > MAX_LENGTH_DIGITS || !is_plain {
+    let is_digits_only = digits.iter().all(u8::is_ascii_digit);
+    if digits.is_empty() || digits.len() > MAX_LENGTH_DIGITS || !is_digits_only {
         return None;
     }
     let length = digits
--- a/crates/net/src/http/write.rs
+++ b/crates/net/src/http/write.rs
@@ -1,10 +1,10 @@
-//! Heads of requests and responses, written to the end of a buffer.
+//! Appends heads of requests and responses to a buffer.
 
 use super::parse::may_have_body;
 use crate::framing::Framing;
 use bytes::BytesMut;
 
-/// Writes the head of a request. `fields` must hold a host and no length.
+/// Writes the head of a request. `fields` must contain `Host` and neither `Content-Length` nor `Transfer-Encoding`.
 pub fn write_request<'a>(
     out: &mut BytesMut,
     method: &str,
@@ -16,16 +16,16 @@
         out.extend_from_slice(part);
     }
     write_fields(out, fields);
-    // Methods that need no body go without a length of zero (RFC 9110, 8.6).
-    let needs_no_length =
+    // Methods that define no body are sent without `Content-Length: 0` (RFC 9110, 8.6).
+    let omits_length =
         framing == Framing::Length(0) && matches!(method, "GET" | "HEAD" | "DELETE" | "OPTIONS");
-    if !needs_no_length {
+    if !omits_length {
         write_framing(out, framing);
     }
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes the head of a response. `fields` must hold no length.
+/// Writes the head of a response. `fields` must contain neither `Content-Length` nor `Transfer-Encoding`.
 pub fn write_response<'a>(
     out: &mut BytesMut,
     status: u16,
@@ -53,7 +53,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes one field with its line end.
+/// Writes one header field with its line end.
 pub fn write_field(out: &mut BytesMut, name: &[u8], value: &[u8]) {
     for part in [name, b": ", value, b"\r\n"] {
         out.extend_from_slice(part);
@@ -77,7 +77,7 @@
     }
 }
 
-/// The reason phrase of the statuses that this project sends; others get a placeholder, as clients ignore it.
+/// The reason phrase of the statuses that limewing sends; others get a placeholder, as clients ignore the phrase.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,13 +1,13 @@
-//! Sockets, the HTTP/1.1 codec and timers. Nothing here decides what is sent where.
+//! Sockets, the HTTP/1.1 codec and timers. Routing decisions are made elsewhere.
 //!
 //! - [`sockets`]: listeners, connections and datagrams on one `mio` poll
-//! - [`http`]: heads of messages, parsed and written
-//! - [`body`]: bodies of messages, piece by piece
-//! - [`message_reader`]: complete messages
-//! - [`http_call`]: one call on a connection of its own
-//! - [`timer_wheel`]: many timers
+//! - [`http`]: message heads: parsing and serialization
+//! - [`body`]: message bodies, streamed without buffering
+//! - [`message_reader`]: complete messages, buffered in memory
+//! - [`http_call`]: one HTTP call on a dedicated connection
+//! - [`timer_wheel`]: a hierarchical timer wheel
 //!
-//! All but [`sockets`] and [`http_call`] is free of I/O.
+//! All modules except [`sockets`] and [`http_call`] are free of I/O.
 
 pub mod body;
 mod error;
--- a/crates/net/src/message_reader.rs
+++ b/crates/net/src/message_reader.rs
@@ -1,4 +1,4 @@
-//! Complete messages with their bodies, for peers that exchange small ones.
+//! Reads complete messages with their bodies in memory, for peers that exchange small messages.
 
 use crate::body::BodyReader;
 use crate::error::HttpError;
@@ -6,9 +6,9 @@
 use crate::http::{self, HeadLimits, RequestHead, ResponseHead};
 use bytes::BytesMut;
 
-/// Reads one message after the other off a connection's bytes, each with its body in memory.
+/// Reads consecutive messages from a connection's input, each with its body in memory.
 pub struct MessageReader<H> {
-    /// Boxed, so that an idle connection's reader is small.
+    /// Boxed to keep the reader of an idle connection small.
     incomplete: Option<Box<IncompleteMessage<H>>>,
     max_body: usize,
 }
@@ -19,16 +19,16 @@
     body: BytesMut,
 }
 
-/// The head of a message, as it is read off a connection's bytes.
+/// A message head that can be parsed from a connection's input.
 pub trait Head: Sized {
-    /// Takes a head off the front of `input`; none while it is incomplete.
+    /// Takes a head from the front of `input`; `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// Any [`HttpError`] of a head. The connection is of no further use.
+    /// Any [`HttpError`] of a head. The connection can't be used any further.
     fn read(input: &mut BytesMut) -> Result<Option<Self>, HttpError>;
 
-    /// How the end of the message's body is marked.
+    /// The framing of the message body.
     fn framing(&self) -> Framing;
 }
 
@@ -58,7 +58,7 @@
 pub type ResponseReader = MessageReader<ResponseHead>;
 
 impl<H: Head> MessageReader<H> {
-    /// A reader of messages whose bodies have at most `max_body` bytes.
+    /// Creates a reader of messages with bodies of at most `max_body` bytes.
     #[must_use]
     pub fn new(max_body: usize) -> Self {
         Self {
@@ -67,25 +67,25 @@
         }
     }
 
-    /// Whether a message's head was read and its body is incomplete.
+    /// Whether a message's head has been read and its body is incomplete.
     #[must_use]
     pub fn is_mid_message(&self) -> bool {
         self.incomplete.is_some()
     }
 
-    /// Takes the incomplete message, with what of its body has come and the reader of the rest: for bodies that are too
-    /// large for memory.
+    /// Takes the incomplete message: its head, the part of the body received so far, and the reader of the remaining body.
+    /// It is meant for bodies that are too large for memory.
     pub fn take_incomplete(&mut self) -> Option<(H, BytesMut, BodyReader)> {
         let message = *self.incomplete.take()?;
         Some((message.head, message.body, message.body_reader))
     }
 
-    /// Takes the next complete message off the front of `input`. `closed` tells that no more bytes will come.
+    /// Takes the next complete message from the front of `input`. `closed` means that no more bytes will arrive.
     ///
     /// # Errors
     ///
-    /// Any [`HttpError`]. The connection is of no further use, except after [`HttpError::BodyTooLarge`]: the message can
-    /// then be read on with [`take_incomplete`](Self::take_incomplete).
+    /// Any [`HttpError`]. The connection can't be used any further, except after [`HttpError::BodyTooLarge`]: the rest of
+    /// that message can be read after [`take_incomplete`](Self::take_incomplete).
     pub fn take(
         &mut self,
         input: &mut BytesMut,
@@ -111,7 +111,7 @@
         Ok(None)
     }
 
-    /// The message that is being read, or the next one once its head is complete.
+    /// The message being read, or the next one once its head is complete.
     fn begin_or_continue(
         &mut self,
         input: &mut BytesMut,
@@ -133,7 +133,8 @@
 }
 
 impl RequestReader {
-    /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1). True once a request.
+    /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1). Returns true
+    /// at most once per request.
     pub fn wants_continue(&mut self) -> bool {
         match &mut self.incomplete {
             Some(message) if !message.body_reader.ended() => {
--- a/crates/net/src/timer_wheel.rs
+++ b/crates/net/src/timer_wheel.rs
@@ -1,18 +1,18 @@
-//! A hierarchical timer wheel (Varghese and Lauck, 1987): scheduling and cancelling take constant time, however many
-//! timers there are.
+//! A hierarchical timer wheel (Varghese and Lauck, 1987): scheduling and cancelling take constant time, regardless of the
+//! number of timers.
 //!
-//! A tick is 1 ms. Four levels of 64 slots reach 4.6 hours; later timers wait in the last slot within reach and are
-//! placed again when it begins.
+//! A tick is 1 ms. Four levels of 64 slots cover 4.6 hours; later timers wait in the farthest slot of the coarsest
+//! level and are placed again when it begins.
 
 use slab::Slab;
 use std::time::Duration;
 
 const LEVELS: usize = 4;
 const SLOTS_PER_LEVEL: u64 = 64;
-/// Added before a time is cut to whole ticks, so that it is rounded up: a timer never fires early.
+/// Added to a time before it is truncated to whole ticks, so that it is rounded up and a timer never fires early.
 const ROUND_UP: Duration = Duration::from_nanos(999_999);
 
-/// One scheduled timer; of no use once it fired or was cancelled.
+/// Identifies a scheduled timer; invalid once the timer has fired or was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerKey {
     index: usize,
@@ -22,31 +22,31 @@
 /// The list that a timer is in.
 #[derive(Clone, Copy)]
 enum Location {
-    /// A slot by its level and its index in all slots.
+    /// A slot, by its level and its index among the slots of all levels.
     Slot { level: usize, slot: usize },
-    /// The timers that are due.
+    /// The list of due timers.
     Due,
 }
 
 struct Entry<T> {
-    /// When it fires.
+    /// The tick at which the timer fires.
     tick: u64,
-    /// Distinguishes the timers that use an entry one after the other.
+    /// Distinguishes consecutive timers in the same entry.
     sequence: u64,
     location: Location,
-    /// The index in the list of that location.
+    /// The index in the list at `location`.
     position: usize,
     payload: T,
 }
 
-/// Timers that each carry a payload. Times are given by the caller, counted from a start of its own.
+/// Timers that each carry a payload. The caller supplies times relative to an origin of its choice.
 pub struct TimerWheel<T> {
     entries: Slab<Entry<T>>,
-    /// The entries of each slot, level by level.
+    /// The indices of the entries in each slot, level by level.
     slots: Vec<Vec<usize>>,
-    /// Which slots of each level hold timers, a bit for each.
+    /// A bitmap per level of the slots that contain timers.
     occupied: [u64; LEVELS],
-    /// All timers up to this tick have fired or are due.
+    /// The current tick: all timers up to it have fired or are due.
     tick: u64,
     last_sequence: u64,
     due: Vec<usize>,
@@ -67,7 +67,8 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// Schedules a timer. One in the past fires at the next [`pop_expired`](Self::pop_expired) that reaches a new tick.
+    /// Schedules a timer. A timer in the past fires at the next call of [`pop_expired`](Self::pop_expired) that reaches a
+    /// new tick.
     pub fn schedule(&mut self, at: Duration, payload: T) -> TimerKey {
         let tick = whole_ticks(at + ROUND_UP).max(self.tick + 1);
         self.last_sequence += 1;
@@ -83,7 +84,7 @@
         TimerKey { index, sequence }
     }
 
-    /// Cancels a timer and returns its payload; none if it has fired or was cancelled.
+    /// Cancels a timer and returns its payload; `None` if it has fired or was cancelled.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.index)?;
         if entry.sequence != key.sequence {
@@ -104,8 +105,8 @@
         self.entries.is_empty()
     }
 
-    /// When to look for expired timers again: when the next slot that holds timers begins, which is not later than the
-    /// first of them.
+    /// When to check for expired timers again: at the start of the next non-empty slot, which is not later than its first
+    /// timer.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         if !self.due.is_empty() {
@@ -114,13 +115,13 @@
         self.next_occupied_tick().map(Duration::from_millis)
     }
 
-    /// Removes one timer that has expired at `now` and returns its payload. Timers come in the order of their ticks;
-    /// within a tick the order is unspecified.
+    /// Removes one timer that has expired at `now` and returns its payload. Timers are returned in the order of their
+    /// ticks; the order within a tick is unspecified.
     pub fn pop_expired(&mut self, now: Duration) -> Option<T> {
         let now_tick = whole_ticks(now);
         while self.due.is_empty() {
-            // The ticks before the next slot that holds timers are skipped, as after a clock that jumped, or a start far
-            // from zero.
+            // Skips the ticks before the next non-empty slot, so that a clock jump or a start far from zero does not step
+            // through every tick.
             match self.next_occupied_tick().filter(|next| *next <= now_tick) {
                 Some(next) => self.tick = next - 1,
                 None => {
@@ -134,7 +135,7 @@
         Some(self.remove(index))
     }
 
-    /// The first tick after the present one at which a slot that holds timers begins.
+    /// The first tick after the current one at which a non-empty slot begins.
     fn next_occupied_tick(&self) -> Option<u64> {
         self.occupied
             .iter()
@@ -142,15 +143,16 @@
             .filter(|(_, occupied)| **occupied != 0)
             .map(|(level, occupied)| {
                 let width = slot_width(level);
-                let turn = self.tick / width + 1;
-                let first = (turn % SLOTS_PER_LEVEL) as u32;
+                let next_slot = self.tick / width + 1;
+                let first = (next_slot % SLOTS_PER_LEVEL) as u32;
                 let slots_ahead = occupied.rotate_right(first).trailing_zeros();
-                (turn + u64::from(slots_ahead)) * width
+                (next_slot + u64::from(slots_ahead)) * width
             })
             .min()
     }
 
-    /// Goes on by one tick: the slots of coarser levels that begin with it are placed anew, those of the tick are due.
+    /// Advances by one tick: the entries of coarser slots that begin at it are moved to finer levels, and the entries of
+    /// the tick itself become due.
     fn advance(&mut self) {
         self.tick += 1;
         for level in (1..LEVELS).rev() {
@@ -179,7 +181,7 @@
         self.due.push(index);
     }
 
-    /// Puts an entry into the finest level that reaches its tick.
+    /// Puts an entry into the finest level that covers its tick.
     fn place(&mut self, index: usize) {
         let tick = self.entries[index].tick;
         if tick <= self.tick {
@@ -190,8 +192,8 @@
             .find(|level| ahead < slot_width(level + 1))
             .unwrap_or(LEVELS - 1);
         let width = slot_width(level);
-        let last_turn = self.tick / width + SLOTS_PER_LEVEL - 1;
-        let slot = slot_index(level, (tick / width).min(last_turn));
+        let last_slot = self.tick / width + SLOTS_PER_LEVEL - 1;
+        let slot = slot_index(level, (tick / width).min(last_slot));
         let entry = &mut self.entries[index];
         entry.location = Location::Slot { level, slot };
         entry.position = self.slots[slot].len();
@@ -227,17 +229,17 @@
     time.as_millis() as u64
 }
 
-/// How many ticks a slot of this level covers.
+/// The number of ticks that a slot of this level covers.
 fn slot_width(level: usize) -> u64 {
     SLOTS_PER_LEVEL.pow(level as u32)
 }
 
-/// The index in all slots of a level's slot for this turn.
-fn slot_index(level: usize, turn: u64) -> usize {
-    level * SLOTS_PER_LEVEL as usize + (turn % SLOTS_PER_LEVEL) as usize
+/// The index, among the slots of all levels, of a level's slot. `number` counts the level's slots since time 0.
+fn slot_index(level: usize, number: u64) -> usize {
+    level * SLOTS_PER_LEVEL as usize + (number % SLOTS_PER_LEVEL) as usize
 }
 
-/// The bit of a slot among those of its level.
+/// The bit of a slot in the bitmap of its level.
 fn slot_bit(slot: usize) -> u64 {
     1 << (slot % SLOTS_PER_LEVEL as usize)
 }
--- a/crates/net/tests/any_bytes.rs
+++ b/crates/net/tests/any_bytes.rs
@@ -1,5 +1,5 @@
-//! Drawn bytes that resemble HTTP: readers never panic, never hold more than allowed, and read the same however the bytes
-//! are split.
+//! Property tests with random bytes that resemble HTTP: readers never panic, never exceed the body limit, and give the same
+//! result however the input is split.
 
 use bytes::BytesMut;
 use limewing_net::message_reader::{RequestReader, ResponseReader};
@@ -8,7 +8,7 @@
 
 const MAX_BODY: usize = 100;
 
-/// Fragments of HTTP in any order, now and then with noise between.
+/// HTTP fragments in any order, with occasional random bytes between them.
 fn http_like_bytes() -> impl Strategy<Value = Vec<u8>> {
     let parts = prop::sample::select(vec![
         "GET / HTTP/1.1\r\n",
@@ -34,7 +34,7 @@
     prop::collection::vec(part, 0..14).prop_map(|parts| parts.concat())
 }
 
-/// What a reader makes of the bytes: targets and bodies, and the error that ended it.
+/// The result of reading an input: request targets and bodies, and the error that ended it.
 #[derive(Debug)]
 struct ReadRequests {
     requests: Vec<(String, Vec<u8>)>,
@@ -70,7 +70,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn requests_are_read_the_same_however_they_are_split(bytes in http_like_bytes(), piece_length in 1_usize..50) {
+    fn requests_do_not_depend_on_how_input_is_split(bytes in http_like_bytes(), piece_length in 1_usize..50) {
         let whole = read_in_pieces(&bytes, 10_000);
         let split = read_in_pieces(&bytes, piece_length);
         prop_assert!(whole.requests.iter().all(|(_, body)| body.len() <= MAX_BODY));
--- a/crates/net/tests/codec.rs
+++ b/crates/net/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies of single messages, parsed from text.
+//! Tests of parsing single messages: heads, bodies and their errors.
 
 use bytes::BytesMut;
 use limewing_net::body::{BodyReader, Framing};
@@ -27,7 +27,7 @@
     "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
     HttpError::ConflictingLengths
 )]
-#[case::chunks_in_old_http(
+#[case::chunks_in_http_1_0(
     "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n",
     HttpError::ConflictingLengths
 )]
@@ -55,7 +55,7 @@
 #[case::no_host("GET / HTTP/1.1\r\n\r\n", HttpError::InvalidHost)]
 #[case::two_hosts("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", HttpError::InvalidHost)]
 #[case::tls_client_hello("\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", HttpError::InvalidHead)]
-fn ambiguous_or_malformed_heads_are_refused(#[case] text: &str, #[case] expected: HttpError) {
+fn ambiguous_or_malformed_heads_are_rejected(#[case] text: &str, #[case] expected: HttpError) {
     let mut input = BytesMut::from(text);
     assert_eq!(
         parse_request(&mut input, HeadLimits::default()).unwrap_err(),
@@ -67,7 +67,7 @@
 #[case::one_long_field(format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "x".repeat(20_000)))]
 #[case::endless_target(format!("GET /{}", "x".repeat(20_000)))]
 #[case::many_fields(format!("GET / HTTP/1.1\r\nHost: a\r\n{}\r\n", "X: 1\r\n".repeat(100)))]
-fn an_oversized_head_is_refused_with_431(#[case] text: String) {
+fn an_oversized_head_is_rejected_with_431(#[case] text: String) {
     let mut input = BytesMut::from(&text[..]);
     assert_eq!(
         parse_request(&mut input, HeadLimits::default())
--- a/crates/net/tests/timer_wheel.rs
+++ b/crates/net/tests/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! The timer wheel against a plain list of timers.
+//! Compares the timer wheel with a plain list of timers.
 
 use limewing_net::timer_wheel::TimerWheel;
 use rstest::rstest;
@@ -9,7 +9,7 @@
 }
 
 /// The next number of a linear congruential generator.
-fn draw(state: &mut u64) -> u64 {
+fn next_random(state: &mut u64) -> u64 {
     *state = state
         .wrapping_mul(6364136223846793005)
         .wrapping_add(1442695040888963407);
@@ -19,23 +19,23 @@
 #[rstest]
 #[case::within_a_second(1_000)]
 #[case::within_minutes(300_000)]
-#[case::beyond_the_wheels_reach(100_000_000)]
+#[case::beyond_the_range_of_the_wheel(100_000_000)]
 fn timers_fire_when_due_and_none_is_lost(#[case] max_delay: u64) {
     let mut wheel = TimerWheel::default();
     let mut state = 7;
     let mut scheduled: Vec<(u64, u64)> = Vec::new();
     let mut now = 0;
     for n in 0..3_000 {
-        let at = now + draw(&mut state) % max_delay;
+        let at = now + next_random(&mut state) % max_delay;
         let key = wheel.schedule(ms(at), n);
-        if draw(&mut state).is_multiple_of(3) {
+        if next_random(&mut state).is_multiple_of(3) {
             assert_eq!(wheel.cancel(key), Some(n));
             assert_eq!(wheel.cancel(key), None);
         } else {
             scheduled.push((at, n));
         }
-        if draw(&mut state).is_multiple_of(10) {
-            now += draw(&mut state) % (max_delay / 500);
+        if next_random(&mut state).is_multiple_of(10) {
+            now += next_random(&mut state) % (max_delay / 500);
             let mut fired = Vec::new();
             while let Some(n) = wheel.pop_expired(ms(now)) {
                 fired.push(n);
@@ -48,7 +48,7 @@
             scheduled.retain(|(at, _)| *at > now);
             fired.sort_unstable();
             due.sort_unstable();
-            assert_eq!(fired, due, "at {now}");
+            assert_eq!(fired, due, "at {now} ms");
         }
         let earliest = scheduled.iter().map(|(at, _)| *at).min();
         assert!(wheel
@@ -76,7 +76,7 @@
     wheel.schedule(year + ms(5), 1);
     assert_eq!(wheel.pop_expired(year), None);
     wheel.schedule(year + ms(2), 2);
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     assert_eq!(
         (
             wheel.pop_expired(year + ms(2)),
@@ -84,5 +84,5 @@
         ),
         (Some(2), Some(1))
     );
-    assert!(began.elapsed() < Duration::from_millis(50));
+    assert!(started.elapsed() < Duration::from_millis(50));
 }
