--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,18 +1,18 @@
-//! What is wrong with a file of settings, and where.
+//! Errors in settings files, with their location.
 
 use thiserror::Error;
 
-/// One value that can't be used.
+/// An invalid value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigError {
-    /// Where it stands, as a JSON pointer.
+    /// The value's location, as a JSON pointer.
     pub path: String,
     /// What was expected there.
     pub expected: String,
 }
 
 impl ConfigError {
-    /// An error at a JSON pointer.
+    /// Creates an error at a JSON pointer.
     pub fn new(path: impl Into<String>, expected: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -21,21 +21,21 @@
     }
 }
 
-/// Settings that are checked beyond their types.
+/// Settings with constraints beyond their types.
 pub trait Checked {
-    /// All that is wrong, in a fixed order.
+    /// All violated constraints, in a fixed order.
     fn config_errors(&self) -> Vec<ConfigError>;
 }
 
-/// A file that can't be used, and why.
+/// The reason why a file can't be used.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("{file}:{line}: at {path}: {expected}")]
 pub struct ConfigFileError {
-    /// Its path.
+    /// The file's path.
     pub file: String,
-    /// The line, from 1; 0 where the error is the whole file's.
+    /// The line, starting at 1; 0 if the error concerns the whole file.
     pub line: usize,
-    /// The value's place, as a JSON pointer.
+    /// The value's location, as a JSON pointer.
     pub path: String,
     /// What was expected there.
     pub expected: String,
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,21 +1,21 @@
-//! Which sidecar of its fleet one is.
+//! The fleet of sidecars, and the place of one sidecar in it.
 
 use crate::validation::Validator;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The sidecars that share the requests, and this one's place among them.
+/// The sidecars that share the requests, and this sidecar's place among them.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct Fleet {
-    /// How many sidecars share the hits.
+    /// Number of sidecars that share the requests.
     #[serde(rename = "sidecars")]
     pub sidecar_count: u32,
-    /// This one's number among them, from 0.
+    /// Index of this sidecar among them, starting at 0.
     #[serde(rename = "own_number")]
     pub sidecar_index: u32,
-    /// All zones that pods may stand in.
+    /// All zones in which pods may run.
     pub zones: Vec<String>,
     /// The zone of this sidecar.
     pub zone: String,
--- a/crates/settings/src/key_file.rs
+++ b/crates/settings/src/key_file.rs
@@ -1,35 +1,35 @@
-//! The file of keys that seal the datagrams of a fleet.
+//! The file with the keys that seal the datagrams of a fleet.
 
 use crate::error::{Checked, ConfigError};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The shortest key that is taken, in bytes.
+/// The minimum length of a key, in bytes.
 const MIN_KEY_BYTES: usize = 16;
 
-/// The keys of a fleet: the first seals, both open, so that one can take the other's place.
+/// The keys of a fleet. The first key seals datagrams and every key opens them, which allows key rotation.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct KeyFile {
-    /// One key, or two while one replaces the other.
+    /// One key, or two during a key rotation.
     #[schemars(description = "")]
     pub keys: Vec<FleetKey>,
 }
 
-/// A key that the sidecars of a fleet share.
+/// A key shared by the sidecars of a fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct FleetKey {
-    /// Tells which key sealed a datagram.
+    /// Identifies the key that sealed a datagram.
     #[schemars(description = "")]
     pub id: u8,
-    /// 16 bytes or more, in hexadecimal.
+    /// The secret: 16 bytes or more, in hexadecimal.
     pub secret: String,
 }
 
 impl FleetKey {
-    /// The secret's bytes; none if it is not hexadecimal.
+    /// The bytes of the secret; `None` if it is not hexadecimal.
     #[must_use]
     pub fn bytes(&self) -> Option<Vec<u8>> {
         let pairs = self.secret.as_bytes().chunks(2);
@@ -51,7 +51,7 @@
         if !(1..=2).contains(&self.keys.len()) {
             errors.push(ConfigError::new(
                 "/keys",
-                "expected one key, or two while one takes the other's place",
+                "expected one key, or two during a key rotation",
             ));
         }
         for (index, key) in self.keys.iter().enumerate() {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,16 +1,16 @@
-//! What operators write for a sidecar: read from JSON, checked, and turned into the decision engine's configuration.
+//! Settings files of a sidecar: reading from JSON, validation, and conversion into the decision engine's configuration.
 //!
-//! Names in `rename` and `expecting` attributes are those of the files, of their schemas and of the errors that name a type;
-//! doc comments of fields are the descriptions in the schemas, where no `description` attribute says otherwise.
+//! `rename` and `expecting` attributes hold the names used in the files, in their schemas and in errors that name a type.
+//! Doc comments of types and fields become descriptions in the schemas unless a `description` attribute overrides them.
 //!
-//! - [`sidecar`]: all settings of one sidecar, made of the parts in [`fleet`], [`headers`], [`limits`], [`maintenance`],
+//! - [`sidecar`]: all settings of one sidecar, composed of the parts in [`fleet`], [`headers`], [`limits`], [`maintenance`],
 //!   [`peers`], [`request_class`], [`rollout`], [`safety_limits`], [`services`] and [`tenant`]
-//! - [`work_list`]: which machines go out for work
-//! - [`key_file`]: the keys that sidecars share
-//! - [`read`](mod@read): reads a file of any of these
-//! - [`error`]: what is wrong with a file, and where
-//! - [`router`]: finds the request class of a method and path
-//! - [`seconds`]: spans of time
+//! - [`work_list`]: which machines go out of service for maintenance
+//! - [`key_file`]: the keys shared by the sidecars of a fleet
+//! - [`read`](mod@read): reads and validates any of these files
+//! - [`error`]: errors in a file, with their location
+//! - [`router`]: maps a method and path to a request class
+//! - [`seconds`]: durations in settings
 
 pub mod error;
 pub mod fleet;
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -1,16 +1,16 @@
-//! Bounds of attempts, connections and buffers.
+//! Limits on attempts, connections and buffers.
 
 use crate::seconds::Seconds;
 use crate::validation::Validator;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Bounds of attempts, connections and buffers.
+/// Limits on attempts, connections and buffers.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct Limits {
-    /// Attempts of one request, at most.
+    /// Maximum number of attempts per request.
     #[serde(rename = "max_forwards")]
     #[schemars(description = "")]
     pub max_attempts: u16,
@@ -22,30 +22,30 @@
     #[serde(default, rename = "may_cancel")]
     #[schemars(description = "")]
     pub cancellation: bool,
-    /// What a bounced client is told to wait; none tells nothing.
+    /// Time after which a rejected client is asked to retry; if absent, no time is sent.
     #[serde(default)]
     pub retry_after: Option<Seconds>,
-    /// How long a connection to a pod may take to be established.
+    /// Timeout for connecting to a pod.
     #[schemars(description = "")]
     pub connect_timeout: Seconds,
-    /// Idle connections to pods are closed after this.
+    /// Time after which an idle connection to a pod is closed.
     #[serde(rename = "idle_close")]
     pub idle_timeout: Seconds,
-    /// Bytes of a hit's body kept for another forward; larger bodies are passed on as they come, once.
+    /// Bytes of a request body buffered for another attempt; a larger body is streamed and sent only once.
     #[serde(default = "default_buffer_bytes", rename = "body_kept")]
     pub max_buffered_request: usize,
-    /// Bytes of an answer gathered before it is passed on; larger ones are passed on as they come.
+    /// Bytes of a response buffered before it is sent to the client; a larger response is streamed.
     #[serde(default = "default_buffer_bytes", rename = "answer_gathered")]
     pub max_buffered_response: usize,
-    /// Time taken off each client's deadline for the way back.
+    /// Time subtracted from each client's deadline for the transfer of the response.
     pub deadline_margin: Seconds,
-    /// A streamed answer that a client does not read for so long is cut.
+    /// A streamed response is aborted when the client does not read from it for this long.
     #[serde(default = "default_client_stall_timeout", rename = "stall")]
     pub client_stall_timeout: Seconds,
-    /// A request that has begun must be whole after this.
+    /// Time within which a request must be received completely, from its first byte.
     #[serde(default = "default_request_timeout", rename = "request_within")]
     pub request_timeout: Seconds,
-    /// Open connections of clients, at most.
+    /// Maximum number of open client connections.
     #[serde(default = "default_max_clients", rename = "clients")]
     pub max_clients: usize,
 }
--- a/crates/settings/src/location.rs
+++ b/crates/settings/src/location.rs
@@ -1,9 +1,9 @@
-//! Where in a JSON text a value stands.
+//! Locations of values in a JSON text.
 
 use jsonc_parser::ast::{ObjectPropName, Value};
 use jsonc_parser::common::Ranged;
 
-/// Turns a path as serde gives it, `a.b[2].c`, into a JSON pointer.
+/// Converts a path in the notation of `serde_path_to_error`, `a.b[2].c`, into a JSON pointer.
 pub(crate) fn to_pointer(path: &str) -> String {
     let parts = path
         .split(['.', '[', ']'])
@@ -16,13 +16,13 @@
     }
 }
 
-/// The text of a JSON error without its line and column.
+/// The message of a JSON error without its line and column.
 pub(crate) fn without_position(text: &str) -> String {
     text.split(" at line ").next().unwrap_or(text).to_owned()
 }
 
-/// The line, from 1, on which the value at a JSON pointer begins, or else the nearest one above it that there is; 0 if the text
-/// is no JSON.
+/// The line, starting at 1, on which the value at a JSON pointer begins. If there is no such value, its nearest existing
+/// ancestor counts. 0 if the text is not valid JSON.
 pub(crate) fn line_of(text: &str, pointer: &str) -> usize {
     let Ok(parsed) = jsonc_parser::parse_to_ast(text, &Default::default(), &Default::default())
     else {
--- a/crates/settings/src/peers.rs
+++ b/crates/settings/src/peers.rs
@@ -1,4 +1,4 @@
-//! How the sidecars of a fleet reach each other.
+//! Communication between the sidecars of a fleet.
 
 use crate::seconds::Seconds;
 use crate::validation::Validator;
@@ -7,40 +7,40 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Seconds between two probes; at least the first, at most the second.
+/// Allowed times between two probes, in seconds.
 const PERIOD_RANGE_S: std::ops::RangeInclusive<f64> = 0.01..=60.0;
-/// The least bytes a second with which members still find each other.
+/// The minimum rate with which members can still find each other, in bytes per second.
 const MIN_BYTES_PER_S: u32 = 2000;
-/// The most addresses that a sidecar joins by.
+/// The maximum number of join addresses.
 const MAX_JOIN_ADDRESSES: usize = 64;
-/// The longest name that fits into the members' datagrams, in bytes.
+/// The longest sidecar name that fits into a membership datagram, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// How the sidecars of a fleet know of each other: by datagrams, sealed with a key that they share.
+/// How the sidecars of a fleet communicate with each other: by datagrams that are sealed with a shared key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct Peers")]
 #[schemars(rename = "Peers")]
 pub struct PeerSettings {
-    /// Where datagrams are received.
+    /// Address on which datagrams are received.
     #[schemars(description = "")]
     pub listen: SocketAddr,
-    /// Where the others reach this one, if not where it listens.
+    /// Address at which the others reach this sidecar, if it differs from `listen`.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Where some of the others may be reached at the start.
+    /// Addresses of some of the others, to be contacted at startup.
     pub join: Vec<SocketAddr>,
-    /// Read again on SIGHUP.
+    /// File with the shared keys; it is reloaded on SIGHUP.
     pub key_file: PathBuf,
-    /// Between two probes.
+    /// Time between two probes.
     #[serde(default = "default_period")]
     pub period: Seconds,
-    /// Sent by this sidecar to all others together, at most.
+    /// Maximum rate at which this sidecar sends to all others together, in bytes per second.
     #[serde(default = "default_bytes_per_s")]
     pub bytes_per_s: u32,
-    /// Whether what is known of the others moves this one's choice among pods, and which shut pods it proves.
+    /// Whether state received from the others influences which pods this sidecar chooses, and which ejected pods it probes.
     #[serde(default, rename = "choices")]
     pub coordination: bool,
-    /// Whether state that matters is kept by the others too (docs/replicas.md).
+    /// Whether important state is replicated to the others (docs/replicas.md).
     #[serde(default, rename = "replicas")]
     pub replication: bool,
 }
@@ -60,26 +60,26 @@
         validator.require(
             self.join.len() <= MAX_JOIN_ADDRESSES,
             "/peers/join",
-            "64 addresses at most",
+            "at most 64 addresses",
         );
         validator.require(
             sidecar_name.len() <= MAX_NAME_BYTES,
             "/name",
-            "64 letters at most where there are peers",
+            "at most 64 bytes where `peers` is set",
         );
         validator.require(
             self.is_reachable(),
             "/peers/advertise",
-            "an address and port where the others reach this sidecar",
+            "an address and port at which the others reach this sidecar",
         );
     }
 
-    /// Whether the others are told an address that they can send to. The port may be open only where the sidecar listens, as it
-    /// learns that one itself.
+    /// Whether the advertised address can be reached. Port 0 is allowed in `listen` only, as the sidecar learns from the
+    /// system which port it got there.
     fn is_reachable(&self) -> bool {
-        let reached = self.advertise.unwrap_or(self.listen);
-        let port_is_open = self.advertise.is_some() && reached.port() == 0;
-        !reached.ip().is_unspecified() && !port_is_open
+        let advertised = self.advertise.unwrap_or(self.listen);
+        let port_is_unknown = self.advertise.is_some() && advertised.port() == 0;
+        !advertised.ip().is_unspecified() && !port_is_unknown
     }
 }
 
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,19 +1,19 @@
-//! Reads a file of settings. Errors tell the file, the line, the path and what was expected.
+//! Reads settings files. Errors name the file, the line, the path and what was expected.
 
 use crate::error::{Checked, ConfigError, ConfigFileError};
 use crate::location::{line_of, to_pointer, without_position};
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Files longer than this are not settings.
+/// The maximum size of a settings file, in bytes.
 const MAX_FILE_BYTES: u64 = 4 * 1024 * 1024;
-/// The JSON pointer that stands for the whole file.
+/// The path in errors that concern the whole file.
 const WHOLE_FILE: &str = "/";
 
-/// Reads and checks a file.
+/// Reads and validates a file.
 ///
 /// # Errors
-/// The file can't be read, is no JSON, or holds what can't be used; the first of these.
+/// The first error: the file can't be read, is not valid JSON, or contains an invalid value.
 pub fn read<T: DeserializeOwned + Checked>(file: &Path) -> Result<T, ConfigFileError> {
     let name = file.display().to_string();
     let unreadable = |expected: String| ConfigFileError {
@@ -31,14 +31,14 @@
         )));
     }
     let text = std::fs::read_to_string(file)
-        .map_err(|e| unreadable(format!("expected a text in UTF-8: {e}")))?;
+        .map_err(|e| unreadable(format!("expected UTF-8 text: {e}")))?;
     read_text(&name, &text)
 }
 
-/// Reads and checks a text; `file` is its name in errors.
+/// Reads and validates a text; `file` is its name in errors.
 ///
 /// # Errors
-/// The text is no JSON, or holds what can't be used; the first of these.
+/// The first error: the text is not valid JSON, or contains an invalid value.
 pub fn read_text<T: DeserializeOwned + Checked>(
     file: &str,
     text: &str,
@@ -66,7 +66,7 @@
     }
 }
 
-/// All that is wrong with a file, not the first alone; what can't be read at all is one error.
+/// All errors of a file. A file that can't be parsed has a single error.
 pub fn findings<T: DeserializeOwned + Checked>(file: &Path) -> Vec<ConfigFileError> {
     let first = match read::<T>(file) {
         Ok(_) => return Vec::new(),
--- a/crates/settings/src/request_class.rs
+++ b/crates/settings/src/request_class.rs
@@ -1,4 +1,4 @@
-//! Request classes: which requests they hold, and how these are served.
+//! Request classes: the requests in each of them, and how these are served.
 
 use crate::seconds::Seconds;
 use crate::validation::{is_fraction, Validator};
@@ -7,39 +7,39 @@
 use std::borrow::Cow;
 use std::collections::BTreeSet;
 
-/// The most request classes of one sidecar.
+/// The maximum number of request classes of one sidecar.
 const MAX_CLASSES: usize = 1024;
 
-/// Requests that are served alike.
+/// A class of requests that are served in the same way.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct PathGroup")]
 #[schemars(rename = "PathGroup", description = "")]
 pub struct RequestClass {
-    /// Its name in records and on pages.
+    /// The name of the class in logs and on status pages.
     #[schemars(description = "")]
     pub name: String,
     /// The methods and paths of its requests.
     #[schemars(description = "")]
     pub routes: Vec<Route>,
-    /// Whether a request may be sent again.
+    /// Whether a request may be retried.
     #[serde(rename = "repeat")]
     #[schemars(description = "")]
     pub idempotency: Idempotency,
-    /// An answer within this earns the full priority weight.
+    /// A response within this time earns the full priority weight.
     #[serde(rename = "target_latency")]
     #[schemars(description = "")]
     pub latency_objective: Seconds,
-    /// How long a client waits that names no deadline.
+    /// The timeout of a client that sends no deadline.
     #[schemars(description = "")]
     pub client_timeout: Seconds,
-    /// What an answer is worth against those of other classes when load is shed.
+    /// The weight of a response relative to other classes when load is shed.
     #[serde(rename = "benefit")]
     #[schemars(description = "")]
     pub priority_weight: f64,
-    /// The part of the benefit that an answer earns after the target latency.
+    /// Fraction of the benefit that a response earns after the target latency.
     #[serde(default, rename = "late_benefit")]
     pub late_weight: f64,
-    /// Whether answers are streamed from their first byte.
+    /// Whether responses are streamed from their first byte.
     #[serde(default, rename = "streamed")]
     #[schemars(description = "")]
     pub streaming: bool,
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The method; case is ignored.
+    /// The method, case-insensitive.
     #[schemars(description = "")]
     pub method: String,
     /// The path pattern.
@@ -57,7 +57,7 @@
     pub path: String,
 }
 
-/// Whether a request may be sent again.
+/// Whether a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(
     rename_all = "snake_case",
@@ -66,39 +66,40 @@
 )]
 #[schemars(rename = "Repeat", description = "")]
 pub enum Idempotency {
-    /// May run again.
+    /// May be executed more than once.
     #[serde(rename = "repeatable")]
     Idempotent,
-    /// Carries an `Idempotency-Key`; the pods within reach drop a repeat for as long as they remember.
+    /// Carries an `Idempotency-Key`; the pods within `reach` discard a duplicate for as long as they remember the key.
     #[serde(rename = "tagged")]
     Keyed {
-        /// Which pods know of a key that one of them has served.
+        /// Which pods know the keys that one of them has served.
         #[serde(rename = "reach")]
         #[schemars(description = "")]
         deduplicated_by: DeduplicationScope,
-        /// How long a key is remembered.
+        /// How long pods remember a key.
         #[serde(rename = "memory")]
         #[schemars(description = "")]
         window: Seconds,
     },
-    /// Must never run twice.
+    /// Must not be executed more than once.
     #[serde(rename = "mutating")]
     NonIdempotent,
 }
 
-/// Which pods know of an idempotency key that one of them has served.
+/// Which pods know the idempotency keys that one of them has served.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeduplicationScope {
     /// All pods.
     All,
-    /// The pods of its zone.
+    /// The pods of the same zone.
     Zone,
-    /// The pods of its cell.
+    /// The pods of the same cell.
     Cell,
 }
 
-/// Written by hand: the derived schema of documented variants is a list of constants, and the published one an `enum`.
+/// Implemented by hand: the schema derived for documented variants is a list of constants, whereas the published schema is
+/// an `enum`.
 impl JsonSchema for DeduplicationScope {
     fn schema_name() -> Cow<'static, str> {
         "Reach".into()
@@ -113,12 +114,12 @@
     validator.require(
         !classes.is_empty(),
         "/path_groups",
-        "one path group at least",
+        "at least one path group",
     );
     validator.require(
         classes.len() <= MAX_CLASSES,
         "/path_groups",
-        "1024 path groups at most",
+        "at most 1024 path groups",
     );
     let mut names = BTreeSet::new();
     for (index, class) in classes.iter().enumerate() {
@@ -137,7 +138,7 @@
         validator.require(
             !self.routes.is_empty(),
             format!("{path}/routes"),
-            "one route at least",
+            "at least one route",
         );
         validator.require(
             self.latency_objective.value() > 0.0,
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -1,77 +1,77 @@
-//! How builds are brought in by stages, and voted on.
+//! Rollouts of builds in stages, and votes on them.
 
 use crate::seconds::Seconds;
 use crate::validation::{is_fraction, Validator};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The most stages of a rollout: their numbers are bytes.
+/// The maximum number of stages of a rollout: a stage number is one byte.
 const MAX_STAGES: usize = 255;
 
-/// What moves a build from stage to stage.
+/// What promotes a build from stage to stage.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(description = "")]
 pub enum Control {
-    /// Votes move a build on.
+    /// Votes promote a build.
     Votes,
-    /// A clock does, unless votes hold it.
+    /// A build is promoted after a fixed time, unless votes hold it.
     Clock,
 }
 
-/// How builds are brought in by stages, and voted on.
+/// How builds are rolled out in stages, and voted on.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct Releases")]
 #[schemars(rename = "Releases", description = "")]
 pub struct RolloutSettings {
-    /// What moves a build from stage to stage.
+    /// What promotes a build from stage to stage.
     #[schemars(description = "")]
     pub control: Control,
     /// The stages, in order.
     #[schemars(description = "")]
     pub stages: Vec<RolloutStage>,
-    /// The window over which the caps are counted.
+    /// The time window over which the caps apply.
     #[serde(rename = "cap_window")]
     #[schemars(description = "")]
     pub exposure_window: Seconds,
-    /// Attempts in a window that are free of the cap.
+    /// Number of attempts per window that the cap does not apply to.
     #[serde(rename = "cap_free")]
     #[schemars(description = "")]
     pub exposure_free: f64,
-    /// Whether the caps are counted for each request class by itself.
+    /// Whether the caps apply to each request class separately.
     #[serde(default, rename = "cap_by_group")]
     #[schemars(description = "")]
     pub exposure_per_class: bool,
-    /// The number of first stages in which the build on trial gets idempotent requests only.
+    /// The number of initial stages in which the build on trial receives only idempotent requests.
     #[serde(default)]
     #[schemars(description = "")]
     pub guarded_stages: u8,
-    /// Whether a routing key stays with the newest build that served it.
+    /// Whether a routing key stays with the newest build that has served it.
     #[serde(default, rename = "keys_stay")]
     #[schemars(description = "")]
     pub sticky_keys: bool,
-    /// How long a stage lasts under a clock; for the installer of a day, as a sidecar goes by its news.
+    /// Duration of a stage when `control` is `clock`; only the rollout service of a day uses it, as a sidecar follows its updates.
     #[serde(rename = "step_after")]
     pub stage_duration: Seconds,
-    /// How long a vote counts.
+    /// How long a vote is valid.
     #[serde(rename = "vote_life")]
     #[schemars(description = "")]
     pub vote_ttl: Seconds,
-    /// How long the reply to a vote is waited for.
+    /// Timeout for the reply to a vote.
     #[serde(rename = "vote_answer_within")]
     #[schemars(description = "")]
     pub vote_timeout: Seconds,
-    /// Sidecars that it takes to roll a build back.
+    /// Number of sidecars whose votes roll a build back.
     #[serde(rename = "back_votes")]
     #[schemars(description = "")]
     pub rollback_quorum: u32,
-    /// Sidecars that it takes to hold a stage.
+    /// Number of sidecars whose votes hold a stage.
     #[serde(default = "default_quorum", rename = "hold_votes")]
     pub hold_quorum: u32,
-    /// Sidecars that it takes to move a stage on, where votes do.
+    /// Number of sidecars whose votes promote a build, when `control` is `votes`.
     #[serde(default = "default_quorum", rename = "on_votes")]
     pub promote_quorum: u32,
-    /// Votes a second that the installer takes from all sidecars together, and twice that at one time; none: all.
+    /// Votes per second that the rollout service accepts from all sidecars together, with bursts of twice that; no limit if absent.
     #[serde(default, rename = "vote_allowance")]
     pub vote_rate_limit: Option<f64>,
 }
@@ -81,9 +81,9 @@
 #[serde(deny_unknown_fields, expecting = "struct Stage")]
 #[schemars(rename = "Stage", description = "")]
 pub struct RolloutStage {
-    /// The part of the fleet that runs the build on trial.
+    /// Fraction of the fleet that runs the build on trial.
     pub share: f64,
-    /// The most of a sidecar's hits that may go to it.
+    /// Maximum fraction of a sidecar's requests that may go to the build on trial.
     pub cap: f64,
 }
 
@@ -112,12 +112,12 @@
         validator.require(
             !self.stages.is_empty(),
             "/releases/stages",
-            "one stage at least",
+            "at least one stage",
         );
         validator.require(
             self.stages.len() <= MAX_STAGES,
             "/releases/stages",
-            "255 stages at most",
+            "at most 255 stages",
         );
         for (index, stage) in self.stages.iter().enumerate() {
             validator.require(
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -1,4 +1,4 @@
-//! Finds the request class of a method and path.
+//! Maps a method and path to a request class.
 
 use crate::error::ConfigError;
 use crate::request_class::RequestClass;
@@ -9,10 +9,10 @@
 pub struct Router(BTreeMap<String, matchit::Router<usize>>);
 
 impl Router {
-    /// A router of these classes' routes.
+    /// Creates a router with the routes of these classes.
     ///
     /// # Errors
-    /// A pattern that can't be used, or that matches what another one does.
+    /// A pattern is invalid or conflicts with another one.
     pub fn new(classes: &[RequestClass]) -> Result<Self, ConfigError> {
         let mut router = Self::default();
         for (class_index, class) in classes.iter().enumerate() {
@@ -24,7 +24,9 @@
                     .map_err(|e| {
                         ConfigError::new(
                             format!("/path_groups/{class_index}/routes/{route_index}/path"),
-                            format!("expected a pattern that is valid and no other's: {e}"),
+                            format!(
+                                "expected a pattern that is valid and conflicts with no other: {e}"
+                            ),
                         )
                     })?;
             }
@@ -32,7 +34,7 @@
         Ok(router)
     }
 
-    /// The index of the class of a request; none if no route matches.
+    /// The index of a request's class; `None` if no route matches.
     #[must_use]
     pub fn find(&self, method: &str, path: &str) -> Option<usize> {
         let matched = self.0.get(method)?.at(path).ok()?;
--- a/crates/settings/src/safety_limits.rs
+++ b/crates/settings/src/safety_limits.rs
@@ -1,21 +1,21 @@
-//! The figures of the five rules.
+//! Parameters of the five safety rules.
 
 use crate::seconds::Seconds;
 use crate::validation::Validator;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The figures of the five rules.
+/// Parameters of the five safety rules.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct Rules")]
 #[schemars(rename = "Rules")]
 pub struct SafetyLimits {
-    /// How late an answer may be; for the account of a day, as a sidecar answers at the deadline.
+    /// How late a response may be; only the summary of a day uses it, as a sidecar responds at the deadline.
     pub answer_slack: Seconds,
-    /// For how long a pod may still get requests after the sidecar was notified that it drains or is gone.
+    /// How long a pod may still receive requests after the sidecar was notified that it is draining or gone.
     #[schemars(description = "")]
     pub drain_grace: Seconds,
-    /// The part of its capacity that a pod has at its start.
+    /// The fraction of its capacity that a pod has at startup.
     #[serde(rename = "cold_from")]
     #[schemars(description = "")]
     pub slow_start_from: f64,
@@ -23,11 +23,11 @@
     #[serde(rename = "cold_for")]
     #[schemars(description = "")]
     pub slow_start_duration: Seconds,
-    /// The multiple of its present capacity at which a pod that is warming up fails.
+    /// The multiple of its current capacity at which a pod that is warming up fails.
     #[serde(rename = "fall_multiple")]
     #[schemars(description = "")]
     pub overload_multiple: f64,
-    /// The window over which that load is counted.
+    /// The time window over which that load is measured.
     #[serde(rename = "fall_within")]
     #[schemars(description = "")]
     pub overload_window: Seconds,
--- a/crates/settings/src/seconds.rs
+++ b/crates/settings/src/seconds.rs
@@ -1,21 +1,21 @@
-//! Spans of time in settings.
+//! Durations in settings.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest span that is taken, in seconds; nearly four months.
+/// The maximum duration, in seconds; nearly four months.
 const MAX_SECONDS: f64 = 1e7;
 
-/// A span of time in seconds, 0 to 10,000,000.
+/// A duration in seconds, 0 to 10,000,000.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize, JsonSchema)]
 #[serde(try_from = "f64", into = "f64")]
 #[schemars(with = "f64")]
 pub struct Seconds(f64);
 
 impl Seconds {
-    /// A span that is known to be in range, for defaults.
+    /// Creates a duration that is known to be in range, for defaults.
     pub(crate) const fn constant(seconds: f64) -> Self {
         Self(seconds)
     }
@@ -26,7 +26,7 @@
     }
 }
 
-/// A number of seconds that is no span of settings.
+/// A number of seconds outside the allowed range.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 #[error("expected seconds from 0 to {MAX_SECONDS}, found {found}")]
 pub struct SecondsOutOfRange {
--- a/crates/settings/src/services.rs
+++ b/crates/settings/src/services.rs
@@ -1,35 +1,35 @@
-//! The control services that a sidecar calls.
+//! The control-plane services that a sidecar calls.
 
 use crate::seconds::Seconds;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The service that tells which pods there are: Consul's catalog-health API.
+/// The service that serves the endpoint list: Consul's catalog-health API.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct ListService")]
 #[schemars(rename = "ListService")]
 pub struct EndpointListService {
-    /// Where it listens.
+    /// Address of the service.
     #[schemars(description = "")]
     pub address: SocketAddr,
-    /// Name of the service whose pods are asked for.
+    /// Name of the service whose pods are requested.
     #[schemars(description = "")]
     pub service: String,
-    /// How long one blocking query may wait.
+    /// Maximum wait of one blocking query.
     #[serde(default = "default_wait")]
     pub wait: Seconds,
 }
 
-/// The service that brings builds in by stages and takes votes.
+/// The service that rolls builds out in stages and receives votes.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct Installer")]
 #[schemars(rename = "Installer")]
 pub struct RolloutService {
-    /// Where it listens.
+    /// Address of the service.
     #[schemars(description = "")]
     pub address: SocketAddr,
-    /// A stream of stage news that says nothing for so long is asked for again.
+    /// A stream of stage updates that is silent for this long is requested again.
     #[serde(default = "default_silence_timeout", rename = "quiet_at_most")]
     pub silence_timeout: Seconds,
 }
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! The settings of one sidecar. Spans are in seconds.
+//! The settings of one sidecar. Durations are in seconds.
 
 use crate::error::{Checked, ConfigError};
 use crate::fleet::Fleet;
@@ -23,52 +23,52 @@
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct SidecarSettings {
-    /// Names this sidecar in `Via` and `Proxy-Status`: letters, digits, `-`, `_` and `.`.
+    /// Name of this sidecar in `Via` and `Proxy-Status`: letters, digits, `-`, `_` and `.`.
     pub name: String,
-    /// Where clients are served; port 0 lets the system choose, and the choice is told on standard output.
+    /// Address on which clients are served; with port 0 the system chooses a port, which is printed to standard output.
     pub listen: SocketAddr,
-    /// Where the last node list is kept over a restart.
+    /// File in which the last endpoint list is kept across restarts.
     #[serde(default)]
     pub state_file: Option<PathBuf>,
-    /// Starts the sidecar's chance; the system's if absent.
+    /// Seed of the sidecar's random numbers; taken from the system if absent.
     #[serde(default)]
     pub seed: Option<u64>,
     /// The service that serves the endpoint list.
     #[serde(rename = "list")]
     #[schemars(description = "")]
     pub endpoint_list: EndpointListService,
-    /// Without it no build is ever on trial by news, and no vote is sent.
+    /// The rollout service; without it the sidecar learns of no build on trial and sends no votes.
     #[serde(default, rename = "installer")]
     pub rollout_service: Option<RolloutService>,
     /// The sidecars that share the requests.
     #[schemars(description = "")]
     pub fleet: Fleet,
-    /// The header fields that are read of a request.
+    /// The request header fields that the sidecar reads.
     #[schemars(description = "")]
     pub headers: Headers,
-    /// The request classes; their order numbers them.
+    /// The request classes; a class id is an index into this list.
     #[serde(rename = "path_groups")]
     #[schemars(description = "")]
     pub classes: Vec<RequestClass>,
-    /// The tenants; their order numbers them.
+    /// The tenants; a tenant id is an index into this list.
     #[serde(default, rename = "customers")]
     #[schemars(description = "")]
     pub tenants: Vec<Tenant>,
-    /// Bounds of attempts, connections and buffers.
+    /// Limits on attempts, connections and buffers.
     #[schemars(description = "")]
     pub limits: Limits,
-    /// The figures of the five rules.
+    /// Parameters of the five safety rules.
     #[serde(rename = "rules")]
     #[schemars(description = "")]
     pub safety: SafetyLimits,
-    /// How builds are brought in.
+    /// How builds are rolled out.
     #[serde(rename = "releases")]
     #[schemars(description = "")]
     pub rollout: RolloutSettings,
-    /// The other sidecars; none: this one knows of no other, and opens no socket for them.
+    /// The other sidecars; without it this sidecar knows of no others and opens no socket for them.
     #[serde(default)]
     pub peers: Option<PeerSettings>,
-    /// Machines go out for work in an order that the sidecars settle among themselves; none: they don't. Needs `peers`.
+    /// Machines go out of service for maintenance in an order that the sidecars agree on; without it none do. Needs `peers`.
     #[serde(default, rename = "work")]
     pub maintenance: Option<MaintenanceSettings>,
 }
--- a/crates/settings/src/sidecar_config.rs
+++ b/crates/settings/src/sidecar_config.rs
@@ -1,4 +1,4 @@
-//! Turns the settings of a sidecar into the decision engine's configuration.
+//! Converts the settings of a sidecar into the decision engine's configuration.
 
 use crate::request_class::{DeduplicationScope, Idempotency, RequestClass};
 use crate::rollout::{Control, RolloutSettings};
@@ -7,7 +7,8 @@
 use limewing_decision::interface::{self as decision, RolloutConfig, SidecarConfig, ZoneId};
 
 impl SidecarSettings {
-    /// The decision engine's configuration. A list of endpoints comes by a watch, which the proxy opens when the engine says so.
+    /// The decision engine's configuration. The proxy receives endpoint lists through a watch, which it opens when the
+    /// engine requests it.
     #[must_use]
     pub fn sidecar_config(&self, seed: u64) -> SidecarConfig {
         let limits = &self.limits;
@@ -29,7 +30,8 @@
         }
     }
 
-    /// The number of the sidecar's zone; that of the first for one that is not among the fleet's, which the checks refuse.
+    /// The id of the sidecar's zone. A zone that is not among the fleet's, which validation rejects, gets the id of the
+    /// first.
     fn zone_id(&self) -> ZoneId {
         let mut zones = self.fleet.zones.iter();
         let index = zones.position(|zone| *zone == self.fleet.zone);
--- a/crates/settings/src/tenant.rs
+++ b/crates/settings/src/tenant.rs
@@ -1,4 +1,4 @@
-//! The tenants that a sidecar tells apart.
+//! The tenants that a sidecar distinguishes.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 #[serde(deny_unknown_fields, expecting = "struct Customer")]
 #[schemars(rename = "Customer", description = "")]
 pub struct Tenant {
-    /// As the header field has it.
+    /// The tenant's name, as in the header field.
     #[schemars(description = "")]
     pub name: String,
 }
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,4 +1,4 @@
-//! Collects what is wrong with settings.
+//! Collects errors in settings.
 
 use crate::error::ConfigError;
 
@@ -9,7 +9,7 @@
 }
 
 impl Validator {
-    /// Adds an error unless `holds`: at a JSON pointer, `expected` was expected.
+    /// Adds an error at a JSON pointer unless the constraint `holds`; `expected` describes the constraint.
     pub(crate) fn require(&mut self, holds: bool, path: impl Into<String>, expected: &str) {
         if !holds {
             let error = ConfigError::new(path, format!("expected {expected}"));
@@ -26,7 +26,7 @@
     }
 }
 
-/// Whether a number is a part of a whole.
+/// Whether a number is a fraction from 0 to 1.
 pub(crate) fn is_fraction(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
 }
--- a/crates/settings/src/work_list.rs
+++ b/crates/settings/src/work_list.rs
@@ -1,4 +1,6 @@
-//! A work list as an operator writes it: which machines are to go out, and how many at once.
+//! A work list as written by an operator: which machines go out of service for maintenance, and how many at once.
+//!
+//! A sidecar sends the texts of validation errors to the operator who submits a list, so these texts are stable.
 
 use crate::error::{Checked, ConfigError};
 use crate::seconds::Seconds;
@@ -7,56 +9,56 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The longest name of a list or a machine, in bytes.
+/// The maximum length of the name of a list or machine, in bytes.
 const MAX_NAME_BYTES: usize = 40;
-/// The most machines that a list names.
+/// The maximum number of machines named in a list.
 const MAX_MACHINES: usize = 1000;
-/// The most pairs of machines that exclude each other.
+/// The maximum number of exclusive pairs of machines.
 const MAX_PAIRS: usize = 8;
-/// The most windows.
+/// The maximum number of windows.
 const MAX_WINDOWS: usize = 8;
-/// The longest work on one machine, in seconds: a day.
+/// The maximum duration of the work on one machine, in seconds: one day.
 const MAX_WORK_S: f64 = 86_400.0;
-/// The longest time after which work counts as stalled, in seconds: ten days.
+/// The maximum time after which work counts as stalled, in seconds: ten days.
 const MAX_STALL_S: f64 = 864_000.0;
-/// The latest end of a window, in seconds since 1970; over three thousand years.
+/// The latest end of a window, in seconds since 1970: over three thousand years.
 const MAX_WINDOW_END_S: f64 = 1e11;
 
-/// A work list.
+/// A list of machines that go out of service for maintenance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct WorkList {
-    /// 1 to 40 letters.
+    /// Name of the list, 1 to 40 bytes.
     pub name: String,
-    /// By name, as the node list has them (`Node.Node`).
+    /// Names of machines, as in the endpoint list (`Node.Node`).
     #[serde(default)]
     pub machines: Vec<String>,
-    /// All that this fits, as the node list has them when the list is asked for; beside those named.
+    /// Selects machines in addition to those named, from the endpoint list at the time when work is requested.
     #[serde(default)]
     pub select: Option<MachineSelector>,
-    /// How long the work on one takes, and after how long it counts as stalled.
+    /// How long the work on one machine takes; `stalls_after` is the time after which it counts as stalled.
     #[serde(rename = "takes")]
     pub work_duration: Seconds,
-    /// After how long the work on one counts as stalled.
+    /// After how long the work on one machine counts as stalled.
     #[serde(rename = "stalls_after")]
     #[schemars(description = "")]
     pub stall_timeout: Seconds,
-    /// How many may be out at once.
+    /// How many machines may be out of service at once.
     #[schemars(description = "")]
     pub limits: WorkLimits,
-    /// When machines may be out; none: at any time.
+    /// When machines may be out of service; at any time if there are no windows.
     #[serde(default)]
     pub windows: Vec<WorkWindow>,
-    /// Of two lists the higher goes first, else the one asked for first.
+    /// The list with the higher priority goes first; with equal priority, the one requested first.
     #[serde(default)]
     pub priority: u8,
-    /// Whether work goes on beside a release on trial.
+    /// Whether work continues while a build is on trial.
     #[serde(default, rename = "beside_trials")]
     pub allowed_during_trials: bool,
 }
 
-/// The machines that all of this fits; what is absent fits any.
+/// Selects the machines that match all of these properties; an absent property matches any machine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, expecting = "struct Select")]
 #[schemars(rename = "Select", description = "")]
@@ -69,47 +71,47 @@
     #[serde(default, rename = "kind")]
     #[schemars(description = "")]
     pub machine_type: Option<String>,
-    /// The build of a pod on it.
+    /// The build of a pod on the machine.
     #[serde(default)]
     #[schemars(description = "")]
     pub build: Option<u16>,
 }
 
-/// Counted over all lists together.
+/// Limits across all work lists together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WorkLimits {
-    /// Most out at once.
+    /// Maximum number of machines out of service at once.
     #[serde(rename = "out")]
     pub max_unavailable: u16,
-    /// Most out at once in one zone.
+    /// Maximum number of machines out of service at once in one zone.
     #[serde(default, rename = "out_in_zone")]
     #[schemars(description = "")]
     pub max_unavailable_per_zone: Option<u16>,
-    /// Most out at once of one machine type.
+    /// Maximum number of machines out of service at once of one machine type.
     #[serde(default, rename = "out_of_kind")]
     #[schemars(description = "")]
     pub max_unavailable_per_type: Option<u16>,
-    /// The part of all strength that stays ready and warm, 0 to 1.
+    /// Fraction of the total capacity that stays ready and warm, 0 to 1.
     #[serde(rename = "ready_part")]
     pub min_ready_fraction: f64,
-    /// Pairs that may not be out together, by name.
+    /// Pairs of machine names that may not be out of service together.
     #[serde(default, rename = "apart")]
     pub exclusive_pairs: Vec<(String, String)>,
-    /// While sidecars turn away a larger part of their hits nothing more goes out, 0 to 1.
+    /// No further machine goes out of service while sidecars reject a larger fraction of their requests, 0 to 1.
     #[serde(default = "default_max_rejection_rate", rename = "turned_away")]
     pub max_rejection_rate: f64,
 }
 
-/// In seconds since 1970.
+/// A time window, in seconds since 1970.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct WorkWindow {
-    /// When the first machine may go out.
+    /// When the first machine may go out of service.
     #[serde(rename = "from")]
     #[schemars(description = "")]
     pub start: f64,
-    /// When the last has to be back.
+    /// When the last machine must be back in service.
     #[serde(rename = "to")]
     #[schemars(description = "")]
     pub end: f64,
--- a/crates/settings/tests/reading.rs
+++ b/crates/settings/tests/reading.rs
@@ -1,9 +1,9 @@
-//! What settings files are read as, and what is refused.
+//! Tests of reading settings files, and of the errors for invalid files.
 
 use limewing_settings::{read_text, SidecarSettings};
 use rstest::rstest;
 
-const GOOD: &str = r#"{
+const VALID_SETTINGS: &str = r#"{
   "name": "a",
   "listen": "127.0.0.1:0",
   "list": {"address": "127.0.0.1:8500", "service": "web"},
@@ -43,7 +43,7 @@
     "/path_groups/0",
     "missing field `client_timeout`"
 )]
-#[case::negative_span(
+#[case::negative_duration(
     r#""idle_close": 10"#,
     r#""idle_close": -1"#,
     11,
@@ -64,7 +64,7 @@
     "/path_groups/0/client_timeout",
     "no less than"
 )]
-#[case::not_one_of_us(
+#[case::index_outside_the_fleet(
     r#""own_number": 0"#,
     r#""own_number": 2"#,
     5,
@@ -85,26 +85,26 @@
     "/list/address",
     "invalid socket address"
 )]
-#[case::cut_off(r#""back_votes": 1}"#, r#""back_votes": 1"#, 17, "/", "EOF")]
-fn a_wrong_file_is_told_with_line_path_and_what_was_expected(
-    #[case] good: &str,
-    #[case] bad: &str,
+#[case::truncated(r#""back_votes": 1}"#, r#""back_votes": 1"#, 17, "/", "EOF")]
+fn an_invalid_file_is_reported_with_line_path_and_expectation(
+    #[case] valid: &str,
+    #[case] invalid: &str,
     #[case] line: usize,
     #[case] path: &str,
     #[case] expected: &str,
 ) {
-    assert!(GOOD.contains(good));
-    let text = GOOD.replace(good, bad);
-    let wrong = read_text::<SidecarSettings>("a.json", &text).unwrap_err();
+    assert!(VALID_SETTINGS.contains(valid));
+    let text = VALID_SETTINGS.replace(valid, invalid);
+    let error = read_text::<SidecarSettings>("a.json", &text).unwrap_err();
     assert_eq!(
-        (wrong.file.as_str(), wrong.line, wrong.path.as_str()),
+        (error.file.as_str(), error.line, error.path.as_str()),
         ("a.json", line, path),
-        "{wrong}"
+        "{error}"
     );
-    assert!(wrong.expected.contains(expected), "{wrong}");
+    assert!(error.expected.contains(expected), "{error}");
 }
 
-/// What a value of a wrong type should have been is named as in the schema.
+/// An error about a value of the wrong type names the expected type as in the schema.
 #[rstest]
 #[case::class("[5,", r#""path_groups": ["#, "struct PathGroup")]
 #[case::idempotency(r#"{"tagged": 5}"#, r#""repeatable""#, "struct variant Repeat::Tagged")]
@@ -118,31 +118,31 @@
 #[case::peers("5", r#""headers": {}, "peers": "#, "struct Peers")]
 #[case::maintenance("5", r#""headers": {}, "work": "#, "struct Work")]
 #[case::stage("5", r#"{"share": 0.1, "cap": 0.2}"#, "struct Stage")]
-fn a_value_of_a_wrong_type_is_told_with_the_type_of_the_schema(
-    #[case] bad: &str,
-    #[case] good: &str,
+fn a_value_of_the_wrong_type_is_reported_with_the_schema_type(
+    #[case] invalid: &str,
+    #[case] valid: &str,
     #[case] expected: &str,
 ) {
-    let text = if let Some(added) = good.strip_prefix(r#""headers": {}, "#) {
-        GOOD.replace(
+    let text = if let Some(added) = valid.strip_prefix(r#""headers": {}, "#) {
+        VALID_SETTINGS.replace(
             r#""headers": {}"#,
-            &format!(r#""headers": {{}}, {added}{bad}"#),
+            &format!(r#""headers": {{}}, {added}{invalid}"#),
         )
-    } else if good.ends_with('[') {
-        GOOD.replace(good, &format!("{}{bad}", good.trim_end_matches('[')))
+    } else if valid.ends_with('[') {
+        VALID_SETTINGS.replace(valid, &format!("{}{invalid}", valid.trim_end_matches('[')))
     } else {
-        GOOD.replace(good, bad)
+        VALID_SETTINGS.replace(valid, invalid)
     };
-    let wrong = read_text::<SidecarSettings>("a.json", &text).unwrap_err();
+    let error = read_text::<SidecarSettings>("a.json", &text).unwrap_err();
     assert!(
-        wrong.expected.ends_with(&format!("expected {expected}")),
-        "{wrong}"
+        error.expected.ends_with(&format!("expected {expected}")),
+        "{error}"
     );
 }
 
 #[test]
-fn a_good_file_becomes_a_configuration() {
-    let settings: SidecarSettings = read_text("a.json", GOOD).unwrap();
+fn a_valid_file_is_converted_into_a_configuration() {
+    let settings: SidecarSettings = read_text("a.json", VALID_SETTINGS).unwrap();
     let config = settings.sidecar_config(7);
     assert_eq!(
         (
