--- a/crates/simulator-protocol/src/batch.rs
+++ b/crates/simulator-protocol/src/batch.rs
@@ -1,4 +1,4 @@
-//! One frame of input: its length, the time, a number, and records.
+//! Decodes an input frame: its length, the time, a sequence number, and records.
 
 use crate::cursor::Cursor;
 use crate::error::{FrameError, FrameErrorKind};
@@ -6,26 +6,26 @@
 use std::io::{ErrorKind, Read};
 use std::time::Duration;
 
-/// The largest frame that is read, in bytes.
+/// The maximum size of an input frame, in bytes.
 pub const MAX_FRAME_BYTES: u32 = 256 << 20;
-/// Bytes of the length before each frame's body.
-const LENGTH_BYTES: usize = 4;
+/// The size of the length prefix of each frame, in bytes.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// The records of one frame.
 #[derive(Debug)]
 pub struct Batch {
-    /// Time since the simulation began.
+    /// Time since the start of the simulation.
     pub now: Duration,
-    /// Number of the frame; its reply carries the same.
+    /// The frame's sequence number, which its reply repeats.
     pub number: u32,
-    /// In the order of the frame.
+    /// The records, in the order of the frame.
     pub records: Vec<Record>,
 }
 
-/// Reads the next batch; none at a clean end of the input.
+/// Reads the next batch; `None` if the input ends between two frames.
 ///
 /// # Errors
-/// The input can't be read or ends inside a frame, or the frame is no batch of known records.
+/// The input can't be read or ends inside a frame, or the frame is malformed.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
     let Some(length) = read_length(input)? else {
         return Ok(None);
@@ -41,13 +41,13 @@
         Ok(batch) => Ok(Some(batch)),
         Err(error) => Err(FrameError {
             kind: error.kind,
-            offset: error.offset + LENGTH_BYTES,
+            offset: error.offset + LENGTH_PREFIX_BYTES,
         }),
     }
 }
 
 fn read_length(input: &mut impl Read) -> Result<Option<u32>, FrameError> {
-    let mut length = [0; LENGTH_BYTES];
+    let mut length = [0; LENGTH_PREFIX_BYTES];
     let mut filled = 0;
     while filled < length.len() {
         let kind = match input.read(&mut length[filled..]) {
@@ -74,11 +74,11 @@
         Ok(count) if count as u32 == length => Ok(body),
         Ok(count) => Err(FrameError {
             kind: FrameErrorKind::TruncatedInput,
-            offset: LENGTH_BYTES + count,
+            offset: LENGTH_PREFIX_BYTES + count,
         }),
         Err(error) => Err(FrameError {
             kind: FrameErrorKind::Io(error),
-            offset: LENGTH_BYTES,
+            offset: LENGTH_PREFIX_BYTES,
         }),
     }
 }
--- a/crates/simulator-protocol/src/cursor.rs
+++ b/crates/simulator-protocol/src/cursor.rs
@@ -1,15 +1,15 @@
-//! Reads numbers from the body of a frame.
+//! Reads primitive values from the body of a frame.
 
 use crate::error::{FrameError, FrameErrorKind};
 use limewing_decision::interface::PodId;
 use std::time::Duration;
 
-/// Times and spans in seconds, either side of zero, that are taken; about 30 years.
+/// Upper bound of the absolute value of times and durations, in seconds; about 30 years.
 const MAX_SECONDS: f64 = 1e9;
-/// The simulator counts in whole microseconds.
+/// The simulator's clock has a resolution of 1 microsecond.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// A place in the body of a frame; reading moves it on.
+/// A read position in the body of a frame; each read advances it.
 pub(crate) struct Cursor<'a> {
     bytes: &'a [u8],
     offset: usize,
@@ -20,7 +20,7 @@
         Self { bytes, offset: 0 }
     }
 
-    /// Bytes read so far.
+    /// Number of bytes read so far.
     pub(crate) fn offset(&self) -> usize {
         self.offset
     }
@@ -29,7 +29,7 @@
         self.offset == self.bytes.len()
     }
 
-    /// An error at the place that the cursor has reached.
+    /// Creates an error at the current position.
     pub(crate) fn error(&self, kind: FrameErrorKind) -> FrameError {
         FrameError {
             kind,
@@ -82,7 +82,7 @@
         Ok(f32::from_le_bytes(self.array()?))
     }
 
-    /// A time or span in seconds, rounded to microseconds; one before zero is zero.
+    /// Reads a time or duration in seconds, rounded to microseconds; a negative value becomes zero.
     pub(crate) fn duration(&mut self) -> Result<Duration, FrameError> {
         let seconds = f64::from_le_bytes(self.array()?);
         if !seconds.is_finite() || !(-MAX_SECONDS..MAX_SECONDS).contains(&seconds) {
@@ -92,13 +92,13 @@
         Ok(Duration::from_micros(microseconds.round() as u64))
     }
 
-    /// A pod's number, in six bytes.
+    /// Reads a pod id of six bytes.
     pub(crate) fn pod(&mut self) -> Result<PodId, FrameError> {
         let [a, b, c, d, e, f] = self.array()?;
         Ok(PodId(u64::from_le_bytes([a, b, c, d, e, f, 0, 0])))
     }
 
-    /// Passes over a pod's load report: a count, and so many `f32`.
+    /// Skips a pod's load report: a count followed by that number of `f32` values.
     pub(crate) fn skip_load_report(&mut self) -> Result<(), FrameError> {
         let count = usize::from(self.u8()?);
         self.skip(size_of::<f32>() * count)
--- a/crates/simulator-protocol/src/error.rs
+++ b/crates/simulator-protocol/src/error.rs
@@ -1,22 +1,24 @@
-//! What makes a frame, or the settings in a start record, unusable.
+//! Errors in frames and in the settings of a start record.
+//!
+//! The error texts are sent to the simulator and use the names of its wire protocol.
 
 use std::io;
 use thiserror::Error;
 
-/// A frame that can't be used, and where in it.
+/// An error in a frame, with its position.
 #[derive(Debug, Error)]
 #[error("{kind} at byte {offset} of the frame")]
 pub struct FrameError {
-    /// What is wrong.
+    /// The kind of error.
     pub kind: FrameErrorKind,
-    /// Bytes from the begin of the frame, its length included, to what is wrong.
+    /// The position of the error, in bytes from the start of the frame including its length prefix.
     pub offset: usize,
 }
 
-/// What is wrong with a frame.
+/// Kinds of errors in a frame.
 #[derive(Debug, Error)]
 pub enum FrameErrorKind {
-    /// The input ended before the frame did.
+    /// The input ended inside a frame.
     #[error("input ends inside a frame")]
     TruncatedInput,
     /// The input can't be read.
@@ -25,82 +27,82 @@
     /// The frame is larger than [`MAX_FRAME_BYTES`](crate::batch::MAX_FRAME_BYTES).
     #[error("frame of {length} bytes is too large")]
     FrameTooLarge {
-        /// The length that the frame states, in bytes.
+        /// The length in the frame's length prefix, in bytes.
         length: u32,
     },
-    /// The frame ended before its last record did.
+    /// The frame ended inside a record.
     #[error("record is cut short")]
     TruncatedRecord,
-    /// The frame goes on after its last record.
+    /// Bytes follow the frame's last record.
     #[error("bytes are left after the last record")]
     TrailingBytes,
-    /// No record has this code.
+    /// The record code is unknown.
     #[error("unknown record code {0}")]
     UnknownRecordCode(u16),
-    /// A time or span that no clock shows.
+    /// A time or duration is out of range or not finite.
     #[error("time {seconds} is out of range")]
     TimeOutOfRange {
-        /// What was found.
+        /// The value found.
         seconds: f64,
     },
-    /// No outcome of an attempt has this code.
+    /// The code of an attempt's outcome is unknown.
     #[error("unknown result {0}")]
     UnknownOutcome(u16),
-    /// No state of a pod has this code.
+    /// The code of a pod's state is unknown.
     #[error("unknown pod status {0}")]
     UnknownPodState(u8),
-    /// No phase of a rollout has this code.
+    /// The code of a rollout's phase is unknown.
     #[error("unknown course {0}")]
     UnknownPhase(u8),
-    /// No answer to a vote has this code.
+    /// The code of a vote's answer is unknown.
     #[error("unknown vote result {0}")]
     UnknownVoteAnswer(u16),
-    /// No kind of endpoint update has this code.
+    /// The code of an endpoint update's kind is unknown.
     #[error("unknown list news {0}")]
     UnknownEndpointUpdate(u8),
-    /// A start record comes before any instance is selected.
+    /// A start record precedes the selection of an instance.
     #[error("power_on for no instance")]
     NoInstanceSelected,
-    /// An endpoint update refers to a table that was not sent.
+    /// An endpoint update refers to a table that has not been sent.
     #[error("list {table} was never sent")]
     UnknownTable {
-        /// The table that the update names.
+        /// The number of the missing table.
         table: u16,
     },
-    /// The settings in a start record can't be used.
+    /// The settings in a start record are invalid.
     #[error(transparent)]
     StartSettings(#[from] StartSettingsError),
 }
 
-/// Settings in a start record that can't be used: which one, and what was found.
+/// Errors in the settings of a start record.
 #[derive(Debug, Error)]
 pub enum StartSettingsError {
-    /// They are no JSON of the expected form.
+    /// The settings are not JSON of the expected form.
     #[error("start terms: {0}")]
     Json(#[from] serde_json::Error),
-    /// One of the lists that need an entry, or the count of sidecars, is empty.
+    /// The layers or request classes are empty, or the number of sidecars is 0.
     #[error("start terms: layers, profiles or balancers is empty")]
     Empty,
-    /// The stages' shares and their exposure caps are not as many, or there are none.
+    /// The numbers of stage shares and exposure caps differ, or are 0.
     #[error("start terms: domain.most_shares and domain.stage_share do not match")]
     StagesMismatch,
-    /// The limit on votes is no number above zero.
+    /// The vote rate limit is not a number above 0.
     #[error("start terms: domain.vote_allowance is not over 0")]
     VoteRateLimit,
-    /// A number of seconds from 0 to a billion was expected.
+    /// A duration is not between 0 and a billion seconds.
     #[error("start terms: {setting} = {seconds} is not a span of time")]
     Duration {
         /// The path of the setting.
         setting: &'static str,
-        /// What was found.
+        /// The value found.
         seconds: f64,
     },
-    /// A setting that takes one of a few words holds another.
+    /// A setting with a fixed set of values has another value.
     #[error("start terms: unknown {setting} {found:?}")]
     UnknownValue {
         /// The path of the setting.
         setting: &'static str,
-        /// What was found.
+        /// The value found.
         found: String,
     },
 }
--- a/crates/simulator-protocol/src/lib.rs
+++ b/crates/simulator-protocol/src/lib.rs
@@ -1,10 +1,11 @@
-//! Codec of the simulator's wire: batches of records in, replies of actions out. All numbers are little-endian.
+//! Codec of the simulator's wire protocol: decodes batches of records and encodes replies of actions. All numbers are
+//! little-endian.
 //!
-//! - [`batch`]: one frame of input
-//! - [`record`]: the records of a frame
-//! - [`reply`]: one frame of output
+//! - [`batch`]: input frames
+//! - [`record`]: the records of an input frame
+//! - [`reply`]: output frames
 //! - [`start_settings`]: the JSON settings in a start record
-//! - [`error`]: what makes a frame or its settings unusable
+//! - [`error`]: errors in frames and settings
 
 pub mod batch;
 mod cursor;
--- a/crates/simulator-protocol/src/record.rs
+++ b/crates/simulator-protocol/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of a frame of input. Fields of a record are read in the order in which the wire has them.
+//! The records of an input frame. The fields of a record are read in wire order.
 
 use crate::cursor::Cursor;
 use crate::error::{FrameError, FrameErrorKind};
@@ -8,7 +8,7 @@
     TenantId, VoteAnswer, ZoneId,
 };
 
-/// Codes of the records, before each of them.
+/// Record codes; each record starts with its code.
 mod code {
     pub(super) const WAKE: u16 = 256;
     pub(super) const HEALTH_CHECK: u16 = 257;
@@ -27,60 +27,60 @@
     pub(super) const START: u16 = 270;
 }
 
-/// Bytes of a request's estimated work, which is not used.
+/// The size of a request's estimated work, which is not used, in bytes.
 const WORK_ESTIMATE_BYTES: usize = 8;
-/// Bytes of the attempt, pod and duration of a stream's begin, which are not used.
+/// The size of the attempt, pod and duration in a stream start, which are not used, in bytes.
 const STREAM_DETAIL_BYTES: usize = 2 + 6 + 8;
 
-/// What an endpoint update's table holds.
+/// The content of an endpoint update's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
     /// The endpoints that changed.
     Delta,
     /// All endpoints.
     Snapshot,
-    /// All endpoints as last known, from before the start.
+    /// All endpoints as last known before the start.
     Cached,
-    /// None: the watch was lost.
+    /// No content: the watch was lost.
     WatchLost,
 }
 
 /// One record of a batch.
 #[derive(Debug)]
 pub enum Record {
-    /// The records that follow are for this instance.
+    /// Selects the instance that the following records are for.
     SelectInstance(u32),
-    /// A table of endpoints, to which endpoint updates of all instances refer.
+    /// A table of endpoints that endpoint updates of any instance can refer to.
     EndpointTable {
-        /// Number of the table.
+        /// The number of the table.
         table: u16,
-        /// Its endpoints, in the wire's order.
+        /// The endpoints, in wire order.
         rows: Vec<Endpoint>,
     },
     /// The selected instance starts.
     Start {
-        /// Seed of the instance's random numbers.
+        /// The seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, as JSON.
+        /// The instance's settings, as JSON.
         settings: Vec<u8>,
-        /// Where the record begins, in bytes from the begin of the frame's body.
+        /// The start of the record, in bytes from the start of the frame's body.
         offset: usize,
     },
     /// The selected instance stops.
     Stop,
-    /// News of the endpoints for the selected instance.
+    /// An endpoint update for the selected instance.
     EndpointUpdate {
-        /// What the table holds.
+        /// The content of the table.
         kind: EndpointUpdateKind,
-        /// Number of the table; without meaning where the watch was lost.
+        /// The number of the table; meaningless if the watch was lost.
         table: u16,
-        /// Where the record begins, in bytes from the begin of the frame's body.
+        /// The start of the record, in bytes from the start of the frame's body.
         offset: usize,
     },
     /// An event for the selected instance.
     Event(Event),
-    /// A record that decisions don't use: timers (that the instance is called is enough), results of health checks, tallies and
-    /// messages from peers.
+    /// A record that the decision engine does not use: timers (calling the instance is enough), results of health checks,
+    /// tallies and messages from peers.
     Ignored,
 }
 
@@ -195,7 +195,7 @@
     let id = RequestId(cursor.u64()?);
     let class = ClassId(cursor.u16()?);
     let tenant = Some(TenantId(cursor.u32()?));
-    // A key of 0 is none.
+    // A key of 0 means that there is none.
     let routing_key = Some(cursor.u64()?).filter(|key| *key != 0).map(RoutingKey);
     let deadline = cursor.duration()?;
     cursor.skip(WORK_ESTIMATE_BYTES)?;
@@ -268,7 +268,7 @@
     let stage = StageIndex(cursor.u8()?);
     let answer = vote_answer(cursor)?;
     let voted = cursor.u8()? != 0;
-    // Without a counted answer the record holds no stage.
+    // The record contains a stage only with the answer `Counted`.
     let update = (answer == VoteAnswer::Counted).then_some(StageUpdate {
         build,
         stage,
--- a/crates/simulator-protocol/src/reply.rs
+++ b/crates/simulator-protocol/src/reply.rs
@@ -1,9 +1,9 @@
-//! One frame of output: the actions of many instances.
+//! Encodes an output frame: the actions of any number of instances.
 
 use limewing_decision::interface::{Action, PodId, Verdict};
 use std::io::{self, Write};
 
-/// Codes of the records, before each of them.
+/// Record codes; each record starts with its code.
 mod code {
     pub(super) const START_ATTEMPT: u16 = 257;
     pub(super) const LOG: u16 = 258;
@@ -17,11 +17,11 @@
     pub(super) const WAKE_AT: u16 = 269;
 }
 
-/// Bytes of a frame's count of records and its number.
+/// The size of a frame's record count and sequence number, in bytes.
 const HEADER_BYTES: u32 = 8;
-/// The watch that the only kind of endpoint list is asked for with.
+/// The code of the only kind of endpoint watch.
 const WATCH_ALL: u8 = 1;
-/// Token of a timer, which comes back in the wake record and is not used.
+/// The token of a timer. The wake record returns it, but it is not used.
 const TIMER_TOKEN: [u8; 8] = [0; 8];
 
 /// The records of the reply to one batch.
@@ -32,13 +32,13 @@
 }
 
 impl Reply {
-    /// The actions that follow are this instance's.
+    /// Selects the instance that the following actions belong to.
     pub fn select_instance(&mut self, instance: u32) {
         self.begin_record(code::SELECT_INSTANCE);
         self.put(&instance.to_le_bytes());
     }
 
-    /// Adds that the selected instance broke down.
+    /// Adds a fault of the selected instance.
     pub fn push_fault(&mut self, text: &str) {
         self.push_text(code::FAULT, text);
     }
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Writes the reply to the batch with this number, and begins the next one.
+    /// Writes the reply to the batch with this sequence number, then clears it for the next batch.
     ///
     /// # Errors
-    /// The output can't be written; the reply is kept.
+    /// The output can't be written. The reply is not cleared.
     pub fn write_to(&mut self, number: u32, output: &mut impl Write) -> io::Result<()> {
         let length = self.body.len() as u32 + HEADER_BYTES;
         output.write_all(&length.to_le_bytes())?;
@@ -121,7 +121,7 @@
         self.body.extend_from_slice(bytes);
     }
 
-    /// A text after its length; one that is too long is cut at a whole character.
+    /// Adds a record with a text and its length; a text that is too long is truncated at a character boundary.
     fn push_text(&mut self, code: u16, text: &str) {
         let mut end = text.len().min(usize::from(u16::MAX));
         while !text.is_char_boundary(end) {
@@ -133,7 +133,7 @@
     }
 }
 
-/// A pod's number, in six bytes.
+/// A pod id in six bytes.
 fn pod_bytes(pod: PodId) -> [u8; 6] {
     let [a, b, c, d, e, f, _, _] = pod.0.to_le_bytes();
     [a, b, c, d, e, f]
--- a/crates/simulator-protocol/src/start_settings.rs
+++ b/crates/simulator-protocol/src/start_settings.rs
@@ -1,5 +1,5 @@
-//! The settings of an instance: JSON as the simulator writes it, in a start record or a file. Names in attributes (`rename`,
-//! `expecting`) are those of that format and of its errors.
+//! The settings of an instance, as JSON written by the simulator in a start record or a file. `rename` and `expecting`
+//! attributes hold the names used in that format and in its errors.
 
 use crate::error::StartSettingsError;
 use limewing_decision::interface::{
@@ -9,20 +9,20 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Seconds within which a connection is established, where the settings are silent.
+/// The default connect timeout, in seconds.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
-/// Seconds for which an idle connection may be kept, where the settings are silent.
+/// The default idle timeout of a connection, in seconds.
 const DEFAULT_IDLE_TIMEOUT_S: f64 = 15.0;
-/// Votes to roll back that suffice, where the settings are silent.
+/// The default number of votes that roll a build back.
 const DEFAULT_ROLLBACK_QUORUM: u32 = 1;
-/// Spans are below this, in seconds; about 30 years.
-const MAX_SPAN_S: f64 = 1e9;
-/// The simulator counts in whole microseconds.
+/// The exclusive upper bound of durations, in seconds; about 30 years.
+const DURATION_LIMIT_S: f64 = 1e9;
+/// The simulator's clock has a resolution of 1 microsecond.
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// `membership_mode` in which an instance asks for its endpoints; otherwise they are pushed.
+/// The `membership_mode` in which an instance requests its endpoints; otherwise they are pushed.
 const WATCH_MODE: &str = "subscribe";
-/// `domain.counted_by` in which exposure is counted per request class.
-const EXPOSURE_PER_CLASS: &str = "class";
+/// The value of `domain.counted_by` with which exposure is counted per request class.
+const COUNTED_BY_CLASS: &str = "class";
 
 #[derive(Deserialize)]
 #[serde(expecting = "struct Options")]
@@ -139,28 +139,28 @@
     drain_grace_s: f64,
 }
 
-/// What a proxy on sockets needs beside [`SidecarConfig`]: names, in the order of the decisions' numbers, and how connections
-/// are kept.
+/// The settings that a proxy with real sockets needs in addition to [`SidecarConfig`]: names, in the order of the decision
+/// engine's ids, and connection timeouts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SocketSettings {
-    /// Names of the request classes.
+    /// The names of the request classes.
     pub classes: Vec<String>,
-    /// Names of the tenants.
+    /// The names of the tenants.
     pub tenants: Vec<String>,
-    /// Names of the zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Names of the machine types.
+    /// The names of the machine types.
     pub machine_types: Vec<String>,
-    /// How long a connection to a pod may take to be established.
+    /// The timeout for connecting to a pod.
     pub connect_timeout: Duration,
-    /// How long an idle connection to a pod is kept.
+    /// How long an idle connection to a pod is kept open.
     pub idle_timeout: Duration,
 }
 
-/// Reads what a proxy on sockets needs of an instance's settings.
+/// Reads the settings that a proxy with real sockets needs.
 ///
 /// # Errors
-/// They are no JSON of the expected form, or a span is out of range.
+/// The settings are not JSON of the expected form, or a duration is out of range.
 pub fn socket_settings(json: &[u8]) -> Result<SocketSettings, StartSettingsError> {
     let settings: StartSettings = serde_json::from_slice(json)?;
     let limits = settings.limits;
@@ -182,10 +182,10 @@
     })
 }
 
-/// Reads an instance's settings for its decisions.
+/// Reads the decision engine's configuration from an instance's settings.
 ///
 /// # Errors
-/// They are no JSON of the expected form, or hold what can't be used.
+/// The settings are not JSON of the expected form, or contain an invalid value.
 pub fn sidecar_config(seed: u64, json: &[u8]) -> Result<SidecarConfig, StartSettingsError> {
     let settings: StartSettings = serde_json::from_slice(json)?;
     check(&settings)?;
@@ -293,7 +293,7 @@
         exposure_caps: rollout.exposure_caps,
         exposure_window: duration("domain.span_s", rollout.exposure_window_s)?,
         exposure_free: rollout.exposure_free,
-        exposure_per_class: rollout.counted_by == EXPOSURE_PER_CLASS,
+        exposure_per_class: rollout.counted_by == COUNTED_BY_CLASS,
         guarded_stages: rollout.guarded_stages,
         sticky_keys: rollout.sticky_keys,
         vote_ttl: duration("domain.vote_ttl_s", rollout.vote_ttl_s)?,
@@ -306,7 +306,7 @@
 }
 
 fn duration(setting: &'static str, seconds: f64) -> Result<Duration, StartSettingsError> {
-    if !(0.0..MAX_SPAN_S).contains(&seconds) {
+    if !(0.0..DURATION_LIMIT_S).contains(&seconds) {
         return Err(StartSettingsError::Duration { setting, seconds });
     }
     let microseconds = seconds * MICROSECONDS_PER_SECOND;
--- a/crates/simulator-protocol/tests/framing.rs
+++ b/crates/simulator-protocol/tests/framing.rs
@@ -1,4 +1,4 @@
-//! How frames are read from an input: whole ones, broken ones, and the end; and the bytes of one reply.
+//! Tests of reading valid and malformed frames and the end of the input, and of the bytes of one reply.
 
 use limewing_decision::interface::{Action, ClassId, Event, PodId, RequestId};
 use limewing_simulator_protocol::{read_batch, Record, Reply};
@@ -6,8 +6,8 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Bytes in hexadecimal digits, with blanks between groups of them.
-fn hex(text: &str) -> Vec<u8> {
+/// Decodes hexadecimal digits, which may be grouped by whitespace.
+fn decode_hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
     golden::from_hex(&digits)
 }
@@ -18,13 +18,13 @@
 
 #[test]
 fn a_batch_for_two_instances_is_read() {
-    let batch = read_batch(&mut &hex(BATCH_FOR_TWO_INSTANCES)[..])
+    let batch = read_batch(&mut &decode_hex(BATCH_FOR_TWO_INSTANCES)[..])
         .unwrap()
         .unwrap();
     assert_eq!(batch.number, 12);
     assert!(matches!(batch.records[0], Record::SelectInstance(3)));
     let Record::Event(Event::RequestArrived(request)) = &batch.records[1] else {
-        panic!("a request")
+        panic!("expected a RequestArrived event")
     };
     assert_eq!(
         (request.class, request.id),
@@ -37,33 +37,33 @@
 }
 
 #[rstest]
-#[case::cut("10000000 508d976e12d32040", "input ends inside a frame")]
-#[case::short(
+#[case::input_ends("10000000 508d976e12d32040", "input ends inside a frame")]
+#[case::record_truncated(
     "12000000 508d976e12d32040 01000000 01000000 0701",
     "record is cut short"
 )]
-#[case::unknown(
+#[case::unknown_record(
     "12000000 508d976e12d32040 01000000 01000000 ffff",
     "unknown record code 65535"
 )]
-#[case::rest("11000000 508d976e12d32040 00000000 01000000 00", "bytes are left")]
-#[case::large("ffffffff", "too large")]
-#[case::rows(
+#[case::trailing_bytes("11000000 508d976e12d32040 00000000 01000000 00", "bytes are left")]
+#[case::frame_too_large("ffffffff", "too large")]
+#[case::table_rows_missing(
     "18000000 508d976e12d32040 01000000 01000000 0901 0000 ffffffff",
     "record is cut short"
 )]
-fn an_unusable_frame_is_an_error_that_says_why(#[case] frame: &str, #[case] expected: &str) {
-    let error = read_batch(&mut &hex(frame)[..]).unwrap_err();
+fn a_malformed_frame_is_reported_with_its_cause(#[case] frame: &str, #[case] expected: &str) {
+    let error = read_batch(&mut &decode_hex(frame)[..]).unwrap_err();
     assert!(error.kind.to_string().contains(expected), "{error}");
 }
 
 #[test]
-fn the_end_of_input_between_frames_is_no_error() {
+fn end_of_input_between_frames_is_not_an_error() {
     assert!(read_batch(&mut &[][..]).unwrap().is_none());
 }
 
 #[test]
-fn a_started_attempt_takes_the_documented_bytes() {
+fn a_started_attempt_has_the_documented_encoding() {
     let mut reply = Reply::default();
     reply.select_instance(3);
     let pod = PodId(u64::from_le_bytes([
--- a/crates/simulator-protocol/tests/golden.rs
+++ b/crates/simulator-protocol/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Pins the bytes of the simulator's wire: every kind of record that is read, every action that is written, and the
-//! JSON of a start record. The files in `golden/` were written by the program as it stood on 2026-12-02. Set
-//! `GOLDEN_WRITE` to write them anew after a wanted change of the wire.
+//! Golden tests of the simulator's wire protocol: every kind of record that is read, every action that is written, and the
+//! JSON of a start record. The files in `golden/` were generated on 2026-12-02. Set `GOLDEN_WRITE` to regenerate them after
+//! an intended change of the protocol.
 
 use limewing_decision::interface::{
     Action, AttemptIndex, AttemptOutcome, BuildId, Control, DeduplicationScope, Endpoint, Event,
@@ -21,11 +21,11 @@
     Path::new(PACKAGE).join("tests/golden").join(name)
 }
 
-fn assert_golden(name: &str, written: &str) {
-    assert_eq!(golden::read(PACKAGE, name, written), written, "{name}");
+fn assert_golden(name: &str, actual: &str) {
+    assert_eq!(golden::read(PACKAGE, name, actual), actual, "{name}");
 }
 
-/// Writes records as the simulator does.
+/// Builds the bytes of records and frames as the simulator does.
 #[derive(Default)]
 struct Bytes(Vec<u8>);
 
@@ -67,10 +67,10 @@
         self.raw(&pod.to_le_bytes()[..6])
     }
 
-    fn row(self, pod: u64, status: u8, started: f64) -> Self {
+    fn endpoint_row(self, pod: u64, state: u8, started: f64) -> Self {
         let (machine_type, build, weight, cell, zone) = (7, 12.0, 0.75, 515, 2);
         self.u8(machine_type)
-            .u8(status)
+            .u8(state)
             .f32(build)
             .f32(weight)
             .f64(started)
@@ -80,7 +80,7 @@
     }
 }
 
-/// One frame with these records.
+/// Encodes one frame with these records.
 fn frame(records: &[Bytes]) -> Vec<u8> {
     let mut body = Bytes::default()
         .f64(1000.25)
@@ -96,46 +96,47 @@
 const POD: u64 = 0x1f43_074a_120a;
 const REQUEST: u64 = 0x000a_7d0c_5d3a_91c4;
 
-/// Each kind of record that the simulator writes, under the name of its line in `golden/batches.hex`.
+/// A batch for each kind of record that the simulator writes, with its label in `golden/batches.hex`.
 fn batches() -> Vec<(&'static str, Vec<u8>)> {
-    let list = |kind, table| Bytes::record(259).u8(kind).u32(44).u16(table);
-    let stage = |phase, answer, asked| {
+    let update = |kind, table| Bytes::record(259).u8(kind).u32(44).u16(table);
+    let stage = |phase, answer, voted| {
         let record = Bytes::record(258).f32(0.25).u8(phase).u16(9).f64(1.5);
-        record.u8(2).u16(answer).u8(asked)
+        record.u8(2).u16(answer).u8(voted)
     };
-    let outcome = |result, over| {
+    let finished = |outcome, over| {
         let record = Bytes::record(262).u64(REQUEST).pod(POD).u8(over).f64(0.075);
-        record.u16(result).u16(3).u8(2).raw(&[1; 8])
+        record.u16(outcome).u16(3).u8(2).raw(&[1; 8])
     };
     let request = |key| {
         let record = Bytes::record(269).u64(REQUEST).u16(4).u32(100).u64(key);
         record.f64(1001.5).f64(0.125).u8(1)
     };
-    let inventory = Bytes::record(265).u16(5).u32(3);
-    let inventory = inventory
-        .row(POD, 1, 900.5)
-        .row(2, 2, 0.0)
-        .row(3, 0, 1000.125);
-    let options = br#"{"balancers":1}"#;
-    let power_on = Bytes::record(270).u64(0x8c1f_30d2_7a5b_e964);
-    let power_on = power_on.u32(options.len() as u32).raw(options);
-    let check = Bytes::record(257).pod(POD).u16(13).f64(0.5);
+    let endpoint_table = Bytes::record(265).u16(5).u32(3);
+    let endpoint_table = endpoint_table
+        .endpoint_row(POD, 1, 900.5)
+        .endpoint_row(2, 2, 0.0)
+        .endpoint_row(3, 0, 1000.125);
+    let settings = br#"{"balancers":1}"#;
+    let start = Bytes::record(270).u64(0x8c1f_30d2_7a5b_e964);
+    let start = start.u32(settings.len() as u32).raw(settings);
+    let health_check = Bytes::record(257).pod(POD).u16(13).f64(0.5);
     let tally = Bytes::record(264).f64(1.0).u16(3).f64(0.25).u32(9).u16(1);
     vec![
         ("empty", frame(&[])),
         ("switch_to", frame(&[Bytes::record(263).u32(3)])),
-        ("inventory", frame(&[inventory])),
-        ("power_on", frame(&[power_on])),
+        ("inventory", frame(&[endpoint_table])),
+        ("power_on", frame(&[start])),
         ("halt", frame(&[Bytes::record(268)])),
         (
             "list_news",
-            frame(&[list(0, 5), list(1, 6), list(2, 7), list(3, 0)]),
+            frame(&[update(0, 5), update(1, 6), update(2, 7), update(3, 0)]),
         ),
         ("request", frame(&[request(77), request(0)])),
         (
             "outcome",
             frame(
-                &[0, 13, 8, 4, 14, 10, 1, 9].map(|result| outcome(result, u8::from(result == 0))),
+                &[0, 13, 8, 4, 14, 10, 1, 9]
+                    .map(|outcome| finished(outcome, u8::from(outcome == 0))),
             ),
         ),
         (
@@ -159,7 +160,7 @@
             "unused",
             frame(&[
                 Bytes::record(256).u64(8),
-                check.u8(1).raw(&[0; 4]),
+                health_check.u8(1).raw(&[0; 4]),
                 Bytes::record(261).u32(2).u16(3).raw(b"abc"),
                 tally.u32(1),
             ]),
@@ -167,8 +168,8 @@
     ]
 }
 
-fn micros(span: Duration) -> u128 {
-    span.as_micros()
+fn micros(duration: Duration) -> u128 {
+    duration.as_micros()
 }
 
 fn describe_row(row: &Endpoint) -> String {
@@ -196,8 +197,8 @@
             request.routing_key.map(|key| key.0),
             micros(request.deadline)
         ),
-        Event::AttemptFinished(outcome) => {
-            let result = match outcome.outcome {
+        Event::AttemptFinished(result) => {
+            let outcome = match result.outcome {
                 AttemptOutcome::Succeeded => 0,
                 AttemptOutcome::Cancelled => 1,
                 AttemptOutcome::TimedOut => 4,
@@ -208,12 +209,12 @@
                 AttemptOutcome::ConnectFailed => 14,
             };
             format!(
-                "outcome {result} of request {} attempt {} pod {} after {} over {}",
-                outcome.request.0,
-                outcome.attempt.0,
-                outcome.pod.0,
-                micros(outcome.duration),
-                outcome.request_over
+                "outcome {outcome} of request {} attempt {} pod {} after {} over {}",
+                result.request.0,
+                result.attempt.0,
+                result.pod.0,
+                micros(result.duration),
+                result.request_over
             )
         }
         Event::StreamStarted { request } => format!("stream of request {}", request.0),
@@ -234,7 +235,7 @@
             format!("stage {update} answer {answer:?}")
         }
         Event::Endpoints(_) | Event::Fleet(_) | Event::KeyServed(..) => {
-            "no event of this wire".into()
+            "not an event of this protocol".into()
         }
     }
 }
@@ -290,33 +291,33 @@
 }
 
 #[test]
-fn each_kind_of_record_has_its_bytes() {
-    let mut written = String::new();
+fn record_encodings_match_the_golden_file() {
+    let mut encoded = String::new();
     for (name, bytes) in batches() {
-        writeln!(written, "{name} {}", golden::to_hex(&bytes)).unwrap();
+        writeln!(encoded, "{name} {}", golden::to_hex(&bytes)).unwrap();
     }
-    assert_golden("batches.hex", &written);
+    assert_golden("batches.hex", &encoded);
 }
 
 #[test]
-fn each_kind_of_record_is_read() {
+fn decoded_records_match_the_golden_file() {
     let file = std::fs::read_to_string(golden_path("batches.hex")).unwrap();
-    let mut read = String::new();
+    let mut decoded = String::new();
     for line in file.lines() {
         let (name, hex) = line.split_once(' ').unwrap();
         let batch = read_batch(&mut &golden::from_hex(hex)[..])
             .unwrap()
             .unwrap();
         assert_eq!((batch.number, micros(batch.now)), (12, 1_000_250_000));
-        writeln!(read, "{name}").unwrap();
+        writeln!(decoded, "{name}").unwrap();
         for record in &batch.records {
-            writeln!(read, "    {}", describe_record(record)).unwrap();
+            writeln!(decoded, "    {}", describe_record(record)).unwrap();
         }
     }
-    assert_golden("batches.txt", &read);
+    assert_golden("batches.txt", &decoded);
 }
 
-/// Each kind of action, under the name of its line in `golden/replies.hex`.
+/// Each kind of action, with its label in `golden/replies.hex`.
 fn actions() -> Vec<(&'static str, Action)> {
     let (request, pod) = (RequestId(REQUEST), PodId(POD));
     let vote = |verdict| Action::Vote {
@@ -356,37 +357,46 @@
     ]
 }
 
-fn sent(mut reply: Reply) -> Vec<u8> {
+fn encode_reply(mut reply: Reply) -> Vec<u8> {
     let mut out = Vec::new();
     reply.write_to(12, &mut out).unwrap();
     out
 }
 
 #[test]
-fn each_action_has_its_bytes() {
-    let mut written = String::new();
+fn action_encodings_match_the_golden_file() {
+    let mut encoded = String::new();
     let mut all = Reply::default();
     for (name, action) in actions() {
         let mut reply = Reply::default();
         reply.push_action(&action);
-        writeln!(written, "{name} {}", golden::to_hex(&sent(reply))).unwrap();
-        all.select_instance(written.len() as u32);
+        writeln!(encoded, "{name} {}", golden::to_hex(&encode_reply(reply))).unwrap();
+        all.select_instance(encoded.len() as u32);
         all.push_action(&action);
     }
     let mut fault = Reply::default();
     fault.push_fault("record is cut short at byte 3 of the frame");
-    writeln!(written, "fault {}", golden::to_hex(&sent(fault))).unwrap();
-    writeln!(written, "empty {}", golden::to_hex(&sent(Reply::default()))).unwrap();
-    writeln!(written, "many_instances {}", golden::to_hex(&sent(all))).unwrap();
-    assert_golden("replies.hex", &written);
+    writeln!(encoded, "fault {}", golden::to_hex(&encode_reply(fault))).unwrap();
+    writeln!(
+        encoded,
+        "empty {}",
+        golden::to_hex(&encode_reply(Reply::default()))
+    )
+    .unwrap();
+    writeln!(
+        encoded,
+        "many_instances {}",
+        golden::to_hex(&encode_reply(all))
+    )
+    .unwrap();
+    assert_golden("replies.hex", &encoded);
 }
 
-/// A text that is too long for its record is cut at a whole character.
 #[test]
-fn a_long_line_is_cut() {
+fn a_long_text_is_truncated_at_a_character_boundary() {
     let mut reply = Reply::default();
     reply.push_action(&Action::Log("ü".repeat(40_000)));
-    let out = sent(reply);
+    let out = encode_reply(reply);
     assert_eq!(out[12..16], [2, 1, 0xfe, 0xff]);
     assert_eq!(out.len(), 16 + 65_534);
 }
@@ -482,7 +492,7 @@
 }
 
 #[test]
-fn start_settings_are_read() {
+fn decoded_start_settings_match_the_golden_files() {
     for (from, to) in [
         ("start.json", "start.txt"),
         ("start_defaults.json", "start_defaults.txt"),
