--- a/crates/fault-injection/src/action.rs
+++ b/crates/fault-injection/src/action.rs
@@ -1,44 +1,44 @@
-//! What a fault asks of the members' host.
+//! Actions of faults that the members' host carries out.
 
 use crate::script::Fault;
 
-/// What the host is to do to one member, given by its number.
+/// Action of the host on one member, which is given by its number.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// End it outright.
+    /// Kill it without notice.
     Kill(usize),
-    /// Let it leave, and end it.
+    /// Let it leave the fleet, then stop it.
     Leave(usize),
     /// Suspend it.
     Suspend(usize),
-    /// End the suspension: it goes on as if nothing had been.
+    /// Resume it after a suspension, with its state unchanged.
     Resume(usize),
-    /// Start it, anew if it runs.
+    /// Start it, or restart it if it runs.
     Start(usize),
-    /// Delete what it keeps on disk, if it does not run.
+    /// Delete its data on disk, if it does not run.
     LoseDisk(usize),
-    /// Let its writes fail from now on.
+    /// Let its disk writes fail from now on.
     FillDisk(usize),
-    /// Let its writes succeed again.
+    /// Let its disk writes succeed again.
     FreeDisk(usize),
-    /// Replace the keys in its key file, and let it read the file.
+    /// Replace the keys in its key file, and let it reload the file.
     ReplaceKeys {
         /// The member.
         member: usize,
-        /// Numbers of the keys; the first one seals.
+        /// Numbers of the keys; the first one seals datagrams.
         ids: Vec<u8>,
     },
-    /// Send it noise, and as many datagrams that it has had before.
+    /// Send it datagrams of noise, and replay as many datagrams that it received before.
     SendNoise {
         /// The member.
         member: usize,
-        /// How many of each kind.
+        /// Number of datagrams of each kind.
         datagrams: u32,
     },
 }
 
 impl Fault {
-    /// The actions of a fault that concerns members, in a fleet of `member_count`; none of a fault of links.
+    /// Actions of a fault that affects members, in a fleet of `member_count`; empty for a fault of links.
     pub(crate) fn actions(&self, member_count: usize) -> Vec<FaultAction> {
         let (members, action): (_, &dyn Fn(usize) -> FaultAction) = match self {
             Fault::Partition { .. } | Fault::HealPartitions | Fault::ChangeLinks { .. } => {
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,18 +1,18 @@
-//! Faults between the members of a fleet, by one script that drives simulated members and processes alike; without I/O and
-//! without a clock.
+//! Scripted faults between the members of a fleet. The same script drives simulated members and real processes. The package does
+//! no I/O and reads no clock.
 //!
-//! Data flow: a [`Script`] says which [`Fault`] happens when. A [`FaultyNetwork`] takes each datagram on its way from one member
-//! to another and returns which copies of it arrive when ([`FaultyNetwork::transmit`]); it follows the script's time
-//! ([`FaultyNetwork::advance`]) and returns the [`FaultAction`]s that only the members' host can carry out. A [`Simulation`] is
-//! such a host for members without I/O ([`SimulatedMember`]): it steps up to a thousand of them through simulated time. The rig
-//! of processes in `crates/emulators` is another.
+//! Data flow: a [`Script`] states which [`Fault`] happens when. A [`FaultyNetwork`] takes each datagram that one member sends to
+//! another and returns the copies of it that arrive, with their times ([`FaultyNetwork::transmit`]). It applies the faults that are
+//! due ([`FaultyNetwork::advance`]) and returns the [`FaultAction`]s that only the members' host can carry out. A [`Simulation`] is
+//! such a host for members without I/O ([`SimulatedMember`]): it runs up to a thousand of them in simulated time. The other host is
+//! the process runner in `crates/emulators`.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `script` | the script's format |
-//! | `selector` | which members a fault concerns |
-//! | `validation` | what of a script cannot be used |
-//! | `action` | what a fault asks of the members' host |
+//! | `script` | format of the script |
+//! | `selector` | selection of the members that a fault affects |
+//! | `validation` | detection of invalid values in a script |
+//! | `action` | actions of faults that the members' host carries out |
 //! | `network` | links between members: loss, delay, partitions |
 //! | `simulation` | members in simulated time |
 
--- a/crates/fault-injection/src/network.rs
+++ b/crates/fault-injection/src/network.rs
@@ -1,4 +1,4 @@
-//! Links between members. Each ordered pair of members has a link of its own; one random number generator serves all.
+//! Links between members. Each ordered pair of members has its own link; all links share one random number generator.
 
 use crate::action::FaultAction;
 use crate::script::{Fault, LinkConditions, Script};
@@ -7,23 +7,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A copy of a datagram that arrives.
+/// An arriving copy of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When it arrives.
+    /// Time of arrival.
     pub at: Duration,
-    /// Its bytes.
+    /// Contents of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// One direction between two members.
+/// One direction of the connection between two members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: usize,
     to: usize,
 }
 
-/// A token bucket that holds a second's worth of bytes.
+/// A token bucket that holds at most the bytes of one second.
 #[derive(Clone, Copy)]
 struct ByteBudget {
     bytes: f64,
@@ -35,51 +35,51 @@
     fault: Fault,
 }
 
-/// The links between members under a script of faults.
+/// Links between members, subject to a script of faults.
 pub struct FaultyNetwork {
     member_count: usize,
-    usual_conditions: LinkConditions,
-    /// By time.
+    default_conditions: LinkConditions,
+    /// In ascending order of time.
     faults: Vec<DueFault>,
     next_fault: usize,
-    partitioned: BTreeSet<Link>,
-    changed_conditions: BTreeMap<Link, LinkConditions>,
-    /// Of links with a byte rate.
+    partitioned_links: BTreeSet<Link>,
+    overridden_conditions: BTreeMap<Link, LinkConditions>,
+    /// Byte budgets of the links that have a rate limit.
     budgets: BTreeMap<Link, ByteBudget>,
     rng: WyRand,
 }
 
 impl FaultyNetwork {
-    /// The links between `member_count` members at the script's start.
+    /// Creates the links between `member_count` members as of the script's start.
     pub fn new(script: &Script, member_count: usize) -> Self {
-        let to_due = |at: f64| Duration::from_secs_f64(at.max(0.0));
+        let due_time = |at: f64| Duration::from_secs_f64(at.max(0.0));
         let mut faults: Vec<DueFault> = script
             .steps
             .iter()
             .map(|step| DueFault {
-                at: to_due(step.at),
+                at: due_time(step.at),
                 fault: step.fault.clone(),
             })
             .collect();
         faults.sort_by_key(|due| due.at);
         Self {
             member_count,
-            usual_conditions: script.conditions,
+            default_conditions: script.conditions,
             faults,
             next_fault: 0,
-            partitioned: BTreeSet::new(),
-            changed_conditions: BTreeMap::new(),
+            partitioned_links: BTreeSet::new(),
+            overridden_conditions: BTreeMap::new(),
             budgets: BTreeMap::new(),
             rng: WyRand::new_seed(script.seed),
         }
     }
 
-    /// When the next fault is due; `None`: none is left.
+    /// Returns when the next fault is due; `None` if none is left.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.faults.get(self.next_fault).map(|due| due.at)
     }
 
-    /// Applies the faults that are due. Returns what the members' host is to do.
+    /// Applies the faults that are due. Returns the actions that the members' host has to carry out.
     pub fn advance(&mut self, now: Duration) -> Vec<FaultAction> {
         let mut actions = Vec::new();
         while self.next_deadline().is_some_and(|at| at <= now) {
@@ -94,14 +94,14 @@
     fn apply_to_links(&mut self, fault: &Fault) {
         match fault {
             Fault::Partition { from, to, one_way } => self.partition(from, to, *one_way),
-            Fault::HealPartitions => self.partitioned.clear(),
+            Fault::HealPartitions => self.partitioned_links.clear(),
             Fault::ChangeLinks {
                 from,
                 to,
                 conditions,
             } => {
                 for link in self.links(from, to) {
-                    self.changed_conditions.insert(link, *conditions);
+                    self.overridden_conditions.insert(link, *conditions);
                 }
             }
             _ => {}
@@ -109,9 +109,9 @@
     }
 
     fn partition(&mut self, from: &Selector, to: &Selector, one_way: bool) {
-        self.partitioned.extend(self.links(from, to));
+        self.partitioned_links.extend(self.links(from, to));
         if !one_way {
-            self.partitioned.extend(self.links(to, from));
+            self.partitioned_links.extend(self.links(to, from));
         }
     }
 
@@ -127,12 +127,12 @@
         links
     }
 
-    /// A number from 0 up to 1, evenly distributed.
+    /// Returns a random number from 0 (inclusive) to 1 (exclusive), uniformly distributed.
     fn random_fraction(&mut self) -> f64 {
         (self.rng.generate::<u64>() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// What becomes of a datagram: none, one or two copies arrive.
+    /// Transmits a datagram. Returns the copies that arrive: none, one or two.
     pub fn transmit(
         &mut self,
         now: Duration,
@@ -141,16 +141,16 @@
         bytes: &[u8],
     ) -> Vec<Arrival> {
         let link = Link { from, to };
-        let changed = self.changed_conditions.get(&link).copied();
-        let conditions = changed.unwrap_or(self.usual_conditions);
-        if self.partitioned.contains(&link) || self.random_fraction() < conditions.loss {
+        let overridden = self.overridden_conditions.get(&link).copied();
+        let conditions = overridden.unwrap_or(self.default_conditions);
+        if self.partitioned_links.contains(&link) || self.random_fraction() < conditions.loss {
             return Vec::new();
         }
         if !self.take_budget(now, link, conditions.bytes_per_second, bytes.len()) {
             return Vec::new();
         }
-        let is_duplicated = self.random_fraction() < conditions.duplicate;
-        let copies = if is_duplicated { 2 } else { 1 };
+        let duplicated = self.random_fraction() < conditions.duplicate;
+        let copies = if duplicated { 2 } else { 1 };
         (0..copies)
             .map(|_| self.arrival(now, &conditions, bytes))
             .collect()
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Whether a datagram fits into the link's byte rate, 0 being no limit; takes its bytes from the budget then.
+    /// Takes a datagram's bytes from the link's budget, and returns whether they fit. A byte rate of 0 means no limit.
     fn take_budget(
         &mut self,
         now: Duration,
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -1,7 +1,8 @@
-//! The script of faults. Times are in seconds from the start; members are selected by their part of the fleet, so that one
-//! script fits any number of them.
+//! The script of faults. Times are in seconds from the start. Members are selected as a part of the fleet, so that one script
+//! works with any number of members.
 //!
-//! Names in files differ from the names here, and descriptions in the schema from the comments here: both are formats.
+//! Names in script files may differ from the names here, and empty schema descriptions replace some of the comments here: both
+//! are part of the file format.
 
 use crate::selector::Selector;
 use schemars::JsonSchema;
@@ -12,13 +13,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// The script's name.
+    /// Name of the script.
     #[schemars(description = "")]
     pub name: String,
     /// Seed of the random number generator.
     #[schemars(description = "")]
     pub seed: u64,
-    /// How long the script takes.
+    /// Duration of the script in seconds.
     #[schemars(description = "")]
     pub seconds: f64,
     /// Every link, unless a step says otherwise.
@@ -33,12 +34,12 @@
     pub clock_offsets: Vec<ClockOffset>,
 }
 
-/// A wrong clock.
+/// Offset of the clocks of some members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Ahead", description = "")]
 pub struct ClockOffset {
-    /// The members that have it.
+    /// The members with this offset.
     #[serde(rename = "who")]
     #[schemars(description = "")]
     pub members: Selector,
@@ -51,7 +52,7 @@
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Line")]
 pub struct LinkConditions {
-    /// The part of datagrams that is lost.
+    /// Fraction of the datagrams that is lost.
     #[schemars(description = "")]
     pub loss: f64,
     /// Delay of every datagram, in milliseconds.
@@ -59,7 +60,7 @@
     pub delay_ms: f64,
     /// Further delay, drawn evenly up to this: what is later may come first.
     pub jitter_ms: f64,
-    /// The part of datagrams that arrives twice.
+    /// Fraction of the datagrams that arrives twice.
     #[schemars(description = "")]
     pub duplicate: f64,
     /// One bit is turned.
@@ -69,21 +70,21 @@
     pub bytes_per_second: f64,
 }
 
-/// A fault and its time.
+/// A fault with its time.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Step", description = "")]
 pub struct ScriptStep {
-    /// When it happens, in seconds.
+    /// Time of the fault, in seconds from the start of the script.
     #[schemars(description = "")]
     pub at: f64,
-    /// What happens.
+    /// The fault.
     #[serde(rename = "does")]
     #[schemars(description = "")]
     pub fault: Fault,
 }
 
-/// What happens to links or members.
+/// A fault of links or members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 #[schemars(description = "")]
@@ -97,7 +98,7 @@
         /// The receivers.
         #[schemars(description = "")]
         to: Selector,
-        /// Whether the other direction stays as it is.
+        /// Whether only this direction is cut.
         #[serde(default)]
         #[schemars(description = "")]
         one_way: bool,
@@ -114,7 +115,7 @@
         /// The receivers.
         #[schemars(description = "")]
         to: Selector,
-        /// The links' new conditions.
+        /// New conditions of the links.
         #[serde(rename = "line")]
         #[schemars(description = "")]
         conditions: LinkConditions,
@@ -126,7 +127,7 @@
     /// Stands still, and goes on as if nothing had been.
     #[serde(rename = "stop")]
     Suspend(Selector),
-    /// Ends a suspension.
+    /// The members resume after a suspension.
     #[serde(rename = "go_on")]
     #[schemars(description = "")]
     Resume(Selector),
@@ -136,7 +137,7 @@
     LoseDisk(Selector),
     /// Their disks take nothing more; of those that run.
     FillDisk(Selector),
-    /// Their disks take writes again.
+    /// Their disk writes succeed again.
     #[schemars(description = "")]
     FreeDisk(Selector),
     /// Their key file has these keys from now on, the first one seals; they are told to read it.
@@ -156,19 +157,19 @@
         /// The members that get the datagrams.
         #[schemars(description = "")]
         to: Selector,
-        /// How many of each kind.
+        /// Number of datagrams of each kind.
         #[schemars(description = "")]
         datagrams: u32,
     },
 }
 
 impl Script {
-    /// How long the script takes.
+    /// Returns the duration of the script.
     pub fn duration(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
 
-    /// By how many seconds a member's clock is ahead, in a fleet of `member_count`.
+    /// Returns by how many seconds a member's clock is ahead, in a fleet of `member_count`; negative if it is behind.
     pub fn clock_offset(&self, member: usize, member_count: usize) -> f64 {
         self.clock_offsets
             .iter()
--- a/crates/fault-injection/src/selector.rs
+++ b/crates/fault-injection/src/selector.rs
@@ -1,4 +1,4 @@
-//! Which members a fault concerns.
+//! Selection of the members that a fault affects.
 
 use schemars::{JsonSchema, Schema};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 /// Some of the members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-#[schemars(rename = "Who", transform = words_as_enum)]
+#[schemars(rename = "Who", transform = const_as_enum)]
 pub enum Selector {
     /// All members.
     #[schemars(description = "")]
@@ -18,8 +18,9 @@
     Numbers(Vec<usize>),
 }
 
-/// Writes the word `all` as an `enum` of one word, as the schema's readers know it; a variant with a comment becomes a `const`.
-fn words_as_enum(schema: &mut Schema) {
+/// Writes the value `all` as an `enum` with one value, to keep the published schema unchanged: schemars writes a variant that has a doc
+/// comment as a `const`.
+fn const_as_enum(schema: &mut Schema) {
     let Some(variants) = schema
         .get_mut("oneOf")
         .and_then(|value| value.as_array_mut())
@@ -30,14 +31,14 @@
         .iter_mut()
         .filter_map(|value| value.as_object_mut())
     {
-        if let Some(word) = variant.remove("const") {
-            variant.insert("enum".into(), vec![word].into());
+        if let Some(value) = variant.remove("const") {
+            variant.insert("enum".into(), vec![value].into());
         }
     }
 }
 
 impl Selector {
-    /// Numbers of the selected members in a fleet of `member_count`.
+    /// Returns the numbers of the selected members in a fleet of `member_count`.
     pub fn resolve(&self, member_count: usize) -> Vec<usize> {
         match self {
             Self::All => (0..member_count).collect(),
--- a/crates/fault-injection/src/simulation.rs
+++ b/crates/fault-injection/src/simulation.rs
@@ -1,4 +1,5 @@
-//! Members without I/O in simulated time, under a script of faults. The same script, seed and members give the same run.
+//! Runs members without I/O in simulated time, subject to a script of faults. Runs with the same script, seed and members are
+//! identical.
 
 use crate::action::FaultAction;
 use crate::network::FaultyNetwork;
@@ -6,41 +7,42 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Datagrams that wait for a suspended member at most, as an operating system's buffer holds them; more are lost.
+/// Upper bound of the datagrams that wait for a suspended member, as in an operating system's receive buffer; more are lost.
 const MAX_BUFFERED_DATAGRAMS: usize = 256;
-/// Datagrams that are remembered of each member, to be sent again as a replay.
+/// Number of last received datagrams that are kept for each member, to replay them.
 const MAX_RECENT_DATAGRAMS: usize = 16;
-/// A member is ticked again after this at the earliest: one that is always due would stop the simulated time.
+/// Shortest time between two ticks of a member: simulated time would stand still if a member were always due.
 const MIN_TICK_INTERVAL: Duration = Duration::from_micros(1);
-/// Lengths of datagrams of noise, in bytes: from the first one on, so many different ones in turn.
+/// Length of the shortest datagram of noise.
 const MIN_NOISE_BYTES: usize = 20;
+/// Number of different lengths of noise, used in turn; each is one byte longer than the one before.
 const NOISE_LENGTHS: usize = 1000;
 
-/// A member without I/O and without a clock. Members are known by number.
+/// A member without I/O and without a clock of its own. Members are identified by number.
 pub trait SimulatedMember {
-    /// Starts the member of this number, which has been started `earlier_starts` times before. Its clock is ahead by
+    /// Starts the member with this number, which has been started `earlier_starts` times before. Its clock is ahead by
     /// `clock_offset` seconds.
     fn start(number: usize, earlier_starts: u32, now: Duration, clock_offset: f64) -> Self;
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     fn receive(&mut self, now: Duration, datagram: &[u8]);
-    /// Does what is due.
+    /// Performs the work that is due.
     fn tick(&mut self, now: Duration);
-    /// When [`Self::tick`] is due.
+    /// Returns when [`Self::tick`] is due.
     fn next_deadline(&self) -> Duration;
-    /// The next datagram to send, and the receiver's number; it gets lost if nobody has that.
+    /// Takes the next datagram to send, with the receiver's number; the datagram is lost if no member has that number.
     fn take_datagram(&mut self) -> Option<(usize, Vec<u8>)>;
-    /// Leaves; it is ended once its datagrams are taken.
+    /// Leaves the fleet; the member is stopped once its remaining datagrams are taken.
     fn leave(&mut self, now: Duration);
-    /// Replaces its keys by those of these numbers.
+    /// Replaces its keys by the keys with these numbers.
     fn replace_keys(&mut self, _ids: &[u8]) {}
 }
 
-/// What all members have sent.
+/// Traffic that all members have sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Number of bytes in these datagrams.
     pub bytes: u64,
 }
 
@@ -54,7 +56,7 @@
     kind: EventKind,
 }
 
-/// Events are ordered by time, then in the order in which they were scheduled.
+/// Orders events by time, then by the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: Duration,
@@ -69,9 +71,9 @@
     is_suspended: bool,
     /// Datagrams that arrived while it was suspended.
     buffered: VecDeque<Vec<u8>>,
-    /// When its tick is due; ticks that were scheduled before are void.
+    /// When its tick is due; ticks that were scheduled for earlier times are ignored.
     next_tick: Duration,
-    /// Datagrams that it received lately.
+    /// Datagrams that it received last.
     recent: VecDeque<Vec<u8>>,
 }
 
@@ -86,7 +88,7 @@
 }
 
 impl<M: SimulatedMember> Simulation<M> {
-    /// Starts `member_count` members; those that the script's first steps kill don't get further.
+    /// Starts all `member_count` members, also those that the script's first steps kill.
     pub fn new(script: &Script, member_count: usize) -> Self {
         let slot = |number| Slot {
             member: None,
@@ -111,27 +113,27 @@
         simulation
     }
 
-    /// The simulated time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// A member that runs, suspended or not.
+    /// Returns a member if it runs, suspended or not.
     pub fn member(&self, number: usize) -> Option<&M> {
         self.slots[number].member.as_ref()
     }
 
-    /// The number of members, running or not.
+    /// Returns the number of members, running or not.
     pub fn member_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// What all members have sent so far.
+    /// Returns the traffic that all members have sent so far.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// Runs until the simulated time is `until`.
+    /// Runs the simulation until the simulated time is `until`.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(at) = self.next_time().filter(|at| *at <= until) {
             self.now = self.now.max(at);
@@ -147,7 +149,7 @@
         self.now = self.now.max(until);
     }
 
-    /// When the next event or fault is due.
+    /// Returns when the next event or fault is due.
     fn next_time(&self) -> Option<Duration> {
         let event_at = self.events.first_key_value().map(|(key, _)| key.at);
         let fault_at = self.network.next_deadline();
@@ -173,7 +175,7 @@
             FaultAction::Suspend(number) => self.slots[number].is_suspended = true,
             FaultAction::Resume(number) => self.resume(number),
             FaultAction::Leave(number) => self.leave(number),
-            // Simulated members keep nothing on disk.
+            // Simulated members have no disk.
             FaultAction::LoseDisk(_) | FaultAction::FillDisk(_) | FaultAction::FreeDisk(_) => {}
             FaultAction::ReplaceKeys { member, ids } => {
                 if let Some(member) = &mut self.slots[member].member {
@@ -193,7 +195,7 @@
         self.send_and_schedule(number);
     }
 
-    /// A member that goes on reads first what arrived meanwhile, and looks at the clock then.
+    /// A resumed member first receives the datagrams that arrived meanwhile, and is ticked afterwards.
     fn resume(&mut self, number: usize) {
         self.slots[number].is_suspended = false;
         for bytes in std::mem::take(&mut self.slots[number].buffered) {
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Sends what a member has to send, and schedules its next tick.
+    /// Sends the datagrams that a member has queued, and schedules its next tick.
     fn send_and_schedule(&mut self, number: usize) {
         let Some(member) = &mut self.slots[number].member else {
             return;
--- a/crates/fault-injection/src/validation.rs
+++ b/crates/fault-injection/src/validation.rs
@@ -1,24 +1,25 @@
-//! What of a script cannot be used.
+//! Detects invalid values in a script.
 
 use crate::script::{ClockOffset, Fault, LinkConditions, Script, ScriptStep};
 use crate::selector::Selector;
 use std::ops::RangeInclusive;
 
-/// How long a script may take, in seconds.
+/// Valid duration of a script, in seconds.
 const SCRIPT_SECONDS: RangeInclusive<f64> = 0.1..=86_400.0;
-/// How far a clock may be off, in seconds.
+/// Valid offset of a clock, in seconds.
 const CLOCK_OFFSET_SECONDS: RangeInclusive<f64> = -86_400.0..=86_400.0;
-/// Delay and jitter of a link, in milliseconds.
+/// Valid delay and jitter of a link, in milliseconds.
 const LINK_DELAY_MS: RangeInclusive<f64> = 0.0..=1e7;
 const FRACTION: RangeInclusive<f64> = 0.0..=1.0;
-const VALID_CONDITIONS: &str = "parts from 0 to 1, milliseconds from 0, bytes a second from 0";
+const VALID_CONDITIONS: &str =
+    "fractions from 0 to 1, milliseconds from 0 to 1e7, bytes per second from 0";
 
-/// A value that cannot be used.
+/// An invalid value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
-    /// Where it is in the file, as a JSON pointer.
+    /// Location of the value in the file, as a JSON pointer.
     pub path: String,
-    /// What was expected there.
+    /// Description of the values that are valid there.
     pub expected: &'static str,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl Script {
-    /// All values that cannot be used.
+    /// Returns all invalid values.
     pub fn config_errors(&self) -> Vec<ConfigError> {
         let mut validation = Validation { errors: Vec::new() };
         validation.require(
@@ -43,7 +44,7 @@
             validation.require(
                 offset.is_valid(),
                 format!("/clocks/{index}"),
-                "some of the members, and up to 86400 seconds either way",
+                "a valid selection of members, and -86400 to 86400 seconds",
             );
         }
         validation.errors
@@ -64,18 +65,18 @@
             "a time from 0 to the script's seconds",
         );
         if let Fault::ReplaceKeys { ids, .. } = &step.fault {
-            let is_one = ids.len() == 1;
-            let are_two = matches!(ids[..], [first, second] if first != second);
+            let has_one_key = ids.len() == 1;
+            let has_two_keys = matches!(ids[..], [first, second] if first != second);
             self.require(
-                is_one || are_two,
+                has_one_key || has_two_keys,
                 format!("/steps/{index}/does/keys/ids"),
-                "one key or two",
+                "one key, or two different ones",
             );
         }
         self.require(
             selectors(&step.fault).iter().all(|s| s.is_valid()),
             format!("/steps/{index}/does"),
-            "a part of the fleet from 0 to 1, its end not before its begin",
+            "a part of the fleet from 0 to 1 that does not end before it begins",
         );
         if let Fault::ChangeLinks { conditions, .. } = &step.fault {
             self.require(
--- a/crates/fault-injection/tests/network.rs
+++ b/crates/fault-injection/tests/network.rs
@@ -1,4 +1,4 @@
-//! Links under a script: partitions, loss, duplicates, corruption, delay and byte rates.
+//! Links subject to a script: partitions, loss, duplicates, corruption, delay and byte rates.
 
 use limewing_fault_injection::{
     Arrival, Fault, FaultAction, FaultyNetwork, LinkConditions, Script, ScriptStep, Selector,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_sound_link_delivers_at_once_and_unchanged() {
+fn a_link_without_faults_delivers_immediately_and_unchanged() {
     let mut network = network(LinkConditions::default(), Vec::new());
     let arrival = Arrival {
         at: ms(5),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn changed_links_alone_have_the_new_conditions() {
+fn only_changed_links_have_the_new_conditions() {
     let change = Fault::ChangeLinks {
         from: Selector::Numbers(vec![1]),
         to: Selector::All,
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_duplicated_and_corrupted_datagram_arrives_twice_with_one_bit_turned() {
+fn a_duplicated_and_corrupted_datagram_arrives_twice_with_one_bit_flipped() {
     let conditions = LinkConditions {
         duplicate: 1.0,
         corrupt: 1.0,
@@ -92,8 +92,8 @@
     let arrivals = network.transmit(ms(0), 0, 1, &[0; 32]);
     assert_eq!(arrivals.len(), 2);
     for arrival in arrivals {
-        let turned: u32 = arrival.bytes.iter().map(|byte| byte.count_ones()).sum();
-        assert_eq!(turned, 1);
+        let flipped_bits: u32 = arrival.bytes.iter().map(|byte| byte.count_ones()).sum();
+        assert_eq!(flipped_bits, 1);
     }
 }
 
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn faults_of_members_become_actions_in_the_scripts_order() {
+fn faults_of_members_become_actions_in_order_of_time() {
     let steps = vec![
         (2.0, Fault::Start(Selector::Numbers(vec![3, 9]))),
         (1.0, Fault::Kill(Selector::Fraction(0.5, 1.0))),
--- a/crates/fault-injection/tests/script.rs
+++ b/crates/fault-injection/tests/script.rs
@@ -1,9 +1,9 @@
-//! The script's format, and what of it is refused.
+//! Format of the script, and the values that are rejected.
 
 use limewing_fault_injection::{Fault, Script, Selector};
 use rstest::rstest;
 
-/// Every word of the format.
+/// A script with every key and every fault of the format.
 const SCRIPT: &str = r#"{
     "name": "all", "seed": 1, "seconds": 9.0,
     "line": {"loss": 0.1, "delay_ms": 1.0, "jitter_ms": 2.0, "duplicate": 0.2, "corrupt": 0.3, "bytes_per_s": 5.0},
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn omitted_values_have_their_defaults() {
     let script: Script =
         serde_json::from_str(r#"{"name": "a", "seed": 1, "seconds": 9.0}"#).unwrap();
     assert!(script.steps.is_empty() && script.clock_offsets.is_empty());
@@ -71,8 +71,8 @@
     r#""seconds": 9.0, "clocks": [{"who": "all", "seconds": 90000.0}]"#,
     "/clocks/0"
 )]
-fn an_unusable_value_is_named_by_its_path(#[case] rest: &str, #[case] path: &str) {
-    let text = format!(r#"{{"name": "a", "seed": 1, {rest}}}"#);
+fn an_invalid_value_is_reported_with_its_path(#[case] remaining_keys: &str, #[case] path: &str) {
+    let text = format!(r#"{{"name": "a", "seed": 1, {remaining_keys}}}"#);
     let script: Script = serde_json::from_str(&text).unwrap();
     let errors = script.config_errors();
     assert_eq!(errors.len(), 1, "{errors:?}");
@@ -83,7 +83,7 @@
 #[case::all(Selector::All, &[0, 1, 2, 3])]
 #[case::second_half(Selector::Fraction(0.5, 1.0), &[2, 3])]
 #[case::bounds_are_rounded(Selector::Fraction(0.1, 0.4), &[0, 1])]
-#[case::numbers_that_there_are(Selector::Numbers(vec![3, 0, 7]), &[3, 0])]
+#[case::only_existing_numbers(Selector::Numbers(vec![3, 0, 7]), &[3, 0])]
 fn a_selector_resolves_to_numbers(#[case] selector: Selector, #[case] expected: &[usize]) {
     assert_eq!(selector.resolve(4), expected);
 }
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_unknown_word_is_refused() {
+fn an_unknown_fault_is_rejected() {
     let text = r#"{"at": 1.0, "does": {"partition": {"from": "all", "to": "all"}}}"#;
     assert!(serde_json::from_str::<limewing_fault_injection::ScriptStep>(text).is_err());
     assert!(matches!(
--- a/crates/fault-injection/tests/simulation.rs
+++ b/crates/fault-injection/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Simulated time: order of events, and what faults do to members.
+//! The simulation: order of events, and effects of faults on members.
 
 use limewing_fault_injection::{
     Fault, LinkConditions, Script, ScriptStep, Selector, SimulatedMember, Simulation, Traffic,
@@ -11,8 +11,8 @@
     Duration::from_millis(ms)
 }
 
-/// Sends its count of starts to the next member each period, and records what it receives.
-struct Counter {
+/// Sends the number of its earlier starts to the next member once per period, and records the datagrams that it receives.
+struct StartCounter {
     number: usize,
     earlier_starts: u32,
     clock_offset: f64,
@@ -22,7 +22,7 @@
     keys: Vec<u8>,
 }
 
-impl SimulatedMember for Counter {
+impl SimulatedMember for StartCounter {
     fn start(number: usize, earlier_starts: u32, now: Duration, clock_offset: f64) -> Self {
         Self {
             number,
@@ -81,7 +81,7 @@
     }
 }
 
-fn run(steps: Vec<(f64, Fault)>, until: Duration) -> Simulation<Counter> {
+fn run(steps: Vec<(f64, Fault)>, until: Duration) -> Simulation<StartCounter> {
     let mut simulation = Simulation::new(&script(steps), 2);
     simulation.run_until(until);
     simulation
@@ -95,8 +95,8 @@
     Selector::Numbers(vec![1])
 }
 
-fn received(simulation: &Simulation<Counter>, number: usize) -> Vec<(Duration, Vec<u8>)> {
-    let member = simulation.member(number).expect("it runs");
+fn received(simulation: &Simulation<StartCounter>, number: usize) -> Vec<(Duration, Vec<u8>)> {
+    let member = simulation.member(number).expect("the member runs");
     member.received.clone()
 }
 
@@ -106,7 +106,7 @@
     assert_eq!(simulation.now(), ms(250));
     let expected = [(ms(101), vec![0]), (ms(201), vec![0])];
     assert_eq!(received(&simulation, 1), expected);
-    // The second member sends to nobody; its datagrams count all the same.
+    // The second member sends to a member that does not exist; its datagrams are counted nevertheless.
     let traffic = Traffic {
         datagrams: 4,
         bytes: 4,
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_killed_member_does_not_run_and_a_started_one_runs_anew() {
+fn a_killed_member_stops_and_can_be_started_again() {
     let steps = vec![(0.15, Fault::Kill(first())), (0.35, Fault::Start(first()))];
     let simulation = run(steps.clone(), ms(300));
     assert!(simulation.member(0).is_none());
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_suspended_member_reads_what_arrived_when_it_goes_on() {
+fn a_resumed_member_receives_what_arrived_during_its_suspension() {
     let steps = vec![
         (0.15, Fault::Suspend(second())),
         (0.35, Fault::Resume(second())),
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_sends_its_farewell_and_ends() {
+fn a_leaving_member_sends_its_last_datagram_and_stops() {
     let simulation = run(vec![(0.05, Fault::Leave(first()))], ms(300));
     assert!(simulation.member(0).is_none());
     let expected = [(ms(51), b"farewell".to_vec())];
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn noise_comes_with_replays_of_earlier_datagrams() {
+fn noise_is_sent_with_replays_of_earlier_datagrams() {
     let noise = Fault::SendNoise {
         to: second(),
         datagrams: 2,
@@ -169,9 +169,9 @@
         members: first(),
         seconds: -5.0,
     }];
-    let mut simulation = Simulation::<Counter>::new(&script, 2);
+    let mut simulation = Simulation::<StartCounter>::new(&script, 2);
     simulation.run_until(ms(60));
-    let [first, second] = [0, 1].map(|number| simulation.member(number).expect("it runs"));
+    let [first, second] = [0, 1].map(|number| simulation.member(number).expect("the member runs"));
     assert!((first.clock_offset + 5.0).abs() < f64::EPSILON);
     assert!(second.clock_offset.abs() < f64::EPSILON);
     assert!(first.keys.is_empty());
