--- a/crates/rule-checker/src/checker.rs
+++ b/crates/rule-checker/src/checker.rs
@@ -1,4 +1,4 @@
-//! Runs every check of the five rules over a whole record.
+//! Runs the checks of all five rules over a whole record.
 
 use crate::balance::balance;
 use crate::record::{Event, RecordLine, RuleLimits};
@@ -7,10 +7,10 @@
 use crate::service::service_figures;
 use crate::stalls::RecorderStalls;
 
-/// Judges one record.
+/// Checks one record against the five rules.
 ///
-/// Times in it are those of the far ends: a request is recorded when the client writes it (before the sidecar takes it), an attempt
-/// when the pod has read it (after the sidecar sent it). Each check grants what these ways may take, and no more.
+/// The record's times are those of the clients and pods: a request is recorded when the client writes it (before the sidecar reads
+/// it), an attempt when the pod has read it (after the sidecar sent it). Each check allows for these delays and for nothing more.
 #[derive(Debug)]
 pub struct RuleChecker<'a> {
     day: &'a str,
@@ -20,7 +20,7 @@
 }
 
 impl<'a> RuleChecker<'a> {
-    /// A checker of lines as [`crate::record::read`] returns them; `None` if they don't begin with the limits.
+    /// Creates a checker of lines as [`crate::record::read`] returns them; `None` if the first line is not [`Event::Begin`].
     #[must_use]
     pub fn new(lines: &'a [RecordLine]) -> Option<Self> {
         let Event::Begin { day, limits } = &lines.first()?.event else {
@@ -30,11 +30,11 @@
             day,
             limits,
             lines,
-            stalls: RecorderStalls::of(lines),
+            stalls: RecorderStalls::from_lines(lines),
         })
     }
 
-    /// Checks each rule by itself, and measures how the clients fared.
+    /// Checks each rule on its own, and measures the quality of service and the load balance.
     #[must_use]
     pub fn report(&self) -> Report {
         let Self {
--- a/crates/rule-checker/src/cross_sidecar.rs
+++ b/crates/rule-checker/src/cross_sidecar.rs
@@ -1,5 +1,5 @@
-//! What no sidecar can keep alone, counted over all of them: routing keys that went back to an older build at another sidecar, or after
-//! a restart, and requests that are not idempotent and took effect twice.
+//! Counts, over all sidecars, violations that a single sidecar can't prevent: routing keys that returned to an older build at another
+//! sidecar or after a restart, and non-idempotent requests that took effect twice.
 
 use crate::record::{
     AttemptKey, Event, FinalAnswer, Idempotency, Phase, PodId, RecordLine, RequestId, RuleLimits,
@@ -9,17 +9,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Within this time what one sidecar knows has reached the others.
+/// Time within which gossip carries what one sidecar knows to the others.
 const GOSSIP_DELAY: Duration = Duration::from_millis(300);
 
-/// The counts over all sidecars.
+/// Counts over all sidecars.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CrossSidecarReport {
-    /// Attempts with a routing key that a newer build had served anywhere.
+    /// Attempts with a routing key that a build had served at any sidecar, early enough for gossip to have spread it.
     pub sticky_attempts: usize,
-    /// Those of them that went back to an older build.
+    /// Those of them that returned to an older build although the sidecar knew of no rollback.
     pub sent_back: usize,
-    /// Requests that are not idempotent and took effect.
+    /// Non-idempotent requests that took effect.
     pub non_idempotent: usize,
     /// Those of them that took effect more than once.
     pub executed_twice: usize,
@@ -27,7 +27,7 @@
     pub examples: Vec<Violation>,
 }
 
-/// Counts over a whole record; `None` if it has no limits.
+/// Counts over a whole record; `None` if it has no [`Event::Begin`].
 #[must_use]
 pub fn check_across_sidecars(lines: &[RecordLine]) -> Option<CrossSidecarReport> {
     let limits = lines.iter().find_map(|line| match &line.event {
@@ -52,7 +52,7 @@
     Some(check.report)
 }
 
-/// The newest build that has served a key, and since when.
+/// The newest build that has served a key, and the time of its first answer for the key.
 #[derive(Clone, Copy)]
 struct NewestBuild {
     build: u16,
@@ -70,7 +70,7 @@
     routing_keys: BTreeMap<AttemptKey, u64>,
     classes: BTreeMap<AttemptKey, usize>,
     builds: BTreeMap<PodId, u16>,
-    /// By routing key.
+    /// The newest build by routing key.
     served_by: BTreeMap<u64, NewestBuild>,
     stages: BTreeMap<SidecarId, KnownStage>,
     effects: BTreeMap<RequestId, usize>,
@@ -112,34 +112,42 @@
                 answer: FinalAnswer::Delivered,
                 build: Some(build),
                 ..
-            } => self.delivered(line.at, *attempt, *build),
+            } => self.record_serving_build(line.at, *attempt, *build),
             Event::ForwardArrived {
                 pod,
                 sidecar,
                 attempt,
                 ..
-            } if self.limits.sticky_keys => self.check_key(line.at, *pod, *sidecar, *attempt),
+            } if self.limits.sticky_keys => {
+                self.check_sticky_key(line.at, *pod, *sidecar, *attempt)
+            }
             Event::Executed {
                 attempt,
                 effect: true,
                 ..
-            } => self.took_effect(line.at, *attempt),
+            } => self.count_effect(line.at, *attempt),
             _ => {}
         }
     }
 
-    fn delivered(&mut self, at: Duration, attempt: AttemptKey, build: u16) {
+    fn record_serving_build(&mut self, at: Duration, attempt: AttemptKey, build: u16) {
         let Some(key) = self.routing_keys.get(&attempt) else {
             return;
         };
-        let served = NewestBuild { build, since: at };
-        let newest = self.served_by.entry(*key).or_insert(served);
+        let this_build = NewestBuild { build, since: at };
+        let newest = self.served_by.entry(*key).or_insert(this_build);
         if newest.build < build {
-            *newest = served;
+            *newest = this_build;
         }
     }
 
-    fn check_key(&mut self, at: Duration, pod: PodId, sidecar: SidecarId, attempt: AttemptKey) {
+    fn check_sticky_key(
+        &mut self,
+        at: Duration,
+        pod: PodId,
+        sidecar: SidecarId,
+        attempt: AttemptKey,
+    ) {
         let Some(build) = self.builds.get(&pod).copied() else {
             return;
         };
@@ -156,8 +164,9 @@
             return;
         }
         self.report.sticky_attempts += 1;
-        let stays = build < known.build && matches!(known.phase, Phase::OnTrial | Phase::Released);
-        if !stays || newest.build <= build {
+        let key_must_stay =
+            build < known.build && matches!(known.phase, Phase::OnTrial | Phase::Released);
+        if !key_must_stay || newest.build <= build {
             return;
         }
         self.report.sent_back += 1;
@@ -171,7 +180,7 @@
         }
     }
 
-    fn took_effect(&mut self, at: Duration, attempt: AttemptKey) {
+    fn count_effect(&mut self, at: Duration, attempt: AttemptKey) {
         let Some(class) = self.classes.get(&attempt) else {
             return;
         };
--- a/crates/rule-checker/src/maintenance.rs
+++ b/crates/rule-checker/src/maintenance.rs
@@ -1,24 +1,24 @@
-//! Machines that are taken out for maintenance: what must never be, and how much was done.
+//! Checks the limits on machines that are out for maintenance, and counts the maintenance done.
 
 use crate::record::{AttemptKey, Event, PodId, RecordLine, SidecarId};
 use crate::report::{Violation, Violations};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What was done in a day, and whether the limits on machines that are out were kept.
+/// Maintenance done in a day, and violations of the limits on machines that are out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MaintenanceReport {
     /// Machines whose maintenance was completed.
     pub completed: usize,
     /// Machines whose maintenance failed.
     pub failed: usize,
-    /// The most machines out at once, from the notification of their agents until they ran again.
+    /// Highest number of machines out at once; each counts from the notification of its agent until it runs again.
     pub max_out: usize,
-    /// Machines still out at the end.
+    /// Machines still out at the end of the record.
     pub still_out: usize,
-    /// From the first request for maintenance to the end of the last one.
+    /// Time from the first maintenance request to the end of the last maintenance.
     pub duration: Duration,
-    /// In the order of the record.
+    /// All violations, in the order of the record.
     pub violations: Vec<Violation>,
 }
 
@@ -30,8 +30,8 @@
         max_out: usize::from(u16::MAX),
         max_out_in_zone: usize::from(u16::MAX),
         out: BTreeSet::new(),
-        closed_pods: BTreeMap::new(),
-        started: BTreeSet::new(),
+        excluded_pods: BTreeMap::new(),
+        started_machines: BTreeSet::new(),
         zones: BTreeMap::new(),
         violations: Violations::default(),
         report: MaintenanceReport::default(),
@@ -44,14 +44,15 @@
 
 struct MaintenanceCheck {
     requested_at: Option<Duration>,
-    /// The strictest limits that were requested.
+    /// Lowest limit of any request on machines that are out at once.
     max_out: usize,
+    /// The same limit within one zone.
     max_out_in_zone: usize,
     out: BTreeSet<usize>,
-    /// Pods at which nothing may arrive, with their machines.
-    closed_pods: BTreeMap<PodId, usize>,
-    /// Machines whose maintenance has started at any time.
-    started: BTreeSet<usize>,
+    /// Pods that must receive no attempts, with their machines.
+    excluded_pods: BTreeMap<PodId, usize>,
+    /// Machines whose maintenance has started, whether or not it has ended.
+    started_machines: BTreeSet<usize>,
     zones: BTreeMap<usize, u16>,
     violations: Violations,
     report: MaintenanceReport,
@@ -71,7 +72,7 @@
             }
             Event::MachineOut { machine, pod } => {
                 self.out.insert(*machine);
-                self.closed_pods.insert(*pod, *machine);
+                self.excluded_pods.insert(*pod, *machine);
             }
             Event::ForwardArrived {
                 pod,
@@ -79,28 +80,28 @@
                 attempt,
                 ..
             } => {
-                let Some(machine) = self.closed_pods.get(pod).copied() else {
+                let Some(machine) = self.excluded_pods.get(pod).copied() else {
                     return;
                 };
-                self.arrived_at_closed_pod(at, *sidecar, *attempt, machine);
+                self.arrived_at_excluded_pod(at, *sidecar, *attempt, machine);
             }
             Event::PodExited { pod } => {
-                self.closed_pods.remove(pod);
+                self.excluded_pods.remove(pod);
             }
             Event::MaintenanceStarted {
                 machine,
                 zone,
                 in_flight,
-            } => self.started(at, *machine, *zone, *in_flight),
+            } => self.maintenance_started(at, *machine, *zone, *in_flight),
             Event::MaintenanceEnded { machine, succeeded } => {
-                self.ended(at, *machine, *succeeded);
+                self.maintenance_ended(at, *machine, *succeeded);
             }
             _ => return,
         }
         self.check_limits(at);
     }
 
-    fn arrived_at_closed_pod(
+    fn arrived_at_excluded_pod(
         &mut self,
         at: Duration,
         sidecar: SidecarId,
@@ -111,12 +112,12 @@
         self.violations.add(at, text);
     }
 
-    fn started(&mut self, at: Duration, machine: usize, zone: u16, in_flight: usize) {
+    fn maintenance_started(&mut self, at: Duration, machine: usize, zone: u16, in_flight: usize) {
         if in_flight > 0 {
             let text = format!("work on machine {machine} began with {in_flight} hits open on it");
             self.violations.add(at, text);
         }
-        if !self.started.insert(machine) {
+        if !self.started_machines.insert(machine) {
             let text = format!("machine {machine} was worked on twice");
             self.violations.add(at, text);
         }
@@ -124,7 +125,7 @@
         self.out.insert(machine);
     }
 
-    fn ended(&mut self, at: Duration, machine: usize, succeeded: bool) {
+    fn maintenance_ended(&mut self, at: Duration, machine: usize, succeeded: bool) {
         self.out.remove(&machine);
         if succeeded {
             self.report.completed += 1;
--- a/crates/rule-checker/src/report.rs
+++ b/crates/rule-checker/src/report.rs
@@ -1,4 +1,4 @@
-//! What the checks found.
+//! Results of the checks.
 
 use crate::balance::Balance;
 use std::fmt::{self, Display, Formatter};
@@ -7,20 +7,20 @@
 /// The five rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request gets one answer within its time.
+    /// Each request is answered once, and in time.
     OneAnswer,
-    /// A request that is not idempotent takes effect once.
+    /// A non-idempotent request takes effect at most once.
     NoEffectTwice,
-    /// A draining pod gets nothing new after the grace.
+    /// A draining pod receives no new attempts after the grace period.
     Draining,
-    /// A pod that warms up is not overloaded.
+    /// A pod that is warming up is not overloaded.
     SlowStart,
-    /// A canary gets no more than its share.
+    /// A canary receives no more than its share of the requests.
     Exposure,
 }
 
 impl Rule {
-    /// All rules, by their numbers.
+    /// All rules, in the order of their numbers.
     pub const ALL: [Rule; 5] = [
         Rule::OneAnswer,
         Rule::NoEffectTwice,
@@ -42,12 +42,12 @@
     }
 }
 
-/// Something in the record that must not be.
+/// One violation of a rule or limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Since the start of the day.
+    /// Time since the start of the day.
     pub at: Duration,
-    /// What happened, with the numbers to find it in the record.
+    /// Description, with the identifiers to find the events in the record.
     pub text: String,
 }
 
@@ -65,66 +65,66 @@
     }
 }
 
-/// What was found of one rule.
+/// Result of the check of one rule.
 #[derive(Clone, Debug)]
 pub struct RuleResult {
     /// The rule.
     pub rule: Rule,
-    /// How many cases the rule was checked on.
+    /// Number of cases that were checked.
     pub checked: usize,
-    /// What such a case is.
+    /// What is counted as a case.
     pub case: &'static str,
-    /// The case that came nearest to a violation, in the rule's own unit.
+    /// Smallest distance of a case to a violation, in the rule's own unit.
     pub margin: String,
     /// All violations, in the order of the record.
     pub violations: Vec<Violation>,
 }
 
 impl RuleResult {
-    /// Whether nothing violates the rule.
+    /// Returns whether there are no violations.
     #[must_use]
     pub fn is_kept(&self) -> bool {
         self.violations.is_empty()
     }
 }
 
-/// How the day went for the clients.
+/// Quality of service as seen by the clients.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceFigures {
-    /// Requests, each counted once whatever its attempts.
+    /// Requests; attempts for the same request count once.
     pub requests: usize,
-    /// Those that were answered by a pod in the end.
+    /// Requests that a pod answered in the end.
     pub delivered: usize,
-    /// Those that were refused in the end.
+    /// Requests that were rejected in the end.
     pub rejected: usize,
-    /// Those that ended in an error.
+    /// Requests that failed in the end.
     pub failed: usize,
-    /// The priority weight answered within the latency objective, as a part of all that was asked for; the time counts from the
-    /// first attempt.
+    /// Fraction of the total priority weight that was answered within the latency objective, measured from the first attempt of
+    /// each request.
     pub weighted_part_in_time: f64,
 }
 
-/// All that is found of one record.
+/// Results of all checks of one record.
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The name of the day.
     pub day: String,
     /// One result for each rule, in the order of [`Rule::ALL`].
     pub results: Vec<RuleResult>,
-    /// How the clients fared.
+    /// Quality of service as seen by the clients.
     pub service: ServiceFigures,
-    /// How the load was spread.
+    /// How evenly the load was spread over the pods.
     pub balance: Balance,
 }
 
 impl Report {
-    /// Results of rules that were not kept.
+    /// Returns the results of the rules that were violated.
     pub fn broken(&self) -> impl Iterator<Item = &RuleResult> {
         self.results.iter().filter(|result| !result.is_kept())
     }
 }
 
-/// A span as violations and margins print it.
-pub(crate) fn milliseconds(span: Duration) -> String {
-    format!("{:.1} ms", span.as_secs_f64() * 1e3)
+/// Formats a duration as violations and margins print it.
+pub(crate) fn format_milliseconds(duration: Duration) -> String {
+    format!("{:.1} ms", duration.as_secs_f64() * 1e3)
 }
--- a/crates/rule-checker/src/rules/draining.rs
+++ b/crates/rule-checker/src/rules/draining.rs
@@ -1,7 +1,8 @@
-//! Rule 3: a pod that drains, or is gone from the list, gets nothing from a sidecar once the grace has passed since it was notified.
+//! Rule 3: a sidecar sends nothing to a pod once the grace period has passed since it was notified that the pod is draining or is no
+//! longer listed.
 
 use crate::record::{AttemptKey, Event, PodId, RecordLine, RuleLimits, SidecarId};
-use crate::report::{milliseconds, Rule, RuleResult, Violations};
+use crate::report::{format_milliseconds, Rule, RuleResult, Violations};
 use crate::stalls::RecorderStalls;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,7 +18,7 @@
         ready: BTreeMap::new(),
         notified_at: BTreeMap::new(),
         drains: 0,
-        latest: None,
+        max_arrival_delay: None,
         violations: Violations::default(),
     };
     for line in lines {
@@ -29,13 +30,13 @@
 struct Draining<'a> {
     limits: &'a RuleLimits,
     stalls: &'a RecorderStalls,
-    /// Pods that a sidecar was last notified of as ready.
+    /// Ready pods of the last endpoint list that a sidecar was notified of.
     ready: BTreeMap<SidecarId, BTreeSet<PodId>>,
-    /// When a sidecar was notified that a pod takes nothing new.
+    /// When a sidecar was notified that a pod accepts nothing new.
     notified_at: BTreeMap<(SidecarId, PodId), Duration>,
     drains: usize,
-    /// The longest time from a notification to an arrival.
-    latest: Option<Duration>,
+    /// Longest time from a notification to an arrival after it.
+    max_arrival_delay: Option<Duration>,
     violations: Violations,
 }
 
@@ -47,7 +48,7 @@
                 ready,
                 draining,
             } => self.endpoints_notified(line.at, *sidecar, ready, draining),
-            // A new process knows only what it is notified of anew.
+            // A restarted process has no endpoint list until it is notified of one.
             Event::SidecarStarted { sidecar } => {
                 self.ready.remove(sidecar);
                 self.notified_at.retain(|(of, _), _| of != sidecar);
@@ -57,7 +58,7 @@
                 sidecar,
                 attempt,
                 ..
-            } => self.forward_arrived(line.at, *pod, *sidecar, *attempt),
+            } => self.attempt_arrived(line.at, *pod, *sidecar, *attempt),
             _ => {}
         }
     }
@@ -86,7 +87,7 @@
         listed.retain(|pod| !gone.contains(pod));
     }
 
-    fn forward_arrived(
+    fn attempt_arrived(
         &mut self,
         at: Duration,
         pod: PodId,
@@ -97,10 +98,13 @@
             return;
         };
         let after = at - *since;
-        self.latest = Some(self.latest.map_or(after, |latest| latest.max(after)));
+        self.max_arrival_delay = Some(
+            self.max_arrival_delay
+                .map_or(after, |latest| latest.max(after)),
+        );
         let grace = self.limits.drain_grace;
         if after > grace + self.stalls.tolerance(at) {
-            let late = milliseconds(after - grace);
+            let late = format_milliseconds(after - grace);
             let text =
                 format!("{sidecar} sent {attempt} to {pod} {late} past the grace of its drain");
             self.violations.add(at, text);
@@ -108,10 +112,12 @@
     }
 
     fn finish(self) -> RuleResult {
-        let margin = self.latest.map_or("none after".into(), |latest| {
-            let grace = milliseconds(self.limits.drain_grace);
-            format!("last {} after, of {grace}", milliseconds(latest))
-        });
+        let margin = self
+            .max_arrival_delay
+            .map_or("none after".into(), |latest| {
+                let grace = format_milliseconds(self.limits.drain_grace);
+                format!("last {} after, of {grace}", format_milliseconds(latest))
+            });
         RuleResult {
             rule: Rule::Draining,
             checked: self.drains,
--- a/crates/rule-checker/src/rules/exposure/known_stages.rs
+++ b/crates/rule-checker/src/rules/exposure/known_stages.rs
@@ -1,4 +1,4 @@
-//! Which caps may be in force at a sidecar, by the stage updates and endpoint lists that it was notified of.
+//! Caps that may apply at a sidecar, derived from the stage updates and endpoint lists that it was notified of.
 
 use crate::record::{Phase, RuleLimits};
 use std::time::Duration;
@@ -13,7 +13,7 @@
     pub(super) cap: f64,
 }
 
-/// The cap of a canary, and the stage that it belongs to.
+/// The cap of a canary, with its stage.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StageCap {
     pub(super) cap: f64,
@@ -22,15 +22,15 @@
 
 #[derive(Debug, Default)]
 pub(super) struct KnownStages {
-    /// In the order of their times.
+    /// In ascending order of time.
     updates: Vec<StageUpdate>,
     last_number: u64,
-    /// The oldest build of the pods on the list.
+    /// Oldest build of the listed pods.
     lowest_build: Option<u16>,
 }
 
 impl KnownStages {
-    /// What a new process starts with: the list is looked up before the first request, stages are not.
+    /// State of a restarted process, which fetches the endpoint list before its first request, but not the stage.
     pub(super) fn after_restart(&self) -> Self {
         Self {
             lowest_build: self.lowest_build,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes an update, unless a later one came before it.
+    /// Adds an update, unless one with a higher number was added before it.
     pub(super) fn add(&mut self, number: u64, update: StageUpdate) {
         if number >= self.last_number {
             self.last_number = number;
@@ -50,19 +50,19 @@
         self.lowest_build = build;
     }
 
-    /// Whether keys that a newer build has served must not go to this one, by the last update.
-    pub(super) fn keys_stay_off(&self, build: u16) -> bool {
+    /// Whether, by the last update, routing keys that a newer build has served must not be sent to this build.
+    pub(super) fn keys_must_avoid(&self, build: u16) -> bool {
         self.updates.last().is_some_and(|last| {
             build < last.build && matches!(last.phase, Phase::OnTrial | Phase::Released)
         })
     }
 
-    /// The cap of a build by the updates up to a time; `None` if it is no canary.
+    /// Cap of a build by the updates up to a time; `None` if the build is not a canary.
     fn cap_at(&self, build: u16, until: Duration, limits: &RuleLimits) -> Option<StageCap> {
         let last = self.updates.iter().rev().find(|update| update.at <= until);
         let Some(last) = last else {
-            let oldest = self.lowest_build.is_none_or(|lowest| build <= lowest);
-            return (!oldest).then(|| first_stage(limits));
+            let is_oldest = self.lowest_build.is_none_or(|lowest| build <= lowest);
+            return (!is_oldest).then(|| first_stage(limits));
         };
         if build < last.build || (build == last.build && last.phase == Phase::Released) {
             return None;
@@ -76,8 +76,8 @@
         })
     }
 
-    /// The widest cap that may still be in force: of the last update, or a higher one within the grace.
-    pub(super) fn widest_cap(
+    /// Highest cap that may still apply: that of the last update, or a higher one within the grace period.
+    pub(super) fn highest_cap(
         &self,
         build: u16,
         at: Duration,
@@ -85,19 +85,19 @@
         limits: &RuleLimits,
     ) -> Option<StageCap> {
         let from = at.saturating_sub(grace);
-        let mut widest = self.cap_at(build, from, limits)?;
+        let mut highest = self.cap_at(build, from, limits)?;
         for update in &self.updates {
             if update.at <= from || update.at > at {
                 continue;
             }
-            let then = self.cap_at(build, update.at, limits)?;
-            widest.cap = widest.cap.max(then.cap);
-            widest.stage = widest.stage.max(then.stage);
+            let updated = self.cap_at(build, update.at, limits)?;
+            highest.cap = highest.cap.max(updated.cap);
+            highest.stage = highest.stage.max(updated.stage);
         }
-        Some(widest)
+        Some(highest)
     }
 
-    /// When the cap was last lowered, by updates up to a time.
+    /// When the cap of a build was last lowered, by the updates up to a time.
     pub(super) fn last_lowered(
         &self,
         build: u16,
@@ -116,7 +116,7 @@
     }
 }
 
-/// What holds for a build that no update has named yet.
+/// Cap and stage of a build that no update has named yet.
 fn first_stage(limits: &RuleLimits) -> StageCap {
     StageCap {
         cap: limits.exposure_caps[0],
--- a/crates/rule-checker/src/rules/exposure/mod.rs
+++ b/crates/rule-checker/src/rules/exposure/mod.rs
@@ -1,5 +1,5 @@
-//! Rule 5: a canary gets no more than the cap of its stage, guarded stages get idempotent requests only, and a routing key does not go
-//! back to an older build.
+//! Rule 5: a canary receives no more than the cap of its stage, and idempotent requests only in guarded stages; a routing key does not
+//! return to an older build.
 
 mod known_stages;
 
@@ -23,9 +23,9 @@
         sidecars: BTreeMap::new(),
         builds: BTreeMap::new(),
         routing_keys: BTreeMap::new(),
-        unread: BTreeMap::new(),
+        unread_requests: BTreeMap::new(),
         checked: 0,
-        least_left: None,
+        min_attempts_left: None,
         violations: Violations::default(),
     };
     for line in lines {
@@ -34,25 +34,25 @@
     check.finish()
 }
 
-/// What a cap counts over: a request class, or all of them as one.
+/// Requests that share a cap: those of one class, or of all classes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CapScope(usize);
 
-/// What one process of a sidecar knows and has done.
+/// Knowledge and past traffic of one process of a sidecar.
 #[derive(Default)]
 struct SidecarState {
     stages: KnownStages,
     requests_taken: BTreeMap<CapScope, Vec<Duration>>,
-    /// Arrivals at the pods of a build.
-    forwards: BTreeMap<(u16, CapScope), Vec<Duration>>,
-    /// The newest build that has served a routing key.
+    /// Times of arrivals at the pods of a build.
+    arrivals: BTreeMap<(u16, CapScope), Vec<Duration>>,
+    /// Newest build that has served a routing key.
     served_by: BTreeMap<u64, u16>,
 }
 
-/// An arrival at a pod, with what the checks look up of it.
-struct Forward {
+/// Arrival of an attempt at a pod, with the data that the checks need.
+struct AttemptArrival {
     at: Duration,
-    /// How far `at` may be off.
+    /// Uncertainty of `at`.
     tolerance: Duration,
     sidecar: SidecarId,
     attempt: AttemptKey,
@@ -66,10 +66,11 @@
     sidecars: BTreeMap<SidecarId, SidecarState>,
     builds: BTreeMap<PodId, u16>,
     routing_keys: BTreeMap<AttemptKey, u64>,
-    /// Requests that were written to a suspended sidecar: it takes them when it resumes.
-    unread: BTreeMap<SidecarId, Vec<CapScope>>,
+    /// Requests that were written to a suspended sidecar, which reads them when it resumes.
+    unread_requests: BTreeMap<SidecarId, Vec<CapScope>>,
     checked: usize,
-    least_left: Option<f64>,
+    /// Smallest number of attempts that were left under a cap.
+    min_attempts_left: Option<f64>,
     violations: Violations,
 }
 
@@ -79,7 +80,7 @@
         match &line.event {
             Event::SidecarStarted { sidecar } => self.sidecar_started(*sidecar),
             Event::SidecarSuspended { sidecar } => {
-                self.unread.entry(*sidecar).or_default();
+                self.unread_requests.entry(*sidecar).or_default();
             }
             Event::SidecarResumed { sidecar } => self.sidecar_resumed(at, *sidecar),
             Event::PodStarted { pod, build, .. } => {
@@ -120,14 +121,14 @@
                 answer: FinalAnswer::Delivered,
                 build: Some(build),
                 ..
-            } => self.delivered(*sidecar, *attempt, *build),
+            } => self.record_serving_build(*sidecar, *attempt, *build),
             Event::ForwardArrived {
                 pod,
                 sidecar,
                 attempt,
                 class,
                 ..
-            } => self.forward_arrived(at, *pod, *sidecar, *attempt, *class),
+            } => self.attempt_arrived(at, *pod, *sidecar, *attempt, *class),
             _ => {}
         }
     }
@@ -150,13 +151,13 @@
             stages: state.stages.after_restart(),
             ..SidecarState::default()
         };
-        self.unread.remove(&sidecar);
+        self.unread_requests.remove(&sidecar);
     }
 
     fn sidecar_resumed(&mut self, at: Duration, sidecar: SidecarId) {
-        let unread = self.unread.remove(&sidecar).unwrap_or_default();
+        let unread_requests = self.unread_requests.remove(&sidecar).unwrap_or_default();
         let state = self.state(sidecar);
-        for scope in unread {
+        for scope in unread_requests {
             state.requests_taken.entry(scope).or_default().push(at);
         }
     }
@@ -176,8 +177,8 @@
         routing_key: Option<u64>,
     ) {
         let scope = self.scope(class);
-        if let Some(unread) = self.unread.get_mut(&sidecar) {
-            unread.push(scope);
+        if let Some(unread_requests) = self.unread_requests.get_mut(&sidecar) {
+            unread_requests.push(scope);
         } else {
             let taken = &mut self.state(sidecar).requests_taken;
             taken.entry(scope).or_default().push(at);
@@ -187,7 +188,7 @@
         }
     }
 
-    fn delivered(&mut self, sidecar: SidecarId, attempt: AttemptKey, build: u16) {
+    fn record_serving_build(&mut self, sidecar: SidecarId, attempt: AttemptKey, build: u16) {
         let Some(key) = self.routing_keys.get(&attempt).copied() else {
             return;
         };
@@ -195,7 +196,7 @@
         *newest = (*newest).max(build);
     }
 
-    fn forward_arrived(
+    fn attempt_arrived(
         &mut self,
         at: Duration,
         pod: PodId,
@@ -206,7 +207,7 @@
         let Some(build) = self.builds.get(&pod).copied() else {
             return;
         };
-        let forward = Forward {
+        let arrival = AttemptArrival {
             at,
             tolerance: self.stalls.tolerance(at),
             sidecar,
@@ -215,68 +216,68 @@
             build,
         };
         let scope = self.scope(class);
-        let forwards = &mut self.state(sidecar).forwards;
-        forwards.entry((build, scope)).or_default().push(at);
-        self.check_sticky_key(&forward);
+        let arrivals = &mut self.state(sidecar).arrivals;
+        arrivals.entry((build, scope)).or_default().push(at);
+        self.check_sticky_key(&arrival);
         let limits = self.limits;
-        let grace = limits.drain_grace + forward.tolerance;
+        let grace = limits.drain_grace + arrival.tolerance;
         let stages = &self.state(sidecar).stages;
-        let Some(widest) = stages.widest_cap(build, at, grace, limits) else {
+        let Some(highest) = stages.highest_cap(build, at, grace, limits) else {
             return;
         };
         self.checked += 1;
-        self.check_guarded_stage(&forward, widest.stage);
-        self.check_cap(&forward, widest);
+        self.check_guarded_stage(&arrival, highest.stage);
+        self.check_cap(&arrival, highest);
     }
 
-    fn check_sticky_key(&mut self, forward: &Forward) {
-        let Forward {
+    fn check_sticky_key(&mut self, arrival: &AttemptArrival) {
+        let AttemptArrival {
             at,
             sidecar,
             attempt,
             build,
             ..
-        } = *forward;
+        } = *arrival;
         let key = self.routing_keys.get(&attempt).copied();
         let state = self.state(sidecar);
         let served_by = key.and_then(|key| state.served_by.get(&key)).copied();
         let newer = served_by.is_some_and(|newest| newest > build);
-        let stays = state.stages.keys_stay_off(build);
-        if self.limits.sticky_keys && stays && newer {
+        let key_must_stay = state.stages.keys_must_avoid(build);
+        if self.limits.sticky_keys && key_must_stay && newer {
             let text = format!("{sidecar} sent {attempt} back to build {build} from {served_by:?}");
             self.violations.add(at, text);
         }
     }
 
-    fn check_guarded_stage(&mut self, forward: &Forward, stage: u8) {
-        let Forward {
+    fn check_guarded_stage(&mut self, arrival: &AttemptArrival, stage: u8) {
+        let AttemptArrival {
             sidecar,
             attempt,
             build,
             ..
-        } = forward;
-        let idempotency = self.limits.classes[forward.class].idempotency;
+        } = arrival;
+        let idempotency = self.limits.classes[arrival.class].idempotency;
         if stage < self.limits.guarded_stages && idempotency != Idempotency::Idempotent {
             let text = format!(
                 "{sidecar} sent {attempt} with an effect to build {build} in stage {stage}"
             );
-            self.violations.add(forward.at, text);
+            self.violations.add(arrival.at, text);
         }
     }
 
-    fn check_cap(&mut self, forward: &Forward, StageCap { cap, stage }: StageCap) {
-        let Forward {
+    fn check_cap(&mut self, arrival: &AttemptArrival, StageCap { cap, stage }: StageCap) {
+        let AttemptArrival {
             at, sidecar, build, ..
-        } = *forward;
-        let sent = self.forwards_in_window(forward);
-        let taken = self.requests_in_window(forward);
+        } = *arrival;
+        let sent = self.attempts_in_window(arrival);
+        let taken = self.requests_in_window(arrival);
         let allowed = if cap > 0.0 {
             self.limits.exposure_free + cap * taken as f64
         } else {
             0.0
         };
         let left = allowed - sent as f64;
-        self.least_left = Some(self.least_left.map_or(left, |least| least.min(left)));
+        self.min_attempts_left = Some(self.min_attempts_left.map_or(left, |least| least.min(left)));
         if left < 0.0 {
             let text = format!(
                 "{sidecar} sent {sent} forwards to build {build} where {allowed:.1} were free (stage {stage}, {taken} hits taken)"
@@ -285,34 +286,34 @@
         }
     }
 
-    /// The window as the sidecar may have seen it: shorter for what it sent. Attempts are counted anew once a lower cap binds.
-    fn forwards_in_window(&mut self, forward: &Forward) -> usize {
+    /// Attempts within the shortest window that the sidecar may have counted over. The count restarts when a lower cap begins to apply.
+    fn attempts_in_window(&mut self, arrival: &AttemptArrival) -> usize {
         let limits = self.limits;
-        let at = forward.at;
-        let scope = self.scope(forward.class);
-        let state = self.state(forward.sidecar);
-        let bound_by = at.saturating_sub(limits.drain_grace + forward.tolerance);
-        let lowered = state.stages.last_lowered(forward.build, bound_by, limits);
+        let at = arrival.at;
+        let scope = self.scope(arrival.class);
+        let state = self.state(arrival.sidecar);
+        let applies_by = at.saturating_sub(limits.drain_grace + arrival.tolerance);
+        let lowered = state.stages.last_lowered(arrival.build, applies_by, limits);
         let counted_from = lowered.map_or(Duration::ZERO, |lowered| lowered + limits.drain_grace);
-        let window = limits.exposure_window.saturating_sub(forward.tolerance);
+        let window = limits.exposure_window.saturating_sub(arrival.tolerance);
         let from = at.saturating_sub(window).max(counted_from);
-        count_since(state.forwards.get(&(forward.build, scope)), from)
+        count_since(state.arrivals.get(&(arrival.build, scope)), from)
     }
 
-    /// The window as the sidecar may have seen it: longer for what it took.
-    fn requests_in_window(&mut self, forward: &Forward) -> usize {
-        let window = self.limits.exposure_window + forward.tolerance;
-        let scope = self.scope(forward.class);
-        let state = self.state(forward.sidecar);
+    /// Requests within the longest window that the sidecar may have counted over.
+    fn requests_in_window(&mut self, arrival: &AttemptArrival) -> usize {
+        let window = self.limits.exposure_window + arrival.tolerance;
+        let scope = self.scope(arrival.class);
+        let state = self.state(arrival.sidecar);
         count_since(
             state.requests_taken.get(&scope),
-            forward.at.saturating_sub(window),
+            arrival.at.saturating_sub(window),
         )
     }
 
     fn finish(self) -> RuleResult {
         let margin = self
-            .least_left
+            .min_attempts_left
             .map_or("-".into(), |left| format!("{left:.1} forwards left"));
         RuleResult {
             rule: Rule::Exposure,
@@ -324,7 +325,7 @@
     }
 }
 
-/// How many of the times, which rise, are at `from` or later.
+/// Number of times at or after `from`; the times are in ascending order.
 fn count_since(times: Option<&Vec<Duration>>, from: Duration) -> usize {
     let times = times.map(Vec::as_slice).unwrap_or_default();
     times.iter().rev().take_while(|time| **time >= from).count()
--- a/crates/rule-checker/src/rules/mod.rs
+++ b/crates/rule-checker/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The five rules, a module each. A rule goes once over the whole record and keeps what it needs itself.
+//! The five rules, one module each. Each rule makes a single pass over the record and keeps its own state.
 
 pub(crate) mod draining;
 pub(crate) mod exposure;
--- a/crates/rule-checker/src/rules/no_effect_twice.rs
+++ b/crates/rule-checker/src/rules/no_effect_twice.rs
@@ -1,10 +1,10 @@
-//! Rule 2: a request that is not idempotent takes effect once, and is rejected only if it took none.
+//! Rule 2: a non-idempotent request takes effect at most once, and is rejected to the client only if it can't have taken effect.
 
 use crate::record::{
     AttemptKey, DeduplicationScope, Event, FinalAnswer, Idempotency, PodId, RecordLine, RequestId,
     RuleLimits,
 };
-use crate::report::{milliseconds, Rule, RuleResult, Violations};
+use crate::report::{format_milliseconds, Rule, RuleResult, Violations};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     let mut check = NoEffectTwice {
         limits,
         classes: BTreeMap::new(),
-        forwards: BTreeMap::new(),
+        arrivals: BTreeMap::new(),
         effects: BTreeMap::new(),
         locations: BTreeMap::new(),
-        least_window_left: None,
+        min_window_left: None,
         violations: Violations::default(),
     };
     for line in lines {
@@ -24,13 +24,13 @@
     check.finish()
 }
 
-/// A request that arrived at a pod.
+/// An attempt that arrived at a pod.
 #[derive(Clone, Copy)]
-struct Forward {
+struct AttemptArrival {
     pod: PodId,
     attempt: AttemptKey,
     at: Duration,
-    /// The pod said that it did not begin it.
+    /// Whether the pod stated that it has not begun to run it.
     rejected: bool,
 }
 
@@ -43,10 +43,10 @@
 struct NoEffectTwice<'a> {
     limits: &'a RuleLimits,
     classes: BTreeMap<RequestId, usize>,
-    forwards: BTreeMap<RequestId, Vec<Forward>>,
+    arrivals: BTreeMap<RequestId, Vec<AttemptArrival>>,
     effects: BTreeMap<RequestId, usize>,
     locations: BTreeMap<PodId, Location>,
-    least_window_left: Option<Duration>,
+    min_window_left: Option<Duration>,
     violations: Violations,
 }
 
@@ -66,13 +66,13 @@
             Event::RequestSent { attempt, class, .. } => {
                 self.classes.insert(attempt.request, *class);
             }
-            Event::ForwardArrived { pod, attempt, .. } => self.arrived(at, *pod, *attempt),
+            Event::ForwardArrived { pod, attempt, .. } => self.attempt_arrived(at, *pod, *attempt),
             Event::ForwardRejected { pod, attempt } => self.rejected_by_pod(*pod, *attempt),
             Event::Executed {
                 pod,
                 attempt,
                 effect: true,
-            } => self.took_effect(at, *pod, *attempt),
+            } => self.count_effect(at, *pod, *attempt),
             Event::Answered {
                 attempt,
                 answer: FinalAnswer::Rejected,
@@ -87,11 +87,11 @@
         Some(self.limits.classes[*class].idempotency)
     }
 
-    fn arrived(&mut self, at: Duration, pod: PodId, attempt: AttemptKey) {
+    fn attempt_arrived(&mut self, at: Duration, pod: PodId, attempt: AttemptKey) {
         let Some(idempotency) = self.idempotency(attempt.request) else {
             return;
         };
-        let forward = Forward {
+        let arrival = AttemptArrival {
             pod,
             attempt,
             at,
@@ -99,28 +99,28 @@
         };
         match idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NonIdempotent => self.check_sent_once(&forward),
+            Idempotency::NonIdempotent => self.check_sent_once(&arrival),
             Idempotency::Keyed {
                 deduplicated_by,
                 window,
-            } => self.check_deduplicated(&forward, deduplicated_by, window),
+            } => self.check_deduplicated(&arrival, deduplicated_by, window),
         }
-        self.forwards
+        self.arrivals
             .entry(attempt.request)
             .or_default()
-            .push(forward);
+            .push(arrival);
     }
 
-    /// Earlier forwards of the request that its pods may have run.
-    fn possible_runs(&self, request: RequestId) -> impl Iterator<Item = &Forward> {
-        let forwards = self.forwards.get(&request).into_iter().flatten();
-        forwards.filter(|forward| !forward.rejected)
+    /// Earlier arrivals of the request that their pods may have run.
+    fn possible_runs(&self, request: RequestId) -> impl Iterator<Item = &AttemptArrival> {
+        let arrivals = self.arrivals.get(&request).into_iter().flatten();
+        arrivals.filter(|arrival| !arrival.rejected)
     }
 
-    fn check_sent_once(&mut self, forward: &Forward) {
-        let Forward {
+    fn check_sent_once(&mut self, arrival: &AttemptArrival) {
+        let AttemptArrival {
             pod, attempt, at, ..
-        } = forward;
+        } = arrival;
         let Some(first) = self.possible_runs(attempt.request).next() else {
             return;
         };
@@ -131,38 +131,38 @@
         self.violations.add(*at, text);
     }
 
-    /// Sidecars know nothing of each other's attempts, so that the rule holds for the forwards of one client attempt.
+    /// Sidecars don't know of each other's attempts, so the check covers only the arrivals of one client attempt.
     fn check_deduplicated(
         &mut self,
-        forward: &Forward,
+        arrival: &AttemptArrival,
         scope: DeduplicationScope,
         window: Duration,
     ) {
-        let Forward {
+        let AttemptArrival {
             pod, attempt, at, ..
-        } = *forward;
-        let earlier: Vec<Forward> = self
+        } = *arrival;
+        let earlier: Vec<AttemptArrival> = self
             .possible_runs(attempt.request)
             .filter(|earlier| earlier.attempt == attempt)
             .copied()
             .collect();
         for first in earlier {
-            if !self.share_memory(first.pod, pod, scope) {
+            if !self.share_deduplication(first.pod, pod, scope) {
                 let text = format!("{attempt} left the pods that drop its repeat, for {pod}");
                 self.violations.add(at, text);
             }
-            let forgotten_at = first.at + window;
-            if at > forgotten_at {
+            let expires_at = first.at + window;
+            if at > expires_at {
                 let text = format!("{attempt} went out again after its mark was forgotten");
                 self.violations.add(at, text);
             }
-            let left = forgotten_at.saturating_sub(at);
-            let least = self.least_window_left;
-            self.least_window_left = Some(least.map_or(left, |least| least.min(left)));
+            let left = expires_at.saturating_sub(at);
+            let least = self.min_window_left;
+            self.min_window_left = Some(least.map_or(left, |least| least.min(left)));
         }
     }
 
-    fn share_memory(&self, first: PodId, second: PodId, scope: DeduplicationScope) -> bool {
+    fn share_deduplication(&self, first: PodId, second: PodId, scope: DeduplicationScope) -> bool {
         let first = self.locations.get(&first);
         let second = self.locations.get(&second);
         match scope {
@@ -173,17 +173,17 @@
     }
 
     fn rejected_by_pod(&mut self, pod: PodId, attempt: AttemptKey) {
-        let forwards = self.forwards.entry(attempt.request).or_default();
-        let last = forwards
+        let arrivals = self.arrivals.entry(attempt.request).or_default();
+        let last = arrivals
             .iter_mut()
             .rev()
-            .find(|forward| forward.pod == pod && forward.attempt == attempt);
+            .find(|arrival| arrival.pod == pod && arrival.attempt == attempt);
         if let Some(last) = last {
             last.rejected = true;
         }
     }
 
-    fn took_effect(&mut self, at: Duration, pod: PodId, attempt: AttemptKey) {
+    fn count_effect(&mut self, at: Duration, pod: PodId, attempt: AttemptKey) {
         let Some(idempotency) = self.idempotency(attempt.request) else {
             return;
         };
@@ -195,7 +195,7 @@
         }
     }
 
-    /// A rejection promises that a retry does no harm.
+    /// A rejection guarantees that a retry is harmless.
     fn rejected_to_client(&mut self, at: Duration, attempt: AttemptKey) {
         let Some(idempotency) = self.idempotency(attempt.request) else {
             return;
@@ -221,8 +221,8 @@
             .filter_map(|request| self.idempotency(*request))
             .filter(|idempotency| *idempotency != Idempotency::Idempotent)
             .count();
-        let margin = self.least_window_left.map_or("no resend".into(), |left| {
-            format!("{} of memory left", milliseconds(left))
+        let margin = self.min_window_left.map_or("no resend".into(), |left| {
+            format!("{} of memory left", format_milliseconds(left))
         });
         RuleResult {
             rule: Rule::NoEffectTwice,
--- a/crates/rule-checker/src/rules/one_answer.rs
+++ b/crates/rule-checker/src/rules/one_answer.rs
@@ -1,7 +1,7 @@
-//! Rule 1: each request that a sidecar takes gets one answer within its time, and nothing is sent for it afterwards.
+//! Rule 1: each request that a sidecar accepts is answered once and in time, and no attempt for it arrives at a pod afterwards.
 
 use crate::record::{AttemptKey, Event, PodId, RecordLine, RuleLimits, SidecarId};
-use crate::report::{milliseconds, Rule, RuleResult, Violations};
+use crate::report::{format_milliseconds, Rule, RuleResult, Violations};
 use crate::stalls::RecorderStalls;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
         suspended: BTreeSet::new(),
         exited: BTreeSet::new(),
         draining: BTreeSet::new(),
-        least_time_left: None,
+        min_time_left: None,
         violations: Violations::default(),
     };
     for line in lines {
@@ -27,24 +27,24 @@
     check.finish()
 }
 
-/// What a client waits for.
+/// A client's attempt, and what is known of its answer.
 struct ClientAttempt {
     sidecar: SidecarId,
-    /// Written while the sidecar was suspended: it takes the request when it resumes at the earliest, and can't know how long the
+    /// Whether it was written while the sidecar was suspended: the sidecar reads it only after resuming, and can't know how long the
     /// client has waited by then.
     sent_while_suspended: bool,
     timeout: Duration,
     deadline: Duration,
-    /// When it was answered or given up; nothing may be sent for it any more.
+    /// When it was answered or abandoned; no attempt may arrive at a pod after this.
     ended: Option<Duration>,
     answers: usize,
-    /// When its streamed answer started.
+    /// When its streamed answer started, if it is streamed.
     answer_started: Option<Duration>,
-    forwarded: bool,
+    reached_pod: bool,
 }
 
 impl ClientAttempt {
-    /// Ends it, unless it has ended before.
+    /// Marks it as ended, unless it has ended before.
     fn end(&mut self, at: Duration) {
         self.ended = self.ended.or(Some(at));
     }
@@ -54,11 +54,11 @@
     limits: &'a RuleLimits,
     stalls: &'a RecorderStalls,
     attempts: BTreeMap<AttemptKey, ClientAttempt>,
-    /// What falls due while a sidecar is suspended is owed once it resumes.
+    /// An answer that is due while its sidecar is suspended is due when the sidecar resumes.
     suspended: BTreeSet<SidecarId>,
     exited: BTreeSet<SidecarId>,
     draining: BTreeSet<SidecarId>,
-    least_time_left: Option<Duration>,
+    min_time_left: Option<Duration>,
     violations: Violations,
 }
 
@@ -75,7 +75,7 @@
             Event::Answered { attempt, .. } => self.answered(at, *attempt),
             Event::AnswerStarted { attempt, .. } => self.answer_started(at, *attempt),
             Event::UnexpectedAnswer { sidecar, attempt } => {
-                let last = last_attempt(attempt.as_ref());
+                let last = format_last_attempt(attempt.as_ref());
                 let text = format!("{sidecar} sent words that nobody waited for, after {last}");
                 self.violations.add(at, text);
             }
@@ -84,8 +84,8 @@
                 self.connection_lost(at, *attempt, *written);
             }
             Event::ClientDisconnected { attempt } => {
-                if let Some(open) = self.attempts.get_mut(attempt) {
-                    open.end(at);
+                if let Some(state) = self.attempts.get_mut(attempt) {
+                    state.end(at);
                 }
             }
             Event::ForwardArrived {
@@ -93,7 +93,7 @@
                 sidecar,
                 pod,
                 ..
-            } => self.forward_arrived(at, *attempt, *sidecar, *pod),
+            } => self.attempt_arrived(at, *attempt, *sidecar, *pod),
             Event::SidecarSuspended { sidecar } => {
                 self.suspended.insert(*sidecar);
             }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// How much later than its deadline an answer may be recorded.
+    /// How long after its deadline an answer may be recorded.
     fn tolerance(&self, at: Duration) -> Duration {
         self.limits.answer_slack + self.stalls.tolerance(at)
     }
@@ -123,9 +123,9 @@
         attempt: AttemptKey,
         timeout: Duration,
     ) {
-        // Nobody took what was written to a process that had exited.
+        // A sidecar that had exited can't have accepted the request.
         let ended = self.exited.contains(&sidecar).then_some(at);
-        let open = ClientAttempt {
+        let state = ClientAttempt {
             sidecar,
             sent_while_suspended: self.suspended.contains(&sidecar),
             timeout,
@@ -133,115 +133,117 @@
             ended,
             answers: 0,
             answer_started: None,
-            forwarded: false,
+            reached_pod: false,
         };
-        self.attempts.insert(attempt, open);
+        self.attempts.insert(attempt, state);
     }
 
     fn answered(&mut self, at: Duration, attempt: AttemptKey) {
-        let open = self.attempts.get_mut(&attempt);
-        // A stream that has started is in time: what follows is up to the client and the pod.
-        if let Some(open) = open.filter(|open| open.answer_started.is_some() && open.answers == 1) {
-            open.answers = 2;
-            open.ended = Some(at);
+        let state = self.attempts.get_mut(&attempt);
+        // Only the start of a stream has to be in time; its rest depends on the client and the pod.
+        if let Some(state) =
+            state.filter(|state| state.answer_started.is_some() && state.answers == 1)
+        {
+            state.answers = 2;
+            state.ended = Some(at);
             return;
         }
-        self.first_bytes(at, attempt);
-        if let Some(open) = self.attempts.get_mut(&attempt) {
-            open.answer_started = None;
-            open.end(at);
+        self.check_first_bytes(at, attempt);
+        if let Some(state) = self.attempts.get_mut(&attempt) {
+            state.answer_started = None;
+            state.end(at);
         }
     }
 
     fn answer_started(&mut self, at: Duration, attempt: AttemptKey) {
-        self.first_bytes(at, attempt);
-        if let Some(open) = self.attempts.get_mut(&attempt) {
-            open.answer_started = Some(at);
+        self.check_first_bytes(at, attempt);
+        if let Some(state) = self.attempts.get_mut(&attempt) {
+            state.answer_started = Some(at);
         }
     }
 
-    /// Counts an answer, and checks that it comes in time.
-    fn first_bytes(&mut self, at: Duration, attempt: AttemptKey) {
+    /// Counts an answer, and checks that it is in time.
+    fn check_first_bytes(&mut self, at: Duration, attempt: AttemptKey) {
         let tolerance = self.tolerance(at);
-        let Some(open) = self.attempts.get_mut(&attempt) else {
+        let Some(state) = self.attempts.get_mut(&attempt) else {
             let text = format!("{attempt} was answered and never asked");
             self.violations.add(at, text);
             return;
         };
-        open.answers += 1;
-        if open.answers > 1 {
-            let text = format!("{attempt} was answered {} times", open.answers);
+        state.answers += 1;
+        if state.answers > 1 {
+            let text = format!("{attempt} was answered {} times", state.answers);
             self.violations.add(at, text);
         }
-        let latest = open.deadline + tolerance;
+        let latest = state.deadline + tolerance;
         if at > latest {
-            let late = milliseconds(at - latest);
+            let late = format_milliseconds(at - latest);
             let text = format!("{attempt} was answered {late} late");
             self.violations.add(at, text);
         }
         let left = latest.saturating_sub(at);
-        self.least_time_left = Some(self.least_time_left.map_or(left, |least| least.min(left)));
+        self.min_time_left = Some(self.min_time_left.map_or(left, |least| least.min(left)));
     }
 
     fn client_timed_out(&mut self, at: Duration, attempt: AttemptKey) {
         let tolerance = self.tolerance(at);
-        let Some(open) = self.attempts.get_mut(&attempt) else {
+        let Some(state) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        if open.answer_started.is_some() {
-            open.end(at);
+        if state.answer_started.is_some() {
+            state.end(at);
             return;
         }
-        // The client's time was up before the sidecar's, which was suspended for a part of it. At the very moment at which it
-        // resumes, it could not have answered yet.
-        let excused = self.suspended.contains(&open.sidecar) || at <= open.deadline + tolerance;
+        // A suspension extends the sidecar's deadline beyond the client's timeout. A sidecar can't have answered at the moment at which
+        // it resumes.
+        let excused = self.suspended.contains(&state.sidecar) || at <= state.deadline + tolerance;
         if excused {
-            open.ended = Some(at);
-        } else if open.ended.is_none() {
-            open.ended = Some(at);
+            state.ended = Some(at);
+        } else if state.ended.is_none() {
+            state.ended = Some(at);
             let text = format!("{attempt} had no answer within its time");
             self.violations.add(at, text);
         }
     }
 
     fn connection_lost(&mut self, at: Duration, attempt: AttemptKey, written: bool) {
-        let Some(open) = self.attempts.get_mut(&attempt) else {
+        let Some(state) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        if open.answer_started.is_some() {
-            open.end(at);
+        if state.answer_started.is_some() {
+            state.end(at);
             return;
         }
-        // The sidecar never had it, so that no answer is owed.
+        // The sidecar never received the request, so no answer is due.
         if !written {
             self.attempts.remove(&attempt);
             return;
         }
-        // What reaches a draining sidecar as it closes an idle connection was not taken, unless it was forwarded.
-        let taken = open.forwarded || !self.draining.contains(&open.sidecar);
-        if open.ended.is_none() && taken {
-            open.ended = Some(at);
+        // A request that reaches a draining sidecar as it closes an idle connection counts as not accepted, unless it arrived at a pod.
+        let accepted = state.reached_pod || !self.draining.contains(&state.sidecar);
+        if state.ended.is_none() && accepted {
+            state.ended = Some(at);
             let text = format!("{attempt}: a running sidecar dropped it without an answer");
             self.violations.add(at, text);
         }
     }
 
-    fn forward_arrived(
+    fn attempt_arrived(
         &mut self,
         at: Duration,
         attempt: AttemptKey,
         sidecar: SidecarId,
         pod: PodId,
     ) {
-        let Some(open) = self.attempts.get_mut(&attempt) else {
+        let Some(state) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        open.forwarded = true;
-        let Some(ended) = open.answer_started.or(open.ended) else {
+        state.reached_pod = true;
+        let Some(ended) = state.answer_started.or(state.ended) else {
             return;
         };
         if at > ended + self.stalls.tolerance(at) {
-            let late = milliseconds(at - ended);
+            let late = format_milliseconds(at - ended);
             let text = format!("{sidecar} sent {attempt} to {pod} {late} after its end");
             self.violations.add(at, text);
         }
@@ -252,33 +254,33 @@
         let unanswered = self
             .attempts
             .values_mut()
-            .filter(|open| open.sidecar == sidecar && open.ended.is_none());
-        for open in unanswered {
+            .filter(|state| state.sidecar == sidecar && state.ended.is_none());
+        for state in unanswered {
             let mut earliest = at;
-            if open.sent_while_suspended {
-                open.sent_while_suspended = false;
-                earliest = at.saturating_add(open.timeout);
+            if state.sent_while_suspended {
+                state.sent_while_suspended = false;
+                earliest = at.saturating_add(state.timeout);
             }
-            open.deadline = open.deadline.max(earliest);
+            state.deadline = state.deadline.max(earliest);
         }
     }
 
-    /// What a process held that has exited is not owed any more.
+    /// No answer is due any more for requests of a process that has exited.
     fn sidecar_exited(&mut self, at: Duration, sidecar: SidecarId) {
         self.exited.insert(sidecar);
-        for open in self.attempts.values_mut() {
-            if open.sidecar == sidecar {
-                open.end(at);
+        for state in self.attempts.values_mut() {
+            if state.sidecar == sidecar {
+                state.end(at);
             }
         }
     }
 
     fn day_ended(&mut self, at: Duration) {
         let tolerance = self.tolerance(at);
-        for (attempt, open) in &self.attempts {
-            let unanswered = open.ended.is_none() && open.answer_started.is_none();
-            let taken = open.forwarded || !self.draining.contains(&open.sidecar);
-            if unanswered && taken && at > open.deadline + tolerance {
+        for (attempt, state) in &self.attempts {
+            let unanswered = state.ended.is_none() && state.answer_started.is_none();
+            let accepted = state.reached_pod || !self.draining.contains(&state.sidecar);
+            if unanswered && accepted && at > state.deadline + tolerance {
                 let text = format!("{attempt} never had an answer");
                 self.violations.add(at, text);
             }
@@ -286,9 +288,9 @@
     }
 
     fn finish(self) -> RuleResult {
-        let margin = self
-            .least_time_left
-            .map_or("-".into(), |left| format!("{} left", milliseconds(left)));
+        let margin = self.min_time_left.map_or("-".into(), |left| {
+            format!("{} left", format_milliseconds(left))
+        });
         RuleResult {
             rule: Rule::OneAnswer,
             checked: self.attempts.len(),
@@ -299,7 +301,7 @@
     }
 }
 
-/// The words for the attempt that a connection carried last.
-fn last_attempt(attempt: Option<&AttemptKey>) -> String {
+/// Formats the last attempt of a connection for a violation.
+fn format_last_attempt(attempt: Option<&AttemptKey>) -> String {
     attempt.map_or("None".into(), |attempt| format!("Some({attempt})"))
 }
--- a/crates/rule-checker/src/rules/slow_start.rs
+++ b/crates/rule-checker/src/rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! Rule 4: a pod that warms up gets less work, over a span, than the load at which it falls over.
+//! Rule 4: a pod that is warming up receives less work within the overload window than the load at which it fails.
 
 use crate::record::{AttemptKey, Event, PodId, RecordLine, RuleLimits};
 use crate::report::{Rule, RuleResult, Violations};
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Keeps divisors above 0 where a limit is 0.
+/// Keeps divisors above 0 if a limit is 0.
 const MIN_DIVISOR: f64 = 1e-9;
 
 pub(crate) fn check(
@@ -19,7 +19,7 @@
         stalls,
         pods: BTreeMap::new(),
         starts: 0,
-        highest_part: 0.0,
+        highest_load_fraction: 0.0,
         violations: Violations::default(),
     };
     for line in lines {
@@ -30,17 +30,17 @@
 
 struct Arrival {
     at: Duration,
-    /// Seconds of a core.
+    /// In core seconds.
     work: f64,
 }
 
 struct WarmingPod {
     started_at: Duration,
-    /// In cores.
+    /// Capacity in cores.
     capacity: f64,
-    /// What arrived within the overload window.
+    /// Arrivals within the overload window.
     recent: VecDeque<Arrival>,
-    /// The work of all these, in seconds of a core.
+    /// Total work of these arrivals, in core seconds.
     recent_work: f64,
 }
 
@@ -63,8 +63,8 @@
     stalls: &'a RecorderStalls,
     pods: BTreeMap<PodId, WarmingPod>,
     starts: usize,
-    /// The highest load, as a part of that at which its pod falls over.
-    highest_part: f64,
+    /// Highest load of a pod, as a fraction of the load at which the pod fails.
+    highest_load_fraction: f64,
     violations: Violations,
 }
 
@@ -91,12 +91,12 @@
             }
             Event::ForwardArrived {
                 pod, work, attempt, ..
-            } => self.forward_arrived(line.at, *pod, *attempt, work.as_secs_f64()),
+            } => self.attempt_arrived(line.at, *pod, *attempt, work.as_secs_f64()),
             _ => {}
         }
     }
 
-    fn forward_arrived(&mut self, at: Duration, pod: PodId, attempt: AttemptKey, work: f64) {
+    fn attempt_arrived(&mut self, at: Duration, pod: PodId, attempt: AttemptKey, work: f64) {
         let window = self.limits.overload_window.as_secs_f64();
         let Some(warming) = self.pods.get_mut(&pod) else {
             return;
@@ -107,11 +107,11 @@
             return;
         }
         let capacity = warming.capacity;
-        // One request is the least that can be sent.
+        // A single request is always allowed, since no less can be sent.
         let load = (warming.recent_work - work).max(0.0);
-        let able = capacity * self.work_within_window(age, window, at);
-        let part = load / (self.limits.overload_multiple * able).max(MIN_DIVISOR);
-        self.highest_part = self.highest_part.max(part);
+        let achievable_work = capacity * self.work_within_window(age, window, at);
+        let part = load / (self.limits.overload_multiple * achievable_work).max(MIN_DIVISOR);
+        self.highest_load_fraction = self.highest_load_fraction.max(part);
         if part > 1.0 {
             let text = format!(
                 "{pod} got {part:.2} of its multiple with {attempt}, {age:.2} s after its start"
@@ -120,8 +120,8 @@
         }
     }
 
-    /// What each core of a pod can do within the window that ends at `age`, in seconds. The time before the start counts as if the
-    /// pod had been as strong as at its start: what arrives right after it may use the budget of a whole window.
+    /// Work that each core of a pod can do within the window that ends at `age`, in seconds. Time before the start counts at the
+    /// pod's initial speed, so that attempts right after the start have the budget of a whole window.
     fn work_within_window(&self, age: f64, window: f64, at: Duration) -> f64 {
         let from = age - window;
         let before_start = (-from).max(0.0) * self.limits.slow_start_from;
@@ -136,13 +136,13 @@
             rule: Rule::SlowStart,
             checked: self.starts,
             case: "cold starts",
-            margin: format!("{:.2} of the multiple", self.highest_part),
+            margin: format!("{:.2} of the multiple", self.highest_load_fraction),
             violations: self.violations.into_vec(),
         }
     }
 }
 
-/// What each core of a pod can do from its start until `age`, in seconds: its speed grows evenly up to 1.
+/// Work that each core of a pod can do from its start until `age`, in seconds; the speed of a core grows linearly up to 1.
 fn work_done_by(age: f64, limits: &RuleLimits) -> f64 {
     let from = limits.slow_start_from;
     let duration = limits.slow_start_duration.as_secs_f64().max(MIN_DIVISOR);
--- a/crates/rule-checker/src/service.rs
+++ b/crates/rule-checker/src/service.rs
@@ -1,17 +1,17 @@
-//! How the day went for the clients.
+//! Quality of service as seen by the clients.
 
 use crate::record::{Event, FinalAnswer, RecordLine, RequestId, RuleLimits};
 use crate::report::ServiceFigures;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The first attempt of a request.
+/// First attempt of a request.
 struct FirstAttempt {
     at: Duration,
     class: usize,
 }
 
-/// The answer that counts for a request: the first delivered one, or else the last.
+/// Answer that counts for a request: the first one delivered by a pod, otherwise the last one.
 struct LastAnswer {
     at: Duration,
     answer: FinalAnswer,
@@ -58,20 +58,20 @@
     last: &BTreeMap<RequestId, LastAnswer>,
     limits: &RuleLimits,
 ) -> f64 {
-    let mut asked = 0.0;
-    let mut earned = 0.0;
+    let mut total_weight = 0.0;
+    let mut weight_in_time = 0.0;
     for (id, first) in first {
         let class = &limits.classes[first.class];
-        asked += class.priority_weight;
+        total_weight += class.priority_weight;
         let in_time = last.get(id).is_some_and(|last| {
             last.answer == FinalAnswer::Delivered && last.at <= first.at + class.latency_objective
         });
         if in_time {
-            earned += class.priority_weight;
+            weight_in_time += class.priority_weight;
         }
     }
-    if asked > 0.0 {
-        earned / asked
+    if total_weight > 0.0 {
+        weight_in_time / total_weight
     } else {
         0.0
     }
--- a/crates/rule-checker/src/stalls.rs
+++ b/crates/rule-checker/src/stalls.rs
@@ -1,12 +1,12 @@
-//! How far the record's times may be off: the loop that wrote it reads its sockets one after the other.
+//! Uncertainty of the record's times: the loop that writes it reads its sockets one after the other, and may stall.
 
 use crate::record::{Event, RecordLine};
 use std::time::Duration;
 
-/// What one turn of the recording loop may take without being recorded as a stall.
-const TURN: Duration = Duration::from_millis(5);
-/// A stall makes times unsure this long before its begin and after its end.
-const NEAR: Duration = Duration::from_millis(100);
+/// Longest turn of the recording loop that is not recorded as a stall.
+const MAX_TURN: Duration = Duration::from_millis(5);
+/// Times are uncertain from this long before a stall begins until this long after it ends.
+const STALL_MARGIN: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
 struct Stall {
@@ -14,12 +14,12 @@
     duration: Duration,
 }
 
-/// The times at which the recorder did not run.
+/// Periods in which the recorder did not run.
 #[derive(Debug)]
 pub(crate) struct RecorderStalls(Vec<Stall>);
 
 impl RecorderStalls {
-    pub(crate) fn of(lines: &[RecordLine]) -> Self {
+    pub(crate) fn from_lines(lines: &[RecordLine]) -> Self {
         let stalls = lines.iter().filter_map(|line| match line.event {
             Event::RecorderStalled { duration } => Some(Stall {
                 end: line.at,
@@ -30,12 +30,14 @@
         Self(stalls.collect())
     }
 
-    /// How much earlier or later than recorded something at this time may have happened.
+    /// How much earlier or later than recorded an event at this time may have happened.
     pub(crate) fn tolerance(&self, at: Duration) -> Duration {
-        let from = self.0.partition_point(|stall| stall.end + NEAR < at);
+        let from = self
+            .0
+            .partition_point(|stall| stall.end + STALL_MARGIN < at);
         let near = self.0[from..]
             .iter()
-            .take_while(|stall| stall.end.saturating_sub(stall.duration) <= at + NEAR);
-        TURN + near.map(|stall| stall.duration).sum::<Duration>()
+            .take_while(|stall| stall.end.saturating_sub(stall.duration) <= at + STALL_MARGIN);
+        MAX_TURN + near.map(|stall| stall.duration).sum::<Duration>()
     }
 }
