--- a/crates/emulators/src/day/client_connections.rs
+++ b/crates/emulators/src/day/client_connections.rs
@@ -1,4 +1,4 @@
-//! The clients' connections to sidecars: one attempt at a time on each, and what becomes of it.
+//! The clients' connections to sidecars: each carries one attempt at a time, whose outcome is recorded.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::Day;
@@ -13,29 +13,29 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// The wait between the two pieces of a slow client's request.
+/// The pause between the two parts of a slow client's request.
 const SLOW_SENDER_PAUSE: Duration = Duration::from_millis(120);
-/// What a client waits past its timeout for an answer that may still be on its way.
+/// How long past its timeout a client waits for an answer that may still be in flight.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(250);
-/// Longer answers are not the pods'.
+/// The longest answer that is accepted; pods send shorter ones.
 const MAX_ANSWER: usize = 1 << 20;
-/// A client that disconnects does so within this part of its timeout.
+/// A client that disconnects early does so within this fraction of its timeout.
 const DISCONNECT_WITHIN_PART: f64 = 0.3;
-/// When a client finds an answer wrong, in seconds after it came.
+/// The delay between a wrong answer and the client's report of it.
 const REPORT_DELAY: std::ops::Range<f64> = 0.3..1.5;
-/// What a sidecar's own rejection says.
+/// The text in `proxy-status` that marks a rejection by the sidecar itself.
 const HARMLESS: &str = "a retry is harmless";
 
-/// A connection to a sidecar.
+/// A client's connection to a sidecar.
 pub(super) struct ClientConnection {
     sidecar: SidecarId,
     responses: ResponseReader,
     attempt: Option<AttemptKey>,
-    /// The head of its answer has come.
+    /// Whether the head of the answer has arrived.
     answer_started: bool,
-    /// What is still to be written of the attempt.
+    /// The part of the attempt that is not written yet.
     unsent: BytesMut,
-    /// Bytes written on this connection before the present attempt.
+    /// Bytes written on this connection before the current attempt.
     written_before: u64,
     timeout: Duration,
     timers: Vec<TimerKey>,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sends an attempt on an idle connection, or on a new one.
+    /// Sends an attempt on an idle connection, or on a new one if none is idle.
     pub(super) fn send_to(
         &mut self,
         sidecar: SidecarId,
@@ -142,7 +142,7 @@
             .schedule(next, TimerEvent::FinishSlowRequest(socket));
     }
 
-    /// The second piece of a slow client's request.
+    /// Writes the second part of a slow client's request.
     pub(super) fn finish_slow_request(&mut self, socket: SocketId) {
         if self
             .client(socket)
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A request counts as sent when the last of it is written: no sidecar can take it before.
+    /// Writes the rest of the request. It counts as sent only now, as no sidecar can act on it earlier.
     fn write_last_bytes(&mut self, socket: SocketId) {
         let Some(client) = self.client(socket) else {
             return;
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Records the first bytes of a streamed answer.
+    /// Records the start of a streamed answer.
     fn note_answer_start(&mut self, socket: SocketId) {
         let Some(client) = self.client(socket) else {
             return;
@@ -275,7 +275,7 @@
         let Some(attempt) = client.attempt.take() else {
             return;
         };
-        // Only answers of the sidecar itself have that field.
+        // Only answers made by the sidecar itself carry this field.
         let answer = match head.fields.text("proxy-status") {
             None => FinalAnswer::Delivered,
             Some(status) if status.contains(HARMLESS) => FinalAnswer::Rejected,
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Some clients find out that an answer was wrong, and report it.
+    /// Schedules the report of a wrong answer for the share of clients that report one.
     fn check_answer(&mut self, sidecar: SidecarId, head: &ResponseHead) {
         if head.fields.get(headers::WRONG_ANSWER).is_none() {
             return;
@@ -333,7 +333,7 @@
         };
         let written = written > client.written_before;
         if client.unsent.is_empty() {
-            // A process that ends may be seen by its sockets before the loop looks at it.
+            // Sockets may show that a process has ended before the loop polls the process.
             self.check_exit(client.sidecar);
             self.record(Event::ConnectionLost { attempt, written });
         }
@@ -362,7 +362,7 @@
         self.close_client(socket);
     }
 
-    /// Tells a sidecar that an answer was wrong, on a connection of its own.
+    /// Reports a wrong answer to a sidecar, on a separate connection.
     pub(super) fn report_wrong_answer(&mut self, sidecar: SidecarId, mark: &str) {
         let body = serde_json::json!({ "forward": mark }).to_string();
         let address = self.processes[sidecar.0 as usize].address;
--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: requests at random times, attempts at sidecars, retries as the answers allow.
+//! The clients: they send requests at random times, as attempts to sidecars, and retry where the answers allow it.
 
 use super::dispatch::TimerEvent;
 use super::event_loop::Day;
@@ -16,24 +16,24 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Routing keys are drawn below this.
+/// The number of distinct routing keys.
 const ROUTING_KEYS: u64 = 5_000;
-/// Keeps a rate above 0.
+/// The lower bound of the request rate, as the interval distribution needs a rate above 0.
 const MIN_RATE: f64 = 1e-6;
-/// Seconds between two requests at most, however low the rate is.
+/// The longest interval between two requests, however low the rate is.
 const MAX_INTERVAL: f64 = 3600.0;
-/// A request with an idempotency key is repeated only for this part of the pods' memory, so that the way there is left.
+/// The fraction of the deduplication window in which a request with an idempotency key is retried; the rest is left for transit.
 const DEDUPLICATION_PART: f64 = 0.9;
-/// A retry after an attempt that did not reach a sidecar waits for this part of the backoff.
+/// The fraction of the backoff that precedes a retry after an attempt that did not reach a sidecar.
 const UNSENT_BACKOFF_PART: f64 = 0.1;
-/// The body of requests that have one.
+/// The body of every request except GET.
 const BODY: &[u8] = b"{\"litres\": 500}";
 
-/// All clients of a day.
+/// The state of all clients of a day.
 #[derive(Default)]
 pub(super) struct Clients {
     next_id: u64,
-    /// No new requests from then on.
+    /// The time from which no new requests are sent.
     pub(super) end_at: Duration,
     pub(super) open: HashMap<RequestId, ClientRequest>,
     pub(super) idle: BTreeMap<SidecarId, Vec<SocketId>>,
@@ -43,15 +43,15 @@
     pub(super) failed: u64,
 }
 
-/// A request, over all its attempts.
+/// A request and the state of its attempts.
 pub(super) struct ClientRequest {
     pub(super) class: usize,
     tenant: Option<usize>,
     pub(super) routing_key: u64,
-    /// It fails at every pod.
+    /// Whether it fails at every pod.
     failing: bool,
     attempts: u16,
-    /// Until when it is sent again.
+    /// The time until which it is retried.
     retry_until: Duration,
 }
 
@@ -69,7 +69,7 @@
         self.new_request(None);
     }
 
-    /// Requests of one tenant that fail at every pod, as long as that fault is active.
+    /// Sends the next request of one tenant that fails at every pod, as long as that fault is active.
     pub(super) fn next_failing_request(&mut self, fault: usize) {
         let Some(DayFault::FailingTenant {
             tenant,
@@ -97,7 +97,7 @@
         self.now + Duration::from_secs_f64(interval.min(MAX_INTERVAL))
     }
 
-    /// A new request; it fails everywhere if a tenant is given.
+    /// Creates a request and sends its first attempt; it fails at every pod if a tenant is given.
     fn new_request(&mut self, failing_tenant: Option<usize>) {
         let script = self.script;
         let class = self.draw(script.classes.iter().map(|class| class.share));
@@ -123,7 +123,7 @@
         self.send_attempt(id);
     }
 
-    /// An index drawn by shares; none if there are none.
+    /// Draws an index with the given shares as weights; returns `None` if there are no shares.
     fn draw(&mut self, shares: impl Iterator<Item = f64>) -> Option<usize> {
         let weights = WeightedIndex::new(shares).ok()?;
         Some(weights.sample(&mut self.rng))
@@ -137,7 +137,7 @@
         SidecarId(self.rng.random_range(0..sidecars))
     }
 
-    /// Sends the next attempt of a request to one of the sidecars.
+    /// Sends the next attempt of a request to a sidecar drawn at random.
     pub(super) fn send_attempt(&mut self, id: RequestId) {
         let script = self.script;
         let sidecar = self.draw_sidecar();
@@ -151,7 +151,7 @@
         let class = &script.classes[request.class].class;
         let timeout = Duration::from(class.client_timeout).mul_f64(timeout_part);
         let left = request.retry_until.saturating_sub(self.now);
-        // Whole milliseconds, as the header field says them.
+        // The header field states whole milliseconds.
         let timeout = Duration::from_millis(timeout.min(left).as_millis() as u64);
         if timeout.is_zero() {
             self.clients.open.remove(&id);
@@ -204,7 +204,8 @@
         Some(bytes)
     }
 
-    /// Retries after a wait, where that does no harm: `harmless` if the last attempt is known not to have run, else by the class.
+    /// Schedules a retry after a backoff, or drops the request. A retry is allowed if the last attempt is known not to have run
+    /// (`harmless`) or if the request class may be repeated.
     pub(super) fn retry_or_drop(&mut self, id: RequestId, harmless: bool, soon: bool) {
         let clients = &self.script.clients;
         let wait = f64::from(clients.mean_backoff) * self.rng.random_range(0.5..1.5);
--- a/crates/emulators/src/day/dispatch.rs
+++ b/crates/emulators/src/day/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands what happens at a socket, or is due, to the emulator that it belongs to.
+//! Dispatches socket events and expired timers to the emulators that own them.
 
 use super::client_connections::ClientConnection;
 use super::endpoint_service::{EndpointWatch, PublishedList};
@@ -9,7 +9,7 @@
 use limewing_net::sockets::{SocketEvent, SocketId};
 use limewing_rule_checker::record::{PodId, RequestId, SidecarId};
 
-/// What a socket is for.
+/// The emulator that owns a socket, with the state of the connection.
 pub(super) enum SocketOwner {
     PodListener(PodId),
     EndpointListener,
@@ -21,7 +21,7 @@
     Client(Box<ClientConnection>),
 }
 
-/// What is due at a time. Faults, offers and steps are named by their index in the script.
+/// What an expired timer triggers. Faults, offers and steps are identified by their index in the script.
 pub(super) enum TimerEvent {
     NextRequest,
     NextFailingRequest(usize),
--- a/crates/emulators/src/day/endpoint_service.rs
+++ b/crates/emulators/src/day/endpoint_service.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: a subset of Consul's health API with blocking queries.
+//! The endpoint list service: a subset of Consul's health API with blocking queries.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::Day;
@@ -16,26 +16,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The service that the pods register as.
+/// The name of the service that the pods register as.
 pub(super) const SERVICE: &str = "order-node";
-/// Queries have no body; more is no query.
+/// The longest query that is accepted; queries have no body.
 const MAX_QUERY: usize = 1024;
-/// What a query waits that names no time, in milliseconds: Consul's default.
+/// How long a blocking query without a `wait` parameter waits: Consul's default.
 const DEFAULT_WAIT_MS: u64 = 300_000;
 
-/// The list as it was published last.
+/// The endpoint list as last published.
 pub(super) struct EndpointService {
     pub(super) address: SocketAddr,
-    /// Grows with each list.
+    /// Consul's index, which grows with each list.
     index: u64,
     body: Vec<u8>,
     ready: Vec<PodId>,
     draining: Vec<PodId>,
-    /// Sidecars that were notified of a list with pods in it.
+    /// The sidecars that were sent a list with ready pods.
     pub(super) notified: BTreeSet<SidecarId>,
-    /// Lists that were made so far.
+    /// The number of lists created so far.
     made: u64,
-    /// The number of the newest one that was published.
+    /// The number of the newest published list.
     newest: u64,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// A list that is published once its delay is over; one that is older than the last published one never is.
+/// A list to be published after its delay, unless a newer one is published first.
 pub(super) struct PublishedList {
     number: u64,
     body: Vec<u8>,
@@ -62,13 +62,13 @@
     draining: Vec<PodId>,
 }
 
-/// A connection of a sidecar that watches the list.
+/// A sidecar's connection that watches the list.
 pub(super) struct EndpointWatch {
     requests: RequestReader,
     sidecar: Option<SidecarId>,
-    /// A query waits for a newer list.
+    /// Whether a query waits for a newer list.
     waiting: bool,
-    /// Queries so far.
+    /// The number of queries so far.
     queries: u64,
 }
 
@@ -84,7 +84,7 @@
 }
 
 impl Day<'_> {
-    /// The fleet changed: the list says so after its delay.
+    /// Publishes the changed fleet after the delay of the list.
     pub(super) fn publish_fleet(&mut self) {
         self.endpoints.made += 1;
         let list = PublishedList {
@@ -210,7 +210,7 @@
             .schedule(at, TimerEvent::WatchTimeout(socket, query));
     }
 
-    /// A blocking query has waited as long as it may, and is answered with the list as it is.
+    /// Answers a blocking query whose wait has expired with the current list.
     pub(super) fn watch_timed_out(&mut self, socket: SocketId, query: u64) {
         let Some(SocketOwner::EndpointWatch(watch)) = self.owners.get(&socket) else {
             return;
@@ -257,7 +257,7 @@
         self.read_endpoint_query(socket);
     }
 
-    /// An answer without fields of its own.
+    /// Sends an answer without additional header fields.
     pub(super) fn send_plain(&mut self, socket: SocketId, status: u16, body: &[u8]) {
         let framing = Framing::Length(body.len() as u64);
         let mut out = BytesMut::new();
--- a/crates/emulators/src/day/event_loop.rs
+++ b/crates/emulators/src/day/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of a day: waits for sockets and timers, keeps the time, and writes the record.
+//! The event loop of a day: waits for sockets and timers, keeps the time, and writes the record.
 
 use super::clients::Clients;
 use super::dispatch::{SocketOwner, TimerEvent};
@@ -26,32 +26,32 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// How often the rollout controller looks at its fleet.
+/// How often the rollout controller checks its fleet.
 pub(super) const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// How often progress is shown.
+/// How often progress is reported to the view.
 pub(super) const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
-/// A turn of the loop longer than this is recorded: times before it may be late by as much.
+/// A turn of the loop that takes longer than this is recorded, as recorded times may be late by as much.
 const SLOW_TURN: Duration = Duration::from_millis(3);
-/// Within this time each sidecar has been notified of the endpoint list, or the day can't begin.
+/// The time within which each sidecar must have asked for the endpoint list, or the day fails.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// What is waited beyond the longest timeout of a client before the day is over.
+/// How long the day goes on after the longest client timeout.
 const END_MARGIN: Duration = Duration::from_secs(1);
 
-/// A day that is played.
+/// A day being played.
 pub(super) struct Day<'a> {
     pub(super) script: &'a DayScript,
-    /// The sidecars' command.
+    /// The program that runs as the sidecars.
     pub(super) program: &'a Path,
     pub(super) folder: PathBuf,
     pub(super) sockets: Sockets,
     pub(super) owners: HashMap<SocketId, SocketOwner>,
     pub(super) timers: TimerWheel<TimerEvent>,
     started_at: Instant,
-    /// Since the start.
+    /// The time since the start, as of the current turn.
     pub(super) now: Duration,
     pub(super) rng: StdRng,
     record: Recorder<BufWriter<File>>,
-    /// The first error of writing the record.
+    /// The first error that occurred while writing the record.
     record_error: Option<io::Error>,
     pub(super) pods: BTreeMap<PodId, Pod>,
     pub(super) next_pod: u32,
@@ -60,15 +60,15 @@
     pub(super) rollout: RolloutController,
     pub(super) rollout_service: RolloutService,
     pub(super) endpoints: EndpointService,
-    /// Faults that last, by their index in the script.
+    /// The faults that are active, by their index in the script.
     pub(super) active_faults: BTreeMap<usize, DayFault>,
     pub(super) clients: Clients,
     pub(super) processes: Vec<Process>,
-    /// Between the sidecars, if they know of each other.
+    /// Carries the datagrams between the sidecars, if they are peers of each other.
     pub(super) relay: Option<Relay>,
-    /// Of machines that go out for maintenance.
+    /// The agents of the machines, if the day has maintenance.
     pub(super) agents: Option<MaintenanceAgents>,
-    /// All sidecars know the endpoint list, and requests come.
+    /// Whether all sidecars have the endpoint list, so that requests are sent.
     pub(super) begun: bool,
     pub(super) over: bool,
     pub(super) show_progress: bool,
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    /// Appends to the record; an error of it ends the day when it is over.
+    /// Appends to the record; an error is returned at the end of the day.
     pub(super) fn record(&mut self, event: Event) {
         if let Err(error) = self.record.append(self.now, event) {
             self.record_error.get_or_insert(error);
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The day begins once each sidecar has been notified of the endpoint list.
+    /// Waits until each sidecar has been sent the endpoint list.
     fn await_sidecars(&mut self) -> Result<(), DayError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         while self.endpoints.notified.len() < self.script.sidecar_zones.len() {
@@ -208,7 +208,7 @@
         self.end_by(now + script.duration.into());
     }
 
-    /// No more requests after this, if it is before what was set before.
+    /// Stops new requests at this time, unless an earlier end is set.
     pub(super) fn end_by(&mut self, until: Duration) {
         if until < self.clients.end_at {
             self.clients.end_at = until;
@@ -227,7 +227,7 @@
         let events = self.sockets.wait(Some(wait))?;
         self.now = self.started_at.elapsed();
         let began = self.now;
-        // How much later the loop runs than it was to at the latest: nothing was read meanwhile.
+        // The delay beyond the requested wait, during which no socket was read.
         self.record_stall(began.saturating_sub(before + wait));
         for event in events {
             self.handle_socket_event(event);
@@ -254,14 +254,14 @@
         self.sockets.close(socket);
     }
 
-    /// Closes all sockets that fit, in the order of their numbers.
+    /// Closes all matching sockets, in ascending order.
     pub(super) fn close_all(&mut self, fits: impl Fn(&SocketOwner) -> bool) {
         for socket in self.sockets_where(fits) {
             self.close(socket);
         }
     }
 
-    /// All sockets that fit, in the order of their numbers.
+    /// Returns all matching sockets, in ascending order.
     pub(super) fn sockets_where(&self, fits: impl Fn(&SocketOwner) -> bool) -> Vec<SocketId> {
         let owners = self.owners.iter().filter(|(_, owner)| fits(owner));
         let mut sockets: Vec<SocketId> = owners.map(|(socket, _)| *socket).collect();
@@ -297,7 +297,7 @@
     }
 }
 
-/// Any free port of the loopback address.
+/// The loopback address with any free port.
 pub(super) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/emulators/src/day/faults.rs
+++ b/crates/emulators/src/day/faults.rs
@@ -1,4 +1,4 @@
-//! The scripted faults of a day: what begins and ends with them, and which of them are active.
+//! The scripted faults of a day: their start and end, and queries of the active ones.
 
 use super::dispatch::TimerEvent;
 use super::event_loop::Day;
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Faults that are active hold for pods that start during them too.
+    /// Applies the active faults to pods, so that they affect pods that start meanwhile, too.
     pub(super) fn apply_pod_faults(&mut self) {
         let active: Vec<DayFault> = self.active_faults.values().cloned().collect();
         for fault in active {
@@ -80,12 +80,12 @@
         self.active_faults.values().any(fits)
     }
 
-    /// What the first active fault that fits says.
+    /// Returns what `pick` finds in the first active fault that matches.
     pub(super) fn find_fault<T>(&self, pick: impl Fn(&DayFault) -> Option<T>) -> Option<T> {
         self.active_faults.values().find_map(pick)
     }
 
-    /// Whether nothing passes between two zones.
+    /// Whether two zones are partitioned from each other.
     pub(super) fn is_partitioned(&self, one: &str, other: &str) -> bool {
         let cuts = |fault: &DayFault| matches!(fault, DayFault::ZonePartitioned(cut) if cut == one || cut == other);
         one != other && self.has_fault(cuts)
@@ -98,7 +98,7 @@
             .map_or("", String::as_str)
     }
 
-    /// Whether a sidecar reaches neither the endpoint list nor the rollout service, which are in the first zone.
+    /// Whether a sidecar is partitioned from the endpoint list and the rollout service, which are in the first zone.
     pub(super) fn is_cut_off(&self, sidecar: SidecarId) -> bool {
         self.is_partitioned(self.zone_of(sidecar), &self.script.fleet.zones[0])
     }
--- a/crates/emulators/src/day/maintenance.rs
+++ b/crates/emulators/src/day/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance of machines during a day: what operators request, and the work on machines that are out.
+//! Maintenance of machines during a day: operators' requests, and the work on machines that are out of service.
 
 use super::dispatch::TimerEvent;
 use super::event_loop::Day;
@@ -11,9 +11,9 @@
 use std::collections::btree_map::Entry;
 use std::time::Duration;
 
-/// From the notification of an agent to the begin of its work: whatever arrives meanwhile should not.
+/// The time between the notification of an agent and the start of its work; no request should arrive in it.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// A day that ends when all maintenance is over goes on for so long.
+/// How long a day that ends with its maintenance goes on afterwards.
 const TIME_AFTER_ALL: Duration = Duration::from_secs(1);
 
 impl Day<'_> {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Looks at what the sidecars said lately.
+    /// Processes the views that the sidecars have reported since the last call.
     pub(super) fn take_maintenance_views(&mut self) {
         let Some(agents) = &mut self.agents else {
             return;
--- a/crates/emulators/src/day/maintenance_agents.rs
+++ b/crates/emulators/src/day/maintenance_agents.rs
@@ -1,5 +1,5 @@
-//! The operator and the machines' agents: a thread of its own reads the sidecars' maintenance page and posts to it, until what was
-//! posted shows.
+//! The operator and the machines' agents: a separate thread polls the sidecars' maintenance page, and repeats each post until a view
+//! reflects it.
 
 use crate::fleet::call;
 use crate::rollout::SlotId;
@@ -11,28 +11,28 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often a page is read.
+/// How often a page is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// What has not shown yet is posted again after this.
+/// The interval after which a post that no view reflects yet is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// The page that says how maintenance stands, and takes requests.
+/// The page that shows the state of maintenance and accepts requests.
 const PAGE: &str = "/limewing/work";
-/// What the page calls a machine that is out.
+/// The phase in which the page reports a machine that is out of service.
 const OUT: &str = "out";
 
-/// What the thread is to post.
+/// A message for the thread to post.
 pub(super) enum Post {
     Operator(OperatorAction),
     Report { grant: u64, report: WorkReport },
     EndThread,
 }
 
-/// The day's side of the thread.
+/// The event loop's handle to the thread.
 pub(super) struct MaintenanceAgents {
     posts: Sender<Post>,
     pub(super) views: Receiver<MaintenanceView>,
     thread: Option<JoinHandle<()>>,
-    /// The machine of each grant that is or was out, by its first slot.
+    /// The machine of each grant that is or was out of service, by its first slot.
     pub(super) machines: BTreeMap<u64, SlotId>,
 }
 
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn post(&self, post: Post) {
-        // The thread ends with the day alone.
+        // Sending can't fail before the end of the day, as the thread runs until then.
         let _ = self.posts.send(post);
     }
 }
@@ -66,13 +66,13 @@
     fn drop(&mut self) {
         self.post(Post::EndThread);
         if let Some(thread) = self.thread.take() {
-            // A panic of it has been printed.
+            // The panic message, if any, is already printed.
             let _ = thread.join();
         }
     }
 }
 
-/// Something to post, until it shows.
+/// A post that no view reflects yet.
 struct Pending {
     post: Post,
     posted_at: Option<Instant>,
@@ -83,7 +83,7 @@
     posts: Receiver<Post>,
     views: Sender<MaintenanceView>,
     pending: Vec<Pending>,
-    /// The list that was requested last.
+    /// The list that was created last.
     list: Option<u64>,
 }
 
@@ -93,7 +93,7 @@
         while self.take_posts() {
             turn += 1;
             let sidecar = self.sidecars[turn % self.sidecars.len()];
-            // A sidecar that is down or suspended is passed over.
+            // A sidecar that is down or suspended is skipped.
             if let Some(view) = read_view(sidecar) {
                 self.pending.retain(|pending| {
                     pending.posted_at.is_none() || !shows(&view, &pending.post, self.list)
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns whether the thread goes on.
+    /// Receives new posts; returns whether the thread continues.
     fn take_posts(&mut self) -> bool {
         for post in self.posts.try_iter() {
             if matches!(post, Post::EndThread) {
@@ -159,7 +159,7 @@
         Post::EndThread => return None,
     };
     match action {
-        // Requested once: again it would be another list.
+        // Requested only once, as a repetition would create another list.
         OperatorAction::Request(_) if pending.posted_at.is_some() => None,
         OperatorAction::Request(list) => Some(MaintenanceRequest::CreateList(list.clone())),
         OperatorAction::Hold => list.map(MaintenanceRequest::PauseList),
@@ -171,7 +171,7 @@
     }
 }
 
-/// Whether what was posted shows in a sidecar's view, so that it need not be posted again.
+/// Whether a sidecar's view reflects a post, so that it need not be repeated.
 fn shows(view: &MaintenanceView, post: &Post, list: Option<u64>) -> bool {
     let list = view.lists.iter().find(|shown| Some(shown.id) == list);
     match post {
@@ -186,7 +186,7 @@
         Post::Operator(OperatorAction::RemoveVoter(name)) => {
             !view.voters.is_empty() && !view.voters.contains(name)
         }
-        // That the work began does not show, so that it is reported once.
+        // No view shows that the work began, so that it is reported only once.
         Post::Report {
             report: WorkReport::Began,
             ..
@@ -202,7 +202,7 @@
     Some(machine.phase.as_str())
 }
 
-/// The machines that are out in a view, by their grants and first slots.
+/// The machines that a view shows as out of service, by their grants and first slots.
 pub(super) fn machines_out(view: &MaintenanceView) -> Vec<(u64, SlotId)> {
     let machines = view.lists.iter().flat_map(|list| &list.machines);
     let out = machines.filter(|machine| machine.phase == OUT);
--- a/crates/emulators/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a day: all emulators on one loop with one clock, the sidecars as processes of their own.
+//! Plays a day: all emulators run on one event loop with one clock, the sidecars as separate processes.
 
 mod client_connections;
 mod clients;
@@ -25,57 +25,57 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a day can't be played to its end.
+/// Why a day could not be played to its end.
 #[derive(Debug, Error)]
 pub enum DayError {
-    /// A file, socket or process can't be had.
+    /// A system call on a file, socket or process failed.
     #[error("{0}")]
     System(#[from] io::Error),
-    /// A sidecar does not start.
+    /// A sidecar did not start.
     #[error("sidecar {number}: {why}")]
     Sidecar {
-        /// Its place in the fleet.
+        /// The sidecar's index in the fleet.
         number: usize,
-        /// What is wrong.
+        /// The reason.
         why: String,
     },
-    /// The sidecars have not asked for the endpoint list.
+    /// Not all sidecars asked for the endpoint list in time.
     #[error("the sidecars did not ask for the list within 10 s")]
     NotReady,
 }
 
-/// What a day's view shows while it plays.
+/// The progress of a day, for the view that shows it.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Time since the start.
+    /// The time since the start.
     pub at: Duration,
-    /// When it is over.
+    /// The time of the end of the day.
     pub ends_at: Duration,
-    /// Requests so far.
+    /// The number of requests so far.
     pub requests: u64,
-    /// Attempts that were answered by a pod.
+    /// The number of attempts that were answered by a pod.
     pub delivered: u64,
-    /// Attempts that were refused.
+    /// The number of attempts that were rejected.
     pub rejected: u64,
-    /// Attempts that ended in an error.
+    /// The number of attempts that ended in an error.
     pub failed: u64,
-    /// Pods that run.
+    /// The number of running pods.
     pub pods: usize,
     /// The newest build.
     pub build: u16,
-    /// Its stage.
+    /// The stage of its rollout.
     pub stage: u8,
-    /// Where its rollout stands.
+    /// The phase of its rollout.
     pub phase: Phase,
-    /// What is wrong now.
+    /// The active faults.
     pub faults: Vec<String>,
 }
 
-/// Plays a day with `program` as the sidecars' command, and writes its files into `folder`. Returns the record, which is
+/// Plays a day with `program` as the sidecars, and writes its files into `folder`. Returns the path of the record, which is
 /// `folder/record.jsonl`.
 ///
 /// # Errors
-/// A sidecar does not start, or a file or socket can't be had.
+/// Fails if a sidecar does not start, or if a system call on a file or socket fails.
 pub fn play(
     script: &DayScript,
     program: &Path,
--- a/crates/emulators/src/day/pod_answers.rs
+++ b/crates/emulators/src/day/pod_answers.rs
@@ -1,4 +1,4 @@
-//! What the pods answer, with the faults of their builds and of the day.
+//! The pods' answers, with the faults of their builds and of the day applied.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::Day;
@@ -13,35 +13,35 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Between the two pieces of a streamed answer.
+/// The pause between the two parts of a streamed answer.
 const STREAM_PAUSE: Duration = Duration::from_millis(200);
-/// The share of failing requests that fail.
+/// The share of the failing tenant's requests that fail.
 const FAILING_SHARE: f64 = 0.97;
-/// An answer that ends before its length.
+/// An answer that ends before its stated length.
 const TRUNCATED_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it";
 
-/// What a pod is to answer.
+/// An answer to be sent by a pod.
 struct PodAnswer<'a> {
     status: u16,
     fields: &'a [(&'a str, &'a str)],
-    /// In two pieces, with a pause between.
+    /// Whether it is sent in two parts, with a pause between them.
     streamed: bool,
 }
 
-/// What the faults make of an answer.
+/// The effect of the faults on an answer.
 struct Outcome {
     status: u16,
     wrong: bool,
 }
 
 impl Day<'_> {
-    /// The model has worked a request off.
+    /// Answers a request that the pod's model has finished.
     pub(super) fn request_done(&mut self, id: PodId, number: u64) {
         let Some(request) = self.pod_requests.open.remove(&number) else {
             return;
         };
         let Some(pod) = self.pods.get_mut(&id) else {
-            // The pod ended with the request in work.
+            // The pod ended while the request was running.
             if let Some(key) = request.key.filter(|_| request.effect) {
                 self.deduplication.forget(&key);
             }
@@ -118,7 +118,7 @@
         share.is_some_and(|share| self.rng.random_bool(share))
     }
 
-    /// Says that a request was not begun.
+    /// Answers that a request was not begun.
     pub(super) fn reject(&mut self, socket: SocketId, id: PodId) {
         let answer = PodAnswer {
             status: 503,
@@ -175,7 +175,7 @@
         self.timers.schedule(next, TimerEvent::FinishStream(socket));
     }
 
-    /// The second piece of a streamed answer.
+    /// Sends the second part of a streamed answer.
     pub(super) fn finish_stream(&mut self, socket: SocketId) {
         let Some(SocketOwner::Pod(connection)) = self.owners.get_mut(&socket) else {
             return;
--- a/crates/emulators/src/day/pod_requests.rs
+++ b/crates/emulators/src/day/pod_requests.rs
@@ -1,4 +1,4 @@
-//! Requests at the pods: they are read, queued, and worked off by the model.
+//! Requests at the pods: read from connections, queued, and run by the model.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::Day;
@@ -18,13 +18,13 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Longer requests are not the clients'.
+/// The longest request that is accepted; clients send shorter ones.
 const MAX_REQUEST: usize = 1 << 20;
-/// Spread of a request's work: the standard deviation of its logarithm.
+/// The standard deviation of the logarithm of a request's work.
 const WORK_SPREAD: f64 = 0.25;
-/// Spreads the numbers of requests over all seeds.
+/// Spreads request numbers over the range of seeds.
 const SEED_FACTOR: u64 = 0x9e37_79b9;
-/// Stands for no timeout; half of the longest time, so that the sum with any time of the day fits.
+/// Stands for no timeout: half of the longest duration, so that adding any time of the day does not overflow.
 const NO_TIMEOUT: Duration = Duration::new(u64::MAX / 2, 0);
 
 /// A connection from a sidecar to a pod.
@@ -32,13 +32,13 @@
     pub(super) pod: PodId,
     pub(super) sidecar: Option<SidecarId>,
     requests: RequestReader,
-    /// A request is not answered yet.
+    /// Whether a request is not answered yet.
     pub(super) busy: bool,
-    /// The connection is not yet of use.
+    /// Whether the connection is not usable yet, because a fault delays it.
     connecting: bool,
 }
 
-/// Requests at pods, by number.
+/// The requests at all pods, by number.
 #[derive(Default)]
 pub(super) struct PodRequests {
     next: u64,
@@ -50,10 +50,10 @@
     pub(super) socket: SocketId,
     pub(super) attempt: AttemptKey,
     pub(super) class: usize,
-    /// It fails wherever it runs.
+    /// Whether it fails at every pod.
     pub(super) failing: bool,
     pub(super) key: Option<DeduplicationKey>,
-    /// Whether it takes effect: known once it is in work.
+    /// Whether it takes effect; set when it begins to run.
     pub(super) effect: bool,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A new connection to a pod, if the pod takes one.
+    /// Accepts a new connection to a pod, unless the pod has too many.
     pub(super) fn accept_at_pod(&mut self, pod: PodId, socket: SocketId) -> Option<PodConnection> {
         let mut connection = PodConnection {
             pod,
@@ -108,7 +108,7 @@
             return;
         };
         if ended {
-            // The sidecar closed: what is in work goes on, and nobody gets its answer.
+            // The sidecar closed the connection: a running request continues, but its answer is dropped.
             return self.close(socket);
         }
         if connection.busy || connection.connecting {
@@ -137,7 +137,7 @@
             return;
         };
         let slot = pod.slot.0;
-        // Bytes that would not have come through: nobody saw them.
+        // The partition would have stopped these bytes, so that they are not recorded.
         let zone = &self.script.fleet.zones[pod.zone];
         if self.is_partitioned(self.zone_of(sidecar), zone) {
             return;
@@ -211,7 +211,7 @@
             .position(|script| script.class.routes.iter().any(fits))
     }
 
-    /// The same request is as much work wherever it runs.
+    /// The work of an attempt: the same for all attempts of a request, at every pod.
     fn work_of(&self, attempt: AttemptKey, class: usize) -> Duration {
         let mean = f64::from(self.script.classes[class].mean_work);
         let seed = self.script.seed ^ attempt.request.0.wrapping_mul(SEED_FACTOR);
@@ -244,7 +244,7 @@
         })
     }
 
-    /// A request is in work until `until`: from here on its idempotency key is known.
+    /// Runs a request until `until`, and registers its idempotency key.
     fn begin_work(&mut self, pod: PodId, number: u64, until: Duration) {
         if let Some(request) = self.pod_requests.open.get_mut(&number) {
             let keyed = request
@@ -260,7 +260,7 @@
             .schedule(until, TimerEvent::RequestDone(pod, number));
     }
 
-    /// Begins what waits at a pod, as far as cores are free.
+    /// Begins queued requests of a pod while it has free cores.
     pub(super) fn work_off_queue(&mut self, id: PodId) {
         let now = self.now;
         while let Some(next) = self
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Requests that the pods of a slot hold, waiting or in work.
+    /// The number of requests that are queued or running at the pods of a slot.
     pub(super) fn in_flight_at(&self, slot: SlotId) -> usize {
         let here = |request: &&PodRequest| match self.owners.get(&request.socket) {
             Some(SocketOwner::Pod(connection)) => self
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -1,4 +1,4 @@
-//! The pods as processes: they start, drain, hang and end.
+//! The lifecycle of pods: they start, drain, hang and end.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::{any_port, Day};
@@ -10,23 +10,23 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-/// Pods of the first fleet say that they have run for so long, in seconds: no sidecar takes them for warming up.
+/// The age that pods of the initial fleet report, so that no sidecar considers them to be warming up.
 const AGE_OF_FIRST_PODS: f64 = 86_400.0;
 
-/// A pod.
+/// An emulated pod.
 pub(super) struct Pod {
     pub(super) slot: SlotId,
     pub(super) build: u16,
     listener: SocketId,
     pub(super) address: SocketAddr,
-    /// By its index.
+    /// The index of its zone.
     pub(super) zone: usize,
     pub(super) cell: u16,
-    /// It runs, and is listed.
+    /// Whether it runs and is listed.
     pub(super) running: bool,
     pub(super) draining: bool,
     warms_up: bool,
-    /// Time of day of its start, in seconds since 1970.
+    /// The time of its start, in seconds since the Unix epoch.
     pub(super) started_at_unix: f64,
     pub(super) running_since: Duration,
     pub(super) model: PodModel<u64>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Begins to start a pod. One that is new runs only after a while, and then warms up.
+    /// Begins to start a pod. A new pod runs only after the startup time, and then warms up.
     pub(super) fn start_pod(
         &mut self,
         slot: SlotId,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Ends a pod, and breaks its connections.
+    /// Ends a pod, and closes its connections.
     pub(super) fn stop_pod(&mut self, id: PodId) {
         let Some(pod) = self.pods.remove(&id) else {
             return;
@@ -173,7 +173,7 @@
     }
 }
 
-/// The time of day, in seconds since 1970.
+/// The current time, in seconds since the Unix epoch.
 fn unix_time() -> f64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_secs_f64()
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -1,4 +1,4 @@
-//! The sidecars as processes: started, killed, terminated, suspended, resumed and started again.
+//! The sidecar processes: they are started, killed, terminated, suspended, resumed and restarted.
 
 use super::event_loop::{any_port, Day};
 use super::DayError;
@@ -13,14 +13,14 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// What a sidecar writes before its address once it listens.
+/// What a sidecar prints before its address once it listens.
 const LISTENING: &str = "listening ";
 
-/// A sidecar.
+/// A sidecar process.
 pub(super) struct Process {
     child: Child,
     pub(super) address: SocketAddr,
-    /// It has ended.
+    /// Whether the process has ended.
     exited: bool,
 }
 
@@ -34,12 +34,12 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            // A process that has ended by itself takes no signals.
+            // Fails only if the process has exited by itself.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whatever it writes to any file from now on fails, as on a full disk; its log too.
+    /// Makes every write of the process to a file fail, as on a full disk, including writes to its log; or ends that state.
     fn set_disk_full(&self, full: bool) {
         let Some(pid) = self.pid() else {
             return;
@@ -49,11 +49,11 @@
             current: if full { Some(0) } else { maximum },
             maximum,
         };
-        // A process that has ended by itself has no limits.
+        // Fails only if the process has exited by itself.
         let _ = prlimit(Some(pid), Resource::Fsize, limit);
     }
 
-    /// Ends it whatever it does.
+    /// Kills the process and waits for its end.
     pub(super) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -68,7 +68,7 @@
 }
 
 impl Day<'_> {
-    /// Applies what the script of faults between sidecars asks for by now.
+    /// Applies the actions that are due in the script of faults between sidecars.
     pub(super) fn apply_fleet_faults(&mut self) -> Result<(), DayError> {
         let actions = self.relay.as_ref().map(Relay::advance).unwrap_or_default();
         for action in actions {
@@ -89,7 +89,7 @@
             FaultAction::Resume(number) => self.resume_sidecar(number),
             FaultAction::LoseDisk(number) => {
                 if self.processes[number].exited {
-                    // There may be no files yet.
+                    // The files may not exist yet.
                     let _ = std::fs::remove_file(self.state_file(number));
                     let _ = std::fs::remove_dir_all(self.voter_folder(number));
                 }
@@ -130,7 +130,7 @@
         self.processes[number].signal(Signal::CONT);
     }
 
-    /// Starts a sidecar, at the address that it had before if it had one; waits until it listens.
+    /// Starts a sidecar, at its previous address if it had one, and waits until it listens.
     pub(super) fn spawn(
         &mut self,
         number: usize,
@@ -165,10 +165,10 @@
         Ok(process)
     }
 
-    /// What an earlier day left in the folder is not this day's.
+    /// Removes the files that an earlier day left in the folder.
     fn remove_old_files(&self, settings: &SidecarSettings, number: usize) {
         if let Some(file) = &settings.state_file {
-            // There may be none.
+            // The file may not exist.
             let _ = std::fs::remove_file(file);
         }
         let _ = std::fs::remove_dir_all(self.voter_folder(number));
@@ -213,7 +213,7 @@
 
     pub(super) fn kill_sidecar(&mut self, number: usize) {
         let sidecar = SidecarId(number as u32);
-        // Recorded first: what its end cuts off is seen afterwards.
+        // Recorded first, as the lost connections that result are seen afterwards.
         self.record(Event::SidecarExited { sidecar });
         if let Some(relay) = &self.relay {
             relay.set_member(number, None);
@@ -233,7 +233,7 @@
         Ok(())
     }
 
-    /// Records a sidecar that has ended by itself.
+    /// Records the end of a sidecar that has exited by itself.
     pub(super) fn check_exit(&mut self, sidecar: SidecarId) {
         let process = &mut self.processes[sidecar.0 as usize];
         if !process.exited && matches!(process.child.try_wait(), Ok(Some(_))) {
@@ -244,7 +244,7 @@
 }
 
 impl Process {
-    /// Waits for the line that says where it listens; none if another line comes, or its output ends.
+    /// Waits for the line that states the address; returns `None` if another line comes or the output ends.
     fn read_address(&mut self) -> io::Result<Option<SocketAddr>> {
         let mut line = String::new();
         if let Some(out) = self.child.stdout.take() {
@@ -255,7 +255,7 @@
     }
 }
 
-/// The words by which the record names an action; a format.
+/// The text by which the record names an action; part of the record's format.
 fn recorded_text(action: &FaultAction) -> String {
     match action {
         FaultAction::Suspend(number) => format!("Stop({number})"),
--- a/crates/emulators/src/day/rollout_service.rs
+++ b/crates/emulators/src/day/rollout_service.rs
@@ -1,4 +1,4 @@
-//! The rollout service: streams of stage updates, and the sidecars' votes.
+//! The rollout service: streams stage updates, and accepts the sidecars' votes.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::{Day, TICK_INTERVAL};
@@ -17,19 +17,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Votes are shorter.
+/// The longest call that is accepted; votes are shorter.
 const MAX_CALL: usize = 16 * 1024;
-/// Stage updates are repeated after this, if the script does not say.
+/// How often stage updates are repeated if the script does not state an interval.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(2);
-/// Stage updates are repeated after this at the least.
+/// The shortest interval at which stage updates are repeated.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the service keeps of votes.
+/// The address of the service, and its state of votes.
 pub(super) struct RolloutService {
     address: SocketAddr,
-    /// Votes that came so far.
+    /// The number of votes received so far.
     votes: u64,
-    /// When votes were taken, as long as their rate is limited.
+    /// The times of the votes accepted within the window of the rate limit.
     taken_at: Vec<Duration>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// A connection that a call may come on.
+/// A connection on which a call may arrive.
 pub(super) struct RolloutCall(RequestReader);
 
 impl Default for RolloutCall {
@@ -56,21 +56,21 @@
     }
 }
 
-/// A connection that stage updates go out on.
+/// A connection on which stage updates are sent.
 pub(super) struct StageStream {
     sidecar: SidecarId,
 }
 
-/// What a vote is answered, maybe later.
+/// The answer to a vote, which may be delayed.
 pub(super) struct VoteAnswer {
     socket: SocketId,
     sidecar: SidecarId,
-    /// As it was when the vote came.
+    /// The state when the vote arrived.
     state: RolloutState,
     body: String,
 }
 
-/// A vote as it comes.
+/// A vote as received.
 #[derive(Deserialize)]
 struct Vote {
     build: u16,
@@ -195,7 +195,7 @@
             _ => None,
         });
         match delay {
-            // What goes out then says how it stands then: an update that is older would be no fault more.
+            // The delayed update carries the state at the time of sending: a stale one would be another kind of fault.
             Some(delay) => {
                 let at = self.now + delay;
                 self.timers.schedule(at, TimerEvent::SendStageUpdates);
@@ -230,7 +230,7 @@
             return self.send_plain(socket, 429, b"");
         }
         let unanswered = self.has_fault(|fault| matches!(fault, DayFault::VotesUnanswered));
-        // Of the votes that are not answered, every other one is lost.
+        // Every other one of the unanswered votes is lost.
         if unanswered && self.rollout_service.votes.is_multiple_of(2) {
             return;
         }
@@ -257,7 +257,7 @@
         self.schedule_vote_answer(answer);
     }
 
-    /// Whether a vote is over the rate that is allowed; one that is not counts for it.
+    /// Whether a vote exceeds the rate limit; an accepted vote counts towards it.
     fn refuses_vote(&mut self) -> bool {
         if self.has_fault(|fault| matches!(fault, DayFault::VotesRefused)) {
             return true;
@@ -294,10 +294,10 @@
         }
     }
 
-    /// Answers a vote with the stage as it was when the vote came.
+    /// Answers a vote with the stage at the time of its arrival.
     pub(super) fn answer_vote(&mut self, answer: VoteAnswer) {
         let socket = answer.socket;
-        // The sidecar may have closed, or wait no more.
+        // The sidecar may have closed the connection or given up waiting.
         if matches!(self.owners.get(&socket), Some(SocketOwner::Rollout(_))) {
             self.record_stage_notified(answer.sidecar, answer.state);
             self.send_plain(socket, 200, answer.body.as_bytes());
--- a/crates/emulators/src/day/sidecar_settings.rs
+++ b/crates/emulators/src/day/sidecar_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the sidecars of a day start with.
+//! The settings of the sidecars of a day.
 
 use super::endpoint_service::SERVICE;
 use super::event_loop::{any_port, Day};
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a query of the endpoint list may wait, in seconds.
+/// How long a blocking query of the endpoint list may wait.
 const WATCH_WAIT: f64 = 10.0;
-/// After this without a stage update, a sidecar holds the stream for lost; in seconds.
+/// How long a sidecar waits for a stage update before it considers the stream lost.
 const STREAM_SILENCE: f64 = 10.0;
-/// What a sidecar may send to its peers in a second.
+/// The most that a sidecar may send to its peers.
 const BYTES_PER_SECOND: u32 = 65_536;
-/// Spreads the seeds of sidecars over the seeds of days.
+/// Separates the seeds of sidecars of different days.
 const SEED_FACTOR: u64 = 1_000_003;
 
 impl Day<'_> {
@@ -67,7 +67,7 @@
         self.folder.join(format!("sidecar-{number}.state.json"))
     }
 
-    /// Where a voter keeps its log.
+    /// The directory of a voter's log.
     pub(super) fn voter_folder(&self, number: usize) -> PathBuf {
         self.folder.join(format!("sidecar-{number}.work"))
     }
