--- a/crates/emulators/src/fleet/mod.rs
+++ b/crates/emulators/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! A fleet of sidecars under a script of faults: as members in simulated time ([`Member`]), and as processes with a relay between them
-//! ([`play`]). Both go by the same script. Beside them, trials of coordination among decision engines ([`run_trial`]).
+//! ([`play`]). Both use the same script. Also trials of coordination among decision engines ([`run_trial`]).
 
 mod pages;
 mod played;
@@ -19,17 +19,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The port of member 0; the others follow.
+/// The port of member 0; the other members use the ports that follow.
 const FIRST_PORT: u16 = 10_000;
-/// The simulated time of day at the start, in milliseconds.
+/// The simulated Unix time at the start.
 const TODAY_MS: u64 = 1_800_000_000_000;
-/// Clocks are behind by this, so that one that is ahead of another never goes below its start; in milliseconds.
+/// Subtracted from the start time and added to each skew, so that a scripted offset below 0 never makes the unsigned skew negative.
 const CLOCK_BASE_MS: u64 = 90_000_000;
-/// Clocks differ by less than this, beside what the script says; in milliseconds.
+/// Clocks differ by less than this, in addition to the offsets of the script.
 const MAX_SKEW_MS: u64 = 1500;
-/// Spreads the skews of members.
+/// Spreads the clock skews of the members.
 const SKEW_FACTOR: u64 = 7919;
-/// Between two probes of a member.
+/// The interval between two probes of a member.
 pub const PERIOD: Duration = Duration::from_secs(1);
 
 fn address(number: usize) -> SocketAddr {
@@ -44,11 +44,11 @@
     ids.iter().map(key).collect()
 }
 
-/// A member in simulated time, with the events that it reported.
+/// A member in simulated time.
 pub struct Member {
-    /// Its membership.
+    /// The membership protocol of the member.
     pub membership: Membership,
-    /// Its events, with their times.
+    /// The events that it reported, with their times.
     pub events: Vec<(Duration, MembershipEvent)>,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whom it holds to run, by number.
+    /// The numbers of the members that it considers running.
     #[must_use]
     pub fn active_members(&self) -> Vec<usize> {
         let active = self
@@ -101,7 +101,7 @@
     }
 
     fn receive(&mut self, now: Duration, datagram: &[u8]) {
-        // What is refused is counted there.
+        // The membership counts the datagrams that it rejects.
         let _ = self.membership.receive(now, datagram);
         self.collect_events(now);
     }
@@ -131,16 +131,16 @@
     }
 }
 
-/// How far the views of those that run are from the truth.
+/// How far the views of the running members differ from the actual state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Views {
-    /// Pairs of one that runs and another that it does not hold to be here.
+    /// Pairs of running members of which the first does not consider the second to run.
     pub missing: usize,
-    /// Pairs of one that runs and another that it holds to be here and that does not run.
+    /// Pairs of a running member and one that it considers to run although that one does not.
     pub ghosts: usize,
 }
 
-/// Compares the views of all that run with the truth.
+/// Compares the views of all running members with the actual state.
 #[must_use]
 pub fn views(simulation: &Simulation<Member>) -> Views {
     let running: Vec<usize> = (0..simulation.member_count())
@@ -164,7 +164,7 @@
     found
 }
 
-/// By the name of each member that was held to be dead: by whom, and when.
+/// For the name of each member that was declared dead: the numbers of those that declared it, with the times.
 #[must_use]
 pub fn deaths(simulation: &Simulation<Member>) -> BTreeMap<String, Vec<(usize, Duration)>> {
     let mut found: BTreeMap<String, Vec<(usize, Duration)>> = BTreeMap::new();
--- a/crates/emulators/src/fleet/pages.rs
+++ b/crates/emulators/src/fleet/pages.rs
@@ -1,19 +1,19 @@
-//! Calls of a sidecar's own pages.
+//! HTTP calls to a sidecar's own pages.
 
 use serde::Deserialize;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a sidecar may take to answer.
+/// The timeout of connecting, and of each read of the answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is read of a sidecar's view of its fleet.
+/// The fields that are read of a sidecar's page on its fleet.
 #[derive(Deserialize)]
 pub(super) struct FleetPage {
-    /// Where it takes datagrams.
+    /// The address at which the sidecar receives datagrams.
     pub(super) listens: SocketAddr,
-    /// Datagrams that were refused, by the reason.
+    /// The number of rejected datagrams, by reason.
     pub(super) refused: Vec<(String, u64)>,
     pub(super) members: Vec<PageMember>,
 }
@@ -25,33 +25,33 @@
     pub(super) status: String,
 }
 
-/// A sidecar's view of its fleet; none if it does not answer.
+/// A sidecar's page on its fleet; `None` if it does not answer.
 pub(super) fn fleet_page(address: SocketAddr) -> Option<FleetPage> {
     let text = ask(address).ok()?;
     serde_json::from_str(&text).ok()
 }
 
-/// Where a sidecar takes datagrams.
+/// Returns the address at which a sidecar receives datagrams.
 ///
 /// # Errors
-/// The sidecar does not answer, or answers something else.
+/// Fails if the sidecar does not answer, or if the answer can't be parsed.
 pub fn listens(address: SocketAddr) -> io::Result<SocketAddr> {
     let page: FleetPage = serde_json::from_str(&ask(address)?)?;
     Ok(page.listens)
 }
 
-/// The body of a sidecar's page on its fleet.
+/// Returns the body of a sidecar's page on its fleet.
 ///
 /// # Errors
-/// The sidecar does not answer, or with an error.
+/// Fails if the sidecar does not answer, or answers with an error.
 pub fn ask(address: SocketAddr) -> io::Result<String> {
     call(address, "GET", "/limewing/fleet", "")
 }
 
-/// One call of a sidecar's own pages; returns the body of its answer.
+/// Calls one of a sidecar's own pages; returns the body of the answer.
 ///
 /// # Errors
-/// The sidecar does not answer, or with another status than 200 and 202: then the error says what it answered.
+/// Fails if the sidecar does not answer, or answers with a status other than 200 and 202; the error then has the text of the answer.
 pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
--- a/crates/emulators/src/fleet/played.rs
+++ b/crates/emulators/src/fleet/played.rs
@@ -1,72 +1,72 @@
-//! What was seen of a fleet that was played.
+//! The observations of a fleet of processes under a script of faults.
 
 use super::RelayTraffic;
 use std::time::Duration;
 
-/// What members are called that are held to run.
+/// The status of members that are considered running.
 const ALIVE: &str = "alive";
-/// What members are called that are held to have ended.
+/// The status of members that are declared dead.
 const DEAD: &str = "dead";
 
-/// A member, as another one holds it.
+/// A member as seen by another one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedMember {
-    /// Its name: `s` and its number.
+    /// Its name: `s` followed by its number.
     pub name: String,
-    /// What it is held to be.
+    /// Its status in the view of the other one.
     pub status: String,
 }
 
-/// One sidecar's view at a time.
+/// One sidecar's view at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sample {
-    /// Since the start.
+    /// The time since the start.
     pub at: Duration,
-    /// Whose view, by its number.
+    /// The number of the sidecar whose view it is.
     pub of: usize,
-    /// All others that it knows.
+    /// All other members that it knows.
     pub members: Vec<ObservedMember>,
 }
 
-/// The time that a process ran.
+/// The time during which a process ran.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lifetime {
-    /// Its start.
+    /// The start of the process.
     pub from: Duration,
-    /// Its end, or the end of the play.
+    /// The end of the process, or of the run.
     pub to: Duration,
 }
 
-/// A view that is wrong at the end.
+/// A wrong status in a view at the end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WrongView {
-    /// Whose view, by its number.
+    /// The number of the sidecar whose view it is.
     pub of: usize,
-    /// The member that it is about.
+    /// The number of the member whose status is wrong.
     pub member: usize,
-    /// What that is held to be.
+    /// The wrong status.
     pub status: String,
 }
 
-/// How it went.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Played {
-    /// Views, in the order in which they were taken.
+    /// The sampled views, in the order in which they were taken.
     pub samples: Vec<Sample>,
-    /// When the processes of each member ran.
+    /// The lifetimes of the processes of each member.
     pub lifetimes: Vec<Vec<Lifetime>>,
-    /// What all members sent.
+    /// The traffic that all members sent.
     pub traffic: RelayTraffic,
-    /// Datagrams that members refused.
+    /// The number of datagrams that members rejected.
     pub refused: u64,
-    /// When the play ended.
+    /// The time of the end of the run.
     pub ended: Duration,
-    /// Members whose process ended by itself.
+    /// The members whose process exited by itself.
     pub crashed: Vec<usize>,
 }
 
 impl Played {
-    /// Which of the others each that runs at the end does not hold as it should.
+    /// The wrong statuses in the last views of all members that run at the end.
     #[must_use]
     pub fn wrong_at_the_end(&self, members: usize) -> Vec<WrongView> {
         let mut wrong = Vec::new();
@@ -91,7 +91,7 @@
             .is_some_and(|lifetime| lifetime.to >= self.ended)
     }
 
-    /// How often a member that ran was held to be dead.
+    /// How often a sample shows a member as dead while it ran.
     #[must_use]
     pub fn held_dead_while_running(&self) -> usize {
         let members = self
@@ -115,7 +115,7 @@
 }
 
 impl Sample {
-    /// Others that are held to run.
+    /// The number of other members that are considered running.
     #[must_use]
     pub fn alive(&self) -> usize {
         let alive = self.members.iter().filter(|member| member.status == ALIVE);
--- a/crates/emulators/src/fleet/relay.rs
+++ b/crates/emulators/src/fleet/relay.rs
@@ -1,5 +1,5 @@
-//! Carries datagrams between processes over the links of a script of faults: each member is reached at an address of the relay, which
-//! knows a sender by where it sends from.
+//! Relays datagrams between processes over the links of a script of faults. Each member is reached at an address of the relay, which
+//! identifies a sender by its source address.
 
 use crate::locks::lock;
 use limewing_fault_injection::{FaultAction, FaultyNetwork};
@@ -11,37 +11,38 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often threads look whether the relay is over.
+/// How often threads check whether the relay is shutting down.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Datagrams of a member that are kept to be sent again as replays.
+/// The number of datagrams per member that are kept for replays.
 const MAX_REPLAYS: usize = 16;
-/// Datagrams on their way, at most: more are lost.
+/// The most datagrams in flight; more are dropped.
 const MAX_IN_FLIGHT: usize = 100_000;
-/// Longer datagrams are not the members'.
+/// The receive buffer size; members send shorter datagrams.
 const MAX_DATAGRAM: usize = 2048;
-/// Noise has from this length up to `NOISE_LENGTHS` more bytes.
+/// The shortest noise datagram.
 const MIN_NOISE: usize = 20;
+/// The number of different lengths of noise datagrams.
 const NOISE_LENGTHS: usize = 1000;
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct Datagram {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// Datagrams on their way, by when they arrive and in which order they were sent.
+/// The datagrams in flight, by arrival time and sending order.
 #[derive(Default)]
 struct InFlight {
     datagrams: BTreeMap<(Duration, u64), Datagram>,
     sent: u64,
 }
 
-/// What members sent so far.
+/// The traffic that members sent so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayTraffic {
-    /// How many datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// How many bytes in them.
+    /// The number of bytes in them.
     pub bytes: u64,
 }
 
@@ -50,29 +51,29 @@
     network: Mutex<FaultyNetwork>,
     in_flight: Mutex<InFlight>,
     more: Condvar,
-    /// What each member got lately.
+    /// The datagrams last delivered to each member.
     delivered: Mutex<Vec<Vec<Vec<u8>>>>,
     over: AtomicBool,
-    /// Where each member that runs takes datagrams, and sends them from.
+    /// The address at which each running member receives datagrams, and from which it sends.
     members: Mutex<Vec<Option<SocketAddr>>>,
     traffic: Mutex<RelayTraffic>,
-    /// When the script's time began.
+    /// The time at which the script began.
     script_began: Mutex<Duration>,
 }
 
-/// A relay on threads of its own; it ends when it is dropped.
+/// A relay on its own threads; it shuts down when it is dropped.
 pub struct Relay {
     shared: Arc<Shared>,
-    /// Where each member is reached.
+    /// The relay address of each member.
     pub addresses: Vec<SocketAddr>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Relay {
-    /// A relay between so many members, none of which runs yet.
+    /// Starts a relay between this many members, none of which runs yet.
     ///
     /// # Errors
-    /// A socket can't be had.
+    /// Fails if a socket can't be bound or configured.
     pub fn start(network: FaultyNetwork, members: usize) -> io::Result<Self> {
         let sockets: Vec<UdpSocket> = (0..members)
             .map(|_| UdpSocket::bind("127.0.0.1:0"))
@@ -111,23 +112,23 @@
         })
     }
 
-    /// A member takes datagrams at this address from now on, or does not run.
+    /// Sets the address at which a member receives datagrams; `None` if it does not run.
     pub fn set_member(&self, number: usize, address: Option<SocketAddr>) {
         lock(&self.shared.members)[number] = address;
     }
 
-    /// Time since the relay started.
+    /// The time since the relay started.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.shared.started_at.elapsed()
     }
 
-    /// The script's time begins now.
+    /// Starts the time of the script.
     pub fn begin_script(&self) {
         *lock(&self.shared.script_began) = self.now();
     }
 
-    /// Takes the steps of the script that are due, and returns what they ask of the members' host.
+    /// Executes the steps of the script that are due, and returns the actions that the caller is to apply to the processes.
     #[must_use]
     pub fn advance(&self) -> Vec<FaultAction> {
         let began = *lock(&self.shared.script_began);
@@ -135,22 +136,22 @@
         lock(&self.shared.network).advance(now)
     }
 
-    /// When the next step is due, in the script's time.
+    /// The time at which the next step is due, relative to the start of the script.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         lock(&self.shared.network).next_deadline()
     }
 
-    /// What members sent so far.
+    /// The traffic that members sent so far.
     #[must_use]
     pub fn traffic(&self) -> RelayTraffic {
         *lock(&self.shared.traffic)
     }
 
-    /// Sends a member noise, and what it has got before.
+    /// Sends a member noise, and replays of datagrams that it received before.
     ///
     /// # Errors
-    /// A datagram can't be sent.
+    /// Fails if a datagram can't be sent.
     pub fn send_noise(&self, to: usize, datagrams: u32) -> io::Result<()> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let Some(address) = lock(&self.shared.members)[to] else {
@@ -173,7 +174,7 @@
         self.shared.over.store(true, Ordering::SeqCst);
         self.shared.more.notify_all();
         for thread in self.threads.drain(..) {
-            // A panic of it has been printed.
+            // The panic message, if any, is already printed.
             let _ = thread.join();
         }
     }
@@ -184,7 +185,7 @@
         self.over.load(Ordering::SeqCst)
     }
 
-    /// Takes what is sent to one member.
+    /// Receives the datagrams sent to one member.
     fn receive_all(&self, to: usize, socket: &UdpSocket) {
         let mut bytes = [0; MAX_DATAGRAM];
         while !self.is_over() {
@@ -224,7 +225,7 @@
         self.more.notify_all();
     }
 
-    /// Sends on what arrives, at its time.
+    /// Delivers each datagram at its arrival time.
     fn deliver_all(&self, senders: &[UdpSocket]) {
         let mut in_flight = lock(&self.in_flight);
         while !self.is_over() {
@@ -248,7 +249,7 @@
         let Some(address) = lock(&self.members)[to] else {
             return;
         };
-        // What a member that ended can't take is lost.
+        // A datagram to a member that has ended is lost.
         let _ = senders[to].send_to(&bytes, address);
         let mut delivered = lock(&self.delivered);
         delivered[to].push(bytes);
--- a/crates/emulators/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -1,5 +1,5 @@
-//! Sidecars as processes under a script of faults: started, killed, terminated, suspended and started again, with a relay between them;
-//! what each holds of the others is read all along.
+//! Sidecars as processes under a script of faults: started, killed, terminated, suspended and restarted, with a relay between them. Each
+//! one's view of the others is sampled throughout.
 
 use super::pages::{fleet_page, listens};
 use super::played::{Lifetime, ObservedMember, Played, Sample};
@@ -14,58 +14,58 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// How often views are read.
+/// How often views are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
-/// The longest pause between two looks at processes and script.
+/// The longest pause between two checks of the processes and the script.
 const MAX_PAUSE: Duration = Duration::from_millis(50);
-/// What a member may send in a second.
+/// The most that a member may send.
 const BYTES_PER_SECOND: u32 = 65_536;
-/// Members that each starts to look for others at.
+/// The number of members that each one contacts first to join.
 const SEED_MEMBERS: usize = 3;
-/// What a sidecar writes before its address once it listens.
+/// What a sidecar prints before its address once it listens.
 const LISTENING: &str = "listening ";
 
-/// The keys that a fleet that is played starts with.
+/// The identifiers of the keys that the fleet starts with.
 pub const FIRST_KEYS: [u8; 1] = [1];
-/// Tells a process how far its clock is ahead, in seconds.
+/// The environment variable that states how far a process's clock is ahead, in seconds.
 pub const CLOCK: &str = "LIMEWING_CLOCK_AHEAD_S";
 
-/// What is played.
+/// The parameters of a run.
 pub struct Plan<'a> {
-    /// The sidecars' command.
+    /// The program that runs as the sidecars.
     pub program: &'a Path,
-    /// The faults.
+    /// The script of faults.
     pub script: &'a Script,
-    /// How many sidecars.
+    /// The number of sidecars.
     pub members: usize,
-    /// Between two probes of a member.
+    /// The interval between two probes of a member.
     pub period: Duration,
-    /// Settings that all start from; names, addresses and peers are put in.
+    /// The base settings of all sidecars; names, addresses and peers are filled in.
     pub settings: &'a SidecarSettings,
-    /// Where settings, keys and logs are written.
+    /// The folder for settings, keys and logs.
     pub folder: &'a Path,
 }
 
-/// Why a script can't be played to its end.
+/// Why a script could not be played to its end.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
-    /// A file, socket or process can't be had.
+    /// A system call on a file, socket or process failed.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// A sidecar does not start.
+    /// A sidecar did not start.
     #[error("sidecar {number}: {why}")]
     Sidecar {
-        /// Its number.
+        /// The number of the sidecar.
         number: usize,
-        /// What is wrong.
+        /// The reason.
         why: String,
     },
 }
 
-/// Plays a script to its end.
+/// Runs a script to its end.
 ///
 /// # Errors
-/// A process does not start, or the system refuses.
+/// Fails if a process does not start, or if a system call fails.
 pub fn play(plan: &Plan) -> Result<Played, RigError> {
     std::fs::create_dir_all(plan.folder)?;
     for number in 0..plan.members {
@@ -89,16 +89,16 @@
     Ok(std::mem::take(&mut rig.played))
 }
 
-/// Each member of a fleet that is played has a key file of its own.
+/// The path of a member's key file; each member has its own.
 #[must_use]
 pub fn key_file(folder: &Path, number: usize) -> PathBuf {
     folder.join(format!("keys-{number}.json"))
 }
 
-/// Writes a key file with these keys, of which the first one seals.
+/// Writes a key file with these keys, of which the first one seals datagrams.
 ///
 /// # Errors
-/// The file can't be written.
+/// Fails if the file can't be written.
 pub fn write_keys(file: &Path, ids: &[u8]) -> io::Result<()> {
     let key = |id: &u8| {
         let secret = format!("{id:02x}").repeat(32);
@@ -171,7 +171,7 @@
             FaultAction::Leave(number) => self.terminate(number)?,
             FaultAction::Suspend(number) => self.set_suspended(number, true),
             FaultAction::Resume(number) => self.set_suspended(number, false),
-            // These sidecars are started without a state file.
+            // These sidecars have no state file.
             FaultAction::LoseDisk(_) | FaultAction::FillDisk(_) | FaultAction::FreeDisk(_) => {}
             FaultAction::ReplaceKeys { member, ids } => {
                 write_keys(&key_file(self.plan.folder, member), &ids)?;
@@ -212,7 +212,7 @@
         self.played.lifetimes[number].push(Lifetime { from, to });
     }
 
-    /// Records processes that have ended by themselves.
+    /// Records processes that have exited by themselves.
     fn record_crashes(&mut self, now: Duration) {
         for number in 0..self.processes.len() {
             let ended = |p: &mut Process| !matches!(p.child.try_wait(), Ok(None));
@@ -237,7 +237,7 @@
         }
         let address = line.trim().strip_prefix(LISTENING);
         let Some(address) = address.and_then(|address| address.parse().ok()) else {
-            // It may have ended by itself.
+            // The process may have exited by itself.
             let _ = child.kill();
             let _ = child.wait();
             return Err(error(format!("it does not listen; see s{number}.log")));
@@ -298,14 +298,14 @@
         let now = self.relay.now();
         self.relay.set_member(number, None);
         if let Some(mut process) = self.processes[number].take() {
-            // It may have ended by itself.
+            // The process may have exited by itself.
             let _ = process.child.kill();
             let _ = process.child.wait();
             self.record_lifetime(number, process.since, now);
         }
     }
 
-    /// Reads the view of each sidecar that runs.
+    /// Samples the view of each running sidecar.
     fn sample(&mut self) {
         for (of, process) in self.processes.iter().enumerate() {
             let Some(process) = process.as_ref().filter(|process| !process.suspended) else {
@@ -336,6 +336,6 @@
 }
 
 fn signal(child: &Child, signal: Signal) {
-    // A process that has ended by itself takes no signals.
+    // Fails only if the process has exited by itself.
     let _ = kill_process(Pid::from_child(child), signal);
 }
--- a/crates/emulators/src/fleet/trial/config.rs
+++ b/crates/emulators/src/fleet/trial/config.rs
@@ -1,4 +1,4 @@
-//! Pods, sidecars and load of the trials.
+//! The pods, sidecars and load of the trials.
 
 use super::TrialPlan;
 use limewing_coordination::{stable_key, Pod};
@@ -8,28 +8,28 @@
 };
 use std::time::Duration;
 
-/// The span over which a warming pod's load counts.
+/// The window over which a warming pod's load is measured.
 pub(super) const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
-/// How long a pod warms up.
+/// The duration of a pod's slow start.
 pub(super) const SLOW_START_DURATION: Duration = Duration::from_secs(6);
-/// The part of its capacity that a pod starts with.
+/// The fraction of its capacity that a pod starts with.
 pub(super) const SLOW_START_FROM: f64 = 0.35;
-/// Seconds after which pods answer.
+/// The time that a pod takes to answer.
 pub(super) const ANSWER_TIME: f64 = 0.1;
-/// How long clients wait.
+/// The client timeout.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// One in so many sidecars has `HEAVY_FACTOR` times the traffic of the others.
+/// One in this many sidecars has `HEAVY_FACTOR` times the traffic of the others.
 const HEAVY_ONE_IN: usize = 5;
 const HEAVY_FACTOR: f64 = 5.0;
-/// Requests a second at the other sidecars.
+/// The request rate of the other sidecars.
 const REQUESTS_PER_SECOND: f64 = 4.0;
-/// Zones that pods and sidecars are dealt to in turn.
+/// The number of zones, to which pods and sidecars are assigned in turn.
 const ZONES: u16 = 3;
-/// One in so many pods is twice as strong as the others.
+/// One in this many pods has twice the capacity of the others.
 const STRONG_ONE_IN: usize = 3;
-/// Spreads the seeds of sidecars over the seeds of trials.
+/// Separates the seeds of sidecars of different trials.
 const SEED_FACTOR: u64 = 1_000_003;
-/// Keeps divisors above 0 where nothing was sent.
+/// The lower bound of divisors that are 0 where nothing was sent.
 pub(super) const MIN_DIVISOR: f64 = 1e-9;
 
 pub(super) fn capacity(pod: usize) -> f64 {
--- a/crates/emulators/src/fleet/trial/mod.rs
+++ b/crates/emulators/src/fleet/trial/mod.rs
@@ -1,5 +1,5 @@
-//! Trials of coordination: hundreds of decision engines in simulated time, with or without the load reports of each other. What they add
-//! up to at the pods is measured. Pods answer after a fixed time; reports reach at once those that a sidecar is not cut off from.
+//! Trials of coordination: hundreds of decision engines in simulated time, with or without load reports from each other. Their total load
+//! on the pods is measured. Pods answer after a fixed time; reports reach all sidecars in the same partition at once.
 
 mod config;
 mod simulation;
@@ -7,75 +7,75 @@
 use simulation::Simulation;
 use std::time::Duration;
 
-/// What is tried.
+/// The parameters of a trial.
 #[derive(Clone, Debug)]
 pub struct TrialPlan {
-    /// How many sidecars.
+    /// The number of sidecars.
     pub sidecars: usize,
-    /// How many pods.
+    /// The number of pods.
     pub pods: usize,
-    /// Seed of all that is drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How long it takes, in simulated time.
+    /// The duration, in simulated time.
     pub duration: Duration,
-    /// Whether sidecars take account of each other.
+    /// Whether sidecars use each other's load reports.
     pub coordination: bool,
-    /// When the sidecars lose sight of each other.
+    /// When and how the sidecars are partitioned.
     pub partition: TrialPartition,
-    /// A pod that starts anew.
+    /// A pod that restarts.
     pub restart: Option<PodRestart>,
-    /// A pod that is gone for a time.
+    /// A pod that is unavailable for a time.
     pub outage: Option<PodOutage>,
 }
 
-/// The sidecars fall into parts that know nothing of each other; who is in which is drawn.
+/// A partition of the sidecars into groups that receive no reports from each other; the groups are drawn at random.
 #[derive(Clone, Copy, Debug)]
 pub struct TrialPartition {
-    /// From when on.
+    /// The start.
     pub at: Duration,
-    /// How many parts.
+    /// The number of groups.
     pub parts: usize,
 }
 
-/// A pod starts anew, and warms up.
+/// The restart of a pod, which then warms up.
 #[derive(Clone, Copy, Debug)]
 pub struct PodRestart {
-    /// Its number.
+    /// The number of the pod.
     pub pod: usize,
-    /// When.
+    /// The time of the restart.
     pub at: Duration,
 }
 
-/// A pod refuses connections.
+/// A time in which a pod refuses connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PodOutage {
-    /// Its number.
+    /// The number of the pod.
     pub pod: usize,
-    /// From when on.
+    /// The start.
     pub from: Duration,
-    /// Until when.
+    /// The end.
     pub to: Duration,
 }
 
-/// How it went.
+/// The result of a trial.
 #[derive(Clone, Debug, Default)]
 pub struct TrialResult {
-    /// Attempts that each pod got in the second half, over its capacity; without those of the restart and the outage.
+    /// The attempts that each pod received in the second half, divided by its capacity; pods of the restart and the outage are left out.
     pub loads: Vec<f64>,
-    /// Attempts at the restarted pod within a window, over its fair part by its capacity at that time: the highest.
+    /// The highest ratio of the restarted pod's attempts within a window to its fair share by its capacity at that time.
     pub warming_load: f64,
-    /// Attempts at the pod that is gone, in each second of the outage.
+    /// The attempts at the unavailable pod, in each second of the outage.
     pub attempts_in_outage: Vec<usize>,
-    /// From the end of the outage to the pod's first answer.
+    /// The time from the end of the outage to the pod's first answer.
     pub recovery_time: Option<Duration>,
-    /// Requests that were answered.
+    /// The number of requests that were answered.
     pub delivered: usize,
-    /// Requests that were refused or failed.
+    /// The number of requests that were rejected or failed.
     pub given_up: usize,
 }
 
 impl TrialResult {
-    /// The highest load of a pod over the mean.
+    /// The highest load of a pod, divided by the mean.
     #[must_use]
     pub fn highest_over_mean(&self) -> f64 {
         let mean = self.loads.iter().sum::<f64>() / self.loads.len().max(1) as f64;
--- a/crates/emulators/src/fleet/trial/simulation.rs
+++ b/crates/emulators/src/fleet/trial/simulation.rs
@@ -1,4 +1,4 @@
-//! The trial's events in the order of their times.
+//! The event loop of a trial, in simulated time.
 
 use super::config::{
     capacity, coordinated_pod, endpoint, pod_key, request_rate, sidecar_config, sidecar_key, zone,
@@ -18,22 +18,22 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How often a host calls its decision engine at the least.
+/// The interval at which a host calls its decision engine if nothing happens.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Sidecars tick one after the other, so far apart.
+/// The offset between the ticks of consecutive sidecars.
 const TICK_OFFSET: Duration = Duration::from_micros(50);
-/// How long it takes to be refused by a pod that is gone.
+/// The time that an unavailable pod takes to refuse a connection.
 const REFUSAL_TIME: Duration = Duration::from_millis(1);
-/// Points at which a warming pod's capacity over a window is taken.
+/// The number of samples of a warming pod's capacity in a window.
 const CAPACITY_STEPS: u32 = 10;
 
 struct Sidecar {
     engine: DecisionEngine,
     coordinator: Coordinator,
     part: usize,
-    /// Its last report, and when it was made.
+    /// Its last report, with the time of its creation.
     report: Option<(LoadReport, Duration)>,
-    /// Attempts so far of requests that are open.
+    /// The number of attempts of each open request.
     attempts: BTreeMap<RequestId, u16>,
 }
 
@@ -43,21 +43,21 @@
     AttemptEnds(AttemptResult),
 }
 
-/// A trial on its way.
+/// A running trial.
 pub(super) struct Simulation<'a> {
     plan: &'a TrialPlan,
     now: Duration,
     rng: StdRng,
     sidecars: Vec<Sidecar>,
-    /// By time, and by the order in which they were scheduled: at which sidecar, and what.
+    /// The sidecar and the event, by time and scheduling order.
     events: BTreeMap<(Duration, u64), (usize, TrialEvent)>,
     scheduled: u64,
     requests: u64,
-    /// Attempts at each pod in the second half.
+    /// The number of attempts at each pod in the second half.
     attempts_at: Vec<f64>,
-    /// Attempts at the restarted pod within the last window.
+    /// The times of the attempts at the restarted pod within the last window.
     at_restarted: VecDeque<Duration>,
-    /// Attempts at any pod within the last window.
+    /// The times of the attempts at any pod within the last window.
     at_any: VecDeque<Duration>,
     result: TrialResult,
 }
@@ -184,7 +184,7 @@
         }
     }
 
-    /// As a host does: the engine's tick, and what the other sidecars report.
+    /// Ticks the engine with the reports of the other sidecars, as a host does.
     fn tick(&mut self, number: usize) {
         self.schedule(TICK_INTERVAL, number, TrialEvent::Tick);
         let mut events = Vec::new();
@@ -217,7 +217,7 @@
         Some(Event::Fleet(view))
     }
 
-    /// The reports of all in the sidecar's part, with their keys.
+    /// The reports of all sidecars in the same partition, with their keys.
     fn reports_seen_by(&self, number: usize) -> Vec<(u64, Option<(LoadReport, Duration)>)> {
         let whole = self.now < self.plan.partition.at;
         let part = self.sidecars[number].part;
@@ -230,7 +230,7 @@
             .collect()
     }
 
-    /// Hands events to a sidecar's engine, and does what it says.
+    /// Passes events to a sidecar's engine, and executes the resulting actions.
     fn deliver(&mut self, number: usize, events: Vec<Event>) {
         for action in self.sidecars[number].engine.handle(self.now, events) {
             match action {
@@ -273,7 +273,7 @@
         self.schedule(duration, number, TrialEvent::AttemptEnds(result));
     }
 
-    /// Whether the pod is gone; if so, the attempt is counted.
+    /// Whether the pod is unavailable; if so, counts the attempt.
     fn is_refused(&mut self, pod: usize) -> bool {
         let Some(outage) = self.plan.outage else {
             return false;
@@ -301,7 +301,7 @@
         let whole: f64 = (0..self.plan.pods).map(capacity).sum();
         let age = (now - restart.at).as_secs_f64();
         let fair = self.at_any.len() as f64 / whole * capacity(pod) * mean_warming_part(age);
-        // One request is the least that can be sent.
+        // One attempt is subtracted, as a sidecar can't send a fraction of one.
         let part = (self.at_restarted.len() as f64 - 1.0) / fair.max(MIN_DIVISOR);
         self.result.warming_load = self.result.warming_load.max(part);
     }
@@ -323,8 +323,8 @@
     }
 }
 
-/// The part of its capacity that a pod had over the window that ends at this age, in seconds, as if it had been as strong before its start
-/// as at it.
+/// The mean fraction of its capacity that a pod had over the window that ends at this age in seconds. Before its start, the fraction at
+/// its start counts.
 fn mean_warming_part(age: f64) -> f64 {
     let duration = SLOW_START_DURATION.as_secs_f64();
     let window = OVERLOAD_WINDOW.as_secs_f64();
--- a/crates/emulators/src/lib.rs
+++ b/crates/emulators/src/lib.rs
@@ -1,8 +1,8 @@
-//! Emulators of all that a sidecar speaks with, and the days that they play.
+//! Emulators of everything that a sidecar communicates with, and the scripted days that they play.
 //!
-//! `pod_model`, `deduplication` and `rollout` are models without I/O; `script` is what a day's file says; `day` drives them all on one
-//! loop, with the sidecars as processes of their own, and writes the record. `platform` holds the parties of the PostgreSQL platform,
-//! for tests; `fleet` plays scripts of faults between sidecars, with processes and in simulated time.
+//! `pod_model`, `deduplication` and `rollout` are models without I/O. `script` defines the file format of a day; `day` runs the models on
+//! one event loop, with the sidecars as separate processes, and writes the record. `platform` emulates the services of the PostgreSQL
+//! platform, for tests. `fleet` runs scripts of faults between sidecars, both as processes and in simulated time.
 
 pub mod day;
 pub mod deduplication;
--- a/crates/emulators/src/locks.rs
+++ b/crates/emulators/src/locks.rs
@@ -1,8 +1,8 @@
-//! Locks that emulators share between their threads.
+//! Access to mutexes that the threads of emulators share.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Takes a lock. A thread that panics with it fails the test or trial, so that its state is of no use to others.
+/// Locks a mutex. A thread that panics with the lock fails the test or trial, so that other threads need not recover its state.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no thread panics with the lock")
 }
--- a/crates/emulators/src/pod_model.rs
+++ b/crates/emulators/src/pod_model.rs
@@ -1,33 +1,33 @@
-//! One pod as a model without I/O: cores that work requests off, a bounded queue, and a slow start.
+//! The model of one pod, without I/O: cores that run requests, a bounded queue, and a slow start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Keeps a divisor above 0 where a pod has no slow start.
+/// The lower bound of the slow start as a divisor, for pods without one.
 const MIN_SLOW_START_SECONDS: f64 = 1e-9;
 
-/// What a pod runs on.
+/// The resources of a pod.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
-    /// Requests that are worked on at once.
+    /// The number of requests that run at once.
     pub cores: usize,
-    /// Requests that may wait beside those.
+    /// The number of requests that may be queued in addition.
     pub queue_limit: usize,
-    /// The part of its speed that a pod has when it starts.
+    /// The fraction of its full speed that a pod starts with.
     pub slow_start_from: f64,
-    /// How long it takes to reach its whole speed.
+    /// How long it takes to reach its full speed.
     pub slow_start_duration: Duration,
 }
 
-/// A pod; `T` names a request.
+/// The state of a pod; `T` identifies a request.
 #[derive(Debug)]
 pub struct PodModel<T> {
     machine: Machine,
     started_at: Duration,
     warming_up: bool,
-    /// Work takes so many times as long.
+    /// The factor by which work takes longer.
     pub slowdown: f64,
-    /// Begins nothing as long as it hangs; what it works on goes on.
+    /// Whether the pod hangs: it begins no requests, while running ones continue.
     pub hung: bool,
     in_work: usize,
     queue: VecDeque<Queued<T>>,
@@ -40,28 +40,28 @@
     deadline: Duration,
 }
 
-/// What becomes of a request that waited.
+/// The outcome of a request that was queued.
 #[derive(Debug, PartialEq)]
 pub enum Dequeued<T> {
-    /// It is worked on until that time.
+    /// It runs until that time.
     Begun(T, Duration),
-    /// Nobody waits for it any more, so that it is not begun.
+    /// Its deadline has passed, so that it is not begun.
     Expired(T),
 }
 
-/// What becomes of a request that arrives.
+/// The outcome of a request that arrives.
 #[derive(Debug, PartialEq)]
 pub enum Arrival<T> {
-    /// It is worked on until that time.
+    /// It runs until that time.
     Begun(T, Duration),
-    /// It waits.
+    /// It is queued.
     Queued,
     /// The queue is full.
     Rejected(T),
 }
 
 impl<T> PodModel<T> {
-    /// A pod that starts at that time, and warms up or has its whole speed.
+    /// Creates a pod that starts at that time, and warms up or has its full speed.
     #[must_use]
     pub fn new(machine: Machine, started_at: Duration, warming_up: bool) -> Self {
         Self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The part of its whole speed that it has by now.
+    /// The fraction of its full speed that it has at this time.
     #[must_use]
     pub fn speed(&self, now: Duration) -> f64 {
         if !self.warming_up {
@@ -87,7 +87,7 @@
         (self.machine.slow_start_from + (1.0 - self.machine.slow_start_from) * age).min(1.0)
     }
 
-    /// A request that is waited for until `deadline`, and is so much work for a core at its whole speed.
+    /// Begins, queues or rejects a request with this deadline; `work` is its run time on a core at full speed.
     pub fn arrive(
         &mut self,
         request: T,
@@ -114,12 +114,12 @@
         now + work.mul_f64(self.slowdown / self.speed(now))
     }
 
-    /// One of the requests in work is done.
+    /// Frees the core of a request that has finished.
     pub fn finish(&mut self) {
         self.in_work = self.in_work.saturating_sub(1);
     }
 
-    /// The next request that waited, if a core is free for it.
+    /// Takes the next request from the queue, if a core is free for it.
     pub fn dequeue(&mut self, now: Duration) -> Option<Dequeued<T>> {
         if self.hung || self.in_work >= self.machine.cores {
             return None;
--- a/crates/emulators/src/rollout.rs
+++ b/crates/emulators/src/rollout.rs
@@ -1,27 +1,27 @@
-//! The rollout controller as a model without I/O: brings a build in by stages, slot by slot, and counts votes.
+//! The model of the rollout controller, without I/O: rolls out a build by stages, slot by slot, and counts votes.
 
 use limewing_rule_checker::record::{Phase, SidecarId};
 use limewing_settings::{Control, RolloutSettings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A place for one pod in the fleet; its pods follow each other.
+/// A slot for one pod in the fleet; its pods replace each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SlotId(pub usize);
 
-/// What the controller asks for.
+/// An action that the controller requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RolloutAction {
     /// Start a pod.
     StartPod {
-        /// Where.
+        /// The slot.
         slot: SlotId,
-        /// Of which build.
+        /// The build of the pod.
         build: u16,
     },
     /// Drain all pods of other builds in a slot.
     DrainOthers {
-        /// Where.
+        /// The slot.
         slot: SlotId,
         /// The build that stays.
         build: u16,
@@ -30,31 +30,31 @@
     NotifyStage,
 }
 
-/// What a sidecar votes for.
+/// The verdict of a sidecar's vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Nothing, but it takes part.
+    /// No verdict, but the sidecar takes part.
     Abstain,
-    /// The next stage.
+    /// Move on to the next stage.
     Promote,
-    /// The stage goes on.
+    /// Stay at the current stage.
     Hold,
-    /// The build before it.
+    /// Return to the previous build.
     RollBack,
 }
 
-/// Where the rollout of the newest build stands.
+/// The state of the rollout of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutState {
-    /// Grows with each change: of two updates, the higher is the later.
+    /// The number of the update, which grows with each change: of two updates, the higher number is newer.
     pub number: u64,
     /// The newest build.
     pub build: u16,
-    /// Its stage.
+    /// The stage of its rollout.
     pub stage: u8,
-    /// What becomes of it.
+    /// The phase of its rollout.
     pub phase: Phase,
-    /// The share of requests that it may get.
+    /// The largest share of requests that it may receive.
     pub cap: f64,
 }
 
@@ -66,12 +66,12 @@
 }
 
 struct Slot {
-    /// The build that runs or starts.
+    /// The build that runs or is starting.
     build: u16,
     starting: bool,
 }
 
-/// Rolls builds out as the settings of a release say.
+/// Rolls out builds according to the settings.
 pub struct RolloutController {
     config: RolloutSettings,
     state: RolloutState,
@@ -79,14 +79,14 @@
     previous_build: u16,
     slots: Vec<Slot>,
     votes: BTreeMap<SidecarId, Vote>,
-    /// How long the stage has run with all its pods.
+    /// How long the stage has run with all its pods started.
     stage_ran_for: Duration,
     last_tick: Duration,
     next_build: Option<u16>,
 }
 
 impl RolloutController {
-    /// A fleet of so many slots that all run a build, which is released.
+    /// Creates a controller of this many slots, which all run a released build.
     #[must_use]
     pub fn new(config: RolloutSettings, slots: usize, build: u16) -> Self {
         let running = |_| Slot {
@@ -111,13 +111,13 @@
         }
     }
 
-    /// Where the rollout stands.
+    /// The current state of the rollout.
     #[must_use]
     pub fn state(&self) -> RolloutState {
         self.state
     }
 
-    /// The build that a slot is to run.
+    /// The build that a slot runs or is starting.
     #[must_use]
     pub fn build_at(&self, slot: SlotId) -> u16 {
         self.slots
@@ -125,7 +125,7 @@
             .map_or(self.previous_build, |slot| slot.build)
     }
 
-    /// Rolls out another build; a canary is rolled back first.
+    /// Schedules the rollout of another build; a build on trial is rolled back first.
     pub fn offer(&mut self, build: u16, now: Duration) {
         self.next_build = Some(build);
         if self.state.phase == Phase::OnTrial {
@@ -146,7 +146,7 @@
         };
     }
 
-    /// Takes a vote; returns whether it counts.
+    /// Receives a vote; returns whether it counts.
     pub fn vote(
         &mut self,
         sidecar: SidecarId,
@@ -189,7 +189,7 @@
         self.votes.values().filter(counts).count()
     }
 
-    /// Moves the rollout on; called often, in even intervals. `is_running` tells whether a slot's pod of a build has started.
+    /// Advances the rollout; called at short, regular intervals. `is_running` tells whether a slot's pod of a build has started.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -288,7 +288,7 @@
         actions.push(RolloutAction::NotifyStage);
     }
 
-    /// Starts a build in the first slots, up to a share of all.
+    /// Starts a build in the first slots, up to a share of all slots.
     fn replace(&mut self, build: u16, share: f64, actions: &mut Vec<RolloutAction>) {
         let count = (share * self.slots.len() as f64).ceil() as usize;
         for (index, slot) in self.slots.iter_mut().enumerate().take(count) {
