--- a/crates/emulators/src/platform/client.rs
+++ b/crates/emulators/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! A client in PostgreSQL's protocol: one statement after the other on a connection.
+//! A client of the PostgreSQL protocol that sends one statement after the other on a connection.
 
 use super::{Link, PATIENCE};
 use bytes::BytesMut;
@@ -7,47 +7,47 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-// Kinds of messages, by the letters of the protocol.
+// Message types of the protocol.
 const COMMAND_COMPLETE: u8 = b'C';
 const DATA_ROW: u8 = b'D';
 const EMPTY_QUERY_RESPONSE: u8 = b'I';
 const ERROR_RESPONSE: u8 = b'E';
 const READY_FOR_QUERY: u8 = b'Z';
 
-// Fields of an error, by the letters of the protocol.
+// Field types of the protocol's ErrorResponse.
 const SQLSTATE: u8 = b'C';
 const DETAIL: u8 = b'D';
 const SEVERITY: u8 = b'S';
 
-/// What a statement is answered.
+/// The answer to a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A row with this value.
+    /// A row with this single value.
     Row(String),
-    /// The code, and the detail.
+    /// An error, with its SQLSTATE and detail.
     Error(String, Option<String>),
     /// The answer to an empty query.
     Empty,
-    /// No row; the command that is complete.
+    /// No row; the tag of the completed command.
     Done(String),
-    /// The connection ended.
+    /// The connection ended without an answer.
     End,
 }
 
-/// A client with a connection of its own.
+/// A client on one connection.
 pub struct Client {
     link: Link,
-    /// When it sent the last statement.
+    /// The time at which it sent the last statement.
     asked_at: Instant,
-    /// How long it waits for an answer.
+    /// The read timeout.
     patience: Duration,
 }
 
 impl Client {
-    /// A client whose session has begun.
+    /// Connects and waits until the session has started.
     ///
     /// # Panics
-    /// Nobody listens there, or starts the session.
+    /// Panics if the connection is refused or the session does not start.
     #[must_use]
     pub fn new(to: SocketAddr) -> Self {
         let mut client = Self::silent(to);
@@ -56,7 +56,7 @@
         client
     }
 
-    /// As `new`, where nobody may be there or start the session; an answer is waited for so long.
+    /// Like `new`, but returns `None` if the connection is refused or the session does not start; `patience` is the read timeout.
     #[must_use]
     pub fn try_new(to: SocketAddr, patience: Duration) -> Option<Self> {
         let link = Link::new(TcpStream::connect(to).ok()?).ok()?;
@@ -73,16 +73,16 @@
         Some(client)
     }
 
-    /// Whether the last answer did not come in the time that it was waited for.
+    /// Whether the last answer did not arrive within the read timeout.
     #[must_use]
     pub fn waited_out(&self) -> bool {
         self.asked_at.elapsed() >= self.patience
     }
 
-    /// A client that has sent nothing.
+    /// Connects without sending the startup message.
     ///
     /// # Panics
-    /// Nobody listens there.
+    /// Panics if the connection is refused.
     #[must_use]
     pub fn silent(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).expect("a listener");
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Asks for its session, and does not wait for the start.
+    /// Sends the startup message without waiting for the start of the session.
     pub fn begins(&mut self) {
         self.sends(&startup_message());
     }
@@ -103,7 +103,7 @@
         Some(())
     }
 
-    /// Whether all of it could be sent.
+    /// Sends these bytes; returns whether all of them could be written.
     pub fn sends(&mut self, bytes: &[u8]) -> bool {
         self.link.stream.write_all(bytes).is_ok()
     }
@@ -116,10 +116,10 @@
         self.sends(&out)
     }
 
-    /// The next answer, and that the next statement may come.
+    /// Reads the next answer, up to ReadyForQuery.
     ///
     /// # Panics
-    /// What comes is no answer.
+    /// Panics if the messages are no answer to a statement.
     pub fn hears(&mut self) -> Answer {
         let mut answer = None;
         loop {
@@ -146,27 +146,27 @@
         }
     }
 
-    /// Whether something of an answer comes in that time.
+    /// Whether the first bytes of an answer arrive within that time.
     #[must_use]
     pub fn has_come(&self, within: Duration) -> bool {
         let stream = &self.link.stream;
-        // A connection that has ended shows by the next read.
+        // The next read shows whether the connection has ended.
         let _ = stream.set_read_timeout(Some(within));
         let came = !self.link.input.is_empty() || stream.peek(&mut [0]).is_ok();
         let _ = stream.set_read_timeout(Some(PATIENCE));
         came
     }
 
-    /// As `hears`, of a client that did not wait for the start of its session.
+    /// Like `hears`, for a client that has not waited for the start of its session yet.
     ///
     /// # Panics
-    /// The session does not start.
+    /// Panics if the session does not start, or if the messages are no answer to a statement.
     pub fn hears_first(&mut self) -> Answer {
         self.await_session().expect("a started session");
         self.hears()
     }
 
-    /// Whether nothing more comes and the other side has closed.
+    /// Whether the peer closed the connection and sent nothing more.
     pub fn hears_the_end(&mut self) -> bool {
         matches!(self.link.stream.read(&mut [0]), Ok(0) | Err(_))
     }
@@ -183,7 +183,7 @@
     Answer::Row(String::from_utf8(value.to_vec()).expect("a value in UTF-8"))
 }
 
-/// An error, and whether the connection ends with it.
+/// Parses an error; also returns whether it ends the connection.
 fn error(message: &Message) -> (Answer, bool) {
     let fields = decode::error_fields(&message.body).expect("fields of an error");
     let field = |wanted: u8| {
--- a/crates/emulators/src/platform/messages.rs
+++ b/crates/emulators/src/platform/messages.rs
@@ -1,9 +1,9 @@
-//! Answers of pods in PostgreSQL's protocol.
+//! Answers of pods in the PostgreSQL protocol.
 
 use bytes::BytesMut;
 use limewing_postgres_protocol::encode::{self, ErrorResponse, Severity};
 
-/// The bytes of an answer with one row of this value.
+/// The bytes of an answer with one row that has this value.
 #[must_use]
 pub fn answer(value: &str) -> Vec<u8> {
     let mut out = BytesMut::new();
@@ -11,7 +11,7 @@
     out.to_vec()
 }
 
-/// An answer with a row, and the word that the next statement may come.
+/// Writes an answer with one row, up to ReadyForQuery.
 pub(super) fn write_answer(out: &mut BytesMut, value: &str) {
     encode::row_description(out, "blob");
     encode::data_row(out, value.as_bytes());
@@ -20,13 +20,13 @@
     encode::ready_for_query(out);
 }
 
-/// The answer to an empty query.
+/// Writes the answer to an empty query, up to ReadyForQuery.
 pub(super) fn write_empty_answer(out: &mut BytesMut) {
     encode::empty_query_response(out);
     encode::ready_for_query(out);
 }
 
-/// The bytes of an error with this code.
+/// The bytes of an error with this SQLSTATE, up to ReadyForQuery.
 pub(super) fn error(code: &str) -> Vec<u8> {
     let mut out = BytesMut::new();
     let response = ErrorResponse {
--- a/crates/emulators/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Emulators of the platform's parties, each on threads of its own, that do as a test scripts: pods and clients in PostgreSQL's protocol,
+//! Emulators of the platform's services, each on its own threads and scripted by a test: pods and clients in the PostgreSQL protocol,
 //! discovery and rollouts over HTTP.
 
 mod client;
@@ -24,18 +24,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long an emulator waits for what must come.
+/// How long an emulator waits for an expected message.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Longer messages are no answers of the tests.
+/// The longest message that is accepted; tests send shorter ones.
 const MAX_MESSAGE: usize = 1 << 20;
-/// Bytes that are read at once.
+/// The size of the read buffer.
 const READ_SIZE: usize = 16 * 1024;
 
-/// A connection read message by message.
+/// A connection that is read message by message.
 struct Link {
     stream: TcpStream,
-    /// What was read and is no message yet.
+    /// Bytes that were read but do not form a whole message yet.
     input: BytesMut,
     decoder: MessageDecoder,
 }
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Reads more; none at the end.
+    /// Reads more bytes; returns `None` at the end of the connection.
     fn fill(&mut self) -> Option<()> {
         let mut bytes = [0; READ_SIZE];
         let length = self
@@ -63,7 +63,7 @@
         Some(())
     }
 
-    /// The next message; none at the end, or where none can be read.
+    /// Reads the next message; returns `None` at the end of the connection or after a protocol error.
     fn hear(&mut self) -> Option<Message> {
         loop {
             let read: Result<_, ProtocolError> = self
@@ -77,23 +77,23 @@
     }
 }
 
-/// A pod as discovery lists it.
+/// A pod's entry in the list of discovery.
 #[derive(Clone, Debug)]
 pub struct Listed {
     /// Its name.
     pub host: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub dial: SocketAddr,
     /// The build that it runs.
     pub build: u16,
-    /// What discovery calls its state.
+    /// Its health as discovery reports it.
     pub health: &'static str,
-    /// When it started, in Unix time in milliseconds; 0: long ago.
+    /// Its start, as Unix time in milliseconds; 0 stands for long ago.
     pub born_ms: u64,
 }
 
 impl Listed {
-    /// A pod in service that started long ago, on build 1.
+    /// A pod in service that started long ago and runs build 1.
     #[must_use]
     pub fn new(host: &str, dial: SocketAddr) -> Self {
         Self {
@@ -119,7 +119,7 @@
     }
 }
 
-/// One object of a watch.
+/// One object on a discovery watch.
 #[must_use]
 pub fn listing(seq: u64, whole: bool, pods: &[Listed]) -> String {
     let pods: Vec<String> = pods.iter().map(Listed::json).collect();
@@ -129,42 +129,42 @@
     )
 }
 
-/// How the newest build stands, as rollouts say it.
+/// The state of the newest build, as rollouts report it.
 #[must_use]
 pub fn state(build: u16, stage: u8, name: &str, cap: f64) -> String {
     format!(r#"{{"Revision":{build},"Wave":{stage},"State":"{name}","MaxShare":{cap},"AgeMs":5}}"#)
 }
 
-/// A sidecar's configuration. Its request classes: `look` is idempotent, `order` has an idempotency key, `pay` must not run twice.
+/// A sidecar's configuration. Of its request classes, `look` is idempotent, `order` has an idempotency key, and `pay` must not run twice.
 pub struct Config {
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where rollouts listen, if there are any.
+    /// The address of rollouts, if there are any.
     pub rollouts: Option<SocketAddr>,
-    /// The list that the sidecar starts with.
+    /// The endpoint list that the sidecar starts with.
     pub known: Vec<Listed>,
-    /// Descriptors that it may use.
+    /// The number of file descriptors that it may use.
     pub descriptors: usize,
-    /// Client timeout of all request classes, in seconds.
+    /// The client timeout of all request classes, in seconds.
     pub patience: f64,
     /// Whether requests are hedged.
     pub second_copies: bool,
-    /// How long a connection to a pod may take to come up, in seconds.
+    /// The connect timeout for pods, in seconds.
     pub connect: f64,
-    /// Whether an attempt that has gone out may be cancelled.
+    /// Whether an attempt that was sent may be cancelled.
     pub cancel: bool,
-    /// Where it listens.
+    /// The address at which it listens.
     pub listen: SocketAddr,
-    /// How many sidecars there are, and which of them this one is.
+    /// The number of sidecars, and the index of this one.
     pub sidecars: (u32, u32),
 }
 
 impl Config {
-    /// With no discovery and no rollouts.
+    /// A configuration without discovery and rollouts.
     #[must_use]
     pub fn new(known: Vec<Listed>) -> Self {
         Self {
-            // Nobody listens at that port.
+            // Nothing listens on this port.
             discovery: SocketAddr::from(([127, 0, 0, 1], 1)),
             rollouts: None,
             known,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The configuration as the sidecar reads it.
+    /// The configuration in the sidecar's JSON format.
     #[must_use]
     pub fn json(&self) -> String {
         let Self {
--- a/crates/emulators/src/platform/pod.rs
+++ b/crates/emulators/src/platform/pod.rs
@@ -1,4 +1,4 @@
-//! A pod in PostgreSQL's protocol that does with each statement what a test scripts.
+//! A pod that speaks the PostgreSQL protocol and handles each statement as a test scripts.
 
 use super::pod_session::{serve, PodScript};
 use std::net::{SocketAddr, TcpListener};
@@ -6,64 +6,64 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 
-/// What a pod does with a statement.
+/// How a pod handles a statement.
 #[derive(Clone, Debug)]
 pub enum Does {
     /// Answers with this value.
     Serves(&'static str),
-    /// Answers, and sends the same again right after.
+    /// Answers, and sends the same answer again right after.
     ServesTwice(&'static str),
-    /// Answers; where the connection has served before, that answer comes once more first.
+    /// Answers; if the connection has served a statement before, that answer is repeated first.
     CopiesFirst(&'static str),
-    /// Answers, but says that the next statement may come only after a word of the test.
+    /// Answers, but sends ReadyForQuery only after a signal from the test.
     ServesSlowly(&'static str),
-    /// Answers after a word of the test.
+    /// Answers after a signal from the test.
     ServesLater(&'static str),
-    /// Answers half, and the rest after a word of the test.
+    /// Sends half of the answer, and the rest after a signal from the test.
     Halves(&'static str),
-    /// Answers with this code.
+    /// Answers with an error with this SQLSTATE.
     Errs(&'static str),
-    /// Sends these bytes and keeps the connection.
+    /// Sends these bytes and keeps the connection open.
     Says(Vec<u8>),
-    /// Sends these bytes and closes.
+    /// Sends these bytes and closes the connection.
     SaysAndCloses(Vec<u8>),
-    /// Closes.
+    /// Closes the connection.
     Closes,
-    /// Sends nothing until the sidecar closes.
+    /// Sends nothing until the sidecar closes the connection.
     Waits,
-    /// Closes as soon as the first bytes come.
+    /// Closes the connection as soon as the first bytes arrive.
     ClosesEarly,
     /// Sends nothing from the first bytes on.
     WaitsEarly,
-    /// Tells `came` once a connection's startup message is here, and starts the session only after a word of the test; then tells
-    /// `welcomed`.
+    /// Reports `came` once a connection's startup message has arrived, and starts the session only after a signal from the test; then
+    /// reports `welcomed`.
     WelcomesLater,
-    /// Starts a session with half a message behind the start, in one piece, and then sends nothing.
+    /// Starts a session with half of another message appended in the same write, and then sends nothing.
     WelcomesWithMore,
-    /// Answers the empty query before the statement only after a word of the test, which it asks for by `empty`; then the statement, if
-    /// it comes.
+    /// Reports `empty`, and answers the empty query before the statement only after a signal from the test; then answers the statement,
+    /// if it arrives.
     LivesLater(&'static str),
-    /// Answers; after a word of the test sends the first bytes unasked and tells `said`, and the rest before its next answer.
+    /// Answers; after a signal from the test, sends the first bytes unsolicited and reports `said`. The rest precedes its next answer.
     ServesThenSays(&'static str, &'static [u8], &'static [u8]),
 }
 
-/// A pod on threads of its own.
+/// A pod on its own threads.
 #[derive(Debug)]
 pub struct Pod {
-    /// Where it listens.
+    /// The address at which it listens.
     pub at: SocketAddr,
-    /// Each statement that came, and `gone` when a connection ended.
+    /// Each statement that arrived, and `gone` when a connection ended.
     pub seen: Receiver<String>,
-    /// The word of the test that some scripts wait for.
+    /// Sends the signal from the test that some scripts wait for.
     pub go_on: Sender<()>,
     connections: Arc<AtomicUsize>,
 }
 
 impl Pod {
-    /// A pod that does these in turn, one for each statement, and the last of them ever after.
+    /// Starts a pod that follows this script, one entry for each statement; the last entry is repeated.
     ///
     /// # Panics
-    /// No port is free.
+    /// Panics if no port is free.
     #[must_use]
     pub fn new(script: Vec<Does>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -80,7 +80,7 @@
                 let (tell, script, word) = (tell.clone(), script.clone(), word.clone());
                 std::thread::spawn(move || {
                     serve(stream, &tell, &script, &word);
-                    // The test may be over.
+                    // The test may have ended.
                     let _ = tell.send("gone".into());
                 });
             }
@@ -93,23 +93,23 @@
         }
     }
 
-    /// The next of what it saw.
+    /// The next report of the pod.
     ///
     /// # Panics
-    /// Nothing comes.
+    /// Panics if none arrives in time.
     pub fn hears(&self) -> String {
         self.seen
             .recv_timeout(super::PATIENCE)
             .expect("the pod hears something")
     }
 
-    /// Whether it saw nothing more so far.
+    /// Whether there are no further reports so far.
     #[must_use]
     pub fn heard_nothing(&self) -> bool {
         self.seen.try_recv().is_err()
     }
 
-    /// Connections that were made so far.
+    /// The number of connections accepted so far.
     #[must_use]
     pub fn links(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
--- a/crates/emulators/src/platform/pod_session.rs
+++ b/crates/emulators/src/platform/pod_session.rs
@@ -12,12 +12,12 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// How long a pod waits for a word of the test.
+/// How long a pod waits for a signal from the test.
 const WORD_TIMEOUT: Duration = Duration::from_secs(20);
-/// The length of ReadyForQuery, which ends an answer.
+/// The length of the ReadyForQuery message, which ends an answer.
 const READY_FOR_QUERY_LENGTH: usize = 6;
 
-/// What a pod does, over all its connections; the last entry stays.
+/// The script of a pod, shared by all its connections; the last entry is repeated.
 #[derive(Debug)]
 pub(super) struct PodScript(Mutex<Vec<Does>>);
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The next entry, if it concerns the empty query before a statement.
+    /// Takes the next entry if it concerns the empty query before a statement.
     fn next_early(&self) -> Option<Does> {
         let mut script = lock(&self.0);
         let is_early = |does: &&Does| {
@@ -80,7 +80,7 @@
         unsent: &[],
         last_answer: BytesMut::new(),
     };
-    // None: the connection has ended.
+    // `None` means that the connection has ended.
     let _ = session.run(first.as_ref());
 }
 
@@ -89,15 +89,15 @@
     tell: &'a Sender<String>,
     script: &'a PodScript,
     word: &'a Mutex<Receiver<()>>,
-    /// What the empty query has set for the statement behind it.
+    /// The entry that the empty query has set for the statement after it.
     own: Option<Does>,
-    /// Bytes that go out before the next answer.
+    /// Bytes to send before the next answer.
     unsent: &'static [u8],
     last_answer: BytesMut,
 }
 
 impl PodSession<'_> {
-    /// Serves until the connection ends, by either side; `first` is what the script began with when the connection came.
+    /// Serves until either side ends the connection; `first` is the first entry of the script when the connection was accepted.
     fn run(&mut self, first: Option<&Does>) -> Option<()> {
         self.start(first)?;
         loop {
@@ -122,16 +122,17 @@
     }
 
     fn tell(&self, what: impl Into<String>) {
-        // The test may be over.
+        // The test may have ended.
         let _ = self.tell.send(what.into());
     }
 
     fn await_word(&self) {
-        // Without one, the test says what is wrong.
+        // If none arrives, the test reports the failure.
         let _ = lock(self.word).recv_timeout(WORD_TIMEOUT);
     }
 
-    /// Only with the sidecar's first message here can its session be started while the sidecar is suspended.
+    /// Starts the session. The startup message has been read before, so that a test can let the session start while the sidecar is
+    /// suspended.
     fn start(&mut self, first: Option<&Does>) -> Option<()> {
         match first {
             Some(Does::WelcomesWithMore) => {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// What is done early is done to the empty query before the statement.
+    /// Handles the empty query before the statement, to which the early entries of the script apply.
     fn answer_empty(&mut self) -> Option<()> {
         match self.script.next_early() {
             Some(Does::ClosesEarly) => return None,
@@ -169,7 +170,7 @@
         self.send(&out)
     }
 
-    /// The answer, or what is left of it to send; none if the pod closes.
+    /// Returns the answer, or the part of it that is still to be sent; `None` if the pod closes the connection.
     fn answer(&mut self, does: Does) -> Option<BytesMut> {
         let mut out = BytesMut::new();
         match does {
@@ -232,14 +233,14 @@
     }
 }
 
-/// A connection whose session has started.
+/// Reads the startup message of a connection and starts its session.
 pub(super) fn accept_session(stream: TcpStream) -> Option<Link> {
     let mut link = read_startup(stream)?;
     write_session_start(&mut link, &[])?;
     Some(link)
 }
 
-/// A connection whose startup message has come.
+/// Reads the startup message of a connection.
 fn read_startup(stream: TcpStream) -> Option<Link> {
     let mut link = Link::new(stream).ok()?;
     while decode::startup_packet(&mut link.input).ok()?.is_none() {
@@ -248,7 +249,7 @@
     Some(link)
 }
 
-/// Starts the session of a connection, with these bytes right behind.
+/// Starts the session of a connection, with these bytes appended in the same write.
 fn write_session_start(link: &mut Link, more: &[u8]) -> Option<()> {
     let mut out = BytesMut::new();
     encode::session_start(&mut out, &[("server_version", "16.0")]);
@@ -256,7 +257,7 @@
     link.stream.write_all(&out).ok()
 }
 
-/// The next statement; empty queries before it are answered.
+/// Reads the next statement; answers empty queries before it.
 pub(super) fn read_statement(link: &mut Link) -> Option<String> {
     loop {
         let message = link.hear()?;
--- a/crates/emulators/src/platform/services.rs
+++ b/crates/emulators/src/platform/services.rs
@@ -1,4 +1,4 @@
-//! Discovery and rollouts over HTTP: streams of objects, and votes.
+//! Discovery and rollouts over HTTP: streams of JSON objects, and votes.
 
 use crate::locks::lock;
 use std::io::{Read, Write};
@@ -9,39 +9,39 @@
 use std::time::Duration;
 use std::vec::IntoIter;
 
-/// The head of a stream.
+/// The head of a streamed response.
 const STREAM: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// Bytes that are read at once.
+/// The size of the read buffer.
 const READ_SIZE: usize = 4096;
 
-/// The streams that are open, shared with the thread that accepts them.
+/// The open streams, shared with the thread that accepts them.
 #[derive(Clone, Default)]
 struct Streams(Arc<Mutex<Vec<TcpStream>>>);
 
 impl Streams {
-    /// Begins a stream with an object.
+    /// Opens a stream that begins with this object.
     fn open(&self, mut stream: TcpStream, first: &str) {
-        // The sidecar may have closed.
+        // The sidecar may have closed the connection.
         let _ = stream.write_all(format!("{STREAM}{}", chunk(first)).as_bytes());
         lock(&self.0).push(stream);
     }
 
     fn send(&self, text: &str) {
         for stream in lock(&self.0).iter_mut() {
-            // The sidecar may have closed.
+            // The sidecar may have closed the connection.
             let _ = stream.write_all(text.as_bytes());
         }
     }
 
     fn cut(&self) {
         for stream in lock(&self.0).drain(..) {
-            // The sidecar may have closed.
+            // The sidecar may have closed the connection.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-/// A line as a chunk of a stream.
+/// Encodes a line as a chunk of a stream.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
@@ -58,26 +58,26 @@
     text
 }
 
-/// Discovery: answers each watch with an object, and sends more when a test says so.
+/// Discovery: answers each watch with an object, and sends further ones on a test's request.
 pub struct Discovery {
-    /// Where it listens.
+    /// The address at which it listens.
     pub at: SocketAddr,
-    /// The head of each call that came.
+    /// The head of each call that arrived.
     pub calls: Receiver<String>,
     streams: Streams,
 }
 
 impl Discovery {
-    /// Begins each watch with these bytes: an object, or whatever else.
+    /// Starts discovery on any free port; each watch begins with these bytes, which need not be an object.
     #[must_use]
     pub fn new(first: String) -> Self {
         Self::at(SocketAddr::from(([127, 0, 0, 1], 0)), first)
     }
 
-    /// One at this address, at which nobody may have listened before.
+    /// Starts discovery at this address, which must be free.
     ///
     /// # Panics
-    /// The address is taken.
+    /// Panics if the address is in use.
     #[must_use]
     pub fn at(at: SocketAddr, first: String) -> Self {
         let listener = TcpListener::bind(at).expect("a free address");
@@ -89,17 +89,17 @@
             for mut stream in listener.incoming().map_while(Result::ok) {
                 let request = read_request(&mut stream);
                 opened.open(stream, &first);
-                // The test may be over.
+                // The test may have ended.
                 let _ = tell.send(request);
             }
         });
         Self { at, calls, streams }
     }
 
-    /// Waits for the next call; returns its head.
+    /// Waits for the next call, and returns its head.
     ///
     /// # Panics
-    /// None comes.
+    /// Panics if none arrives in time.
     pub fn is_asked(&self) -> String {
         self.calls.recv_timeout(super::PATIENCE).expect("a watch")
     }
@@ -109,7 +109,7 @@
         self.streams.send(&chunk(object));
     }
 
-    /// Sends these bytes, with no end of a line.
+    /// Sends these bytes on all watches, without a line end.
     pub fn says_part(&self, bytes: &str) {
         self.streams
             .send(&format!("{:x}\r\n{bytes}\r\n", bytes.len()));
@@ -121,12 +121,12 @@
     }
 }
 
-/// What rollouts do with a vote.
+/// How rollouts handle a vote.
 #[derive(Clone, Debug)]
 pub enum Vote {
     /// Answers with this status and body.
     Says(u16, String),
-    /// Answers with these bytes and closes.
+    /// Answers with these bytes and closes the connection.
     Raw(&'static [u8]),
     /// Never answers.
     Waits,
@@ -134,19 +134,19 @@
 
 /// Rollouts: stage updates and votes.
 pub struct Rollouts {
-    /// Where it listens.
+    /// The address at which it listens.
     pub at: SocketAddr,
-    /// One for each stream that was asked for.
+    /// One message for each stream that was opened.
     streamed: Receiver<()>,
     votes: Receiver<String>,
     streams: Streams,
 }
 
 impl Rollouts {
-    /// Begins each stream with this; does these with votes in turn, and the last of them ever after.
+    /// Starts rollouts; each stream begins with `first`, and each vote takes the next entry of the script, of which the last is repeated.
     ///
     /// # Panics
-    /// No port is free.
+    /// Panics if no port is free.
     #[must_use]
     pub fn new(first: &str, script: Vec<Vote>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -175,17 +175,17 @@
         }
     }
 
-    /// Waits until a stream has been asked for.
+    /// Waits until a stream is opened.
     ///
     /// # Panics
-    /// None is.
+    /// Panics if none is opened in time.
     pub fn is_asked(&self) {
         self.streamed
             .recv_timeout(super::PATIENCE)
             .expect("a stream");
     }
 
-    /// The next vote, if one comes in that time.
+    /// The next vote, if one arrives within that time.
     #[must_use]
     pub fn vote(&self, within: Duration) -> Option<String> {
         self.votes.recv_timeout(within).ok()
@@ -205,7 +205,7 @@
 struct RolloutThread {
     first: String,
     script: Peekable<IntoIter<Vote>>,
-    /// Votes that wait for ever.
+    /// The connections of votes that are never answered.
     unanswered: Vec<TcpStream>,
     streams: Streams,
     tell_vote: Sender<String>,
@@ -217,11 +217,11 @@
         let request = read_request(&mut stream);
         if request.starts_with("GET /v1/events") {
             self.streams.open(stream, &self.first);
-            // The test may be over.
+            // The test may have ended.
             let _ = self.tell_stream.send(());
         } else if !request.is_empty() {
             self.answer_vote(stream);
-            // The test may be over.
+            // The test may have ended.
             let _ = self.tell_vote.send(request);
         }
     }
@@ -236,7 +236,7 @@
     }
 
     fn answer_vote(&mut self, mut stream: TcpStream) {
-        // The sidecar may have closed, so that what can't be written is left.
+        // The sidecar may have closed the connection, so that write errors are ignored.
         match self.next_answer() {
             Vote::Says(status, body) => {
                 let length = body.len();
--- a/crates/emulators/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -1,6 +1,6 @@
-//! Pods, discovery, rollouts and clients for several sidecars at once, with a record of all that crosses a socket, as
-//! `limewing_rule_checker` reads it. Each sidecar reaches every pod at an address of its own, so that the record says whose an attempt is.
-//! Times in it are those of the far ends.
+//! Pods, discovery, rollouts and clients for several sidecars at once, with a record of all messages in the format of
+//! `limewing_rule_checker`. Each pod has a separate address for each sidecar, so that the record identifies the sidecar of an attempt.
+//! Its times are taken at the emulators, not at the sidecars.
 
 use super::world_client::WorldClient;
 use super::world_pod::{Faults, WorldPod};
@@ -20,25 +20,25 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A pod's cores.
+/// The number of a pod's cores.
 const CAPACITY: f64 = 4.0;
-/// The number of the list that sidecars know from their configuration.
+/// The number of the endpoint list in the sidecars' configuration.
 const FIRST_LIST: u64 = 7;
 
 struct ListedPod {
     pod: Arc<WorldPod>,
-    /// Its address for each sidecar.
+    /// Its address for each sidecar, by index.
     addresses: Vec<SocketAddr>,
 }
 
-/// What several sidecars run on.
+/// The environment of several sidecars.
 pub struct World {
     record: WorldRecord,
     pods: Vec<ListedPod>,
     executed: Arc<Mutex<BTreeSet<String>>>,
-    /// The discovery of each sidecar.
+    /// The discovery service of each sidecar.
     pub discovery: Vec<Discovery>,
-    /// The rollouts of each sidecar.
+    /// The rollout service of each sidecar.
     pub rollouts: Vec<Rollouts>,
     list_number: u64,
     stage_number: u64,
@@ -46,7 +46,7 @@
 }
 
 impl World {
-    /// For so many sidecars; none of them is up yet.
+    /// Creates the environment of this many sidecars, none of which runs yet.
     #[must_use]
     pub fn new(sidecars: usize, limits: RuleLimits, seed: u64) -> Self {
         let record = WorldRecord::new();
@@ -54,7 +54,7 @@
             day: "platform".into(),
             limits,
         });
-        // Discovery says nothing until a list is sent: `since` is what the sidecar knows.
+        // Each watch begins with an empty update of the list that the sidecar already knows (`since`), until a test sends a new list.
         let discovery = (0..sidecars).map(|_| Discovery::new(listing(FIRST_LIST, false, &[])));
         let released = state(1, 0, "Healthy", 1.0);
         let first = format!(r#"{{"type":"news","object":{released}}}"#);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What the rules are held to, with these caps.
+    /// The limits of the rules, with these exposure caps.
     #[must_use]
     pub fn limits(caps: Vec<f64>) -> RuleLimits {
         let class = |idempotency| RequestClass {
@@ -106,10 +106,10 @@
         }
     }
 
-    /// Starts a pod, and returns its number; the list does not know it yet.
+    /// Starts a pod that is not listed yet, and returns its number.
     ///
     /// # Panics
-    /// No port is free.
+    /// Panics if no port is free.
     pub fn pod(&mut self, build: u16, cold: bool, faults: Faults) -> usize {
         let number = self.pods.len();
         let id = PodId(number as u32);
@@ -137,7 +137,7 @@
         number
     }
 
-    /// What the list says of a pod to one sidecar.
+    /// A pod's entry in the list for one sidecar.
     #[must_use]
     pub fn listed(&self, sidecar: usize, pod: usize, health: &'static str, born_ms: u64) -> Listed {
         let ListedPod {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Sends one sidecar's watch the whole list: pods with their health and start.
+    /// Sends the whole list on one sidecar's watch: pods with their health and start time.
     pub fn tell_list(&mut self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
         self.list_number += 1;
         let rows: Vec<Listed> = pods
@@ -163,7 +163,7 @@
         self.knows(sidecar, pods);
     }
 
-    /// Records that a sidecar was notified of this list, by its configuration or its watch.
+    /// Records that a sidecar received this list, by its configuration or its watch.
     pub fn knows(&self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
         let with = |wanted: &str| {
             let some = pods.iter().filter(|(_, health, _)| *health == wanted);
@@ -176,7 +176,7 @@
         });
     }
 
-    /// Notifies all sidecars of the newest build's stage.
+    /// Sends the newest build's stage to all sidecars.
     pub fn tell_news(&mut self, build: u16, stage: u8, name: &str, cap: f64) {
         self.stage_number += 1;
         let state = state(build, stage, name, cap);
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Records that a sidecar was notified of a stage.
+    /// Records that a sidecar received a stage update.
     pub fn knows_news(&self, sidecar: usize, build: u16, stage: u8, name: &str, cap: f64) {
         let phase = match name {
             "Progressing" => Phase::OnTrial,
@@ -204,18 +204,18 @@
         });
     }
 
-    /// Appends to the record.
+    /// Appends an event to the record.
     pub fn note(&self, event: Event) {
         self.record.append(event);
     }
 
-    /// Sets how a pod fails from now on.
+    /// Sets the faults of a pod from now on.
     pub fn fail(&self, pod: usize, faults: Faults) {
         *lock(&self.pods[pod].pod.faults) = faults;
     }
 
-    /// A client of a sidecar on a thread of its own: sends one request after the other until it is stopped, on connections that it opens
-    /// anew where one ends. Returns how many were delivered. `name` is the upper half of its requests' numbers.
+    /// Starts a client of a sidecar on its own thread. It sends one request after the other until it is stopped, and reconnects when its
+    /// connection ends. The thread returns the number of delivered requests. `name` is the upper half of its requests' numbers.
     pub fn client(
         &self,
         (sidecar, address): (usize, SocketAddr),
@@ -234,7 +234,7 @@
         std::thread::spawn(move || client.run(&stop))
     }
 
-    /// The record so far, ended.
+    /// Ends the record, and returns it.
     #[must_use]
     pub fn lines(&self) -> Vec<RecordLine> {
         self.record.append(Event::End {});
--- a/crates/emulators/src/platform/world_client.rs
+++ b/crates/emulators/src/platform/world_client.rs
@@ -1,4 +1,4 @@
-//! A client of a [`World`](super::World): one request after the other at one sidecar.
+//! A client of a [`World`](super::World) that sends one request after the other to one sidecar.
 
 use super::world_pod::CLASSES;
 use super::world_record::WorldRecord;
@@ -11,13 +11,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// What a client waits past the timeout for an answer that may still be on its way.
+/// How long past its timeout a client waits for an answer that may still be in flight.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(700);
-/// The pause after a connection that failed, and after a rejection.
+/// The pause after a failed connection or a rejection.
 const BACKOFF: Duration = Duration::from_millis(20);
-/// The pause between two requests, in milliseconds.
+/// The range of the pause between two requests.
 const PAUSE_MS: Range<u64> = 2..20;
-/// The codes by which a sidecar promises that a retry is harmless.
+/// The SQLSTATEs by which a sidecar states that a retry is harmless.
 const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
 
 pub(super) struct WorldClient {
@@ -30,7 +30,7 @@
     pub(super) rng: StdRng,
 }
 
-/// How a request ended for the connection.
+/// The outcome of a request on a connection.
 enum Exchange {
     Delivered,
     NotDelivered,
@@ -38,7 +38,7 @@
 }
 
 impl WorldClient {
-    /// Sends requests until it is stopped; returns how many were delivered.
+    /// Sends requests until it is stopped; returns the number of delivered ones.
     pub(super) fn run(mut self, stop: &AtomicBool) -> usize {
         let mut delivered = 0;
         let mut next = 0;
@@ -105,7 +105,7 @@
         )
     }
 
-    /// What no pod made for this request is no answer to it.
+    /// Records a row: it counts as delivered only if it carries the identifier of this request.
     fn row_came(&self, attempt: AttemptKey, value: &str) -> Exchange {
         let (id, build) = value.split_once('-').unwrap_or_default();
         if id == format!("{:016x}", attempt.request.0) {
--- a/crates/emulators/src/platform/world_pod.rs
+++ b/crates/emulators/src/platform/world_pod.rs
@@ -1,4 +1,4 @@
-//! A pod of a [`World`](super::World): one service behind an address for each sidecar.
+//! A pod of a [`World`](super::World), which has a separate address for each sidecar.
 
 use super::messages::{answer, error};
 use super::pod_session::{accept_session, read_statement};
@@ -15,31 +15,31 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The request classes of [`Config`](super::Config), in its order.
+/// The request classes of [`Config`](super::Config), in the same order.
 pub(super) const CLASSES: [&str; 3] = ["look", "order", "pay"];
-/// The class whose repeats pods drop by their key.
+/// The class whose repeated requests pods detect by their key.
 const KEYED_CLASS: &str = "order";
-/// What a request needs of a pod's core.
+/// The work of a request, as the record states it.
 const WORK: Duration = Duration::from_millis(10);
-/// How long a pod takes to run a request, in milliseconds.
+/// The range of the time that a pod takes to run a request.
 const RUN_TIME_MS: Range<u64> = 2..15;
 
-/// How a pod fails, each the share of its statements.
+/// The faults of a pod, each as the share of its statements.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Answers with an error, after it ran.
+    /// Answers with an error after running the statement.
     pub errs: f64,
-    /// Says that it has not begun it.
+    /// Answers that the statement was not begun.
     pub turns_away: f64,
-    /// Closes after it ran.
+    /// Closes the connection after running the statement.
     pub closes: f64,
-    /// Answers with bytes that are no message, after it ran.
+    /// Answers with bytes that are no valid message after running the statement.
     pub spoilt: f64,
-    /// Never answers, after it ran.
+    /// Never answers after running the statement.
     pub silent: f64,
 }
 
-/// What a pod does wrong with one statement.
+/// The fault of a pod with one statement.
 #[derive(Clone, Copy)]
 enum StatementFault {
     Rejects,
@@ -50,7 +50,7 @@
 }
 
 impl Faults {
-    /// The fault at this point of a number drawn from 0 to 1.
+    /// Selects the fault for a number drawn uniformly from 0 to 1.
     fn pick(&self, drawn: f64) -> Option<StatementFault> {
         let shares = [
             (self.turns_away, StatementFault::Rejects),
@@ -70,7 +70,7 @@
     }
 }
 
-/// A request as its statement names it.
+/// The request in a statement.
 struct StatementRequest {
     id: String,
     attempt: AttemptKey,
@@ -82,7 +82,7 @@
     pub(super) build: u16,
     pub(super) faults: Mutex<Faults>,
     pub(super) record: WorldRecord,
-    /// Idempotency keys of requests that ran, at any pod.
+    /// The identifiers of keyed requests that ran at any pod.
     pub(super) executed: Arc<Mutex<BTreeSet<String>>>,
     pub(super) rng: Mutex<StdRng>,
 }
@@ -114,7 +114,7 @@
             return link.stream.write_all(&error("53300")).ok();
         }
         std::thread::sleep(run_time);
-        // A repeat of a key is dropped, and has no second effect.
+        // A repeated keyed request takes no second effect.
         let keyed = CLASSES[request.class] == KEYED_CLASS;
         let effect = !keyed || lock(&self.executed).insert(request.id.clone());
         self.record.append(Event::Executed {
--- a/crates/emulators/src/platform/world_record.rs
+++ b/crates/emulators/src/platform/world_record.rs
@@ -1,4 +1,4 @@
-//! The record of a [`World`](super::World), which all its threads write.
+//! The record of a [`World`](super::World), written by all its threads.
 
 use crate::locks::lock;
 use limewing_rule_checker::record::{Event, RecordLine};
@@ -12,7 +12,7 @@
 }
 
 impl WorldRecord {
-    /// An empty record; its time begins now.
+    /// Creates an empty record whose time starts now.
     pub(super) fn new() -> Self {
         Self {
             started_at: Instant::now(),
@@ -22,7 +22,7 @@
 
     pub(super) fn append(&self, event: Event) {
         let mut lines = lock(&self.lines);
-        // The time is taken with the lock held, so that the record's times never go back.
+        // The time is taken with the lock held, so that the times of the record never decrease.
         let at = self.started_at.elapsed();
         lines.push(RecordLine { at, event });
     }
