--- a/crates/emulators/src/script/faults.rs
+++ b/crates/emulators/src/script/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong during a day, and the builds that are rolled out.
+//! The faults of a day, and the builds that are rolled out.
 
 use super::schema::undocumented_words_as_enum;
 use limewing_settings::Seconds;
@@ -11,16 +11,16 @@
 #[serde(rename = "Offer", deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct BuildOffer {
-    /// When its rollout begins.
+    /// The time at which its rollout begins.
     #[schemars(description = "")]
     pub at: Seconds,
-    /// The build.
+    /// The number of the build.
     #[schemars(description = "")]
     pub build: u16,
-    /// Work takes so many times as long as on the first build.
+    /// The factor by which work takes longer than on the first build.
     #[serde(rename = "slow", default = "default_slowdown")]
     pub slowdown: f64,
-    /// What is wrong with it.
+    /// Its faults.
     #[serde(default)]
     #[schemars(description = "")]
     pub faults: Vec<BuildFault>,
@@ -30,162 +30,162 @@
     1.0
 }
 
-/// What is wrong with a build.
+/// A fault of a build.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Fault", deny_unknown_fields)]
 #[schemars(description = "")]
 pub enum BuildFault {
-    /// A share of its hits errs; of one path group only, or of a pod that has run for a while.
+    /// A share of its requests fails; optionally only requests of one class, or only at pods that have run for some time.
     #[serde(rename = "errors")]
     Errors {
-        /// The share.
+        /// The share that is affected.
         #[schemars(description = "")]
         share: f64,
-        /// The name of the only class that it concerns.
+        /// The name of the only affected request class.
         #[serde(rename = "group", default)]
         #[schemars(description = "")]
         class: Option<String>,
-        /// How long a pod runs before.
+        /// How long a pod runs before it is affected.
         #[serde(rename = "after", default)]
         #[schemars(description = "")]
         min_age: Option<Seconds>,
     },
-    /// A share of its answers is wrong, and looks right.
+    /// A share of its answers is wrong, although they look like successful ones.
     #[serde(rename = "wrong")]
     WrongAnswers {
-        /// The share.
+        /// The share that is affected.
         #[schemars(description = "")]
         share: f64,
     },
 }
 
-/// A fault and its time.
+/// A fault and its schedule.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "TroubleAt", deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct ScheduledFault {
-    /// When it begins.
+    /// The time at which it begins.
     #[schemars(description = "")]
     pub at: Seconds,
-    /// How long it lasts.
+    /// Its duration; if absent, it lasts until the end of the day.
     #[serde(rename = "for", default)]
     pub duration: Option<Seconds>,
-    /// What it is.
+    /// The fault.
     #[serde(rename = "what")]
     #[schemars(description = "")]
     pub fault: DayFault,
 }
 
-/// What goes wrong. Pods are named by their place in the fleet.
+/// A fault during a day. Pods are identified by their slots in the fleet, which are counted from 0.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "Trouble", rename_all = "snake_case", deny_unknown_fields)]
 #[schemars(transform = undocumented_words_as_enum)]
 pub enum DayFault {
-    /// The process dies; another one starts at its place when the trouble ends.
+    /// The pods' processes are killed; others start in their slots when the fault ends.
     PodsKilled(Vec<usize>),
-    /// Takes connections and bytes, and never answers: what comes is lost.
+    /// The pods accept connections and requests, but never answer: requests are lost.
     PodsSilent(Vec<usize>),
-    /// Begins nothing until the trouble ends; then goes on.
+    /// The pods begin no requests until the fault ends, and then continue.
     PodsHung(Vec<usize>),
-    /// Pods whose work takes longer.
+    /// The pods' work takes longer.
     #[schemars(description = "")]
     PodsSlow {
-        /// Their slots.
+        /// The slots of the pods.
         #[serde(rename = "places")]
         #[schemars(description = "")]
         slots: Vec<usize>,
-        /// How many times as long.
+        /// The factor by which it takes longer.
         #[schemars(description = "")]
         factor: f64,
     },
-    /// A share of the pods' answers is cut off half way.
+    /// A share of the pods' answers is truncated.
     #[serde(rename = "half_answers")]
     TruncatedAnswers {
-        /// Their slots.
+        /// The slots of the pods.
         #[serde(rename = "places")]
         #[schemars(description = "")]
         slots: Vec<usize>,
-        /// The share.
+        /// The share that is affected.
         #[schemars(description = "")]
         share: f64,
     },
-    /// Pods close each connection after one answer, as the next hit may already be on its way.
+    /// The pods close each connection after one answer, while the next request may already be in flight.
     #[serde(rename = "pods_close")]
     PodsCloseConnections(Vec<usize>),
-    /// Nothing passes between a zone and the rest; list and installer stand in the first zone.
+    /// A zone is partitioned from all others; the endpoint list and the rollout service are in the first zone.
     #[serde(rename = "zone_cut")]
     ZonePartitioned(String),
-    /// SIGKILL; started again when the trouble ends.
+    /// SIGKILL to this sidecar, which restarts when the fault ends.
     SidecarKilled(usize),
-    /// SIGTERM; started again when the trouble ends.
+    /// SIGTERM to this sidecar, which restarts when the fault ends.
     #[serde(rename = "sidecar_leaves")]
     SidecarTerminated(usize),
-    /// SIGSTOP until the trouble ends.
+    /// SIGSTOP to this sidecar until the fault ends.
     #[serde(rename = "sidecar_stopped")]
     SidecarSuspended(usize),
-    /// The endpoint list is so much later.
+    /// The endpoint list is delayed further by this.
     #[serde(rename = "list_lags")]
     #[schemars(description = "")]
     ListDelayed(Seconds),
-    /// The endpoint list takes no connections.
+    /// The endpoint list accepts no connections.
     #[schemars(description = "")]
     ListDown,
-    /// No news, no steps, votes unanswered.
+    /// The rollout service is down: there are no stage updates, no stage changes and no answers to votes.
     #[serde(rename = "installer_down")]
     RolloutsDown,
-    /// No steps; news and votes go on.
+    /// The rollout makes no progress; stage updates and votes continue.
     #[serde(rename = "installer_stands_still")]
     RolloutsPaused,
-    /// Votes are never answered; every other one counts all the same.
+    /// Votes are never answered, but every other one counts.
     VotesUnanswered,
-    /// Votes count at once, and are answered so much later, with the stage of then.
+    /// Votes count at once, but their answers are delayed by this; they state the stage at the time of the vote.
     #[serde(rename = "votes_late")]
     VoteAnswersDelayed(Seconds),
-    /// Of the votes of all sidecars, so many are taken within a span; the others are refused.
+    /// Votes of all sidecars together are limited to a number within a window; the others are refused.
     #[serde(rename = "votes_allowed")]
     VotesRateLimited {
-        /// How many.
+        /// The limit.
         #[serde(rename = "most")]
         #[schemars(description = "")]
         max: usize,
-        /// The span.
+        /// The window.
         #[serde(rename = "within")]
         #[schemars(description = "")]
         window: Seconds,
     },
-    /// Votes are refused, as over the allowance.
+    /// All votes are refused, as if they exceeded the rate limit.
     VotesRefused,
-    /// News of stages comes so much later.
+    /// Stage updates are delayed by this.
     #[serde(rename = "news_late")]
     StageUpdatesDelayed(Seconds),
-    /// Each pod takes so many connections and closes any other one at once.
+    /// Each pod accepts only this many connections, and closes others at once.
     #[serde(rename = "connections_scarce")]
     ConnectionsLimited {
-        /// How many.
+        /// The limit.
         #[serde(rename = "most")]
         #[schemars(description = "")]
         max: usize,
     },
-    /// A new connection to a pod is of use only after so long.
+    /// A new connection to a pod becomes usable only after this delay.
     #[serde(rename = "connections_dear")]
     ConnectionsDelayed(Seconds),
-    /// So many times the hits.
+    /// The request rate is multiplied by this factor.
     Overload(f64),
-    /// One customer sends so many more hits a second, which err at every pod.
+    /// One tenant sends additional requests, which fail at every pod.
     #[serde(rename = "worthless")]
     FailingTenant {
         /// The tenant's name.
         #[serde(rename = "customer")]
         #[schemars(description = "")]
         tenant: String,
-        /// Requests a second.
+        /// The additional requests per second.
         #[serde(rename = "per_s")]
         #[schemars(description = "")]
         requests_per_second: f64,
     },
 }
 
-/// The words by which records and the terminal view name a fault: a format.
+/// The text by which records and the terminal view name a fault; part of the format of records.
 impl Display for DayFault {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/emulators/src/script/fleet.rs
+++ b/crates/emulators/src/script/fleet.rs
@@ -1,40 +1,40 @@
-//! The pods, and how the sidecars know of each other.
+//! The pods of a day, and the communication between its sidecars.
 
 use limewing_fault_injection::Script;
 use limewing_settings::Seconds;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The pods.
+/// The fleet of pods.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct FleetScript {
-    /// The zones; slots are dealt to them in turn.
+    /// The zones; slots are assigned to them in turn.
     #[schemars(description = "")]
     pub zones: Vec<String>,
-    /// Slots for pods.
+    /// The number of slots for pods.
     #[schemars(description = "")]
     pub pods: usize,
-    /// Cores of a pod.
+    /// The number of cores of a pod.
     #[schemars(description = "")]
     pub cores: usize,
-    /// Hits that may wait at a pod.
+    /// The number of requests that may be queued at a pod.
     #[serde(rename = "waiting")]
     pub queue_limit: usize,
-    /// Pods of a cell are neighbours that share a memory of marks.
+    /// The number of neighbouring slots in a cell, whose pods share a memory of idempotency keys.
     #[serde(rename = "cell", default = "default_pods_per_cell")]
     pub pods_per_cell: usize,
-    /// How long a new pod takes to run.
+    /// The time that a new pod takes to start.
     #[serde(rename = "starts_within")]
     pub startup_time: Seconds,
-    /// How late the node list is.
+    /// The delay of the endpoint list.
     #[serde(rename = "list_lag")]
     pub list_delay: Seconds,
-    /// A pod that drains goes after this.
+    /// The time after which a draining pod exits.
     #[serde(rename = "drains_for")]
     pub drain_duration: Seconds,
-    /// Stage news is told again every so often.
+    /// The interval at which stage updates are repeated.
     #[serde(rename = "told_every", default)]
     pub stage_update_interval: Option<Seconds>,
 }
@@ -43,20 +43,20 @@
     4
 }
 
-/// What passes between sidecars.
+/// The communication between sidecars.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct PeersScript {
-    /// Whether what they know of each other moves their choices.
+    /// Whether sidecars coordinate their choices of pods.
     #[serde(rename = "choices")]
     pub coordination: bool,
-    /// Whether they keep each other's state that matters.
+    /// Whether sidecars replicate each other's important state.
     #[serde(rename = "replicas", default)]
     pub replication: bool,
-    /// Between two probes.
+    /// The interval between two probes.
     #[serde(rename = "period")]
     pub probe_interval: Seconds,
-    /// Faults of the links between them and of the sidecars; its members are the day's sidecars.
+    /// The script of faults of the sidecars and the links between them; its members are the day's sidecars.
     pub faults: Script,
 }
--- a/crates/emulators/src/script/maintenance.rs
+++ b/crates/emulators/src/script/maintenance.rs
@@ -1,48 +1,50 @@
-//! Maintenance of machines during a day.
+//! The maintenance of machines during a day.
 
 use super::schema::undocumented_words_as_enum;
 use limewing_settings::{Seconds, WorkList};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Who decides on maintenance, how it goes, and what operators do.
+/// The voters of maintenance, the work on machines, and the actions of operators.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "WorkScript", deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct MaintenanceScript {
-    /// The first so many sidecars have a vote.
+    /// The number of sidecars, counted from the first one, that have a vote.
     pub voters: usize,
-    /// The first so many have a folder, and may be given a vote; none: those with a vote.
+    /// The number of sidecars, counted from the first one, that have a state folder and may be given a vote; if absent, those that have a
+    /// vote from the start.
     #[serde(rename = "folders", default)]
     pub possible_voters: Option<usize>,
-    /// So many places of a zone are one machine of several pods, named by the first one's number.
+    /// The number of slots of a zone that are on one machine, which is named by the number of its first slot.
     #[serde(rename = "pods_a_machine", default = "default_pods_per_machine")]
     pub pods_per_machine: usize,
     /// The election timeout of voters.
     #[serde(rename = "patience")]
     #[schemars(description = "")]
     pub election_timeout: Seconds,
-    /// How long the lease of a pod holds.
+    /// The duration of a pod's lease.
     #[schemars(description = "")]
     pub lease: Seconds,
-    /// How long the work on a machine takes.
+    /// The duration of the work on a machine.
     #[serde(rename = "works_for")]
     pub duration: Seconds,
-    /// Machines whose work never ends, fails, or is told twice, by their place.
+    /// The machines whose work never ends. `fail` lists those whose work fails, `twice` those that report its end twice; all are given by
+    /// their first slot.
     #[serde(rename = "stall", default)]
     pub stalling: Vec<usize>,
-    /// Machines whose maintenance fails.
+    /// The machines whose maintenance fails.
     #[serde(rename = "fail", default)]
     #[schemars(description = "")]
     pub failing: Vec<usize>,
-    /// Machines whose agents report the end twice.
+    /// The machines whose agents report the end twice.
     #[serde(rename = "twice", default)]
     #[schemars(description = "")]
     pub reported_twice: Vec<usize>,
-    /// The day ends once all lists are over, if that is before its time.
+    /// Whether the day ends early once all lists are finished.
     #[serde(rename = "ends_when_over", default)]
     pub ends_day_when_over: bool,
-    /// What operators do.
+    /// The actions of operators.
     #[schemars(description = "")]
     pub steps: Vec<MaintenanceStep>,
 }
@@ -56,16 +58,16 @@
 #[serde(rename = "WorkStep", deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct MaintenanceStep {
-    /// When.
+    /// The time of the action.
     #[schemars(description = "")]
     pub at: Seconds,
-    /// What.
+    /// The action.
     #[serde(rename = "does")]
     #[schemars(description = "")]
     pub action: OperatorAction,
 }
 
-/// What an operator does; of the list that was asked for last.
+/// An operator's action. Actions on a list apply to the one requested last.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(rename = "WorkDoes", deny_unknown_fields)]
 #[schemars(transform = undocumented_words_as_enum)]
@@ -74,11 +76,11 @@
     #[serde(rename = "ask")]
     #[schemars(description = "")]
     Request(Box<WorkList>),
-    /// Holds the list: no more machines go out.
+    /// Pauses the list: no more machines go out of service.
     #[serde(rename = "hold")]
     #[schemars(description = "")]
     Hold,
-    /// Releases a list that is held.
+    /// Resumes a list that is paused.
     #[serde(rename = "go_on")]
     #[schemars(description = "")]
     Resume,
@@ -86,13 +88,13 @@
     #[serde(rename = "withdraw")]
     #[schemars(description = "")]
     Withdraw,
-    /// This sidecar runs no more.
+    /// Reports that this sidecar has been removed for good.
     #[serde(rename = "gone")]
     RemoveSidecar(String),
-    /// Gives this sidecar a vote, or takes it.
+    /// Gives this sidecar a vote; `unvote` takes it away.
     #[serde(rename = "vote")]
     AddVoter(String),
-    /// Takes the vote of this sidecar.
+    /// Takes the vote away from this sidecar.
     #[serde(rename = "unvote")]
     #[schemars(description = "")]
     RemoveVoter(String),
--- a/crates/emulators/src/script/mod.rs
+++ b/crates/emulators/src/script/mod.rs
@@ -1,6 +1,6 @@
-//! A day as its file says: the fleet, the requests, the releases, and what goes wrong when. JSON; times in seconds.
+//! The file format of a day: the fleet, the requests, the releases, and the faults with their times. JSON; times are in seconds.
 //!
-//! Names in files differ from the names here, and descriptions in the schema from the comments here: both are formats.
+//! Names in files differ from those in the code, as they are part of the format. An empty description hides a comment from the schema.
 
 mod clients;
 mod faults;
@@ -25,7 +25,7 @@
 /// The build that runs when a day starts.
 pub const FIRST_BUILD: u16 = 1;
 
-/// A day.
+/// The script of a day.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(description = "")]
@@ -33,17 +33,17 @@
     /// The name of the day.
     #[schemars(description = "")]
     pub name: String,
-    /// Seed of all that is drawn.
+    /// The seed of all random numbers.
     #[schemars(description = "")]
     pub seed: u64,
-    /// Hits come for so long; then what is open is settled.
+    /// How long requests arrive; afterwards, open requests are completed.
     #[serde(rename = "lasts")]
     pub duration: Seconds,
-    /// The mean rate of all clients.
+    /// The mean request rate of all clients.
     #[serde(rename = "hits_per_s")]
     #[schemars(description = "")]
     pub requests_per_second: f64,
-    /// The pods.
+    /// The fleet of pods.
     #[schemars(description = "")]
     pub fleet: FleetScript,
     /// The zone of each sidecar.
@@ -53,43 +53,43 @@
     #[serde(rename = "groups")]
     #[schemars(description = "")]
     pub classes: Vec<ClassScript>,
-    /// Whose requests they are.
+    /// The tenants that send the requests.
     #[serde(rename = "customers", default)]
     #[schemars(description = "")]
     pub tenants: Vec<TenantScript>,
-    /// How clients behave.
+    /// The behaviour of the clients.
     #[schemars(description = "")]
     pub clients: ClientScript,
-    /// Limits of the sidecars.
+    /// The limits of the sidecars.
     #[schemars(description = "")]
     pub limits: Limits,
-    /// What the rules are held to.
+    /// The limits of the rules.
     #[schemars(description = "")]
     pub rules: SafetyLimits,
     /// How builds are rolled out.
     #[schemars(description = "")]
     pub releases: RolloutSettings,
-    /// Builds that are rolled out during the day.
+    /// The builds that are rolled out during the day.
     #[serde(default)]
     #[schemars(description = "")]
     pub offers: Vec<BuildOffer>,
-    /// What goes wrong.
+    /// The faults and their times.
     #[serde(rename = "troubles", default)]
     #[schemars(description = "")]
     pub faults: Vec<ScheduledFault>,
-    /// The parts of the hits that the sidecars get; alike if absent.
+    /// The relative share of requests that each sidecar receives; equal if absent.
     #[serde(rename = "traffic", default)]
     pub traffic_shares: Vec<f64>,
-    /// The sidecars know of each other, through links of this script; none: they don't.
+    /// The communication between the sidecars; if absent, they don't know of each other.
     #[serde(default)]
     pub peers: Option<PeersScript>,
-    /// Machines go out for work; needs `peers`. A machine is a place of the fleet: `node-0` and so on.
+    /// The maintenance of machines, which needs `peers`. A machine is named by its first slot: `node-0` and so on.
     #[serde(rename = "work", default)]
     pub maintenance: Option<MaintenanceScript>,
 }
 
 impl DayScript {
-    /// How many times as long a build's work takes.
+    /// The factor by which work takes longer on a build.
     #[must_use]
     pub fn slowdown_of(&self, build: u16) -> f64 {
         self.offers
@@ -98,7 +98,7 @@
             .map_or(1.0, |offer| offer.slowdown)
     }
 
-    /// Which pods share the memory of idempotency keys of a request class, and how long they remember; none for classes without keys.
+    /// Which pods share the memory of a request class's idempotency keys, and how long they remember them; `None` for classes without keys.
     #[must_use]
     pub fn deduplication(&self, class: usize) -> Option<(DeduplicationScope, Duration)> {
         match self.classes[class].class.idempotency {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The longest time that a client waits for an answer.
+    /// The longest client timeout of all request classes.
     #[must_use]
     pub fn longest_timeout(&self) -> Duration {
         let timeouts = self
@@ -120,7 +120,7 @@
         timeouts.max().unwrap_or_default()
     }
 
-    /// The machine that a slot is on, by the number of its first slot.
+    /// The machine of a slot, identified by the number of the machine's first slot.
     #[must_use]
     pub fn machine_of(&self, slot: usize) -> usize {
         let zones = self.fleet.zones.len().max(1);
--- a/crates/emulators/src/script/rule_limits.rs
+++ b/crates/emulators/src/script/rule_limits.rs
@@ -1,11 +1,11 @@
-//! What the rules are held to on a day, as the record states it.
+//! The limits of the rules on a day, in the format of the record.
 
 use super::DayScript;
 use limewing_rule_checker::record::{DeduplicationScope, Idempotency, RequestClass, RuleLimits};
 use limewing_settings as settings;
 
 impl DayScript {
-    /// What the rules are held to on this day.
+    /// The limits of the rules on this day.
     #[must_use]
     pub fn rule_limits(&self) -> RuleLimits {
         let classes = self.classes.iter().map(|script| RequestClass {
--- a/crates/emulators/src/script/schema.rs
+++ b/crates/emulators/src/script/schema.rs
@@ -1,10 +1,10 @@
-//! The schema's form for words without a description.
+//! The schema of enums with undocumented words.
 
 use schemars::Schema;
 use serde_json::{json, Value};
 
-/// Puts the words that have no description into one `enum`, ahead of the other variants, as the schema's readers know it. Words with a
-/// comment would become a `const` each.
+/// Collects the words without a description into one `enum`, ahead of the other variants, which is the format that the schema's readers
+/// know. schemars makes a separate `const` of each word if any variant has a comment.
 pub(super) fn undocumented_words_as_enum(schema: &mut Schema) {
     let Some(variants) = schema.get_mut("oneOf").and_then(Value::as_array_mut) else {
         return;
--- a/crates/emulators/src/script/validation.rs
+++ b/crates/emulators/src/script/validation.rs
@@ -1,12 +1,12 @@
-//! Checks what the file's form alone does not say. Paths and texts are what users read.
+//! Checks of a day's file beyond its schema. Users see the paths and texts.
 
 use super::{BuildFault, DayFault, DayScript, MaintenanceScript, FIRST_BUILD};
 use limewing_settings::{Checked, ConfigError};
 
-/// Shares may miss their sum by rounding.
+/// The rounding error allowed in the sum of shares.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
-/// How many voters may decide.
+/// The allowed numbers of voters.
 const VOTER_COUNTS: [usize; 4] = [1, 3, 5, 7];
 
 #[derive(Default)]
