--- a/crates/emulators/tests/coordination_trial.rs
+++ b/crates/emulators/tests/coordination_trial.rs
@@ -1,4 +1,4 @@
-//! What the decisions of many sidecars add up to at the pods, with and without coordination.
+//! Trials of the total load that many sidecars put on the pods, with and without coordination.
 
 use limewing_emulators::fleet::{
     run_trial, PodOutage, PodRestart, TrialPartition, TrialPlan, TrialResult,
@@ -56,7 +56,8 @@
     assert!(with.given_up <= without.given_up + 5);
 }
 
-/// All sidecars together stay within a warming pod's multiple, also while parts of them each believe that they are all.
+/// All sidecars together stay within a warming pod's overload multiple, also while they are partitioned and each group takes itself for
+/// the whole fleet.
 #[rstest]
 #[case::without(false, 1)]
 #[case::one_fleet(true, 1)]
@@ -77,7 +78,7 @@
     }
 }
 
-/// A pod that is gone is tried by few, and found again soon after its return.
+/// Coordinated sidecars send few probes to a pod that is down, and detect its return soon.
 #[test]
 fn few_probe_a_pod_that_is_gone() {
     let [with, without] = [true, false].map(|coordination| {
--- a/crates/emulators/tests/fault_text.rs
+++ b/crates/emulators/tests/fault_text.rs
@@ -1,4 +1,4 @@
-//! Pins the words by which records and the terminal view name the faults of a day.
+//! Pins the texts by which records and the terminal view name the faults of a day.
 
 use limewing_emulators::script::DayFault;
 use rstest::rstest;
--- a/crates/emulators/tests/fleet.rs
+++ b/crates/emulators/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Who else is there, in simulated time under scripts of faults: who is held to be dead, by whom, and how soon all agree
+//! Membership in simulated time under scripts of faults: which members are declared dead, by whom, and how soon all views agree
 //! again.
 
 use limewing_emulators::fleet::{deaths, views, Member, Views};
@@ -51,7 +51,8 @@
     ghosts: 0,
 };
 
-/// How long it takes until all that run hold each other to be here and nobody else; at most so long.
+/// Runs until each running member considers exactly the running members to run, and returns how long that takes; fails after `most`
+/// seconds.
 fn agrees(world: &mut Simulation<Member>, most: f64) -> Duration {
     let from = world.now();
     while views(world) != AGREED {
@@ -73,7 +74,7 @@
     agrees(&mut world(members, &script(0.0, 100.0, vec![])), most);
 }
 
-/// One in twenty datagrams lost, in two directions, for ten minutes: nobody is held to be dead.
+/// A loss of one in twenty datagrams in both directions for ten minutes causes no false deaths.
 #[rstest]
 #[case::twelve(12)]
 #[case::sixty(60)]
@@ -84,7 +85,7 @@
     assert_eq!(views(&world), AGREED);
 }
 
-/// Faults, when the last of them is over, and how soon all agree again.
+/// After the last fault is over, all views agree again within 90 seconds.
 #[rstest]
 #[case::a_half_cut_off(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (40.0, Fault::HealPartitions)], 40.0)]
 #[case::a_half_cut_off_for_long(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (150.0, Fault::HealPartitions)], 150.0)]
@@ -120,7 +121,7 @@
     }
 }
 
-/// One that stood still for three seconds goes on as if nothing had been: it accuses nobody, and is not held dead.
+/// A member that was suspended for three seconds continues without events: it suspects nobody, and is not declared dead.
 #[test]
 fn one_that_stood_still_blames_nobody() {
     let stands = vec![
@@ -136,7 +137,7 @@
     assert_eq!(said, Some(0));
 }
 
-/// Growing from three to twelve and back, under loss.
+/// A fleet grows from three to twelve members and shrinks again, under loss.
 #[test]
 fn a_fleet_grows_and_shrinks() {
     let late = || Selector::Fraction(0.25, 1.0);
@@ -154,7 +155,7 @@
     agrees(&mut world, 30.0);
 }
 
-/// Keys are changed in turn, half of the members after the other half, under loss and with clocks ten seconds apart.
+/// Keys are rotated in three steps, in one half of the members after the other, under loss and with clocks ten seconds off.
 #[test]
 fn keys_are_changed_in_turn() {
     let half = |n: usize| Selector::Fraction(n as f64 / 2.0, (n + 1) as f64 / 2.0);
@@ -188,7 +189,7 @@
     assert_eq!(views(&world), AGREED);
 }
 
-/// A clock that is further off than datagrams may be old is heard by nobody, and hears nobody.
+/// A member whose clock is off by more than the maximum age of datagrams neither accepts datagrams of others nor has its own accepted.
 #[test]
 fn a_clock_that_is_far_off_is_alone() {
     let mut script = script(0.0, 200.0, vec![]);
@@ -201,7 +202,7 @@
     assert_eq!(views(&world).missing, 10);
 }
 
-/// A script plays the same each time.
+/// Two runs of the same script give the same traffic and deaths.
 #[test]
 fn a_run_is_the_same_each_time() {
     let run = || {
@@ -219,7 +220,7 @@
     assert_eq!(run(), run());
 }
 
-/// Each half holds the other to be dead, all of it, and goes on.
+/// In a lasting partition, each half declares all of the other half dead.
 #[test]
 fn a_cut_that_stays_is_seen_as_deaths() {
     let mut world = world(
@@ -231,7 +232,7 @@
     assert_eq!(views(&world).missing, 2 * 6 * 6);
 }
 
-/// A member that puts up its number and how often it was started.
+/// A member that publishes its number and how often it was started.
 struct Posting(Member, u8);
 
 impl SimulatedMember for Posting {
@@ -268,7 +269,7 @@
     }
 }
 
-/// What is put up reaches all, under loss, over starts and a cut; of one that is gone nothing is read.
+/// Published data reaches all members under loss, restarts and a partition; that of a dead member can't be read.
 #[rstest]
 #[case::at_once(vec![], 30.0)]
 #[case::some_started_anew(
--- a/crates/emulators/tests/golden.rs
+++ b/crates/emulators/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Pins the files that days and scripts of faults are read from: each file in `days/` and `fleets/` is read whole, and
-//! what is written again says the same. Its schema, with all names and defaults, is pinned by the tests of the command.
+//! Pins the file formats of days and scripts of faults: each file in `days/` and `fleets/` can be read, and is written again with the
+//! same content. The schemas, with all names and defaults, are pinned by the tests of the command.
 
 use limewing_emulators::script::DayScript;
 use limewing_fault_injection::Script;
@@ -18,7 +18,7 @@
     files
 }
 
-/// The first place at which the written value does not say what the file says; what has a default may be written beyond it.
+/// The first difference between the file and the written value; values with defaults may be written in addition.
 fn difference(at: &str, file: &Value, written: &Value) -> Option<String> {
     let differs = || Some(format!("{at}: the file has {file}, written is {written}"));
     match (file, written) {
--- a/crates/emulators/tests/models.rs
+++ b/crates/emulators/tests/models.rs
@@ -1,4 +1,4 @@
-//! The models that the emulators are made of, without sockets.
+//! Tests of the emulators' models, without sockets.
 
 use limewing_emulators::deduplication::{DeduplicationKey, DeduplicationMemory};
 use limewing_emulators::pod_model::{Arrival, Dequeued, Machine, PodModel};
@@ -17,7 +17,7 @@
     }
 }
 
-/// Whether each request with one key takes effect, by when it begins.
+/// Whether each request with the same key takes effect, given the times of their begin.
 fn effects(begins: &[u64]) -> Vec<bool> {
     let mut memory = DeduplicationMemory::default();
     begins
