--- a/crates/emulators/src/script/maintenance.rs
+++ b/crates/emulators/src/script/maintenance.rs
@@ -10,10 +10,9 @@
 #[serde(rename = "WorkScript", deny_unknown_fields)]
 #[schemars(description = "")]
 pub struct MaintenanceScript {
-    /// The number of sidecars, counted from the first one, that have a vote.
+    /// The number of sidecars, from the first one, that have a vote.
     pub voters: usize,
-    /// The number of sidecars, counted from the first one, that have a state folder and may be given a vote; if absent, those that have a
-    /// vote from the start.
+    /// The number of sidecars, from the first one, that have a state folder and may be given a vote; if absent, only those with a vote.
     #[serde(rename = "folders", default)]
     pub possible_voters: Option<usize>,
     /// The number of slots of a zone that are on one machine, which is named by the number of its first slot.
@@ -29,8 +28,7 @@
     /// The duration of the work on a machine.
     #[serde(rename = "works_for")]
     pub duration: Seconds,
-    /// The machines whose work never ends. `fail` lists those whose work fails, `twice` those that report its end twice; all are given by
-    /// their first slot.
+    /// The machines, by first slot, whose work never ends; likewise `fail`: whose work fails, and `twice`: whose end is reported twice.
     #[serde(rename = "stall", default)]
     pub stalling: Vec<usize>,
     /// The machines whose maintenance fails.
