--- a/crates/emulators/src/day/client_connections.rs
+++ b/crates/emulators/src/day/client_connections.rs
@@ -18,13 +18,13 @@
 /// How long past its timeout a client waits for an answer that may still be in flight.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(250);
 /// The longest answer that is accepted; pods send shorter ones.
-const MAX_ANSWER: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 /// A client that disconnects early does so within this fraction of its timeout.
-const DISCONNECT_WITHIN_PART: f64 = 0.3;
+const DISCONNECT_WITHIN_FRACTION: f64 = 0.3;
 /// The delay between a wrong answer and the client's report of it.
-const REPORT_DELAY: std::ops::Range<f64> = 0.3..1.5;
+const REPORT_DELAY_SECONDS: std::ops::Range<f64> = 0.3..1.5;
 /// The text in `proxy-status` that marks a rejection by the sidecar itself.
-const HARMLESS: &str = "a retry is harmless";
+const HARMLESS_RETRY_TEXT: &str = "a retry is harmless";
 
 /// A client's connection to a sidecar.
 pub(super) struct ClientConnection {
@@ -45,7 +45,7 @@
     fn new(sidecar: SidecarId) -> Self {
         Self {
             sidecar,
-            responses: ResponseReader::new(MAX_ANSWER),
+            responses: ResponseReader::new(MAX_ANSWER_BYTES),
             attempt: None,
             answer_started: false,
             unsent: BytesMut::new(),
@@ -83,7 +83,7 @@
             .timers
             .schedule(last, TimerEvent::ClientTimeout(socket))];
         if disconnects {
-            let part = self.rng.random_range(0.0..DISCONNECT_WITHIN_PART);
+            let part = self.rng.random_range(0.0..DISCONNECT_WITHIN_FRACTION);
             let at = self.now + timeout.mul_f64(part);
             timers.push(
                 self.timers
@@ -206,7 +206,7 @@
         match client.responses.take(input, ended) {
             Ok(Some((head, _))) => {
                 let more = !input.is_empty();
-                self.answered(socket, &head);
+                self.handle_answer(socket, &head);
                 if more {
                     self.record(Event::UnexpectedAnswer { sidecar, attempt });
                 }
@@ -218,7 +218,7 @@
                 }
             }
             Ok(None) if !ended => {
-                self.note_answer_start(socket);
+                self.record_answer_start(socket);
                 self.sockets.resume_reading(socket);
             }
             _ => {
@@ -230,7 +230,7 @@
     }
 
     /// Records the start of a streamed answer.
-    fn note_answer_start(&mut self, socket: SocketId) {
+    fn record_answer_start(&mut self, socket: SocketId) {
         let Some(client) = self.client(socket) else {
             return;
         };
@@ -256,17 +256,17 @@
             return;
         };
         let sidecar = client.sidecar;
-        self.forget_idle(sidecar, socket);
+        self.remove_idle(sidecar, socket);
         self.close(socket);
     }
 
-    fn forget_idle(&mut self, sidecar: SidecarId, socket: SocketId) {
+    fn remove_idle(&mut self, sidecar: SidecarId, socket: SocketId) {
         if let Some(idle) = self.clients.idle.get_mut(&sidecar) {
             idle.retain(|other| *other != socket);
         }
     }
 
-    fn answered(&mut self, socket: SocketId, head: &ResponseHead) {
+    fn handle_answer(&mut self, socket: SocketId, head: &ResponseHead) {
         self.cancel_timers(socket);
         let Some(client) = self.client(socket) else {
             return;
@@ -278,7 +278,7 @@
         // Only answers made by the sidecar itself carry this field.
         let answer = match head.fields.text("proxy-status") {
             None => FinalAnswer::Delivered,
-            Some(status) if status.contains(HARMLESS) => FinalAnswer::Rejected,
+            Some(status) if status.contains(HARMLESS_RETRY_TEXT) => FinalAnswer::Rejected,
             Some(_) => FinalAnswer::Failed,
         };
         let build = head.fields.text(headers::BUILD);
@@ -293,7 +293,7 @@
             FinalAnswer::Delivered => {
                 self.clients.open.remove(&attempt.request);
                 self.clients.delivered += 1;
-                self.check_answer(sidecar, head);
+                self.schedule_report(sidecar, head);
             }
             FinalAnswer::Rejected => {
                 self.clients.rejected += 1;
@@ -307,18 +307,18 @@
     }
 
     /// Schedules the report of a wrong answer for the share of clients that report one.
-    fn check_answer(&mut self, sidecar: SidecarId, head: &ResponseHead) {
+    fn schedule_report(&mut self, sidecar: SidecarId, head: &ResponseHead) {
         if head.fields.get(headers::WRONG_ANSWER).is_none() {
             return;
         }
         if !self.rng.random_bool(self.script.clients.reported_part) {
             return;
         }
-        let Some(mark) = head.fields.text("limewing-forward") else {
+        let Some(attempt_id) = head.fields.text("limewing-forward") else {
             return;
         };
-        let delay = Duration::from_secs_f64(self.rng.random_range(REPORT_DELAY));
-        let report = TimerEvent::ReportWrongAnswer(sidecar, mark.to_owned());
+        let delay = Duration::from_secs_f64(self.rng.random_range(REPORT_DELAY_SECONDS));
+        let report = TimerEvent::ReportWrongAnswer(sidecar, attempt_id.to_owned());
         self.timers.schedule(self.now + delay, report);
     }
 
@@ -327,7 +327,7 @@
         let Some(SocketOwner::Client(client)) = self.owners.remove(&socket) else {
             return;
         };
-        self.forget_idle(client.sidecar, socket);
+        self.remove_idle(client.sidecar, socket);
         let Some(attempt) = client.attempt else {
             return;
         };
@@ -341,14 +341,14 @@
     }
 
     pub(super) fn client_timed_out(&mut self, socket: SocketId) {
-        self.abandon(socket, |attempt| Event::ClientTimedOut { attempt });
+        self.abandon_attempt(socket, |attempt| Event::ClientTimedOut { attempt });
     }
 
-    pub(super) fn client_disconnects(&mut self, socket: SocketId) {
-        self.abandon(socket, |attempt| Event::ClientDisconnected { attempt });
+    pub(super) fn client_disconnected(&mut self, socket: SocketId) {
+        self.abandon_attempt(socket, |attempt| Event::ClientDisconnected { attempt });
     }
 
-    fn abandon(&mut self, socket: SocketId, event: impl Fn(AttemptKey) -> Event) {
+    fn abandon_attempt(&mut self, socket: SocketId, event: impl Fn(AttemptKey) -> Event) {
         let Some(client) = self.client(socket) else {
             return;
         };
@@ -363,8 +363,8 @@
     }
 
     /// Reports a wrong answer to a sidecar, on a separate connection.
-    pub(super) fn report_wrong_answer(&mut self, sidecar: SidecarId, mark: &str) {
-        let body = serde_json::json!({ "forward": mark }).to_string();
+    pub(super) fn report_wrong_answer(&mut self, sidecar: SidecarId, attempt_id: &str) {
+        let body = serde_json::json!({ "forward": attempt_id }).to_string();
         let address = self.processes[sidecar.0 as usize].address;
         let Ok(socket) = self.sockets.connect(address) else {
             return;
--- a/crates/emulators/src/day/clients.rs
+++ b/crates/emulators/src/day/clients.rs
@@ -17,17 +17,17 @@
 use std::time::Duration;
 
 /// The number of distinct routing keys.
-const ROUTING_KEYS: u64 = 5_000;
+const ROUTING_KEY_COUNT: u64 = 5_000;
 /// The lower bound of the request rate, as the interval distribution needs a rate above 0.
-const MIN_RATE: f64 = 1e-6;
+const MIN_REQUESTS_PER_SECOND: f64 = 1e-6;
 /// The longest interval between two requests, however low the rate is.
-const MAX_INTERVAL: f64 = 3600.0;
+const MAX_INTERVAL_SECONDS: f64 = 3600.0;
 /// The fraction of the deduplication window in which a request with an idempotency key is retried; the rest is left for transit.
-const DEDUPLICATION_PART: f64 = 0.9;
+const DEDUPLICATION_WINDOW_FRACTION: f64 = 0.9;
 /// The fraction of the backoff that precedes a retry after an attempt that did not reach a sidecar.
-const UNSENT_BACKOFF_PART: f64 = 0.1;
+const UNSENT_BACKOFF_FRACTION: f64 = 0.1;
 /// The body of every request except GET.
-const BODY: &[u8] = b"{\"litres\": 500}";
+const REQUEST_BODY: &[u8] = b"{\"litres\": 500}";
 
 /// The state of all clients of a day.
 #[derive(Default)]
@@ -90,33 +90,33 @@
     }
 
     fn draw_next_arrival(&mut self, rate: f64) -> Duration {
-        let interval = match Exp::new(rate.max(MIN_RATE)) {
+        let interval = match Exp::new(rate.max(MIN_REQUESTS_PER_SECOND)) {
             Ok(intervals) => intervals.sample(&mut self.rng),
             Err(_) => 1.0,
         };
-        self.now + Duration::from_secs_f64(interval.min(MAX_INTERVAL))
+        self.now + Duration::from_secs_f64(interval.min(MAX_INTERVAL_SECONDS))
     }
 
     /// Creates a request and sends its first attempt; it fails at every pod if a tenant is given.
     fn new_request(&mut self, failing_tenant: Option<usize>) {
         let script = self.script;
-        let class = self.draw(script.classes.iter().map(|class| class.share));
+        let class = self.draw_index(script.classes.iter().map(|class| class.share));
         let class = class.unwrap_or(0);
-        let tenant = self.draw(script.tenants.iter().map(|tenant| tenant.share));
+        let tenant = self.draw_index(script.tenants.iter().map(|tenant| tenant.share));
         let id = RequestId(self.clients.next_id);
         self.clients.next_id += 1;
         let timeout = Duration::from(script.classes[class].class.client_timeout);
-        let retried_for = match script.deduplication(class) {
-            Some((_, window)) => timeout.min(window.mul_f64(DEDUPLICATION_PART)),
+        let retry_window = match script.deduplication(class) {
+            Some((_, window)) => timeout.min(window.mul_f64(DEDUPLICATION_WINDOW_FRACTION)),
             None => timeout,
         };
         let request = ClientRequest {
             class,
             tenant: failing_tenant.or(tenant),
-            routing_key: self.rng.random_range(0..ROUTING_KEYS),
+            routing_key: self.rng.random_range(0..ROUTING_KEY_COUNT),
             failing: failing_tenant.is_some(),
             attempts: 0,
-            retry_until: self.now + retried_for,
+            retry_until: self.now + retry_window,
         };
         self.clients.open.insert(id, request);
         self.clients.requests += 1;
@@ -124,7 +124,7 @@
     }
 
     /// Draws an index with the given shares as weights; returns `None` if there are no shares.
-    fn draw(&mut self, shares: impl Iterator<Item = f64>) -> Option<usize> {
+    fn draw_index(&mut self, shares: impl Iterator<Item = f64>) -> Option<usize> {
         let weights = WeightedIndex::new(shares).ok()?;
         Some(weights.sample(&mut self.rng))
     }
@@ -150,9 +150,9 @@
         request.attempts += 1;
         let class = &script.classes[request.class].class;
         let timeout = Duration::from(class.client_timeout).mul_f64(timeout_part);
-        let left = request.retry_until.saturating_sub(self.now);
+        let remaining = request.retry_until.saturating_sub(self.now);
         // The header field states whole milliseconds.
-        let timeout = Duration::from_millis(timeout.min(left).as_millis() as u64);
+        let timeout = Duration::from_millis(timeout.min(remaining).as_millis() as u64);
         if timeout.is_zero() {
             self.clients.open.remove(&id);
             return;
@@ -181,15 +181,19 @@
         if let Some(tenant) = request.tenant {
             fields.push(("customer", &script.tenants[tenant].name));
         }
-        let careless = script.clients.retries_non_idempotent
+        let retried_with_key = script.clients.retries_non_idempotent
             && class.idempotency == Idempotency::NonIdempotent;
-        if careless || matches!(class.idempotency, Idempotency::Keyed { .. }) {
+        if retried_with_key || matches!(class.idempotency, Idempotency::Keyed { .. }) {
             fields.push((headers::IDEMPOTENCY_KEY, &idempotency_key));
         }
         if request.failing {
             fields.push((headers::FAILING, "1"));
         }
-        let body = if route.method == "GET" { b"" } else { BODY };
+        let body = if route.method == "GET" {
+            b""
+        } else {
+            REQUEST_BODY
+        };
         let mut bytes = BytesMut::new();
         write_request(
             &mut bytes,
@@ -206,7 +210,7 @@
 
     /// Schedules a retry after a backoff, or drops the request. A retry is allowed if the last attempt is known not to have run
     /// (`harmless`) or if the request class may be repeated.
-    pub(super) fn retry_or_drop(&mut self, id: RequestId, harmless: bool, soon: bool) {
+    pub(super) fn retry_or_drop(&mut self, id: RequestId, harmless: bool, unsent: bool) {
         let clients = &self.script.clients;
         let wait = f64::from(clients.mean_backoff) * self.rng.random_range(0.5..1.5);
         let Some(request) = self.clients.open.get(&id) else {
@@ -219,8 +223,8 @@
             } => deduplicated_by == DeduplicationScope::All,
             Idempotency::NonIdempotent => clients.retries_non_idempotent,
         };
-        let wait = if soon {
-            wait * UNSENT_BACKOFF_PART
+        let wait = if unsent {
+            wait * UNSENT_BACKOFF_FRACTION
         } else {
             wait
         };
--- a/crates/emulators/src/day/dispatch.rs
+++ b/crates/emulators/src/day/dispatch.rs
@@ -56,7 +56,7 @@
         match event {
             SocketEvent::Accepted {
                 listener, socket, ..
-            } => self.accepted(listener, socket),
+            } => self.handle_accept(listener, socket),
             SocketEvent::Connected(socket) => self.client_connected(socket),
             SocketEvent::Readable(socket) => match self.owners.get(&socket) {
                 Some(SocketOwner::Pod(_)) => self.read_pod_request(socket),
@@ -83,7 +83,7 @@
         }
     }
 
-    fn accepted(&mut self, listener: SocketId, socket: SocketId) {
+    fn handle_accept(&mut self, listener: SocketId, socket: SocketId) {
         let owner = match self.owners.get(&listener) {
             Some(SocketOwner::PodListener(pod)) => match self.accept_at_pod(*pod, socket) {
                 Some(connection) => SocketOwner::Pod(Box::new(connection)),
@@ -105,14 +105,14 @@
             TimerEvent::NextFailingRequest(fault) => self.next_failing_request(fault),
             TimerEvent::Retry(request) => self.send_attempt(request),
             TimerEvent::ClientTimeout(socket) => self.client_timed_out(socket),
-            TimerEvent::ClientDisconnect(socket) => self.client_disconnects(socket),
+            TimerEvent::ClientDisconnect(socket) => self.client_disconnected(socket),
             TimerEvent::FinishSlowRequest(socket) => self.finish_slow_request(socket),
-            TimerEvent::ReportWrongAnswer(sidecar, mark) => {
-                self.report_wrong_answer(sidecar, &mark);
+            TimerEvent::ReportWrongAnswer(sidecar, attempt_id) => {
+                self.report_wrong_answer(sidecar, &attempt_id);
             }
             TimerEvent::RequestDone(pod, request) => self.request_done(pod, request),
             TimerEvent::PodStarted(pod) => self.pod_started(pod),
-            TimerEvent::PodExit(pod) => self.stop_pod(pod),
+            TimerEvent::PodExit(pod) => self.end_pod(pod),
             TimerEvent::PublishList(list) => self.publish(*list),
             TimerEvent::WatchTimeout(socket, query) => self.watch_timed_out(socket, query),
             TimerEvent::Tick => self.tick()?,
@@ -135,7 +135,7 @@
                 let next = self.now + PROGRESS_INTERVAL;
                 self.timers.schedule(next, TimerEvent::ShowProgress);
             }
-            TimerEvent::EndOfDay => self.over = true,
+            TimerEvent::EndOfDay => self.finished = true,
         }
         Ok(())
     }
--- a/crates/emulators/src/day/endpoint_service.rs
+++ b/crates/emulators/src/day/endpoint_service.rs
@@ -2,7 +2,7 @@
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::Day;
-use super::headers::sidecar_named_in;
+use super::headers::parse_sidecar;
 use super::DayError;
 use crate::script::DayFault;
 use bytes::BytesMut;
@@ -19,7 +19,7 @@
 /// The name of the service that the pods register as.
 pub(super) const SERVICE: &str = "order-node";
 /// The longest query that is accepted; queries have no body.
-const MAX_QUERY: usize = 1024;
+const MAX_QUERY_BYTES: usize = 1024;
 /// How long a blocking query without a `wait` parameter waits: Consul's default.
 const DEFAULT_WAIT_MS: u64 = 300_000;
 
@@ -34,9 +34,9 @@
     /// The sidecars that were sent a list with ready pods.
     pub(super) notified: BTreeSet<SidecarId>,
     /// The number of lists created so far.
-    made: u64,
+    lists_created: u64,
     /// The number of the newest published list.
-    newest: u64,
+    newest_number: u64,
 }
 
 impl EndpointService {
@@ -48,8 +48,8 @@
             ready: Vec::new(),
             draining: Vec::new(),
             notified: BTreeSet::new(),
-            made: 0,
-            newest: 0,
+            lists_created: 0,
+            newest_number: 0,
         }
     }
 }
@@ -75,7 +75,7 @@
 impl Default for EndpointWatch {
     fn default() -> Self {
         Self {
-            requests: RequestReader::new(MAX_QUERY),
+            requests: RequestReader::new(MAX_QUERY_BYTES),
             sidecar: None,
             waiting: false,
             queries: 0,
@@ -86,21 +86,21 @@
 impl Day<'_> {
     /// Publishes the changed fleet after the delay of the list.
     pub(super) fn publish_fleet(&mut self) {
-        self.endpoints.made += 1;
+        self.endpoints.lists_created += 1;
         let list = PublishedList {
-            number: self.endpoints.made,
-            body: serde_json::to_vec(&self.list_rows()).unwrap_or_default(),
+            number: self.endpoints.lists_created,
+            body: serde_json::to_vec(&self.list_entries()).unwrap_or_default(),
             ready: self.listed_pods(false),
             draining: self.listed_pods(true),
         };
-        if !self.begun {
+        if !self.started {
             return self.publish(list);
         }
-        let further = self.find_fault(|fault| match fault {
+        let fault_delay = self.find_fault(|fault| match fault {
             DayFault::ListDelayed(delay) => Some(Duration::from(*delay)),
             _ => None,
         });
-        let delay = Duration::from(self.script.fleet.list_delay) + further.unwrap_or_default();
+        let delay = Duration::from(self.script.fleet.list_delay) + fault_delay.unwrap_or_default();
         self.timers
             .schedule(self.now + delay, TimerEvent::PublishList(Box::new(list)));
     }
@@ -113,7 +113,7 @@
         pods.map(|(id, _)| *id).collect()
     }
 
-    fn list_rows(&self) -> Vec<Value> {
+    fn list_entries(&self) -> Vec<Value> {
         let running = self.pods.iter().filter(|(_, pod)| pod.running);
         let rows = running.map(|(id, pod)| {
             let status = if pod.draining { "critical" } else { "passing" };
@@ -145,10 +145,10 @@
     }
 
     pub(super) fn publish(&mut self, list: PublishedList) {
-        if list.number < self.endpoints.newest {
+        if list.number < self.endpoints.newest_number {
             return;
         }
-        self.endpoints.newest = list.number;
+        self.endpoints.newest_number = list.number;
         self.endpoints.body = list.body;
         self.endpoints.ready = list.ready;
         self.endpoints.draining = list.draining;
@@ -178,9 +178,9 @@
             Ok(None) => return self.sockets.resume_reading(socket),
             Err(_) => return self.close(socket),
         };
-        let sidecar = sidecar_named_in(head.fields.text("user-agent"));
+        let sidecar = parse_sidecar(head.fields.text("user-agent"));
         watch.sidecar = sidecar;
-        if sidecar.is_some_and(|sidecar| self.is_cut_off(sidecar)) {
+        if sidecar.is_some_and(|sidecar| self.is_partitioned_from_services(sidecar)) {
             return;
         }
         self.answer_endpoint_query(socket, &head);
@@ -189,7 +189,7 @@
     fn answer_endpoint_query(&mut self, socket: SocketId, head: &RequestHead) {
         let path = format!("/v1/health/service/{SERVICE}?");
         if !head.target.starts_with(&path) {
-            return self.send_plain(socket, 404, b"");
+            return self.send_response(socket, 404, b"");
         }
         let known = query_parameter(head, "index").and_then(|index| index.parse::<u64>().ok());
         let wait = query_parameter(head, "wait")
@@ -228,7 +228,7 @@
             return self.close(socket);
         };
         watch.waiting = false;
-        if self.is_cut_off(sidecar) {
+        if self.is_partitioned_from_services(sidecar) {
             return;
         }
         let ready = self.endpoints.ready.clone();
@@ -258,7 +258,7 @@
     }
 
     /// Sends an answer without additional header fields.
-    pub(super) fn send_plain(&mut self, socket: SocketId, status: u16, body: &[u8]) {
+    pub(super) fn send_response(&mut self, socket: SocketId, status: u16, body: &[u8]) {
         let framing = Framing::Length(body.len() as u64);
         let mut out = BytesMut::new();
         write_response(&mut out, status, [].into_iter(), framing, true);
--- a/crates/emulators/src/day/event_loop.rs
+++ b/crates/emulators/src/day/event_loop.rs
@@ -10,7 +10,7 @@
 use super::rollout_service::RolloutService;
 use super::{DayError, Progress};
 use crate::deduplication::DeduplicationMemory;
-use crate::fleet::{key_file, write_keys, Relay, FIRST_KEYS};
+use crate::fleet::{key_file, write_keys, Relay, INITIAL_KEY_IDS};
 use crate::rollout::{RolloutController, SlotId};
 use crate::script::{DayFault, DayScript, FIRST_BUILD};
 use limewing_fault_injection::FaultyNetwork;
@@ -69,8 +69,8 @@
     /// The agents of the machines, if the day has maintenance.
     pub(super) agents: Option<MaintenanceAgents>,
     /// Whether all sidecars have the endpoint list, so that requests are sent.
-    pub(super) begun: bool,
-    pub(super) over: bool,
+    pub(super) started: bool,
+    pub(super) finished: bool,
     pub(super) show_progress: bool,
 }
 
@@ -114,8 +114,8 @@
             processes: Vec::new(),
             relay: None,
             agents: None,
-            begun: false,
-            over: false,
+            started: false,
+            finished: false,
             show_progress: false,
         };
         day.start_all()?;
@@ -131,7 +131,7 @@
         let sidecars = script.sidecar_zones.len();
         if let Some(peers) = &script.peers {
             for number in 0..sidecars {
-                write_keys(&key_file(&self.folder, number), &FIRST_KEYS)?;
+                write_keys(&key_file(&self.folder, number), &INITIAL_KEY_IDS)?;
             }
             let network = FaultyNetwork::new(&peers.faults, sidecars);
             self.relay = Some(Relay::start(network, sidecars)?);
@@ -154,10 +154,10 @@
     }
 
     pub(super) fn run(&mut self, view: &mut dyn FnMut(Progress)) -> Result<(), DayError> {
-        self.await_sidecars()?;
+        self.wait_for_sidecars()?;
         self.begin();
-        while !self.over {
-            self.turn()?;
+        while !self.finished {
+            self.run_turn()?;
             if std::mem::take(&mut self.show_progress) {
                 view(self.progress());
             }
@@ -174,10 +174,10 @@
     }
 
     /// Waits until each sidecar has been sent the endpoint list.
-    fn await_sidecars(&mut self) -> Result<(), DayError> {
+    fn wait_for_sidecars(&mut self) -> Result<(), DayError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         while self.endpoints.notified.len() < self.script.sidecar_zones.len() {
-            self.turn()?;
+            self.run_turn()?;
             if Instant::now() > deadline {
                 return Err(DayError::NotReady);
             }
@@ -186,7 +186,7 @@
     }
 
     fn begin(&mut self) {
-        self.begun = true;
+        self.started = true;
         if let Some(relay) = &self.relay {
             relay.begin_script();
         }
@@ -217,7 +217,7 @@
         }
     }
 
-    fn turn(&mut self) -> Result<(), DayError> {
+    fn run_turn(&mut self) -> Result<(), DayError> {
         let next = self
             .timers
             .next_deadline()
@@ -236,7 +236,7 @@
             self.handle_timer_event(event)?;
         }
         let duration = self.started_at.elapsed() - began;
-        if self.begun && duration > SLOW_TURN {
+        if self.started && duration > SLOW_TURN {
             self.now = self.started_at.elapsed();
             self.record_stall(duration);
         }
@@ -244,7 +244,7 @@
     }
 
     fn record_stall(&mut self, duration: Duration) {
-        if self.begun && duration > SLOW_TURN {
+        if self.started && duration > SLOW_TURN {
             self.record(Event::RecorderStalled { duration });
         }
     }
@@ -255,15 +255,15 @@
     }
 
     /// Closes all matching sockets, in ascending order.
-    pub(super) fn close_all(&mut self, fits: impl Fn(&SocketOwner) -> bool) {
-        for socket in self.sockets_where(fits) {
+    pub(super) fn close_all(&mut self, predicate: impl Fn(&SocketOwner) -> bool) {
+        for socket in self.sockets_where(predicate) {
             self.close(socket);
         }
     }
 
     /// Returns all matching sockets, in ascending order.
-    pub(super) fn sockets_where(&self, fits: impl Fn(&SocketOwner) -> bool) -> Vec<SocketId> {
-        let owners = self.owners.iter().filter(|(_, owner)| fits(owner));
+    pub(super) fn sockets_where(&self, predicate: impl Fn(&SocketOwner) -> bool) -> Vec<SocketId> {
+        let owners = self.owners.iter().filter(|(_, owner)| predicate(owner));
         let mut sockets: Vec<SocketId> = owners.map(|(socket, _)| *socket).collect();
         sockets.sort_unstable();
         sockets
@@ -271,7 +271,7 @@
 
     pub(super) fn tick(&mut self) -> Result<(), DayError> {
         self.apply_fleet_faults()?;
-        self.take_maintenance_views();
+        self.process_maintenance_views();
         self.tick_rollout()
     }
 
--- a/crates/emulators/src/day/faults.rs
+++ b/crates/emulators/src/day/faults.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    pub(super) fn has_fault(&self, fits: impl Fn(&DayFault) -> bool) -> bool {
-        self.active_faults.values().any(fits)
+    pub(super) fn has_fault(&self, predicate: impl Fn(&DayFault) -> bool) -> bool {
+        self.active_faults.values().any(predicate)
     }
 
     /// Returns what `pick` finds in the first active fault that matches.
@@ -99,7 +99,7 @@
     }
 
     /// Whether a sidecar is partitioned from the endpoint list and the rollout service, which are in the first zone.
-    pub(super) fn is_cut_off(&self, sidecar: SidecarId) -> bool {
+    pub(super) fn is_partitioned_from_services(&self, sidecar: SidecarId) -> bool {
         self.is_partitioned(self.zone_of(sidecar), &self.script.fleet.zones[0])
     }
 }
--- a/crates/emulators/src/day/headers.rs
+++ b/crates/emulators/src/day/headers.rs
@@ -29,14 +29,14 @@
 }
 
 /// The client attempt that a request belongs to.
-pub(super) fn attempt_of(head: &RequestHead) -> Option<AttemptKey> {
+pub(super) fn parse_attempt(head: &RequestHead) -> Option<AttemptKey> {
     let (request, number) = head.fields.text(ATTEMPT)?.split_once('-')?;
     let request = RequestId(request.parse().ok()?);
     Some(AttemptKey::new(request, number.parse().ok()?))
 }
 
 /// The sidecar named in a field as `... sidecar-N`.
-pub(super) fn sidecar_named_in(text: Option<&str>) -> Option<SidecarId> {
+pub(super) fn parse_sidecar(text: Option<&str>) -> Option<SidecarId> {
     let number = text?.split("sidecar-").nth(1)?;
     let digits: String = number.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok().map(SidecarId)
--- a/crates/emulators/src/day/maintenance.rs
+++ b/crates/emulators/src/day/maintenance.rs
@@ -14,7 +14,7 @@
 /// The time between the notification of an agent and the start of its work; no request should arrive in it.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 /// How long a day that ends with its maintenance goes on afterwards.
-const TIME_AFTER_ALL: Duration = Duration::from_secs(1);
+const TIME_AFTER_MAINTENANCE: Duration = Duration::from_secs(1);
 
 impl Day<'_> {
     pub(super) fn begin_maintenance(&mut self) {
@@ -47,14 +47,14 @@
     }
 
     /// Processes the views that the sidecars have reported since the last call.
-    pub(super) fn take_maintenance_views(&mut self) {
+    pub(super) fn process_maintenance_views(&mut self) {
         let Some(agents) = &mut self.agents else {
             return;
         };
         let mut newly_out = Vec::new();
-        let mut over = false;
+        let mut finished = false;
         for view in agents.views.try_iter() {
-            over |= !view.lists.is_empty() && view.lists.iter().all(|list| list.finished);
+            finished |= !view.lists.is_empty() && view.lists.iter().all(|list| list.finished);
             for (grant, machine) in machines_out(&view) {
                 if let Entry::Vacant(unknown) = agents.machines.entry(grant) {
                     unknown.insert(machine);
@@ -63,8 +63,8 @@
             }
         }
         let maintenance = self.script.maintenance.as_ref();
-        if over && maintenance.is_some_and(|maintenance| maintenance.ends_day_when_over) {
-            self.end_by(self.now + TIME_AFTER_ALL);
+        if finished && maintenance.is_some_and(|maintenance| maintenance.ends_day_when_over) {
+            self.end_by(self.now + TIME_AFTER_MAINTENANCE);
         }
         for (grant, machine) in newly_out {
             self.machine_out(grant, machine);
@@ -86,14 +86,14 @@
             .schedule(at, TimerEvent::MaintenanceBegins(grant));
     }
 
-    fn granted(&self, grant: u64) -> Option<(SlotId, &MaintenanceScript, &MaintenanceAgents)> {
+    fn find_grant(&self, grant: u64) -> Option<(SlotId, &MaintenanceScript, &MaintenanceAgents)> {
         let agents = self.agents.as_ref()?;
         let machine = agents.machines.get(&grant)?;
         Some((*machine, self.script.maintenance.as_ref()?, agents))
     }
 
     pub(super) fn maintenance_begins(&mut self, grant: u64) {
-        let Some((machine, maintenance, agents)) = self.granted(grant) else {
+        let Some((machine, maintenance, agents)) = self.find_grant(grant) else {
             return;
         };
         agents.post(Post::Report {
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn maintenance_ends(&mut self, grant: u64) -> Result<(), DayError> {
-        let Some((machine, maintenance, agents)) = self.granted(grant) else {
+        let Some((machine, maintenance, agents)) = self.find_grant(grant) else {
             return Ok(());
         };
         let fails = maintenance.failing.contains(&machine.0);
--- a/crates/emulators/src/day/maintenance_agents.rs
+++ b/crates/emulators/src/day/maintenance_agents.rs
@@ -16,9 +16,9 @@
 /// The interval after which a post that no view reflects yet is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 /// The page that shows the state of maintenance and accepts requests.
-const PAGE: &str = "/limewing/work";
+const MAINTENANCE_PAGE: &str = "/limewing/work";
 /// The phase in which the page reports a machine that is out of service.
-const OUT: &str = "out";
+const OUT_PHASE: &str = "out";
 
 /// A message for the thread to post.
 pub(super) enum Post {
@@ -38,12 +38,12 @@
 
 impl MaintenanceAgents {
     pub(super) fn start(sidecars: Vec<SocketAddr>) -> Self {
-        let (posts, posted) = channel();
-        let (publish, views) = channel();
+        let (posts, post_receiver) = channel();
+        let (view_sender, views) = channel();
         let mut poller = Poller {
             sidecars,
-            posts: posted,
-            views: publish,
+            posts: post_receiver,
+            views: view_sender,
             pending: Vec::new(),
             list: None,
         };
@@ -89,14 +89,14 @@
 
 impl Poller {
     fn run(&mut self) {
-        let mut turn = 0;
-        while self.take_posts() {
-            turn += 1;
-            let sidecar = self.sidecars[turn % self.sidecars.len()];
+        let mut poll_count = 0;
+        while self.receive_posts() {
+            poll_count += 1;
+            let sidecar = self.sidecars[poll_count % self.sidecars.len()];
             // A sidecar that is down or suspended is skipped.
             if let Some(view) = read_view(sidecar) {
                 self.pending.retain(|pending| {
-                    pending.posted_at.is_none() || !shows(&view, &pending.post, self.list)
+                    pending.posted_at.is_none() || !is_reflected_in(&view, &pending.post, self.list)
                 });
                 let _ = self.views.send(view);
                 self.post_pending(sidecar);
@@ -106,7 +106,7 @@
     }
 
     /// Receives new posts; returns whether the thread continues.
-    fn take_posts(&mut self) -> bool {
+    fn receive_posts(&mut self) -> bool {
         for post in self.posts.try_iter() {
             if matches!(post, Post::EndThread) {
                 return false;
@@ -132,7 +132,7 @@
                 continue;
             };
             let body = serde_json::to_string(&request).unwrap_or_default();
-            if let Ok(answer) = call(sidecar, "POST", PAGE, &body) {
+            if let Ok(answer) = call(sidecar, "POST", MAINTENANCE_PAGE, &body) {
                 pending.posted_at = Some(now);
                 let answer = serde_json::from_str::<serde_json::Value>(&answer).ok();
                 let list = answer.and_then(|answer| answer["list"].as_u64());
@@ -143,7 +143,7 @@
 }
 
 fn read_view(sidecar: SocketAddr) -> Option<MaintenanceView> {
-    let text = call(sidecar, "GET", PAGE, "").ok()?;
+    let text = call(sidecar, "GET", MAINTENANCE_PAGE, "").ok()?;
     serde_json::from_str(&text).ok()
 }
 
@@ -172,7 +172,7 @@
 }
 
 /// Whether a sidecar's view reflects a post, so that it need not be repeated.
-fn shows(view: &MaintenanceView, post: &Post, list: Option<u64>) -> bool {
+fn is_reflected_in(view: &MaintenanceView, post: &Post, list: Option<u64>) -> bool {
     let list = view.lists.iter().find(|shown| Some(shown.id) == list);
     match post {
         Post::Operator(OperatorAction::Request(_)) => {
@@ -191,7 +191,7 @@
             report: WorkReport::Began,
             ..
         } => true,
-        Post::Report { grant, .. } => phase_of(view, *grant) != Some(OUT),
+        Post::Report { grant, .. } => phase_of(view, *grant) != Some(OUT_PHASE),
         Post::EndThread => true,
     }
 }
@@ -205,7 +205,7 @@
 /// The machines that a view shows as out of service, by their grants and first slots.
 pub(super) fn machines_out(view: &MaintenanceView) -> Vec<(u64, SlotId)> {
     let machines = view.lists.iter().flat_map(|list| &list.machines);
-    let out = machines.filter(|machine| machine.phase == OUT);
+    let out = machines.filter(|machine| machine.phase == OUT_PHASE);
     out.filter_map(|machine| {
         let slot = machine.machine.strip_prefix("node-")?.parse().ok()?;
         Some((machine.grant?, SlotId(slot)))
--- a/crates/emulators/src/day/pod_answers.rs
+++ b/crates/emulators/src/day/pod_answers.rs
@@ -51,7 +51,7 @@
         let slot = pod.slot.0;
         let build = pod.build;
         let age = self.now.saturating_sub(pod.running_since);
-        self.work_off_queue(id);
+        self.dequeue_requests(id);
         let Outcome { status, wrong } = self.draw_outcome(&request, build, age);
         self.record(Event::Executed {
             pod: id,
@@ -94,8 +94,8 @@
                 } => {
                     let name = &script.classes[request.class].class.name;
                     let min_age = min_age.map_or(Duration::ZERO, Duration::from);
-                    let here = class.as_ref().is_none_or(|only| only == name) && age >= min_age;
-                    if here && self.rng.random_bool(*share) {
+                    let applies = class.as_ref().is_none_or(|only| only == name) && age >= min_age;
+                    if applies && self.rng.random_bool(*share) {
                         outcome.status = 500;
                     }
                 }
--- a/crates/emulators/src/day/pod_requests.rs
+++ b/crates/emulators/src/day/pod_requests.rs
@@ -2,7 +2,7 @@
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::Day;
-use super::headers::{self, attempt_of, concrete_path, sidecar_named_in};
+use super::headers::{self, concrete_path, parse_attempt, parse_sidecar};
 use crate::deduplication::DeduplicationKey;
 use crate::pod_model::{Arrival, Dequeued};
 use crate::rollout::SlotId;
@@ -19,9 +19,9 @@
 use std::time::Duration;
 
 /// The longest request that is accepted; clients send shorter ones.
-const MAX_REQUEST: usize = 1 << 20;
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 /// The standard deviation of the logarithm of a request's work.
-const WORK_SPREAD: f64 = 0.25;
+const WORK_LOG_STD_DEV: f64 = 0.25;
 /// Spreads request numbers over the range of seeds.
 const SEED_FACTOR: u64 = 0x9e37_79b9;
 /// Stands for no timeout: half of the longest duration, so that adding any time of the day does not overflow.
@@ -70,16 +70,16 @@
         let mut connection = PodConnection {
             pod,
             sidecar: None,
-            requests: RequestReader::new(MAX_REQUEST),
+            requests: RequestReader::new(MAX_REQUEST_BYTES),
             busy: false,
             connecting: false,
         };
         for fault in self.active_faults.values() {
             match fault {
                 DayFault::ConnectionsLimited { max } => {
-                    let here =
+                    let at_this_pod =
                         |owner: &&SocketOwner| matches!(owner, SocketOwner::Pod(c) if c.pod == pod);
-                    if self.owners.values().filter(here).count() >= *max {
+                    if self.owners.values().filter(at_this_pod).count() >= *max {
                         return None;
                     }
                 }
@@ -129,7 +129,7 @@
             return;
         };
         let id = connection.pod;
-        let sender = (attempt_of(head), sidecar_named_in(head.fields.text("via")));
+        let sender = (parse_attempt(head), parse_sidecar(head.fields.text("via")));
         let (Some(attempt), Some(sidecar)) = sender else {
             return self.close(socket);
         };
@@ -149,7 +149,7 @@
         let Some(class) = self.class_of(head) else {
             return self.close(socket);
         };
-        let work = self.work_of(attempt, class);
+        let work = self.work_for(attempt, class);
         self.record(Event::ForwardArrived {
             pod: id,
             sidecar,
@@ -191,7 +191,7 @@
             return;
         };
         match pod.model.arrive(number, work, deadline, self.now) {
-            Arrival::Begun(request, until) => self.begin_work(id, request, until),
+            Arrival::Begun(request, until) => self.begin_request(id, request, until),
             Arrival::Queued => {}
             Arrival::Rejected(request) => {
                 self.pod_requests.open.remove(&request);
@@ -212,11 +212,11 @@
     }
 
     /// The work of an attempt: the same for all attempts of a request, at every pod.
-    fn work_of(&self, attempt: AttemptKey, class: usize) -> Duration {
+    fn work_for(&self, attempt: AttemptKey, class: usize) -> Duration {
         let mean = f64::from(self.script.classes[class].mean_work);
         let seed = self.script.seed ^ attempt.request.0.wrapping_mul(SEED_FACTOR);
         let mut rng = StdRng::seed_from_u64(seed);
-        let factor = match LogNormal::new(0.0, WORK_SPREAD) {
+        let factor = match LogNormal::new(0.0, WORK_LOG_STD_DEV) {
             Ok(factors) => factors.sample(&mut rng),
             Err(_) => 1.0,
         };
@@ -230,9 +230,9 @@
         head: &RequestHead,
     ) -> Option<DeduplicationKey> {
         let pod = self.pods.get(&id)?;
-        let (reach, _) = self.script.deduplication(class)?;
+        let (deduplicated_by, _) = self.script.deduplication(class)?;
         let idempotency_key = head.fields.text(headers::IDEMPOTENCY_KEY)?.to_owned();
-        let scope = match reach {
+        let scope = match deduplicated_by {
             DeduplicationScope::All => 0,
             DeduplicationScope::Zone => pod.zone,
             DeduplicationScope::Cell => usize::from(pod.cell),
@@ -245,7 +245,7 @@
     }
 
     /// Runs a request until `until`, and registers its idempotency key.
-    fn begin_work(&mut self, pod: PodId, number: u64, until: Duration) {
+    fn begin_request(&mut self, pod: PodId, number: u64, until: Duration) {
         if let Some(request) = self.pod_requests.open.get_mut(&number) {
             let keyed = request
                 .key
@@ -261,7 +261,7 @@
     }
 
     /// Begins queued requests of a pod while it has free cores.
-    pub(super) fn work_off_queue(&mut self, id: PodId) {
+    pub(super) fn dequeue_requests(&mut self, id: PodId) {
         let now = self.now;
         while let Some(next) = self
             .pods
@@ -269,7 +269,7 @@
             .and_then(|pod| pod.model.dequeue(now))
         {
             match next {
-                Dequeued::Begun(request, until) => self.begin_work(id, request, until),
+                Dequeued::Begun(request, until) => self.begin_request(id, request, until),
                 Dequeued::Expired(request) => {
                     self.pod_requests.open.remove(&request);
                 }
@@ -279,13 +279,13 @@
 
     /// The number of requests that are queued or running at the pods of a slot.
     pub(super) fn in_flight_at(&self, slot: SlotId) -> usize {
-        let here = |request: &&PodRequest| match self.owners.get(&request.socket) {
+        let at_this_pod = |request: &&PodRequest| match self.owners.get(&request.socket) {
             Some(SocketOwner::Pod(connection)) => self
                 .pods
                 .get(&connection.pod)
                 .is_some_and(|pod| pod.slot == slot),
             _ => false,
         };
-        self.pod_requests.open.values().filter(here).count()
+        self.pod_requests.open.values().filter(at_this_pod).count()
     }
 }
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, SystemTime};
 
 /// The age that pods of the initial fleet report, so that no sidecar considers them to be warming up.
-const AGE_OF_FIRST_PODS: f64 = 86_400.0;
+const INITIAL_POD_AGE_SECONDS: f64 = 86_400.0;
 
 /// An emulated pod.
 pub(super) struct Pod {
@@ -26,7 +26,7 @@
     pub(super) running: bool,
     pub(super) draining: bool,
     warms_up: bool,
-    /// The time of its start, in seconds since the Unix epoch.
+    /// The Unix time of its start, in seconds since 1970.
     pub(super) started_at_unix: f64,
     pub(super) running_since: Duration,
     pub(super) model: PodModel<u64>,
@@ -88,9 +88,9 @@
         };
         pod.running = true;
         pod.running_since = now;
-        pod.started_at_unix = unix_time();
+        pod.started_at_unix = unix_time_seconds();
         if !pod.warms_up {
-            pod.started_at_unix -= AGE_OF_FIRST_PODS;
+            pod.started_at_unix -= INITIAL_POD_AGE_SECONDS;
         }
         pod.model = PodModel::new(machine, now, pod.warms_up);
         pod.model.slowdown = self.script.slowdown_of(pod.build);
@@ -108,7 +108,7 @@
     }
 
     /// Drains the pods of other builds in a slot.
-    pub(super) fn drain_others(&mut self, slot: SlotId, build: u16) {
+    pub(super) fn drain_other_builds(&mut self, slot: SlotId, build: u16) {
         let mut drained = Vec::new();
         for (id, pod) in &mut self.pods {
             if pod.slot == slot && pod.build != build && !pod.draining {
@@ -130,12 +130,12 @@
             .filter(|(_, pod)| pod.slot == slot && pod.running);
         let ids: Vec<PodId> = pods.map(|(id, _)| *id).collect();
         for id in ids {
-            self.stop_pod(id);
+            self.end_pod(id);
         }
     }
 
     /// Ends a pod, and closes its connections.
-    pub(super) fn stop_pod(&mut self, id: PodId) {
+    pub(super) fn end_pod(&mut self, id: PodId) {
         let Some(pod) = self.pods.remove(&id) else {
             return;
         };
@@ -160,7 +160,7 @@
             }
         }
         for id in changed {
-            self.work_off_queue(id);
+            self.dequeue_requests(id);
         }
     }
 
@@ -173,8 +173,8 @@
     }
 }
 
-/// The current time, in seconds since the Unix epoch.
-fn unix_time() -> f64 {
+/// The current Unix time, in seconds since 1970.
+fn unix_time_seconds() -> f64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_secs_f64()
 }
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -2,7 +2,7 @@
 
 use super::event_loop::{any_port, Day};
 use super::DayError;
-use crate::fleet::{key_file, listens, write_keys, Relay, CLOCK};
+use crate::fleet::{datagram_address, key_file, write_keys, Relay, CLOCK_OFFSET_VARIABLE};
 use limewing_fault_injection::FaultAction;
 use limewing_rule_checker::record::{Event, SidecarId};
 use limewing_settings::SidecarSettings;
@@ -14,7 +14,7 @@
 use std::process::{Child, Command, Stdio};
 
 /// What a sidecar prints before its address once it listens.
-const LISTENING: &str = "listening ";
+const LISTENING_PREFIX: &str = "listening ";
 
 /// A sidecar process.
 pub(super) struct Process {
@@ -160,7 +160,7 @@
         };
         process.address = address;
         if let Some(relay) = &self.relay {
-            relay.set_member(number, Some(listens(address)?));
+            relay.set_member(number, Some(datagram_address(address)?));
         }
         Ok(process)
     }
@@ -206,7 +206,7 @@
         if let Some(peers) = &self.script.peers {
             let sidecars = self.script.sidecar_zones.len();
             let offset = peers.faults.clock_offset(number, sidecars);
-            command.env(CLOCK, offset.to_string());
+            command.env(CLOCK_OFFSET_VARIABLE, offset.to_string());
         }
         Ok(command)
     }
@@ -250,7 +250,7 @@
         if let Some(out) = self.child.stdout.take() {
             BufReader::new(out).read_line(&mut line)?;
         }
-        let address = line.trim().strip_prefix(LISTENING);
+        let address = line.trim().strip_prefix(LISTENING_PREFIX);
         Ok(address.and_then(|address| address.parse().ok()))
     }
 }
--- a/crates/emulators/src/day/rollout_service.rs
+++ b/crates/emulators/src/day/rollout_service.rs
@@ -2,7 +2,7 @@
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::{Day, TICK_INTERVAL};
-use super::headers::sidecar_named_in;
+use super::headers::parse_sidecar;
 use super::DayError;
 use crate::rollout::{RolloutAction, RolloutState, Verdict};
 use crate::script::DayFault;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// The longest call that is accepted; votes are shorter.
-const MAX_CALL: usize = 16 * 1024;
+const MAX_CALL_BYTES: usize = 16 * 1024;
 /// How often stage updates are repeated if the script does not state an interval.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(2);
 /// The shortest interval at which stage updates are repeated.
@@ -28,17 +28,17 @@
 pub(super) struct RolloutService {
     address: SocketAddr,
     /// The number of votes received so far.
-    votes: u64,
+    received_votes: u64,
     /// The times of the votes accepted within the window of the rate limit.
-    taken_at: Vec<Duration>,
+    accepted_at: Vec<Duration>,
 }
 
 impl RolloutService {
     pub(super) fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            votes: 0,
-            taken_at: Vec::new(),
+            received_votes: 0,
+            accepted_at: Vec::new(),
         }
     }
 
@@ -52,7 +52,7 @@
 
 impl Default for RolloutCall {
     fn default() -> Self {
-        Self(RequestReader::new(MAX_CALL))
+        Self(RequestReader::new(MAX_CALL_BYTES))
     }
 }
 
@@ -123,16 +123,16 @@
             Ok(None) => return self.sockets.resume_reading(socket),
             Err(_) => return self.close(socket),
         };
-        let Some(sidecar) = sidecar_named_in(head.fields.text("user-agent")) else {
-            return self.send_plain(socket, 400, b"");
+        let Some(sidecar) = parse_sidecar(head.fields.text("user-agent")) else {
+            return self.send_response(socket, 400, b"");
         };
-        if self.is_cut_off(sidecar) {
+        if self.is_partitioned_from_services(sidecar) {
             return;
         }
         match (&head.method[..], &head.target[..]) {
             ("GET", "/v1/stages") => self.open_stage_stream(socket, sidecar),
-            ("POST", "/v1/votes") => self.take_vote(socket, sidecar, &body),
-            _ => self.send_plain(socket, 404, b""),
+            ("POST", "/v1/votes") => self.handle_vote(socket, sidecar, &body),
+            _ => self.send_response(socket, 404, b""),
         }
     }
 
@@ -179,7 +179,7 @@
             return;
         };
         let sidecar = stream.sidecar;
-        if self.is_cut_off(sidecar) {
+        if self.is_partitioned_from_services(sidecar) {
             return;
         }
         self.record_stage_notified(sidecar, self.rollout.state());
@@ -189,7 +189,7 @@
         self.sockets.send(socket, &out);
     }
 
-    fn stage_changed(&mut self) {
+    fn notify_stage_change(&mut self) {
         let delay = self.find_fault(|fault| match fault {
             DayFault::StageUpdatesDelayed(delay) => Some(Duration::from(*delay)),
             _ => None,
@@ -211,27 +211,27 @@
     }
 
     pub(super) fn repeat_stage_updates(&mut self) {
-        self.stage_changed();
+        self.notify_stage_change();
         let interval = self.script.fleet.stage_update_interval;
         let interval = interval.map_or(UPDATE_INTERVAL, Duration::from);
         let next = self.now + interval.max(MIN_UPDATE_INTERVAL);
         self.timers.schedule(next, TimerEvent::RepeatStageUpdates);
     }
 
-    fn take_vote(&mut self, socket: SocketId, sidecar: SidecarId, body: &[u8]) {
+    fn handle_vote(&mut self, socket: SocketId, sidecar: SidecarId, body: &[u8]) {
         let Ok(vote) = serde_json::from_slice::<Vote>(body) else {
-            return self.send_plain(socket, 400, b"");
+            return self.send_response(socket, 400, b"");
         };
         let Some(verdict) = vote.parsed_verdict() else {
-            return self.send_plain(socket, 400, b"");
+            return self.send_response(socket, 400, b"");
         };
-        self.rollout_service.votes += 1;
+        self.rollout_service.received_votes += 1;
         if self.refuses_vote() {
-            return self.send_plain(socket, 429, b"");
+            return self.send_response(socket, 429, b"");
         }
         let unanswered = self.has_fault(|fault| matches!(fault, DayFault::VotesUnanswered));
         // Every other one of the unanswered votes is lost.
-        if unanswered && self.rollout_service.votes.is_multiple_of(2) {
+        if unanswered && self.rollout_service.received_votes.is_multiple_of(2) {
             return;
         }
         let counted = self
@@ -270,12 +270,12 @@
             return false;
         };
         let from = self.now.saturating_sub(window);
-        let taken_at = &mut self.rollout_service.taken_at;
-        taken_at.retain(|at| *at > from);
-        if taken_at.len() >= max {
+        let accepted_at = &mut self.rollout_service.accepted_at;
+        accepted_at.retain(|at| *at > from);
+        if accepted_at.len() >= max {
             return true;
         }
-        taken_at.push(self.now);
+        accepted_at.push(self.now);
         false
     }
 
@@ -300,7 +300,7 @@
         // The sidecar may have closed the connection or given up waiting.
         if matches!(self.owners.get(&socket), Some(SocketOwner::Rollout(_))) {
             self.record_stage_notified(answer.sidecar, answer.state);
-            self.send_plain(socket, 200, answer.body.as_bytes());
+            self.send_response(socket, 200, answer.body.as_bytes());
         }
     }
 
@@ -320,15 +320,17 @@
         for action in self.rollout.tick(self.now, is_running) {
             match action {
                 RolloutAction::StartPod { slot, build } => self.start_pod(slot, build, true)?,
-                RolloutAction::DrainOthers { slot, build } => self.drain_others(slot, build),
-                RolloutAction::NotifyStage => {
+                RolloutAction::DrainOtherBuilds { slot, build } => {
+                    self.drain_other_builds(slot, build)
+                }
+                RolloutAction::NotifySidecars => {
                     let state = self.rollout.state();
                     self.record(Event::StageChanged {
                         build: state.build,
                         stage: state.stage,
                         phase: state.phase,
                     });
-                    self.stage_changed();
+                    self.notify_stage_change();
                 }
             }
         }
--- a/crates/emulators/src/day/sidecar_settings.rs
+++ b/crates/emulators/src/day/sidecar_settings.rs
@@ -11,11 +11,11 @@
 use std::path::PathBuf;
 
 /// How long a blocking query of the endpoint list may wait.
-const WATCH_WAIT: f64 = 10.0;
+const WATCH_WAIT_SECONDS: f64 = 10.0;
 /// How long a sidecar waits for a stage update before it considers the stream lost.
-const STREAM_SILENCE: f64 = 10.0;
+const STREAM_SILENCE_SECONDS: f64 = 10.0;
 /// The most that a sidecar may send to its peers.
-const BYTES_PER_SECOND: u32 = 65_536;
+const PEER_BYTES_PER_SECOND: u32 = 65_536;
 /// Separates the seeds of sidecars of different days.
 const SEED_FACTOR: u64 = 1_000_003;
 
@@ -36,11 +36,11 @@
             endpoint_list: EndpointListService {
                 address: self.endpoints.address,
                 service: SERVICE.to_owned(),
-                wait: seconds(WATCH_WAIT),
+                wait: seconds(WATCH_WAIT_SECONDS),
             },
             rollout_service: Some(RolloutService {
                 address: self.rollout_service.address(),
-                silence_timeout: seconds(STREAM_SILENCE),
+                silence_timeout: seconds(STREAM_SILENCE_SECONDS),
             }),
             fleet: Fleet {
                 sidecar_count: script.sidecar_zones.len() as u32,
@@ -93,7 +93,7 @@
             join: relay.addresses.iter().take(3).copied().collect(),
             key_file: key_file(&self.folder, number),
             period: peers.probe_interval,
-            bytes_per_s: BYTES_PER_SECOND,
+            bytes_per_s: PEER_BYTES_PER_SECOND,
             coordination: peers.coordination,
             replication: peers.replication,
         })
--- a/crates/emulators/src/fleet/mod.rs
+++ b/crates/emulators/src/fleet/mod.rs
@@ -7,10 +7,12 @@
 mod rig;
 mod trial;
 
-pub use pages::{ask, call, listens};
+pub use pages::{ask, call, datagram_address};
 pub use played::{Lifetime, ObservedMember, Played, Sample, WrongView};
 pub use relay::{Relay, RelayTraffic};
-pub use rig::{key_file, play, write_keys, Plan, RigError, CLOCK, FIRST_KEYS};
+pub use rig::{
+    key_file, play, write_keys, FleetRunError, Plan, CLOCK_OFFSET_VARIABLE, INITIAL_KEY_IDS,
+};
 pub use trial::{run_trial, PodOutage, PodRestart, TrialPartition, TrialPlan, TrialResult};
 
 use limewing_fault_injection::{SimulatedMember, Simulation};
@@ -22,7 +24,7 @@
 /// The port of member 0; the other members use the ports that follow.
 const FIRST_PORT: u16 = 10_000;
 /// The simulated Unix time at the start.
-const TODAY_MS: u64 = 1_800_000_000_000;
+const START_TIME_MS: u64 = 1_800_000_000_000;
 /// Subtracted from the start time and added to each skew, so that a scripted offset below 0 never makes the unsigned skew negative.
 const CLOCK_BASE_MS: u64 = 90_000_000;
 /// Clocks differ by less than this, in addition to the offsets of the script.
@@ -30,7 +32,7 @@
 /// Spreads the clock skews of the members.
 const SKEW_FACTOR: u64 = 7919;
 /// The interval between two probes of a member.
-pub const PERIOD: Duration = Duration::from_secs(1);
+pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + number as u16))
@@ -81,7 +83,7 @@
         let skew = drawn_skew.saturating_add_signed(scripted_skew);
         let config = Config {
             name: MemberName::try_from(format!("s{number}")).expect("a short name"),
-            started_at_ms: TODAY_MS - CLOCK_BASE_MS
+            started_at_ms: START_TIME_MS - CLOCK_BASE_MS
                 + now.as_millis() as u64
                 + skew
                 + u64::from(start),
@@ -89,7 +91,7 @@
             address: address(number),
             seed_addresses: (0..3).map(address).collect(),
             keys: keys(&[1]),
-            probe_interval: PERIOD,
+            probe_interval: PROBE_INTERVAL,
             bytes_per_second: 16_384,
             seed: (number as u64) << 32 | u64::from(start),
         };
--- a/crates/emulators/src/fleet/pages.rs
+++ b/crates/emulators/src/fleet/pages.rs
@@ -12,7 +12,8 @@
 #[derive(Deserialize)]
 pub(super) struct FleetPage {
     /// The address at which the sidecar receives datagrams.
-    pub(super) listens: SocketAddr,
+    #[serde(rename = "listens")]
+    pub(super) datagram_address: SocketAddr,
     /// The number of rejected datagrams, by reason.
     pub(super) refused: Vec<(String, u64)>,
     pub(super) members: Vec<PageMember>,
@@ -35,9 +36,9 @@
 ///
 /// # Errors
 /// Fails if the sidecar does not answer, or if the answer can't be parsed.
-pub fn listens(address: SocketAddr) -> io::Result<SocketAddr> {
+pub fn datagram_address(address: SocketAddr) -> io::Result<SocketAddr> {
     let page: FleetPage = serde_json::from_str(&ask(address)?)?;
-    Ok(page.listens)
+    Ok(page.datagram_address)
 }
 
 /// Returns the body of a sidecar's page on its fleet.
@@ -66,10 +67,10 @@
     if matches!(head.split(' ').nth(1), Some("200" | "202")) {
         return Ok(body.to_owned());
     }
-    let said = if body.is_empty() {
+    let message = if body.is_empty() {
         head.lines().next().unwrap_or("nothing")
     } else {
         body.trim()
     };
-    Err(io::Error::other(said.to_owned()))
+    Err(io::Error::other(message.to_owned()))
 }
--- a/crates/emulators/src/fleet/played.rs
+++ b/crates/emulators/src/fleet/played.rs
@@ -98,12 +98,12 @@
             .samples
             .iter()
             .flat_map(|sample| sample.members.iter().map(move |member| (sample.at, member)));
-        let wrong =
-            members.filter(|(at, member)| member.status == DEAD && self.ran(&member.name, *at));
+        let wrong = members
+            .filter(|(at, member)| member.status == DEAD && self.was_running(&member.name, *at));
         wrong.count()
     }
 
-    fn ran(&self, name: &str, at: Duration) -> bool {
+    fn was_running(&self, name: &str, at: Duration) -> bool {
         let number = name.strip_prefix('s').and_then(|n| n.parse::<usize>().ok());
         let lifetimes = number.and_then(|number| self.lifetimes.get(number));
         lifetimes.is_some_and(|lifetimes| {
--- a/crates/emulators/src/fleet/relay.rs
+++ b/crates/emulators/src/fleet/relay.rs
@@ -14,15 +14,15 @@
 /// How often threads check whether the relay is shutting down.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The number of datagrams per member that are kept for replays.
-const MAX_REPLAYS: usize = 16;
+const MAX_REPLAYS_PER_MEMBER: usize = 16;
 /// The most datagrams in flight; more are dropped.
 const MAX_IN_FLIGHT: usize = 100_000;
 /// The receive buffer size; members send shorter datagrams.
-const MAX_DATAGRAM: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 /// The shortest noise datagram.
-const MIN_NOISE: usize = 20;
+const MIN_NOISE_BYTES: usize = 20;
 /// The number of different lengths of noise datagrams.
-const NOISE_LENGTHS: usize = 1000;
+const NOISE_LENGTH_COUNT: usize = 1000;
 
 /// A datagram in flight.
 struct Datagram {
@@ -50,15 +50,15 @@
     started_at: Instant,
     network: Mutex<FaultyNetwork>,
     in_flight: Mutex<InFlight>,
-    more: Condvar,
+    in_flight_changed: Condvar,
     /// The datagrams last delivered to each member.
     delivered: Mutex<Vec<Vec<Vec<u8>>>>,
-    over: AtomicBool,
+    shutting_down: AtomicBool,
     /// The address at which each running member receives datagrams, and from which it sends.
     members: Mutex<Vec<Option<SocketAddr>>>,
     traffic: Mutex<RelayTraffic>,
     /// The time at which the script began.
-    script_began: Mutex<Duration>,
+    script_started_at: Mutex<Duration>,
 }
 
 /// A relay on its own threads; it shuts down when it is dropped.
@@ -90,12 +90,12 @@
             started_at: Instant::now(),
             network: Mutex::new(network),
             in_flight: Mutex::default(),
-            more: Condvar::new(),
+            in_flight_changed: Condvar::new(),
             delivered: Mutex::new(vec![Vec::new(); members]),
-            over: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             members: Mutex::new(vec![None; members]),
             traffic: Mutex::default(),
-            script_began: Mutex::default(),
+            script_started_at: Mutex::default(),
         });
         let mut threads = Vec::new();
         for (to, socket) in sockets.into_iter().enumerate() {
@@ -125,14 +125,14 @@
 
     /// Starts the time of the script.
     pub fn begin_script(&self) {
-        *lock(&self.shared.script_began) = self.now();
+        *lock(&self.shared.script_started_at) = self.now();
     }
 
     /// Executes the steps of the script that are due, and returns the actions that the caller is to apply to the processes.
     #[must_use]
     pub fn advance(&self) -> Vec<FaultAction> {
-        let began = *lock(&self.shared.script_began);
-        let now = self.now().saturating_sub(began);
+        let script_start = *lock(&self.shared.script_started_at);
+        let now = self.now().saturating_sub(script_start);
         lock(&self.shared.network).advance(now)
     }
 
@@ -159,7 +159,7 @@
         };
         let delivered = lock(&self.shared.delivered)[to].clone();
         for number in 0..datagrams as usize {
-            let noise = vec![number as u8; MIN_NOISE + number % NOISE_LENGTHS];
+            let noise = vec![number as u8; MIN_NOISE_BYTES + number % NOISE_LENGTH_COUNT];
             socket.send_to(&noise, address)?;
             if let Some(replay) = delivered.get(number % delivered.len().max(1)) {
                 socket.send_to(replay, address)?;
@@ -171,8 +171,8 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        self.shared.more.notify_all();
+        self.shared.shutting_down.store(true, Ordering::SeqCst);
+        self.shared.in_flight_changed.notify_all();
         for thread in self.threads.drain(..) {
             // The panic message, if any, is already printed.
             let _ = thread.join();
@@ -181,14 +181,14 @@
 }
 
 impl Shared {
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    fn is_shutting_down(&self) -> bool {
+        self.shutting_down.load(Ordering::SeqCst)
     }
 
     /// Receives the datagrams sent to one member.
     fn receive_all(&self, to: usize, socket: &UdpSocket) {
-        let mut bytes = [0; MAX_DATAGRAM];
-        while !self.is_over() {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        while !self.is_shutting_down() {
             let Ok((length, sender)) = socket.recv_from(&mut bytes) else {
                 continue;
             };
@@ -222,13 +222,13 @@
                 .datagrams
                 .insert((arrival.at, order), Datagram { to, bytes });
         }
-        self.more.notify_all();
+        self.in_flight_changed.notify_all();
     }
 
     /// Delivers each datagram at its arrival time.
     fn deliver_all(&self, senders: &[UdpSocket]) {
         let mut in_flight = lock(&self.in_flight);
-        while !self.is_over() {
+        while !self.is_shutting_down() {
             let now = self.started_at.elapsed();
             let next = in_flight.datagrams.first_key_value();
             let next = next.map(|((at, _), _)| *at);
@@ -239,7 +239,7 @@
                 continue;
             }
             let wait = next.map_or(POLL_INTERVAL, |at| (at - now).min(POLL_INTERVAL));
-            let waited = self.more.wait_timeout(in_flight, wait);
+            let waited = self.in_flight_changed.wait_timeout(in_flight, wait);
             in_flight = waited.expect("no thread panics with the lock").0;
         }
     }
@@ -253,7 +253,7 @@
         let _ = senders[to].send_to(&bytes, address);
         let mut delivered = lock(&self.delivered);
         delivered[to].push(bytes);
-        if delivered[to].len() > MAX_REPLAYS {
+        if delivered[to].len() > MAX_REPLAYS_PER_MEMBER {
             delivered[to].remove(0);
         }
     }
--- a/crates/emulators/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -1,7 +1,7 @@
 //! Sidecars as processes under a script of faults: started, killed, terminated, suspended and restarted, with a relay between them. Each
 //! one's view of the others is sampled throughout.
 
-use super::pages::{fleet_page, listens};
+use super::pages::{datagram_address, fleet_page};
 use super::played::{Lifetime, ObservedMember, Played, Sample};
 use super::relay::Relay;
 use limewing_fault_injection::{FaultAction, FaultyNetwork, Script};
@@ -21,14 +21,14 @@
 /// The most that a member may send.
 const BYTES_PER_SECOND: u32 = 65_536;
 /// The number of members that each one contacts first to join.
-const SEED_MEMBERS: usize = 3;
+const SEED_MEMBER_COUNT: usize = 3;
 /// What a sidecar prints before its address once it listens.
-const LISTENING: &str = "listening ";
+const LISTENING_PREFIX: &str = "listening ";
 
 /// The identifiers of the keys that the fleet starts with.
-pub const FIRST_KEYS: [u8; 1] = [1];
+pub const INITIAL_KEY_IDS: [u8; 1] = [1];
 /// The environment variable that states how far a process's clock is ahead, in seconds.
-pub const CLOCK: &str = "LIMEWING_CLOCK_AHEAD_S";
+pub const CLOCK_OFFSET_VARIABLE: &str = "LIMEWING_CLOCK_AHEAD_S";
 
 /// The parameters of a run.
 pub struct Plan<'a> {
@@ -48,7 +48,7 @@
 
 /// Why a script could not be played to its end.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum FleetRunError {
     /// A system call on a file, socket or process failed.
     #[error(transparent)]
     System(#[from] io::Error),
@@ -66,14 +66,14 @@
 ///
 /// # Errors
 /// Fails if a process does not start, or if a system call fails.
-pub fn play(plan: &Plan) -> Result<Played, RigError> {
+pub fn play(plan: &Plan) -> Result<Played, FleetRunError> {
     std::fs::create_dir_all(plan.folder)?;
     for number in 0..plan.members {
-        write_keys(&key_file(plan.folder, number), &FIRST_KEYS)?;
+        write_keys(&key_file(plan.folder, number), &INITIAL_KEY_IDS)?;
     }
     let network = FaultyNetwork::new(plan.script, plan.members);
     let relay = Relay::start(network, plan.members)?;
-    let mut rig = Rig {
+    let mut runner = FleetRunner {
         plan,
         processes: (0..plan.members).map(|_| None).collect(),
         played: Played {
@@ -83,10 +83,10 @@
         relay,
     };
     for number in 0..plan.members {
-        rig.start(number)?;
+        runner.start(number)?;
     }
-    rig.run()?;
-    Ok(std::mem::take(&mut rig.played))
+    runner.run()?;
+    Ok(std::mem::take(&mut runner.played))
 }
 
 /// The path of a member's key file; each member has its own.
@@ -112,24 +112,24 @@
     child: Child,
     address: SocketAddr,
     suspended: bool,
-    since: Duration,
+    started_at: Duration,
 }
 
-struct Rig<'a> {
+struct FleetRunner<'a> {
     plan: &'a Plan<'a>,
     processes: Vec<Option<Process>>,
     played: Played,
     relay: Relay,
 }
 
-impl Rig<'_> {
-    fn run(&mut self) -> Result<(), RigError> {
+impl FleetRunner<'_> {
+    fn run(&mut self) -> Result<(), FleetRunError> {
         let end = self.plan.script.duration();
         let mut sample_at = Duration::ZERO;
         loop {
             let now = self.relay.now();
             for action in self.relay.advance() {
-                self.apply(action)?;
+                self.apply_action(action)?;
             }
             self.record_crashes(now);
             if now >= sample_at || now >= end {
@@ -148,7 +148,7 @@
         self.played.traffic = self.relay.traffic();
         for number in 0..self.processes.len() {
             self.count_refused(number);
-            self.end(number);
+            self.kill(number);
         }
         Ok(())
     }
@@ -161,11 +161,11 @@
         self.played.refused += page.refused.iter().map(|(_, count)| count).sum::<u64>();
     }
 
-    fn apply(&mut self, action: FaultAction) -> Result<(), RigError> {
+    fn apply_action(&mut self, action: FaultAction) -> Result<(), FleetRunError> {
         match action {
-            FaultAction::Kill(number) => self.end(number),
+            FaultAction::Kill(number) => self.kill(number),
             FaultAction::Start(number) => {
-                self.end(number);
+                self.kill(number);
                 self.start(number)?;
             }
             FaultAction::Leave(number) => self.terminate(number)?,
@@ -191,7 +191,7 @@
         if let Some(mut process) = self.processes[number].take() {
             signal(&process.child, Signal::TERM);
             process.child.wait()?;
-            self.record_lifetime(number, process.since, now);
+            self.record_lifetime(number, process.started_at, now);
         }
         Ok(())
     }
@@ -199,12 +199,12 @@
     fn set_suspended(&mut self, number: usize, suspended: bool) {
         if let Some(process) = &mut self.processes[number] {
             process.suspended = suspended;
-            let stop = if suspended {
+            let job_signal = if suspended {
                 Signal::STOP
             } else {
                 Signal::CONT
             };
-            signal(&process.child, stop);
+            signal(&process.child, job_signal);
         }
     }
 
@@ -219,13 +219,13 @@
             let Some(process) = self.processes[number].take_if(ended) else {
                 continue;
             };
-            self.record_lifetime(number, process.since, now);
+            self.record_lifetime(number, process.started_at, now);
             self.played.crashed.push(number);
         }
     }
 
-    fn start(&mut self, number: usize) -> Result<(), RigError> {
-        let error = |why: String| RigError::Sidecar { number, why };
+    fn start(&mut self, number: usize) -> Result<(), FleetRunError> {
+        let error = |why: String| FleetRunError::Sidecar { number, why };
         let settings = self.settings(number).map_err(error)?;
         let file = self.plan.folder.join(format!("s{number}.json"));
         let text = serde_json::to_string_pretty(&settings).map_err(|why| error(why.to_string()))?;
@@ -235,19 +235,20 @@
         if let Some(out) = child.stdout.take() {
             BufReader::new(out).read_line(&mut line)?;
         }
-        let address = line.trim().strip_prefix(LISTENING);
+        let address = line.trim().strip_prefix(LISTENING_PREFIX);
         let Some(address) = address.and_then(|address| address.parse().ok()) else {
             // The process may have exited by itself.
             let _ = child.kill();
             let _ = child.wait();
             return Err(error(format!("it does not listen; see s{number}.log")));
         };
-        self.relay.set_member(number, Some(listens(address)?));
+        self.relay
+            .set_member(number, Some(datagram_address(address)?));
         self.processes[number] = Some(Process {
             child,
             address,
             suspended: false,
-            since: self.relay.now(),
+            started_at: self.relay.now(),
         });
         Ok(())
     }
@@ -260,7 +261,7 @@
         settings.peers = Some(PeerSettings {
             listen: any_port,
             advertise: Some(addresses[number]),
-            join: addresses.iter().take(SEED_MEMBERS).copied().collect(),
+            join: addresses.iter().take(SEED_MEMBER_COUNT).copied().collect(),
             key_file: key_file(self.plan.folder, number),
             period: Seconds::try_from(self.plan.period.as_secs_f64())
                 .map_err(|error| error.to_string())?,
@@ -290,18 +291,18 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(log)
-            .env(CLOCK, offset.to_string());
+            .env(CLOCK_OFFSET_VARIABLE, offset.to_string());
         Ok(command)
     }
 
-    fn end(&mut self, number: usize) {
+    fn kill(&mut self, number: usize) {
         let now = self.relay.now();
         self.relay.set_member(number, None);
         if let Some(mut process) = self.processes[number].take() {
             // The process may have exited by itself.
             let _ = process.child.kill();
             let _ = process.child.wait();
-            self.record_lifetime(number, process.since, now);
+            self.record_lifetime(number, process.started_at, now);
         }
     }
 
@@ -327,10 +328,10 @@
     }
 }
 
-impl Drop for Rig<'_> {
+impl Drop for FleetRunner<'_> {
     fn drop(&mut self) {
         for number in 0..self.processes.len() {
-            self.end(number);
+            self.kill(number);
         }
     }
 }
--- a/crates/emulators/src/fleet/trial/config.rs
+++ b/crates/emulators/src/fleet/trial/config.rs
@@ -15,25 +15,25 @@
 /// The fraction of its capacity that a pod starts with.
 pub(super) const SLOW_START_FROM: f64 = 0.35;
 /// The time that a pod takes to answer.
-pub(super) const ANSWER_TIME: f64 = 0.1;
+pub(super) const ANSWER_TIME_SECONDS: f64 = 0.1;
 /// The client timeout.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// One in this many sidecars has `HEAVY_FACTOR` times the traffic of the others.
-const HEAVY_ONE_IN: usize = 5;
+const HEAVY_SIDECAR_INTERVAL: usize = 5;
 const HEAVY_FACTOR: f64 = 5.0;
 /// The request rate of the other sidecars.
 const REQUESTS_PER_SECOND: f64 = 4.0;
 /// The number of zones, to which pods and sidecars are assigned in turn.
-const ZONES: u16 = 3;
+const ZONE_COUNT: u16 = 3;
 /// One in this many pods has twice the capacity of the others.
-const STRONG_ONE_IN: usize = 3;
+const STRONG_POD_INTERVAL: usize = 3;
 /// Separates the seeds of sidecars of different trials.
 const SEED_FACTOR: u64 = 1_000_003;
 /// The lower bound of divisors that are 0 where nothing was sent.
 pub(super) const MIN_DIVISOR: f64 = 1e-9;
 
 pub(super) fn capacity(pod: usize) -> f64 {
-    if pod.is_multiple_of(STRONG_ONE_IN) {
+    if pod.is_multiple_of(STRONG_POD_INTERVAL) {
         2.0
     } else {
         1.0
@@ -41,11 +41,11 @@
 }
 
 pub(super) fn zone(number: usize) -> u16 {
-    number as u16 % ZONES
+    number as u16 % ZONE_COUNT
 }
 
 pub(super) fn request_rate(sidecar: usize) -> f64 {
-    if sidecar.is_multiple_of(HEAVY_ONE_IN) {
+    if sidecar.is_multiple_of(HEAVY_SIDECAR_INTERVAL) {
         REQUESTS_PER_SECOND * HEAVY_FACTOR
     } else {
         REQUESTS_PER_SECOND
--- a/crates/emulators/src/fleet/trial/simulation.rs
+++ b/crates/emulators/src/fleet/trial/simulation.rs
@@ -2,7 +2,7 @@
 
 use super::config::{
     capacity, coordinated_pod, endpoint, pod_key, request_rate, sidecar_config, sidecar_key, zone,
-    ANSWER_TIME, CLIENT_TIMEOUT, MIN_DIVISOR, OVERLOAD_WINDOW, SLOW_START_DURATION,
+    ANSWER_TIME_SECONDS, CLIENT_TIMEOUT, MIN_DIVISOR, OVERLOAD_WINDOW, SLOW_START_DURATION,
     SLOW_START_FROM,
 };
 use super::{PodRestart, TrialPlan, TrialResult};
@@ -25,12 +25,12 @@
 /// The time that an unavailable pod takes to refuse a connection.
 const REFUSAL_TIME: Duration = Duration::from_millis(1);
 /// The number of samples of a warming pod's capacity in a window.
-const CAPACITY_STEPS: u32 = 10;
+const CAPACITY_SAMPLES: u32 = 10;
 
 struct Sidecar {
     engine: DecisionEngine,
     coordinator: Coordinator,
-    part: usize,
+    partition: usize,
     /// Its last report, with the time of its creation.
     report: Option<(LoadReport, Duration)>,
     /// The number of attempts of each open request.
@@ -56,9 +56,9 @@
     /// The number of attempts at each pod in the second half.
     attempts_at: Vec<f64>,
     /// The times of the attempts at the restarted pod within the last window.
-    at_restarted: VecDeque<Duration>,
+    recent_at_restarted: VecDeque<Duration>,
     /// The times of the attempts at any pod within the last window.
-    at_any: VecDeque<Duration>,
+    recent_at_all: VecDeque<Duration>,
     result: TrialResult,
 }
 
@@ -68,7 +68,7 @@
         let sidecars = (0..plan.sidecars).map(|number| Sidecar {
             engine: DecisionEngine::new(Duration::ZERO, sidecar_config(number, plan)),
             coordinator: Coordinator::new(Duration::ZERO, sidecar_key(number), zone(number)),
-            part: rng.random_range(0..plan.partition.parts.max(1)),
+            partition: rng.random_range(0..plan.partition.parts.max(1)),
             report: None,
             attempts: BTreeMap::new(),
         });
@@ -82,8 +82,8 @@
             scheduled: 0,
             requests: 0,
             attempts_at: vec![0.0; plan.pods],
-            at_restarted: VecDeque::new(),
-            at_any: VecDeque::new(),
+            recent_at_restarted: VecDeque::new(),
+            recent_at_all: VecDeque::new(),
             result: TrialResult::default(),
         }
     }
@@ -113,8 +113,8 @@
 
     fn start_sidecar(&mut self, number: usize) {
         let pods = 0..self.plan.pods;
-        let rows = pods.clone().map(|pod| endpoint(pod, None)).collect();
-        let list = Event::Endpoints(EndpointUpdate::Snapshot(rows));
+        let entries = pods.clone().map(|pod| endpoint(pod, None)).collect();
+        let list = Event::Endpoints(EndpointUpdate::Snapshot(entries));
         self.deliver(number, vec![list]);
         let pods = pods.map(coordinated_pod).collect();
         self.sidecars[number].coordinator.set_pods(pods);
@@ -139,8 +139,8 @@
 
     fn restart_pod(&mut self, restart: PodRestart) {
         for number in 0..self.sidecars.len() {
-            let row = endpoint(restart.pod, Some(self.now));
-            let update = Event::Endpoints(EndpointUpdate::Delta(vec![row]));
+            let entry = endpoint(restart.pod, Some(self.now));
+            let update = Event::Endpoints(EndpointUpdate::Delta(vec![entry]));
             self.deliver(number, vec![update]);
         }
     }
@@ -164,7 +164,7 @@
         let observation = if result.outcome == AttemptOutcome::Succeeded {
             self.result.delivered += 1;
             self.sidecars[number].attempts.remove(&result.request);
-            self.note_recovery(pod);
+            self.record_recovery(pod);
             OutlierObservation::Answered(result.duration.as_secs_f64())
         } else {
             OutlierObservation::ConnectFailed
@@ -175,7 +175,7 @@
         self.deliver(number, vec![Event::AttemptFinished(result)]);
     }
 
-    fn note_recovery(&mut self, pod: usize) {
+    fn record_recovery(&mut self, pod: usize) {
         let Some(outage) = self.plan.outage else {
             return;
         };
@@ -219,13 +219,13 @@
 
     /// The reports of all sidecars in the same partition, with their keys.
     fn reports_seen_by(&self, number: usize) -> Vec<(u64, Option<(LoadReport, Duration)>)> {
-        let whole = self.now < self.plan.partition.at;
-        let part = self.sidecars[number].part;
+        let unpartitioned = self.now < self.plan.partition.at;
+        let partition = self.sidecars[number].partition;
         let seen = self
             .sidecars
             .iter()
             .enumerate()
-            .filter(|(_, other)| whole || other.part == part);
+            .filter(|(_, other)| unpartitioned || other.partition == partition);
         seen.map(|(other, sidecar)| (sidecar_key(other), sidecar.report.clone()))
             .collect()
     }
@@ -255,7 +255,7 @@
         let (outcome, duration) = if refused {
             (AttemptOutcome::ConnectFailed, REFUSAL_TIME)
         } else {
-            let answer_time = Duration::from_secs_f64(ANSWER_TIME);
+            let answer_time = Duration::from_secs_f64(ANSWER_TIME_SECONDS);
             (AttemptOutcome::Succeeded, answer_time)
         };
         if self.now >= self.plan.duration / 2 {
@@ -290,27 +290,29 @@
 
     fn measure_warming_load(&mut self, pod: usize) {
         let now = self.now;
-        add_to_window(&mut self.at_any, now);
+        add_to_window(&mut self.recent_at_all, now);
         let Some(restart) = self.plan.restart else {
             return;
         };
         if restart.pod != pod || now < restart.at {
             return;
         }
-        add_to_window(&mut self.at_restarted, now);
-        let whole: f64 = (0..self.plan.pods).map(capacity).sum();
+        add_to_window(&mut self.recent_at_restarted, now);
+        let total_capacity: f64 = (0..self.plan.pods).map(capacity).sum();
         let age = (now - restart.at).as_secs_f64();
-        let fair = self.at_any.len() as f64 / whole * capacity(pod) * mean_warming_part(age);
+        let fair_share = self.recent_at_all.len() as f64 / total_capacity
+            * capacity(pod)
+            * mean_warming_fraction(age);
         // One attempt is subtracted, as a sidecar can't send a fraction of one.
-        let part = (self.at_restarted.len() as f64 - 1.0) / fair.max(MIN_DIVISOR);
-        self.result.warming_load = self.result.warming_load.max(part);
+        let ratio = (self.recent_at_restarted.len() as f64 - 1.0) / fair_share.max(MIN_DIVISOR);
+        self.result.warming_load = self.result.warming_load.max(ratio);
     }
 
     fn loads(&self) -> Vec<f64> {
         let restarted = self.plan.restart.map(|restart| restart.pod);
-        let gone = self.plan.outage.map(|outage| outage.pod);
+        let unavailable = self.plan.outage.map(|outage| outage.pod);
         (0..self.plan.pods)
-            .filter(|pod| restarted != Some(*pod) && gone != Some(*pod))
+            .filter(|pod| restarted != Some(*pod) && unavailable != Some(*pod))
             .map(|pod| self.attempts_at[pod] / capacity(pod))
             .collect()
     }
@@ -325,11 +327,12 @@
 
 /// The mean fraction of its capacity that a pod had over the window that ends at this age in seconds. Before its start, the fraction at
 /// its start counts.
-fn mean_warming_part(age: f64) -> f64 {
+fn mean_warming_fraction(age: f64) -> f64 {
     let duration = SLOW_START_DURATION.as_secs_f64();
     let window = OVERLOAD_WINDOW.as_secs_f64();
-    let part = |age: f64| (SLOW_START_FROM + (1.0 - SLOW_START_FROM) * age / duration).min(1.0);
-    let steps = (0..CAPACITY_STEPS)
-        .map(|step| part((age - window * f64::from(step) / f64::from(CAPACITY_STEPS)).max(0.0)));
-    steps.sum::<f64>() / f64::from(CAPACITY_STEPS)
+    let fraction = |age: f64| (SLOW_START_FROM + (1.0 - SLOW_START_FROM) * age / duration).min(1.0);
+    let steps = (0..CAPACITY_SAMPLES).map(|step| {
+        fraction((age - window * f64::from(step) / f64::from(CAPACITY_SAMPLES)).max(0.0))
+    });
+    steps.sum::<f64>() / f64::from(CAPACITY_SAMPLES)
 }
--- a/crates/emulators/src/pod_model.rs
+++ b/crates/emulators/src/pod_model.rs
@@ -29,7 +29,7 @@
     pub slowdown: f64,
     /// Whether the pod hangs: it begins no requests, while running ones continue.
     pub hung: bool,
-    in_work: usize,
+    running: usize,
     queue: VecDeque<Queued<T>>,
 }
 
@@ -70,7 +70,7 @@
             warming_up,
             slowdown: 1.0,
             hung: false,
-            in_work: 0,
+            running: 0,
             queue: VecDeque::new(),
         }
     }
@@ -95,7 +95,7 @@
         deadline: Duration,
         now: Duration,
     ) -> Arrival<T> {
-        if self.in_work < self.machine.cores && !self.hung {
+        if self.running < self.machine.cores && !self.hung {
             return Arrival::Begun(request, self.begin(work, now));
         }
         if self.queue.len() >= self.machine.queue_limit {
@@ -110,18 +110,18 @@
     }
 
     fn begin(&mut self, work: Duration, now: Duration) -> Duration {
-        self.in_work += 1;
+        self.running += 1;
         now + work.mul_f64(self.slowdown / self.speed(now))
     }
 
     /// Frees the core of a request that has finished.
     pub fn finish(&mut self) {
-        self.in_work = self.in_work.saturating_sub(1);
+        self.running = self.running.saturating_sub(1);
     }
 
     /// Takes the next request from the queue, if a core is free for it.
     pub fn dequeue(&mut self, now: Duration) -> Option<Dequeued<T>> {
-        if self.hung || self.in_work >= self.machine.cores {
+        if self.hung || self.running >= self.machine.cores {
             return None;
         }
         let Queued {
--- a/crates/emulators/src/rollout.rs
+++ b/crates/emulators/src/rollout.rs
@@ -20,14 +20,14 @@
         build: u16,
     },
     /// Drain all pods of other builds in a slot.
-    DrainOthers {
+    DrainOtherBuilds {
         /// The slot.
         slot: SlotId,
         /// The build that stays.
         build: u16,
     },
     /// Notify the sidecars of the new state.
-    NotifyStage,
+    NotifySidecars,
 }
 
 /// The verdict of a sidecar's vote.
@@ -80,7 +80,7 @@
     slots: Vec<Slot>,
     votes: BTreeMap<SidecarId, Vote>,
     /// How long the stage has run with all its pods started.
-    stage_ran_for: Duration,
+    stage_run_time: Duration,
     last_tick: Duration,
     next_build: Option<u16>,
 }
@@ -105,7 +105,7 @@
             previous_build: build,
             slots: (0..slots).map(running).collect(),
             votes: BTreeMap::new(),
-            stage_ran_for: Duration::ZERO,
+            stage_run_time: Duration::ZERO,
             last_tick: Duration::ZERO,
             next_build: None,
         }
@@ -129,12 +129,12 @@
     pub fn offer(&mut self, build: u16, now: Duration) {
         self.next_build = Some(build);
         if self.state.phase == Phase::OnTrial {
-            self.enter(Phase::RollingBack, self.state.stage, now);
+            self.enter_phase(Phase::RollingBack, self.state.stage, now);
         }
     }
 
-    fn enter(&mut self, phase: Phase, stage: u8, now: Duration) {
-        self.stage_ran_for = Duration::ZERO;
+    fn enter_phase(&mut self, phase: Phase, stage: u8, now: Duration) {
+        self.stage_run_time = Duration::ZERO;
         self.last_tick = now;
         self.state.number += 1;
         self.state.phase = phase;
@@ -199,9 +199,9 @@
         let interval = now.saturating_sub(self.last_tick);
         self.last_tick = now;
         self.finish_starts(is_running, &mut actions);
-        if self.is_voted_down(now) {
-            self.enter(Phase::RollingBack, self.state.stage, now);
-            actions.push(RolloutAction::NotifyStage);
+        if self.has_rollback_quorum(now) {
+            self.enter_phase(Phase::RollingBack, self.state.stage, now);
+            actions.push(RolloutAction::NotifySidecars);
             return actions;
         }
         match self.state.phase {
@@ -222,18 +222,18 @@
             let build = slot.build;
             if slot.starting && is_running(id, build) {
                 slot.starting = false;
-                actions.push(RolloutAction::DrainOthers { slot: id, build });
+                actions.push(RolloutAction::DrainOtherBuilds { slot: id, build });
             }
         }
     }
 
-    fn is_voted_down(&self, now: Duration) -> bool {
+    fn has_rollback_quorum(&self, now: Duration) -> bool {
         matches!(self.state.phase, Phase::OnTrial | Phase::Released)
             && self.state.build != self.previous_build
             && self.count_votes(Verdict::RollBack, now) >= self.config.rollback_quorum as usize
     }
 
-    fn none_starts(&self) -> bool {
+    fn no_slot_starting(&self) -> bool {
         self.slots.iter().all(|slot| !slot.starting)
     }
 
@@ -245,17 +245,17 @@
             self.previous_build = self.state.build;
         }
         self.state.build = next;
-        self.enter(Phase::OnTrial, 0, now);
-        actions.push(RolloutAction::NotifyStage);
+        self.enter_phase(Phase::OnTrial, 0, now);
+        actions.push(RolloutAction::NotifySidecars);
     }
 
     fn roll_back(&mut self, now: Duration, actions: &mut Vec<RolloutAction>) {
-        let settled = self.none_starts();
+        let settled = self.no_slot_starting();
         let previous = self.previous_build;
-        self.replace(previous, 1.0, actions);
+        self.start_build(previous, 1.0, actions);
         if settled && self.slots.iter().all(|slot| slot.build == previous) {
-            self.enter(Phase::RolledBack, self.state.stage, now);
-            actions.push(RolloutAction::NotifyStage);
+            self.enter_phase(Phase::RolledBack, self.state.stage, now);
+            actions.push(RolloutAction::NotifySidecars);
         }
     }
 
@@ -265,31 +265,31 @@
         interval: Duration,
         actions: &mut Vec<RolloutAction>,
     ) {
-        let settled = self.none_starts();
+        let settled = self.no_slot_starting();
         let stage = self.state.stage;
         let share = self.config.stages[usize::from(stage)].share;
-        self.replace(self.state.build, share, actions);
+        self.start_build(self.state.build, share, actions);
         let held = self.count_votes(Verdict::Hold, now) > 0;
         if settled && actions.is_empty() && !held {
-            self.stage_ran_for += interval;
+            self.stage_run_time += interval;
         }
         let promoted = match self.config.control {
             Control::Clock => true,
             Control::Votes => self.count_votes(Verdict::Promote, now) > 0,
         };
-        if !promoted || self.stage_ran_for < self.config.stage_duration.into() {
+        if !promoted || self.stage_run_time < self.config.stage_duration.into() {
             return;
         }
         if usize::from(stage) + 1 >= self.config.stages.len() {
-            self.enter(Phase::Released, stage, now);
+            self.enter_phase(Phase::Released, stage, now);
         } else {
-            self.enter(Phase::OnTrial, stage + 1, now);
+            self.enter_phase(Phase::OnTrial, stage + 1, now);
         }
-        actions.push(RolloutAction::NotifyStage);
+        actions.push(RolloutAction::NotifySidecars);
     }
 
     /// Starts a build in the first slots, up to a share of all slots.
-    fn replace(&mut self, build: u16, share: f64, actions: &mut Vec<RolloutAction>) {
+    fn start_build(&mut self, build: u16, share: f64, actions: &mut Vec<RolloutAction>) {
         let count = (share * self.slots.len() as f64).ceil() as usize;
         for (index, slot) in self.slots.iter_mut().enumerate().take(count) {
             if slot.build != build && !slot.starting {
--- a/crates/emulators/src/script/validation.rs
+++ b/crates/emulators/src/script/validation.rs
@@ -13,14 +13,14 @@
 struct Errors(Vec<ConfigError>);
 
 impl Errors {
-    fn expect(&mut self, fits: bool, path: impl Into<String>, expected: &str) {
-        if !fits {
+    fn expect(&mut self, valid: bool, path: impl Into<String>, expected: &str) {
+        if !valid {
             let error = ConfigError::new(path.into(), format!("expected {expected}"));
             self.0.push(error);
         }
     }
 
-    fn expect_part(&mut self, value: f64, path: impl Into<String>) {
+    fn expect_fraction(&mut self, value: f64, path: impl Into<String>) {
         self.expect((0.0..=1.0).contains(&value), path, "a part from 0 to 1");
     }
 }
@@ -68,12 +68,12 @@
             errors.expect(known, format!("/sidecars/{index}"), "one of /fleet/zones");
         }
         let shares = &self.traffic_shares;
-        let fits = shares.is_empty()
+        let valid = shares.is_empty()
             || (shares.len() == self.sidecar_zones.len()
                 && shares.iter().all(|part| (0.0..=1e6).contains(part))
                 && shares.iter().sum::<f64>() > 0.0);
         errors.expect(
-            fits,
+            valid,
             "/traffic",
             "a part from 0 for each sidecar, one of them over 0",
         );
@@ -120,7 +120,7 @@
         let shares: f64 = self.classes.iter().map(|class| class.share).sum();
         errors.expect(sums_to_one(shares), "/groups", "shares that sum to 1");
         for (index, script) in self.classes.iter().enumerate() {
-            errors.expect_part(script.share, format!("/groups/{index}/share"));
+            errors.expect_fraction(script.share, format!("/groups/{index}/share"));
             errors.expect(
                 script.class.routes.len() == 1,
                 format!("/groups/{index}/group/routes"),
@@ -128,24 +128,24 @@
             );
         }
         let shares: f64 = self.tenants.iter().map(|tenant| tenant.share).sum();
-        let fits = self.tenants.is_empty() || sums_to_one(shares);
-        errors.expect(fits, "/customers", "shares that sum to 1");
+        let valid = self.tenants.is_empty() || sums_to_one(shares);
+        errors.expect(valid, "/customers", "shares that sum to 1");
     }
 
     fn check_clients(&self, errors: &mut Errors) {
         let clients = &self.clients;
-        errors.expect_part(clients.min_timeout_part, "/clients/patience_from");
-        errors.expect_part(clients.reported_part, "/clients/reports");
-        errors.expect_part(clients.slow_sender_part, "/clients/slow");
-        errors.expect_part(clients.disconnecting_part, "/clients/leaves");
+        errors.expect_fraction(clients.min_timeout_part, "/clients/patience_from");
+        errors.expect_fraction(clients.reported_part, "/clients/reports");
+        errors.expect_fraction(clients.slow_sender_part, "/clients/slow");
+        errors.expect_fraction(clients.disconnecting_part, "/clients/leaves");
     }
 
     fn check_offers(&self, errors: &mut Errors) {
-        let rising = self
+        let increasing = self
             .offers
             .windows(2)
             .all(|pair| pair[0].build < pair[1].build && pair[0].at < pair[1].at);
-        errors.expect(rising, "/offers", "builds and times that rise");
+        errors.expect(increasing, "/offers", "builds and times that rise");
         let newer = self
             .offers
             .first()
@@ -167,7 +167,7 @@
     fn check_build_fault(&self, fault: &BuildFault, path: &str, errors: &mut Errors) {
         match fault {
             BuildFault::Errors { share, class, .. } => {
-                errors.expect_part(*share, format!("{path}/errors/share"));
+                errors.expect_fraction(*share, format!("{path}/errors/share"));
                 let known =
                     |name: &String| self.classes.iter().any(|script| script.class.name == *name);
                 errors.expect(
@@ -177,7 +177,7 @@
                 );
             }
             BuildFault::WrongAnswers { share } => {
-                errors.expect_part(*share, format!("{path}/wrong/share"));
+                errors.expect_fraction(*share, format!("{path}/wrong/share"));
             }
         }
     }
@@ -205,8 +205,8 @@
                 errors.expect(known, path, "a place in /sidecars");
             }
             DayFault::Overload(factor) => {
-                let fits = (0.0..=1000.0).contains(factor);
-                errors.expect(fits, path, "a factor from 0 to 1000");
+                let valid = (0.0..=1000.0).contains(factor);
+                errors.expect(valid, path, "a factor from 0 to 1000");
             }
             DayFault::FailingTenant {
                 tenant,
