--- a/crates/emulators/src/platform/client.rs
+++ b/crates/emulators/src/platform/client.rs
@@ -1,6 +1,6 @@
 //! A client of the PostgreSQL protocol that sends one statement after the other on a connection.
 
-use super::{Link, PATIENCE};
+use super::{Connection, READ_TIMEOUT};
 use bytes::BytesMut;
 use limewing_postgres_protocol::{decode, encode, Message};
 use std::io::{Read, Write};
@@ -36,11 +36,11 @@
 
 /// A client on one connection.
 pub struct Client {
-    link: Link,
+    connection: Connection,
     /// The time at which it sent the last statement.
-    asked_at: Instant,
+    sent_at: Instant,
     /// The read timeout.
-    patience: Duration,
+    read_timeout: Duration,
 }
 
 impl Client {
@@ -58,13 +58,16 @@
 
     /// Like `new`, but returns `None` if the connection is refused or the session does not start; `patience` is the read timeout.
     #[must_use]
-    pub fn try_new(to: SocketAddr, patience: Duration) -> Option<Self> {
-        let link = Link::new(TcpStream::connect(to).ok()?).ok()?;
-        link.stream.set_read_timeout(Some(patience)).ok()?;
+    pub fn try_new(to: SocketAddr, read_timeout: Duration) -> Option<Self> {
+        let connection = Connection::new(TcpStream::connect(to).ok()?).ok()?;
+        connection
+            .stream
+            .set_read_timeout(Some(read_timeout))
+            .ok()?;
         let mut client = Self {
-            link,
-            asked_at: Instant::now(),
-            patience,
+            connection,
+            sent_at: Instant::now(),
+            read_timeout,
         };
         if !client.sends(&startup_message()) {
             return None;
@@ -76,7 +79,7 @@
     /// Whether the last answer did not arrive within the read timeout.
     #[must_use]
     pub fn waited_out(&self) -> bool {
-        self.asked_at.elapsed() >= self.patience
+        self.sent_at.elapsed() >= self.read_timeout
     }
 
     /// Connects without sending the startup message.
@@ -87,9 +90,9 @@
     pub fn silent(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).expect("a listener");
         Self {
-            link: Link::new(stream).expect("a connection"),
-            asked_at: Instant::now(),
-            patience: PATIENCE,
+            connection: Connection::new(stream).expect("a connection"),
+            sent_at: Instant::now(),
+            read_timeout: READ_TIMEOUT,
         }
     }
 
@@ -99,20 +102,20 @@
     }
 
     fn await_session(&mut self) -> Option<()> {
-        while self.link.hear()?.kind != READY_FOR_QUERY {}
+        while self.connection.read_message()?.kind != READY_FOR_QUERY {}
         Some(())
     }
 
     /// Sends these bytes; returns whether all of them could be written.
     pub fn sends(&mut self, bytes: &[u8]) -> bool {
-        self.link.stream.write_all(bytes).is_ok()
+        self.connection.stream.write_all(bytes).is_ok()
     }
 
     /// Sends a statement; returns whether it could be written.
     pub fn asks(&mut self, statement: &str) -> bool {
         let mut out = BytesMut::new();
         encode::query(&mut out, statement);
-        self.asked_at = Instant::now();
+        self.sent_at = Instant::now();
         self.sends(&out)
     }
 
@@ -123,7 +126,7 @@
     pub fn hears(&mut self) -> Answer {
         let mut answer = None;
         loop {
-            let Some(message) = self.link.hear() else {
+            let Some(message) = self.connection.read_message() else {
                 return answer.unwrap_or(Answer::End);
             };
             match message.kind {
@@ -149,11 +152,11 @@
     /// Whether the first bytes of an answer arrive within that time.
     #[must_use]
     pub fn has_come(&self, within: Duration) -> bool {
-        let stream = &self.link.stream;
+        let stream = &self.connection.stream;
         // The next read shows whether the connection has ended.
         let _ = stream.set_read_timeout(Some(within));
-        let came = !self.link.input.is_empty() || stream.peek(&mut [0]).is_ok();
-        let _ = stream.set_read_timeout(Some(PATIENCE));
+        let came = !self.connection.input.is_empty() || stream.peek(&mut [0]).is_ok();
+        let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
         came
     }
 
@@ -168,7 +171,7 @@
 
     /// Whether the peer closed the connection and sent nothing more.
     pub fn hears_the_end(&mut self) -> bool {
-        matches!(self.link.stream.read(&mut [0]), Ok(0) | Err(_))
+        matches!(self.connection.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
--- a/crates/emulators/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -25,24 +25,24 @@
 use std::time::Duration;
 
 /// How long an emulator waits for an expected message.
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The longest message that is accepted; tests send shorter ones.
-const MAX_MESSAGE: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// The size of the read buffer.
-const READ_SIZE: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A connection that is read message by message.
-struct Link {
+struct Connection {
     stream: TcpStream,
     /// Bytes that were read but do not form a whole message yet.
     input: BytesMut,
     decoder: MessageDecoder,
 }
 
-impl Link {
+impl Connection {
     fn new(stream: TcpStream) -> io::Result<Self> {
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(Self {
             stream,
@@ -52,8 +52,8 @@
     }
 
     /// Reads more bytes; returns `None` at the end of the connection.
-    fn fill(&mut self) -> Option<()> {
-        let mut bytes = [0; READ_SIZE];
+    fn read_more(&mut self) -> Option<()> {
+        let mut bytes = [0; READ_BUFFER_BYTES];
         let length = self
             .stream
             .read(&mut bytes)
@@ -64,14 +64,14 @@
     }
 
     /// Reads the next message; returns `None` at the end of the connection or after a protocol error.
-    fn hear(&mut self) -> Option<Message> {
+    fn read_message(&mut self) -> Option<Message> {
         loop {
             let read: Result<_, ProtocolError> = self
                 .decoder
-                .next_message(&mut self.input, |_| Some(MAX_MESSAGE));
+                .next_message(&mut self.input, |_| Some(MAX_MESSAGE_BYTES));
             match read.ok()? {
                 Some(message) => return Some(message),
-                None => self.fill()?,
+                None => self.read_more()?,
             }
         }
     }
--- a/crates/emulators/src/platform/pod.rs
+++ b/crates/emulators/src/platform/pod.rs
@@ -68,20 +68,20 @@
     pub fn new(script: Vec<Does>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let at = listener.local_addr().expect("the listener's address");
-        let (tell, seen) = channel();
-        let (go_on, word) = channel();
+        let (report, seen) = channel();
+        let (go_on, signal) = channel();
         let connections = Arc::new(AtomicUsize::new(0));
         let count = connections.clone();
         let script = Arc::new(PodScript::new(script));
-        let word = Arc::new(Mutex::new(word));
+        let signal = Arc::new(Mutex::new(signal));
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 count.fetch_add(1, Ordering::SeqCst);
-                let (tell, script, word) = (tell.clone(), script.clone(), word.clone());
+                let (report, script, signal) = (report.clone(), script.clone(), signal.clone());
                 std::thread::spawn(move || {
-                    serve(stream, &tell, &script, &word);
+                    serve(stream, &report, &script, &signal);
                     // The test may have ended.
-                    let _ = tell.send("gone".into());
+                    let _ = report.send("gone".into());
                 });
             }
         });
@@ -99,7 +99,7 @@
     /// Panics if none arrives in time.
     pub fn hears(&self) -> String {
         self.seen
-            .recv_timeout(super::PATIENCE)
+            .recv_timeout(super::READ_TIMEOUT)
             .expect("the pod hears something")
     }
 
--- a/crates/emulators/src/platform/pod_session.rs
+++ b/crates/emulators/src/platform/pod_session.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{error, write_answer, write_empty_answer};
 use super::pod::Does;
-use super::Link;
+use super::Connection;
 use crate::locks::lock;
 use bytes::{BufMut, BytesMut};
 use limewing_postgres_protocol::{decode, encode};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// How long a pod waits for a signal from the test.
-const WORD_TIMEOUT: Duration = Duration::from_secs(20);
+const SIGNAL_TIMEOUT: Duration = Duration::from_secs(20);
 /// The length of the ReadyForQuery message, which ends an answer.
 const READY_FOR_QUERY_LENGTH: usize = 6;
 
@@ -46,9 +46,9 @@
     /// Takes the next entry if it concerns the empty query before a statement.
     fn next_early(&self) -> Option<Does> {
         let mut script = lock(&self.0);
-        let is_early = |does: &&Does| {
+        let is_early = |entry: &&Does| {
             matches!(
-                does,
+                entry,
                 Does::ClosesEarly | Does::WaitsEarly | Does::LivesLater(_)
             )
         };
@@ -63,20 +63,20 @@
 /// Serves one connection to its end.
 pub(super) fn serve(
     stream: TcpStream,
-    tell: &Sender<String>,
+    report: &Sender<String>,
     script: &PodScript,
-    word: &Mutex<Receiver<()>>,
+    signal: &Mutex<Receiver<()>>,
 ) {
     let first = script.first();
-    let Some(link) = read_startup(stream) else {
+    let Some(connection) = read_startup(stream) else {
         return;
     };
     let mut session = PodSession {
-        link,
-        tell,
+        connection,
+        report,
         script,
-        word,
-        own: None,
+        signal,
+        reserved_entry: None,
         unsent: &[],
         last_answer: BytesMut::new(),
     };
@@ -85,12 +85,12 @@
 }
 
 struct PodSession<'a> {
-    link: Link,
-    tell: &'a Sender<String>,
+    connection: Connection,
+    report: &'a Sender<String>,
     script: &'a PodScript,
-    word: &'a Mutex<Receiver<()>>,
+    signal: &'a Mutex<Receiver<()>>,
     /// The entry that the empty query has set for the statement after it.
-    own: Option<Does>,
+    reserved_entry: Option<Does>,
     /// Bytes to send before the next answer.
     unsent: &'static [u8],
     last_answer: BytesMut,
@@ -101,7 +101,7 @@
     fn run(&mut self, first: Option<&Does>) -> Option<()> {
         self.start(first)?;
         loop {
-            let message = self.link.hear()?;
+            let message = self.connection.read_message()?;
             let text = decode::string(&message.body)?.to_owned();
             let unsent = std::mem::take(&mut self.unsent);
             self.send(unsent)?;
@@ -109,26 +109,29 @@
                 self.answer_empty()?;
                 continue;
             }
-            let does = self.own.take().unwrap_or_else(|| self.script.next());
-            self.tell(text);
-            let answer = self.answer(does)?;
+            let entry = self
+                .reserved_entry
+                .take()
+                .unwrap_or_else(|| self.script.next());
+            self.report(text);
+            let answer = self.answer(entry)?;
             self.send(&answer)?;
             self.last_answer = answer;
         }
     }
 
     fn send(&mut self, bytes: &[u8]) -> Option<()> {
-        self.link.stream.write_all(bytes).ok()
+        self.connection.stream.write_all(bytes).ok()
     }
 
-    fn tell(&self, what: impl Into<String>) {
+    fn report(&self, what: impl Into<String>) {
         // The test may have ended.
-        let _ = self.tell.send(what.into());
+        let _ = self.report.send(what.into());
     }
 
-    fn await_word(&self) {
+    fn await_signal(&self) {
         // If none arrives, the test reports the failure.
-        let _ = lock(self.word).recv_timeout(WORD_TIMEOUT);
+        let _ = lock(self.signal).recv_timeout(SIGNAL_TIMEOUT);
     }
 
     /// Starts the session. The startup message has been read before, so that a test can let the session start while the sidecar is
@@ -137,19 +140,19 @@
         match first {
             Some(Does::WelcomesWithMore) => {
                 self.script.remove_first();
-                write_session_start(&mut self.link, &[b'T', 0])?;
-                while self.link.hear().is_some() {}
+                write_session_start(&mut self.connection, &[b'T', 0])?;
+                while self.connection.read_message().is_some() {}
                 None
             }
             Some(Does::WelcomesLater) => {
                 self.script.remove_first();
-                self.tell("came");
-                self.await_word();
-                write_session_start(&mut self.link, &[])?;
-                self.tell("welcomed");
+                self.report("came");
+                self.await_signal();
+                write_session_start(&mut self.connection, &[])?;
+                self.report("welcomed");
                 Some(())
             }
-            _ => write_session_start(&mut self.link, &[]),
+            _ => write_session_start(&mut self.connection, &[]),
         }
     }
 
@@ -158,9 +161,9 @@
         match self.script.next_early() {
             Some(Does::ClosesEarly) => return None,
             Some(Does::LivesLater(value)) => {
-                self.tell("empty");
-                self.await_word();
-                self.own = Some(Does::Serves(value));
+                self.report("empty");
+                self.await_signal();
+                self.reserved_entry = Some(Does::Serves(value));
             }
             Some(_) => return Some(()),
             None => {}
@@ -171,12 +174,12 @@
     }
 
     /// Returns the answer, or the part of it that is still to be sent; `None` if the pod closes the connection.
-    fn answer(&mut self, does: Does) -> Option<BytesMut> {
+    fn answer(&mut self, entry: Does) -> Option<BytesMut> {
         let mut out = BytesMut::new();
-        match does {
+        match entry {
             Does::Serves(value) | Does::LivesLater(value) => write_answer(&mut out, value),
             Does::ServesThenSays(value, first, then) => {
-                self.serve_then_say(value, first)?;
+                self.send_unsolicited(value, first)?;
                 self.unsent = then;
             }
             Does::CopiesFirst(value) => {
@@ -191,19 +194,19 @@
                 write_answer(&mut out, value);
                 let ready = out.split_off(out.len() - READY_FOR_QUERY_LENGTH);
                 self.send(&out)?;
-                self.await_word();
+                self.await_signal();
                 return Some(ready);
             }
             Does::ServesLater(value) => {
-                self.await_word();
+                self.await_signal();
                 write_answer(&mut out, value);
             }
             Does::Halves(value) => {
                 write_answer(&mut out, value);
                 let rest = out.split_off(out.len() / 2);
                 self.send(&out)?;
-                self.tell("half");
-                self.await_word();
+                self.report("half");
+                self.await_signal();
                 return Some(rest);
             }
             Does::Errs(code) => out.put_slice(&error(code)),
@@ -222,51 +225,54 @@
         Some(out)
     }
 
-    fn serve_then_say(&mut self, value: &str, first: &[u8]) -> Option<()> {
+    fn send_unsolicited(&mut self, value: &str, first: &[u8]) -> Option<()> {
         let mut out = BytesMut::new();
         write_answer(&mut out, value);
         self.send(&out)?;
-        self.await_word();
+        self.await_signal();
         self.send(first)?;
-        self.tell("said");
+        self.report("said");
         Some(())
     }
 }
 
 /// Reads the startup message of a connection and starts its session.
-pub(super) fn accept_session(stream: TcpStream) -> Option<Link> {
-    let mut link = read_startup(stream)?;
-    write_session_start(&mut link, &[])?;
-    Some(link)
+pub(super) fn accept_session(stream: TcpStream) -> Option<Connection> {
+    let mut connection = read_startup(stream)?;
+    write_session_start(&mut connection, &[])?;
+    Some(connection)
 }
 
 /// Reads the startup message of a connection.
-fn read_startup(stream: TcpStream) -> Option<Link> {
-    let mut link = Link::new(stream).ok()?;
-    while decode::startup_packet(&mut link.input).ok()?.is_none() {
-        link.fill()?;
+fn read_startup(stream: TcpStream) -> Option<Connection> {
+    let mut connection = Connection::new(stream).ok()?;
+    while decode::startup_packet(&mut connection.input)
+        .ok()?
+        .is_none()
+    {
+        connection.read_more()?;
     }
-    Some(link)
+    Some(connection)
 }
 
 /// Starts the session of a connection, with these bytes appended in the same write.
-fn write_session_start(link: &mut Link, more: &[u8]) -> Option<()> {
+fn write_session_start(connection: &mut Connection, extra: &[u8]) -> Option<()> {
     let mut out = BytesMut::new();
     encode::session_start(&mut out, &[("server_version", "16.0")]);
-    out.extend_from_slice(more);
-    link.stream.write_all(&out).ok()
+    out.extend_from_slice(extra);
+    connection.stream.write_all(&out).ok()
 }
 
 /// Reads the next statement; answers empty queries before it.
-pub(super) fn read_statement(link: &mut Link) -> Option<String> {
+pub(super) fn read_statement(connection: &mut Connection) -> Option<String> {
     loop {
-        let message = link.hear()?;
+        let message = connection.read_message()?;
         let text = decode::string(&message.body)?;
         if !text.is_empty() {
             return Some(text.to_owned());
         }
         let mut out = BytesMut::new();
         write_empty_answer(&mut out);
-        link.stream.write_all(&out).ok()?;
+        connection.stream.write_all(&out).ok()?;
     }
 }
--- a/crates/emulators/src/platform/services.rs
+++ b/crates/emulators/src/platform/services.rs
@@ -10,9 +10,9 @@
 use std::vec::IntoIter;
 
 /// The head of a streamed response.
-const STREAM: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const STREAM_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// The size of the read buffer.
-const READ_SIZE: usize = 4096;
+const READ_BUFFER_BYTES: usize = 4096;
 
 /// The open streams, shared with the thread that accepts them.
 #[derive(Clone, Default)]
@@ -22,7 +22,7 @@
     /// Opens a stream that begins with this object.
     fn open(&self, mut stream: TcpStream, first: &str) {
         // The sidecar may have closed the connection.
-        let _ = stream.write_all(format!("{STREAM}{}", chunk(first)).as_bytes());
+        let _ = stream.write_all(format!("{STREAM_HEAD}{}", chunk(first)).as_bytes());
         lock(&self.0).push(stream);
     }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    fn cut(&self) {
+    fn close_all(&self) {
         for stream in lock(&self.0).drain(..) {
             // The sidecar may have closed the connection.
             let _ = stream.shutdown(Shutdown::Both);
@@ -48,7 +48,7 @@
 
 fn read_request(stream: &mut TcpStream) -> String {
     let mut text = String::new();
-    let mut bytes = [0; READ_SIZE];
+    let mut bytes = [0; READ_BUFFER_BYTES];
     while !text.contains("\r\n\r\n") || (text.starts_with("POST") && !text.ends_with('}')) {
         match stream.read(&mut bytes) {
             Ok(length @ 1..) => text.push_str(&String::from_utf8_lossy(&bytes[..length])),
@@ -82,7 +82,7 @@
     pub fn at(at: SocketAddr, first: String) -> Self {
         let listener = TcpListener::bind(at).expect("a free address");
         let at = listener.local_addr().expect("the listener's address");
-        let (tell, calls) = channel();
+        let (call_sender, calls) = channel();
         let streams = Streams::default();
         let opened = streams.clone();
         std::thread::spawn(move || {
@@ -90,7 +90,7 @@
                 let request = read_request(&mut stream);
                 opened.open(stream, &first);
                 // The test may have ended.
-                let _ = tell.send(request);
+                let _ = call_sender.send(request);
             }
         });
         Self { at, calls, streams }
@@ -101,7 +101,9 @@
     /// # Panics
     /// Panics if none arrives in time.
     pub fn is_asked(&self) -> String {
-        self.calls.recv_timeout(super::PATIENCE).expect("a watch")
+        self.calls
+            .recv_timeout(super::READ_TIMEOUT)
+            .expect("a watch")
     }
 
     /// Sends an object on all watches.
@@ -117,7 +119,7 @@
 
     /// Ends all watches.
     pub fn cuts(&self) {
-        self.streams.cut();
+        self.streams.close_all();
     }
 }
 
@@ -137,7 +139,7 @@
     /// The address at which it listens.
     pub at: SocketAddr,
     /// One message for each stream that was opened.
-    streamed: Receiver<()>,
+    opened_streams: Receiver<()>,
     votes: Receiver<String>,
     streams: Streams,
 }
@@ -151,16 +153,16 @@
     pub fn new(first: &str, script: Vec<Vote>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let at = listener.local_addr().expect("the listener's address");
-        let (tell_vote, votes) = channel();
-        let (tell_stream, streamed) = channel();
+        let (vote_sender, votes) = channel();
+        let (stream_sender, opened_streams) = channel();
         let streams = Streams::default();
         let mut service = RolloutThread {
             first: first.to_owned(),
             script: script.into_iter().peekable(),
             unanswered: Vec::new(),
             streams: streams.clone(),
-            tell_vote,
-            tell_stream,
+            vote_sender,
+            stream_sender,
         };
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -169,7 +171,7 @@
         });
         Self {
             at,
-            streamed,
+            opened_streams,
             votes,
             streams,
         }
@@ -180,8 +182,8 @@
     /// # Panics
     /// Panics if none is opened in time.
     pub fn is_asked(&self) {
-        self.streamed
-            .recv_timeout(super::PATIENCE)
+        self.opened_streams
+            .recv_timeout(super::READ_TIMEOUT)
             .expect("a stream");
     }
 
@@ -198,7 +200,7 @@
 
     /// Ends all streams.
     pub fn cuts(&self) {
-        self.streams.cut();
+        self.streams.close_all();
     }
 }
 
@@ -208,8 +210,8 @@
     /// The connections of votes that are never answered.
     unanswered: Vec<TcpStream>,
     streams: Streams,
-    tell_vote: Sender<String>,
-    tell_stream: Sender<()>,
+    vote_sender: Sender<String>,
+    stream_sender: Sender<()>,
 }
 
 impl RolloutThread {
@@ -218,11 +220,11 @@
         if request.starts_with("GET /v1/events") {
             self.streams.open(stream, &self.first);
             // The test may have ended.
-            let _ = self.tell_stream.send(());
+            let _ = self.stream_sender.send(());
         } else if !request.is_empty() {
             self.answer_vote(stream);
             // The test may have ended.
-            let _ = self.tell_vote.send(request);
+            let _ = self.vote_sender.send(request);
         }
     }
 
--- a/crates/emulators/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -21,9 +21,9 @@
 use std::time::Duration;
 
 /// The number of a pod's cores.
-const CAPACITY: f64 = 4.0;
+const POD_CORES: f64 = 4.0;
 /// The number of the endpoint list in the sidecars' configuration.
-const FIRST_LIST: u64 = 7;
+const INITIAL_LIST_NUMBER: u64 = 7;
 
 struct ListedPod {
     pod: Arc<WorldPod>,
@@ -55,7 +55,8 @@
             limits,
         });
         // Each watch begins with an empty update of the list that the sidecar already knows (`since`), until a test sends a new list.
-        let discovery = (0..sidecars).map(|_| Discovery::new(listing(FIRST_LIST, false, &[])));
+        let discovery =
+            (0..sidecars).map(|_| Discovery::new(listing(INITIAL_LIST_NUMBER, false, &[])));
         let released = state(1, 0, "Healthy", 1.0);
         let first = format!(r#"{{"type":"news","object":{released}}}"#);
         let rollouts =
@@ -66,7 +67,7 @@
             executed: Arc::default(),
             discovery: discovery.collect(),
             rollouts: rollouts.collect(),
-            list_number: FIRST_LIST,
+            list_number: INITIAL_LIST_NUMBER,
             stage_number: 0,
             seed,
         }
@@ -110,7 +111,7 @@
     ///
     /// # Panics
     /// Panics if no port is free.
-    pub fn pod(&mut self, build: u16, cold: bool, faults: Faults) -> usize {
+    pub fn pod(&mut self, build: u16, warming_up: bool, faults: Faults) -> usize {
         let number = self.pods.len();
         let id = PodId(number as u32);
         let seed = self.seed ^ u64::from(id.0) << 32;
@@ -127,8 +128,8 @@
             build,
             zone: 0,
             cell: 0,
-            capacity: CAPACITY,
-            warming_up: cold,
+            capacity: POD_CORES,
+            warming_up: warming_up,
         });
         let sidecars = 0..self.discovery.len() as u32;
         let addresses = sidecars.map(|sidecar| listen_for(&pod, SidecarId(sidecar)));
--- a/crates/emulators/src/platform/world_client.rs
+++ b/crates/emulators/src/platform/world_client.rs
@@ -77,7 +77,7 @@
         let written = client.asks(&self.statement(request, class));
         let answer = if written { client.hears() } else { Answer::End };
         match answer {
-            Answer::Row(value) => return self.row_came(attempt, &value),
+            Answer::Row(value) => return self.handle_row(attempt, &value),
             Answer::Error(code, _) if REJECTION_CODES.contains(&code.as_str()) => {
                 self.record_answer(attempt, FinalAnswer::Rejected, None);
                 std::thread::sleep(BACKOFF);
@@ -106,7 +106,7 @@
     }
 
     /// Records a row: it counts as delivered only if it carries the identifier of this request.
-    fn row_came(&self, attempt: AttemptKey, value: &str) -> Exchange {
+    fn handle_row(&self, attempt: AttemptKey, value: &str) -> Exchange {
         let (id, build) = value.split_once('-').unwrap_or_default();
         if id == format!("{:016x}", attempt.request.0) {
             self.record_answer(attempt, FinalAnswer::Delivered, build.parse().ok());
--- a/crates/emulators/src/platform/world_pod.rs
+++ b/crates/emulators/src/platform/world_pod.rs
@@ -3,7 +3,7 @@
 use super::messages::{answer, error};
 use super::pod_session::{accept_session, read_statement};
 use super::world_record::WorldRecord;
-use super::Link;
+use super::Connection;
 use crate::locks::lock;
 use limewing_rule_checker::record::{AttemptKey, Event, PodId, RequestId, SidecarId};
 use rand::rngs::StdRng;
@@ -90,9 +90,9 @@
 impl WorldPod {
     /// Serves a connection of a sidecar until it ends.
     pub(super) fn serve(&self, stream: TcpStream, sidecar: SidecarId) -> Option<()> {
-        let mut link = accept_session(stream)?;
+        let mut connection = accept_session(stream)?;
         loop {
-            let text = read_statement(&mut link)?;
+            let text = read_statement(&mut connection)?;
             let request = parse(&text)?;
             self.record.append(Event::ForwardArrived {
                 pod: self.id,
@@ -101,17 +101,17 @@
                 class: request.class,
                 work: WORK,
             });
-            self.run(&mut link, &request)?;
+            self.run(&mut connection, &request)?;
         }
     }
 
-    fn run(&self, link: &mut Link, request: &StatementRequest) -> Option<()> {
+    fn run(&self, connection: &mut Connection, request: &StatementRequest) -> Option<()> {
         let pod = self.id;
         let attempt = request.attempt;
         let (fault, run_time) = self.draw();
         if matches!(fault, Some(StatementFault::Rejects)) {
             self.record.append(Event::ForwardRejected { pod, attempt });
-            return link.stream.write_all(&error("53300")).ok();
+            return connection.stream.write_all(&error("53300")).ok();
         }
         std::thread::sleep(run_time);
         // A repeated keyed request takes no second effect.
@@ -129,7 +129,7 @@
             Some(_) => error("XX000"),
             None => answer(&format!("{}-{}", request.id, self.build)),
         };
-        link.stream.write_all(&bytes).ok()
+        connection.stream.write_all(&bytes).ok()
     }
 
     fn draw(&self) -> (Option<StatementFault>, Duration) {
