--- a/crates/emulators/tests/coordination_trial.rs
+++ b/crates/emulators/tests/coordination_trial.rs
@@ -63,7 +63,10 @@
 #[case::one_fleet(true, 1)]
 #[case::two_halves(true, 2)]
 #[case::five_parts(true, 5)]
-fn a_warming_pod_gets_no_more_than_its_multiple(#[case] coordination: bool, #[case] parts: usize) {
+fn a_warming_pod_stays_within_its_overload_multiple(
+    #[case] coordination: bool,
+    #[case] parts: usize,
+) {
     for seed in 1..4 {
         let partition = TrialPartition { at: s(5), parts };
         let result = run_trial(&TrialPlan {
@@ -80,7 +83,7 @@
 
 /// Coordinated sidecars send few probes to a pod that is down, and detect its return soon.
 #[test]
-fn few_probe_a_pod_that_is_gone() {
+fn few_sidecars_probe_a_pod_that_is_down() {
     let [with, without] = [true, false].map(|coordination| {
         run_trial(&TrialPlan {
             outage: Some(PodOutage {
@@ -94,12 +97,13 @@
     });
     print_result("with", &with);
     print_result("without", &without);
-    let late = |result: &TrialResult| result.attempts_in_outage[3..].iter().sum::<usize>();
+    let attempts_after_detection =
+        |result: &TrialResult| result.attempts_in_outage[3..].iter().sum::<usize>();
     assert!(
-        late(&with) * 2 < late(&without),
+        attempts_after_detection(&with) * 2 < attempts_after_detection(&without),
         "{} {}",
-        late(&with),
-        late(&without)
+        attempts_after_detection(&with),
+        attempts_after_detection(&without)
     );
     assert!(
         with.recovery_time.is_some_and(|wait| wait < s(4)),
--- a/crates/emulators/tests/fault_text.rs
+++ b/crates/emulators/tests/fault_text.rs
@@ -42,7 +42,7 @@
     r#"{"worthless": {"customer": "acme", "per_s": 20.5}}"#,
     "Worthless { customer: \"acme\", per_s: 20.5 }"
 )]
-fn a_fault_is_named_by_the_words_of_the_record(#[case] setting: &str, #[case] text: &str) {
+fn a_fault_has_its_text_of_the_record(#[case] setting: &str, #[case] text: &str) {
     let fault: DayFault = serde_json::from_str(setting).unwrap();
     assert_eq!(fault.to_string(), text);
 }
--- a/crates/emulators/tests/fleet.rs
+++ b/crates/emulators/tests/fleet.rs
@@ -21,7 +21,7 @@
     };
     let steps = steps
         .into_iter()
-        .map(|(at, does)| ScriptStep { at, fault: does })
+        .map(|(at, fault)| ScriptStep { at, fault })
         .collect();
     Script {
         name: "drawn".into(),
@@ -33,7 +33,7 @@
     }
 }
 
-fn cut(from: (f64, f64), to: (f64, f64), one_way: bool) -> Fault {
+fn partition(from: (f64, f64), to: (f64, f64), one_way: bool) -> Fault {
     Fault::Partition {
         from: Selector::Fraction(from.0, from.1),
         to: Selector::Fraction(to.0, to.1),
@@ -41,61 +41,64 @@
     }
 }
 
-fn world(members: usize, script: &Script) -> Simulation<Member> {
+fn simulation(members: usize, script: &Script) -> Simulation<Member> {
     assert_eq!(script.config_errors(), []);
     Simulation::new(script, members)
 }
 
-const AGREED: Views = Views {
+const CONSISTENT: Views = Views {
     missing: 0,
     ghosts: 0,
 };
 
 /// Runs until each running member considers exactly the running members to run, and returns how long that takes; fails after `most`
 /// seconds.
-fn agrees(world: &mut Simulation<Member>, most: f64) -> Duration {
-    let from = world.now();
-    while views(world) != AGREED {
+fn run_until_consistent(simulation: &mut Simulation<Member>, max_seconds: f64) -> Duration {
+    let from = simulation.now();
+    while views(simulation) != CONSISTENT {
         assert!(
-            world.now() < from + s(most),
-            "{:?} after {most} s",
-            views(world)
+            simulation.now() < from + s(max_seconds),
+            "{:?} after {max_seconds} s",
+            views(simulation)
         );
-        world.run_until(world.now() + s(0.5));
+        simulation.run_until(simulation.now() + s(0.5));
     }
-    world.now() - from
+    simulation.now() - from
 }
 
 #[rstest]
 #[case::two(2, 5.0)]
 #[case::twelve(12, 15.0)]
 #[case::hundred(100, 30.0)]
-fn a_fleet_that_starts_at_once_knows_itself(#[case] members: usize, #[case] most: f64) {
-    agrees(&mut world(members, &script(0.0, 100.0, vec![])), most);
+fn members_started_at_once_find_each_other(#[case] members: usize, #[case] max_seconds: f64) {
+    run_until_consistent(
+        &mut simulation(members, &script(0.0, 100.0, vec![])),
+        max_seconds,
+    );
 }
 
 /// A loss of one in twenty datagrams in both directions for ten minutes causes no false deaths.
 #[rstest]
 #[case::twelve(12)]
 #[case::sixty(60)]
-fn loss_alone_kills_nobody(#[case] members: usize) {
-    let mut world = world(members, &script(0.05, 600.0, vec![]));
-    world.run_until(s(600.0));
-    assert_eq!(deaths(&world).len(), 0);
-    assert_eq!(views(&world), AGREED);
+fn packet_loss_causes_no_deaths(#[case] members: usize) {
+    let mut simulation = simulation(members, &script(0.05, 600.0, vec![]));
+    simulation.run_until(s(600.0));
+    assert_eq!(deaths(&simulation).len(), 0);
+    assert_eq!(views(&simulation), CONSISTENT);
 }
 
 /// After the last fault is over, all views agree again within 90 seconds.
 #[rstest]
-#[case::a_half_cut_off(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (40.0, Fault::HealPartitions)], 40.0)]
-#[case::a_half_cut_off_for_long(vec![(30.0, cut((0.0, 0.5), (0.5, 1.0), false)), (150.0, Fault::HealPartitions)], 150.0)]
-#[case::one_way(vec![(30.0, cut((0.0, 0.2), (0.2, 1.0), true)), (60.0, Fault::HealPartitions)], 60.0)]
-#[case::one_alone(vec![(30.0, cut((0.0, 0.05), (0.05, 1.0), false)), (150.0, Fault::HealPartitions)], 150.0)]
-#[case::seven_in_ten_killed(vec![(30.0, Fault::Kill(Selector::Fraction(0.3, 1.0)))], 30.0)]
-#[case::killed_and_back(
+#[case::half_partitioned(vec![(30.0, partition((0.0, 0.5), (0.5, 1.0), false)), (40.0, Fault::HealPartitions)], 40.0)]
+#[case::half_partitioned_for_long(vec![(30.0, partition((0.0, 0.5), (0.5, 1.0), false)), (150.0, Fault::HealPartitions)], 150.0)]
+#[case::one_way(vec![(30.0, partition((0.0, 0.2), (0.2, 1.0), true)), (60.0, Fault::HealPartitions)], 60.0)]
+#[case::one_partitioned(vec![(30.0, partition((0.0, 0.05), (0.05, 1.0), false)), (150.0, Fault::HealPartitions)], 150.0)]
+#[case::seventy_percent_killed(vec![(30.0, Fault::Kill(Selector::Fraction(0.3, 1.0)))], 30.0)]
+#[case::killed_and_restarted(
     vec![(30.0, Fault::Kill(Selector::Fraction(0.3, 1.0))), (33.0, Fault::Start(Selector::Fraction(0.3, 1.0)))], 33.0
 )]
-#[case::rolled_by_tenths(
+#[case::rolling_restart_by_tenths(
     (0..10).flat_map(|n| {
         let who = || Selector::Fraction(n as f64 / 10.0, (n + 1) as f64 / 10.0);
         [(30.0 + 3.0 * n as f64, Fault::Leave(who())), (32.0 + 3.0 * n as f64, Fault::Start(who()))]
@@ -103,7 +106,7 @@
     60.0
 )]
 #[case::noise(vec![(30.0, Fault::SendNoise { to: Selector::All, datagrams: 500 })], 30.0)]
-#[case::corrupted_doubled_and_slow(
+#[case::corrupted_duplicated_and_slow(
     vec![
         (10.0, Fault::ChangeLinks {
             from: Selector::All, to: Selector::All,
@@ -113,51 +116,51 @@
     ],
     60.0
 )]
-fn all_agree_again(#[case] steps: Vec<(f64, Fault)>, #[case] over: f64) {
+fn views_agree_after_faults(#[case] steps: Vec<(f64, Fault)>, #[case] over: f64) {
     for members in [6, 40] {
-        let mut world = world(members, &script(0.01, 400.0, steps.clone()));
-        world.run_until(s(over));
-        agrees(&mut world, 90.0);
+        let mut simulation = simulation(members, &script(0.01, 400.0, steps.clone()));
+        simulation.run_until(s(over));
+        run_until_consistent(&mut simulation, 90.0);
     }
 }
 
 /// A member that was suspended for three seconds continues without events: it suspects nobody, and is not declared dead.
 #[test]
-fn one_that_stood_still_blames_nobody() {
-    let stands = vec![
+fn a_suspended_member_suspects_nobody() {
+    let suspension = vec![
         (30.0, Fault::Suspend(Selector::Numbers(vec![4]))),
         (33.0, Fault::Resume(Selector::Numbers(vec![4]))),
     ];
-    let mut world = world(12, &script(0.0, 100.0, stands));
-    world.run_until(s(80.0));
-    assert_eq!(deaths(&world).len(), 0);
-    let said = world
+    let mut simulation = simulation(12, &script(0.0, 100.0, suspension));
+    simulation.run_until(s(80.0));
+    assert_eq!(deaths(&simulation).len(), 0);
+    let event_count = simulation
         .member(4)
         .map(|member| member.events.iter().filter(|(at, _)| *at > s(30.0)).count());
-    assert_eq!(said, Some(0));
+    assert_eq!(event_count, Some(0));
 }
 
 /// A fleet grows from three to twelve members and shrinks again, under loss.
 #[test]
 fn a_fleet_grows_and_shrinks() {
-    let late = || Selector::Fraction(0.25, 1.0);
+    let later_members = || Selector::Fraction(0.25, 1.0);
     let steps = vec![
-        (0.0, Fault::Kill(late())),
-        (20.0, Fault::Start(late())),
-        (60.0, Fault::Leave(late())),
+        (0.0, Fault::Kill(later_members())),
+        (20.0, Fault::Start(later_members())),
+        (60.0, Fault::Leave(later_members())),
     ];
-    let mut world = world(12, &script(0.02, 200.0, steps));
-    world.run_until(s(19.0));
-    agrees(&mut world, 30.0);
-    world.run_until(s(59.0));
-    assert_eq!(views(&world), AGREED);
-    world.run_until(s(60.1));
-    agrees(&mut world, 30.0);
+    let mut simulation = simulation(12, &script(0.02, 200.0, steps));
+    simulation.run_until(s(19.0));
+    run_until_consistent(&mut simulation, 30.0);
+    simulation.run_until(s(59.0));
+    assert_eq!(views(&simulation), CONSISTENT);
+    simulation.run_until(s(60.1));
+    run_until_consistent(&mut simulation, 30.0);
 }
 
 /// Keys are rotated in three steps, in one half of the members after the other, under loss and with clocks ten seconds off.
 #[test]
-fn keys_are_changed_in_turn() {
+fn key_rotation_causes_no_deaths() {
     let half = |n: usize| Selector::Fraction(n as f64 / 2.0, (n + 1) as f64 / 2.0);
     let step = |turn: usize, ids: &[u8]| {
         let at = 20.0 + 10.0 * turn as f64;
@@ -183,30 +186,30 @@
             seconds: -10.0,
         },
     ];
-    let mut world = world(24, &script);
-    world.run_until(s(120.0));
-    assert_eq!(deaths(&world).len(), 0);
-    assert_eq!(views(&world), AGREED);
+    let mut simulation = simulation(24, &script);
+    simulation.run_until(s(120.0));
+    assert_eq!(deaths(&simulation).len(), 0);
+    assert_eq!(views(&simulation), CONSISTENT);
 }
 
 /// A member whose clock is off by more than the maximum age of datagrams neither accepts datagrams of others nor has its own accepted.
 #[test]
-fn a_clock_that_is_far_off_is_alone() {
+fn a_member_with_a_wrong_clock_is_isolated() {
     let mut script = script(0.0, 200.0, vec![]);
     script.clock_offsets = vec![ClockOffset {
         members: Selector::Numbers(vec![3]),
         seconds: 40.0,
     }];
-    let mut world = world(6, &script);
-    world.run_until(s(60.0));
-    assert_eq!(views(&world).missing, 10);
+    let mut simulation = simulation(6, &script);
+    simulation.run_until(s(60.0));
+    assert_eq!(views(&simulation).missing, 10);
 }
 
 /// Two runs of the same script give the same traffic and deaths.
 #[test]
-fn a_run_is_the_same_each_time() {
+fn runs_are_deterministic() {
     let run = || {
-        let mut world = world(
+        let mut simulation = simulation(
             20,
             &script(
                 0.2,
@@ -214,28 +217,32 @@
                 vec![(20.0, Fault::Kill(Selector::Fraction(0.5, 1.0)))],
             ),
         );
-        world.run_until(s(60.0));
-        (world.traffic(), deaths(&world))
+        simulation.run_until(s(60.0));
+        (simulation.traffic(), deaths(&simulation))
     };
     assert_eq!(run(), run());
 }
 
 /// In a lasting partition, each half declares all of the other half dead.
 #[test]
-fn a_cut_that_stays_is_seen_as_deaths() {
-    let mut world = world(
+fn a_lasting_partition_is_seen_as_deaths() {
+    let mut simulation = simulation(
         12,
-        &script(0.0, 200.0, vec![(20.0, cut((0.0, 0.5), (0.5, 1.0), false))]),
+        &script(
+            0.0,
+            200.0,
+            vec![(20.0, partition((0.0, 0.5), (0.5, 1.0), false))],
+        ),
     );
-    world.run_until(s(120.0));
-    assert_eq!(deaths(&world).len(), 12);
-    assert_eq!(views(&world).missing, 2 * 6 * 6);
+    simulation.run_until(s(120.0));
+    assert_eq!(deaths(&simulation).len(), 12);
+    assert_eq!(views(&simulation).missing, 2 * 6 * 6);
 }
 
 /// A member that publishes its number and how often it was started.
-struct Posting(Member, u8);
+struct PublishingMember(Member, u8);
 
-impl SimulatedMember for Posting {
+impl SimulatedMember for PublishingMember {
     fn start(number: usize, start: u32, now: Duration, ahead: f64) -> Self {
         let mut member = Member::start(number, start, now, ahead);
         assert!(
@@ -271,32 +278,34 @@
 
 /// Published data reaches all members under loss, restarts and a partition; that of a dead member can't be read.
 #[rstest]
-#[case::at_once(vec![], 30.0)]
-#[case::some_started_anew(
+#[case::without_faults(vec![], 30.0)]
+#[case::half_restarted(
     vec![(20.0, Fault::Kill(Selector::Fraction(0.5, 1.0))), (22.0, Fault::Start(Selector::Fraction(0.5, 1.0)))], 60.0
 )]
-#[case::started_in_a_cut(
+#[case::restarted_during_partition(
     vec![
-        (20.0, cut((0.0, 0.5), (0.5, 1.0), false)),
+        (20.0, partition((0.0, 0.5), (0.5, 1.0), false)),
         (25.0, Fault::Kill(Selector::Numbers(vec![1]))),
         (26.0, Fault::Start(Selector::Numbers(vec![1]))),
         (60.0, Fault::HealPartitions),
     ],
     130.0
 )]
-#[case::one_is_gone(vec![(20.0, Fault::Kill(Selector::Numbers(vec![3])))], 90.0)]
-fn what_is_put_up_reaches_all(#[case] steps: Vec<(f64, Fault)>, #[case] by: f64) {
+#[case::one_killed(vec![(20.0, Fault::Kill(Selector::Numbers(vec![3])))], 90.0)]
+fn published_data_reaches_all_members(#[case] steps: Vec<(f64, Fault)>, #[case] by: f64) {
     let script = script(0.05, 200.0, steps);
-    let mut world: Simulation<Posting> = Simulation::new(&script, 24);
-    world.run_until(s(by));
-    for reader in (0..24).filter(|n| world.member(*n).is_some()) {
+    let mut simulation: Simulation<PublishingMember> = Simulation::new(&script, 24);
+    simulation.run_until(s(by));
+    for reader in (0..24).filter(|n| simulation.member(*n).is_some()) {
         for other in (0..24).filter(|n| *n != reader) {
             let name = format!("s{other}").try_into().unwrap();
-            let read = world
+            let read = simulation
                 .member(reader)
-                .and_then(|core| core.0.membership.published_by(&name));
+                .and_then(|member| member.0.membership.published_by(&name));
             let found = read.map(|(bytes, _)| bytes.to_vec());
-            let expected = world.member(other).map(|core| vec![other as u8, core.1]);
+            let expected = simulation
+                .member(other)
+                .map(|member| vec![other as u8, member.1]);
             assert_eq!(found, expected, "s{other} as read by s{reader}");
         }
     }
--- a/crates/emulators/tests/golden.rs
+++ b/crates/emulators/tests/golden.rs
@@ -41,7 +41,7 @@
     }
 }
 
-fn reads_and_writes_the_same<T: Serialize + DeserializeOwned>(file: &Path) {
+fn assert_round_trip<T: Serialize + DeserializeOwned>(file: &Path) {
     let text = std::fs::read_to_string(file).unwrap();
     let of_file: Value = serde_json::from_str(&text).unwrap();
     let read: T =
@@ -64,19 +64,19 @@
 }
 
 #[test]
-fn every_day_is_read_and_written_the_same() {
+fn every_day_survives_a_round_trip() {
     let files = files_in("days");
     assert!(files.len() >= 16, "{files:?}");
     for file in files {
-        reads_and_writes_the_same::<DayScript>(&file);
+        assert_round_trip::<DayScript>(&file);
     }
 }
 
 #[test]
-fn every_script_of_faults_is_read_and_written_the_same() {
+fn every_fault_script_survives_a_round_trip() {
     let files = files_in("fleets");
     assert!(files.len() >= 9, "{files:?}");
     for file in files {
-        reads_and_writes_the_same::<Script>(&file);
+        assert_round_trip::<Script>(&file);
     }
 }
--- a/crates/emulators/tests/models.rs
+++ b/crates/emulators/tests/models.rs
@@ -18,9 +18,9 @@
 }
 
 /// Whether each request with the same key takes effect, given the times of their begin.
-fn effects(begins: &[u64]) -> Vec<bool> {
+fn effects(begin_times: &[u64]) -> Vec<bool> {
     let mut memory = DeduplicationMemory::default();
-    begins
+    begin_times
         .iter()
         .map(|at| memory.begin(key(0, 0), ms(3000), ms(*at)))
         .collect()
@@ -30,8 +30,8 @@
 #[case::begun_again_at_once(&[0, 1], &[true, false])]
 #[case::begun_again_in_the_last_moment(&[0, 2999], &[true, false])]
 #[case::a_repeat_does_not_prolong_the_window(&[0, 2000, 3000], &[true, false, true])]
-fn a_key_is_known_for_its_window(#[case] begins: &[u64], #[case] want: &[bool]) {
-    assert_eq!(effects(begins), want);
+fn a_key_is_known_for_its_window(#[case] begin_times: &[u64], #[case] expected: &[bool]) {
+    assert_eq!(effects(begin_times), expected);
 }
 
 #[rstest]
@@ -68,18 +68,18 @@
 fn pods_that_warm_up_are_slow_at_first(
     #[case] warming_up: bool,
     #[case] now: u64,
-    #[case] takes: u64,
+    #[case] expected_ms: u64,
 ) {
     let begun = pod(warming_up).arrive(1, ms(100), ms(9000), ms(now));
-    assert_eq!(begun, Arrival::Begun(1, ms(now + takes)));
+    assert_eq!(begun, Arrival::Begun(1, ms(now + expected_ms)));
 }
 
 #[rstest]
 #[case::in_time(100, Dequeued::Begun(2, ms(150)))]
 #[case::expired(99, Dequeued::Expired(2))]
-fn a_request_that_waited_begins_only_in_time(#[case] ended: u64, #[case] want: Dequeued<u8>) {
+fn a_request_that_waited_begins_only_in_time(#[case] ended: u64, #[case] expected: Dequeued<u8>) {
     let mut pod = pod(false);
-    let deadline = if matches!(want, Dequeued::Expired(_)) {
+    let deadline = if matches!(expected, Dequeued::Expired(_)) {
         ms(ended)
     } else {
         ms(ended + 1)
@@ -91,7 +91,7 @@
     assert_eq!(pod.arrive(2, ms(50), deadline, ms(0)), Arrival::Queued);
     assert_eq!(pod.arrive(3, ms(50), ms(9000), ms(0)), Arrival::Rejected(3));
     pod.finish();
-    assert_eq!(pod.dequeue(ms(ended)), Some(want));
+    assert_eq!(pod.dequeue(ms(ended)), Some(expected));
 }
 
 #[rstest]
