--- a/crates/emulators/src/day/faults.rs
+++ b/crates/emulators/src/day/faults.rs
@@ -1,4 +1,4 @@
-//! The scripted faults of a day: what begins and ends with them, and which of them are active.
+//! The scripted faults of a day: their start and end, and queries of the active ones.
 
 use super::dispatch::TimerEvent;
 use super::event_loop::Day;
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Faults that are active hold for pods that start during them too.
+    /// Applies the active faults to pods, so that they affect pods that start meanwhile, too.
     pub(super) fn apply_pod_faults(&mut self) {
         let active: Vec<DayFault> = self.active_faults.values().cloned().collect();
         for fault in active {
@@ -76,16 +76,16 @@
         }
     }
 
-    pub(super) fn has_fault(&self, fits: impl Fn(&DayFault) -> bool) -> bool {
-        self.active_faults.values().any(fits)
+    pub(super) fn has_fault(&self, predicate: impl Fn(&DayFault) -> bool) -> bool {
+        self.active_faults.values().any(predicate)
     }
 
-    /// What the first active fault that fits says.
+    /// Returns what `pick` finds in the first active fault that matches.
     pub(super) fn find_fault<T>(&self, pick: impl Fn(&DayFault) -> Option<T>) -> Option<T> {
         self.active_faults.values().find_map(pick)
     }
 
-    /// Whether nothing passes between two zones.
+    /// Whether two zones are partitioned from each other.
     pub(super) fn is_partitioned(&self, one: &str, other: &str) -> bool {
         let cuts = |fault: &DayFault| matches!(fault, DayFault::ZonePartitioned(cut) if cut == one || cut == other);
         one != other && self.has_fault(cuts)
@@ -98,8 +98,8 @@
             .map_or("", String::as_str)
     }
 
-    /// Whether a sidecar reaches neither the endpoint list nor the rollout service, which are in the first zone.
-    pub(super) fn is_cut_off(&self, sidecar: SidecarId) -> bool {
+    /// Whether a sidecar is partitioned from the endpoint list and the rollout service, which are in the first zone.
+    pub(super) fn is_partitioned_from_services(&self, sidecar: SidecarId) -> bool {
         self.is_partitioned(self.zone_of(sidecar), &self.script.fleet.zones[0])
     }
 }
--- a/crates/emulators/src/day/maintenance_agents.rs
+++ b/crates/emulators/src/day/maintenance_agents.rs
@@ -1,5 +1,5 @@
-//! The operator and the machines' agents: a thread of its own reads the sidecars' maintenance page and posts to it, until what was
-//! posted shows.
+//! The operator and the machines' agents: a separate thread polls the sidecars' maintenance page, and repeats each post until a view
+//! reflects it.
 
 use crate::fleet::call;
 use crate::rollout::SlotId;
@@ -11,39 +11,39 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often a page is read.
+/// How often a page is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// What has not shown yet is posted again after this.
+/// The interval after which a post that no view reflects yet is repeated.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// The page that says how maintenance stands, and takes requests.
-const PAGE: &str = "/limewing/work";
-/// What the page calls a machine that is out.
-const OUT: &str = "out";
+/// The page that shows the state of maintenance and accepts requests.
+const MAINTENANCE_PAGE: &str = "/limewing/work";
+/// The phase in which the page reports a machine that is out of service.
+const OUT_PHASE: &str = "out";
 
-/// What the thread is to post.
+/// A message for the thread to post.
 pub(super) enum Post {
     Operator(OperatorAction),
     Report { grant: u64, report: WorkReport },
     EndThread,
 }
 
-/// The day's side of the thread.
+/// The event loop's handle to the thread.
 pub(super) struct MaintenanceAgents {
     posts: Sender<Post>,
     pub(super) views: Receiver<MaintenanceView>,
     thread: Option<JoinHandle<()>>,
-    /// The machine of each grant that is or was out, by its first slot.
+    /// The machine of each grant that is or was out of service, by its first slot.
     pub(super) machines: BTreeMap<u64, SlotId>,
 }
 
 impl MaintenanceAgents {
     pub(super) fn start(sidecars: Vec<SocketAddr>) -> Self {
-        let (posts, posted) = channel();
-        let (publish, views) = channel();
+        let (posts, post_receiver) = channel();
+        let (view_sender, views) = channel();
         let mut poller = Poller {
             sidecars,
-            posts: posted,
-            views: publish,
+            posts: post_receiver,
+            views: view_sender,
             pending: Vec::new(),
             list: None,
         };
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn post(&self, post: Post) {
-        // The thread ends with the day alone.
+        // Sending can't fail before the end of the day, as the thread runs until then.
         let _ = self.posts.send(post);
     }
 }
@@ -66,13 +66,13 @@
     fn drop(&mut self) {
         self.post(Post::EndThread);
         if let Some(thread) = self.thread.take() {
-            // A panic of it has been printed.
+            // The panic message, if any, is already printed.
             let _ = thread.join();
         }
     }
 }
 
-/// Something to post, until it shows.
+/// A post that no view reflects yet.
 struct Pending {
     post: Post,
     posted_at: Option<Instant>,
@@ -83,20 +83,20 @@
     posts: Receiver<Post>,
     views: Sender<MaintenanceView>,
     pending: Vec<Pending>,
-    /// The list that was requested last.
+    /// The list that was created last.
     list: Option<u64>,
 }
 
 impl Poller {
     fn run(&mut self) {
-        let mut turn = 0;
-        while self.take_posts() {
-            turn += 1;
-            let sidecar = self.sidecars[turn % self.sidecars.len()];
-            // A sidecar that is down or suspended is passed over.
+        let mut poll_count = 0;
+        while self.receive_posts() {
+            poll_count += 1;
+            let sidecar = self.sidecars[poll_count % self.sidecars.len()];
+            // A sidecar that is down or suspended is skipped.
             if let Some(view) = read_view(sidecar) {
                 self.pending.retain(|pending| {
-                    pending.posted_at.is_none() || !shows(&view, &pending.post, self.list)
+                    pending.posted_at.is_none() || !is_reflected_in(&view, &pending.post, self.list)
                 });
                 let _ = self.views.send(view);
                 self.post_pending(sidecar);
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Returns whether the thread goes on.
-    fn take_posts(&mut self) -> bool {
+    /// Receives new posts; returns whether the thread continues.
+    fn receive_posts(&mut self) -> bool {
         for post in self.posts.try_iter() {
             if matches!(post, Post::EndThread) {
                 return false;
@@ -132,7 +132,7 @@
                 continue;
             };
             let body = serde_json::to_string(&request).unwrap_or_default();
-            if let Ok(answer) = call(sidecar, "POST", PAGE, &body) {
+            if let Ok(answer) = call(sidecar, "POST", MAINTENANCE_PAGE, &body) {
                 pending.posted_at = Some(now);
                 let answer = serde_json::from_str::<serde_json::Value>(&answer).ok();
                 let list = answer.and_then(|answer| answer["list"].as_u64());
@@ -143,7 +143,7 @@
 }
 
 fn read_view(sidecar: SocketAddr) -> Option<MaintenanceView> {
-    let text = call(sidecar, "GET", PAGE, "").ok()?;
+    let text = call(sidecar, "GET", MAINTENANCE_PAGE, "").ok()?;
     serde_json::from_str(&text).ok()
 }
 
@@ -159,7 +159,7 @@
         Post::EndThread => return None,
     };
     match action {
-        // Requested once: again it would be another list.
+        // Requested only once, as a repetition would create another list.
         OperatorAction::Request(_) if pending.posted_at.is_some() => None,
         OperatorAction::Request(list) => Some(MaintenanceRequest::CreateList(list.clone())),
         OperatorAction::Hold => list.map(MaintenanceRequest::PauseList),
@@ -171,8 +171,8 @@
     }
 }
 
-/// Whether what was posted shows in a sidecar's view, so that it need not be posted again.
-fn shows(view: &MaintenanceView, post: &Post, list: Option<u64>) -> bool {
+/// Whether a sidecar's view reflects a post, so that it need not be repeated.
+fn is_reflected_in(view: &MaintenanceView, post: &Post, list: Option<u64>) -> bool {
     let list = view.lists.iter().find(|shown| Some(shown.id) == list);
     match post {
         Post::Operator(OperatorAction::Request(_)) => {
@@ -186,12 +186,12 @@
         Post::Operator(OperatorAction::RemoveVoter(name)) => {
             !view.voters.is_empty() && !view.voters.contains(name)
         }
-        // That the work began does not show, so that it is reported once.
+        // No view shows that the work began, so that it is reported only once.
         Post::Report {
             report: WorkReport::Began,
             ..
         } => true,
-        Post::Report { grant, .. } => phase_of(view, *grant) != Some(OUT),
+        Post::Report { grant, .. } => phase_of(view, *grant) != Some(OUT_PHASE),
         Post::EndThread => true,
     }
 }
@@ -202,10 +202,10 @@
     Some(machine.phase.as_str())
 }
 
-/// The machines that are out in a view, by their grants and first slots.
+/// The machines that a view shows as out of service, by their grants and first slots.
 pub(super) fn machines_out(view: &MaintenanceView) -> Vec<(u64, SlotId)> {
     let machines = view.lists.iter().flat_map(|list| &list.machines);
-    let out = machines.filter(|machine| machine.phase == OUT);
+    let out = machines.filter(|machine| machine.phase == OUT_PHASE);
     out.filter_map(|machine| {
         let slot = machine.machine.strip_prefix("node-")?.parse().ok()?;
         Some((machine.grant?, SlotId(slot)))
--- a/crates/emulators/src/day/pod_requests.rs
+++ b/crates/emulators/src/day/pod_requests.rs
@@ -1,8 +1,8 @@
-//! Requests at the pods: they are read, queued, and worked off by the model.
+//! Requests at the pods: read from connections, queued, and run by the model.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::Day;
-use super::headers::{self, attempt_of, concrete_path, sidecar_named_in};
+use super::headers::{self, concrete_path, parse_attempt, parse_sidecar};
 use crate::deduplication::DeduplicationKey;
 use crate::pod_model::{Arrival, Dequeued};
 use crate::rollout::SlotId;
@@ -18,13 +18,13 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Longer requests are not the clients'.
-const MAX_REQUEST: usize = 1 << 20;
-/// Spread of a request's work: the standard deviation of its logarithm.
-const WORK_SPREAD: f64 = 0.25;
-/// Spreads the numbers of requests over all seeds.
+/// The longest request that is accepted; clients send shorter ones.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
+/// The standard deviation of the logarithm of a request's work.
+const WORK_LOG_STD_DEV: f64 = 0.25;
+/// Spreads request numbers over the range of seeds.
 const SEED_FACTOR: u64 = 0x9e37_79b9;
-/// Stands for no timeout; half of the longest time, so that the sum with any time of the day fits.
+/// Stands for no timeout: half of the longest duration, so that adding any time of the day does not overflow.
 const NO_TIMEOUT: Duration = Duration::new(u64::MAX / 2, 0);
 
 /// A connection from a sidecar to a pod.
@@ -32,13 +32,13 @@
     pub(super) pod: PodId,
     pub(super) sidecar: Option<SidecarId>,
     requests: RequestReader,
-    /// A request is not answered yet.
+    /// Whether a request is not answered yet.
     pub(super) busy: bool,
-    /// The connection is not yet of use.
+    /// Whether the connection is not usable yet, because a fault delays it.
     connecting: bool,
 }
 
-/// Requests at pods, by number.
+/// The requests at all pods, by number.
 #[derive(Default)]
 pub(super) struct PodRequests {
     next: u64,
@@ -50,10 +50,10 @@
     pub(super) socket: SocketId,
     pub(super) attempt: AttemptKey,
     pub(super) class: usize,
-    /// It fails wherever it runs.
+    /// Whether it fails at every pod.
     pub(super) failing: bool,
     pub(super) key: Option<DeduplicationKey>,
-    /// Whether it takes effect: known once it is in work.
+    /// Whether it takes effect; set when it begins to run.
     pub(super) effect: bool,
 }
 
@@ -65,21 +65,21 @@
         }
     }
 
-    /// A new connection to a pod, if the pod takes one.
+    /// Accepts a new connection to a pod, unless the pod has too many.
     pub(super) fn accept_at_pod(&mut self, pod: PodId, socket: SocketId) -> Option<PodConnection> {
         let mut connection = PodConnection {
             pod,
             sidecar: None,
-            requests: RequestReader::new(MAX_REQUEST),
+            requests: RequestReader::new(MAX_REQUEST_BYTES),
             busy: false,
             connecting: false,
         };
         for fault in self.active_faults.values() {
             match fault {
                 DayFault::ConnectionsLimited { max } => {
-                    let here =
+                    let at_this_pod =
                         |owner: &&SocketOwner| matches!(owner, SocketOwner::Pod(c) if c.pod == pod);
-                    if self.owners.values().filter(here).count() >= *max {
+                    if self.owners.values().filter(at_this_pod).count() >= *max {
                         return None;
                     }
                 }
@@ -108,7 +108,7 @@
             return;
         };
         if ended {
-            // The sidecar closed: what is in work goes on, and nobody gets its answer.
+            // The sidecar closed the connection: a running request continues, but its answer is dropped.
             return self.close(socket);
         }
         if connection.busy || connection.connecting {
@@ -129,7 +129,7 @@
             return;
         };
         let id = connection.pod;
-        let sender = (attempt_of(head), sidecar_named_in(head.fields.text("via")));
+        let sender = (parse_attempt(head), parse_sidecar(head.fields.text("via")));
         let (Some(attempt), Some(sidecar)) = sender else {
             return self.close(socket);
         };
@@ -137,7 +137,7 @@
             return;
         };
         let slot = pod.slot.0;
-        // Bytes that would not have come through: nobody saw them.
+        // The partition would have stopped these bytes, so that they are not recorded.
         let zone = &self.script.fleet.zones[pod.zone];
         if self.is_partitioned(self.zone_of(sidecar), zone) {
             return;
@@ -149,7 +149,7 @@
         let Some(class) = self.class_of(head) else {
             return self.close(socket);
         };
-        let work = self.work_of(attempt, class);
+        let work = self.work_for(attempt, class);
         self.record(Event::ForwardArrived {
             pod: id,
             sidecar,
@@ -191,7 +191,7 @@
             return;
         };
         match pod.model.arrive(number, work, deadline, self.now) {
-            Arrival::Begun(request, until) => self.begin_work(id, request, until),
+            Arrival::Begun(request, until) => self.begin_request(id, request, until),
             Arrival::Queued => {}
             Arrival::Rejected(request) => {
                 self.pod_requests.open.remove(&request);
@@ -211,12 +211,12 @@
             .position(|script| script.class.routes.iter().any(fits))
     }
 
-    /// The same request is as much work wherever it runs.
-    fn work_of(&self, attempt: AttemptKey, class: usize) -> Duration {
+    /// The work of an attempt: the same for all attempts of a request, at every pod.
+    fn work_for(&self, attempt: AttemptKey, class: usize) -> Duration {
         let mean = f64::from(self.script.classes[class].mean_work);
         let seed = self.script.seed ^ attempt.request.0.wrapping_mul(SEED_FACTOR);
         let mut rng = StdRng::seed_from_u64(seed);
-        let factor = match LogNormal::new(0.0, WORK_SPREAD) {
+        let factor = match LogNormal::new(0.0, WORK_LOG_STD_DEV) {
             Ok(factors) => factors.sample(&mut rng),
             Err(_) => 1.0,
         };
@@ -230,9 +230,9 @@
         head: &RequestHead,
     ) -> Option<DeduplicationKey> {
         let pod = self.pods.get(&id)?;
-        let (reach, _) = self.script.deduplication(class)?;
+        let (deduplicated_by, _) = self.script.deduplication(class)?;
         let idempotency_key = head.fields.text(headers::IDEMPOTENCY_KEY)?.to_owned();
-        let scope = match reach {
+        let scope = match deduplicated_by {
             DeduplicationScope::All => 0,
             DeduplicationScope::Zone => pod.zone,
             DeduplicationScope::Cell => usize::from(pod.cell),
@@ -244,8 +244,8 @@
         })
     }
 
-    /// A request is in work until `until`: from here on its idempotency key is known.
-    fn begin_work(&mut self, pod: PodId, number: u64, until: Duration) {
+    /// Runs a request until `until`, and registers its idempotency key.
+    fn begin_request(&mut self, pod: PodId, number: u64, until: Duration) {
         if let Some(request) = self.pod_requests.open.get_mut(&number) {
             let keyed = request
                 .key
@@ -260,8 +260,8 @@
             .schedule(until, TimerEvent::RequestDone(pod, number));
     }
 
-    /// Begins what waits at a pod, as far as cores are free.
-    pub(super) fn work_off_queue(&mut self, id: PodId) {
+    /// Begins queued requests of a pod while it has free cores.
+    pub(super) fn dequeue_requests(&mut self, id: PodId) {
         let now = self.now;
         while let Some(next) = self
             .pods
@@ -269,7 +269,7 @@
             .and_then(|pod| pod.model.dequeue(now))
         {
             match next {
-                Dequeued::Begun(request, until) => self.begin_work(id, request, until),
+                Dequeued::Begun(request, until) => self.begin_request(id, request, until),
                 Dequeued::Expired(request) => {
                     self.pod_requests.open.remove(&request);
                 }
@@ -277,15 +277,15 @@
         }
     }
 
-    /// Requests that the pods of a slot hold, waiting or in work.
+    /// The number of requests that are queued or running at the pods of a slot.
     pub(super) fn in_flight_at(&self, slot: SlotId) -> usize {
-        let here = |request: &&PodRequest| match self.owners.get(&request.socket) {
+        let at_this_pod = |request: &&PodRequest| match self.owners.get(&request.socket) {
             Some(SocketOwner::Pod(connection)) => self
                 .pods
                 .get(&connection.pod)
                 .is_some_and(|pod| pod.slot == slot),
             _ => false,
         };
-        self.pod_requests.open.values().filter(here).count()
+        self.pod_requests.open.values().filter(at_this_pod).count()
     }
 }
--- a/crates/emulators/src/day/pods.rs
+++ b/crates/emulators/src/day/pods.rs
@@ -1,4 +1,4 @@
-//! The pods as processes: they start, drain, hang and end.
+//! The lifecycle of pods: they start, drain, hang and end.
 
 use super::dispatch::{SocketOwner, TimerEvent};
 use super::event_loop::{any_port, Day};
@@ -10,23 +10,23 @@
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
 
-/// Pods of the first fleet say that they have run for so long, in seconds: no sidecar takes them for warming up.
-const AGE_OF_FIRST_PODS: f64 = 86_400.0;
+/// The age that pods of the initial fleet report, so that no sidecar considers them to be warming up.
+const INITIAL_POD_AGE_SECONDS: f64 = 86_400.0;
 
-/// A pod.
+/// An emulated pod.
 pub(super) struct Pod {
     pub(super) slot: SlotId,
     pub(super) build: u16,
     listener: SocketId,
     pub(super) address: SocketAddr,
-    /// By its index.
+    /// The index of its zone.
     pub(super) zone: usize,
     pub(super) cell: u16,
-    /// It runs, and is listed.
+    /// Whether it runs and is listed.
     pub(super) running: bool,
     pub(super) draining: bool,
     warms_up: bool,
-    /// Time of day of its start, in seconds since 1970.
+    /// The Unix time of its start, in seconds since 1970.
     pub(super) started_at_unix: f64,
     pub(super) running_since: Duration,
     pub(super) model: PodModel<u64>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Begins to start a pod. One that is new runs only after a while, and then warms up.
+    /// Begins to start a pod. A new pod runs only after the startup time, and then warms up.
     pub(super) fn start_pod(
         &mut self,
         slot: SlotId,
@@ -88,9 +88,9 @@
         };
         pod.running = true;
         pod.running_since = now;
-        pod.started_at_unix = unix_time();
+        pod.started_at_unix = unix_time_seconds();
         if !pod.warms_up {
-            pod.started_at_unix -= AGE_OF_FIRST_PODS;
+            pod.started_at_unix -= INITIAL_POD_AGE_SECONDS;
         }
         pod.model = PodModel::new(machine, now, pod.warms_up);
         pod.model.slowdown = self.script.slowdown_of(pod.build);
@@ -108,7 +108,7 @@
     }
 
     /// Drains the pods of other builds in a slot.
-    pub(super) fn drain_others(&mut self, slot: SlotId, build: u16) {
+    pub(super) fn drain_other_builds(&mut self, slot: SlotId, build: u16) {
         let mut drained = Vec::new();
         for (id, pod) in &mut self.pods {
             if pod.slot == slot && pod.build != build && !pod.draining {
@@ -130,12 +130,12 @@
             .filter(|(_, pod)| pod.slot == slot && pod.running);
         let ids: Vec<PodId> = pods.map(|(id, _)| *id).collect();
         for id in ids {
-            self.stop_pod(id);
+            self.end_pod(id);
         }
     }
 
-    /// Ends a pod, and breaks its connections.
-    pub(super) fn stop_pod(&mut self, id: PodId) {
+    /// Ends a pod, and closes its connections.
+    pub(super) fn end_pod(&mut self, id: PodId) {
         let Some(pod) = self.pods.remove(&id) else {
             return;
         };
@@ -160,7 +160,7 @@
             }
         }
         for id in changed {
-            self.work_off_queue(id);
+            self.dequeue_requests(id);
         }
     }
 
@@ -173,8 +173,8 @@
     }
 }
 
-/// The time of day, in seconds since 1970.
-fn unix_time() -> f64 {
+/// The current Unix time, in seconds since 1970.
+fn unix_time_seconds() -> f64 {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_secs_f64()
 }
--- a/crates/emulators/src/fleet/relay.rs
+++ b/crates/emulators/src/fleet/relay.rs
@@ -1,5 +1,5 @@
-//! Carries datagrams between processes over the links of a script of faults: each member is reached at an address of the relay, which
-//! knows a sender by where it sends from.
+//! Relays datagrams between processes over the links of a script of faults. Each member is reached at an address of the relay, which
+//! identifies a sender by its source address.
 
 use crate::locks::lock;
 use limewing_fault_injection::{FaultAction, FaultyNetwork};
@@ -11,37 +11,38 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often threads look whether the relay is over.
+/// How often threads check whether the relay is shutting down.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Datagrams of a member that are kept to be sent again as replays.
-const MAX_REPLAYS: usize = 16;
-/// Datagrams on their way, at most: more are lost.
+/// The number of datagrams per member that are kept for replays.
+const MAX_REPLAYS_PER_MEMBER: usize = 16;
+/// The most datagrams in flight; more are dropped.
 const MAX_IN_FLIGHT: usize = 100_000;
-/// Longer datagrams are not the members'.
-const MAX_DATAGRAM: usize = 2048;
-/// Noise has from this length up to `NOISE_LENGTHS` more bytes.
-const MIN_NOISE: usize = 20;
-const NOISE_LENGTHS: usize = 1000;
+/// The receive buffer size; members send shorter datagrams.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// The shortest noise datagram.
+const MIN_NOISE_BYTES: usize = 20;
+/// The number of different lengths of noise datagrams.
+const NOISE_LENGTH_COUNT: usize = 1000;
 
-/// A datagram on its way.
+/// A datagram in flight.
 struct Datagram {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// Datagrams on their way, by when they arrive and in which order they were sent.
+/// The datagrams in flight, by arrival time and sending order.
 #[derive(Default)]
 struct InFlight {
     datagrams: BTreeMap<(Duration, u64), Datagram>,
     sent: u64,
 }
 
-/// What members sent so far.
+/// The traffic that members sent so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayTraffic {
-    /// How many datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// How many bytes in them.
+    /// The number of bytes in them.
     pub bytes: u64,
 }
 
@@ -49,30 +50,30 @@
     started_at: Instant,
     network: Mutex<FaultyNetwork>,
     in_flight: Mutex<InFlight>,
-    more: Condvar,
-    /// What each member got lately.
+    in_flight_changed: Condvar,
+    /// The datagrams last delivered to each member.
     delivered: Mutex<Vec<Vec<Vec<u8>>>>,
-    over: AtomicBool,
-    /// Where each member that runs takes datagrams, and sends them from.
+    shutting_down: AtomicBool,
+    /// The address at which each running member receives datagrams, and from which it sends.
     members: Mutex<Vec<Option<SocketAddr>>>,
     traffic: Mutex<RelayTraffic>,
-    /// When the script's time began.
-    script_began: Mutex<Duration>,
+    /// The time at which the script began.
+    script_started_at: Mutex<Duration>,
 }
 
-/// A relay on threads of its own; it ends when it is dropped.
+/// A relay on its own threads; it shuts down when it is dropped.
 pub struct Relay {
     shared: Arc<Shared>,
-    /// Where each member is reached.
+    /// The relay address of each member.
     pub addresses: Vec<SocketAddr>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Relay {
-    /// A relay between so many members, none of which runs yet.
+    /// Starts a relay between this many members, none of which runs yet.
     ///
     /// # Errors
-    /// A socket can't be had.
+    /// Fails if a socket can't be bound or configured.
     pub fn start(network: FaultyNetwork, members: usize) -> io::Result<Self> {
         let sockets: Vec<UdpSocket> = (0..members)
             .map(|_| UdpSocket::bind("127.0.0.1:0"))
@@ -89,12 +90,12 @@
             started_at: Instant::now(),
             network: Mutex::new(network),
             in_flight: Mutex::default(),
-            more: Condvar::new(),
+            in_flight_changed: Condvar::new(),
             delivered: Mutex::new(vec![Vec::new(); members]),
-            over: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             members: Mutex::new(vec![None; members]),
             traffic: Mutex::default(),
-            script_began: Mutex::default(),
+            script_started_at: Mutex::default(),
         });
         let mut threads = Vec::new();
         for (to, socket) in sockets.into_iter().enumerate() {
@@ -111,46 +112,46 @@
         })
     }
 
-    /// A member takes datagrams at this address from now on, or does not run.
+    /// Sets the address at which a member receives datagrams; `None` if it does not run.
     pub fn set_member(&self, number: usize, address: Option<SocketAddr>) {
         lock(&self.shared.members)[number] = address;
     }
 
-    /// Time since the relay started.
+    /// The time since the relay started.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.shared.started_at.elapsed()
     }
 
-    /// The script's time begins now.
+    /// Starts the time of the script.
     pub fn begin_script(&self) {
-        *lock(&self.shared.script_began) = self.now();
+        *lock(&self.shared.script_started_at) = self.now();
     }
 
-    /// Takes the steps of the script that are due, and returns what they ask of the members' host.
+    /// Executes the steps of the script that are due, and returns the actions that the caller is to apply to the processes.
     #[must_use]
     pub fn advance(&self) -> Vec<FaultAction> {
-        let began = *lock(&self.shared.script_began);
-        let now = self.now().saturating_sub(began);
+        let script_start = *lock(&self.shared.script_started_at);
+        let now = self.now().saturating_sub(script_start);
         lock(&self.shared.network).advance(now)
     }
 
-    /// When the next step is due, in the script's time.
+    /// The time at which the next step is due, relative to the start of the script.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Duration> {
         lock(&self.shared.network).next_deadline()
     }
 
-    /// What members sent so far.
+    /// The traffic that members sent so far.
     #[must_use]
     pub fn traffic(&self) -> RelayTraffic {
         *lock(&self.shared.traffic)
     }
 
-    /// Sends a member noise, and what it has got before.
+    /// Sends a member noise, and replays of datagrams that it received before.
     ///
     /// # Errors
-    /// A datagram can't be sent.
+    /// Fails if a datagram can't be sent.
     pub fn send_noise(&self, to: usize, datagrams: u32) -> io::Result<()> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let Some(address) = lock(&self.shared.members)[to] else {
@@ -158,7 +159,7 @@
         };
         let delivered = lock(&self.shared.delivered)[to].clone();
         for number in 0..datagrams as usize {
-            let noise = vec![number as u8; MIN_NOISE + number % NOISE_LENGTHS];
+            let noise = vec![number as u8; MIN_NOISE_BYTES + number % NOISE_LENGTH_COUNT];
             socket.send_to(&noise, address)?;
             if let Some(replay) = delivered.get(number % delivered.len().max(1)) {
                 socket.send_to(replay, address)?;
@@ -170,24 +171,24 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        self.shared.more.notify_all();
+        self.shared.shutting_down.store(true, Ordering::SeqCst);
+        self.shared.in_flight_changed.notify_all();
         for thread in self.threads.drain(..) {
-            // A panic of it has been printed.
+            // The panic message, if any, is already printed.
             let _ = thread.join();
         }
     }
 }
 
 impl Shared {
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    fn is_shutting_down(&self) -> bool {
+        self.shutting_down.load(Ordering::SeqCst)
     }
 
-    /// Takes what is sent to one member.
+    /// Receives the datagrams sent to one member.
     fn receive_all(&self, to: usize, socket: &UdpSocket) {
-        let mut bytes = [0; MAX_DATAGRAM];
-        while !self.is_over() {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        while !self.is_shutting_down() {
             let Ok((length, sender)) = socket.recv_from(&mut bytes) else {
                 continue;
             };
@@ -221,13 +222,13 @@
                 .datagrams
                 .insert((arrival.at, order), Datagram { to, bytes });
         }
-        self.more.notify_all();
+        self.in_flight_changed.notify_all();
     }
 
-    /// Sends on what arrives, at its time.
+    /// Delivers each datagram at its arrival time.
     fn deliver_all(&self, senders: &[UdpSocket]) {
         let mut in_flight = lock(&self.in_flight);
-        while !self.is_over() {
+        while !self.is_shutting_down() {
             let now = self.started_at.elapsed();
             let next = in_flight.datagrams.first_key_value();
             let next = next.map(|((at, _), _)| *at);
@@ -238,8 +239,8 @@
                 continue;
             }
             let wait = next.map_or(POLL_INTERVAL, |at| (at - now).min(POLL_INTERVAL));
-            let waited = self.more.wait_timeout(in_flight, wait);
-            in_flight = waited.expect("no thread panics with the lock").0;
+            let waited = self.in_flight_changed.wait_timeout(in_flight, wait);
+            in_flight = waited.expect("no thread panics while it holds the lock").0;
         }
     }
 
@@ -248,11 +249,11 @@
         let Some(address) = lock(&self.members)[to] else {
             return;
         };
-        // What a member that ended can't take is lost.
+        // A datagram to a member that has ended is lost.
         let _ = senders[to].send_to(&bytes, address);
         let mut delivered = lock(&self.delivered);
         delivered[to].push(bytes);
-        if delivered[to].len() > MAX_REPLAYS {
+        if delivered[to].len() > MAX_REPLAYS_PER_MEMBER {
             delivered[to].remove(0);
         }
     }
--- a/crates/emulators/tests/golden.rs
+++ b/crates/emulators/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Pins the files that days and scripts of faults are read from: each file in `days/` and `fleets/` is read whole, and
-//! what is written again says the same. Its schema, with all names and defaults, is pinned by the tests of the command.
+//! Pins the file formats of days and scripts of faults: each file in `days/` and `fleets/` can be read, and is written again with the
+//! same content. The schemas, with all names and defaults, are pinned by the tests of the command.
 
 use limewing_emulators::script::DayScript;
 use limewing_fault_injection::Script;
@@ -18,15 +18,19 @@
     files
 }
 
-/// The first place at which the written value does not say what the file says; what has a default may be written beyond it.
+/// The first difference between the file and the written value; values with defaults may be written in addition.
 fn difference(at: &str, file: &Value, written: &Value) -> Option<String> {
-    let differs = || Some(format!("{at}: the file has {file}, written is {written}"));
+    let differs = || {
+        Some(format!(
+            "{at}: the file has {file}, but {written} is written"
+        ))
+    };
     match (file, written) {
         (Value::Object(file), Value::Object(written)) => file.iter().find_map(|(name, value)| {
             let at = format!("{at}/{name}");
             match written.get(name) {
                 Some(again) => difference(&at, value, again),
-                None => Some(format!("{at}: it is not written again")),
+                None => Some(format!("{at}: missing in the written value")),
             }
         }),
         (Value::Array(file), Value::Array(written)) if file.len() == written.len() => {
@@ -41,7 +45,7 @@
     }
 }
 
-fn reads_and_writes_the_same<T: Serialize + DeserializeOwned>(file: &Path) {
+fn assert_round_trip<T: Serialize + DeserializeOwned>(file: &Path) {
     let text = std::fs::read_to_string(file).unwrap();
     let of_file: Value = serde_json::from_str(&text).unwrap();
     let read: T =
@@ -64,19 +68,19 @@
 }
 
 #[test]
-fn every_day_is_read_and_written_the_same() {
+fn every_day_survives_a_round_trip() {
     let files = files_in("days");
     assert!(files.len() >= 16, "{files:?}");
     for file in files {
-        reads_and_writes_the_same::<DayScript>(&file);
+        assert_round_trip::<DayScript>(&file);
     }
 }
 
 #[test]
-fn every_script_of_faults_is_read_and_written_the_same() {
+fn every_fault_script_survives_a_round_trip() {
     let files = files_in("fleets");
     assert!(files.len() >= 9, "{files:?}");
     for file in files {
-        reads_and_writes_the_same::<Script>(&file);
+        assert_round_trip::<Script>(&file);
     }
 }
