--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the tests of several packages share. No program depends on it.
+//! Test helpers shared by several packages. No program depends on this crate.
 //!
-//! - [`digest`]: one hash over all that a simulated run puts out
-//! - [`golden`]: files that pin the bytes of a format
+//! - [`digest`]: a hash over the complete output of a simulated run
+//! - [`golden`]: files that pin the encoding of a format
 
 pub mod digest;
 pub mod golden;
--- a/tools/digests.sh
+++ b/tools/digests.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Compares the decision digests with those on record (tools/digests.txt): hashes of all that each core without I/O puts out over
-# 20 fixed seeds. A digest that moves means that behaviour moved.
-# Usage: tools/digests.sh [NAME...]; with no name, all of them.
+# Compares digests with the recorded ones (tools/digests.txt): hashes over the complete output of each I/O-free core for 20 fixed
+# seeds. A changed digest means changed behaviour.
+# Usage: tools/digests.sh [NAME...]; checks all digests if no name is given.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 declare -A package=(
@@ -18,7 +18,7 @@
 log=$(mktemp)
 trap 'rm -f "$log"' EXIT
 cargo test --locked --test digest "${arguments[@]}" -- --ignored --nocapture | grep -oE 'digest [a-z-]+ [0-9a-f]{16}' > "$log" || true
-moved=0
+status=0
 for name in "${names[@]}"; do
   expected=$(grep -E "^digest $name " tools/digests.txt || true)
   measured=$(grep -E "^digest $name " "$log" || true)
@@ -26,7 +26,7 @@
     echo "same: $measured"
   else
     echo "moved: expected '${expected:-nothing}', measured '${measured:-nothing}'" >&2
-    moved=1
+    status=1
   fi
 done
-exit "$moved"
+exit "$status"
--- a/tools/instructions.sh
+++ b/tools/instructions.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Instructions that a sidecar spends on a hit, by valgrind's callgrind: within 4% for the same text, whatever else the
-# machine does. A run with many hits less one with few, so that start and idle time do not count.
+# Measures the instructions that a sidecar executes per request with valgrind's callgrind. Repeated runs of the same code agree
+# within 4%, independent of other load on the machine. The result is the difference between a run with many requests and one
+# with few, which excludes startup and idle time.
 # Usage: tools/instructions.sh [PODS]; needs valgrind and target/release/limewing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -11,13 +12,13 @@
 coproc PODS { exec "$limewing" load pods "$pods" < /dev/null; }
 pods_pid=$PODS_PID
 trap 'ended "$pods_pid"; rm -rf "$folder"' EXIT
-at=()
-while ((${#at[@]} < pods)); do
+addresses=()
+while ((${#addresses[@]} < pods)); do
     read -r _ address <&"${PODS[0]}"
-    at+=("$address")
+    addresses+=("$address")
 done
-settings=$("$limewing" load settings --folder "$folder" "${at[@]}")
-# Runs a sidecar through so many hits a second for 8 s; leaves instructions and hits in two files.
+settings=$("$limewing" load settings --folder "$folder" "${addresses[@]}")
+# Sends load at the given request rate to a sidecar for 8 s. Writes the instruction and request counts to two files.
 count() {
     mkfifo "$folder/told.$1"
     valgrind --tool=callgrind --callgrind-out-file="$folder/out.$1" "$limewing" sidecar "$settings" \
@@ -30,8 +31,8 @@
 }
 count 20
 count 500
-hits=$(($(< "$folder/hits.500") - $(< "$folder/hits.20")))
-echo "$pods pods: $((($(< "$folder/cost.500") - $(< "$folder/cost.20")) / hits)) instructions a hit, over $hits hits"
-# The functions that cost the most, with what they call, as shares of the busy run.
+requests=$(($(< "$folder/hits.500") - $(< "$folder/hits.20")))
+echo "$pods pods: $((($(< "$folder/cost.500") - $(< "$folder/cost.20")) / requests)) instructions a hit, over $requests hits"
+# Lists the most expensive functions, including their callees, as shares of the run at the high rate.
 callgrind_annotate --inclusive=yes "$folder/out.500" | grep 'limewing' |
     sed -nE 's/^ *[0-9,]+ \( *([0-9.]+%)\) +[^:]*:(limewing[^[]*[^[ ]).*/\1  \2/p' | awk '!seen[$2]++' | sed -n '1,20p'
