--- a/crates/load-generator/src/child_process.rs
+++ b/crates/load-generator/src/child_process.rs
@@ -1,4 +1,4 @@
-//! A process of the comparison: started by the command, and ended with its handle.
+//! Child processes of a measurement, killed when their handles are dropped.
 
 use crate::error::LoadError;
 use std::io::{BufRead, BufReader};
@@ -6,22 +6,22 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// What a process prints before each address where it listens.
+/// Prefix of each line on which a process reports a listening address.
 const LISTENING_PREFIX: &str = "listening ";
 
-/// A child process that is killed when this is dropped.
+/// A child process that is killed on drop.
 pub(crate) struct ChildProcess(Child);
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // It may have ended by itself; then there is nothing left to do.
+        // Both calls fail harmlessly if the process has already exited.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
 impl ChildProcess {
-    /// Starts a program and waits until it has told `address_count` addresses where it listens.
+    /// Starts a program and waits until it has reported `address_count` listening addresses.
     pub(crate) fn start(
         program: &Path,
         arguments: &[&str],
@@ -47,13 +47,13 @@
         Ok((process, addresses))
     }
 
-    /// CPU time that it has used, in seconds.
+    /// Returns the CPU time used so far, in seconds.
     pub(crate) fn cpu_seconds(&self) -> Result<f64, LoadError> {
         let stat = self.process()?.stat()?;
         Ok((stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64)
     }
 
-    /// Resident memory, in bytes.
+    /// Returns the resident memory, in bytes.
     pub(crate) fn resident_bytes(&self) -> Result<u64, LoadError> {
         let pages = self.process()?.statm()?.resident;
         Ok(pages * procfs::page_size())
--- a/crates/load-generator/src/compare/mod.rs
+++ b/crates/load-generator/src/compare/mod.rs
@@ -1,5 +1,5 @@
-//! The comparison: clients straight to a pod, through the bare relay, and through a sidecar, on one machine and in one run. Pods,
-//! relay and sidecar are processes of their own; the CPU time of what stands between is read from the system.
+//! Compares direct connections to a pod with a plain TCP relay and a sidecar, on one machine and in one run. Pods, relay and
+//! sidecar run as separate processes, and the CPU time of the relay and the sidecar is read from `/proc`.
 
 mod path;
 mod report;
@@ -14,36 +14,36 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Load before each measurement.
+/// Duration of load before each measurement.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// The place of the first sidecar among the paths, after the straight one and the relay's.
+/// Index of the first sidecar among the paths, after the direct path and the relay.
 const FIRST_SIDECAR: usize = 2;
-/// The part of the first sidecar's full rate at which latency is measured.
+/// Fraction of the first sidecar's maximum throughput at which latency is measured.
 const LATENCY_LOAD: f64 = 0.5;
 
-/// What is compared.
+/// Parameters of a comparison.
 #[derive(Clone, Debug)]
 pub struct ComparisonPlan {
-    /// Pods of the fleet, a sidecar for each count; the first fleet serves the other paths too.
+    /// Number of pods behind each sidecar. The first fleet also serves the direct path and the relay.
     pub pod_counts: Vec<usize>,
-    /// Connections of the clients.
+    /// Number of client connections.
     pub connections: usize,
-    /// Each path is measured in so many rounds, in turn with the others: what the machine does beside falls on all alike, and the
-    /// median counts.
+    /// Number of rounds. The paths are measured in turn within each round, so that other load on the machine affects all of them
+    /// equally, and the median is reported.
     pub rounds: usize,
-    /// How long each measurement lasts.
+    /// Duration of each measurement.
     pub duration: Duration,
-    /// Seed of the random moments at which requests are due.
+    /// Seed of the random request schedule.
     pub seed: u64,
 }
 
-/// Runs the comparison with `program` as the command; gives the table and the ratios as text. Files go into `folder`.
+/// Runs the comparison with `program` as the limewing executable, and returns the results as text. Writes files to `folder`.
 ///
 /// # Errors
-/// A process does not start, or the load could not be sent.
+/// Returns an error if a process does not start or the load cannot be sent.
 pub fn compare(program: &Path, folder: &Path, plan: &ComparisonPlan) -> Result<String, LoadError> {
     let mut paths = Vec::new();
-    // The pods serve until the comparison is over.
+    // Keeps the pods running until the comparison ends.
     let mut fleets = Vec::new();
     for &pod_count in &plan.pod_counts {
         let arguments = ["load", "pods", &pod_count.to_string()];
@@ -69,7 +69,7 @@
             path.measure_throughput(&profile)?;
         }
     }
-    // The same rate for all, so that what each path adds can be told apart.
+    // All paths get the same request rate, which makes their latencies comparable.
     let rate = median(&paths[FIRST_SIDECAR].responses_per_s) * LATENCY_LOAD;
     for round in 0..plan.rounds {
         let profile = LoadProfile {
--- a/crates/load-generator/src/compare/path.rs
+++ b/crates/load-generator/src/compare/path.rs
@@ -1,27 +1,27 @@
-//! One path from the clients to the pods, and what was measured of it.
+//! One path from the clients to the pods, and its measurements.
 
 use crate::child_process::ChildProcess;
 use crate::error::LoadError;
 use crate::generator::{run, LoadProfile};
 use std::net::SocketAddr;
 
-/// The least CPU time that a rate is taken over, in seconds: what the system counts in.
+/// Lower bound of the CPU time in a rate, in seconds: the resolution of the system's accounting.
 const MIN_CPU_SECONDS: f64 = 0.01;
 
-/// One path from the clients to the pods. Each list has a value a round.
+/// One path from the clients to the pods. Each vector has one value per round.
 pub(super) struct MeasuredPath {
     pub(super) name: String,
-    /// Where the clients connect.
+    /// Address that the clients connect to.
     pub(super) target: SocketAddr,
-    /// What stands between clients and pods; none on the straight path.
+    /// The process between clients and pods, absent on the direct path.
     pub(super) process: Option<ChildProcess>,
     pub(super) responses_per_s: Vec<f64>,
     pub(super) responses_per_cpu_second: Vec<f64>,
-    /// Latencies in milliseconds.
+    /// Median latencies, in milliseconds.
     pub(super) p50: Vec<f64>,
     pub(super) p99: Vec<f64>,
     pub(super) p999: Vec<f64>,
-    /// Over all rounds.
+    /// Failures in all rounds.
     pub(super) failures: u64,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Measures a round of full load.
+    /// Measures one round at maximum throughput.
     pub(super) fn measure_throughput(&mut self, profile: &LoadProfile) -> Result<(), LoadError> {
         let mut cpu_before = Ok(None);
         let mut cpu_after = Ok(None);
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Measures a round of latencies under the profile's rate.
+    /// Measures the latencies of one round at the profile's request rate.
     pub(super) fn measure_latency(&mut self, profile: &LoadProfile) -> Result<(), LoadError> {
         let measurement = run(&self.profile(profile), || (), || ())?;
         self.p50.push(measurement.latency_ms(0.5));
@@ -81,7 +81,7 @@
     }
 }
 
-/// The median; of an even count the upper one, of none no number.
+/// Returns the median: the upper one for an even count, NaN for no values.
 pub(super) fn median(values: &[f64]) -> f64 {
     let mut values = values.to_vec();
     values.sort_by(f64::total_cmp);
--- a/crates/load-generator/src/compare/report.rs
+++ b/crates/load-generator/src/compare/report.rs
@@ -1,9 +1,9 @@
-//! The comparison as text: a table, and how the sidecars stand against the other paths.
+//! Formats a comparison as a table, followed by the ratios between the sidecars and the other paths.
 
 use super::path::{median, MeasuredPath};
 use comfy_table::{presets, Table};
 
-/// The table of all paths, measured for latency at `rate` requests a second, and the ratios.
+/// Formats the table of all paths and the ratios. Latencies were measured at `rate` requests per second.
 pub(super) fn render(paths: &[MeasuredPath], rate: f64) -> String {
     let table = table(paths, rate);
     let [straight, relay, sidecar, larger_fleets @ ..] = paths else {
@@ -64,7 +64,7 @@
     ]
 }
 
-/// Responses for a second of CPU time of what stands between clients and pods.
+/// Returns the responses per second of CPU time of the process between clients and pods.
 fn efficiency(path: &MeasuredPath) -> f64 {
     median(&path.responses_per_cpu_second)
 }
--- a/crates/load-generator/src/error.rs
+++ b/crates/load-generator/src/error.rs
@@ -1,73 +1,73 @@
-//! What can go wrong with a measurement.
+//! Errors of measurements.
 
 use limewing_net::sockets::SocketEvent;
 use std::io::{self, ErrorKind};
 use thiserror::Error;
 
-/// What went wrong with a measurement.
+/// An error that ended a measurement.
 #[derive(Debug, Error)]
 pub enum LoadError {
-    /// The system refused a file, a socket or a process.
+    /// An operation on a file, a socket or a process failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A child process did not tell all the addresses where it listens.
-    #[error("{arguments} does not listen")]
+    /// A child process did not report all of its listening addresses.
+    #[error("`{arguments}` did not report its listening addresses")]
     NotListening {
-        /// The arguments that it was started with.
+        /// Command-line arguments of the process.
         arguments: String,
     },
-    /// The system tells nothing of a process.
-    #[error("what the system tells of a process can't be had: {0}")]
+    /// Process information could not be read from `/proc`.
+    #[error("cannot read process information: {0}")]
     Process(#[from] procfs::ProcError),
-    /// The settings that were written can't be read as settings.
-    #[error("the settings can't be used: {0}")]
+    /// The generated settings are invalid.
+    #[error("invalid generated settings: {0}")]
     Settings(#[from] serde_json::Error),
-    /// There is no memory for the latencies.
+    /// The latency histogram could not be created.
     #[error("{0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// All connections of a generator were lost.
+    /// The generator lost all of its connections.
     #[error("no connection is left")]
     NoConnection,
-    /// A connection could not be begun.
-    #[error("after {idle} connections: {error}")]
+    /// A connection could not be initiated.
+    #[error("cannot connect after {idle} idle connections: {error}")]
     Connect {
-        /// Connections that were idle by then.
+        /// Number of idle connections at that point.
         idle: usize,
-        /// How it failed.
+        /// Cause of the failure.
         error: io::Error,
     },
     /// A connection was refused or reset.
-    #[error("after {idle} connections: {error}")]
+    #[error("connection lost after {idle} idle connections: {error}")]
     ConnectionLost {
-        /// Connections that were idle by then.
+        /// Number of idle connections at that point.
         idle: usize,
-        /// How it failed.
+        /// Cause of the failure.
         error: ErrorKind,
     },
-    /// A sidecar answered nothing for too long.
-    #[error("no answer after {idle} connections")]
+    /// A sidecar did not respond before the timeout.
+    #[error("no response after {idle} idle connections")]
     NoResponse {
-        /// Connections that were idle by then.
+        /// Number of idle connections at that point.
         idle: usize,
     },
-    /// A sidecar's response is broken off or no HTTP.
-    #[error("no whole answer after {idle} connections")]
+    /// A sidecar's response was truncated or not valid HTTP.
+    #[error("incomplete response after {idle} idle connections")]
     IncompleteResponse {
-        /// Connections that were idle by then.
+        /// Number of idle connections at that point.
         idle: usize,
     },
-    /// A connection was closed that should have stayed idle.
-    #[error("closed while {idle} connections slept")]
+    /// A connection that should have stayed idle was closed.
+    #[error("a connection was closed while {idle} connections were idle")]
     IdleConnectionClosed {
-        /// Connections that were idle by then.
+        /// Number of idle connections at that point.
         idle: usize,
     },
-    /// Something happened on a connection that should have stayed idle.
-    #[error("of {idle} connections one woke: {event:?}")]
+    /// An event occurred on a connection that should have stayed idle.
+    #[error("unexpected event on one of {idle} idle connections: {event:?}")]
     NotIdle {
-        /// Connections that should have been idle.
+        /// Number of connections that should have been idle.
         idle: usize,
-        /// What happened.
+        /// The unexpected event.
         event: SocketEvent,
     },
 }
--- a/crates/load-generator/src/generator.rs
+++ b/crates/load-generator/src/generator.rs
@@ -1,5 +1,5 @@
-//! An open-loop generator: requests are due on a schedule that no response slows down, and each is timed from when it was due. A
-//! request that finds no free connection waits for one, and its wait counts.
+//! An open-loop load generator: slow responses do not delay the request schedule, and the latency of each request is measured from
+//! its scheduled time. That includes the time that a request waits for a free connection.
 
 use crate::error::LoadError;
 use crate::request::{get_request, MAX_RESPONSE_BYTES};
@@ -14,46 +14,46 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The longest latency that is told apart, in microseconds: ten minutes.
+/// Largest latency that the histogram can represent, in microseconds: ten minutes.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant decimal digits of a latency.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// How long a generator without a schedule waits for events at most.
+/// Maximum time that a generator without a schedule waits for events.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The shortest wait that a poll is exact in.
+/// Shortest wait that the timer resolution of the poll allows.
 const MIN_POLL_WAIT: Duration = Duration::from_millis(1);
-/// The status of a response that counts as a success.
+/// Status code of a successful response.
 const STATUS_OK: u16 = 200;
 
-/// The load to send.
+/// Parameters of the load to send.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Where the requests go.
+    /// Address that the requests are sent to.
     pub target: SocketAddr,
-    /// Requests a second, at random moments; none keeps every connection busy.
+    /// Average request rate of a random schedule, in requests per second. Without one, every connection is kept busy.
     pub requests_per_s: Option<f64>,
-    /// Connections that are kept open.
+    /// Number of open connections.
     pub connections: usize,
-    /// Load before the measurement begins.
+    /// Duration of load before the measurement starts.
     pub warm_up: Duration,
-    /// How long is measured.
+    /// Duration of the measurement.
     pub duration: Duration,
-    /// Seed of the random moments.
+    /// Seed of the random request schedule.
     pub seed: u64,
     /// Path of each request.
     pub path: String,
 }
 
-/// What was measured.
+/// Result of a measurement.
 #[derive(Debug)]
 pub struct Measurement {
-    /// Microseconds from when a request was due until its response was complete.
+    /// Time from when each request was due until its response was complete, in microseconds.
     pub latency: Histogram<u64>,
-    /// Responses to requests that were due within the measurement.
+    /// Number of responses that arrived during the measurement.
     pub responses: u64,
-    /// Responses of another status than 200, and connections lost with a request on them.
+    /// Number of responses with a status other than 200, and of connections lost while a request was in flight.
     pub failures: u64,
-    /// How long was measured.
+    /// Duration of the measurement.
     pub duration: Duration,
 }
 
@@ -67,23 +67,23 @@
         })
     }
 
-    /// Responses a second.
+    /// Returns the average number of responses per second.
     #[must_use]
     pub fn responses_per_s(&self) -> f64 {
         self.responses as f64 / self.duration.as_secs_f64()
     }
 
-    /// A quantile of the latency, in milliseconds.
+    /// Returns a quantile of the latency, in milliseconds.
     #[must_use]
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// Sends load until it is over; `on_start` and `on_end` are called around the measurement.
+/// Sends the load and returns its measurement. Calls `on_start` and `on_end` when the measurement starts and ends.
 ///
 /// # Errors
-/// The poll failed, or no connection could be made.
+/// Returns an error if polling fails or no connection can be established.
 pub fn run(
     profile: &LoadProfile,
     mut on_start: impl FnMut(),
@@ -103,7 +103,7 @@
         }
         generator.schedule(now);
         generator.send_due();
-        let wait = generator.wait_until(now, end);
+        let wait = generator.poll_timeout(now, end);
         for event in generator.sockets.wait(Some(wait))? {
             generator.handle(event)?;
         }
@@ -112,10 +112,10 @@
     Ok(generator.measurement)
 }
 
-/// A connection, and the request on it.
+/// A connection, and its request in flight.
 struct Connection {
     responses: ResponseReader,
-    /// When the request on it was due; none while it is free.
+    /// Scheduled time of the request in flight, absent while the connection is free.
     due_at: Option<Duration>,
 }
 
@@ -133,13 +133,13 @@
     sockets: Sockets,
     connections: HashMap<SocketId, Connection>,
     free: Vec<SocketId>,
-    /// When the requests that were not sent yet are, or were, due.
+    /// Scheduled times of the requests that have not been sent yet.
     due: VecDeque<Duration>,
     request: BytesMut,
     rng: StdRng,
-    /// Between two requests of a schedule, in seconds.
+    /// Distribution of the time between scheduled requests, in seconds.
     gap: Option<Exp<f64>>,
-    /// When the next request of a schedule is due.
+    /// Time of the next scheduled request.
     next_due: Duration,
     measurement: Measurement,
     start: Instant,
@@ -177,7 +177,7 @@
         Ok(())
     }
 
-    /// Adds the requests that have become due: those of the schedule, or without one as many as connections are free.
+    /// Queues the requests that have become due. Without a schedule, queues one request per free connection.
     fn schedule(&mut self, now: Duration) {
         let Some(gap) = self.gap else {
             let missing = self.free.len().saturating_sub(self.due.len());
@@ -202,14 +202,14 @@
         }
     }
 
-    /// How long to wait for events.
-    fn wait_until(&self, now: Duration, end: Duration) -> Duration {
+    /// Returns how long to wait for events.
+    fn poll_timeout(&self, now: Duration, end: Duration) -> Duration {
         let wait = if self.gap.is_some() {
             self.next_due.saturating_sub(self.now())
         } else {
             POLL_INTERVAL
         };
-        // A shorter wait is spent in this loop: the poll would make requests late by a millisecond.
+        // Busy-waits for shorter times, because the poll would delay requests by up to a millisecond.
         if wait < MIN_POLL_WAIT {
             Duration::ZERO
         } else {
@@ -226,7 +226,7 @@
             SocketEvent::Readable(id) => self.read(id),
             SocketEvent::ConnectionLost { socket, .. } => {
                 self.free.retain(|id| *id != socket);
-                self.forget(socket);
+                self.remove_connection(socket);
                 if self.connections.is_empty() {
                     return Err(LoadError::NoConnection);
                 }
@@ -257,13 +257,13 @@
             }
             _ => {
                 self.sockets.close(id);
-                self.forget(id);
+                self.remove_connection(id);
                 self.connect()
             }
         }
     }
 
-    /// Counts a response that came within the measurement.
+    /// Records a response that arrived during the measurement.
     fn count_response(&mut self, due_at: Option<Duration>, status: u16) {
         let now = self.now();
         let end = self.profile.warm_up + self.profile.duration;
@@ -283,8 +283,8 @@
         }
     }
 
-    /// Forgets a connection that is gone; a request on it has failed.
-    fn forget(&mut self, id: SocketId) {
+    /// Removes a closed connection. Counts its request in flight as a failure.
+    fn remove_connection(&mut self, id: SocketId) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
--- a/crates/load-generator/src/idle_connections.rs
+++ b/crates/load-generator/src/idle_connections.rs
@@ -1,5 +1,5 @@
-//! What an idle connection costs a sidecar: its memory, as a slope between few and many connections, and the CPU time that all of
-//! them take while idle.
+//! Measures the cost of idle connections to a sidecar: the memory per connection, as the slope between few and many connections, and
+//! the CPU time used while all of them are idle.
 
 use crate::child_process::ChildProcess;
 use crate::error::LoadError;
@@ -14,34 +14,35 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Connections opened at a time: what a listener's backlog surely holds.
+/// Maximum number of connections being opened at once, which fits into the backlog of a listener.
 const MAX_OPENING: usize = 64;
-/// A sidecar that answers nothing for so long counts as dead.
+/// Time without any event after which the sidecar is considered unresponsive.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long one poll waits, so that the timeout is noticed.
+/// Maximum duration of one poll, which bounds how late the response timeout is detected.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pods behind the sidecar.
+/// Number of pods behind the sidecar.
 const POD_COUNT: usize = 4;
-/// Bytes of a KiB.
+/// Number of bytes in a KiB.
 const BYTES_PER_KIB: u64 = 1024;
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct IdlePlan {
-    /// Connections of the first measurement.
+    /// Number of connections in the first measurement.
     pub few: usize,
-    /// Connections of the second.
+    /// Number of connections in the second measurement.
     pub many: usize,
-    /// Whether each connection has had one request before it is idle.
+    /// Whether each connection serves one request before it becomes idle.
     pub after_request: bool,
-    /// How long CPU time is measured.
+    /// Duration of the CPU time measurement.
     pub observation: Duration,
 }
 
-/// Measures with `program` as the command; gives a table and the slope as text. Files go into `folder`.
+/// Runs the measurement with `program` as the limewing executable, and returns a table and the slope as text. Writes files to
+/// `folder`.
 ///
 /// # Errors
-/// A process does not start, a connection is refused or closed, or the system tells nothing of the process.
+/// Returns an error if a process does not start, a connection is refused or closed, or process information is unavailable.
 pub fn measure(program: &Path, folder: &Path, plan: &IdlePlan) -> Result<String, LoadError> {
     let arguments = ["load", "pods", &POD_COUNT.to_string()];
     let (_pods, pods) = ChildProcess::start(program, &arguments, POD_COUNT)?;
@@ -75,7 +76,7 @@
     ))
 }
 
-/// What a sidecar takes while all its connections are idle.
+/// Resources that a sidecar uses while all of its connections are idle.
 struct IdleCost {
     resident_bytes: u64,
     cpu_ms_per_s: f64,
@@ -92,13 +93,13 @@
     })
 }
 
-/// Clients whose connections stay open and idle.
+/// Client connections that stay open and idle.
 struct IdleClients {
     sockets: Sockets,
     idle: usize,
-    /// Connections that are being opened, or wait for a response.
+    /// Connections that are being established or await a response.
     opening: HashMap<SocketId, ResponseReader>,
-    /// What is sent on each connection first; empty for nothing.
+    /// First request on each connection, empty to send none.
     request: BytesMut,
 }
 
@@ -117,7 +118,7 @@
         })
     }
 
-    /// Opens connections until `count` are idle.
+    /// Opens connections until `count` of them are idle.
     fn open(&mut self, target: SocketAddr, count: usize) -> Result<(), LoadError> {
         let mut last_event = Instant::now();
         while self.idle < count {
@@ -164,7 +165,7 @@
         Ok(())
     }
 
-    /// Checks that nothing has happened on any connection: the cost of one that was closed would pass for that of an idle one.
+    /// Checks that no event is pending on any connection. A connection that was closed would distort the cost of the idle ones.
     fn check_idle(&mut self) -> Result<(), LoadError> {
         let events = self.sockets.wait(Some(Duration::ZERO))?;
         match events.into_iter().next() {
--- a/crates/load-generator/src/lib.rs
+++ b/crates/load-generator/src/lib.rs
@@ -1,13 +1,13 @@
-//! Load on one machine.
+//! Load generation and measurement on one machine.
 //!
-//! - [`generator`]: sends requests on a schedule, and measures each from the moment it was due, so that a stall counts for all
-//!   requests that it delayed
-//! - [`compare`]: the same load straight to a pod, through a bare relay, and through a sidecar
-//! - [`idle_connections`]: what an idle connection costs a sidecar
-//! - [`pods`] and [`relay`]: what the load goes to, or through
-//! - [`sidecar_settings`]: settings of a sidecar that knows such pods
-//! - `child_process`: a process of the comparison, and what the system tells of it
-//! - [`error`]: what can go wrong
+//! - [`generator`]: sends requests on a schedule, and measures each from its scheduled time, so that a stall counts for every
+//!   request that it delayed
+//! - [`compare`]: compares direct connections to a pod with a plain TCP relay and a sidecar
+//! - [`idle_connections`]: measures the cost of idle connections to a sidecar
+//! - [`pods`] and [`relay`]: static pods, and a plain TCP relay
+//! - [`sidecar_settings`]: settings of a sidecar with a fixed set of pods
+//! - `child_process`: child processes and their resource usage
+//! - [`error`]: errors of measurements
 
 mod child_process;
 pub mod compare;
--- a/crates/load-generator/src/pods.rs
+++ b/crates/load-generator/src/pods.rs
@@ -1,4 +1,4 @@
-//! Pods that answer each request at once.
+//! Static pods that answer each request immediately.
 
 use bytes::BytesMut;
 use limewing_net::body::Framing;
@@ -9,16 +9,16 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// The longest request that is read, in bytes.
+/// Maximum size of a request, in bytes.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
-/// The body of each response.
+/// Body of each response.
 const BODY: [u8; 256] = [b'x'; 256];
 
-/// Serves at `count` addresses that the system chooses, until the process is ended. Writes them to `output` as soon as it listens,
-/// one a line.
+/// Serves on `count` loopback addresses with ports chosen by the system, until the process is terminated. Writes each address to
+/// `output` on its own line once it listens.
 ///
 /// # Errors
-/// No socket, `output` can't be written, or the poll failed.
+/// Returns an error if a socket cannot be opened, `output` cannot be written, or polling fails.
 pub fn serve(count: usize, mut output: impl Write) -> io::Result<()> {
     let mut sockets = Sockets::new()?;
     for _ in 0..count {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Answers all complete requests on a connection.
+    /// Responds to all complete requests on a connection.
     fn read(&mut self, id: SocketId) {
         let Some(requests) = self.connections.get_mut(&id) else {
             return;
--- a/crates/load-generator/src/relay.rs
+++ b/crates/load-generator/src/relay.rs
@@ -1,14 +1,15 @@
-//! A bare relay: each client's connection has one of its own to a pod, and bytes pass as they come.
+//! A plain TCP relay: opens one upstream connection per client connection, and copies bytes in both directions.
 
 use limewing_net::sockets::{SocketEvent, SocketId, Sockets};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// Relays to the pods in turn, until the process is ended. Writes its address to `output` as soon as it listens.
+/// Relays connections to the pods in round-robin order, until the process is terminated. Writes its address to `output` once it
+/// listens.
 ///
 /// # Errors
-/// No socket, `output` can't be written, or the poll failed.
+/// Returns an error if a socket cannot be opened, `output` cannot be written, or polling fails.
 pub fn serve(pods: &[SocketAddr], mut output: impl Write) -> io::Result<()> {
     let mut sockets = Sockets::new()?;
     let (_, address) = sockets.listen(SocketAddr::from(([127, 0, 0, 1], 0)))?;
@@ -31,7 +32,7 @@
     sockets: Sockets,
     pods: &'a [SocketAddr],
     accepted: usize,
-    /// For each connection the one that its bytes go to.
+    /// Maps each connection to the one that its bytes are copied to.
     peers: HashMap<SocketId, SocketId>,
 }
 
@@ -39,7 +40,7 @@
     fn handle(&mut self, event: SocketEvent) {
         match event {
             SocketEvent::Accepted { socket, .. } => self.accept(socket),
-            SocketEvent::Readable(id) => self.pass_on(id),
+            SocketEvent::Readable(id) => self.relay_bytes(id),
             SocketEvent::ConnectionLost { socket, .. } => {
                 if let Some(peer) = self.peers.remove(&socket) {
                     self.peers.remove(&peer);
@@ -62,7 +63,7 @@
         }
     }
 
-    fn pass_on(&mut self, id: SocketId) {
+    fn relay_bytes(&mut self, id: SocketId) {
         let Some(peer) = self.peers.get(&id).copied() else {
             return;
         };
--- a/crates/load-generator/src/request.rs
+++ b/crates/load-generator/src/request.rs
@@ -1,15 +1,15 @@
-//! The request that all load consists of.
+//! The request that the load consists of.
 
 use bytes::BytesMut;
 use limewing_net::body::Framing;
 use limewing_net::http::write_request;
 
-/// The path of the request class in [`sidecar_settings`](crate::sidecar_settings).
+/// Path of the request class in [`sidecar_settings`](crate::sidecar_settings).
 pub(crate) const QUOTE_PATH: &str = "/quotes/1";
-/// The longest response that is read, in bytes.
+/// Maximum size of a response, in bytes.
 pub(crate) const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// A `GET` of this path, as it goes on the wire.
+/// Encodes a `GET` request for this path.
 pub(crate) fn get_request(path: &str) -> BytesMut {
     let mut request = BytesMut::new();
     let fields = [(&b"host"[..], &b"load.example"[..])];
--- a/crates/load-generator/src/sidecar_settings.rs
+++ b/crates/load-generator/src/sidecar_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a sidecar under load.
+//! Settings of a sidecar under load, with a fixed set of pods.
 
 use crate::error::LoadError;
 use limewing_http_proxy::endpoint_list::EndpointRecord;
@@ -8,21 +8,21 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Pods that share a cell.
+/// Number of pods per cell.
 const PODS_PER_CELL: usize = 4;
-/// The capacity of each pod, in cores.
+/// Capacity of each pod, in cores.
 const POD_WEIGHT: f64 = 4.0;
 
-/// Writes into `folder` the settings of a sidecar that knows these pods from its state file, with neither an endpoint list nor a
-/// rollout service; gives the path of the file.
+/// Writes the settings and the state file of a sidecar with these pods to `folder`, and returns the path of the settings. The
+/// sidecar has neither an endpoint list nor a rollout service.
 ///
 /// # Errors
-/// The folder can't be written.
+/// Returns an error if a file cannot be written.
 pub fn write_sidecar_settings(folder: &Path, pods: &[SocketAddr]) -> Result<String, LoadError> {
     let state_file = folder.join(format!("load-{}.state.json", pods.len()));
     let endpoints: Vec<EndpointRecord> = pods.iter().enumerate().map(endpoint).collect();
     endpoint_list_file::save(&state_file, &endpoints)?;
-    // Read back at once: an error in them is this package's, and not the sidecar's to report.
+    // Validates the settings here, so that an error in them is reported by this package and not by the sidecar.
     let settings: SidecarSettings = serde_json::from_value(settings(&state_file))?;
     let file = folder.join(format!("load-{}.json", pods.len()));
     std::fs::write(&file, serde_json::to_vec_pretty(&settings)?)?;
--- a/crates/load-generator/tests/generator.rs
+++ b/crates/load-generator/tests/generator.rs
@@ -1,4 +1,4 @@
-//! The generator against pods, through the relay, and against an address where nobody listens.
+//! Tests the generator against pods, through the relay, and against an address without a listener.
 
 use limewing_load_generator::generator::{run, LoadProfile, Measurement};
 use limewing_load_generator::{pods, relay, LoadError};
@@ -8,7 +8,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// Runs a server on a thread of its own, and gives the addresses that it writes.
+/// Runs a server on a separate thread, and returns the addresses that it reports.
 fn serve(count: usize, server: impl FnOnce(UnixStream) + Send + 'static) -> Vec<SocketAddr> {
     let (output, input) = UnixStream::pair().unwrap();
     std::thread::spawn(move || server(output));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn load_on_an_address_where_nobody_listens_is_an_error() {
+fn load_on_an_address_without_a_listener_is_an_error() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
