--- a/crates/soak/src/comparison.rs
+++ b/crates/soak/src/comparison.rs
@@ -1,4 +1,4 @@
-//! What a request costs in a larger fleet.
+//! Compares the cost of a request between two fleet sizes.
 
 use crate::growth::MICROSECONDS_PER_SECOND;
 use crate::Cli;
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Plays days of two fleets in turns, so that a machine that slows down slows both, and judges the median of the ratios.
+/// Simulates days of two fleets alternately, so that a slowdown of the machine affects both, and checks the median of the ratios.
 pub(crate) fn run(cli: &Cli, compared_pods: usize, stopwatch: impl Fn() -> Duration) -> ExitCode {
     let mut base = cli.soak(cli.pods);
     let mut compared = cli.soak(compared_pods);
@@ -16,8 +16,8 @@
     table.set_header(["day", "us a hit", "us a hit beside", "ratio"]);
     let mut ratios = Vec::new();
     for number in 1..=cli.days {
-        let base_cost = play_day(&mut base, &stopwatch);
-        let compared_cost = play_day(&mut compared, &stopwatch);
+        let base_cost = simulate_day(&mut base, &stopwatch);
+        let compared_cost = simulate_day(&mut compared, &stopwatch);
         let ratio = compared_cost / base_cost;
         ratios.push(ratio);
         table.add_row([
@@ -36,9 +36,9 @@
     cli.exit_code(median <= cli.max_ratio)
 }
 
-/// Plays a day and returns the microseconds that each request cost.
-fn play_day(soak: &mut Soak, stopwatch: &impl Fn() -> Duration) -> f64 {
-    let totals = soak.play_day(stopwatch);
+/// Simulates a day and returns the microseconds spent per request.
+fn simulate_day(soak: &mut Soak, stopwatch: &impl Fn() -> Duration) -> f64 {
+    let totals = soak.simulate_day(stopwatch);
     let requests = totals.requests.max(1) as f64;
     totals.handling_time.as_secs_f64() * MICROSECONDS_PER_SECOND / requests
 }
--- a/crates/soak/src/config.rs
+++ b/crates/soak/src/config.rs
@@ -1,4 +1,4 @@
-//! What a soak is run with.
+//! Configuration of a soak test.
 
 use limewing_decision::interface::{
     Control, DeduplicationScope, Idempotency, RequestClass, RolloutConfig, SafetyLimits,
@@ -6,36 +6,36 @@
 };
 use std::time::Duration;
 
-/// How long clients wait for an answer.
+/// Time that clients wait for a response.
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The share of the fleet that runs the new build in each stage.
+/// Fraction of the fleet that runs the new build in each stage.
 pub(crate) const STAGE_SHARES: [f64; 3] = [0.1, 0.35, 1.0];
-/// The share of the requests that the new build may get in each stage.
+/// Maximum fraction of requests sent to the new build in each stage.
 pub(crate) const EXPOSURE_CAPS: [f64; 3] = [0.14, 0.45, 1.0];
-/// The number of request classes.
+/// Number of request classes.
 pub(crate) const CLASS_COUNT: u16 = 3;
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// The load and the fleet of a soak.
+/// Parameters of the load and the fleet in a soak test.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakConfig {
-    /// Pods of the fleet.
+    /// Number of pods in the fleet.
     pub pods: usize,
-    /// Requests a second, on average, while there are any.
+    /// Average request rate, in requests per second, while load is sent.
     pub requests_per_second: f64,
-    /// Requests a day; once they are spent the rest of the day is idle.
+    /// Number of requests per day. Once all of them have arrived, the rest of the day is idle.
     pub requests_per_day: u64,
-    /// The first build.
+    /// Build that is released at the start.
     pub build: u16,
-    /// Whether a routing key that a newer build has served stays there.
+    /// Whether a routing key stays with the newest build that has served it.
     pub sticky_keys: bool,
-    /// What all draws come from.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The step of the clock while nothing is in flight. A real host wakes more often, and has as little to tell.
+    /// Step of the simulated clock while no request is in flight. A real host wakes up more often, but delivers as few events.
     pub idle_step: Duration,
 }
 
-/// The configuration of the decisions.
+/// Returns the configuration of the decision engine.
 pub(crate) fn sidecar_config(config: &SoakConfig) -> SidecarConfig {
     let keyed = Idempotency::Keyed {
         deduplicated_by: DeduplicationScope::All,
--- a/crates/soak/src/growth.rs
+++ b/crates/soak/src/growth.rs
@@ -1,4 +1,4 @@
-//! Whether a day costs more the longer the decisions run.
+//! Checks whether the cost of a day grows with the running time of the decision engine.
 
 use crate::heap::{allocated_bytes, allocation_count};
 use crate::Cli;
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The day that the last one is compared with: the first ones warm up.
+/// Index of the day that the last one is compared with. The days before it are the warm-up.
 const BASELINE_DAY: usize = 2;
 const BYTES_PER_KIB: usize = 1024;
 pub(crate) const MICROSECONDS_PER_SECOND: f64 = 1e6;
@@ -22,12 +22,12 @@
     "votes",
 ];
 
-/// One day, and what it cost.
+/// Totals of one day, and its cost.
 struct DayCost {
     totals: DayTotals,
-    /// Bytes allocated at its end.
+    /// Bytes allocated at the end of the day.
     allocated_bytes: usize,
-    /// Allocations during the day.
+    /// Number of allocations during the day.
     allocations: usize,
 }
 
@@ -55,9 +55,9 @@
     }
 }
 
-/// Plays the days and compares the last one with the third.
+/// Simulates the days and compares the last one with the third.
 pub(crate) fn run(cli: &Cli, stopwatch: impl Fn() -> Duration) -> ExitCode {
-    let days = play(cli, &stopwatch);
+    let days = simulate_days(cli, &stopwatch);
     let last = days.len() - 1;
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN);
@@ -76,12 +76,12 @@
     cli.exit_code(time <= cli.max_ratio && memory <= cli.max_ratio)
 }
 
-fn play(cli: &Cli, stopwatch: &impl Fn() -> Duration) -> Vec<DayCost> {
+fn simulate_days(cli: &Cli, stopwatch: &impl Fn() -> Duration) -> Vec<DayCost> {
     let mut soak = cli.soak(cli.pods);
     let mut days = Vec::new();
     for number in 1..=cli.days {
         let allocations_before = allocation_count();
-        let totals = soak.play_day(stopwatch);
+        let totals = soak.simulate_day(stopwatch);
         let cost = DayCost {
             totals,
             allocations: allocation_count() - allocations_before,
--- a/crates/soak/src/heap.rs
+++ b/crates/soak/src/heap.rs
@@ -1,8 +1,8 @@
-//! What the process has allocated.
+//! Heap statistics of the process.
 
 use crate::HEAP;
 
-/// Bytes that are allocated now.
+/// Returns the number of bytes currently allocated.
 pub(crate) fn allocated_bytes() -> usize {
     let stats = HEAP.stats();
     stats
@@ -10,7 +10,7 @@
         .saturating_sub(stats.bytes_deallocated)
 }
 
-/// Allocations since the start of the process.
+/// Returns the number of allocations since the start of the process.
 pub(crate) fn allocation_count() -> usize {
     HEAP.stats().allocations
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,7 +1,7 @@
-//! A soak of the decisions: days of simulated events, without sockets and without sleep. Two rollouts a day replace all
-//! pods, each request has a routing key of its own, nights are idle, and for hours the endpoint list is unavailable.
+//! Soak test of the decision engine: days of simulated events, without sockets and without sleeping. Two rollouts per day replace all
+//! pods, each request has a unique routing key, nights are idle, and the endpoint list is unavailable for hours.
 //!
-//! Time is simulated; only the caller's stopwatch reads the machine's clock.
+//! Time is simulated. Only the caller's stopwatch reads the system clock.
 
 mod config;
 mod simulation;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `limewing-soak`: plays a soak, shows what each day cost, and fails if memory or time grows.
+//! `limewing-soak`: runs a soak test, prints the cost of each day, and fails if memory or time grows.
 
 mod comparison;
 mod growth;
@@ -14,10 +14,10 @@
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// The step of the simulated clock while nothing is in flight.
+/// Step of the simulated clock while no request is in flight.
 const IDLE_STEP: Duration = Duration::from_millis(500);
 
-/// Drives the decision module alone through days of made events; fails if memory or time per event grows
+/// Soak test of the decision module over days of simulated events; fails if memory or time per request grows
 #[derive(Parser)]
 struct Cli {
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(3..=10_000))]
@@ -32,21 +32,21 @@
     requests_per_second: f64,
     #[arg(long = "hits-per-day", value_name = "HITS_PER_DAY", default_value_t = 1_000_000, value_parser = clap::value_parser!(u64).range(1..))]
     requests_per_day: u64,
-    /// The first release's build; builds end at 65535
+    /// Build that is released at the start; the largest build number is 65535
     #[arg(long, default_value_t = 65_000)]
     build: u16,
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// Each key stays with the newest build that has answered it
+    /// Keep each routing key on the newest build that has answered it
     #[arg(long = "keys-stay")]
     sticky_keys: bool,
-    /// The most that the last day may cost, as a multiple of the third; with --beside, the larger fleet
+    /// Maximum cost of the last day relative to the third; with --beside, of the other fleet relative to the first
     #[arg(long = "most", value_name = "MOST", default_value_t = 1.1)]
     max_ratio: f64,
-    /// Only print, do not judge
+    /// Print the results without failing on them
     #[arg(long = "look")]
     report_only: bool,
-    /// Plays each day with so many pods too, and tells what a hit costs there as a multiple
+    /// Also simulate each day with this many pods, and print the ratio of the costs per request
     #[arg(long = "beside", value_name = "BESIDE")]
     compared_pods: Option<usize>,
 }
--- a/crates/soak/src/simulation.rs
+++ b/crates/soak/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: pods that answer after a drawn time, an endpoint list, and an installer that goes by the clock.
+//! The simulated fleet: pods with random service times, an endpoint list, and a rollout service that advances stages on a timer.
 
 mod requests;
 mod rollout;
@@ -16,52 +16,52 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When a soak starts, on its own clock.
+/// Start time of the simulated clock.
 const START: Duration = Duration::from_secs(3600);
 const DAY: Duration = Duration::from_secs(86_400);
 const ROLLOUTS_PER_DAY: u32 = 2;
-/// The list becomes unavailable after this part of the night.
+/// Divisor of the idle time per day. The endpoint list becomes unavailable after that fraction of it.
 const OUTAGE_NIGHT_DIVISOR: u32 = 4;
-/// How long a call to the list service takes.
+/// Duration of a call to the discovery service.
 const WATCH_CALL_DURATION: Duration = Duration::from_secs(1);
-/// The share of calls during an outage after which the service is still down.
+/// Probability that a call during an outage finds the service still down.
 const OUTAGE_PERSISTENCE: f64 = 0.9999;
 
-/// What one day came to.
+/// Totals of one simulated day.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DayTotals {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub requests: u64,
-    /// Events given to the decisions.
+    /// Number of events passed to the decision engine.
     pub events: u64,
-    /// Calls of the decisions without an event.
+    /// Number of calls to the decision engine without an event.
     pub ticks: u64,
-    /// Requests that a pod answered.
+    /// Number of requests that a pod answered.
     pub succeeded: u64,
-    /// Requests that were rejected.
+    /// Number of requests that were rejected.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// Votes that were cast.
+    /// Number of votes that were cast.
     pub votes: u64,
-    /// The time that the decisions took, by the caller's stopwatch.
+    /// Time spent in the decision engine, measured by the caller's stopwatch.
     pub handling_time: Duration,
 }
 
-/// Something that falls due.
+/// An event of the simulation that is scheduled for a point in time.
 enum ScheduledEvent {
     RequestArrives,
     AttemptEnds(RequestId, AttemptIndex),
     RolloutStarts,
     StageStarts(u8),
     RolloutEnds,
-    /// Draining pods of a build go.
+    /// The draining pods of a build are removed.
     PodsRemoved(BuildId),
     ListFails,
     WatchCall,
 }
 
-/// One sidecar's decisions, and the fleet around them.
+/// The decision engine of one sidecar, and the simulated fleet around it.
 pub struct Soak {
     config: SoakConfig,
     engine: DecisionEngine,
@@ -80,7 +80,7 @@
 }
 
 impl Soak {
-    /// A fleet whose first build is released, before its first day.
+    /// Creates a fleet whose first build is released, before its first day.
     #[must_use]
     pub fn new(config: SoakConfig) -> Self {
         let mut soak = Self {
@@ -110,26 +110,26 @@
         soak
     }
 
-    /// Plays one day. Each call of the decisions is timed by `stopwatch`, which returns the time since some start.
-    pub fn play_day(&mut self, stopwatch: impl Fn() -> Duration) -> DayTotals {
+    /// Simulates one day. Measures each call of the decision engine with `stopwatch`, which returns the time since a fixed point.
+    pub fn simulate_day(&mut self, stopwatch: impl Fn() -> Duration) -> DayTotals {
         self.totals = DayTotals::default();
         let end = self.now + DAY;
         self.schedule_day();
         while self.now < end {
-            self.now = self.next_step().min(end).max(self.now);
+            self.now = self.next_wake().min(end).max(self.now);
             let mut events = Vec::new();
             while let Some(event) = self.queue.pop_due(self.now) {
-                self.happen(event, &mut events);
+                self.process_scheduled_event(event, &mut events);
             }
-            let began = stopwatch();
+            let started_at = stopwatch();
             let actions = self.handle(events);
-            self.totals.handling_time += stopwatch().saturating_sub(began);
-            self.carry_out_all(actions);
+            self.totals.handling_time += stopwatch().saturating_sub(started_at);
+            self.execute_all(actions);
         }
         self.totals
     }
 
-    /// Schedules the first request, the rollouts, and an outage of the list for hours of the night.
+    /// Schedules the first request, the rollouts, and an outage of the endpoint list for hours of the night.
     fn schedule_day(&mut self) {
         self.requests_left_today = self.config.requests_per_day;
         let busy_seconds = self.config.requests_per_day as f64 / self.config.requests_per_second;
@@ -143,8 +143,8 @@
         self.schedule_in(busy + into_night, ScheduledEvent::ListFails);
     }
 
-    /// When something falls due, or the decisions want to be called.
-    fn next_step(&self) -> Duration {
+    /// Returns when the next event is due or the decision engine is to be called.
+    fn next_wake(&self) -> Duration {
         let is_idle = self.requests_left_today == 0 && self.requests.is_empty();
         let wake_at = if is_idle {
             self.wake_at.max(self.now + self.config.idle_step)
@@ -166,13 +166,13 @@
         self.engine.handle(self.now, events)
     }
 
-    /// Passes events on at once, untimed.
+    /// Passes events to the decision engine immediately, without measuring the time.
     fn deliver(&mut self, events: Vec<Event>) {
         let actions = self.handle(events);
-        self.carry_out_all(actions);
+        self.execute_all(actions);
     }
 
-    fn happen(&mut self, event: ScheduledEvent, events: &mut Vec<Event>) {
+    fn process_scheduled_event(&mut self, event: ScheduledEvent, events: &mut Vec<Event>) {
         match event {
             ScheduledEvent::RequestArrives => self.request_arrives(events),
             ScheduledEvent::AttemptEnds(request, index) => {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The list service fails a call, or is there again after hours and sends the whole list.
+    /// Answers a call to the discovery service: it fails during an outage and returns a full snapshot afterwards.
     fn answer_watch_call(&mut self, events: &mut Vec<Event>) {
         self.is_list_down &= self.rng.random_bool(OUTAGE_PERSISTENCE);
         events.push(if self.is_list_down {
@@ -200,13 +200,13 @@
         });
     }
 
-    fn carry_out_all(&mut self, actions: Vec<Action>) {
+    fn execute_all(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::StartAttempt { request, pod, .. } => self.start_attempt(request, pod),
             Action::Reject { request, .. } => {
--- a/crates/soak/src/simulation/requests.rs
+++ b/crates/soak/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Requests, and their attempts at pods that answer after a drawn time.
+//! Requests, and their attempts to pods with random service times.
 
 use super::{ScheduledEvent, Soak};
 use crate::config::{CLASS_COUNT, CLIENT_TIMEOUT};
@@ -10,16 +10,17 @@
 use rand_distr::{Distribution, LogNormal};
 use std::time::Duration;
 
-/// The log-normal distribution of service times: mean and deviation of the logarithm of seconds.
+/// Mean of the logarithm of service times in seconds, which are log-normally distributed.
 const SERVICE_TIME_LOG_MEAN: f64 = -2.0;
+/// Standard deviation of the logarithm of service times in seconds.
 const SERVICE_TIME_LOG_DEVIATION: f64 = 0.35;
-/// The service time, in seconds, should these make no distribution.
+/// Service time, in seconds, if these parameters define no distribution.
 const DEFAULT_SERVICE_TIME: f64 = 0.1;
-/// The share of attempts that fail.
+/// Probability that an attempt fails.
 const ERROR_RATE: f64 = 0.002;
 const TENANTS: u32 = 4;
 
-/// A request that is not over, or of which an attempt is in flight.
+/// A request that is not complete, or that still has attempts in flight.
 pub(super) struct OpenRequest {
     attempts: Vec<Attempt>,
     is_over: bool,
@@ -113,18 +114,18 @@
             request_over: open.is_over,
             ..result
         }));
-        self.forget_if_settled(request);
+        self.remove_if_settled(request);
     }
 
     pub(super) fn cancel_attempt(&mut self, request: RequestId, index: AttemptIndex) {
         let Some(result) = self.end_attempt(request, index) else {
             return;
         };
-        self.forget_if_settled(request);
+        self.remove_if_settled(request);
         self.deliver(vec![Event::AttemptFinished(result)]);
     }
 
-    /// Ends an attempt that is in flight, as cancelled.
+    /// Ends an attempt that is in flight, with the outcome set to cancelled.
     fn end_attempt(&mut self, request: RequestId, index: AttemptIndex) -> Option<AttemptResult> {
         let open = self.requests.get_mut(&request)?;
         let attempt = open.attempts.get_mut(usize::from(index.0))?;
@@ -142,15 +143,15 @@
         })
     }
 
-    /// The decisions gave a request its final answer.
+    /// Marks a request as complete after the decision engine has rejected or failed it.
     pub(super) fn end_request(&mut self, request: RequestId) {
         if let Some(open) = self.requests.get_mut(&request) {
             open.is_over = true;
         }
-        self.forget_if_settled(request);
+        self.remove_if_settled(request);
     }
 
-    fn forget_if_settled(&mut self, request: RequestId) {
+    fn remove_if_settled(&mut self, request: RequestId) {
         if self
             .requests
             .get(&request)
--- a/crates/soak/src/simulation/rollout.rs
+++ b/crates/soak/src/simulation/rollout.rs
@@ -1,4 +1,4 @@
-//! The installer: each rollout puts the next build on trial, goes through its stages by the clock, and releases it.
+//! The simulated rollout service: each rollout puts the next build on trial, advances its stages on a timer, and releases it.
 
 use super::{ScheduledEvent, Soak};
 use crate::config::{EXPOSURE_CAPS, STAGE_SHARES};
@@ -8,7 +8,7 @@
 };
 use std::time::Duration;
 
-/// How long a stage lasts, and how long pods drain.
+/// Duration of a stage, and of draining replaced pods.
 const STAGE_DURATION: Duration = Duration::from_secs(4);
 const LAST_STAGE: u8 = STAGE_SHARES.len() as u8 - 1;
 const POD_WEIGHT: f64 = 4.0;
@@ -17,7 +17,7 @@
 const PODS_PER_CELL: u64 = 4;
 
 impl Soak {
-    /// Pods of the present build, for which the start is known or not.
+    /// Creates pods of the current build. Their start time may be unknown.
     pub(super) fn new_pods(&mut self, count: usize, started_at: Option<Duration>) -> Vec<Endpoint> {
         (0..count)
             .map(|_| {
@@ -36,7 +36,7 @@
             .collect()
     }
 
-    /// News of the rollout of the present build.
+    /// Creates a stage update for the rollout of the current build.
     pub(super) fn stage_event(&self, stage: u8, phase: Phase, cap: f64) -> Event {
         Event::Stage {
             update: Some(StageUpdate {
@@ -71,7 +71,7 @@
         events.push(self.stage_event(LAST_STAGE, Phase::Released, 1.0));
     }
 
-    /// Starts pods of the newest build until it has a share of the fleet, and drains as many of the old.
+    /// Starts pods of the newest build until it has a share of the fleet, and drains the same number of older pods.
     fn replace_pods(&mut self, share: f64, events: &mut Vec<Event>) {
         let build = self.build;
         let wanted = (share * self.config.pods as f64).ceil() as usize;
@@ -103,13 +103,13 @@
             .partition(|endpoint| endpoint.build == build && endpoint.state == PodState::Draining);
         self.endpoints = kept;
         let removed: Vec<Endpoint> = removed;
-        let gone = removed
+        let removals = removed
             .into_iter()
             .map(|endpoint| Endpoint {
                 state: PodState::Gone,
                 ..endpoint
             })
             .collect();
-        events.push(Event::Endpoints(EndpointUpdate::Delta(gone)));
+        events.push(Event::Endpoints(EndpointUpdate::Delta(removals)));
     }
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! A short soak: what the decisions hold does not grow from day to day. Time is only measured by the long one.
+//! A short soak test: the memory of the decision engine does not grow from day to day. Only the long soak test measures time.
 
 use limewing_soak::{Soak, SoakConfig};
 use rstest::rstest;
@@ -10,11 +10,11 @@
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// All tests share one heap, so only one runs at a time.
+/// Serializes the tests, because they share one heap.
 static HEAP_IN_USE: Mutex<()> = Mutex::new(());
 
 const DAYS: usize = 6;
-/// The day that the last one is compared with: the first ones warm up.
+/// Index of the day that the last one is compared with. The days before it are the warm-up.
 const BASELINE_DAY: usize = 2;
 
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     let mut soak = Soak::new(config);
     let days: Vec<Day> = (0..DAYS)
         .map(|_| {
-            let totals = soak.play_day(|| Duration::ZERO);
+            let totals = soak.simulate_day(|| Duration::ZERO);
             Day {
                 allocated_bytes: allocated_bytes() - before,
                 succeeded: totals.succeeded,
