--- a/crates/load-generator/src/compare/mod.rs
+++ b/crates/load-generator/src/compare/mod.rs
@@ -28,8 +28,8 @@
     pub pod_counts: Vec<usize>,
     /// Number of client connections.
     pub connections: usize,
-    /// Number of rounds. The paths are measured in turn within each round, so that other load on the machine affects all of them
-    /// equally, and the median is reported.
+    /// Number of rounds. The paths are measured in turn within each round, so that other load on the machine affects all of
+    /// them equally, and the median is reported.
     pub rounds: usize,
     /// Duration of each measurement.
     pub duration: Duration,
--- a/crates/load-generator/src/generator.rs
+++ b/crates/load-generator/src/generator.rs
@@ -1,5 +1,5 @@
-//! An open-loop load generator: slow responses do not delay the request schedule, and the latency of each request is measured from
-//! its scheduled time. That includes the time that a request waits for a free connection.
+//! An open-loop load generator: slow responses do not delay the request schedule, and the latency of each request is
+//! measured from its scheduled time. That includes the time that a request waits for a free connection.
 
 use crate::error::LoadError;
 use crate::request::{get_request, MAX_RESPONSE_BYTES};
--- a/crates/load-generator/src/idle_connections.rs
+++ b/crates/load-generator/src/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Measures the cost of idle connections to a sidecar: the memory per connection, as the slope between few and many connections, and
-//! the CPU time used while all of them are idle.
+//! Measures the cost of idle connections to a sidecar: the memory per connection, as the slope between few and many
+//! connections, and the CPU time used while all of them are idle.
 
 use crate::child_process::ChildProcess;
 use crate::error::LoadError;
--- a/crates/load-generator/src/pods.rs
+++ b/crates/load-generator/src/pods.rs
@@ -14,8 +14,8 @@
 /// Body of each response.
 const BODY: [u8; 256] = [b'x'; 256];
 
-/// Serves on `count` loopback addresses with ports chosen by the system, until the process is terminated. Writes each address to
-/// `output` on its own line once it listens.
+/// Serves on `count` loopback addresses with ports chosen by the system, until the process is terminated. Writes each
+/// address to `output` on its own line once it listens.
 ///
 /// # Errors
 /// Returns an error if a socket cannot be opened, `output` cannot be written, or polling fails.
--- a/crates/soak/src/comparison.rs
+++ b/crates/soak/src/comparison.rs
@@ -7,7 +7,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Simulates days of two fleets alternately, so that a slowdown of the machine affects both, and checks the median of the ratios.
+/// Simulates days of two fleets alternately, so that a slowdown of the machine affects both, and checks the median of the
+/// ratios.
 pub(crate) fn run(cli: &Cli, compared_pods: usize, stopwatch: impl Fn() -> Duration) -> ExitCode {
     let mut base = cli.soak(cli.pods);
     let mut compared = cli.soak(compared_pods);
--- a/crates/soak/src/simulation.rs
+++ b/crates/soak/src/simulation.rs
@@ -1,4 +1,5 @@
-//! The simulated fleet: pods with random service times, an endpoint list, and a rollout service that advances stages on a timer.
+//! The simulated fleet: pods with random service times, an endpoint list, and a rollout service that advances stages on a
+//! timer.
 
 mod requests;
 mod rollout;
@@ -110,7 +111,8 @@
         soak
     }
 
-    /// Simulates one day. Measures each call of the decision engine with `stopwatch`, which returns the time since a fixed point.
+    /// Simulates one day. Measures each call of the decision engine with `stopwatch`, which returns the time since a fixed
+    /// point.
     pub fn simulate_day(&mut self, stopwatch: impl Fn() -> Duration) -> DayTotals {
         self.totals = DayTotals::default();
         let end = self.now + DAY;
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -31,7 +31,7 @@
 #[rstest]
 #[case::sticky_keys(true, 65_500)]
 #[case::free_keys(false, 1)]
-fn the_last_day_holds_no_more_memory_than_the_third(#[case] sticky_keys: bool, #[case] build: u16) {
+fn the_last_day_uses_no_more_memory_than_the_third(#[case] sticky_keys: bool, #[case] build: u16) {
     let _guard = HEAP_IN_USE.lock().unwrap_or_else(PoisonError::into_inner);
     let config = SoakConfig {
         pods: 14,
