--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -1,4 +1,4 @@
-//! `limewing day` and `limewing demo`: days played and checked.
+//! `limewing day` and `limewing demo`: run day scripts and check their records.
 
 use crate::error::CommandError;
 use crate::plot::{self, Series};
@@ -16,28 +16,28 @@
 use std::io::BufReader;
 use std::path::{Path, PathBuf};
 
-/// The day that `demo` plays.
+/// Day script that `demo` runs.
 const DEMO_SCRIPT: &str = include_str!("../../../days/demo.json");
 
-/// File in a day's folder with the load of each pod over time.
+/// Plot in a day's output folder with the load of each pod over time.
 const LOAD_PLOT: &str = "load.svg";
 
 #[derive(Subcommand)]
 pub(crate) enum DayCommand {
-    /// Play a day; its record and the sidecars' logs go to a folder
+    /// Run a day script; writes its record and the sidecars' logs to a folder
     Play {
         script: PathBuf,
         #[arg(long, default_value = "day-out")]
         folder: PathBuf,
     },
-    /// Check the five rules from a record alone
+    /// Check the five rules against a record
     Check { record: PathBuf },
 }
 
 /// Runs the subcommand.
 ///
 /// # Errors
-/// If a file cannot be used, the day cannot be played, or a rule was broken.
+/// Returns an error if a file is invalid, the day cannot be run, or a rule was broken.
 pub(crate) fn run(command: DayCommand) -> Result<(), CommandError> {
     match command {
         DayCommand::Play { script, folder } => {
@@ -48,10 +48,10 @@
     }
 }
 
-/// Plays the demo's day, in a temporary folder if none is given.
+/// Runs the demo's day script, in a temporary folder if none is given.
 ///
 /// # Errors
-/// If the day cannot be played, or a rule was broken.
+/// Returns an error if the day cannot be run or a rule was broken.
 pub(crate) fn run_demo(folder: Option<PathBuf>) -> Result<(), CommandError> {
     let script = limewing_settings::read_text("the demo's script", DEMO_SCRIPT)
         .map_err(CommandError::failed)?;
@@ -66,13 +66,13 @@
 fn play(script: &DayScript, folder: &Path) -> Result<(), CommandError> {
     let record = play_and_record(script, folder)?;
     println!("record: {}", record.display());
-    // The rules are checked also if the plot cannot be drawn, and a broken rule is the error that is told.
+    // Checks the rules even if the plot cannot be drawn. A broken rule takes precedence as the reported error.
     let plotted = plot_load(&record, &folder.join(LOAD_PLOT));
     check(&record)?;
     plotted
 }
 
-/// Plays a day with processes of this program, and returns the file of its record.
+/// Runs a day with child processes of this program, and returns the path of its record.
 fn play_and_record(script: &DayScript, folder: &Path) -> Result<PathBuf, CommandError> {
     let program = std::env::current_exe().map_err(CommandError::failed)?;
     let progress_line = ProgressLine::new(&script.name);
@@ -105,8 +105,12 @@
 
 fn check(file: &Path) -> Result<(), CommandError> {
     let lines = read_record(file)?;
-    let checker = RuleChecker::new(&lines)
-        .ok_or_else(|| CommandError::InvalidInput(format!("{}: no day's terms", file.display())))?;
+    let checker = RuleChecker::new(&lines).ok_or_else(|| {
+        CommandError::InvalidInput(format!(
+            "{}: the record does not contain the terms of the day",
+            file.display()
+        ))
+    })?;
     let report = checker.report();
     println!("{}", report::rule_table(&report));
     let maintenance = check_maintenance(&lines);
@@ -120,7 +124,7 @@
     verdict(&report, maintenance_violations)
 }
 
-/// The outcome of a check, once all of it was printed.
+/// Returns the outcome of a check whose results have been printed.
 fn verdict(report: &Report, maintenance_violations: usize) -> Result<(), CommandError> {
     let broken_rules = report.broken().count();
     if broken_rules > 0 {
@@ -130,7 +134,7 @@
     }
     if maintenance_violations > 0 {
         return Err(CommandError::Failed(format!(
-            "{maintenance_violations} times machines were out as they must not be"
+            "{maintenance_violations} violations of the maintenance limits"
         )));
     }
     Ok(())
--- a/crates/cli/src/fault_script.rs
+++ b/crates/cli/src/fault_script.rs
@@ -1,4 +1,4 @@
-//! A script of faults between sidecars, as a file of settings.
+//! The file format of scripts of faults between sidecars.
 
 use limewing_fault_injection::Script;
 use limewing_settings::{Checked, ConfigError};
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `limewing fleet`: a sidecar's view of its fleet, and fleets under scripts of faults.
+//! `limewing fleet`: shows a sidecar's view of its fleet, and runs fleets under fault scripts.
 
 mod coordination;
 mod play;
@@ -15,19 +15,19 @@
 pub(crate) enum FleetCommand {
     /// Print one sidecar's view of its fleet
     Show {
-        /// Where the sidecar serves its clients
+        /// Address on which the sidecar serves its clients
         at: SocketAddr,
     },
-    /// Print what a sidecar keeps of its own and the others' state
+    /// Print the state that a sidecar replicates with the other sidecars
     State {
-        /// Where the sidecar serves its clients
+        /// Address on which the sidecar serves its clients
         at: SocketAddr,
     },
-    /// Play a script of faults with processes of this program
+    /// Run a fault script with child processes of this program
     Play(PlayArguments),
-    /// What the choices of many decision modules add up to, in simulated time, with and without the fleet's word
+    /// Simulate the endpoint selection of many sidecars, with and without coordination between them
     Choices(CoordinationArguments),
-    /// Play a script of faults in simulated time
+    /// Run a fault script in simulated time
     Simulate {
         script: PathBuf,
         #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u16).range(2..=1000))]
@@ -38,15 +38,15 @@
 #[derive(Args)]
 pub(crate) struct PlayArguments {
     script: PathBuf,
-    /// Settings that all start from; names, addresses and peers are put in
+    /// Settings template of all members; names, addresses and peers are filled in
     #[arg(long)]
     settings: PathBuf,
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(2..=64))]
     members: u16,
-    /// Milliseconds between two probes of a member
+    /// Probe interval of a member, in milliseconds
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(10..=60_000))]
     period_ms: u64,
-    /// Where settings, keys and logs go
+    /// Output folder for settings, keys and logs
     #[arg(long)]
     folder: PathBuf,
 }
@@ -57,7 +57,7 @@
     sidecars: u16,
     #[arg(long, default_value_t = 150, value_parser = clap::value_parser!(u16).range(2..=1000))]
     pods: u16,
-    /// From half of the time on they are so many parts that know nothing of each other
+    /// Number of partitions that the sidecars are split into after 45% of the run
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=100))]
     parts: u16,
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u16).range(10..=600))]
@@ -69,7 +69,7 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// If a file cannot be used, a sidecar does not answer, or the members of a play do not agree at its end.
+/// Returns an error if a file is invalid, a sidecar does not respond, or the members of a run disagree at its end.
 pub(crate) fn run(command: FleetCommand) -> Result<(), CommandError> {
     match command {
         FleetCommand::Show { at } => view::print_membership(at),
--- a/crates/cli/src/fleet/coordination.rs
+++ b/crates/cli/src/fleet/coordination.rs
@@ -1,4 +1,4 @@
-//! What the decisions of many sidecars add up to, with and without coordination between them.
+//! Compares the combined decisions of many sidecars with and without coordination between them.
 
 use super::CoordinationArguments;
 use crate::table;
@@ -7,20 +7,20 @@
 };
 use std::time::Duration;
 
-/// Part of the time after which the sidecars are split.
+/// Fraction of the run after which the sidecars are partitioned.
 const SPLIT_AFTER: f64 = 0.45;
 
-/// Part of the time at which the pod that was gone is back.
+/// Fraction of the run after which the pod with the outage is available again.
 const POD_BACK_AT: f64 = 0.8;
 
-/// Seconds after a pod's end from which attempts at it count: until then most sidecars cannot know.
+/// Seconds after the start of a pod's outage from which attempts are counted. Most sidecars cannot have detected it before.
 const DETECTION_SECONDS: usize = 5;
 
-/// A figure of one play, as the table has it.
+/// Formats a figure of one run for the table.
 type Figure = fn(&TrialResult) -> String;
 
-/// Plays many sidecars in simulated time with and without coordination, and prints both side by side. A pod starts cold at
-/// half of the time, another is gone from a fifth of it to four fifths.
+/// Simulates many sidecars with and without coordination, and prints the results side by side. One pod restarts cold at half of
+/// the run, and another has an outage from one fifth to four fifths of it.
 pub(super) fn run(arguments: &CoordinationArguments) {
     let coordinated = fleet::run_trial(&plan(arguments, true));
     let independent = fleet::run_trial(&plan(arguments, false));
@@ -36,8 +36,8 @@
             late_attempts_at_dead_pod,
         ),
         ("from its return to its first answer, s", recovery_time),
-        ("delivered", |played| played.delivered.to_string()),
-        ("given up", |played| played.given_up.to_string()),
+        ("delivered", |result| result.delivered.to_string()),
+        ("given up", |result| result.given_up.to_string()),
     ];
     for (name, figure) in figures {
         rows.add_row([name.to_owned(), figure(&coordinated), figure(&independent)]);
@@ -69,23 +69,23 @@
     }
 }
 
-fn max_load(played: &TrialResult) -> String {
-    format!("{:.2}", played.highest_over_mean())
+fn max_load(result: &TrialResult) -> String {
+    format!("{:.2}", result.highest_over_mean())
 }
 
-fn cold_load(played: &TrialResult) -> String {
-    format!("{:.2}", played.warming_load)
+fn cold_load(result: &TrialResult) -> String {
+    format!("{:.2}", result.warming_load)
 }
 
-fn late_attempts_at_dead_pod(played: &TrialResult) -> String {
-    let late = played.attempts_in_outage.iter().skip(DETECTION_SECONDS);
+fn late_attempts_at_dead_pod(result: &TrialResult) -> String {
+    let late = result.attempts_in_outage.iter().skip(DETECTION_SECONDS);
     let seconds = late.clone().count().max(1) as f64;
     let attempts = late.sum::<usize>() as f64;
     format!("{:.1}", attempts / seconds)
 }
 
-fn recovery_time(played: &TrialResult) -> String {
-    match played.recovery_time {
+fn recovery_time(result: &TrialResult) -> String {
+    match result.recovery_time {
         Some(time) => format!("{:.1}", time.as_secs_f64()),
         None => "none".to_owned(),
     }
--- a/crates/cli/src/fleet/play.rs
+++ b/crates/cli/src/fleet/play.rs
@@ -1,4 +1,4 @@
-//! A script of faults, played with processes of this program.
+//! Runs a fault script with child processes of this program.
 
 use super::PlayArguments;
 use crate::error::CommandError;
@@ -10,19 +10,19 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// File in the play's folder with the number of living members that each sidecar saw over time.
+/// Plot in the output folder with the number of members that each sidecar considered alive over time.
 const MEMBERS_PLOT: &str = "members.svg";
 
-/// Wrong views at the end that are printed.
+/// Maximum number of wrong final views that are printed.
 const MAX_PRINTED_VIEWS: usize = 20;
 
-/// Least time that rates are taken over, against a division by zero, in seconds.
+/// Lower bound of the duration in a rate, in seconds, to avoid a division by zero.
 const MIN_DURATION_S: f64 = 1e-9;
 
-/// Plays the script, and prints how it went.
+/// Runs the script and prints its results.
 ///
 /// # Errors
-/// If a file cannot be used, a process crashed, or those that run at the end do not know each other's status.
+/// Returns an error if a file is invalid, a process crashed, or the members running at the end have a wrong view of each other.
 pub(super) fn run(arguments: &PlayArguments) -> Result<(), CommandError> {
     let script: FaultScriptFile =
         limewing_settings::read(&arguments.script).map_err(CommandError::invalid_input)?;
@@ -39,24 +39,24 @@
         settings: &settings,
         folder,
     };
-    let played = fleet::play(&plan).map_err(CommandError::failed)?;
-    print_figures(&played, members);
-    plot_living_members(&played, members, folder)?;
-    check_end(&played, members, folder)
+    let result = fleet::play(&plan).map_err(CommandError::failed)?;
+    print_figures(&result, members);
+    plot_living_members(&result, members, folder)?;
+    check_end(&result, members, folder)
 }
 
-fn print_figures(played: &Played, members: usize) {
-    let member_seconds = played.ended.as_secs_f64().max(MIN_DURATION_S) * members as f64;
-    let datagrams = played.traffic.datagrams as f64 / member_seconds;
-    let bytes = played.traffic.bytes as f64 / member_seconds;
-    let dead_while_running = played.held_dead_while_running();
-    let wrong_at_end = played.wrong_at_the_end(members).len();
+fn print_figures(result: &Played, members: usize) {
+    let member_seconds = result.ended.as_secs_f64().max(MIN_DURATION_S) * members as f64;
+    let datagrams = result.traffic.datagrams as f64 / member_seconds;
+    let bytes = result.traffic.bytes as f64 / member_seconds;
+    let dead_while_running = result.held_dead_while_running();
+    let wrong_at_end = result.wrong_at_the_end(members).len();
     let mut rows = table::with_headers(&["what", "figure"]);
     rows.add_row(["members", &members.to_string()]);
-    rows.add_row(["views taken", &played.samples.len().to_string()]);
+    rows.add_row(["views taken", &result.samples.len().to_string()]);
     rows.add_row(["datagrams a second and member", &format!("{datagrams:.1}")]);
     rows.add_row(["bytes a second and member", &format!("{bytes:.0}")]);
-    rows.add_row(["datagrams refused", &played.refused.to_string()]);
+    rows.add_row(["datagrams refused", &result.refused.to_string()]);
     rows.add_row([
         "views that held one that ran to be dead",
         &dead_while_running.to_string(),
@@ -65,9 +65,9 @@
     println!("{rows}");
 }
 
-fn plot_living_members(played: &Played, members: usize, folder: &Path) -> Result<(), CommandError> {
+fn plot_living_members(result: &Played, members: usize, folder: &Path) -> Result<(), CommandError> {
     let series_of = |member: usize| -> Series {
-        let samples = played.samples.iter().filter(|sample| sample.of == member);
+        let samples = result.samples.iter().filter(|sample| sample.of == member);
         samples
             .map(|sample| (sample.at.as_secs_f64(), sample.alive() as f64))
             .collect()
@@ -81,23 +81,21 @@
     )
 }
 
-/// Prints the wrong views at the end, and fails on them and on crashes.
-fn check_end(played: &Played, members: usize, folder: &Path) -> Result<(), CommandError> {
-    let wrong_views = played.wrong_at_the_end(members);
+/// Prints the wrong final views, and returns an error for them and for crashes.
+fn check_end(result: &Played, members: usize, folder: &Path) -> Result<(), CommandError> {
+    let wrong_views = result.wrong_at_the_end(members);
     for view in wrong_views.iter().take(MAX_PRINTED_VIEWS) {
         println!("s{} holds s{} to be {}", view.of, view.member, view.status);
     }
-    if !played.crashed.is_empty() {
+    if !result.crashed.is_empty() {
         return Err(CommandError::Failed(format!(
-            "ended by themselves: {:?}; see the logs in {}",
-            played.crashed,
+            "processes exited unexpectedly: {:?}; see the logs in {}",
+            result.crashed,
             folder.display()
         )));
     }
     if !wrong_views.is_empty() {
-        return Err(CommandError::failed(
-            "the members do not hold each other as they should",
-        ));
+        return Err(CommandError::failed("the final membership views are wrong"));
     }
     Ok(())
 }
--- a/crates/cli/src/fleet/simulate.rs
+++ b/crates/cli/src/fleet/simulate.rs
@@ -1,4 +1,4 @@
-//! A script of faults, played in simulated time.
+//! Runs a fault script in simulated time.
 
 use crate::table;
 use limewing_emulators::fleet::{self, Member};
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Who held a member to be dead, and when, by the member's name.
+/// Observers that considered a member dead, and when, by the member's name.
 type Deaths = BTreeMap<String, Vec<(usize, Duration)>>;
 
-/// Plays the script, and prints how it went.
+/// Runs the script and prints its results.
 pub(super) fn run(script: &Script, members: usize) {
     let mut simulation = Simulation::<Member>::new(script, members);
     let started_at = Instant::now();
@@ -53,14 +53,14 @@
     println!("{rows}");
 }
 
-/// Whether the member of this name, an `s` and its number, runs at the end.
+/// Returns whether a member runs at the end. Its name is an `s` followed by its number.
 fn is_running(simulation: &Simulation<Member>, name: &str) -> bool {
     let number = name.strip_prefix('s').and_then(|text| text.parse().ok());
     number.is_some_and(|number| simulation.member(number).is_some())
 }
 
-/// For each member that was killed for good: seconds from then until all that run held it to be dead, infinite if some
-/// never did.
+/// Returns, for each member that was killed and not restarted, the seconds until all running members considered it dead.
+/// The time is infinite if some never did.
 fn detection_times(script: &Script, simulation: &Simulation<Member>, deaths: &Deaths) -> Vec<f64> {
     let members = simulation.member_count();
     let running = (0..members)
@@ -86,7 +86,7 @@
     times
 }
 
-/// Seconds after its death at which each member that runs first held a killed one to be dead.
+/// Returns, for each running member, the seconds from the death of a killed member until it first considered that member dead.
 fn first_detections(
     simulation: &Simulation<Member>,
     deaths: &Deaths,
@@ -104,7 +104,7 @@
     first
 }
 
-/// For each member that does not run at the end: seconds from the first that held it to be dead to the last.
+/// Returns, for each member that does not run at the end, the seconds between the first and the last detection of its death.
 fn spread_times(simulation: &Simulation<Member>, deaths: &Deaths) -> Vec<f64> {
     deaths
         .iter()
@@ -118,7 +118,7 @@
         .collect()
 }
 
-/// The median and the greatest of some times, as the table has them.
+/// Formats the median and the maximum of some times for the table.
 fn median_and_max(mut times: Vec<f64>) -> Option<String> {
     times.sort_by(f64::total_cmp);
     let max = times.last()?;
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! What a running sidecar's pages tell of its fleet.
+//! Prints the fleet pages of a running sidecar.
 
 use crate::error::CommandError;
 use crate::table;
@@ -7,13 +7,13 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// Page with what a sidecar replicates.
+/// Page with the state that a sidecar replicates.
 const REPLICATION_PAGE: &str = "/limewing/state";
 
-/// Prints which members a sidecar knows, and how it selects endpoints among them.
+/// Prints the members that a sidecar knows, and its endpoint selection.
 ///
 /// # Errors
-/// If the sidecar does not answer, or not with a view.
+/// Returns an error if the sidecar does not respond or the page cannot be parsed.
 pub(super) fn print_membership(sidecar: SocketAddr) -> Result<(), CommandError> {
     let page = fleet::ask(sidecar).map_err(|e| CommandError::Failed(format!("{sidecar}: {e}")))?;
     let view: MembershipView = parse_page(sidecar, &page)?;
@@ -51,10 +51,10 @@
     Ok(())
 }
 
-/// Prints what a sidecar replicates, and how far its copy of each other's log goes.
+/// Prints the state that a sidecar replicates, and the progress of its copy of each peer's log.
 ///
 /// # Errors
-/// If the sidecar does not answer, or not with a view.
+/// Returns an error if the sidecar does not respond or the page cannot be parsed.
 pub(super) fn print_replication(sidecar: SocketAddr) -> Result<(), CommandError> {
     let page = fleet::call(sidecar, "GET", REPLICATION_PAGE, "")
         .map_err(|e| CommandError::Failed(format!("{sidecar}: {e}")))?;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `limewing load`: load on a sidecar and on what stands beside it for comparison.
+//! `limewing load`: measures a sidecar under load, and compares it with a plain TCP relay.
 
 use crate::error::CommandError;
 use clap::{Args, Subcommand};
@@ -12,27 +12,27 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Requests a second that `load hits` takes.
+/// Request rates that `load hits` accepts, in requests per second.
 const REQUEST_RATES: RangeInclusive<f64> = 0.001..=10_000_000.0;
 
 #[derive(Subcommand)]
 pub(crate) enum LoadCommand {
-    /// Clients straight to a pod, through a bare relay and through a sidecar, in one run
+    /// Compare direct connections to a pod with a plain TCP relay and a sidecar, in one run
     Compare(CompareArguments),
-    /// What a sleeping connection costs a sidecar in memory and CPU
+    /// Measure the memory and CPU cost of idle connections to a sidecar
     Idle(IdleArguments),
-    /// Hits on a schedule at one address
-    Hits(HitsArguments),
-    /// Settings of a sidecar that knows these pods, with no list service and no installer
+    /// Send requests to one address on a schedule
+    Hits(RequestArguments),
+    /// Write settings of a sidecar with these pods, without a discovery service and a rollout service
     Settings {
         #[arg(long, default_value = ".")]
         folder: PathBuf,
         #[arg(required = true)]
         pods: Vec<SocketAddr>,
     },
-    /// Pods that answer at once, at addresses that are told on standard output
+    /// Serve pods that answer immediately; prints their addresses on standard output
     Pods { many: usize },
-    /// A relay that passes bytes on to the pods and decides nothing
+    /// Run a plain TCP relay to the pods
     Relay {
         #[arg(required = true)]
         pods: Vec<SocketAddr>,
@@ -41,15 +41,15 @@
 
 #[derive(Args)]
 pub(crate) struct CompareArguments {
-    /// Pods of the fleet, one run for each number
+    /// Numbers of pods in the fleet; each is measured with a sidecar of its own
     #[arg(long, value_delimiter = ',', default_value = "14,91", value_parser = clap::value_parser!(u16).range(1..=1000))]
     pods: Vec<u16>,
     #[arg(long, default_value_t = 32, value_parser = clap::value_parser!(u16).range(1..=10_000))]
     connections: u16,
-    /// Rounds in which each way is measured; the middle one counts
+    /// Number of rounds; the median of each figure is printed
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u16).range(1..=100))]
     rounds: u16,
-    /// Seconds that each measurement lasts
+    /// Duration of each measurement, in seconds
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
     #[arg(long, default_value_t = 7)]
@@ -62,19 +62,19 @@
     few: u16,
     #[arg(long, default_value_t = 15_000, value_parser = clap::value_parser!(u16).range(2..))]
     many: u16,
-    /// Each connection has had one hit before it sleeps
-    #[arg(long)]
-    after_hit: bool,
-    /// Seconds of sleep that are watched
+    /// Send one request on each connection before it becomes idle
+    #[arg(long = "after-hit")]
+    after_request: bool,
+    /// Duration of the measurement of idle connections, in seconds
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=3600))]
     rests: u64,
 }
 
 #[derive(Args)]
-pub(crate) struct HitsArguments {
+pub(crate) struct RequestArguments {
     to: SocketAddr,
-    #[arg(long, default_value_t = 500.0, value_parser = parse_request_rate)]
-    hits_per_s: f64,
+    #[arg(long = "hits-per-s", value_name = "HITS_PER_S", default_value_t = 500.0, value_parser = parse_request_rate)]
+    requests_per_s: f64,
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=10_000))]
@@ -85,18 +85,18 @@
     target: String,
 }
 
-/// Reads requests a second.
+/// Parses a request rate in requests per second.
 fn parse_request_rate(text: &str) -> Result<f64, String> {
     text.parse()
         .ok()
         .filter(|rate| REQUEST_RATES.contains(rate))
-        .ok_or_else(|| "expected 0.001 to 10000000 hits a second".to_owned())
+        .ok_or_else(|| "expected 0.001 to 10000000 requests per second".to_owned())
 }
 
 /// Runs the subcommand.
 ///
 /// # Errors
-/// If the arguments contradict each other, or a process or socket fails.
+/// Returns an error if the arguments contradict each other, or a process or socket fails.
 pub(crate) fn run(command: LoadCommand) -> Result<(), CommandError> {
     match command {
         LoadCommand::Compare(arguments) => compare_paths(arguments),
@@ -143,7 +143,7 @@
     let plan = IdlePlan {
         few: few.into(),
         many: many.into(),
-        after_request: arguments.after_hit,
+        after_request: arguments.after_request,
         observation: Duration::from_secs(arguments.rests),
     };
     let report =
@@ -152,10 +152,10 @@
     Ok(())
 }
 
-fn send_requests(arguments: HitsArguments) -> Result<(), CommandError> {
+fn send_requests(arguments: RequestArguments) -> Result<(), CommandError> {
     let profile = LoadProfile {
         target: arguments.to,
-        requests_per_s: Some(arguments.hits_per_s),
+        requests_per_s: Some(arguments.requests_per_s),
         connections: arguments.connections.into(),
         warm_up: Duration::ZERO,
         duration: Duration::from_secs(arguments.seconds),
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log of a sidecar: JSON lines on standard error, written by a thread of its own.
+//! Logging of a sidecar: JSON lines on standard error, written by a separate thread.
 
 use crate::error::CommandError;
 use signal_hook::consts::SIGXFSZ;
@@ -6,16 +6,16 @@
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Log lines that may wait to be written; further ones are left out.
+/// Maximum number of buffered log lines. Further lines are dropped.
 const MAX_BUFFERED_LINES: usize = 4096;
 
-/// What is logged if `RUST_LOG` is absent or cannot be used.
+/// Log filter used if `RUST_LOG` is absent or invalid.
 const DEFAULT_FILTER: &str = "info";
 
-/// Sets up `tracing` for the process. Lines that wait are written when the guard is dropped.
+/// Initializes `tracing` for the process. Buffered lines are written when the guard is dropped.
 ///
 /// # Errors
-/// If the handler of `SIGXFSZ` cannot be set.
+/// Returns an error if the `SIGXFSZ` handler cannot be installed.
 pub(crate) fn init() -> Result<WorkerGuard, CommandError> {
     let (writer, guard) = lossy_stderr_writer();
     let filter =
@@ -30,8 +30,8 @@
     Ok(guard)
 }
 
-/// A full disk or a reader that does not read must neither end nor delay a sidecar, so lines that standard error does not
-/// take in time are lost.
+/// Creates a writer that drops lines when standard error does not accept them in time. A full disk or a stalled reader must
+/// neither terminate nor delay a sidecar.
 fn lossy_stderr_writer() -> (NonBlocking, WorkerGuard) {
     NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_BUFFERED_LINES)
@@ -39,7 +39,8 @@
         .finish(std::io::stderr())
 }
 
-/// Unhandled, the signal would end the process when its log reaches the limit on file sizes; handled, the write fails instead.
+/// Installs a handler for `SIGXFSZ`, so that a write beyond the file size limit fails. By default the signal would
+/// terminate the process when its log reaches the limit.
 fn handle_file_size_limit() -> Result<(), CommandError> {
     signal_hook::flag::register(SIGXFSZ, Arc::default()).map_err(CommandError::failed)?;
     Ok(())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `limewing`: sidecars, and what goes with running and trying them.
+//! The `limewing` command: runs sidecars, and provides tools to operate and test them.
 
 mod day;
 mod error;
@@ -36,31 +36,31 @@
     command: Command,
 }
 
-// The comments of subcommands and arguments are the help that users read.
+// Doc comments of subcommands and arguments are the help text.
 #[derive(Subcommand)]
 enum Command {
-    /// Run one sidecar; logs go to standard error as JSON, the address it listens on to standard output
+    /// Run one sidecar; writes JSON logs to standard error and its listening address to standard output
     Sidecar(SidecarArguments),
-    /// Run one sidecar on the platform; logs go to standard error as JSON
+    /// Run one sidecar for PostgreSQL's protocol on the platform; writes JSON logs to standard error
     Platform(PlatformArguments),
     /// Check settings, or print their schema
     #[command(subcommand)]
     Settings(SettingsCommand),
-    /// Play a day from its script, or check the record of one
+    /// Run a day script, or check the record of a run
     #[command(subcommand)]
     Day(DayCommand),
-    /// Compare a sidecar under load with a bare relay and with none
+    /// Generate load, and compare a sidecar with a plain TCP relay and with direct connections
     #[command(subcommand)]
     Load(LoadCommand),
-    /// What a sidecar holds of its fleet; fleets under scripts of faults
+    /// Show a sidecar's view of its fleet, or run a fleet under a fault script
     #[command(subcommand)]
     Fleet(FleetCommand),
-    /// Machines out for work, in an order that the sidecars settle among themselves
+    /// Manage the maintenance of machines, which the sidecars schedule by consensus
     #[command(subcommand)]
     Work(WorkCommand),
-    /// Play one bad day, and show how it went and whether the rules were kept
+    /// Run a demo day with faults, and print its results and whether the rules were kept
     Demo {
-        /// Where the record and the sidecars' logs go; a folder that is removed afterwards if absent
+        /// Output folder for the record and the sidecars' logs; a temporary folder if absent
         #[arg(long)]
         folder: Option<PathBuf>,
     },
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -8,15 +8,15 @@
 
 #[derive(Args)]
 pub(crate) struct PlatformArguments {
-    /// What the platform tells the sidecar
+    /// Configuration file that the platform provides
     #[arg(env = "ROUTER_CONFIG")]
     config: PathBuf,
 }
 
-/// Runs a sidecar until it is told to shut down.
+/// Runs a sidecar until it is signalled to shut down.
 ///
 /// # Errors
-/// If the configuration cannot be used, or the event loop fails.
+/// Returns an error if the configuration is invalid or the event loop fails.
 pub(crate) fn run(arguments: PlatformArguments) -> Result<(), CommandError> {
     let _log_guard = logging::init()?;
     let service = Service::start(arguments.config).map_err(CommandError::invalid_input)?;
--- a/crates/cli/src/plot.rs
+++ b/crates/cli/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of a play, as SVG files beside its record.
+//! Plots of a run, written as SVG files beside its record.
 
 use crate::error::CommandError;
 use plotters::chart::ChartBuilder;
@@ -9,22 +9,22 @@
 use std::error::Error;
 use std::path::Path;
 
-/// One line of a plot: values by time in seconds.
+/// One line of a plot, as pairs of the time in seconds and the value.
 pub(crate) type Series = Vec<(f64, f64)>;
 
 /// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (960, 480);
 
-/// Room above the highest value, as a factor of it.
+/// Length of the value axis as a multiple of the highest value.
 const HEADROOM: f64 = 1.05;
 
-/// Least length of an axis: one without a length cannot be drawn.
+/// Minimum length of an axis, because an axis of length zero cannot be drawn.
 const MIN_AXIS: f64 = 1e-9;
 
-/// Draws all series into one plot; each has a colour of its own.
+/// Draws all series into one plot, each in a separate colour.
 ///
 /// # Errors
-/// If the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub(crate) fn draw(
     file: &Path,
     title: &str,
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// The highest coordinate of all points, and a little more than 0 at least.
+/// Returns the highest coordinate of all points, but at least the minimum length of an axis.
 fn max_of(series: &[Series], coordinate: fn(&(f64, f64)) -> f64) -> f64 {
     series
         .iter()
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -1,4 +1,4 @@
-//! What a day looks like on a terminal: a line of progress, and the tables at the end.
+//! Terminal output of a day: the progress line, and the final tables.
 
 use crate::table;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -8,10 +8,10 @@
 use limewing_rule_checker::report::Report;
 use std::fmt::Write;
 
-/// Violations that are printed for each rule.
+/// Maximum number of violations printed for each rule.
 const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// The line that shows how far a day is.
+/// The progress line of a running day.
 pub(crate) struct ProgressLine(ProgressBar);
 
 impl ProgressLine {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The table of the five rules, the day's service and load below it, and then the violations.
+/// Formats the table of the five rules, followed by the day's service and load, and the violations.
 pub(crate) fn rule_table(report: &Report) -> String {
     let mut table = table::with_headers(&["rule", "counted", "nearest to a breach", "verdict"]);
     for result in &report.results {
@@ -87,12 +87,12 @@
     )
 }
 
-/// The first violations of each rule that was broken, each line after a line break.
+/// Formats the first violations of each broken rule. Each line starts with a line break.
 fn violation_lines(report: &Report) -> String {
     let mut text = String::new();
     for result in report.broken() {
         let violations = &result.violations;
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(text, "\n{}:", result.rule);
         for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             let at_s = violation.at.as_secs_f64();
@@ -106,7 +106,7 @@
     text
 }
 
-/// Prints how the maintenance of machines went.
+/// Prints the results of machine maintenance.
 pub(crate) fn print_maintenance(report: &MaintenanceReport) {
     println!(
         "machines: {} worked on, {} failed, {} out at once at most, {} still out, {:.1} s from the ask to the last",
@@ -121,7 +121,8 @@
     }
 }
 
-/// Prints what replication between sidecars is to prevent: sticky keys sent back, and requests executed twice.
+/// Prints the violations that replication between sidecars prevents: sticky keys routed back to an older build, and requests
+/// executed twice.
 pub(crate) fn print_cross_sidecar(report: &CrossSidecarReport) {
     println!(
         "across sidecars: {} of {} forwards of keys that had met a newer build went back; {} of {} hits that may not run twice did",
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! `limewing settings`: checks of files, and their JSON schemas.
+//! `limewing settings`: validates files, and prints their JSON schemas.
 
 use crate::error::CommandError;
 use crate::fault_script::FaultScriptFile;
@@ -11,7 +11,7 @@
 
 #[derive(Subcommand)]
 pub(crate) enum SettingsCommand {
-    /// Say whether a file of settings can be used, and if not why
+    /// Check whether a settings file is valid, and report its errors
     Check {
         file: PathBuf,
         #[arg(long, value_enum, default_value = "sidecar")]
@@ -28,18 +28,18 @@
 pub(crate) enum FileKind {
     Sidecar,
     Day,
-    /// A script of faults between sidecars
+    /// Script of faults between sidecars
     Faults,
-    /// The keys of a fleet
+    /// Membership keys of a fleet
     Keys,
-    /// Machines that are to go out for work
+    /// List of machines due for maintenance
     Work,
 }
 
 /// Runs the subcommand.
 ///
 /// # Errors
-/// If the file cannot be used.
+/// Returns an error if the file is invalid.
 pub(crate) fn run(command: SettingsCommand) -> Result<(), CommandError> {
     match command {
         SettingsCommand::Check { file, of } => check(&file, of),
@@ -57,17 +57,17 @@
     }
 }
 
-/// Reads a file as a sidecar would, which ends at its first error.
+/// Reads a file as a sidecar does, and reports its first error.
 fn check_first_error<T: DeserializeOwned + Checked>(file: &Path) -> Result<(), CommandError> {
     limewing_settings::read::<T>(file).map_err(CommandError::invalid_input)?;
     print_usable(file);
     Ok(())
 }
 
-/// Checks a work list, and tells all of its errors, one a line.
+/// Checks a work list, and reports all of its errors, one per line.
 ///
 /// # Errors
-/// If the list cannot be used.
+/// Returns an error if the list is invalid.
 pub(crate) fn check_work_list(file: &Path) -> Result<(), CommandError> {
     let findings = limewing_settings::findings::<WorkList>(file);
     if findings.is_empty() {
--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -11,15 +11,15 @@
 #[derive(Args)]
 pub(crate) struct SidecarArguments {
     settings: PathBuf,
-    /// End when standard input ends: whoever started it has gone
+    /// Exit when standard input is closed, because the parent process has exited
     #[arg(long)]
     with_parent: bool,
 }
 
-/// Runs a sidecar until it is told to shut down.
+/// Runs a sidecar until it is signalled to shut down.
 ///
 /// # Errors
-/// If the settings cannot be used, or the event loop fails.
+/// Returns an error if the settings are invalid or the event loop fails.
 pub(crate) fn run(arguments: &SidecarArguments) -> Result<(), CommandError> {
     let file = &arguments.settings;
     let settings: SidecarSettings =
@@ -29,7 +29,7 @@
         .map_err(|e| CommandError::invalid_input(format!("{}: {e}", file.display())))?;
     let address = service.address();
     tracing::info!(%address, name = settings.name, "listening");
-    // The parent may have closed its end of the pipe, which is no reason to stop.
+    // Ignores write errors: the parent may have closed its end of the pipe, and the sidecar must keep running.
     let _ = writeln!(std::io::stdout(), "listening {address}");
     if arguments.with_parent {
         exit_with_parent();
@@ -37,7 +37,7 @@
     service.run().map_err(CommandError::failed)
 }
 
-/// Ends the process when standard input ends.
+/// Exits the process when standard input is closed.
 fn exit_with_parent() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
--- a/crates/cli/src/work.rs
+++ b/crates/cli/src/work.rs
@@ -1,4 +1,4 @@
-//! `limewing work`: machines out for maintenance, from an operator's side.
+//! `limewing work`: operator commands for the maintenance of machines.
 
 use crate::error::CommandError;
 use crate::settings::check_work_list;
@@ -12,41 +12,41 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Page of a sidecar with its view of the maintenance; requests are posted to it.
+/// Page with a sidecar's view of the maintenance, which also accepts posted requests.
 const MAINTENANCE_PAGE: &str = "/limewing/work";
 
-/// A request is to show on the page within this time, or the user learns that it does not yet.
+/// Time after which a request that the page does not show is reported as not committed yet.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between two looks at the page.
+/// Interval between requests for the page.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Subcommand)]
 pub(crate) enum WorkCommand {
-    /// Tell all that is wrong with a work list
+    /// Report all errors in a work list
     Check { list: PathBuf },
-    /// Hand a work list to a sidecar
+    /// Submit a work list to a sidecar
     Ask { at: SocketAddr, list: PathBuf },
-    /// Print one sidecar's view: who leads, the lists, and how far each machine is
+    /// Print one sidecar's view: the leader, the lists, and the progress of each machine
     Show { at: SocketAddr },
-    /// Let nothing more go out for a list
+    /// Pause a list: no further machine goes out
     Hold { at: SocketAddr, list: u64 },
-    /// Go on with a list that is held
+    /// Resume a paused list
     GoOn { at: SocketAddr, list: u64 },
-    /// Let nothing more go out for a list, for good
+    /// Withdraw a list for good: no further machine goes out
     Withdraw { at: SocketAddr, list: u64 },
-    /// Say that a sidecar runs no more, so that it is not waited for
+    /// Declare that a sidecar no longer runs, so that lists do not wait for it
     Gone { at: SocketAddr, sidecar: String },
-    /// Give a sidecar that has a folder a vote; it gets it once it has caught up
+    /// Make a sidecar with a folder a voter, once it has caught up
     Vote { at: SocketAddr, sidecar: String },
-    /// Take a sidecar's vote
+    /// Remove a sidecar from the voters
     Unvote { at: SocketAddr, sidecar: String },
 }
 
-/// What a sidecar replies to a request that it accepted.
+/// Response of a sidecar to an accepted request.
 #[derive(Deserialize)]
 struct RequestAccepted {
-    /// Number of the list that the request created.
+    /// Number of the list created by the request.
     #[serde(default)]
     list: Option<u64>,
 }
@@ -54,7 +54,8 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// If a list cannot be used, the sidecar does not answer or refuses, or a request does not show in time.
+/// Returns an error if a list is invalid, the sidecar does not respond or rejects the request, or the request is not
+/// committed in time.
 pub(crate) fn run(command: WorkCommand) -> Result<(), CommandError> {
     match command {
         WorkCommand::Check { list } => check_work_list(&list),
@@ -85,8 +86,8 @@
     serde_json::from_str(&reply).map_err(|e| fail(&e))
 }
 
-/// Waits until the page shows that a request was committed, and prints so.
-fn wait_until(
+/// Waits until the page shows that a request was committed, and then prints a message.
+fn wait_until_committed(
     sidecar: SocketAddr,
     is_committed: impl Fn(&MaintenanceView) -> bool,
     message: &str,
@@ -100,7 +101,7 @@
         std::thread::sleep(POLL_INTERVAL);
     }
     Err(CommandError::Failed(format!(
-        "{sidecar}: taken, but not settled within {} s: is a majority of the voters there? see `limewing work show`",
+        "{sidecar}: accepted, but not committed within {} s: is a majority of the voters available? see `limewing work show`",
         COMMIT_TIMEOUT.as_secs()
     )))
 }
@@ -115,10 +116,10 @@
     check_work_list(file)?;
     let list: WorkList = limewing_settings::read(file).map_err(CommandError::invalid_input)?;
     let accepted = post(sidecar, &MaintenanceRequest::CreateList(Box::new(list)))?;
-    let number = accepted
-        .list
-        .ok_or_else(|| CommandError::failed("no number of the list came back"))?;
-    wait_until(
+    let number = accepted.list.ok_or_else(|| {
+        CommandError::failed("the response does not contain the number of the list")
+    })?;
+    wait_until_committed(
         sidecar,
         |view| has_list(view, number, |list| !list.machines.is_empty()),
         &format!("list {number}"),
@@ -127,7 +128,7 @@
 
 fn pause_list(sidecar: SocketAddr, number: u64) -> Result<(), CommandError> {
     post(sidecar, &MaintenanceRequest::PauseList(number))?;
-    wait_until(
+    wait_until_committed(
         sidecar,
         |view| has_list(view, number, |list| list.paused),
         "held: nothing more goes out",
@@ -136,7 +137,7 @@
 
 fn resume_list(sidecar: SocketAddr, number: u64) -> Result<(), CommandError> {
     post(sidecar, &MaintenanceRequest::ResumeList(number))?;
-    wait_until(
+    wait_until_committed(
         sidecar,
         |view| has_list(view, number, |list| !list.paused),
         "it goes on",
@@ -145,7 +146,7 @@
 
 fn withdraw_list(sidecar: SocketAddr, number: u64) -> Result<(), CommandError> {
     post(sidecar, &MaintenanceRequest::WithdrawList(number))?;
-    wait_until(
+    wait_until_committed(
         sidecar,
         |view| has_list(view, number, |list| list.withdrawn),
         "withdrawn: nothing more goes out, what is out comes back when its work ends",
@@ -154,7 +155,7 @@
 
 fn forget_sidecar(sidecar: SocketAddr, gone: &str) -> Result<(), CommandError> {
     post(sidecar, &MaintenanceRequest::SidecarGone(gone.to_owned()))?;
-    wait_until(
+    wait_until_committed(
         sidecar,
         |view| !view.sidecars.iter().any(|name| name == gone),
         "not waited for any more",
@@ -163,7 +164,7 @@
 
 fn add_voter(sidecar: SocketAddr, voter: &str) -> Result<(), CommandError> {
     post(sidecar, &MaintenanceRequest::AddVoter(voter.to_owned()))?;
-    wait_until(
+    wait_until_committed(
         sidecar,
         |view| view.voters.iter().any(|name| name == voter),
         "it has a vote",
@@ -173,7 +174,7 @@
 fn remove_voter(sidecar: SocketAddr, voter: &str) -> Result<(), CommandError> {
     post(sidecar, &MaintenanceRequest::RemoveVoter(voter.to_owned()))?;
     // A sidecar that does not know the voters yet lists none.
-    wait_until(
+    wait_until_committed(
         sidecar,
         |view| !view.voters.is_empty() && !view.voters.iter().any(|name| name == voter),
         "it has no vote",
