--- a/crates/cli/tests/command/copies.rs
+++ b/crates/cli/tests/command/copies.rs
@@ -1,26 +1,26 @@
-//! State that the others keep, while processes are killed: days of six sidecars with a release on trial throughout and clients that
-//! try again whatever may have run.
+//! Tests replication between sidecars while processes are killed, on days of six sidecars with a build on trial throughout.
+//! Clients retry requests even if they may have run.
 
-use crate::played_day::{one_day_at_a_time, play_day};
+use crate::played_day::{lock_real_time_days, run_day};
 use crate::support::{run_limewing, write_settings, SidecarProcess};
 use serde_json::Value;
 
-/// What `day check` counted across sidecars.
+/// Violations across sidecars, as counted by `day check`.
 struct CrossSidecarCounts {
-    /// Attempts of keys that had met a newer build and went back to an older one.
+    /// Attempts sent to an older build although their routing key had met a newer one.
     sent_back: usize,
-    /// Requests that may not run twice and did.
+    /// Requests executed twice although they must not be.
     executed_twice: usize,
-    /// All that the command printed.
+    /// Complete output of the command.
     output: String,
 }
 
-fn play_copies_day(replicas: bool, change: impl Fn(&mut Value)) -> CrossSidecarCounts {
-    let day = play_day("copies", |day| {
+fn run_copies_day(replicas: bool, change: impl Fn(&mut Value)) -> CrossSidecarCounts {
+    let day = run_day("copies", |day| {
         day["peers"]["replicas"] = replicas.into();
         change(day);
     });
-    // Without copies a hit may run twice, as its clients ask for it twice: that is what they are for.
+    // Without replication a request that its client retries may run twice, which replication prevents.
     if replicas {
         day.assert_success();
     }
@@ -41,23 +41,24 @@
     }
 }
 
-/// Sidecars killed in turn: without copies keys go back to the older build, with them none does and no hit runs twice.
+/// Sidecars are killed in turn. Without replication, routing keys go back to the older build. With it, none does and no request
+/// runs twice.
 #[test]
-fn what_a_killed_sidecar_knew_the_others_know() {
-    let _alone = one_day_at_a_time();
-    let replicated = play_copies_day(true, |_| ());
+fn state_of_a_killed_sidecar_is_kept_by_its_peers() {
+    let _guard = lock_real_time_days();
+    let replicated = run_copies_day(true, |_| ());
     let counts = (replicated.sent_back, replicated.executed_twice);
     assert_eq!(counts, (0, 0), "{}", replicated.output);
-    let without = play_copies_day(false, |_| ()).sent_back;
-    assert!(without > 5, "{without} keys went back without copies");
+    let without = run_copies_day(false, |_| ()).sent_back;
+    assert!(without > 5, "{without} keys went back without replication");
 }
 
-/// Half of them cut off for a while, four in six killed at once, one that stands still and goes on: the rules are kept, and what one
-/// half did not know the other tells it after.
+/// A partition between two halves, four of six sidecars killed at once, and one suspended and resumed: the rules are kept,
+/// and after the partition each half learns the state that it missed from the other.
 #[test]
-fn copies_under_cuts_and_a_crowd_that_returns() {
-    let _alone = one_day_at_a_time();
-    let counts = play_copies_day(true, |day| {
+fn replication_survives_partitions_and_mass_restarts() {
+    let _guard = lock_real_time_days();
+    let counts = run_copies_day(true, |day| {
         day["peers"]["faults"]["steps"] = serde_json::json!([
             { "at": 5.0, "does": { "cut": { "from": { "part": [0.0, 0.5] }, "to": { "part": [0.5, 1.0] } } } },
             { "at": 9.0, "does": "mend" },
@@ -70,12 +71,12 @@
     assert_eq!(counts.executed_twice, 0, "{}", counts.output);
 }
 
-/// One that is killed while the installer is gone knows in its next life that a build is on trial, and takes no more of it than of one that
-/// nobody announced: rule 5 is kept.
+/// A sidecar that is restarted while the rollout service is down learns from its peers that a build is on trial, and limits its
+/// exposure as for an unannounced build: rule 5 is kept.
 #[test]
-fn a_start_beside_a_silent_installer_knows_of_the_trial() {
-    let _alone = one_day_at_a_time();
-    let day = play_day("copies", |day| {
+fn a_restart_during_a_rollout_service_outage_learns_of_the_trial() {
+    let _guard = lock_real_time_days();
+    let day = run_day("copies", |day| {
         day["lasts"] = 16.into();
         day["releases"]["step_after"] = 4.into();
         day["troubles"] = serde_json::json!([{ "at": 9, "for": 7, "what": "installer_down" }]);
@@ -92,20 +93,20 @@
     );
     for number in [2, 3] {
         let log = day.sidecar_log(number);
-        let told: Vec<&str> = log
+        let updates: Vec<&str> = log
             .lines()
             .filter(|line| line.contains("stage update from other sidecars"))
             .collect();
         assert!(
-            told.iter().any(|line| line.contains("OnTrial")),
-            "sidecar-{number}: {told:?}"
+            updates.iter().any(|line| line.contains("OnTrial")),
+            "sidecar-{number}: {updates:?}"
         );
     }
 }
 
-/// Off unless told: a sidecar says so.
+/// Replication is off by default, and a sidecar reports that.
 #[test]
-fn without_replicas_nothing_is_kept() {
+fn without_replicas_the_state_page_reports_an_error() {
     let folder = tempfile::tempdir().unwrap();
     let sidecar = SidecarProcess::start(
         "",
--- a/crates/cli/tests/command/days.rs
+++ b/crates/cli/tests/command/days.rs
@@ -1,6 +1,6 @@
-//! Whole days through the command, with the sidecars as processes of their own.
+//! Runs whole days through the command, with sidecars as separate processes.
 
-use crate::played_day::{one_day_at_a_time, play_day, record_excerpt};
+use crate::played_day::{lock_real_time_days, record_excerpt, run_day};
 use crate::support::{
     fetch_status, repository_file, run_limewing, write_settings, write_settings_with_pods,
     SidecarProcess,
@@ -16,7 +16,7 @@
 #[case("fleet-faults")]
 #[case("fleet-herd")]
 fn a_short_day_keeps_the_five_rules(#[case] name: &str) {
-    let _alone = name.starts_with("fleet").then(one_day_at_a_time);
+    let _guard = name.starts_with("fleet").then(lock_real_time_days);
     let folder = tempfile::tempdir().unwrap();
     let script = repository_file(&format!("days/{name}.json"));
     let out = run_limewing(&[
@@ -34,17 +34,17 @@
         record_excerpt(&text, folder.path())
     );
     assert_eq!(text.matches("| kept").count(), 5, "{text}");
-    let drawn = std::fs::read_to_string(folder.path().join("load.svg")).unwrap();
+    let plot = std::fs::read_to_string(folder.path().join("load.svg")).unwrap();
     assert!(
-        drawn.ends_with("</svg>\n") && drawn.contains("polyline"),
-        "{drawn}"
+        plot.ends_with("</svg>\n") && plot.contains("polyline"),
+        "{plot}"
     );
 }
 
 #[rstest]
-#[case::never_spoke(&[])]
-#[case::after_a_hit(&["--after-hit"])]
-fn connections_sleep_and_are_counted(#[case] more: &[&str]) {
+#[case::without_requests(&[])]
+#[case::after_a_request(&["--after-hit"])]
+fn the_cost_of_idle_connections_is_printed(#[case] more: &[&str]) {
     let args = [
         "load", "idle", "--few", "10", "--many", "200", "--rests", "1",
     ];
@@ -62,16 +62,19 @@
 fn bad_input_is_reported_with_an_exit_code(
     #[case] args: &[&str],
     #[case] code: i32,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let out = run_limewing(args);
     let text = String::from_utf8_lossy(&out.stderr);
     assert_eq!(out.status.code(), Some(code), "{text}");
-    assert!(text.contains(says) && !text.contains("panicked"), "{text}");
+    assert!(
+        text.contains(expected) && !text.contains("panicked"),
+        "{text}"
+    );
 }
 
 #[test]
-fn more_sleeping_connections_than_descriptors_are_an_error() {
+fn more_idle_connections_than_descriptors_are_an_error() {
     let run = format!(
         "ulimit -n 300; exec {} load idle --few 10 --many 400",
         env!("CARGO_BIN_EXE_limewing")
@@ -98,7 +101,7 @@
 #[case::fleet_herd("fleet-herd")]
 #[case::fleet_grows("fleet-grows")]
 #[case::work("work")]
-fn the_shipped_days_can_be_read(#[case] name: &str) {
+fn the_shipped_day_scripts_are_valid(#[case] name: &str) {
     let script = repository_file(&format!("days/{name}.json"));
     let out = run_limewing(&["settings", "check", script.to_str().unwrap(), "--of", "day"]);
     assert!(
@@ -109,20 +112,20 @@
 }
 
 #[test]
-fn a_sidecar_out_of_descriptors_goes_on_when_some_are_free() {
+fn a_sidecar_out_of_descriptors_recovers_when_some_are_free() {
     let folder = tempfile::tempdir().unwrap();
     let file = write_settings(folder.path(), "127.0.0.1:0");
     let log = folder.path().join("log");
     let out = std::fs::File::create(&log).unwrap();
     let sidecar = SidecarProcess::start("ulimit -n 40;", &file, out.into());
-    let held: Vec<TcpStream> = (0..60).map(|_| sidecar.connect()).collect();
+    let open: Vec<TcpStream> = (0..60).map(|_| sidecar.connect()).collect();
     while !std::fs::read_to_string(&log)
         .unwrap()
         .contains("can't accept")
     {
         std::thread::yield_now();
     }
-    drop(held);
+    drop(open);
     let answer = fetch_status(&sidecar.address);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
@@ -133,11 +136,11 @@
     let file = write_settings(folder.path(), "127.0.0.1:0");
     let mut sidecar = SidecarProcess::start("", &file, Stdio::null());
     let mut idle = sidecar.connect();
-    let told = Command::new("kill")
+    let signalled = Command::new("kill")
         .args(["-TERM", &sidecar.child.id().to_string()])
         .status()
         .unwrap();
-    assert!(told.success() && sidecar.child.wait().unwrap().success());
+    assert!(signalled.success() && sidecar.child.wait().unwrap().success());
     assert_eq!(idle.read(&mut [0]).unwrap_or(0), 0);
 }
 
@@ -156,7 +159,7 @@
         }
     });
     let mut sidecar = SidecarProcess::start("", &file, Stdio::null());
-    // More answers than the system holds for a client that does not read: the rest waits in the sidecar.
+    // More responses than the socket buffers hold for a client that does not read. The rest is buffered in the sidecar.
     let mut client = sidecar.connect();
     client
         .write_all(
@@ -170,14 +173,14 @@
     {
         std::thread::yield_now();
     }
-    let told = Command::new("kill")
+    let signalled = Command::new("kill")
         .args(["-TERM", &sidecar.child.id().to_string()])
         .status()
         .unwrap();
     let mut text = Vec::new();
     client.read_to_end(&mut text).unwrap();
-    assert!(told.success() && sidecar.child.wait().unwrap().success());
-    // One that is read while the sidecar leaves is answered 503, with no body.
+    assert!(signalled.success() && sidecar.child.wait().unwrap().success());
+    // A request that is read while the sidecar shuts down is answered with 503 and no body.
     let (heads, bodies) = (
         text.windows(12).filter(|w| w == b"HTTP/1.1 200").count(),
         text.iter().filter(|b| **b == b'#').count(),
@@ -190,13 +193,16 @@
 
 #[test]
 fn a_port_in_use_is_an_error_at_start() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("sidecar.json");
     let example = std::fs::read_to_string(repository_file("deploy/sidecar.example.json")).unwrap();
     std::fs::write(
         &file,
-        example.replace("127.0.0.1:8080", &taken.local_addr().unwrap().to_string()),
+        example.replace(
+            "127.0.0.1:8080",
+            &listener.local_addr().unwrap().to_string(),
+        ),
     )
     .unwrap();
     let out = run_limewing(&["sidecar", file.to_str().unwrap()]);
@@ -205,13 +211,15 @@
     assert!(text.contains("can't listen"), "{text}");
 }
 
-/// What the fleet knows moves each sidecar's choices, and some leave the proof of silent pods to others.
+/// State shared by the fleet changes the endpoint selection of each sidecar, and some sidecars leave probing of silent pods
+/// to others.
 #[test]
-fn a_fleets_word_reaches_every_process() {
-    let _alone = one_day_at_a_time();
-    let day = play_day("fleet-faults", |day| {
-        // Own answers of the last five seconds prevail: the pods stay silent for longer than that, to the end. Three sidecars have
-        // to see three attempts in a row fail at the same pod, of the four that each makes there in 13 s: that takes chance, and time.
+fn shared_state_reaches_every_process() {
+    let _guard = lock_real_time_days();
+    let day = run_day("fleet-faults", |day| {
+        // A sidecar's own responses of the last 5 s take precedence, so the pods stay silent for longer, until the end.
+        // Three sidecars must see three consecutive attempts to the same pod fail, of about four that each sends there in
+        // 13 s. That depends on chance, so the day is long.
         day["lasts"] = 26.into();
         day["offers"] = serde_json::json!([]);
         day["peers"]["faults"]["steps"] = serde_json::json!([]);
@@ -220,26 +228,31 @@
     });
     day.assert_success();
     let logs: Vec<String> = (0..12).map(|number| day.sidecar_log(number)).collect();
-    let words = |log: &String| {
+    let selection_changes = |log: &String| {
         log.lines()
             .filter(|line| line.contains("endpoint selection of the fleet changed"))
             .count()
     };
     assert!(
-        logs.iter().all(|log| words(log) > 0),
+        logs.iter().all(|log| selection_changes(log) > 0),
         "{:?}",
-        logs.iter().map(words).collect::<Vec<_>>()
+        logs.iter().map(selection_changes).collect::<Vec<_>>()
     );
-    let leaves = |log: &&String| {
+    let relies_on_peers = |log: &&String| {
         log.contains("\"probed_by_peers\":1") || log.contains("\"probed_by_peers\":2")
     };
-    assert!(logs.iter().filter(leaves).count() >= 3, "{}", logs.concat());
+    assert!(
+        logs.iter().filter(relies_on_peers).count() >= 3,
+        "{}",
+        logs.concat()
+    );
 }
 
-/// Growth from three to twelve and back, keys changed in turn, clocks that differ, all under load: the fleet knows itself.
+/// Under load, with clock offsets and keys rotated one sidecar at a time, a fleet grows from three to twelve sidecars and
+/// shrinks back: its membership stays correct.
 #[test]
-fn a_fleet_grows_and_changes_its_keys_under_load() {
-    let _alone = one_day_at_a_time();
+fn a_fleet_grows_and_rotates_its_keys_under_load() {
+    let _guard = lock_real_time_days();
     let folder = tempfile::tempdir().unwrap();
     let script = repository_file("days/fleet-grows.json");
     let out = run_limewing(&[
@@ -265,29 +278,29 @@
         "{}",
         logs.concat()
     );
-    // Neither keys nor lists were refused.
-    for refused in ["cannot reload the membership keys", "cannot be used"] {
-        assert!(logs.iter().all(|log| count(log, refused) == 0));
+    // No keys and no endpoint lists were rejected.
+    for rejection in ["cannot reload the membership keys", "cannot be used"] {
+        assert!(logs.iter().all(|log| count(log, rejection) == 0));
     }
-    // The three that stayed saw all others come, the one whose clock is ahead among them.
-    let came = |log: &String| {
+    // The three sidecars that stayed saw all others join, including the one whose clock is ahead.
+    let joined = |log: &String| {
         (0..12)
             .filter(|n| log.contains(&format!("Up(sidecar-{n})")))
             .count()
     };
     assert!(
-        logs[..3].iter().all(|log| came(log) == 11),
+        logs[..3].iter().all(|log| joined(log) == 11),
         "{:?}",
-        logs.iter().map(came).collect::<Vec<_>>()
+        logs.iter().map(joined).collect::<Vec<_>>()
     );
 }
 
-/// A list and an installer that are gone are asked by few at a time.
+/// Few sidecars at a time poll a discovery service and a rollout service that are down.
 #[test]
 fn lost_services_are_polled_in_turn() {
-    let _alone = one_day_at_a_time();
-    let plays = |choices: bool| {
-        let day = play_day("fleet-faults", |day| {
+    let _guard = lock_real_time_days();
+    let count_polls = |choices: bool| {
+        let day = run_day("fleet-faults", |day| {
             day["lasts"] = 16.into();
             day["offers"] = serde_json::json!([]);
             day["peers"]["choices"] = choices.into();
@@ -301,11 +314,11 @@
         let logs: String = (0..12).map(|number| day.sidecar_log(number)).collect();
         ["endpoint watch lost", "stage stream lost"].map(|what| logs.matches(what).count())
     };
-    let counted = [true, false].map(plays);
+    let polls = [true, false].map(count_polls);
     println!(
-        "asks of list and installer in turn {:?}, each for itself {:?}",
-        counted[0], counted[1]
+        "polls of the discovery and rollout services in turn {:?}, independently {:?}",
+        polls[0], polls[1]
     );
-    assert!(counted[0][0] * 2 <= counted[1][0], "{counted:?}");
-    assert!(counted[0][1] <= counted[1][1], "{counted:?}");
+    assert!(polls[0][0] * 2 <= polls[1][0], "{polls:?}");
+    assert!(polls[0][1] <= polls[1][1], "{polls:?}");
 }
--- a/crates/cli/tests/command/fleet.rs
+++ b/crates/cli/tests/command/fleet.rs
@@ -1,4 +1,4 @@
-//! Sidecars as processes that know of each other, under the scripts of `fleets/` with time made shorter.
+//! Tests the membership of sidecar processes under the fault scripts of `fleets/`, with shortened times.
 
 use crate::support::{
     fetch_status, repository_file, run_limewing, write_settings, PlatformProcess,
@@ -11,19 +11,19 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A script with its times made shorter, to fit a period of that many milliseconds in place of 200.
-fn read_script(name: &str, part: f64) -> Script {
+/// Reads a script with its times scaled, to match a probe interval that differs from the default of 200 ms.
+fn read_script(name: &str, scale: f64) -> Script {
     let text = std::fs::read_to_string(repository_file(&format!("fleets/{name}.json"))).unwrap();
     let mut script: Script = serde_json::from_str(&text).unwrap();
     assert_eq!(script.config_errors(), []);
-    script.seconds *= part;
-    script.steps.iter_mut().for_each(|step| step.at *= part);
+    script.seconds *= scale;
+    script.steps.iter_mut().for_each(|step| step.at *= scale);
     script
 }
 
-fn play_script(name: &str, members: usize, folder: &Path) -> Played {
+fn run_script(name: &str, members: usize, folder: &Path) -> Played {
     let file = write_settings(folder, "127.0.0.1:0");
-    let told: SidecarSettings = limewing_settings::read(&file).unwrap();
+    let settings: SidecarSettings = limewing_settings::read(&file).unwrap();
     let script = read_script(name, 0.5);
     let program = PathBuf::from(env!("CARGO_BIN_EXE_limewing"));
     let period = Duration::from_millis(100);
@@ -32,34 +32,38 @@
         script: &script,
         members,
         period,
-        settings: &told,
+        settings: &settings,
         folder,
     };
     play(&plan).unwrap()
 }
 
 #[rstest]
-#[case::half_cut("half-cut", 6, true)]
+#[case::partitioned_halves("half-cut", 6, true)]
 #[case::one_way("one-way", 5, true)]
-#[case::stands_still("standstill", 5, false)]
+#[case::suspended("standstill", 5, false)]
 #[case::seven_in_ten_killed("herd", 10, false)]
-#[case::rolled("roll", 10, false)]
+#[case::rolling_restart("roll", 10, false)]
 #[case::grows_and_shrinks("growth", 12, false)]
 #[case::noise("noise", 4, false)]
-fn processes_agree_again(#[case] name: &str, #[case] members: usize, #[case] deaths: bool) {
+fn membership_converges_after_faults(
+    #[case] name: &str,
+    #[case] members: usize,
+    #[case] partitions: bool,
+) {
     let folder = tempfile::tempdir().unwrap();
-    let played = play_script(name, members, folder.path());
-    assert_eq!(played.crashed, Vec::<usize>::new());
-    assert_eq!(played.wrong_at_the_end(members), []);
-    assert!(played.samples.len() > members * 5);
-    // A process that a death is said of lives on only where the script cuts it off.
-    if deaths {
-        assert!(played.held_dead_while_running() > 0);
+    let result = run_script(name, members, folder.path());
+    assert_eq!(result.crashed, Vec::<usize>::new());
+    assert_eq!(result.wrong_at_the_end(members), []);
+    assert!(result.samples.len() > members * 5);
+    // Running processes are considered dead only where the script partitions them.
+    if partitions {
+        assert!(result.held_dead_while_running() > 0);
     }
     assert!(
-        name != "noise" || played.refused > 1000,
-        "{} refused",
-        played.refused
+        name != "noise" || result.refused > 1000,
+        "{} datagrams rejected",
+        result.refused
     );
 }
 
@@ -72,7 +76,7 @@
     }
 }
 
-/// Starts a sidecar with these peers; its address.
+/// Starts a sidecar with these settings, and returns its address.
 fn start_sidecar(file: &Path) -> (ChildGuard, String) {
     use std::io::BufRead;
     let mut command = Command::new(env!("CARGO_BIN_EXE_limewing"));
@@ -118,13 +122,13 @@
     format!(r#"{{"keys": [{}]}}"#, keys.join(","))
 }
 
-/// Waits until a sidecar's view of its fleet says so.
-fn wait_for_view(at: &str, says: impl Fn(&str) -> bool) {
-    let from = Instant::now();
+/// Waits until a sidecar's fleet page fulfils a condition.
+fn wait_for_view(at: &str, condition: impl Fn(&str) -> bool) {
+    let started_at = Instant::now();
     let mut last = String::new();
-    while from.elapsed() < Duration::from_secs(20) {
+    while started_at.elapsed() < Duration::from_secs(20) {
         last = ask(at.parse().unwrap()).unwrap();
-        if says(&last) {
+        if condition(&last) {
             return;
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -138,15 +142,15 @@
         .unwrap()
 }
 
-/// Where a sidecar takes datagrams.
+/// Returns the address on which a sidecar receives datagrams.
 fn membership_address(at: &str) -> String {
     let view: serde_json::Value = serde_json::from_str(&ask(at.parse().unwrap()).unwrap()).unwrap();
     view["listens"].as_str().unwrap().to_owned()
 }
 
-/// A key takes the other's place by SIGHUP, one process after the other; a file that can't be used changes nothing.
+/// Keys are rotated with SIGHUP, one process after the other. An invalid key file changes nothing.
 #[test]
-fn keys_are_changed_under_running_sidecars() {
+fn keys_of_running_sidecars_are_rotated() {
     let folder = tempfile::tempdir().unwrap();
     let (a, at_a) = start_sidecar(&write_settings_with_peers(
         folder.path(),
@@ -164,32 +168,34 @@
             &keys(&[1]),
         )),
     ];
-    let alive = |text: &str| text.contains(r#""standing":"alive""#);
-    all.iter().for_each(|(_, at)| wait_for_view(at, alive));
-    for (turn, step) in [vec![1, 2], vec![2, 1], vec![2]].into_iter().enumerate() {
+    let has_live_peer = |text: &str| text.contains(r#""standing":"alive""#);
+    all.iter()
+        .for_each(|(_, at)| wait_for_view(at, has_live_peer));
+    for (round, key_ids) in [vec![1, 2], vec![2, 1], vec![2]].into_iter().enumerate() {
         for (name, (process, at)) in ["a", "b"].iter().zip(&all) {
             std::fs::write(folder.path().join(format!("{name}.keys")), "no keys").unwrap();
-            let hang_up = || {
+            let send_hangup = || {
                 rustix::process::kill_process(
                     rustix::process::Pid::from_child(&process.0),
                     rustix::process::Signal::HUP,
                 )
             };
-            hang_up().unwrap();
+            send_hangup().unwrap();
             wait_for_view(at, |text| {
-                text.contains(&format!(r#""keys_unusable":{}"#, turn + 1))
+                text.contains(&format!(r#""keys_unusable":{}"#, round + 1))
             });
-            std::fs::write(folder.path().join(format!("{name}.keys")), keys(&step)).unwrap();
-            hang_up().unwrap();
-            let known = format!(r#""keys":{}"#, serde_json::to_string(&step).unwrap());
+            std::fs::write(folder.path().join(format!("{name}.keys")), keys(&key_ids)).unwrap();
+            send_hangup().unwrap();
+            let known = format!(r#""keys":{}"#, serde_json::to_string(&key_ids).unwrap());
             wait_for_view(at, |text| text.contains(&known));
-            // Each has spoken while the keys of the two differ, and while they are the same.
+            // Both send datagrams while their keys differ and while they are equal.
             for (_, at) in &all {
                 let before = bytes_sent(&ask(at.parse().unwrap()).unwrap());
                 wait_for_view(at, |text| bytes_sent(text) > before + 400);
             }
         }
-        all.iter().for_each(|(_, at)| wait_for_view(at, alive));
+        all.iter()
+            .for_each(|(_, at)| wait_for_view(at, has_live_peer));
     }
     for (_, at) in &all {
         let view = ask(at.parse().unwrap()).unwrap();
@@ -206,7 +212,7 @@
     );
 }
 
-/// Of two processes with one name the later has it; the earlier goes on serving its clients.
+/// If two processes have the same name, the later one is the member. The earlier one continues to serve its clients.
 #[test]
 fn the_later_of_two_processes_with_one_name_prevails() {
     let folder = tempfile::tempdir().unwrap();
@@ -241,10 +247,10 @@
     wait_for_view(&at_a, |text| !text.contains(&format!(r#""at":"{b}""#)));
 }
 
-/// With no peers in its settings a sidecar opens no socket for datagrams, and says that it knows of no others; nor does
-/// one on the platform.
+/// A sidecar without peers in its settings opens no UDP socket and reports that it knows no other sidecars. A platform
+/// sidecar opens none either.
 #[test]
-fn without_peers_there_is_no_socket_for_them() {
+fn without_peers_no_datagram_socket_is_opened() {
     let folder = tempfile::tempdir().unwrap();
     let (process, at) = start_sidecar(&write_settings(folder.path(), "127.0.0.1:0"));
     let out = run_limewing(&["fleet", "show", &at]);
@@ -258,7 +264,7 @@
     }
 }
 
-/// UDP sockets among a process's descriptors.
+/// Counts the UDP sockets among the descriptors of a process.
 fn datagram_sockets(id: u32) -> usize {
     let table = std::fs::read_to_string(format!("/proc/{id}/net/udp")).unwrap();
     let inodes: Vec<&str> = table
@@ -268,12 +274,12 @@
         .collect();
     let links = std::fs::read_dir(format!("/proc/{id}/fd")).unwrap();
     let links = links.filter_map(|entry| std::fs::read_link(entry.unwrap().path()).ok());
-    let of = |link: &PathBuf| {
+    let is_datagram_socket = |link: &PathBuf| {
         inodes
             .iter()
             .any(|inode| link.to_string_lossy() == format!("socket:[{inode}]"))
     };
-    links.filter(of).count()
+    links.filter(is_datagram_socket).count()
 }
 
 #[rstest]
@@ -297,25 +303,25 @@
     "/steps/0/at",
     "a time"
 )]
-fn unusable_files_are_reported_with_their_place(
+fn invalid_files_are_reported_with_the_position(
     #[case] text: &str,
     #[case] of: &str,
     #[case] at: &str,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("file.json");
     std::fs::write(&file, text).unwrap();
     let out = run_limewing(&["settings", "check", file.to_str().unwrap(), "--of", of]);
-    let told = String::from_utf8_lossy(&out.stderr);
+    let output = String::from_utf8_lossy(&out.stderr);
     assert!(
-        out.status.code() == Some(2) && told.contains(at) && told.contains(says),
-        "{told}"
+        out.status.code() == Some(2) && output.contains(at) && output.contains(expected),
+        "{output}"
     );
 }
 
 #[test]
-fn a_script_plays_in_simulated_time() {
+fn a_script_runs_in_simulated_time() {
     let script = repository_file("fleets/half-cut.json");
     let out = run_limewing(&[
         "fleet",
--- a/crates/cli/tests/command/known_red.rs
+++ b/crates/cli/tests/command/known_red.rs
@@ -1,4 +1,4 @@
-//! What CI makes of failing tests: only those that are listed may fail, and those have to.
+//! Tests how CI judges failing tests: only listed tests may fail, and every listed test must fail.
 
 use crate::support::repository_file;
 use rstest::rstest;
@@ -27,30 +27,30 @@
 )]
 #[case::no_build("error: could not compile\n", 101, None, false)]
 #[case::nothing_named("", 101, None, false)]
-fn only_what_is_listed_may_fail(
+fn only_listed_tests_may_fail(
     #[case] log: &str,
     #[case] code: i32,
     #[case] known: Option<&str>,
-    #[case] good: bool,
+    #[case] passes: bool,
 ) {
     let folder = tempfile::tempdir().unwrap();
-    let (told, list) = (
+    let (log_file, list) = (
         folder.path().join("log"),
         folder.path().join("KNOWN-RED.txt"),
     );
-    std::fs::write(&told, log).unwrap();
+    std::fs::write(&log_file, log).unwrap();
     known
         .into_iter()
         .for_each(|known| std::fs::write(&list, known).unwrap());
     let mut judge = Command::new("bash");
     judge
         .arg(repository_file(".ci/judge-tests"))
-        .arg(told)
+        .arg(log_file)
         .arg(code.to_string())
         .arg(list);
     let output = judge.output().unwrap();
-    assert_eq!(output.status.success(), good, "{output:?}");
-    if good && known == Some(LINE) {
+    assert_eq!(output.status.success(), passes, "{output:?}");
+    if passes && known == Some(LINE) {
         assert!(String::from_utf8_lossy(&output.stdout).contains(LINE.trim()));
     }
 }
--- a/crates/cli/tests/command/leaving.rs
+++ b/crates/cli/tests/command/leaving.rs
@@ -1,4 +1,4 @@
-//! A sidecar in HTTP that is told to shut down while requests are on their way to it.
+//! Tests an HTTP sidecar that is signalled to shut down while requests are in transit to it.
 
 use crate::support::{suspend, write_settings, SidecarProcess};
 use rstest::rstest;
@@ -9,8 +9,8 @@
 const REQUEST: &str =
     "GET /quotes/1 HTTP/1.1\r\nhost: q\r\ncustomer: alder\r\nrouting-key: a\r\n\r\n";
 
-/// The signal to shut down comes with a request that the process has not read, on a new connection or on one that was idle: it
-/// has an answer. Without the fix the connection is closed with none.
+/// A request that arrives together with the shutdown signal, on a new or an idle connection, is answered. Guards against
+/// closing the connection without a response when the process handles the signal before it has read the request.
 #[rstest]
 #[case::new(true)]
 #[case::idle(false)]
@@ -23,7 +23,7 @@
     );
     let mut client = sidecar.connect();
     let signal = |signal| kill_process(Pid::from_child(&sidecar.child), signal).unwrap();
-    // One that has been let in.
+    // A connection that the sidecar has accepted.
     let mut first = sidecar.connect();
     first
         .write_all(b"GET /limewing/status HTTP/1.1\r\nhost: q\r\n\r\n")
--- a/crates/cli/tests/command/main.rs
+++ b/crates/cli/tests/command/main.rs
@@ -1,4 +1,4 @@
-//! The command as its users call it.
+//! Tests of the command-line interface.
 
 mod copies;
 mod days;
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -1,4 +1,4 @@
-//! Several processes of `limewing platform`, with faults between them and their pods, clients and services.
+//! Tests `limewing platform` processes, with faults between them and their pods, clients and services.
 
 use crate::support::PlatformProcess;
 use limewing_emulators::platform::{
@@ -20,7 +20,7 @@
     format!("SELECT blob FROM rows WHERE handle = '7f3a' /* id={id:x},c={group},t=acme,d=2000,k=ab{id:x} */")
 }
 
-fn with_pod(does: Vec<Does>) -> (Pod, PlatformProcess, Client) {
+fn start_with_pod(does: Vec<Does>) -> (Pod, PlatformProcess, Client) {
     let pod = Pod::new(does);
     let config = Config {
         patience: 2.0,
@@ -31,26 +31,26 @@
     (pod, sidecar, client)
 }
 
-/// Asks on new connections until the answer is that one.
-fn await_answer(at: SocketAddr, wanted: &str) {
+/// Sends statements on new connections until the expected answer arrives.
+fn await_answer(at: SocketAddr, expected: &str) {
     for id in 0.. {
         let Some(mut client) = Client::try_new(at, Duration::from_secs(5)) else {
             continue;
         };
         client.asks(&statement("look", 0x1000 + id));
-        if client.hears() == Answer::Row(wanted.into()) {
+        if client.hears() == Answer::Row(expected.into()) {
             return;
         }
     }
 }
 
-/// A sidecar that is told to leave settles what it holds in whatever state, and ends by itself.
+/// A sidecar that is signalled to shut down completes its requests in flight in any state, and then exits.
 #[rstest]
-#[case::forwarded(Does::ServesLater("red"))]
-#[case::answered_half(Does::Halves("red"))]
-fn a_leaving_sidecar_settles_what_is_out(#[case] does: Does) {
+#[case::attempt_sent(Does::ServesLater("red"))]
+#[case::partially_answered(Does::Halves("red"))]
+fn a_draining_sidecar_completes_attempts_in_flight(#[case] does: Does) {
     let half = matches!(does, Does::Halves(_));
-    let (pod, mut sidecar, mut client) = with_pod(vec![does]);
+    let (pod, mut sidecar, mut client) = start_with_pod(vec![does]);
     client.asks(&statement("pay", 1));
     assert!(pod.hears().starts_with("SELECT"));
     if half {
@@ -59,7 +59,7 @@
     sidecar.signal(Signal::TERM);
     pod.go_on.send(()).unwrap();
     let answer = client.hears();
-    // Half an answer that stands still for long is given up; but an answer there is.
+    // A partial answer that stalls is eventually abandoned, but the client still receives an answer.
     assert!(
         answer == Answer::Row("red".into()) || half && answer != Answer::End,
         "{answer:?}"
@@ -67,24 +67,25 @@
     assert!(sidecar.wait_for_success());
 }
 
-/// The process is suspended while its listener is to close, and a statement comes meanwhile: on a new connection or on one
-/// that was idle. Without the fix the connection is closed with the statement unread.
+/// A statement that arrives on a new or an idle connection while the process is suspended past the time to close its
+/// listener is answered. Guards against closing the connection with the statement unread.
 #[rstest]
 #[case::new(true)]
 #[case::idle(false)]
-fn a_statement_that_comes_as_the_listener_closes_is_answered(#[case] new: bool) {
-    let (_pod, mut sidecar, mut client) = with_pod(vec![Does::Serves("red")]);
-    let mut told = Client::new(sidecar.address);
+fn a_statement_that_arrives_as_the_listener_closes_is_answered(#[case] new: bool) {
+    let (_pod, mut sidecar, mut client) = start_with_pod(vec![Does::Serves("red")]);
+    let mut probe = Client::new(sidecar.address);
     sidecar.signal(Signal::TERM);
-    // Whoever is served after the signal to shut down is closed: so it has been handled.
+    // The sidecar closes connections that it serves after the shutdown signal, so a closed one shows that the signal was
+    // handled.
     for id in 0.. {
-        told.asks(&statement("look", 0x100 + id));
-        if told.hears() == Answer::End {
+        probe.asks(&statement("look", 0x100 + id));
+        if probe.hears() == Answer::End {
             break;
         }
     }
     sidecar.suspend();
-    sleep(LISTENER_CLOSES);
+    sleep(LISTENER_CLOSE_WAIT);
     if new {
         client = Client::silent(sidecar.address);
         client.begins();
@@ -103,23 +104,23 @@
     assert!(sidecar.wait_for_success());
 }
 
-/// The process stands still for longer than a client may be silent, and its first statement comes just then: what was read
-/// counts before what is due.
+/// The first statement of a client arrives while the process is suspended for longer than the client timeout. The statement is
+/// answered, because input is processed before expired timers.
 #[test]
-fn a_first_statement_that_comes_as_silence_is_over_is_answered() {
-    let (_pod, sidecar, mut client) = with_pod(vec![Does::Serves("red")]);
+fn a_first_statement_that_arrives_as_the_client_timeout_expires_is_answered() {
+    let (_pod, sidecar, mut client) = start_with_pod(vec![Does::Serves("red")]);
     sidecar.suspend();
-    sleep(CLIENT_MESSAGE_TIMEOUT + MOMENT);
+    sleep(CLIENT_MESSAGE_TIMEOUT + TIMING_MARGIN);
     client.asks(&statement("look", 1));
     sidecar.signal(Signal::CONT);
     assert_eq!(client.hears(), Answer::Row("red".into()));
 }
 
-/// The process stands still while the connection of an attempt comes up, and then its pod is announced as leaving: the list is
-/// read before the attempt's first byte leaves, in whichever order the system tells of the two. Without that order the pod
-/// hears the first bytes.
+/// The process is suspended while the connection of an attempt is established and its pod is then listed as terminating.
+/// The list must be applied before the first byte of the attempt is sent, whichever of the two events the poll reports
+/// first. Otherwise the terminating pod receives the first bytes.
 #[test]
-fn the_list_is_known_before_the_first_byte_leaves() {
+fn the_list_is_applied_before_the_first_byte_is_sent() {
     let pod = Pod::new(vec![
         Does::WelcomesLater,
         Does::LivesLater("red"),
@@ -153,14 +154,14 @@
     assert!(pod.heard_nothing());
 }
 
-/// Longer than connections go on coming to a sidecar that was told to leave.
-const LISTENER_CLOSES: Duration = STOP_ACCEPTING_TIMEOUT.saturating_add(MOMENT);
-const MOMENT: Duration = Duration::from_millis(100);
+/// Longer than a sidecar accepts connections after the shutdown signal.
+const LISTENER_CLOSE_WAIT: Duration = STOP_ACCEPTING_TIMEOUT.saturating_add(TIMING_MARGIN);
+const TIMING_MARGIN: Duration = Duration::from_millis(100);
 
-/// A request may bring a longer time than the settings have: it is answered before the process has to be gone. Without
-/// the mend the process ends with it open.
+/// A request may have a longer deadline than the settings allow for the shutdown. It is answered before the shutdown
+/// deadline. Guards against a process that exits with the request open.
 #[test]
-fn a_leaving_sidecar_answers_all_before_it_ends() {
+fn a_draining_sidecar_answers_all_requests_before_it_exits() {
     let pod = Pod::new(vec![Does::Waits]);
     let config = Config {
         patience: 1.0,
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn a_leaving_sidecar_settles_what_waits() {
+fn a_draining_sidecar_answers_queued_requests() {
     let config = Config {
         patience: 1.0,
         ..Config::new(Vec::new())
@@ -189,9 +190,9 @@
     assert!(sidecar.wait_for_success());
 }
 
-/// A watch that says nothing more is taken up again, from what is known; a watch that goes on is not asked for anew.
+/// A watch that falls silent is restarted from the known version. A watch that still delivers is not requested again.
 #[test]
-fn a_watch_gone_silent_is_taken_up_again() {
+fn a_silent_watch_is_restarted() {
     let (old, new) = (
         Pod::new(vec![Does::Serves("old")]),
         Pod::new(vec![Does::Serves("new")]),
@@ -211,9 +212,9 @@
     await_answer(sidecar.address, "new");
 }
 
-/// The services of a new configuration may come up later than it.
+/// The services of a new configuration may start later than it is loaded.
 #[test]
-fn services_that_are_not_there_yet_are_found() {
+fn services_that_start_later_are_found() {
     let pod = Pod::new(vec![Does::Serves("red")]);
     let first = Discovery::new(listing(8, false, &[]));
     let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
@@ -233,10 +234,10 @@
     await_answer(sidecar.address, "red");
 }
 
-/// A configuration that is still being written when its signal comes is read again by itself. Without the fix it is
-/// refused once, and the old one stays for good.
+/// A configuration that is incomplete when the reload signal arrives is read again automatically. Guards against rejecting
+/// it once and keeping the previous one for good.
 #[test]
-fn a_half_written_configuration_is_read_again() {
+fn an_incomplete_configuration_is_read_again() {
     let pod = Pod::new(vec![Does::Serves("red")]);
     let (first, second) = (
         Discovery::new(listing(8, false, &[])),
@@ -247,18 +248,18 @@
     let sidecar = PlatformProcess::start(&config);
     first.is_asked();
     config.discovery = second.at;
-    let whole = config.json();
-    sidecar.write_config_text(&whole[..whole.len() / 2]);
+    let complete = config.json();
+    sidecar.write_config_text(&complete[..complete.len() / 2]);
     sidecar.signal(Signal::HUP);
     await_answer(sidecar.address, "red");
-    sidecar.write_config_text(&whole);
+    sidecar.write_config_text(&complete);
     assert!(second.is_asked().contains("since=8 "));
 }
 
-/// Killed outright and started under the same name, it goes by its old list at first; a pod that came back meanwhile
-/// with another build is served from as soon as the list says so.
+/// A sidecar that is killed and restarted under the same name starts from its cached list. A pod that has returned with
+/// another build gets requests as soon as a new list contains it.
 #[test]
-fn a_killed_sidecar_starts_from_an_old_list() {
+fn a_killed_sidecar_starts_from_its_cached_list() {
     let (old, new) = (
         Pod::new(vec![Does::Serves("old")]),
         Pod::new(vec![Does::Serves("new")]),
@@ -285,13 +286,13 @@
 }
 
 const READY: &str = "in_service";
-const DRAINS: &str = "terminating";
+const DRAINING: &str = "terminating";
 
-/// A day of four sidecars: pods that fail in every way, a sidecar killed, one told to leave, one stopped; a build on
-/// trial on cold pods, a drain, the build taken back. Plays it and gives the record.
-fn rough_day() -> Vec<RecordLine> {
-    const ALL: usize = 4;
-    let mut world = World::new(ALL, World::limits(vec![0.5]), 7);
+/// Runs a day of four sidecars and returns its record. Pods fail in every way, one sidecar is killed, one is drained and one is
+/// suspended. A build is put on trial on cold pods, a pod drains, and the build is rolled back.
+fn record_faulty_day() -> Vec<RecordLine> {
+    const SIDECAR_COUNT: usize = 4;
+    let mut world = World::new(SIDECAR_COUNT, World::limits(vec![0.5]), 7);
     let mut list: Vec<(usize, &'static str, u64)> = Vec::new();
     list.extend((0..4).map(|_| (world.pod(1, false, Faults::default()), READY, 0)));
     let config = |world: &World, own: usize, listen| Config {
@@ -299,7 +300,7 @@
         rollouts: Some(world.rollouts[own].at),
         known: (0..4).map(|pod| world.listed(own, pod, READY, 0)).collect(),
         patience: 1.0,
-        sidecars: (ALL as u32, own as u32),
+        sidecars: (SIDECAR_COUNT as u32, own as u32),
         listen,
         ..Config::new(Vec::new())
     };
@@ -316,10 +317,12 @@
         PlatformProcess::start(&config(world, own, listen))
     };
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut all: Vec<PlatformProcess> = (0..ALL).map(|own| start(&world, own, free)).collect();
+    let mut all: Vec<PlatformProcess> = (0..SIDECAR_COUNT)
+        .map(|own| start(&world, own, free))
+        .collect();
     let stop = Arc::new(AtomicBool::new(false));
-    let clients = (0..3 * ALL).map(|n| {
-        let own = n % ALL;
+    let clients = (0..3 * SIDECAR_COUNT).map(|n| {
+        let own = n % SIDECAR_COUNT;
         world.client(
             (own, all[own].address),
             n as u64 + 1,
@@ -330,14 +333,14 @@
     let clients: Vec<_> = clients.collect();
     let pause = |ms| sleep(Duration::from_millis(ms));
     pause(300);
-    let rough = Faults {
+    let faults = Faults {
         errs: 0.05,
         turns_away: 0.1,
         closes: 0.05,
         spoilt: 0.05,
         silent: 0.02,
     };
-    (0..4).for_each(|pod| world.fail(pod, rough));
+    (0..4).for_each(|pod| world.fail(pod, faults));
     pause(500);
 
     world.note(Event::SidecarExited {
@@ -345,7 +348,7 @@
     });
     all[0].signal(Signal::KILL);
     all[0].wait_for_success();
-    // Its clients notice before another process stands at its address.
+    // The clients detect the lost connections before another process listens at the address.
     pause(300);
     all[0] = start(&world, 0, all[0].address);
 
@@ -377,10 +380,10 @@
         .as_millis() as u64;
     list.extend((0..2).map(|_| (world.pod(2, true, Faults::default()), READY, now)));
     world.tell_news(2, 0, "Progressing", 0.5);
-    (0..ALL).for_each(|own| world.tell_list(own, &list));
+    (0..SIDECAR_COUNT).for_each(|own| world.tell_list(own, &list));
     pause(1200);
-    list[0].1 = DRAINS;
-    (0..ALL).for_each(|own| world.tell_list(own, &list));
+    list[0].1 = DRAINING;
+    (0..SIDECAR_COUNT).for_each(|own| world.tell_list(own, &list));
     pause(1200);
     world.tell_news(2, 0, "Aborting", 0.0);
     pause(800);
@@ -389,33 +392,33 @@
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    assert!(delivered > 300, "only {delivered} hits were delivered");
+    assert!(delivered > 300, "only {delivered} requests were delivered");
     world.lines()
 }
 
-fn broken(lines: &[RecordLine]) -> Vec<Rule> {
+fn broken_rules(lines: &[RecordLine]) -> Vec<Rule> {
     let report = RuleChecker::new(lines).unwrap().report();
     report.broken().map(|result| result.rule).collect()
 }
 
-/// Puts something in right behind the first line that fits.
-fn plant(
+/// Inserts events at a delay after the first line that matches.
+fn insert_after(
     lines: &[RecordLine],
-    after: impl Fn(&RecordLine) -> bool,
-    later: f64,
-    what: impl Fn(&RecordLine) -> Vec<Event>,
+    matches_line: impl Fn(&RecordLine) -> bool,
+    delay_s: f64,
+    events: impl Fn(&RecordLine) -> Vec<Event>,
 ) -> Vec<RecordLine> {
     let mut lines = lines.to_vec();
     let first = lines
         .iter()
-        .find(|line| after(line))
-        .expect("such a line")
+        .find(|line| matches_line(line))
+        .expect("a line that matches")
         .clone();
-    let at = first.at + Duration::from_secs_f64(later);
+    let at = first.at + Duration::from_secs_f64(delay_s);
     let place = lines.partition_point(|line| line.at <= at);
     lines.splice(
         place..place,
-        what(&first)
+        events(&first)
             .into_iter()
             .map(|event| RecordLine { at, event }),
     );
@@ -423,31 +426,34 @@
 }
 
 #[test]
-fn a_rough_day_of_several_processes_keeps_the_five_rules() {
-    let lines = rough_day();
+fn a_day_with_faults_keeps_the_five_rules() {
+    let lines = record_faulty_day();
     let report = RuleChecker::new(&lines).unwrap().report();
     assert!(report.broken().next().is_none(), "{:#?}", report.results);
     for (rule, result) in Rule::ALL.iter().zip(&report.results) {
-        assert!(result.checked > 0, "nothing was held to rule {rule}");
+        assert!(
+            result.checked > 0,
+            "rule {rule} was not checked on anything"
+        );
     }
 
-    let nobody = |n: usize| AttemptKey::new(RequestId(u64::MAX - n as u64), 0);
+    let unknown_attempt = |n: usize| AttemptKey::new(RequestId(u64::MAX - n as u64), 0);
     let work = Duration::from_millis(10);
     let sent = move |pod: u32, n: usize| {
         let (pod, sidecar) = (PodId(pod), SidecarId(3));
         Event::ForwardArrived {
             pod,
             sidecar,
-            attempt: nobody(n),
+            attempt: unknown_attempt(n),
             class: 0,
             work,
         }
     };
     let answered = |line: &RecordLine| matches!(line.event, Event::Answered { .. });
-    let twice = plant(&lines, answered, 0.0, |line| vec![line.event.clone()]);
-    assert_eq!(broken(&twice), [Rule::OneAnswer]);
+    let twice = insert_after(&lines, answered, 0.0, |line| vec![line.event.clone()]);
+    assert_eq!(broken_rules(&twice), [Rule::OneAnswer]);
 
-    let pay = |line: &RecordLine| {
+    let non_idempotent = |line: &RecordLine| {
         matches!(
             line.event,
             Event::ForwardArrived {
@@ -476,22 +482,26 @@
         _ => unreachable!(),
     };
     assert_eq!(
-        broken(&plant(&lines, pay, 0.0, again)),
+        broken_rules(&insert_after(&lines, non_idempotent, 0.0, again)),
         [Rule::NoEffectTwice]
     );
 
     let drained = |line: &RecordLine| matches!(&line.event, Event::EndpointsNotified { sidecar: SidecarId(3), draining, .. } if !draining.is_empty());
     assert_eq!(
-        broken(&plant(&lines, drained, 1.0, |_| vec![sent(0, 0)])),
+        broken_rules(&insert_after(&lines, drained, 1.0, |_| vec![sent(0, 0)])),
         [Rule::Draining]
     );
 
     let cold = |line: &RecordLine| matches!(line.event, Event::PodStarted { pod: PodId(4), .. });
-    // Before the news the sidecar's exposure counts as in the first stage: many sidecars share the sends.
-    let crowd = |_: &RecordLine| (0..900).map(|n| sent(4, n)).collect();
-    assert!(broken(&plant(&lines, cold, 0.05, crowd)).contains(&Rule::SlowStart));
+    // Before the stage update the exposure limit is that of the first stage. Many sidecars share the attempts.
+    let excess_attempts = |_: &RecordLine| (0..900).map(|n| sent(4, n)).collect();
+    assert!(
+        broken_rules(&insert_after(&lines, cold, 0.05, excess_attempts)).contains(&Rule::SlowStart)
+    );
 
     let trial = |line: &RecordLine| matches!(line.event, Event::StageNotified { sidecar: SidecarId(3), build: 2, cap, .. } if cap > 0.0);
-    let over = |_: &RecordLine| (0..200).map(|n| sent(5, n)).collect();
-    assert!(broken(&plant(&lines, trial, 1.1, over)).contains(&Rule::Exposure));
+    let excess_exposure = |_: &RecordLine| (0..200).map(|n| sent(5, n)).collect();
+    assert!(
+        broken_rules(&insert_after(&lines, trial, 1.1, excess_exposure)).contains(&Rule::Exposure)
+    );
 }
--- a/crates/cli/tests/command/played_day.rs
+++ b/crates/cli/tests/command/played_day.rs
@@ -1,27 +1,27 @@
-//! Days of the repository, played through the command.
+//! Runs days of the repository through the command.
 
 use crate::support::{repository_file, run_limewing};
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Days of many processes are played one after the other: each goes by the machine's time.
-pub(crate) fn one_day_at_a_time() -> MutexGuard<'static, ()> {
+/// Serializes days with many processes, because each runs in real time.
+pub(crate) fn lock_real_time_days() -> MutexGuard<'static, ()> {
     static DAY: Mutex<()> = Mutex::new(());
     DAY.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A day that was played, and what the command printed of it.
-pub(crate) struct PlayedDay {
-    /// Whether the command ended with success.
+/// A day that was run, and the output of the command.
+pub(crate) struct DayOutcome {
+    /// Whether the command succeeded.
     pub succeeded: bool,
-    /// Standard output, and standard error behind it.
+    /// Standard output, followed by standard error.
     pub output: String,
-    /// Holds the record and the logs.
+    /// Folder with the record and the logs.
     pub folder: tempfile::TempDir,
 }
 
-impl PlayedDay {
-    /// Fails with the excerpt of the record if the command failed.
+impl DayOutcome {
+    /// Panics with an excerpt of the record if the command failed.
     pub(crate) fn assert_success(&self) {
         assert!(
             self.succeeded,
@@ -37,8 +37,8 @@
     }
 }
 
-/// Plays a day of the repository after a change to its script.
-pub(crate) fn play_day(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> PlayedDay {
+/// Runs a day of the repository with a modified script.
+pub(crate) fn run_day(name: &str, change: impl FnOnce(&mut serde_json::Value)) -> DayOutcome {
     let folder = tempfile::tempdir().unwrap();
     let text = std::fs::read_to_string(repository_file(&format!("days/{name}.json"))).unwrap();
     let mut day: serde_json::Value = serde_json::from_str(&text).unwrap();
@@ -54,14 +54,14 @@
     ]);
     let output =
         String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
-    PlayedDay {
+    DayOutcome {
         succeeded: out.status.success(),
         output,
         folder,
     }
 }
 
-/// The lines of the record on the attempts that a text names, on sidecars, and on times at which an event loop stalled.
+/// Returns the lines of the record about the attempts that a text names, about sidecars, and about stalls of an event loop.
 pub(crate) fn record_excerpt(text: &str, folder: &Path) -> String {
     let record = std::fs::read_to_string(folder.join("record.jsonl")).unwrap_or_default();
     let attempts: Vec<String> = text
@@ -71,11 +71,11 @@
         .filter_map(|rest| rest.split_once(')'))
         .map(|(order, _)| format!("\"of\":[{order},"))
         .collect();
-    let tells = |line: &&str| {
+    let is_relevant = |line: &&str| {
         attempts.iter().any(|of| line.contains(of))
             || line.contains("sidecar_")
             || line.contains("\"stood\"")
     };
-    let lines: Vec<&str> = record.lines().filter(tells).take(400).collect();
+    let lines: Vec<&str> = record.lines().filter(is_relevant).take(400).collect();
     lines.join("\n")
 }
--- a/crates/cli/tests/command/support.rs
+++ b/crates/cli/tests/command/support.rs
@@ -1,4 +1,4 @@
-//! The command and its sidecars as processes of their own.
+//! Runs the command and its sidecars as separate processes.
 
 use limewing_emulators::platform::Config;
 use rustix::process::{kill_process, Pid, Signal};
@@ -8,14 +8,14 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-/// The path of a file of the repository.
+/// Returns the path of a file in the repository.
 pub(crate) fn repository_file(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
         .join(file)
 }
 
-/// Runs the command to its end.
+/// Runs the command until it exits.
 pub(crate) fn run_limewing(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_limewing"))
         .args(args)
@@ -23,7 +23,7 @@
         .expect("the command starts")
 }
 
-/// Writes the example settings with another address to listen on.
+/// Writes the example settings with a different listening address.
 pub(crate) fn write_settings(folder: &Path, listen: &str) -> PathBuf {
     let file = folder.join("sidecar.json");
     let example = std::fs::read_to_string(repository_file("deploy/sidecar.example.json")).unwrap();
@@ -34,7 +34,7 @@
     file
 }
 
-/// Writes settings of a sidecar that knows these pods, each with a build.
+/// Writes settings of a sidecar with these pods, each given by address and build.
 pub(crate) fn write_settings_with_pods(folder: &Path, pods: &[(SocketAddr, u16)]) -> PathBuf {
     let state = folder.join("state.json");
     let row = |(at, build): &(SocketAddr, u16)| {
@@ -53,22 +53,22 @@
     file
 }
 
-/// Replaces a text that a file has.
-pub(crate) fn replace_in_file(file: &Path, what: &str, by: &str) {
+/// Replaces a text in a file, which must contain it.
+pub(crate) fn replace_in_file(file: &Path, old: &str, new: &str) {
     let text = std::fs::read_to_string(file).unwrap();
-    assert!(text.contains(what), "{what} in {text}");
-    std::fs::write(file, text.replace(what, by)).unwrap();
+    assert!(text.contains(old), "{old} not found in {text}");
+    std::fs::write(file, text.replace(old, new)).unwrap();
 }
 
-/// A process of `limewing sidecar`, ended with its test.
+/// A process of `limewing sidecar`, killed on drop.
 pub(crate) struct SidecarProcess {
     pub child: Child,
-    /// Where it serves its clients.
+    /// Address on which it serves its clients.
     pub address: String,
 }
 
 impl SidecarProcess {
-    /// Starts one within the limits that a shell sets first (`ulimit -n 40;`), and waits until it listens.
+    /// Starts a sidecar after the shell commands in `limits` (such as `ulimit -n 40;`), and waits until it listens.
     pub(crate) fn start(limits: &str, file: &Path, log: Stdio) -> Self {
         let run = format!(
             "{limits} exec {} sidecar {}",
@@ -113,14 +113,14 @@
     }
 }
 
-/// Suspends a process, and waits until all its threads are stopped. Before that its poll may still return what comes, and the
-/// process would act on that alone when it goes on.
+/// Suspends a process, and waits until all of its threads are stopped. Before that, its poll may still return early events,
+/// and the process would handle them separately from later ones when it resumes.
 pub(crate) fn suspend(child: &Child) {
     kill_process(Pid::from_child(child), Signal::STOP).unwrap();
     let tasks = format!("/proc/{}/task", child.id());
     let is_stopped = |task: std::fs::DirEntry| {
         let stat = std::fs::read_to_string(task.path().join("stat")).unwrap();
-        // The state stands behind the name, which is in parentheses (proc(5)).
+        // The state follows the process name, which is in parentheses (proc(5)).
         let (_, state) = stat.rsplit_once(") ").unwrap();
         state.starts_with('T')
     };
@@ -132,16 +132,16 @@
     }
 }
 
-/// A process of `limewing platform`, ended with its test.
+/// A process of `limewing platform`, killed on drop.
 pub(crate) struct PlatformProcess {
     child: Child,
-    /// Where it serves its clients.
+    /// Address on which it serves its clients.
     pub address: SocketAddr,
     folder: tempfile::TempDir,
 }
 
 impl PlatformProcess {
-    /// Starts one and waits until it listens; its log is read on, so that it is never held up by it.
+    /// Starts a sidecar and waits until it listens. Its log is read continuously, so that writing it never blocks.
     pub(crate) fn start(config: &Config) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
@@ -154,10 +154,10 @@
         let address = loop {
             line.clear();
             assert!(log.read_line(&mut line).unwrap() > 0, "it does not listen");
-            let told = line
+            let value = line
                 .split_once("\"address\":\"")
                 .and_then(|(_, rest)| rest.split('"').next());
-            if let Some(address) = told.filter(|_| line.contains("\"listening\"")) {
+            if let Some(address) = value.filter(|_| line.contains("\"listening\"")) {
                 break address.parse().unwrap();
             }
         };
@@ -173,7 +173,7 @@
         self.child.id()
     }
 
-    /// Replaces its configuration, which it reads again on SIGHUP.
+    /// Replaces the configuration file, which the process reads again on SIGHUP.
     pub(crate) fn write_config(&self, config: &Config) {
         self.write_config_text(&config.json());
     }
@@ -186,12 +186,12 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Suspends it, and waits until all its threads are stopped.
+    /// Suspends the process, and waits until all of its threads are stopped.
     pub(crate) fn suspend(&self) {
         suspend(&self.child);
     }
 
-    /// Waits until it has ended; whether it exited with success.
+    /// Waits until the process has exited, and returns whether it succeeded.
     pub(crate) fn wait_for_success(&mut self) -> bool {
         self.child.wait().unwrap().success()
     }
@@ -204,9 +204,9 @@
     }
 }
 
-/// The response of a sidecar to a request for its status page.
-pub(crate) fn fetch_status(of: &str) -> String {
-    let mut client = TcpStream::connect(of).unwrap();
+/// Returns a sidecar's response to a request for its status page.
+pub(crate) fn fetch_status(address: &str) -> String {
+    let mut client = TcpStream::connect(address).unwrap();
     client
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
@@ -218,7 +218,7 @@
     answer
 }
 
-/// One request on a connection that stays; the head of its answer, whose body has a length.
+/// Sends a request on a persistent connection, and returns the head of the response. Its body must have a Content-Length.
 pub(crate) fn send_request(stream: &mut TcpStream, request: &str) -> std::io::Result<String> {
     stream.write_all(request.as_bytes())?;
     let (mut head, mut byte) = (Vec::new(), [0]);
--- a/crates/cli/tests/command/wants.rs
+++ b/crates/cli/tests/command/wants.rs
@@ -1,4 +1,4 @@
-//! A sidecar that runs out of something, and comes back: logs, descriptors, memory.
+//! Tests that a sidecar survives exhausted resources: log output, descriptors, memory.
 
 use crate::support::{
     fetch_status, replace_in_file, send_request, write_settings, write_settings_with_pods,
@@ -12,16 +12,19 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Requests enough that what is logged of them fills any pipe.
-const MANY: usize = 3_000;
+/// Number of requests whose log lines exceed the capacity of any pipe.
+const REQUEST_COUNT: usize = 3_000;
 
-/// Standard error that takes nothing must not end or hold up a sidecar.
+/// A standard error that accepts no output must neither terminate nor block a sidecar.
 #[rstest]
 #[case::full_disk("", Some("/dev/full"))]
 #[case::file_at_its_limit("ulimit -f 1;", None)]
-#[case::a_pipe_that_nobody_reads("", Some("pipe"))]
+#[case::pipe_without_reader("", Some("pipe"))]
 #[case::closed("exec 2>&-;", Some("/dev/null"))]
-fn logs_that_go_nowhere_hold_nothing_up(#[case] limits: &str, #[case] to: Option<&str>) {
+fn log_output_that_cannot_be_written_does_not_block(
+    #[case] limits: &str,
+    #[case] to: Option<&str>,
+) {
     let folder = tempfile::tempdir().unwrap();
     let file = write_settings(folder.path(), "127.0.0.1:0");
     let log = match to {
@@ -32,8 +35,8 @@
     let mut sidecar =
         SidecarProcess::start(&format!("export RUST_LOG=debug; {limits}"), &file, log);
     let mut client = sidecar.connect();
-    for _ in 0..MANY {
-        // A line is logged of each refused request.
+    for _ in 0..REQUEST_COUNT {
+        // The sidecar logs a line for each rejected request.
         let mut client = sidecar.connect();
         client.write_all(b"no request\r\n\r\n").unwrap();
         let mut answer = String::new();
@@ -55,37 +58,37 @@
 
 const QUOTE: &str = "GET /quotes/1 HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// A pod that answers each request, and reports it.
+/// Starts a pod that answers each request and reports it on a channel.
 fn start_pod() -> (SocketAddr, Receiver<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let (tell, told) = channel();
+    let (reports, requests) = channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let tell = tell.clone();
+            let reports = reports.clone();
             std::thread::spawn(move || {
                 while matches!(stream.read(&mut [0; 4096]), Ok(1..)) {
-                    let _ = tell.send(());
+                    let _ = reports.send(());
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone");
                 }
             });
         }
     });
-    (at, told)
+    (at, requests)
 }
 
-/// A rollout service, and the streams of stage updates that a sidecar opens there. Votes get no answer.
+/// Starts a rollout service that passes on the stage streams opened by a sidecar, and does not answer votes.
 fn start_rollout_service() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let (tell, streams) = channel();
+    let (reports, streams) = channel();
     std::thread::spawn(move || {
         let mut votes = Vec::new();
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let mut asked = [0; 1000];
-            let length = stream.read(&mut asked).unwrap_or(0);
-            if asked[..length].starts_with(b"GET /v1/stages") {
-                let _ = tell.send(stream);
+            let mut request = [0; 1000];
+            let length = stream.read(&mut request).unwrap_or(0);
+            if request[..length].starts_with(b"GET /v1/stages") {
+                let _ = reports.send(stream);
             } else {
                 votes.push(stream);
             }
@@ -94,18 +97,18 @@
     (at, streams)
 }
 
-/// Sends a state on the next stream that is opened.
+/// Sends a stage update on the next stream that is opened.
 fn send_stage(streams: &Receiver<TcpStream>, state: &str) -> TcpStream {
     let mut stream = streams
         .recv_timeout(Duration::from_secs(20))
-        .expect("stage news are asked for");
+        .expect("a request for stage updates");
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     write!(stream, "{head}event: stage\ndata: {state}\n\n").unwrap();
     stream
 }
 
 #[test]
-fn clients_cannot_take_the_descriptors_of_pods_and_news_and_a_lowered_cap_comes_through() {
+fn clients_cannot_exhaust_the_descriptors_for_pods_and_stage_updates() {
     let folder = tempfile::tempdir().unwrap();
     let ((base, _), (trial, at_trial)) = (start_pod(), start_pod());
     let (rollout_service, streams) = start_rollout_service();
@@ -113,42 +116,43 @@
     replace_in_file(&file, "127.0.0.1:8600", &rollout_service.to_string());
     let sidecar = SidecarProcess::start("ulimit -n 64;", &file, Stdio::null());
     let on_trial = r#"{"number":1,"build":2,"stage":2,"phase":"on_trial","cap":1}"#;
-    let news = send_stage(&streams, on_trial);
+    let stage_stream = send_stage(&streams, on_trial);
     let mut client = sidecar.connect();
-    let mut hits = |many: usize| {
-        let well = (0..many).filter(|_| {
+    let mut send_requests = |count: usize| {
+        let succeeded = (0..count).filter(|_| {
             send_request(&mut client, QUOTE)
                 .unwrap()
                 .starts_with("HTTP/1.1 200")
         });
-        well.count()
+        succeeded.count()
     };
     while at_trial.try_recv().is_err() {
-        assert_eq!(hits(1), 1);
+        assert_eq!(send_requests(1), 1);
     }
-    // More connections than there are descriptors; those that are not accepted wait in the backlog.
-    let crowd: Vec<TcpStream> = (0..100).map(|_| sidecar.connect()).collect();
-    assert_eq!(hits(20), 20);
-    drop(news);
-    let back = r#"{"number":2,"build":2,"stage":2,"phase":"going_back","cap":0}"#;
-    let _news = send_stage(&streams, back);
-    // Of twenty hits half would go there until the news is read; the rule grants a second from then.
-    let until = Instant::now() + Duration::from_secs(1);
-    while hits(20) < 20 || at_trial.try_iter().count() > 0 {
+    // Opens more connections than there are descriptors. Those that are not accepted wait in the backlog.
+    let connections: Vec<TcpStream> = (0..100).map(|_| sidecar.connect()).collect();
+    assert_eq!(send_requests(20), 20);
+    drop(stage_stream);
+    let rollback = r#"{"number":2,"build":2,"stage":2,"phase":"going_back","cap":0}"#;
+    let _stage_stream = send_stage(&streams, rollback);
+    // Half of twenty requests would go to the build on trial until the stage update is read. The rule allows one second
+    // from then.
+    let deadline = Instant::now() + Duration::from_secs(1);
+    while send_requests(20) < 20 || at_trial.try_iter().count() > 0 {
         assert!(
-            Instant::now() < until,
-            "hits still go to the build on trial"
+            Instant::now() < deadline,
+            "requests still go to the build on trial"
         );
     }
-    assert_eq!((hits(60), at_trial.try_iter().count()), (60, 0));
-    drop(crowd);
+    assert_eq!((send_requests(60), at_trial.try_iter().count()), (60, 0));
+    drop(connections);
     let late = fetch_status(&sidecar.address);
     assert!(late.starts_with("HTTP/1.1 200"), "{late}");
 }
 
-/// Bodies that many clients have half sent, under a limit of memory.
+/// Many clients send incomplete bodies while the memory of the sidecar is limited.
 #[test]
-fn buffers_of_many_clients_do_not_end_a_sidecar() {
+fn buffers_of_many_clients_do_not_exhaust_memory() {
     const CLIENTS: usize = 3_000;
     let folder = tempfile::tempdir().unwrap();
     let (base, _) = start_pod();
@@ -162,9 +166,9 @@
     ]
     .concat();
     let at = sidecar.address.parse().unwrap();
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..CLIENTS {
-        // Until the backlog is full as well.
+        // Continues until the backlog is full as well.
         let Ok(mut stream) = TcpStream::connect_timeout(&at, Duration::from_millis(200)) else {
             break;
         };
@@ -174,23 +178,23 @@
         if stream.write_all(&half).is_err() {
             break;
         }
-        crowd.push(stream);
+        connections.push(stream);
     }
     let answer = send_request(&mut client, QUOTE);
     assert!(
         sidecar.is_running(),
-        "it ended with {} clients",
-        crowd.len()
+        "the sidecar exited with {} clients",
+        connections.len()
     );
     assert!(answer.is_ok_and(|head| head.starts_with("HTTP/1.1 200")));
-    drop(crowd);
+    drop(connections);
     let mut late = sidecar.connect();
     assert!(send_request(&mut late, QUOTE).is_ok_and(|head| head.starts_with("HTTP/1.1 200")));
 }
 
-/// Connections kept to some pods must not be what keeps hits from the others, or clients from being let in.
+/// Idle connections to some pods must not prevent requests to other pods, or prevent clients from being accepted.
 #[test]
-fn kept_connections_make_room_for_pods_that_have_none_and_for_clients() {
+fn idle_pod_connections_are_closed_for_other_pods_and_clients() {
     let folder = tempfile::tempdir().unwrap();
     let pods: Vec<_> = (0..24).map(|_| start_pod()).collect();
     let known: Vec<(SocketAddr, u16)> = pods.iter().map(|(at, _)| (*at, 1)).collect();
@@ -203,12 +207,12 @@
         .map(|_| {
             let mut client = sidecar.connect();
             std::thread::spawn(move || {
-                let well = (0..100).filter(|_| {
+                let succeeded = (0..100).filter(|_| {
                     send_request(&mut client, QUOTE)
                         .unwrap()
                         .starts_with("HTTP/1.1 200")
                 });
-                (well.count(), client)
+                (succeeded.count(), client)
             })
         })
         .collect();
@@ -216,11 +220,17 @@
         .into_iter()
         .map(|client| client.join().unwrap())
         .collect();
-    assert_eq!(clients.iter().map(|(well, _)| well).sum::<usize>(), 600);
+    assert_eq!(
+        clients
+            .iter()
+            .map(|(succeeded, _)| succeeded)
+            .sum::<usize>(),
+        600
+    );
     let more: Vec<TcpStream> = (0..4).map(|_| sidecar.connect()).collect();
     for mut client in more {
         let head = send_request(&mut client, QUOTE)
-            .expect("a client is let in before kept connections end by themselves");
+            .expect("a client is accepted before idle connections time out");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     }
 }
--- a/crates/cli/tests/golden.rs
+++ b/crates/cli/tests/golden.rs
@@ -1,12 +1,12 @@
-//! Pins what the command prints and reads: the JSON schemas, whose titles and descriptions are part of them, and the tables
-//! made of a sidecar's pages.
+//! Pins the output of the command: the JSON schemas, including their titles and descriptions, and the tables that show a
+//! sidecar's pages.
 
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::process::Command;
 
-fn printed(arguments: &[&str]) -> String {
+fn run_command(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_limewing"))
         .args(arguments)
         .output()
@@ -26,20 +26,20 @@
 #[case::faults(&["faults"], include_str!("golden/faults.schema.json"))]
 #[case::keys(&["keys"], include_str!("golden/keys.schema.json"))]
 #[case::work(&["work"], include_str!("golden/work.schema.json"))]
-fn a_schema_is_printed_as_before(#[case] of: &[&str], #[case] schema: &str) {
-    assert_eq!(printed(&[&["settings", "schema"], of].concat()), schema);
+fn schemas_match_the_golden_files(#[case] of: &[&str], #[case] schema: &str) {
+    assert_eq!(run_command(&[&["settings", "schema"], of].concat()), schema);
 }
 
-/// Answers one request with a page; the request's first line must be this.
-fn serves(request: &'static str, page: &'static str) -> SocketAddr {
+/// Serves one request with a page. The request must start with the given line.
+fn serve_page(request: &'static str, page: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         let (mut client, _) = listener.accept().unwrap();
-        let mut asked = vec![0; 4096];
-        let length = client.read(&mut asked).unwrap();
-        let known = asked[..length].starts_with(request.as_bytes());
-        let status = if known { "200 OK" } else { "404 Not Found" };
+        let mut received = vec![0; 4096];
+        let length = client.read(&mut received).unwrap();
+        let matches = received[..length].starts_with(request.as_bytes());
+        let status = if matches { "200 OK" } else { "404 Not Found" };
         let length = page.len();
         write!(
             client,
@@ -50,7 +50,7 @@
     address
 }
 
-/// The pages are the ones that the sidecar's own tests pin.
+/// Uses the pages that the sidecar's own tests pin.
 #[rstest]
 #[case::fleet(
     &["fleet", "show"],
@@ -70,12 +70,12 @@
     include_str!("../../http-proxy/tests/golden/work.json"),
     include_str!("golden/work-show.txt")
 )]
-fn a_page_is_shown_as_before(
+fn tables_match_the_golden_files(
     #[case] command: &[&str],
     #[case] request: &'static str,
     #[case] page: &'static str,
-    #[case] shown: &str,
+    #[case] expected: &str,
 ) {
-    let address = serves(request, page).to_string();
-    assert_eq!(printed(&[command, &[&address]].concat()), shown);
+    let address = serve_page(request, page).to_string();
+    assert_eq!(run_command(&[command, &[&address]].concat()), expected);
 }
