--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What happens to the links and members of a fleet.
+/// A script of faults of the links and members of a fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
@@ -22,14 +22,14 @@
     /// Duration of the script in seconds.
     #[schemars(description = "")]
     pub seconds: f64,
-    /// Every link, unless a step says otherwise.
+    /// Conditions of every link, unless a step changes them.
     #[serde(default, rename = "line")]
     pub conditions: LinkConditions,
     /// The faults, in any order.
     #[serde(default)]
     #[schemars(description = "")]
     pub steps: Vec<ScriptStep>,
-    /// Members whose clocks tell another time of day.
+    /// Members whose clocks are wrong, with their offsets.
     #[serde(default, rename = "clocks", skip_serializing_if = "Vec::is_empty")]
     pub clock_offsets: Vec<ClockOffset>,
 }
@@ -43,11 +43,11 @@
     #[serde(rename = "who")]
     #[schemars(description = "")]
     pub members: Selector,
-    /// Below 0: behind.
+    /// Offset in seconds; negative if the clock is behind.
     pub seconds: f64,
 }
 
-/// How one direction between two members treats datagrams; parts are from 0 to 1.
+/// Conditions of one direction between two members; fractions are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Line")]
@@ -58,14 +58,14 @@
     /// Delay of every datagram, in milliseconds.
     #[schemars(description = "")]
     pub delay_ms: f64,
-    /// Further delay, drawn evenly up to this: what is later may come first.
+    /// Upper bound of an additional random delay, in milliseconds; it is uniformly distributed and may reorder datagrams.
     pub jitter_ms: f64,
     /// Fraction of the datagrams that arrives twice.
     #[schemars(description = "")]
     pub duplicate: f64,
-    /// One bit is turned.
+    /// Fraction of the datagrams in which one bit is flipped.
     pub corrupt: f64,
-    /// What is over this is lost; 0: no limit.
+    /// Byte rate above which datagrams are lost; 0 means no limit.
     #[serde(rename = "bytes_per_s")]
     pub bytes_per_second: f64,
 }
@@ -89,7 +89,7 @@
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 #[schemars(description = "")]
 pub enum Fault {
-    /// Nothing passes from some to others; back neither, unless one way only.
+    /// No datagram passes from some members to others, nor back unless `one_way` is set.
     #[serde(rename = "cut")]
     Partition {
         /// The senders.
@@ -103,10 +103,10 @@
         #[schemars(description = "")]
         one_way: bool,
     },
-    /// All cuts are mended.
+    /// All partitions are healed.
     #[serde(rename = "mend")]
     HealPartitions,
-    /// The links from some to others are of this kind from now on.
+    /// The links from some members to others have these conditions from now on.
     #[serde(rename = "change")]
     ChangeLinks {
         /// The senders.
@@ -120,27 +120,27 @@
         #[schemars(description = "")]
         conditions: LinkConditions,
     },
-    /// Ended outright.
+    /// The members are killed without notice.
     Kill(Selector),
-    /// Told to leave.
+    /// The members leave the fleet, and stop.
     Leave(Selector),
-    /// Stands still, and goes on as if nothing had been.
+    /// The members are suspended, and keep their state until they resume.
     #[serde(rename = "stop")]
     Suspend(Selector),
     /// The members resume after a suspension.
     #[serde(rename = "go_on")]
     #[schemars(description = "")]
     Resume(Selector),
-    /// Started, anew if it had run.
+    /// The members are started, or restarted if they run.
     Start(Selector),
-    /// What they keep on disk is gone; of those that do not run then.
+    /// The data on disk of those members that do not run is deleted.
     LoseDisk(Selector),
-    /// Their disks take nothing more; of those that run.
+    /// Disk writes of those members that run fail from now on.
     FillDisk(Selector),
     /// Their disk writes succeed again.
     #[schemars(description = "")]
     FreeDisk(Selector),
-    /// Their key file has these keys from now on, the first one seals; they are told to read it.
+    /// The members' key files get these keys, the first of which seals datagrams; the members reload them.
     #[serde(rename = "keys")]
     ReplaceKeys {
         /// The members that get the keys.
@@ -151,7 +151,7 @@
         #[schemars(description = "")]
         ids: Vec<u8>,
     },
-    /// Each of them is sent so many datagrams of noise, and as many that it has had before.
+    /// Each member receives this many datagrams of noise, and as many replays of datagrams that it received before.
     #[serde(rename = "noise")]
     SendNoise {
         /// The members that get the datagrams.
--- a/crates/fault-injection/src/selector.rs
+++ b/crates/fault-injection/src/selector.rs
@@ -3,7 +3,7 @@
 use schemars::{JsonSchema, Schema};
 use serde::{Deserialize, Serialize};
 
-/// Some of the members.
+/// A selection of members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "Who", transform = const_as_enum)]
@@ -11,10 +11,10 @@
     /// All members.
     #[schemars(description = "")]
     All,
-    /// Those from one part of the fleet up to another: 0 to 0.5 is the first half.
+    /// Members from one fraction of the fleet up to another: 0 to 0.5 selects the first half.
     #[serde(rename = "part")]
     Fraction(f64, f64),
-    /// These numbers, from 0.
+    /// Members with these numbers, counted from 0.
     Numbers(Vec<usize>),
 }
 
