--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -133,7 +133,7 @@
     /// Returns whether the first byte of an attempt may be sent now. The pod may have started
     /// draining since the attempt was scheduled. While no endpoint list is received, the permission
     /// expires after the drain grace period.
-    pub(crate) fn may_begin(
+    pub(crate) fn may_send_first_byte(
         &self,
         request: RequestId,
         attempt: AttemptIndex,
@@ -200,7 +200,7 @@
         result.duration = result.duration.saturating_sub(context.lateness);
         let (pod, build, sent_at) = (attempt.pod, attempt.build, attempt.sent_at);
         let was_open = !record.closed;
-        record.closed |= result.request_over;
+        record.closed |= result.request_closed;
         let (class, tenant) = (record.class, record.tenant);
         let request_open = was_open && !record.closed;
         if outcome == AttemptOutcome::Succeeded {
--- a/crates/decision/src/admission/tests/exposure.rs
+++ b/crates/decision/src/admission/tests/exposure.rs
@@ -98,7 +98,7 @@
         pod: PodId(3),
         outcome,
         duration: at(0.1),
-        request_over: false,
+        request_closed: false,
     };
     admission.on_attempt_finished(result, &mut context);
     while let Some((to, message)) = context.mailboxes.pop() {
--- a/crates/decision/src/admission/tests/first_byte.rs
+++ b/crates/decision/src/admission/tests/first_byte.rs
@@ -50,10 +50,11 @@
     let mut context = leased_context(1.0);
     let mut admission = admission_with_an_attempt(&mut context);
     change(&mut admission);
-    let may_begin =
-        |attempt| admission.may_begin(RequestId(0), AttemptIndex(attempt), at(1.2), &context);
-    assert_eq!(may_begin(0), expected);
-    assert!(!may_begin(1));
+    let may_send_first_byte = |attempt| {
+        admission.may_send_first_byte(RequestId(0), AttemptIndex(attempt), at(1.2), &context)
+    };
+    assert_eq!(may_send_first_byte(0), expected);
+    assert!(!may_send_first_byte(1));
 }
 
 /// While no endpoint list is received, permissions expire after the drain grace period (1 s),
@@ -73,7 +74,7 @@
         context.dispatch_event(watch_lost(WATCH_ENDED));
     }
     assert_eq!(
-        admission.may_begin(RequestId(0), AttemptIndex(0), at(now), &context),
+        admission.may_send_first_byte(RequestId(0), AttemptIndex(0), at(now), &context),
         expected
     );
 }
@@ -84,5 +85,5 @@
     let mut context = context(1.0);
     let admission = admission_with_an_attempt(&mut context);
     context.dispatch_event(watch_lost(WATCH_ENDED));
-    assert!(admission.may_begin(RequestId(0), AttemptIndex(0), at(5.0), &context));
+    assert!(admission.may_send_first_byte(RequestId(0), AttemptIndex(0), at(5.0), &context));
 }
--- a/crates/decision/src/engine.rs
+++ b/crates/decision/src/engine.rs
@@ -66,9 +66,14 @@
     /// Returns whether the first byte of an attempt may be sent now. The host calls this right
     /// before it writes that byte, on any connection and however long after the attempt was
     /// scheduled. If the result is `false`, the attempt ends as never sent.
-    pub fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
+    pub fn may_send_first_byte(
+        &self,
+        now: Duration,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> bool {
         self.admission
-            .may_begin(request, attempt, now, &self.context)
+            .may_send_first_byte(request, attempt, now, &self.context)
     }
 
     /// Processes events of one moment and returns the resulting actions in order. Timers are left
--- a/crates/decision/src/engine/tests.rs
+++ b/crates/decision/src/engine/tests.rs
@@ -65,12 +65,12 @@
             .any(|action| matches!(action, Action::StartAttempt { .. })),
         "{actions:?}"
     );
-    assert!(engine.may_begin(at(1.1), RequestId(0), AttemptIndex(0)));
+    assert!(engine.may_send_first_byte(at(1.1), RequestId(0), AttemptIndex(0)));
     let draining = Endpoint {
         state: PodState::Draining,
         ..endpoint(0, 1)
     };
     let actions = engine.apply_events(at(8.0), vec![endpoint_update(draining)]);
     assert_eq!(actions, []);
-    assert!(!engine.may_begin(at(8.0), RequestId(0), AttemptIndex(0)));
+    assert!(!engine.may_send_first_byte(at(8.0), RequestId(0), AttemptIndex(0)));
 }
--- a/crates/decision/src/interface/request.rs
+++ b/crates/decision/src/interface/request.rs
@@ -63,5 +63,5 @@
     /// How long the attempt took.
     pub duration: Duration,
     /// Whether the request is closed, by this outcome or earlier.
-    pub request_over: bool,
+    pub request_closed: bool,
 }
--- a/crates/decision/src/test_support.rs
+++ b/crates/decision/src/test_support.rs
@@ -163,7 +163,7 @@
             pod: PodId(0),
             outcome,
             duration: at(0.002),
-            request_over: false,
+            request_closed: false,
         },
         class: ClassId(0),
         build: BuildId(1),
--- a/crates/emulators/src/fleet/trial/simulation.rs
+++ b/crates/emulators/src/fleet/trial/simulation.rs
@@ -268,7 +268,7 @@
             pod: id,
             outcome,
             duration,
-            request_over: !refused,
+            request_closed: !refused,
         };
         self.schedule(duration, number, TrialEvent::AttemptEnds(result));
     }
--- a/crates/http-proxy/src/service/replication.rs
+++ b/crates/http-proxy/src/service/replication.rs
@@ -144,7 +144,7 @@
         let record = self.local.attempt_ended(
             result.request.0,
             result.outcome.never_ran(),
-            result.request_over,
+            result.request_closed,
         );
         if let Some(record) = record {
             self.publish(now, &record, EXECUTION_TIME_TO_LIVE);
--- a/crates/http-proxy/tests/sockets/draining.rs
+++ b/crates/http-proxy/tests/sockets/draining.rs
@@ -59,8 +59,14 @@
 }
 
 impl SendAuthority for HoldableDecisions {
-    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
-        !self.deny_permits.load(Ordering::SeqCst) && self.engine.may_begin(now, request, attempt)
+    fn may_send_first_byte(
+        &self,
+        now: Duration,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> bool {
+        !self.deny_permits.load(Ordering::SeqCst)
+            && self.engine.may_send_first_byte(now, request, attempt)
     }
 }
 
--- a/crates/http-proxy/tests/sockets/resource_limits.rs
+++ b/crates/http-proxy/tests/sockets/resource_limits.rs
@@ -31,8 +31,13 @@
 }
 
 impl SendAuthority for ObservedDecisions {
-    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
-        self.0.may_begin(now, request, attempt)
+    fn may_send_first_byte(
+        &self,
+        now: Duration,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> bool {
+        self.0.may_send_first_byte(now, request, attempt)
     }
 }
 
--- a/crates/http-proxy/tests/sockets/support.rs
+++ b/crates/http-proxy/tests/sockets/support.rs
@@ -100,7 +100,7 @@
 struct SendToAll(Vec<SocketAddr>);
 
 impl SendAuthority for SendToAll {
-    fn may_begin(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
+    fn may_send_first_byte(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
         true
     }
 }
--- a/crates/http-proxy/tests/sockets/wrong_answer_reports.rs
+++ b/crates/http-proxy/tests/sockets/wrong_answer_reports.rs
@@ -16,7 +16,7 @@
 }
 
 impl SendAuthority for SendToOnePod {
-    fn may_begin(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
+    fn may_send_first_byte(&self, _: Duration, _: RequestId, _: AttemptIndex) -> bool {
         true
     }
 }
--- a/crates/mutants/src/mutated_decisions.rs
+++ b/crates/mutants/src/mutated_decisions.rs
@@ -226,8 +226,13 @@
 }
 
 impl SendAuthority for MutatedDecisions {
-    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
-        self.mutation.changes_attempts() || self.engine.may_begin(now, request, attempt)
+    fn may_send_first_byte(
+        &self,
+        now: Duration,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> bool {
+        self.mutation.changes_attempts() || self.engine.may_send_first_byte(now, request, attempt)
     }
 }
 
--- a/crates/proxy-core/src/in_flight.rs
+++ b/crates/proxy-core/src/in_flight.rs
@@ -207,7 +207,7 @@
         outcome: AttemptOutcome,
         now: Duration,
     ) -> Option<EndedAttempt<T>> {
-        let request_over = self.requests.get(&id)?.completed;
+        let request_closed = self.requests.get(&id)?.completed;
         let attempt = self.active_attempt_mut(id, index)?;
         attempt.ended = true;
         attempt.connection = None;
@@ -218,7 +218,7 @@
             pod: attempt.pod,
             outcome,
             duration: now.saturating_sub(attempt.sent_at),
-            request_over,
+            request_closed,
         };
         Some(EndedAttempt {
             result,
--- a/crates/proxy-core/src/send_permit.rs
+++ b/crates/proxy-core/src/send_permit.rs
@@ -11,12 +11,18 @@
 /// Confirms that an attempt may still be written.
 pub trait SendAuthority {
     /// Whether the first byte of an attempt may be written at time `now`.
-    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool;
+    fn may_send_first_byte(&self, now: Duration, request: RequestId, attempt: AttemptIndex)
+        -> bool;
 }
 
 impl SendAuthority for DecisionEngine {
-    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
-        DecisionEngine::may_begin(self, now, request, attempt)
+    fn may_send_first_byte(
+        &self,
+        now: Duration,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> bool {
+        DecisionEngine::may_send_first_byte(self, now, request, attempt)
     }
 }
 
@@ -33,7 +39,7 @@
         request: RequestId,
         attempt: AttemptIndex,
     ) -> Option<Self> {
-        if authority.may_begin(now, request, attempt) {
+        if authority.may_send_first_byte(now, request, attempt) {
             Some(Self(()))
         } else {
             None
--- a/crates/reference-model/src/model.rs
+++ b/crates/reference-model/src/model.rs
@@ -325,7 +325,7 @@
         attempt.outcome = Some(result.outcome);
         attempt.outcome_turn = turn;
     }
-    if result.request_over {
+    if result.request_closed {
         record_over(history, result.request);
     }
 }
--- a/crates/reference-model/src/simulation/attempts.rs
+++ b/crates/reference-model/src/simulation/attempts.rs
@@ -181,7 +181,7 @@
             return Ok(());
         };
         if self.mutation.requests_send_permit(broken_connections)
-            && !engine.may_begin(self.now, attempt.request, attempt.index)
+            && !engine.may_send_first_byte(self.now, attempt.request, attempt.index)
         {
             self.model.attempt_withheld(sidecar, self.now, attempt.pod);
             self.attempt_ends(&attempt, AttemptOutcome::NeverSent);
@@ -286,7 +286,7 @@
         &mut self,
         attempt: &Attempt,
         outcome: AttemptOutcome,
-        request_over: bool,
+        request_closed: bool,
         duration: Duration,
     ) {
         let event = Event::AttemptFinished(AttemptResult {
@@ -295,7 +295,7 @@
             pod: attempt.pod,
             outcome,
             duration,
-            request_over,
+            request_closed,
         });
         let is_late = outcome != AttemptOutcome::TimedOut && self.rng.random_bool(0.02);
         let wait = if is_late {
--- a/crates/reference-model/tests/digest/simulation/requests.rs
+++ b/crates/reference-model/tests/digest/simulation/requests.rs
@@ -136,7 +136,7 @@
         };
         let allowed = self
             .sidecar
-            .may_begin(self.now, attempt.request, attempt.index);
+            .may_send_first_byte(self.now, attempt.request, attempt.index);
         digest.number(8);
         digest.number(u64::from(allowed));
         if !allowed {
@@ -221,7 +221,7 @@
         outcome: AttemptOutcome,
         duration: Duration,
     ) {
-        let request_over = self
+        let request_closed = self
             .requests
             .get(&attempt.request)
             .is_some_and(|open| open.is_over);
@@ -231,7 +231,7 @@
             pod: attempt.pod,
             outcome,
             duration,
-            request_over,
+            request_closed,
         });
         self.schedule_in(STEP, ScheduledEvent::Deliver(attempt.incarnation, event));
     }
--- a/crates/replication/src/local_state.rs
+++ b/crates/replication/src/local_state.rs
@@ -171,14 +171,14 @@
         })
     }
 
-    /// Records the end of an attempt. `never_ran` means proof that it did not run, `request_over`
+    /// Records the end of an attempt. `never_ran` means proof that it did not run, `request_closed`
     /// that no further attempt follows. Returns the record to publish: once no attempt can have
     /// run, other sidecars may send the request.
     pub fn attempt_ended(
         &mut self,
         request: u64,
         never_ran: bool,
-        request_over: bool,
+        request_closed: bool,
     ) -> Option<Record> {
         let open = self.requests.get_mut(&request)?;
         open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
@@ -188,7 +188,7 @@
         }
         let idempotency_key = open.idempotency_key;
         let may_have_run = open.may_have_run;
-        if request_over {
+        if request_closed {
             self.requests.remove(&request);
         }
         if may_have_run {
--- a/crates/replication/tests/digest.rs
+++ b/crates/replication/tests/digest.rs
@@ -203,9 +203,9 @@
             return;
         }
         let index = self.draw(self.requests.len() as u64) as usize;
-        let (never_ran, request_over) = (self.draw(3) == 0, self.draw(4) > 0);
+        let (never_ran, request_closed) = (self.draw(3) == 0, self.draw(4) > 0);
         let number = self.requests[index].number;
-        let record = self.local.attempt_ended(number, never_ran, request_over);
+        let record = self.local.attempt_ended(number, never_ran, request_closed);
         self.requests[index].attempts -= 1;
         if self.requests[index].attempts == 0 {
             self.requests.remove(index);
--- a/crates/simulator-protocol/src/record.rs
+++ b/crates/simulator-protocol/src/record.rs
@@ -218,7 +218,7 @@
 fn attempt_finished(cursor: &mut Cursor<'_>) -> Result<Event, FrameError> {
     let request = RequestId(cursor.u64()?);
     let pod = cursor.pod()?;
-    let request_over = cursor.u8()? != 0;
+    let request_closed = cursor.u8()? != 0;
     let duration = cursor.duration()?;
     let outcome = attempt_outcome(cursor)?;
     let attempt = AttemptIndex(cursor.u16()?);
@@ -229,7 +229,7 @@
         pod,
         outcome,
         duration,
-        request_over,
+        request_closed,
     }))
 }
 
--- a/crates/simulator-protocol/tests/golden.rs
+++ b/crates/simulator-protocol/tests/golden.rs
@@ -214,7 +214,7 @@
                 result.attempt.0,
                 result.pod.0,
                 micros(result.duration),
-                result.request_over
+                result.request_closed
             )
         }
         Event::StreamStarted { request } => format!("stream of request {}", request.0),
--- a/crates/soak/src/simulation/requests.rs
+++ b/crates/soak/src/simulation/requests.rs
@@ -110,7 +110,7 @@
         open.is_over |= has_succeeded;
         events.push(Event::AttemptFinished(AttemptResult {
             outcome,
-            request_over: open.is_over,
+            request_closed: open.is_over,
             ..result
         }));
         self.forget_if_settled(request);
@@ -138,7 +138,7 @@
             pod: attempt.pod,
             outcome: AttemptOutcome::Cancelled,
             duration: self.now - attempt.started_at,
-            request_over: open.is_over,
+            request_closed: open.is_over,
         })
     }
 
