--- a/crates/http-proxy/src/service/maintenance/leadership.rs
+++ b/crates/http-proxy/src/service/maintenance/leadership.rs
@@ -86,9 +86,9 @@
     }
 
     /// Records that a command of this leader was appended to the log at `index`.
-    pub(super) fn command_proposed(&mut self, index: u64) {
+    pub(super) fn record_proposed_command(&mut self, index: u64) {
         if let Some(scheduler) = &mut self.scheduler {
-            scheduler.command_proposed(index);
+            scheduler.record_proposed_command(index);
         }
     }
 
@@ -169,16 +169,17 @@
             drained: request.drained,
             rejected_per_mille: request.rejected_per_mille,
         };
-        let granted = scheduler
-            .grantor
-            .lease_requested(now, &applied.schedule, process, report);
+        let granted =
+            scheduler
+                .grantor
+                .handle_lease_request(now, &applied.schedule, process, report);
         if granted {
             let commit_index = voter.node().commit_index();
             return LeaseDecision::Granted { commit_index };
         }
         let known = applied.schedule.sidecars().get(request.name);
         let is_new = known.is_none_or(|known| *known < request.incarnation);
-        if scheduler.has_applied_own(applied.index) && is_new {
+        if scheduler.has_applied_own_commands(applied.index) && is_new {
             return LeaseDecision::Register(Command::SidecarStarted {
                 name: request.name.to_owned(),
                 incarnation: request.incarnation,
--- a/crates/http-proxy/src/service/maintenance/mod.rs
+++ b/crates/http-proxy/src/service/maintenance/mod.rs
@@ -190,7 +190,7 @@
             return;
         };
         if let Ok(index) = voter.propose(now, command) {
-            self.leadership.command_proposed(index);
+            self.leadership.record_proposed_command(index);
         }
     }
 
--- a/crates/http-proxy/src/service/maintenance/pending.rs
+++ b/crates/http-proxy/src/service/maintenance/pending.rs
@@ -98,7 +98,7 @@
             }
         }
         self.commands.retain(|pending| {
-            now < pending.expires_at && !context.schedule.is_reflected(&pending.command)
+            now < pending.expires_at && !context.schedule.is_already_applied(&pending.command)
         });
         for pending in &self.commands {
             let command = pending.command.encode();
--- a/crates/http-proxy/src/service/maintenance/receiving.rs
+++ b/crates/http-proxy/src/service/maintenance/receiving.rs
@@ -51,7 +51,7 @@
                     drained: &drained,
                     rejected_per_mille,
                 };
-                self.lease_requested(now, request, &lease_request);
+                self.handle_lease_request(now, request, &lease_request);
             }
             Message::LeaseResponse {
                 request,
@@ -65,7 +65,7 @@
         }
     }
 
-    fn lease_requested(&mut self, now: Duration, number: u64, request: &LeaseRequest) {
+    fn handle_lease_request(&mut self, now: Duration, number: u64, request: &LeaseRequest) {
         if let Some(commit_index) = self.grant_lease(now, request) {
             let response = Message::LeaseResponse {
                 request: number,
--- a/crates/maintenance/src/lease_grantor.rs
+++ b/crates/maintenance/src/lease_grantor.rs
@@ -86,7 +86,7 @@
     /// Handles the lease request of a sidecar.
     ///
     /// Returns whether the lease is granted. It is not granted before the sidecar is in the log.
-    pub fn lease_requested(
+    pub fn handle_lease_request(
         &mut self,
         now: Duration,
         schedule: &MaintenanceSchedule,
--- a/crates/maintenance/src/schedule.rs
+++ b/crates/maintenance/src/schedule.rs
@@ -222,7 +222,7 @@
 
     /// Returns whether the command's whole effect is already part of the schedule, so that it need
     /// not be proposed again.
-    pub fn is_reflected(&self, command: &Command) -> bool {
+    pub fn is_already_applied(&self, command: &Command) -> bool {
         let list_of = |id: &Identifier| self.lists.get(id);
         let state_of = |grant: &Identifier| self.machine_with_grant(*grant).map(|(_, state)| state);
         match command {
--- a/crates/maintenance/src/scheduler.rs
+++ b/crates/maintenance/src/scheduler.rs
@@ -42,13 +42,13 @@
     }
 
     /// Records that an own command is in the log at this index, committed or not.
-    pub fn command_proposed(&mut self, index: u64) {
+    pub fn record_proposed_command(&mut self, index: u64) {
         self.proposed_index = self.proposed_index.max(index);
     }
 
     /// Returns whether all commands proposed in this term are applied. Until then nothing is
     /// proposed, which avoids duplicate proposals.
-    pub fn has_applied_own(&self, applied_index: u64) -> bool {
+    pub fn has_applied_own_commands(&self, applied_index: u64) -> bool {
         applied_index >= self.proposed_index
     }
 
@@ -67,7 +67,7 @@
         observation: &FleetObservation,
     ) -> Option<Command> {
         let is_idle = schedule.lists().values().all(MaintenanceList::is_finished);
-        if !self.has_applied_own(applied_index) || is_idle {
+        if !self.has_applied_own_commands(applied_index) || is_idle {
             return None;
         }
         if now >= self.next_observation {
--- a/crates/maintenance/tests/digest.rs
+++ b/crates/maintenance/tests/digest.rs
@@ -267,9 +267,9 @@
             5..=10 => Command::ResumeList { list },
             _ => Command::WithdrawList { list },
         };
-        let is_reflected = self.schedule.is_reflected(&command);
-        self.digest.number(u64::from(is_reflected));
-        if !is_reflected {
+        let is_already_applied = self.schedule.is_already_applied(&command);
+        self.digest.number(u64::from(is_already_applied));
+        if !is_already_applied {
             self.commit(command);
         }
     }
@@ -415,7 +415,7 @@
             drained: &drained,
             rejected_per_mille,
         };
-        let granted = grantor.lease_requested(now, &self.schedule, process, report);
+        let granted = grantor.handle_lease_request(now, &self.schedule, process, report);
         self.digest.number(u64::from(granted));
         if granted {
             self.send_lease(index, request_number);
@@ -544,7 +544,7 @@
                 return;
             };
             let index = self.commit(command);
-            self.leader.command_proposed(index);
+            self.leader.record_proposed_command(index);
         }
     }
 
--- a/crates/maintenance/tests/explore.rs
+++ b/crates/maintenance/tests/explore.rs
@@ -274,7 +274,7 @@
                 leader.grantor =
                     LeaseGrantor::new(seconds(0), seconds(LEASE_SECONDS), seconds(0), seconds(0));
             }
-            let granted = leader.grantor.lease_requested(
+            let granted = leader.grantor.handle_lease_request(
                 seconds(now),
                 &schedule,
                 SidecarProcess {
--- a/crates/maintenance/tests/leases.rs
+++ b/crates/maintenance/tests/leases.rs
@@ -39,8 +39,8 @@
 ) {
     for n in 0..10 {
         let now = at(11.0 + 0.5 * n as f64);
-        grantor.lease_requested(now, schedule, process("a", 1), report(2, &[grant]));
-        grantor.lease_requested(
+        grantor.handle_lease_request(now, schedule, process("a", 1), report(2, &[grant]));
+        grantor.handle_lease_request(
             now,
             schedule,
             process("b", 1),
@@ -65,9 +65,9 @@
     schedule.apply(1, &started("a", 1)).unwrap();
     let mut grantor = LeaseGrantor::new(at(10.0), LEASE_DURATION, at(0.5), at(1.0));
     let grant = Identifier(7);
-    assert!(grantor.lease_requested(at(10.1), &schedule, process("a", 1), report(1, &[])));
+    assert!(grantor.handle_lease_request(at(10.1), &schedule, process("a", 1), report(1, &[])));
     assert!(
-        !grantor.lease_requested(at(10.1), &schedule, process("b", 1), report(1, &[])),
+        !grantor.handle_lease_request(at(10.1), &schedule, process("b", 1), report(1, &[])),
         "the sidecar is not in the log yet"
     );
     schedule.apply(2, &started("b", 1)).unwrap();
@@ -91,8 +91,13 @@
     );
     schedule.apply(4, &started("b", 2)).unwrap();
     assert_eq!(grantor.sidecars_behind(&schedule, 2), ["b"]);
-    assert!(!grantor.lease_requested(at(15.6), &schedule, process("b", 1), report(4, &[grant])));
-    assert!(grantor.lease_requested(at(15.6), &schedule, process("b", 2), report(4, &[])));
+    assert!(!grantor.handle_lease_request(
+        at(15.6),
+        &schedule,
+        process("b", 1),
+        report(4, &[grant])
+    ));
+    assert!(grantor.handle_lease_request(at(15.6), &schedule, process("b", 2), report(4, &[])));
     // The earlier process had drained the machine by its last request.
     assert_eq!(
         grantor.sidecars_not_drained(at(15.6), &schedule, Identifier(8)),
@@ -157,7 +162,7 @@
             }
             requests.sort_by(|a: &(f64, u64), b| b.0.total_cmp(&a.0));
             while let Some((_, request)) = requests.pop_if(|item| item.0 <= now) {
-                grantor.lease_requested(at(now), &schedule, process("a", 1), report(1, &[]));
+                grantor.handle_lease_request(at(now), &schedule, process("a", 1), report(1, &[]));
                 if fraction() < 0.7 {
                     responses.push((now + fraction(), request));
                 }
