--- a/crates/coordination/src/poll_schedule.rs
+++ b/crates/coordination/src/poll_schedule.rs
@@ -21,10 +21,10 @@
     /// Service discovery, which provides the endpoint list.
     EndpointList,
     /// The rollout service, which sends stage updates and receives votes.
-    Installer,
+    RolloutService,
 }
 
-const SERVICES: [Service; 2] = [Service::EndpointList, Service::Installer];
+const SERVICES: [Service; 2] = [Service::EndpointList, Service::RolloutService];
 /// Number of members that poll a lost service at a time.
 pub const CONCURRENT_POLLERS: usize = 2;
 /// Every member polls again within this time after its last poll, regardless of the rotation,
--- a/crates/coordination/tests/digest.rs
+++ b/crates/coordination/tests/digest.rs
@@ -21,7 +21,7 @@
 const END: Duration = Duration::from_secs(60);
 const FAULT_INTERVAL: Duration = Duration::from_millis(1500);
 const LOSS: f64 = 0.1;
-const SERVICES: [Service; 2] = [Service::EndpointList, Service::Installer];
+const SERVICES: [Service; 2] = [Service::EndpointList, Service::RolloutService];
 
 fn observe_view(digest: &mut Digest, view: Option<&FleetView>) {
     let Some(view) = view else {
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -34,7 +34,7 @@
         .map(|n| (stable_key(&format!("pod{n}")), OutlierHint::Ejected))
         .collect();
     let endpoint_list = Service::EndpointList.bit();
-    let rollout_service = Service::Installer.bit();
+    let rollout_service = Service::RolloutService.bit();
     let overloaded = vec![(7, OutlierHint::Overloaded)];
     vec![
         ("idle", report(0, 0, Vec::new(), 0)),
--- a/crates/coordination/tests/poll_schedule.rs
+++ b/crates/coordination/tests/poll_schedule.rs
@@ -278,22 +278,22 @@
     let mut coordinator = Coordinator::new(Duration::ZERO, stable_key("own"), 0);
     coordinator.set_pods(one_pod());
     assert_eq!(
-        coordinator.next_poll(seconds(50.0), Service::Installer),
+        coordinator.next_poll(seconds(50.0), Service::RolloutService),
         seconds(50.0)
     );
-    coordinator.record_poll_failure(seconds(50.0), Service::Installer);
+    coordinator.record_poll_failure(seconds(50.0), Service::RolloutService);
     let lost = LoadReport {
         zone: 1,
         rate_exponent: 4,
         hints: Vec::new(),
-        lost_services: Service::Installer.bit(),
+        lost_services: Service::RolloutService.bit(),
     };
     coordinator.set_peers(
         (0..others).map(|n| (n, Some((lost.clone(), seconds(50.0) - seconds(report_age))))),
     );
     let _ = coordinator.take_view(seconds(50.5));
     assert_eq!(
-        coordinator.next_poll(seconds(50.5), Service::Installer),
+        coordinator.next_poll(seconds(50.5), Service::RolloutService),
         seconds(50.5)
     );
     assert_eq!(
--- a/crates/http-proxy/src/service/control/stage_watch.rs
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -88,7 +88,7 @@
         let silent_at = self.now + Duration::from(service.silence_timeout);
         let deferred = self
             .peers
-            .deferred_poll(self.now, ControlService::Installer);
+            .deferred_poll(self.now, ControlService::RolloutService);
         if let Some(at) = deferred {
             self.timers.schedule(at, TimerEvent::OpenStageStream);
             return;
@@ -206,7 +206,7 @@
         if !messages.is_empty() {
             self.stages.backoff.reset();
             self.peers
-                .record_poll(self.now, ControlService::Installer, true);
+                .record_poll(self.now, ControlService::RolloutService, true);
         }
         for message in messages {
             let Some(update) = self.stages.accept(*message) else {
@@ -245,7 +245,7 @@
 
     fn retry_stage_stream(&mut self, loss: &StageStreamLoss) {
         self.peers
-            .record_poll(self.now, ControlService::Installer, false);
+            .record_poll(self.now, ControlService::RolloutService, false);
         tracing::warn!(error = %loss, "stage stream lost, retrying");
         let delay = self.stages.backoff.next_delay();
         self.timers
