--- a/crates/http-proxy/src/request_classifier.rs
+++ b/crates/http-proxy/src/request_classifier.rs
@@ -111,7 +111,7 @@
     ) -> Result<RequestTraits, ClassificationError> {
         let index = self
             .router
-            .find(&head.method, path_of(&head.target))
+            .find(&head.method, target_path(&head.target))
             .ok_or(ClassificationError::UnknownClass)?;
         let id = ClassId(index as u16);
         let class = &self.classes[usize::from(id.0)];
@@ -161,7 +161,7 @@
 
 /// Returns the path of a request target, which may be an absolute URI (RFC 9112, section 3.2.2).
 #[must_use]
-pub fn path_of(target: &str) -> &str {
+pub fn target_path(target: &str) -> &str {
     let path = match target.split_once("://") {
         Some((_, authority)) if !target.starts_with('/') => match authority.find('/') {
             Some(slash) => &authority[slash..],
--- a/crates/http-proxy/src/service/clients/pages.rs
+++ b/crates/http-proxy/src/service/clients/pages.rs
@@ -1,7 +1,7 @@
 //! This sidecar's own pages: operational state, maintenance requests and reports of wrong answers.
 
 use crate::http_status;
-use crate::request_classifier::path_of;
+use crate::request_classifier::target_path;
 use crate::service::peers::MaintenanceResponse;
 use crate::service::Service;
 use limewing_net::http::RequestHead;
@@ -25,7 +25,7 @@
 impl Service {
     /// Serves a request for one of this sidecar's own pages. Returns `false` for any other request.
     pub(super) fn serve_own_page(&mut self, id: SocketId, head: &RequestHead, body: &[u8]) -> bool {
-        match (head.method.as_str(), path_of(&head.target)) {
+        match (head.method.as_str(), target_path(&head.target)) {
             ("POST", REPORTS_PATH) => self.handle_wrong_answer_report(id, body),
             ("GET", STATUS_PATH) => self.serve_status(id),
             ("GET", MEMBERSHIP_PATH) => self.serve_membership(id),
--- a/crates/http-proxy/tests/request_classifier.rs
+++ b/crates/http-proxy/tests/request_classifier.rs
@@ -1,6 +1,6 @@
 //! Tests of the request classification.
 
-use limewing_http_proxy::request_classifier::path_of;
+use limewing_http_proxy::request_classifier::target_path;
 use rstest::rstest;
 
 #[rstest]
@@ -9,5 +9,5 @@
 #[case::authority_only("http://a.example", "/")]
 #[case::uri_in_the_query("/to?url=http://b/c", "/to")]
 fn the_path_of_a_request_target_is_extracted(#[case] target: &str, #[case] expected: &str) {
-    assert_eq!(path_of(target), expected);
+    assert_eq!(target_path(target), expected);
 }
