--- a/crates/cli/src/fault_script.rs
+++ b/crates/cli/src/fault_script.rs
@@ -1,7 +1,7 @@
 //! A script of faults between sidecars, as a file of settings.
 
 use limewing_fault_injection::Script;
-use limewing_settings::{Checked, ConfigError};
+use limewing_settings::{ConfigError, ValidateConfig};
 use serde::{Deserialize, Serialize};
 
 /// A script as a file of settings.
@@ -10,7 +10,7 @@
 #[schemars(rename = "ScriptFile")]
 pub(crate) struct FaultScriptFile(pub(crate) Script);
 
-impl Checked for FaultScriptFile {
+impl ValidateConfig for FaultScriptFile {
     fn config_errors(&self) -> Vec<ConfigError> {
         self.0
             .config_errors()
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::fault_script::FaultScriptFile;
 use clap::{Subcommand, ValueEnum};
 use limewing_emulators::script::DayScript;
-use limewing_settings::{Checked, KeyFile, SidecarSettings, WorkList};
+use limewing_settings::{KeyFile, SidecarSettings, ValidateConfig, WorkList};
 use schemars::schema_for;
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
@@ -58,7 +58,9 @@
 }
 
 /// Reads a file as a sidecar would, which ends at its first error.
-fn check_first_error<T: DeserializeOwned + Checked>(file: &Path) -> Result<(), CommandError> {
+fn check_first_error<T: DeserializeOwned + ValidateConfig>(
+    file: &Path,
+) -> Result<(), CommandError> {
     limewing_settings::read::<T>(file).map_err(CommandError::invalid_input)?;
     print_usable(file);
     Ok(())
@@ -69,12 +71,12 @@
 /// # Errors
 /// If the list cannot be used.
 pub(crate) fn check_work_list(file: &Path) -> Result<(), CommandError> {
-    let findings = limewing_settings::findings::<WorkList>(file);
-    if findings.is_empty() {
+    let errors = limewing_settings::config_file_errors::<WorkList>(file);
+    if errors.is_empty() {
         print_usable(file);
         return Ok(());
     }
-    let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     Err(CommandError::InvalidInput(lines.join("\n")))
 }
 
--- a/crates/cli/tests/command/work.rs
+++ b/crates/cli/tests/command/work.rs
@@ -208,7 +208,7 @@
     assert!(text.contains("machines: 0 worked on"), "{text}");
 }
 
-/// All findings of a list at once, each with file, line and cause; nothing is asked for.
+/// All errors of a list at once, each with file, line and cause; nothing is asked for.
 #[test]
 fn all_errors_of_a_list_are_reported_at_once() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/emulators/src/script/validation.rs
+++ b/crates/emulators/src/script/validation.rs
@@ -1,7 +1,7 @@
 //! Checks what the file's form alone does not say. Paths and texts are what users read.
 
 use super::{BuildFault, DayFault, DayScript, MaintenanceScript, FIRST_BUILD};
-use limewing_settings::{Checked, ConfigError};
+use limewing_settings::{ConfigError, ValidateConfig};
 
 /// Shares may miss their sum by rounding.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
@@ -25,7 +25,7 @@
     }
 }
 
-impl Checked for DayScript {
+impl ValidateConfig for DayScript {
     fn config_errors(&self) -> Vec<ConfigError> {
         let mut errors = Errors::default();
         self.check_fleet(&mut errors);
--- a/crates/http-proxy/src/service/maintenance/request.rs
+++ b/crates/http-proxy/src/service/maintenance/request.rs
@@ -3,7 +3,7 @@
 use super::list_commands;
 use crate::endpoint_list::EndpointRecord;
 use limewing_maintenance::{Command, Identifier, MaintenanceSchedule};
-use limewing_settings::{Checked, ConfigError, WorkList};
+use limewing_settings::{ConfigError, ValidateConfig, WorkList};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -22,7 +22,7 @@
 }
 
 /// Settings with constraints beyond their types.
-pub trait Checked {
+pub trait ValidateConfig {
     /// All violated constraints, in a fixed order.
     fn config_errors(&self) -> Vec<ConfigError>;
 }
--- a/crates/settings/src/key_file.rs
+++ b/crates/settings/src/key_file.rs
@@ -1,6 +1,6 @@
 //! The file with the keys that seal the datagrams of a fleet.
 
-use crate::error::{Checked, ConfigError};
+use crate::error::{ConfigError, ValidateConfig};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -45,7 +45,7 @@
     u8::from_str_radix(text, 16).ok()
 }
 
-impl Checked for KeyFile {
+impl ValidateConfig for KeyFile {
     fn config_errors(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         if !(1..=2).contains(&self.keys.len()) {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -33,14 +33,14 @@
 mod validation;
 pub mod work_list;
 
-pub use error::{Checked, ConfigError, ConfigFileError};
+pub use error::{ConfigError, ConfigFileError, ValidateConfig};
 pub use fleet::Fleet;
 pub use headers::Headers;
 pub use key_file::{FleetKey, KeyFile};
 pub use limits::Limits;
 pub use maintenance::MaintenanceSettings;
 pub use peers::PeerSettings;
-pub use read::{findings, read, read_text};
+pub use read::{config_file_errors, read, read_text};
 pub use request_class::{DeduplicationScope, Idempotency, RequestClass, Route};
 pub use rollout::{Control, RolloutSettings, RolloutStage};
 pub use router::Router;
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,6 +1,6 @@
 //! Reads settings files. Errors name the file, the line, the path and what was expected.
 
-use crate::error::{Checked, ConfigError, ConfigFileError};
+use crate::error::{ConfigError, ConfigFileError, ValidateConfig};
 use crate::location::{line_of, to_pointer, without_position};
 use serde::de::DeserializeOwned;
 use std::path::Path;
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// The first error: the file can't be read, is not valid JSON, or contains an invalid value.
-pub fn read<T: DeserializeOwned + Checked>(file: &Path) -> Result<T, ConfigFileError> {
+pub fn read<T: DeserializeOwned + ValidateConfig>(file: &Path) -> Result<T, ConfigFileError> {
     let name = file.display().to_string();
     let unreadable = |expected: String| ConfigFileError {
         file: name.clone(),
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// The first error: the text is not valid JSON, or contains an invalid value.
-pub fn read_text<T: DeserializeOwned + Checked>(
+pub fn read_text<T: DeserializeOwned + ValidateConfig>(
     file: &str,
     text: &str,
 ) -> Result<T, ConfigFileError> {
@@ -67,7 +67,9 @@
 }
 
 /// All errors of a file. A file that can't be parsed has a single error.
-pub fn findings<T: DeserializeOwned + Checked>(file: &Path) -> Vec<ConfigFileError> {
+pub fn config_file_errors<T: DeserializeOwned + ValidateConfig>(
+    file: &Path,
+) -> Vec<ConfigFileError> {
     let first = match read::<T>(file) {
         Ok(_) => return Vec::new(),
         Err(first) => first,
--- a/crates/settings/src/sidecar.rs
+++ b/crates/settings/src/sidecar.rs
@@ -1,6 +1,6 @@
 //! The settings of one sidecar. Durations are in seconds.
 
-use crate::error::{Checked, ConfigError};
+use crate::error::{ConfigError, ValidateConfig};
 use crate::fleet::Fleet;
 use crate::headers::Headers;
 use crate::limits::Limits;
@@ -80,7 +80,7 @@
     }
 }
 
-impl Checked for SidecarSettings {
+impl ValidateConfig for SidecarSettings {
     fn config_errors(&self) -> Vec<ConfigError> {
         let mut validator = Validator::default();
         validator.require(
--- a/crates/settings/src/work_list.rs
+++ b/crates/settings/src/work_list.rs
@@ -2,7 +2,7 @@
 //!
 //! A sidecar sends the texts of validation errors to the operator who submits a list, so these texts are stable.
 
-use crate::error::{Checked, ConfigError};
+use crate::error::{ConfigError, ValidateConfig};
 use crate::seconds::Seconds;
 use crate::validation::{is_fraction, Validator};
 use schemars::JsonSchema;
@@ -117,7 +117,7 @@
     pub end: f64,
 }
 
-impl Checked for WorkList {
+impl ValidateConfig for WorkList {
     fn config_errors(&self) -> Vec<ConfigError> {
         let mut validator = Validator::default();
         validator.require(is_name(&self.name), "/name", "1 to 40 letters");
