--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -122,10 +122,10 @@
 
 /// The outcome of a check, once all of it was printed.
 fn verdict(report: &Report, maintenance_violations: usize) -> Result<(), CommandError> {
-    let broken_rules = report.broken().count();
-    if broken_rules > 0 {
+    let violated_rules = report.violated_results().count();
+    if violated_rules > 0 {
         return Err(CommandError::Failed(format!(
-            "{broken_rules} of the five rules were broken"
+            "{violated_rules} of the five rules were broken"
         )));
     }
     if maintenance_violations > 0 {
--- a/crates/cli/src/report.rs
+++ b/crates/cli/src/report.rs
@@ -75,12 +75,12 @@
         "{}: service {:.3}: {} hits, {} delivered, {} bounced, {} errored in the end\n\
          load per pod {:.2} of the mean at most, {:.1} sidecars a pod (most {}), {} pods unused",
         report.day,
-        service.weighted_part_in_time,
+        service.weighted_on_time_fraction,
         service.requests,
         service.delivered,
         service.rejected,
         service.failed,
-        balance.highest_over_mean,
+        balance.max_over_mean,
         balance.mean_sidecars,
         balance.max_sidecars,
         balance.unused_pods
@@ -90,7 +90,7 @@
 /// The first violations of each rule that was broken, each line after a line break.
 fn violation_lines(report: &Report) -> String {
     let mut text = String::new();
-    for result in report.broken() {
+    for result in report.violated_results() {
         let violations = &result.violations;
         // Writing to a string does not fail.
         let _ = write!(text, "\n{}:", result.rule);
@@ -125,7 +125,7 @@
 pub(crate) fn print_cross_sidecar(report: &CrossSidecarReport) {
     println!(
         "across sidecars: {} of {} forwards of keys that had met a newer build went back; {} of {} hits that may not run twice did",
-        report.sent_back, report.sticky_attempts, report.executed_twice, report.non_idempotent
+        report.returned_to_older_build, report.sticky_attempts, report.executed_twice, report.non_idempotent
     );
     for example in &report.examples {
         println!("  {:.3} s: {}", example.at.as_secs_f64(), example.text);
--- a/crates/cli/tests/command/copies.rs
+++ b/crates/cli/tests/command/copies.rs
@@ -8,7 +8,7 @@
 /// What `day check` counted across sidecars.
 struct CrossSidecarCounts {
     /// Attempts of keys that had met a newer build and went back to an older one.
-    sent_back: usize,
+    returned_to_older_build: usize,
     /// Requests that may not run twice and did.
     executed_twice: usize,
     /// All that the command printed.
@@ -35,7 +35,7 @@
         .collect();
     assert_eq!(numbers.len(), 4, "{text}");
     CrossSidecarCounts {
-        sent_back: numbers[0],
+        returned_to_older_build: numbers[0],
         executed_twice: numbers[2],
         output: text,
     }
@@ -46,9 +46,12 @@
 fn what_a_killed_sidecar_knew_the_others_know() {
     let _alone = one_day_at_a_time();
     let replicated = play_copies_day(true, |_| ());
-    let counts = (replicated.sent_back, replicated.executed_twice);
+    let counts = (
+        replicated.returned_to_older_build,
+        replicated.executed_twice,
+    );
     assert_eq!(counts, (0, 0), "{}", replicated.output);
-    let without = play_copies_day(false, |_| ()).sent_back;
+    let without = play_copies_day(false, |_| ()).returned_to_older_build;
     assert!(without > 5, "{without} keys went back without copies");
 }
 
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -393,9 +393,12 @@
     world.lines()
 }
 
-fn broken(lines: &[RecordLine]) -> Vec<Rule> {
+fn violated_rules(lines: &[RecordLine]) -> Vec<Rule> {
     let report = RuleChecker::new(lines).unwrap().report();
-    report.broken().map(|result| result.rule).collect()
+    report
+        .violated_results()
+        .map(|result| result.rule)
+        .collect()
 }
 
 /// Puts something in right behind the first line that fits.
@@ -426,7 +429,11 @@
 fn a_rough_day_of_several_processes_keeps_the_five_rules() {
     let lines = rough_day();
     let report = RuleChecker::new(&lines).unwrap().report();
-    assert!(report.broken().next().is_none(), "{:#?}", report.results);
+    assert!(
+        report.violated_results().next().is_none(),
+        "{:#?}",
+        report.results
+    );
     for (rule, result) in Rule::ALL.iter().zip(&report.results) {
         assert!(result.checked > 0, "nothing was held to rule {rule}");
     }
@@ -435,7 +442,7 @@
     let work = Duration::from_millis(10);
     let sent = move |pod: u32, n: usize| {
         let (pod, sidecar) = (PodId(pod), SidecarId(3));
-        Event::ForwardArrived {
+        Event::AttemptArrived {
             pod,
             sidecar,
             attempt: nobody(n),
@@ -445,12 +452,12 @@
     };
     let answered = |line: &RecordLine| matches!(line.event, Event::Answered { .. });
     let twice = plant(&lines, answered, 0.0, |line| vec![line.event.clone()]);
-    assert_eq!(broken(&twice), [Rule::OneAnswer]);
+    assert_eq!(violated_rules(&twice), [Rule::OneAnswer]);
 
     let pay = |line: &RecordLine| {
         matches!(
             line.event,
-            Event::ForwardArrived {
+            Event::AttemptArrived {
                 class: 2,
                 pod: PodId(1),
                 ..
@@ -458,40 +465,40 @@
         )
     };
     let again = |line: &RecordLine| match &line.event {
-        Event::ForwardArrived {
+        Event::AttemptArrived {
             sidecar,
-            attempt: of,
-            class: group,
+            attempt,
+            class,
             work,
             ..
         } => {
-            vec![Event::ForwardArrived {
+            vec![Event::AttemptArrived {
                 pod: PodId(2),
                 sidecar: *sidecar,
-                attempt: *of,
-                class: *group,
+                attempt: *attempt,
+                class: *class,
                 work: *work,
             }]
         }
         _ => unreachable!(),
     };
     assert_eq!(
-        broken(&plant(&lines, pay, 0.0, again)),
+        violated_rules(&plant(&lines, pay, 0.0, again)),
         [Rule::NoEffectTwice]
     );
 
     let drained = |line: &RecordLine| matches!(&line.event, Event::EndpointsNotified { sidecar: SidecarId(3), draining, .. } if !draining.is_empty());
     assert_eq!(
-        broken(&plant(&lines, drained, 1.0, |_| vec![sent(0, 0)])),
+        violated_rules(&plant(&lines, drained, 1.0, |_| vec![sent(0, 0)])),
         [Rule::Draining]
     );
 
     let cold = |line: &RecordLine| matches!(line.event, Event::PodStarted { pod: PodId(4), .. });
     // Before the news the sidecar's exposure counts as in the first stage: many sidecars share the sends.
     let crowd = |_: &RecordLine| (0..900).map(|n| sent(4, n)).collect();
-    assert!(broken(&plant(&lines, cold, 0.05, crowd)).contains(&Rule::SlowStart));
+    assert!(violated_rules(&plant(&lines, cold, 0.05, crowd)).contains(&Rule::SlowStart));
 
     let trial = |line: &RecordLine| matches!(line.event, Event::StageNotified { sidecar: SidecarId(3), build: 2, cap, .. } if cap > 0.0);
     let over = |_: &RecordLine| (0..200).map(|n| sent(5, n)).collect();
-    assert!(broken(&plant(&lines, trial, 1.1, over)).contains(&Rule::Exposure));
+    assert!(violated_rules(&plant(&lines, trial, 1.1, over)).contains(&Rule::Exposure));
 }
--- a/crates/emulators/src/day/pod_requests.rs
+++ b/crates/emulators/src/day/pod_requests.rs
@@ -150,7 +150,7 @@
             return self.close(socket);
         };
         let work = self.work_of(attempt, class);
-        self.record(Event::ForwardArrived {
+        self.record(Event::AttemptArrived {
             pod: id,
             sidecar,
             attempt,
@@ -195,7 +195,7 @@
             Arrival::Queued => {}
             Arrival::Rejected(request) => {
                 self.pod_requests.open.remove(&request);
-                self.record(Event::ForwardRejected { pod: id, attempt });
+                self.record(Event::AttemptRejected { pod: id, attempt });
                 self.reject(socket, id);
             }
         }
--- a/crates/emulators/src/platform/world_pod.rs
+++ b/crates/emulators/src/platform/world_pod.rs
@@ -94,7 +94,7 @@
         loop {
             let text = read_statement(&mut link)?;
             let request = parse(&text)?;
-            self.record.append(Event::ForwardArrived {
+            self.record.append(Event::AttemptArrived {
                 pod: self.id,
                 sidecar,
                 attempt: request.attempt,
@@ -110,7 +110,7 @@
         let attempt = request.attempt;
         let (fault, run_time) = self.draw();
         if matches!(fault, Some(StatementFault::Rejects)) {
-            self.record.append(Event::ForwardRejected { pod, attempt });
+            self.record.append(Event::AttemptRejected { pod, attempt });
             return link.stream.write_all(&error("53300")).ok();
         }
         std::thread::sleep(run_time);
--- a/crates/mutants/tests/violations_are_found.rs
+++ b/crates/mutants/tests/violations_are_found.rs
@@ -28,6 +28,9 @@
     let record = day::play(&script, &program, folder.path(), &mut |_| ()).unwrap();
     let lines = read(BufReader::new(File::open(record).unwrap())).unwrap();
     let report = RuleChecker::new(&lines).unwrap().report();
-    let violated: Vec<Rule> = report.broken().map(|result| result.rule).collect();
+    let violated: Vec<Rule> = report
+        .violated_results()
+        .map(|result| result.rule)
+        .collect();
     assert!(violated.contains(&rule), "{violated:?}");
 }
--- a/crates/rule-checker/src/balance.rs
+++ b/crates/rule-checker/src/balance.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Balance {
     /// Ratio of the highest load of a pod to the mean load of all pods, in attempts per core and second.
-    pub highest_over_mean: f64,
+    pub max_over_mean: f64,
     /// Mean number of sidecars that sent to a pod within one window.
     pub mean_sidecars: f64,
     /// Highest number of sidecars that sent to a pod within one window.
@@ -73,7 +73,7 @@
         .flat_map(|pod| pod.sidecars.values().map(BTreeSet::len))
         .collect();
     Balance {
-        highest_over_mean: counted.iter().map(over_mean).fold(0.0, f64::max),
+        max_over_mean: counted.iter().map(over_mean).fold(0.0, f64::max),
         mean_sidecars: sidecars.iter().sum::<usize>() as f64 / sidecars.len().max(1) as f64,
         max_sidecars: sidecars.iter().max().copied().unwrap_or(0),
         unused_pods: counted.iter().filter(|pod| pod.arrivals == 0).count(),
@@ -97,7 +97,7 @@
                     pod.ran_for = line.at.saturating_sub(pod.started_at);
                 }
             }
-            Event::ForwardArrived { pod, sidecar, .. } => {
+            Event::AttemptArrived { pod, sidecar, .. } => {
                 if let Some(pod) = pods.get_mut(pod) {
                     pod.arrivals += 1;
                     let window = line.at.as_millis() / SIDECAR_COUNT_WINDOW.as_millis();
@@ -155,7 +155,7 @@
                 };
                 series_by_pod.insert(*pod, series);
             }
-            Event::ForwardArrived { pod, .. } => {
+            Event::AttemptArrived { pod, .. } => {
                 let Some(series) = series_by_pod.get_mut(pod).filter(|series| !series.exited)
                 else {
                     continue;
--- a/crates/rule-checker/src/cross_sidecar.rs
+++ b/crates/rule-checker/src/cross_sidecar.rs
@@ -18,7 +18,7 @@
     /// Attempts with a routing key that a build had served at any sidecar, early enough for gossip to have spread it.
     pub sticky_attempts: usize,
     /// Those of them that returned to an older build although the sidecar knew of no rollback.
-    pub sent_back: usize,
+    pub returned_to_older_build: usize,
     /// Non-idempotent requests that took effect.
     pub non_idempotent: usize,
     /// Those of them that took effect more than once.
@@ -113,7 +113,7 @@
                 build: Some(build),
                 ..
             } => self.record_serving_build(line.at, *attempt, *build),
-            Event::ForwardArrived {
+            Event::AttemptArrived {
                 pod,
                 sidecar,
                 attempt,
@@ -169,8 +169,8 @@
         if !key_must_stay || newest.build <= build {
             return;
         }
-        self.report.sent_back += 1;
-        if self.report.sent_back == 1 {
+        self.report.returned_to_older_build += 1;
+        if self.report.returned_to_older_build == 1 {
             let text = format!(
                 "{sidecar} sent key {key} to build {build}, which had met {} at {:.3} s",
                 newest.build,
--- a/crates/rule-checker/src/maintenance.rs
+++ b/crates/rule-checker/src/maintenance.rs
@@ -74,7 +74,7 @@
                 self.out.insert(*machine);
                 self.excluded_pods.insert(*pod, *machine);
             }
-            Event::ForwardArrived {
+            Event::AttemptArrived {
                 pod,
                 sidecar,
                 attempt,
--- a/crates/rule-checker/src/record/event.rs
+++ b/crates/rule-checker/src/record/event.rs
@@ -195,7 +195,7 @@
     },
     /// An attempt arrived at a pod, which has read the whole request.
     #[serde(rename = "arrived")]
-    ForwardArrived {
+    AttemptArrived {
         /// The pod.
         pod: PodId,
         /// The sidecar that sent it.
@@ -252,7 +252,7 @@
     },
     /// A pod rejected an attempt, and stated that it has not begun to run it.
     #[serde(rename = "turned_away")]
-    ForwardRejected {
+    AttemptRejected {
         /// The pod.
         pod: PodId,
         /// The client's attempt.
--- a/crates/rule-checker/src/record/reader.rs
+++ b/crates/rule-checker/src/record/reader.rs
@@ -97,7 +97,7 @@
         }
         last = line.at;
         match line.event {
-            Event::RequestSent { class, .. } | Event::ForwardArrived { class, .. }
+            Event::RequestSent { class, .. } | Event::AttemptArrived { class, .. }
                 if class >= limits.classes.len() =>
             {
                 return Err(inconsistent("undefined request class in `group`"));
--- a/crates/rule-checker/src/report.rs
+++ b/crates/rule-checker/src/report.rs
@@ -101,7 +101,7 @@
     pub failed: usize,
     /// Fraction of the total priority weight that was answered within the latency objective, measured from the first attempt of
     /// each request.
-    pub weighted_part_in_time: f64,
+    pub weighted_on_time_fraction: f64,
 }
 
 /// Results of all checks of one record.
@@ -119,7 +119,7 @@
 
 impl Report {
     /// Returns the results of the rules that were violated.
-    pub fn broken(&self) -> impl Iterator<Item = &RuleResult> {
+    pub fn violated_results(&self) -> impl Iterator<Item = &RuleResult> {
         self.results.iter().filter(|result| !result.is_kept())
     }
 }
--- a/crates/rule-checker/src/rules/draining.rs
+++ b/crates/rule-checker/src/rules/draining.rs
@@ -53,7 +53,7 @@
                 self.ready.remove(sidecar);
                 self.notified_at.retain(|(of, _), _| of != sidecar);
             }
-            Event::ForwardArrived {
+            Event::AttemptArrived {
                 pod,
                 sidecar,
                 attempt,
--- a/crates/rule-checker/src/rules/exposure/mod.rs
+++ b/crates/rule-checker/src/rules/exposure/mod.rs
@@ -122,7 +122,7 @@
                 build: Some(build),
                 ..
             } => self.record_serving_build(*sidecar, *attempt, *build),
-            Event::ForwardArrived {
+            Event::AttemptArrived {
                 pod,
                 sidecar,
                 attempt,
--- a/crates/rule-checker/src/rules/no_effect_twice.rs
+++ b/crates/rule-checker/src/rules/no_effect_twice.rs
@@ -66,8 +66,8 @@
             Event::RequestSent { attempt, class, .. } => {
                 self.classes.insert(attempt.request, *class);
             }
-            Event::ForwardArrived { pod, attempt, .. } => self.attempt_arrived(at, *pod, *attempt),
-            Event::ForwardRejected { pod, attempt } => self.rejected_by_pod(*pod, *attempt),
+            Event::AttemptArrived { pod, attempt, .. } => self.attempt_arrived(at, *pod, *attempt),
+            Event::AttemptRejected { pod, attempt } => self.rejected_by_pod(*pod, *attempt),
             Event::Executed {
                 pod,
                 attempt,
--- a/crates/rule-checker/src/rules/one_answer.rs
+++ b/crates/rule-checker/src/rules/one_answer.rs
@@ -88,7 +88,7 @@
                     state.end(at);
                 }
             }
-            Event::ForwardArrived {
+            Event::AttemptArrived {
                 attempt,
                 sidecar,
                 pod,
--- a/crates/rule-checker/src/rules/slow_start.rs
+++ b/crates/rule-checker/src/rules/slow_start.rs
@@ -89,7 +89,7 @@
             Event::PodExited { pod } => {
                 self.pods.remove(pod);
             }
-            Event::ForwardArrived {
+            Event::AttemptArrived {
                 pod, work, attempt, ..
             } => self.attempt_arrived(line.at, *pod, *attempt, work.as_secs_f64()),
             _ => {}
--- a/crates/rule-checker/src/service.rs
+++ b/crates/rule-checker/src/service.rs
@@ -49,29 +49,29 @@
         delivered: count(FinalAnswer::Delivered),
         rejected: count(FinalAnswer::Rejected),
         failed: count(FinalAnswer::Failed),
-        weighted_part_in_time: weighted_part_in_time(&first, &last, limits),
+        weighted_on_time_fraction: weighted_on_time_fraction(&first, &last, limits),
     }
 }
 
-fn weighted_part_in_time(
+fn weighted_on_time_fraction(
     first: &BTreeMap<RequestId, FirstAttempt>,
     last: &BTreeMap<RequestId, LastAnswer>,
     limits: &RuleLimits,
 ) -> f64 {
     let mut total_weight = 0.0;
-    let mut weight_in_time = 0.0;
+    let mut on_time_weight = 0.0;
     for (id, first) in first {
         let class = &limits.classes[first.class];
         total_weight += class.priority_weight;
-        let in_time = last.get(id).is_some_and(|last| {
+        let on_time = last.get(id).is_some_and(|last| {
             last.answer == FinalAnswer::Delivered && last.at <= first.at + class.latency_objective
         });
-        if in_time {
-            weight_in_time += class.priority_weight;
+        if on_time {
+            on_time_weight += class.priority_weight;
         }
     }
     if total_weight > 0.0 {
-        weight_in_time / total_weight
+        on_time_weight / total_weight
     } else {
         0.0
     }
--- a/crates/rule-checker/tests/balance.rs
+++ b/crates/rule-checker/tests/balance.rs
@@ -29,7 +29,7 @@
     let (pod, sidecar, work) = (PodId(pod), SidecarId(sidecar), Duration::ZERO);
     line(
         at,
-        Event::ForwardArrived {
+        Event::AttemptArrived {
             pod,
             sidecar,
             attempt: AttemptKey::new(RequestId(1), 0),
@@ -62,7 +62,7 @@
     ]);
     let spread = balance(&lines);
     // Four attempts on four cores: the mean is one per core, and the first pod has one and a half.
-    assert!((spread.highest_over_mean - 1.5).abs() < 1e-9, "{spread:?}");
+    assert!((spread.max_over_mean - 1.5).abs() < 1e-9, "{spread:?}");
     assert_eq!(spread.mean_sidecars, 4.0 / 3.0);
     assert_eq!(spread.max_sidecars, 2);
     assert_eq!(spread.unused_pods, 1);
--- a/crates/rule-checker/tests/golden.rs
+++ b/crates/rule-checker/tests/golden.rs
@@ -143,7 +143,7 @@
             warming_up: true,
         },
         Event::PodExited { pod: POD },
-        Event::ForwardArrived {
+        Event::AttemptArrived {
             pod: POD,
             sidecar: SIDECAR,
             attempt: FIRST,
@@ -171,7 +171,7 @@
             machine: 13,
             succeeded: false,
         },
-        Event::ForwardRejected {
+        Event::AttemptRejected {
             pod: POD,
             attempt: SECOND,
         },
--- a/crates/rule-checker/tests/violations.rs
+++ b/crates/rule-checker/tests/violations.rs
@@ -72,7 +72,7 @@
 }
 
 fn attempt_arrived(pod: u32, attempt: AttemptKey, class: usize) -> Event {
-    Event::ForwardArrived {
+    Event::AttemptArrived {
         pod: PodId(pod),
         sidecar: SIDECAR,
         attempt,
@@ -155,7 +155,10 @@
         .map(|(at, event)| RecordLine { at: s(at), event })
         .collect();
     let report = RuleChecker::new(&lines).unwrap().report();
-    report.broken().map(|result| result.rule).collect()
+    report
+        .violated_results()
+        .map(|result| result.rule)
+        .collect()
 }
 
 #[rstest]
@@ -189,8 +192,8 @@
 #[case::non_idempotent_once(2, vec![(1.1, attempt_arrived(0, REQUEST, 2))], false)]
 #[case::non_idempotent_sent_twice(2, vec![(1.1, attempt_arrived(0, REQUEST, 2)), (1.3, attempt_arrived(1, REQUEST, 2))], true)]
 #[case::non_idempotent_forwarded_by_the_retry(2, vec![(1.1, attempt_arrived(0, REQUEST, 2)), (1.3, attempt_arrived(1, AttemptKey::new(RequestId(7), 1), 2))], true)]
-#[case::non_idempotent_rejected_by_the_pod(2, vec![(1.1, attempt_arrived(0, REQUEST, 2)), (1.2, Event::ForwardRejected { pod: PodId(0), attempt: REQUEST }), (1.3, attempt_arrived(1, REQUEST, 2))], false)]
-#[case::non_idempotent_rejected_after_forward(2, vec![(1.1, attempt_arrived(0, REQUEST, 2)), (1.3, answered(REQUEST, FinalAnswer::Rejected, None))], true)]
+#[case::non_idempotent_rejected_by_the_pod(2, vec![(1.1, attempt_arrived(0, REQUEST, 2)), (1.2, Event::AttemptRejected { pod: PodId(0), attempt: REQUEST }), (1.3, attempt_arrived(1, REQUEST, 2))], false)]
+#[case::non_idempotent_rejected_after_attempt(2, vec![(1.1, attempt_arrived(0, REQUEST, 2)), (1.3, answered(REQUEST, FinalAnswer::Rejected, None))], true)]
 #[case::non_idempotent_rejected_unsent(2, vec![(1.3, answered(REQUEST, FinalAnswer::Rejected, None))], false)]
 #[case::non_idempotent_executed_twice(2, vec![(1.2, Event::Executed { pod: PodId(0), attempt: REQUEST, effect: true }), (1.3, Event::Executed { pod: PodId(1), attempt: REQUEST, effect: true })], true)]
 #[case::keyed_in_its_zone(1, vec![(1.1, attempt_arrived(0, REQUEST, 1)), (1.5, attempt_arrived(2, REQUEST, 1))], false)]
