--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -76,7 +76,7 @@
 fn play_and_record(script: &DayScript, folder: &Path) -> Result<PathBuf, CommandError> {
     let program = std::env::current_exe().map_err(CommandError::failed)?;
     let progress_line = ProgressLine::new(&script.name);
-    let record = day::play(script, &program, folder, &mut |progress| {
+    let record = day::run(script, &program, folder, &mut |progress| {
         progress_line.update(&progress);
     });
     progress_line.finish();
--- a/crates/cli/src/fleet/coordination.rs
+++ b/crates/cli/src/fleet/coordination.rs
@@ -37,7 +37,7 @@
         ),
         ("from its return to its first answer, s", recovery_time),
         ("delivered", |result| result.delivered.to_string()),
-        ("given up", |result| result.given_up.to_string()),
+        ("given up", |result| result.failed.to_string()),
     ];
     for (name, figure) in figures {
         rows.add_row([name.to_owned(), figure(&coordinated), figure(&independent)]);
@@ -70,7 +70,7 @@
 }
 
 fn max_load(result: &TrialResult) -> String {
-    format!("{:.2}", result.highest_over_mean())
+    format!("{:.2}", result.max_over_mean())
 }
 
 fn cold_load(result: &TrialResult) -> String {
--- a/crates/cli/src/fleet/play.rs
+++ b/crates/cli/src/fleet/play.rs
@@ -5,7 +5,7 @@
 use crate::fault_script::FaultScriptFile;
 use crate::plot::{self, Series};
 use crate::table;
-use limewing_emulators::fleet::{self, Plan, Played};
+use limewing_emulators::fleet::{self, RunPlan, RunResult};
 use limewing_settings::SidecarSettings;
 use std::path::Path;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     let program = std::env::current_exe().map_err(CommandError::failed)?;
     let members = usize::from(arguments.members);
     let folder = &arguments.folder;
-    let plan = Plan {
+    let plan = RunPlan {
         program: &program,
         script: &script.0,
         members,
@@ -39,24 +39,24 @@
         settings: &settings,
         folder,
     };
-    let result = fleet::play(&plan).map_err(CommandError::failed)?;
+    let result = fleet::run_script(&plan).map_err(CommandError::failed)?;
     print_figures(&result, members);
     plot_living_members(&result, members, folder)?;
     check_end(&result, members, folder)
 }
 
-fn print_figures(result: &Played, members: usize) {
+fn print_figures(result: &RunResult, members: usize) {
     let member_seconds = result.ended.as_secs_f64().max(MIN_DURATION_S) * members as f64;
     let datagrams = result.traffic.datagrams as f64 / member_seconds;
     let bytes = result.traffic.bytes as f64 / member_seconds;
-    let dead_while_running = result.held_dead_while_running();
-    let wrong_at_end = result.wrong_at_the_end(members).len();
+    let dead_while_running = result.false_death_count();
+    let wrong_at_end = result.wrong_final_views(members).len();
     let mut rows = table::with_headers(&["what", "figure"]);
     rows.add_row(["members", &members.to_string()]);
     rows.add_row(["views taken", &result.samples.len().to_string()]);
     rows.add_row(["datagrams a second and member", &format!("{datagrams:.1}")]);
     rows.add_row(["bytes a second and member", &format!("{bytes:.0}")]);
-    rows.add_row(["datagrams refused", &result.refused.to_string()]);
+    rows.add_row(["datagrams refused", &result.rejected_datagrams.to_string()]);
     rows.add_row([
         "views that held one that ran to be dead",
         &dead_while_running.to_string(),
@@ -65,9 +65,16 @@
     println!("{rows}");
 }
 
-fn plot_living_members(result: &Played, members: usize, folder: &Path) -> Result<(), CommandError> {
+fn plot_living_members(
+    result: &RunResult,
+    members: usize,
+    folder: &Path,
+) -> Result<(), CommandError> {
     let series_of = |member: usize| -> Series {
-        let samples = result.samples.iter().filter(|sample| sample.of == member);
+        let samples = result
+            .samples
+            .iter()
+            .filter(|sample| sample.observer == member);
         samples
             .map(|sample| (sample.at.as_secs_f64(), sample.alive() as f64))
             .collect()
@@ -82,10 +89,13 @@
 }
 
 /// Prints the wrong final views, and returns an error for them and for crashes.
-fn check_end(result: &Played, members: usize, folder: &Path) -> Result<(), CommandError> {
-    let wrong_views = result.wrong_at_the_end(members);
+fn check_end(result: &RunResult, members: usize, folder: &Path) -> Result<(), CommandError> {
+    let wrong_views = result.wrong_final_views(members);
     for view in wrong_views.iter().take(MAX_PRINTED_VIEWS) {
-        println!("s{} holds s{} to be {}", view.of, view.member, view.status);
+        println!(
+            "s{} holds s{} to be {}",
+            view.observer, view.member, view.status
+        );
     }
     if !result.crashed.is_empty() {
         return Err(CommandError::Failed(format!(
--- a/crates/cli/src/fleet/simulate.rs
+++ b/crates/cli/src/fleet/simulate.rs
@@ -46,7 +46,7 @@
     }
     rows.add_row([
         "held wrongly at the end",
-        &(views.missing + views.ghosts).to_string(),
+        &(views.missing + views.stale).to_string(),
     ]);
     let elapsed_s = started_at.elapsed().as_secs_f64();
     rows.add_row(["real seconds", &format!("{elapsed_s:.1}")]);
--- a/crates/cli/src/fleet/view.rs
+++ b/crates/cli/src/fleet/view.rs
@@ -15,7 +15,8 @@
 /// # Errors
 /// Returns an error if the sidecar does not respond or the page cannot be parsed.
 pub(super) fn print_membership(sidecar: SocketAddr) -> Result<(), CommandError> {
-    let page = fleet::ask(sidecar).map_err(|e| CommandError::Failed(format!("{sidecar}: {e}")))?;
+    let page = fleet::fetch_fleet_page(sidecar)
+        .map_err(|e| CommandError::Failed(format!("{sidecar}: {e}")))?;
     let view: MembershipView = parse_page(sidecar, &page)?;
     println!(
         "{} at {}, started {}, incarnation {}, slowness {} of 8",
@@ -56,7 +57,7 @@
 /// # Errors
 /// Returns an error if the sidecar does not respond or the page cannot be parsed.
 pub(super) fn print_replication(sidecar: SocketAddr) -> Result<(), CommandError> {
-    let page = fleet::call(sidecar, "GET", REPLICATION_PAGE, "")
+    let page = fleet::call_sidecar(sidecar, "GET", REPLICATION_PAGE, "")
         .map_err(|e| CommandError::Failed(format!("{sidecar}: {e}")))?;
     let view: ReplicationView = parse_page(sidecar, &page)?;
     let caught_up = if view.caught_up {
--- a/crates/cli/src/work.rs
+++ b/crates/cli/src/work.rs
@@ -4,7 +4,7 @@
 use crate::settings::check_work_list;
 use crate::table;
 use clap::Subcommand;
-use limewing_emulators::fleet::call;
+use limewing_emulators::fleet::call_sidecar;
 use limewing_http_proxy::service::{ListView, MachineView, MaintenanceRequest, MaintenanceView};
 use limewing_settings::WorkList;
 use serde::Deserialize;
@@ -72,7 +72,7 @@
 
 fn fetch_view(sidecar: SocketAddr) -> Result<MaintenanceView, CommandError> {
     let fail = |cause: &dyn std::fmt::Display| CommandError::Failed(format!("{sidecar}: {cause}"));
-    let page = call(sidecar, "GET", MAINTENANCE_PAGE, "").map_err(|e| fail(&e))?;
+    let page = call_sidecar(sidecar, "GET", MAINTENANCE_PAGE, "").map_err(|e| fail(&e))?;
     serde_json::from_str(&page).map_err(|e| fail(&e))
 }
 
@@ -82,7 +82,7 @@
 ) -> Result<RequestAccepted, CommandError> {
     let fail = |cause: &dyn std::fmt::Display| CommandError::Failed(format!("{sidecar}: {cause}"));
     let body = serde_json::to_string(request).map_err(CommandError::failed)?;
-    let reply = call(sidecar, "POST", MAINTENANCE_PAGE, &body).map_err(|e| fail(&e))?;
+    let reply = call_sidecar(sidecar, "POST", MAINTENANCE_PAGE, &body).map_err(|e| fail(&e))?;
     serde_json::from_str(&reply).map_err(|e| fail(&e))
 }
 
--- a/crates/cli/tests/command/fleet.rs
+++ b/crates/cli/tests/command/fleet.rs
@@ -3,7 +3,7 @@
 use crate::support::{
     fetch_status, repository_file, run_limewing, write_settings, PlatformProcess,
 };
-use limewing_emulators::fleet::{ask, play, Plan, Played};
+use limewing_emulators::fleet::{fetch_fleet_page, run_script, RunPlan, RunResult};
 use limewing_fault_injection::Script;
 use limewing_settings::SidecarSettings;
 use rstest::rstest;
@@ -21,13 +21,13 @@
     script
 }
 
-fn run_script(name: &str, members: usize, folder: &Path) -> Played {
+fn run_script_file(name: &str, members: usize, folder: &Path) -> RunResult {
     let file = write_settings(folder, "127.0.0.1:0");
     let settings: SidecarSettings = limewing_settings::read(&file).unwrap();
     let script = read_script(name, 0.5);
     let program = PathBuf::from(env!("CARGO_BIN_EXE_limewing"));
     let period = Duration::from_millis(100);
-    let plan = Plan {
+    let plan = RunPlan {
         program: &program,
         script: &script,
         members,
@@ -35,7 +35,7 @@
         settings: &settings,
         folder,
     };
-    play(&plan).unwrap()
+    run_script(&plan).unwrap()
 }
 
 #[rstest]
@@ -52,18 +52,18 @@
     #[case] partitions: bool,
 ) {
     let folder = tempfile::tempdir().unwrap();
-    let result = run_script(name, members, folder.path());
+    let result = run_script_file(name, members, folder.path());
     assert_eq!(result.crashed, Vec::<usize>::new());
-    assert_eq!(result.wrong_at_the_end(members), []);
+    assert_eq!(result.wrong_final_views(members), []);
     assert!(result.samples.len() > members * 5);
     // Running processes are considered dead only where the script partitions them.
     if partitions {
-        assert!(result.held_dead_while_running() > 0);
+        assert!(result.false_death_count() > 0);
     }
     assert!(
-        name != "noise" || result.refused > 1000,
+        name != "noise" || result.rejected_datagrams > 1000,
         "{} datagrams rejected",
-        result.refused
+        result.rejected_datagrams
     );
 }
 
@@ -127,7 +127,7 @@
     let started_at = Instant::now();
     let mut last = String::new();
     while started_at.elapsed() < Duration::from_secs(20) {
-        last = ask(at.parse().unwrap()).unwrap();
+        last = fetch_fleet_page(at.parse().unwrap()).unwrap();
         if condition(&last) {
             return;
         }
@@ -144,7 +144,8 @@
 
 /// Returns the address on which a sidecar receives datagrams.
 fn membership_address(at: &str) -> String {
-    let view: serde_json::Value = serde_json::from_str(&ask(at.parse().unwrap()).unwrap()).unwrap();
+    let view: serde_json::Value =
+        serde_json::from_str(&fetch_fleet_page(at.parse().unwrap()).unwrap()).unwrap();
     view["listens"].as_str().unwrap().to_owned()
 }
 
@@ -190,7 +191,7 @@
             wait_for_view(at, |text| text.contains(&known));
             // Both send datagrams while their keys differ and while they are equal.
             for (_, at) in &all {
-                let before = bytes_sent(&ask(at.parse().unwrap()).unwrap());
+                let before = bytes_sent(&fetch_fleet_page(at.parse().unwrap()).unwrap());
                 wait_for_view(at, |text| bytes_sent(text) > before + 400);
             }
         }
@@ -198,7 +199,7 @@
             .for_each(|(_, at)| wait_for_view(at, has_live_peer));
     }
     for (_, at) in &all {
-        let view = ask(at.parse().unwrap()).unwrap();
+        let view = fetch_fleet_page(at.parse().unwrap()).unwrap();
         assert!(
             !view.contains("a key that is not known") && !view.contains("the seal does not fit"),
             "{view}"
--- a/crates/emulators/src/day/maintenance_agents.rs
+++ b/crates/emulators/src/day/maintenance_agents.rs
@@ -1,7 +1,7 @@
 //! The operator and the machines' agents: a separate thread polls the sidecars' maintenance page, and repeats each post until a view
 //! reflects it.
 
-use crate::fleet::call;
+use crate::fleet::call_sidecar;
 use crate::rollout::SlotId;
 use crate::script::OperatorAction;
 use limewing_http_proxy::service::{MaintenanceRequest, MaintenanceView, WorkReport};
@@ -132,7 +132,7 @@
                 continue;
             };
             let body = serde_json::to_string(&request).unwrap_or_default();
-            if let Ok(answer) = call(sidecar, "POST", MAINTENANCE_PAGE, &body) {
+            if let Ok(answer) = call_sidecar(sidecar, "POST", MAINTENANCE_PAGE, &body) {
                 pending.posted_at = Some(now);
                 let answer = serde_json::from_str::<serde_json::Value>(&answer).ok();
                 let list = answer.and_then(|answer| answer["list"].as_u64());
@@ -143,7 +143,7 @@
 }
 
 fn read_view(sidecar: SocketAddr) -> Option<MaintenanceView> {
-    let text = call(sidecar, "GET", MAINTENANCE_PAGE, "").ok()?;
+    let text = call_sidecar(sidecar, "GET", MAINTENANCE_PAGE, "").ok()?;
     serde_json::from_str(&text).ok()
 }
 
--- a/crates/emulators/src/day/mod.rs
+++ b/crates/emulators/src/day/mod.rs
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// Fails if a sidecar does not start, or if a system call on a file or socket fails.
-pub fn play(
+pub fn run(
     script: &DayScript,
     program: &Path,
     folder: &Path,
--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -2,7 +2,7 @@
 
 use super::event_loop::{any_port, Day};
 use super::DayError;
-use crate::fleet::{datagram_address, key_file, write_keys, Relay, CLOCK_OFFSET_VARIABLE};
+use crate::fleet::{fetch_datagram_address, key_file, write_keys, Relay, CLOCK_OFFSET_VARIABLE};
 use limewing_fault_injection::FaultAction;
 use limewing_rule_checker::record::{Event, SidecarId};
 use limewing_settings::SidecarSettings;
@@ -160,7 +160,7 @@
         };
         process.address = address;
         if let Some(relay) = &self.relay {
-            relay.set_member(number, Some(datagram_address(address)?));
+            relay.set_member(number, Some(fetch_datagram_address(address)?));
         }
         Ok(process)
     }
--- a/crates/emulators/src/fleet/mod.rs
+++ b/crates/emulators/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! A fleet of sidecars under a script of faults: as members in simulated time ([`Member`]), and as processes with a relay between them
-//! ([`play`]). Both use the same script. Also trials of coordination among decision engines ([`run_trial`]).
+//! ([`run_script`]). Both use the same script. Also trials of coordination among decision engines ([`run_trial`]).
 
 mod pages;
 mod played;
@@ -7,11 +7,12 @@
 mod rig;
 mod trial;
 
-pub use pages::{ask, call, datagram_address};
-pub use played::{Lifetime, ObservedMember, Played, Sample, WrongView};
+pub use pages::{call_sidecar, fetch_datagram_address, fetch_fleet_page};
+pub use played::{Lifetime, ObservedMember, RunResult, Sample, WrongView};
 pub use relay::{Relay, RelayTraffic};
 pub use rig::{
-    key_file, play, write_keys, FleetRunError, Plan, CLOCK_OFFSET_VARIABLE, INITIAL_KEY_IDS,
+    key_file, run_script, write_keys, FleetRunError, RunPlan, CLOCK_OFFSET_VARIABLE,
+    INITIAL_KEY_IDS,
 };
 pub use trial::{run_trial, PodOutage, PodRestart, TrialPartition, TrialPlan, TrialResult};
 
@@ -139,7 +140,7 @@
     /// Pairs of running members of which the first does not consider the second to run.
     pub missing: usize,
     /// Pairs of a running member and one that it considers to run although that one does not.
-    pub ghosts: usize,
+    pub stale: usize,
 }
 
 /// Compares the views of all running members with the actual state.
@@ -158,10 +159,10 @@
             .iter()
             .filter(|other| *other != number && active.binary_search(other).is_err());
         found.missing += missing.count();
-        let ghosts = active
+        let stale = active
             .iter()
             .filter(|other| running.binary_search(other).is_err());
-        found.ghosts += ghosts.count();
+        found.stale += stale.count();
     }
     found
 }
--- a/crates/emulators/src/fleet/pages.rs
+++ b/crates/emulators/src/fleet/pages.rs
@@ -28,7 +28,7 @@
 
 /// A sidecar's page on its fleet; `None` if it does not answer.
 pub(super) fn fleet_page(address: SocketAddr) -> Option<FleetPage> {
-    let text = ask(address).ok()?;
+    let text = fetch_fleet_page(address).ok()?;
     serde_json::from_str(&text).ok()
 }
 
@@ -36,8 +36,8 @@
 ///
 /// # Errors
 /// Fails if the sidecar does not answer, or if the answer can't be parsed.
-pub fn datagram_address(address: SocketAddr) -> io::Result<SocketAddr> {
-    let page: FleetPage = serde_json::from_str(&ask(address)?)?;
+pub fn fetch_datagram_address(address: SocketAddr) -> io::Result<SocketAddr> {
+    let page: FleetPage = serde_json::from_str(&fetch_fleet_page(address)?)?;
     Ok(page.datagram_address)
 }
 
@@ -45,15 +45,20 @@
 ///
 /// # Errors
 /// Fails if the sidecar does not answer, or answers with an error.
-pub fn ask(address: SocketAddr) -> io::Result<String> {
-    call(address, "GET", "/limewing/fleet", "")
+pub fn fetch_fleet_page(address: SocketAddr) -> io::Result<String> {
+    call_sidecar(address, "GET", "/limewing/fleet", "")
 }
 
 /// Calls one of a sidecar's own pages; returns the body of the answer.
 ///
 /// # Errors
 /// Fails if the sidecar does not answer, or answers with a status other than 200 and 202; the error then has the text of the answer.
-pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<String> {
+pub fn call_sidecar(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     let length = body.len();
--- a/crates/emulators/src/fleet/played.rs
+++ b/crates/emulators/src/fleet/played.rs
@@ -23,7 +23,7 @@
     /// The time since the start.
     pub at: Duration,
     /// The number of the sidecar whose view it is.
-    pub of: usize,
+    pub observer: usize,
     /// All other members that it knows.
     pub members: Vec<ObservedMember>,
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WrongView {
     /// The number of the sidecar whose view it is.
-    pub of: usize,
+    pub observer: usize,
     /// The number of the member whose status is wrong.
     pub member: usize,
     /// The wrong status.
@@ -50,7 +50,7 @@
 
 /// The result of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
+pub struct RunResult {
     /// The sampled views, in the order in which they were taken.
     pub samples: Vec<Sample>,
     /// The lifetimes of the processes of each member.
@@ -58,27 +58,35 @@
     /// The traffic that all members sent.
     pub traffic: RelayTraffic,
     /// The number of datagrams that members rejected.
-    pub refused: u64,
+    pub rejected_datagrams: u64,
     /// The time of the end of the run.
     pub ended: Duration,
     /// The members whose process exited by itself.
     pub crashed: Vec<usize>,
 }
 
-impl Played {
+impl RunResult {
     /// The wrong statuses in the last views of all members that run at the end.
     #[must_use]
-    pub fn wrong_at_the_end(&self, members: usize) -> Vec<WrongView> {
+    pub fn wrong_final_views(&self, members: usize) -> Vec<WrongView> {
         let mut wrong = Vec::new();
-        for of in (0..members).filter(|number| self.runs_at_the_end(*number)) {
-            let last = self.samples.iter().rev().find(|sample| sample.of == of);
-            for member in (0..members).filter(|member| *member != of) {
+        for observer in (0..members).filter(|number| self.runs_at_the_end(*number)) {
+            let last = self
+                .samples
+                .iter()
+                .rev()
+                .find(|sample| sample.observer == observer);
+            for member in (0..members).filter(|member| *member != observer) {
                 let status = last
                     .and_then(|sample| sample.status_of(member))
                     .unwrap_or("unknown");
                 if (status == ALIVE) != self.runs_at_the_end(member) {
                     let status = status.to_owned();
-                    wrong.push(WrongView { of, member, status });
+                    wrong.push(WrongView {
+                        observer,
+                        member,
+                        status,
+                    });
                 }
             }
         }
@@ -93,7 +101,7 @@
 
     /// How often a sample shows a member as dead while it ran.
     #[must_use]
-    pub fn held_dead_while_running(&self) -> usize {
+    pub fn false_death_count(&self) -> usize {
         let members = self
             .samples
             .iter()
--- a/crates/emulators/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -1,8 +1,8 @@
 //! Sidecars as processes under a script of faults: started, killed, terminated, suspended and restarted, with a relay between them. Each
 //! one's view of the others is sampled throughout.
 
-use super::pages::{datagram_address, fleet_page};
-use super::played::{Lifetime, ObservedMember, Played, Sample};
+use super::pages::{fetch_datagram_address, fleet_page};
+use super::played::{Lifetime, ObservedMember, RunResult, Sample};
 use super::relay::Relay;
 use limewing_fault_injection::{FaultAction, FaultyNetwork, Script};
 use limewing_settings::{PeerSettings, Seconds, SidecarSettings};
@@ -31,7 +31,7 @@
 pub const CLOCK_OFFSET_VARIABLE: &str = "LIMEWING_CLOCK_AHEAD_S";
 
 /// The parameters of a run.
-pub struct Plan<'a> {
+pub struct RunPlan<'a> {
     /// The program that runs as the sidecars.
     pub program: &'a Path,
     /// The script of faults.
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 /// Fails if a process does not start, or if a system call fails.
-pub fn play(plan: &Plan) -> Result<Played, FleetRunError> {
+pub fn run_script(plan: &RunPlan) -> Result<RunResult, FleetRunError> {
     std::fs::create_dir_all(plan.folder)?;
     for number in 0..plan.members {
         write_keys(&key_file(plan.folder, number), &INITIAL_KEY_IDS)?;
@@ -76,9 +76,9 @@
     let mut runner = FleetRunner {
         plan,
         processes: (0..plan.members).map(|_| None).collect(),
-        played: Played {
+        result: RunResult {
             lifetimes: vec![Vec::new(); plan.members],
-            ..Played::default()
+            ..RunResult::default()
         },
         relay,
     };
@@ -86,7 +86,7 @@
         runner.start(number)?;
     }
     runner.run()?;
-    Ok(std::mem::take(&mut runner.played))
+    Ok(std::mem::take(&mut runner.result))
 }
 
 /// The path of a member's key file; each member has its own.
@@ -116,9 +116,9 @@
 }
 
 struct FleetRunner<'a> {
-    plan: &'a Plan<'a>,
+    plan: &'a RunPlan<'a>,
     processes: Vec<Option<Process>>,
-    played: Played,
+    result: RunResult,
     relay: Relay,
 }
 
@@ -144,21 +144,21 @@
             let pause = next.saturating_sub(self.relay.now());
             std::thread::sleep(pause.min(MAX_PAUSE));
         }
-        self.played.ended = self.relay.now();
-        self.played.traffic = self.relay.traffic();
+        self.result.ended = self.relay.now();
+        self.result.traffic = self.relay.traffic();
         for number in 0..self.processes.len() {
-            self.count_refused(number);
+            self.count_rejected_datagrams(number);
             self.kill(number);
         }
         Ok(())
     }
 
-    fn count_refused(&mut self, number: usize) {
+    fn count_rejected_datagrams(&mut self, number: usize) {
         let process = self.processes[number].as_ref();
         let Some(page) = process.and_then(|process| fleet_page(process.address)) else {
             return;
         };
-        self.played.refused += page.refused.iter().map(|(_, count)| count).sum::<u64>();
+        self.result.rejected_datagrams += page.refused.iter().map(|(_, count)| count).sum::<u64>();
     }
 
     fn apply_action(&mut self, action: FaultAction) -> Result<(), FleetRunError> {
@@ -209,7 +209,7 @@
     }
 
     fn record_lifetime(&mut self, number: usize, from: Duration, to: Duration) {
-        self.played.lifetimes[number].push(Lifetime { from, to });
+        self.result.lifetimes[number].push(Lifetime { from, to });
     }
 
     /// Records processes that have exited by themselves.
@@ -220,7 +220,7 @@
                 continue;
             };
             self.record_lifetime(number, process.started_at, now);
-            self.played.crashed.push(number);
+            self.result.crashed.push(number);
         }
     }
 
@@ -245,7 +245,7 @@
             )));
         };
         self.relay
-            .set_member(number, Some(datagram_address(address)?));
+            .set_member(number, Some(fetch_datagram_address(address)?));
         self.processes[number] = Some(Process {
             child,
             address,
@@ -310,7 +310,7 @@
 
     /// Samples the view of each running sidecar.
     fn sample(&mut self) {
-        for (of, process) in self.processes.iter().enumerate() {
+        for (observer, process) in self.processes.iter().enumerate() {
             let Some(process) = process.as_ref().filter(|process| !process.suspended) else {
                 continue;
             };
@@ -321,9 +321,9 @@
                 name: member.name,
                 status: member.status,
             });
-            self.played.samples.push(Sample {
+            self.result.samples.push(Sample {
                 at: self.relay.now(),
-                of,
+                observer,
                 members: members.collect(),
             });
         }
--- a/crates/emulators/src/fleet/trial/mod.rs
+++ b/crates/emulators/src/fleet/trial/mod.rs
@@ -71,13 +71,13 @@
     /// The number of requests that were answered.
     pub delivered: usize,
     /// The number of requests that were rejected or failed.
-    pub given_up: usize,
+    pub failed: usize,
 }
 
 impl TrialResult {
     /// The highest load of a pod, divided by the mean.
     #[must_use]
-    pub fn highest_over_mean(&self) -> f64 {
+    pub fn max_over_mean(&self) -> f64 {
         let mean = self.loads.iter().sum::<f64>() / self.loads.len().max(1) as f64;
         self.loads.iter().copied().fold(0.0, f64::max) / mean.max(config::MIN_DIVISOR)
     }
--- a/crates/emulators/src/fleet/trial/simulation.rs
+++ b/crates/emulators/src/fleet/trial/simulation.rs
@@ -239,7 +239,7 @@
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     self.sidecars[number].attempts.remove(&request);
-                    self.result.given_up += 1;
+                    self.result.failed += 1;
                 }
                 _ => {}
             }
--- a/crates/emulators/tests/coordination_trial.rs
+++ b/crates/emulators/tests/coordination_trial.rs
@@ -32,11 +32,11 @@
         attempts_in_outage,
         recovery_time,
         delivered,
-        given_up,
+        failed,
         ..
     } = result;
-    let highest = result.highest_over_mean();
-    println!("{what}: highest {highest:.2}, warming {warming_load:.2}, in outage {attempts_in_outage:?}, recovery {recovery_time:?}, {delivered} delivered, {given_up} given up");
+    let highest = result.max_over_mean();
+    println!("{what}: highest {highest:.2}, warming {warming_load:.2}, in outage {attempts_in_outage:?}, recovery {recovery_time:?}, {delivered} delivered, {failed} given up");
 }
 
 #[rstest]
@@ -48,12 +48,12 @@
     print_result("with", &with);
     print_result("without", &without);
     assert!(
-        with.highest_over_mean() < 0.85 * without.highest_over_mean(),
+        with.max_over_mean() < 0.85 * without.max_over_mean(),
         "{} {}",
-        with.highest_over_mean(),
-        without.highest_over_mean()
+        with.max_over_mean(),
+        without.max_over_mean()
     );
-    assert!(with.given_up <= without.given_up + 5);
+    assert!(with.failed <= without.failed + 5);
 }
 
 /// All sidecars together stay within a warming pod's overload multiple, also while they are partitioned and each group takes itself for
--- a/crates/emulators/tests/fleet.rs
+++ b/crates/emulators/tests/fleet.rs
@@ -48,7 +48,7 @@
 
 const CONSISTENT: Views = Views {
     missing: 0,
-    ghosts: 0,
+    stale: 0,
 };
 
 /// Runs until each running member considers exactly the running members to run, and returns how long that takes; fails after
--- a/crates/mutants/tests/violations_are_found.rs
+++ b/crates/mutants/tests/violations_are_found.rs
@@ -25,7 +25,7 @@
     std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_limewing-mutants"), &program).unwrap();
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/short-quiet.json");
     let script: DayScript = limewing_settings::read(&file).unwrap();
-    let record = day::play(&script, &program, folder.path(), &mut |_| ()).unwrap();
+    let record = day::run(&script, &program, folder.path(), &mut |_| ()).unwrap();
     let lines = read(BufReader::new(File::open(record).unwrap())).unwrap();
     let report = RuleChecker::new(&lines).unwrap().report();
     let violated: Vec<Rule> = report
