--- a/crates/cli/tests/command/fleet.rs
+++ b/crates/cli/tests/command/fleet.rs
@@ -257,7 +257,7 @@
     let out = run_limewing(&["fleet", "show", &at]);
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("knows of no others"));
-    let config = limewing_emulators::platform::Config::new(Vec::new());
+    let config = limewing_emulators::platform::SidecarConfigFile::new(Vec::new());
     let on_platform = PlatformProcess::start(&config);
     for id in [process.0.id(), on_platform.id()] {
         let sockets = datagram_sockets(id);
--- a/crates/cli/tests/command/platform.rs
+++ b/crates/cli/tests/command/platform.rs
@@ -2,7 +2,8 @@
 
 use crate::support::PlatformProcess;
 use limewing_emulators::platform::{
-    listing, Answer, Client, Config, Discovery, Does, Faults, Listed, Pod, World,
+    endpoint_listing_json, Answer, Client, Discovery, Faults, ListedPod, Pod, PodBehavior,
+    SidecarConfigFile, World,
 };
 use limewing_postgres_proxy::timeouts::{CLIENT_MESSAGE_TIMEOUT, STOP_ACCEPTING_TIMEOUT};
 use limewing_rule_checker::checker::RuleChecker;
@@ -20,11 +21,11 @@
     format!("SELECT blob FROM rows WHERE handle = '7f3a' /* id={id:x},c={group},t=acme,d=2000,k=ab{id:x} */")
 }
 
-fn start_with_pod(does: Vec<Does>) -> (Pod, PlatformProcess, Client) {
-    let pod = Pod::new(does);
-    let config = Config {
-        patience: 2.0,
-        ..Config::new(vec![Listed::new("p1", pod.at)])
+fn start_with_pod(script: Vec<PodBehavior>) -> (Pod, PlatformProcess, Client) {
+    let pod = Pod::new(script);
+    let config = SidecarConfigFile {
+        client_timeout_s: 2.0,
+        ..SidecarConfigFile::new(vec![ListedPod::new("p1", pod.address)])
     };
     let sidecar = PlatformProcess::start(&config);
     let client = Client::new(sidecar.address);
@@ -37,8 +38,8 @@
         let Some(mut client) = Client::try_new(at, Duration::from_secs(5)) else {
             continue;
         };
-        client.asks(&statement("look", 0x1000 + id));
-        if client.hears() == Answer::Row(expected.into()) {
+        client.send_query(&statement("look", 0x1000 + id));
+        if client.read_answer() == Answer::Row(expected.into()) {
             return;
         }
     }
@@ -46,22 +47,22 @@
 
 /// A sidecar that is signalled to shut down completes its requests in flight in any state, and then exits.
 #[rstest]
-#[case::attempt_sent(Does::ServesLater("red"))]
-#[case::partially_answered(Does::Halves("red"))]
-fn a_draining_sidecar_completes_attempts_in_flight(#[case] does: Does) {
-    let half = matches!(does, Does::Halves(_));
-    let (pod, mut sidecar, mut client) = start_with_pod(vec![does]);
-    client.asks(&statement("pay", 1));
-    assert!(pod.hears().starts_with("SELECT"));
+#[case::attempt_sent(PodBehavior::AnswerAfterSignal("red"))]
+#[case::partially_answered(PodBehavior::SplitAnswer("red"))]
+fn a_draining_sidecar_completes_attempts_in_flight(#[case] behavior: PodBehavior) {
+    let half = matches!(behavior, PodBehavior::SplitAnswer(_));
+    let (pod, mut sidecar, mut client) = start_with_pod(vec![behavior]);
+    client.send_query(&statement("pay", 1));
+    assert!(pod.next_event().starts_with("SELECT"));
     if half {
-        assert_eq!(pod.hears(), "half");
+        assert_eq!(pod.next_event(), "half");
     }
     sidecar.signal(Signal::TERM);
-    pod.go_on.send(()).unwrap();
-    let answer = client.hears();
+    pod.resume.send(()).unwrap();
+    let answer = client.read_answer();
     // A partial answer that stalls is eventually abandoned, but the client still receives an answer.
     assert!(
-        answer == Answer::Row("red".into()) || half && answer != Answer::End,
+        answer == Answer::Row("red".into()) || half && answer != Answer::ConnectionClosed,
         "{answer:?}"
     );
     assert!(sidecar.wait_for_success());
@@ -73,34 +74,34 @@
 #[case::new(true)]
 #[case::idle(false)]
 fn a_statement_that_arrives_as_the_listener_closes_is_answered(#[case] new: bool) {
-    let (_pod, mut sidecar, mut client) = start_with_pod(vec![Does::Serves("red")]);
+    let (_pod, mut sidecar, mut client) = start_with_pod(vec![PodBehavior::Answer("red")]);
     let mut probe = Client::new(sidecar.address);
     sidecar.signal(Signal::TERM);
     // The sidecar closes connections that it serves after the shutdown signal, so a closed one shows that the signal was
     // handled.
     for id in 0.. {
-        probe.asks(&statement("look", 0x100 + id));
-        if probe.hears() == Answer::End {
+        probe.send_query(&statement("look", 0x100 + id));
+        if probe.read_answer() == Answer::ConnectionClosed {
             break;
         }
     }
     sidecar.suspend();
     sleep(LISTENER_CLOSE_WAIT);
     if new {
-        client = Client::silent(sidecar.address);
-        client.begins();
+        client = Client::without_session(sidecar.address);
+        client.send_startup_message();
     }
-    client.asks(&statement("look", 1));
+    client.send_query(&statement("look", 1));
     sidecar.signal(Signal::CONT);
     assert_eq!(
         if new {
-            client.hears_first()
+            client.read_first_answer()
         } else {
-            client.hears()
+            client.read_answer()
         },
         Answer::Row("red".into())
     );
-    assert!(client.hears_the_end());
+    assert!(client.reads_end_of_stream());
     assert!(sidecar.wait_for_success());
 }
 
@@ -108,12 +109,12 @@
 /// answered, because input is processed before expired timers.
 #[test]
 fn a_first_statement_that_arrives_as_the_client_timeout_expires_is_answered() {
-    let (_pod, sidecar, mut client) = start_with_pod(vec![Does::Serves("red")]);
+    let (_pod, sidecar, mut client) = start_with_pod(vec![PodBehavior::Answer("red")]);
     sidecar.suspend();
     sleep(CLIENT_MESSAGE_TIMEOUT + TIMING_MARGIN);
-    client.asks(&statement("look", 1));
+    client.send_query(&statement("look", 1));
     sidecar.signal(Signal::CONT);
-    assert_eq!(client.hears(), Answer::Row("red".into()));
+    assert_eq!(client.read_answer(), Answer::Row("red".into()));
 }
 
 /// The process is suspended while the connection of an attempt is established and its pod is then listed as terminating.
@@ -122,36 +123,36 @@
 #[test]
 fn the_list_is_applied_before_the_first_byte_is_sent() {
     let pod = Pod::new(vec![
-        Does::WelcomesLater,
-        Does::LivesLater("red"),
-        Does::Waits,
+        PodBehavior::StartSessionAfterSignal,
+        PodBehavior::AnswerEmptyQueryAfterSignal("red"),
+        PodBehavior::NoAnswer,
     ]);
-    let discovery = Discovery::new(listing(8, false, &[]));
-    let mut config = Config {
-        patience: 2.0,
-        connect: 30.0,
-        ..Config::new(vec![Listed::new("p1", pod.at)])
+    let discovery = Discovery::new(endpoint_listing_json(8, false, &[]));
+    let mut config = SidecarConfigFile {
+        client_timeout_s: 2.0,
+        connect_timeout_s: 30.0,
+        ..SidecarConfigFile::new(vec![ListedPod::new("p1", pod.address)])
     };
-    config.discovery = discovery.at;
+    config.discovery = discovery.address;
     let sidecar = PlatformProcess::start(&config);
-    discovery.is_asked();
+    discovery.next_request();
     let mut client = Client::new(sidecar.address);
-    client.asks(&statement("look", 1));
-    assert_eq!(pod.hears(), "came");
+    client.send_query(&statement("look", 1));
+    assert_eq!(pod.next_event(), "came");
     sidecar.suspend();
-    pod.go_on.send(()).unwrap();
-    assert_eq!(pod.hears(), "welcomed");
-    discovery.says(&listing(
+    pod.resume.send(()).unwrap();
+    assert_eq!(pod.next_event(), "welcomed");
+    discovery.send_object(&endpoint_listing_json(
         9,
         false,
-        &[Listed {
-            health: "terminating",
-            ..Listed::new("p1", pod.at)
+        &[ListedPod {
+            state: "terminating",
+            ..ListedPod::new("p1", pod.address)
         }],
     ));
     sidecar.signal(Signal::CONT);
-    assert!(matches!(client.hears(), Answer::Error(code, _) if code == "53300"));
-    assert!(pod.heard_nothing());
+    assert!(matches!(client.read_answer(), Answer::Error(code, _) if code == "53300"));
+    assert!(pod.has_no_event());
 }
 
 /// Longer than a sidecar accepts connections after the shutdown signal.
@@ -162,31 +163,31 @@
 /// deadline. Guards against a process that exits with the request open.
 #[test]
 fn a_draining_sidecar_answers_all_requests_before_it_exits() {
-    let pod = Pod::new(vec![Does::Waits]);
-    let config = Config {
-        patience: 1.0,
-        ..Config::new(vec![Listed::new("p1", pod.at)])
+    let pod = Pod::new(vec![PodBehavior::NoAnswer]);
+    let config = SidecarConfigFile {
+        client_timeout_s: 1.0,
+        ..SidecarConfigFile::new(vec![ListedPod::new("p1", pod.address)])
     };
     let mut sidecar = PlatformProcess::start(&config);
     let mut client = Client::new(sidecar.address);
-    client.asks(&statement("pay", 1).replace("d=2000", "d=60000"));
-    assert!(pod.hears().starts_with("SELECT"));
+    client.send_query(&statement("pay", 1).replace("d=2000", "d=60000"));
+    assert!(pod.next_event().starts_with("SELECT"));
     sidecar.signal(Signal::TERM);
-    assert!(matches!(client.hears(), Answer::Error(code, _) if code == "58000"));
+    assert!(matches!(client.read_answer(), Answer::Error(code, _) if code == "58000"));
     assert!(sidecar.wait_for_success());
 }
 
 #[test]
 fn a_draining_sidecar_answers_queued_requests() {
-    let config = Config {
-        patience: 1.0,
-        ..Config::new(Vec::new())
+    let config = SidecarConfigFile {
+        client_timeout_s: 1.0,
+        ..SidecarConfigFile::new(Vec::new())
     };
     let mut sidecar = PlatformProcess::start(&config);
     let mut client = Client::new(sidecar.address);
-    client.asks(&statement("pay", 1));
+    client.send_query(&statement("pay", 1));
     sidecar.signal(Signal::TERM);
-    assert!(matches!(client.hears(), Answer::Error(code, _) if code == "53300"));
+    assert!(matches!(client.read_answer(), Answer::Error(code, _) if code == "53300"));
     assert!(sidecar.wait_for_success());
 }
 
@@ -194,33 +195,37 @@
 #[test]
 fn a_silent_watch_is_restarted() {
     let (old, new) = (
-        Pod::new(vec![Does::Serves("old")]),
-        Pod::new(vec![Does::Serves("new")]),
+        Pod::new(vec![PodBehavior::Answer("old")]),
+        Pod::new(vec![PodBehavior::Answer("new")]),
     );
-    let discovery = Discovery::new(listing(8, false, &[]));
-    let mut config = Config::new(vec![Listed::new("p1", old.at)]);
-    config.discovery = discovery.at;
+    let discovery = Discovery::new(endpoint_listing_json(8, false, &[]));
+    let mut config = SidecarConfigFile::new(vec![ListedPod::new("p1", old.address)]);
+    config.discovery = discovery.address;
     let sidecar = PlatformProcess::start(&config);
-    assert!(discovery.is_asked().contains("since=7 "));
-    assert!(discovery.is_asked().contains("since=8 "));
+    assert!(discovery.next_request().contains("since=7 "));
+    assert!(discovery.next_request().contains("since=8 "));
     await_answer(sidecar.address, "old");
-    let gone = Listed {
-        health: "terminated",
-        ..Listed::new("p1", old.at)
+    let gone = ListedPod {
+        state: "terminated",
+        ..ListedPod::new("p1", old.address)
     };
-    discovery.says(&listing(9, false, &[gone, Listed::new("p2", new.at)]));
+    discovery.send_object(&endpoint_listing_json(
+        9,
+        false,
+        &[gone, ListedPod::new("p2", new.address)],
+    ));
     await_answer(sidecar.address, "new");
 }
 
 /// The services of a new configuration may start later than it is loaded.
 #[test]
 fn services_that_start_later_are_found() {
-    let pod = Pod::new(vec![Does::Serves("red")]);
-    let first = Discovery::new(listing(8, false, &[]));
-    let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
-    config.discovery = first.at;
+    let pod = Pod::new(vec![PodBehavior::Answer("red")]);
+    let first = Discovery::new(endpoint_listing_json(8, false, &[]));
+    let mut config = SidecarConfigFile::new(vec![ListedPod::new("p1", pod.address)]);
+    config.discovery = first.address;
     let sidecar = PlatformProcess::start(&config);
-    first.is_asked();
+    first.next_request();
     let later = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -229,8 +234,8 @@
     sidecar.write_config(&config);
     sidecar.signal(Signal::HUP);
     await_answer(sidecar.address, "red");
-    let second = Discovery::at(later, listing(9, false, &[]));
-    assert!(second.is_asked().contains("since=8 "));
+    let second = Discovery::bind(later, endpoint_listing_json(9, false, &[]));
+    assert!(second.next_request().contains("since=8 "));
     await_answer(sidecar.address, "red");
 }
 
@@ -238,22 +243,22 @@
 /// it once and keeping the previous one for good.
 #[test]
 fn an_incomplete_configuration_is_read_again() {
-    let pod = Pod::new(vec![Does::Serves("red")]);
+    let pod = Pod::new(vec![PodBehavior::Answer("red")]);
     let (first, second) = (
-        Discovery::new(listing(8, false, &[])),
-        Discovery::new(listing(9, false, &[])),
+        Discovery::new(endpoint_listing_json(8, false, &[])),
+        Discovery::new(endpoint_listing_json(9, false, &[])),
     );
-    let mut config = Config::new(vec![Listed::new("p1", pod.at)]);
-    config.discovery = first.at;
+    let mut config = SidecarConfigFile::new(vec![ListedPod::new("p1", pod.address)]);
+    config.discovery = first.address;
     let sidecar = PlatformProcess::start(&config);
-    first.is_asked();
-    config.discovery = second.at;
+    first.next_request();
+    config.discovery = second.address;
     let complete = config.json();
     sidecar.write_config_text(&complete[..complete.len() / 2]);
     sidecar.signal(Signal::HUP);
     await_answer(sidecar.address, "red");
     sidecar.write_config_text(&complete);
-    assert!(second.is_asked().contains("since=8 "));
+    assert!(second.next_request().contains("since=8 "));
 }
 
 /// A sidecar that is killed and restarted under the same name starts from its cached list. A pod that has returned with
@@ -261,10 +266,10 @@
 #[test]
 fn a_killed_sidecar_starts_from_its_cached_list() {
     let (old, new) = (
-        Pod::new(vec![Does::Serves("old")]),
-        Pod::new(vec![Does::Serves("new")]),
+        Pod::new(vec![PodBehavior::Answer("old")]),
+        Pod::new(vec![PodBehavior::Answer("new")]),
     );
-    let mut config = Config::new(vec![Listed::new("p1", old.at)]);
+    let mut config = SidecarConfigFile::new(vec![ListedPod::new("p1", old.address)]);
     let mut sidecar = PlatformProcess::start(&config);
     await_answer(sidecar.address, "old");
     sidecar.signal(Signal::KILL);
@@ -273,15 +278,15 @@
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
-    let again = Listed {
+    let again = ListedPod {
         build: 2,
-        born_ms: now,
-        ..Listed::new("p1", new.at)
+        started_at_ms: now,
+        ..ListedPod::new("p1", new.address)
     };
-    let discovery = Discovery::new(listing(9, true, &[again]));
-    (config.discovery, config.listen) = (discovery.at, sidecar.address);
+    let discovery = Discovery::new(endpoint_listing_json(9, true, &[again]));
+    (config.discovery, config.listen) = (discovery.address, sidecar.address);
     let sidecar = PlatformProcess::start(&config);
-    assert!(discovery.is_asked().contains("since=7 "));
+    assert!(discovery.next_request().contains("since=7 "));
     await_answer(sidecar.address, "new");
 }
 
@@ -294,26 +299,28 @@
     const SIDECAR_COUNT: usize = 4;
     let mut world = World::new(SIDECAR_COUNT, World::limits(vec![0.5]), 7);
     let mut list: Vec<(usize, &'static str, u64)> = Vec::new();
-    list.extend((0..4).map(|_| (world.pod(1, false, Faults::default()), READY, 0)));
-    let config = |world: &World, own: usize, listen| Config {
-        discovery: world.discovery[own].at,
-        rollouts: Some(world.rollouts[own].at),
-        known: (0..4).map(|pod| world.listed(own, pod, READY, 0)).collect(),
-        patience: 1.0,
-        sidecars: (SIDECAR_COUNT as u32, own as u32),
+    list.extend((0..4).map(|_| (world.start_pod(1, false, Faults::default()), READY, 0)));
+    let config = |world: &World, own: usize, listen| SidecarConfigFile {
+        discovery: world.discovery[own].address,
+        rollouts: Some(world.rollouts[own].address),
+        cached_endpoints: (0..4)
+            .map(|pod| world.listed_pod(own, pod, READY, 0))
+            .collect(),
+        client_timeout_s: 1.0,
+        count_and_index: (SIDECAR_COUNT as u32, own as u32),
         listen,
-        ..Config::new(Vec::new())
+        ..SidecarConfigFile::new(Vec::new())
     };
     let sidecar = |own: usize| SidecarId(own as u32);
     let start = |world: &World, own: usize, listen: SocketAddr| {
-        world.note(Event::SidecarStarted {
+        world.record_event(Event::SidecarStarted {
             sidecar: sidecar(own),
         });
-        world.knows(
+        world.record_endpoint_list(
             own,
             &[(0, READY, 0), (1, READY, 0), (2, READY, 0), (3, READY, 0)],
         );
-        world.knows_news(own, 1, 0, "Healthy", 1.0);
+        world.record_stage(own, 1, 0, "Healthy", 1.0);
         PlatformProcess::start(&config(world, own, listen))
     };
     let free = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -323,7 +330,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let clients = (0..3 * SIDECAR_COUNT).map(|n| {
         let own = n % SIDECAR_COUNT;
-        world.client(
+        world.start_client(
             (own, all[own].address),
             n as u64 + 1,
             Duration::from_secs(1),
@@ -334,16 +341,16 @@
     let pause = |ms| sleep(Duration::from_millis(ms));
     pause(300);
     let faults = Faults {
-        errs: 0.05,
-        turns_away: 0.1,
-        closes: 0.05,
-        spoilt: 0.05,
-        silent: 0.02,
+        error_share: 0.05,
+        rejection_share: 0.1,
+        close_share: 0.05,
+        noise_share: 0.05,
+        silence_share: 0.02,
     };
-    (0..4).for_each(|pod| world.fail(pod, faults));
+    (0..4).for_each(|pod| world.set_faults(pod, faults));
     pause(500);
 
-    world.note(Event::SidecarExited {
+    world.record_event(Event::SidecarExited {
         sidecar: sidecar(0),
     });
     all[0].signal(Signal::KILL);
@@ -352,24 +359,24 @@
     pause(300);
     all[0] = start(&world, 0, all[0].address);
 
-    world.note(Event::SidecarDraining {
+    world.record_event(Event::SidecarDraining {
         sidecar: sidecar(1),
     });
     all[1].signal(Signal::TERM);
     assert!(all[1].wait_for_success());
     pause(300);
-    world.note(Event::SidecarExited {
+    world.record_event(Event::SidecarExited {
         sidecar: sidecar(1),
     });
     all[1] = start(&world, 1, all[1].address);
 
-    world.note(Event::SidecarSuspended {
+    world.record_event(Event::SidecarSuspended {
         sidecar: sidecar(2),
     });
     all[2].suspend();
     pause(400);
     all[2].signal(Signal::CONT);
-    world.note(Event::SidecarResumed {
+    world.record_event(Event::SidecarResumed {
         sidecar: sidecar(2),
     });
     pause(300);
@@ -378,14 +385,14 @@
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
-    list.extend((0..2).map(|_| (world.pod(2, true, Faults::default()), READY, now)));
-    world.tell_news(2, 0, "Progressing", 0.5);
-    (0..SIDECAR_COUNT).for_each(|own| world.tell_list(own, &list));
+    list.extend((0..2).map(|_| (world.start_pod(2, true, Faults::default()), READY, now)));
+    world.send_stage(2, 0, "Progressing", 0.5);
+    (0..SIDECAR_COUNT).for_each(|own| world.send_endpoint_list(own, &list));
     pause(1200);
     list[0].1 = DRAINING;
-    (0..SIDECAR_COUNT).for_each(|own| world.tell_list(own, &list));
+    (0..SIDECAR_COUNT).for_each(|own| world.send_endpoint_list(own, &list));
     pause(1200);
-    world.tell_news(2, 0, "Aborting", 0.0);
+    world.send_stage(2, 0, "Aborting", 0.0);
     pause(800);
     stop.store(true, Ordering::SeqCst);
     let delivered: usize = clients
--- a/crates/cli/tests/command/support.rs
+++ b/crates/cli/tests/command/support.rs
@@ -1,6 +1,6 @@
 //! Runs the command and its sidecars as separate processes.
 
-use limewing_emulators::platform::Config;
+use limewing_emulators::platform::SidecarConfigFile;
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -142,7 +142,7 @@
 
 impl PlatformProcess {
     /// Starts a sidecar and waits until it listens. Its log is read continuously, so that writing it never blocks.
-    pub(crate) fn start(config: &Config) -> Self {
+    pub(crate) fn start(config: &SidecarConfigFile) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
         std::fs::write(&file, config.json()).unwrap();
@@ -174,7 +174,7 @@
     }
 
     /// Replaces the configuration file, which the process reads again on SIGHUP.
-    pub(crate) fn write_config(&self, config: &Config) {
+    pub(crate) fn write_config(&self, config: &SidecarConfigFile) {
         self.write_config_text(&config.json());
     }
 
--- a/crates/emulators/src/platform/client.rs
+++ b/crates/emulators/src/platform/client.rs
@@ -29,9 +29,9 @@
     /// The answer to an empty query.
     Empty,
     /// No row; the tag of the completed command.
-    Done(String),
+    CommandComplete(String),
     /// The connection ended without an answer.
-    End,
+    ConnectionClosed,
 }
 
 /// A client on one connection.
@@ -50,13 +50,13 @@
     /// Panics if the connection is refused or the session does not start.
     #[must_use]
     pub fn new(to: SocketAddr) -> Self {
-        let mut client = Self::silent(to);
-        client.begins();
+        let mut client = Self::without_session(to);
+        client.send_startup_message();
         client.await_session().expect("the session starts");
         client
     }
 
-    /// Like `new`, but returns `None` if the connection is refused or the session does not start; `patience` is the read timeout.
+    /// Like `new`, but returns `None` if the connection is refused or the session does not start; `read_timeout` is the read timeout.
     #[must_use]
     pub fn try_new(to: SocketAddr, read_timeout: Duration) -> Option<Self> {
         let connection = Connection::new(TcpStream::connect(to).ok()?).ok()?;
@@ -69,7 +69,7 @@
             sent_at: Instant::now(),
             read_timeout,
         };
-        if !client.sends(&startup_message()) {
+        if !client.send_bytes(&startup_message()) {
             return None;
         }
         client.await_session()?;
@@ -78,7 +78,7 @@
 
     /// Whether the last answer did not arrive within the read timeout.
     #[must_use]
-    pub fn waited_out(&self) -> bool {
+    pub fn has_timed_out(&self) -> bool {
         self.sent_at.elapsed() >= self.read_timeout
     }
 
@@ -87,7 +87,7 @@
     /// # Panics
     /// Panics if the connection is refused.
     #[must_use]
-    pub fn silent(to: SocketAddr) -> Self {
+    pub fn without_session(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).expect("the address accepts connections");
         Self {
             connection: Connection::new(stream).expect("the socket options can be set"),
@@ -97,8 +97,8 @@
     }
 
     /// Sends the startup message without waiting for the start of the session.
-    pub fn begins(&mut self) {
-        self.sends(&startup_message());
+    pub fn send_startup_message(&mut self) {
+        self.send_bytes(&startup_message());
     }
 
     fn await_session(&mut self) -> Option<()> {
@@ -107,27 +107,27 @@
     }
 
     /// Sends these bytes; returns whether all of them could be written.
-    pub fn sends(&mut self, bytes: &[u8]) -> bool {
+    pub fn send_bytes(&mut self, bytes: &[u8]) -> bool {
         self.connection.stream.write_all(bytes).is_ok()
     }
 
     /// Sends a statement; returns whether it could be written.
-    pub fn asks(&mut self, statement: &str) -> bool {
+    pub fn send_query(&mut self, statement: &str) -> bool {
         let mut out = BytesMut::new();
         encode::query(&mut out, statement);
         self.sent_at = Instant::now();
-        self.sends(&out)
+        self.send_bytes(&out)
     }
 
     /// Reads the next answer, up to ReadyForQuery.
     ///
     /// # Panics
     /// Panics if the messages are no answer to a statement.
-    pub fn hears(&mut self) -> Answer {
+    pub fn read_answer(&mut self) -> Answer {
         let mut answer = None;
         loop {
             let Some(message) = self.connection.read_message() else {
-                return answer.unwrap_or(Answer::End);
+                return answer.unwrap_or(Answer::ConnectionClosed);
             };
             match message.kind {
                 DATA_ROW => answer = Some(row(&message)),
@@ -141,7 +141,7 @@
                 EMPTY_QUERY_RESPONSE => answer = Some(Answer::Empty),
                 COMMAND_COMPLETE if answer.is_none() => {
                     let command = decode::string(&message.body).expect("a valid command tag");
-                    answer = Some(Answer::Done(command.to_owned()));
+                    answer = Some(Answer::CommandComplete(command.to_owned()));
                 }
                 READY_FOR_QUERY => return answer.expect("an answer before ReadyForQuery"),
                 _ => {}
@@ -151,26 +151,26 @@
 
     /// Whether the first bytes of an answer arrive within that time.
     #[must_use]
-    pub fn has_come(&self, within: Duration) -> bool {
+    pub fn has_input_within(&self, within: Duration) -> bool {
         let stream = &self.connection.stream;
         // The next read shows whether the connection has ended.
         let _ = stream.set_read_timeout(Some(within));
-        let came = !self.connection.input.is_empty() || stream.peek(&mut [0]).is_ok();
+        let has_input = !self.connection.input.is_empty() || stream.peek(&mut [0]).is_ok();
         let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
-        came
+        has_input
     }
 
-    /// Like `hears`, for a client that has not waited for the start of its session yet.
+    /// Like `read_answer`, for a client that has not waited for the start of its session yet.
     ///
     /// # Panics
     /// Panics if the session does not start, or if the messages are no answer to a statement.
-    pub fn hears_first(&mut self) -> Answer {
+    pub fn read_first_answer(&mut self) -> Answer {
         self.await_session().expect("the session starts");
-        self.hears()
+        self.read_answer()
     }
 
     /// Whether the peer closed the connection and sent nothing more.
-    pub fn hears_the_end(&mut self) -> bool {
+    pub fn reads_end_of_stream(&mut self) -> bool {
         matches!(self.connection.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 }
--- a/crates/emulators/src/platform/messages.rs
+++ b/crates/emulators/src/platform/messages.rs
@@ -5,7 +5,7 @@
 
 /// The bytes of an answer with one row that has this value.
 #[must_use]
-pub fn answer(value: &str) -> Vec<u8> {
+pub fn encode_answer(value: &str) -> Vec<u8> {
     let mut out = BytesMut::new();
     write_answer(&mut out, value);
     out.to_vec()
--- a/crates/emulators/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -1,5 +1,5 @@
 //! Emulators of the platform's services, each on its own threads and scripted by a test: pods and clients in the PostgreSQL protocol,
-//! discovery and rollouts over HTTP.
+//! discovery and the rollout service over HTTP.
 
 mod client;
 mod messages;
@@ -12,9 +12,9 @@
 mod world_record;
 
 pub use client::{Answer, Client};
-pub use messages::answer;
-pub use pod::{Does, Pod};
-pub use services::{Discovery, Rollouts, Vote};
+pub use messages::encode_answer;
+pub use pod::{Pod, PodBehavior};
+pub use services::{Discovery, RolloutService, VoteReplyScript};
 pub use world::World;
 pub use world_pod::Faults;
 
@@ -79,102 +79,102 @@
 
 /// A pod's entry in the list of discovery.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedPod {
     /// Its name.
     pub host: String,
     /// The address at which it listens.
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// The build that it runs.
     pub build: u16,
     /// Its health as discovery reports it.
-    pub health: &'static str,
+    pub state: &'static str,
     /// Its start, as Unix time in milliseconds; 0 stands for long ago.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
 }
 
-impl Listed {
+impl ListedPod {
     /// A pod in service that started long ago and runs build 1.
     #[must_use]
-    pub fn new(host: &str, dial: SocketAddr) -> Self {
+    pub fn new(host: &str, address: SocketAddr) -> Self {
         Self {
             host: host.into(),
-            dial,
+            address,
             build: 1,
-            health: "in_service",
-            born_ms: 0,
+            state: "in_service",
+            started_at_ms: 0,
         }
     }
 
     fn json(&self) -> String {
         let Self {
             host,
-            dial,
+            address,
             build,
-            health,
-            born_ms,
+            state,
+            started_at_ms,
         } = self;
         format!(
-            r#"{{"host":"{host}","dial":"{dial}","site":"a","class":"m","block":0,"health":"{health}","share":1.0,"born_ms":{born_ms},"version_no":{build}}}"#
+            r#"{{"host":"{host}","dial":"{address}","site":"a","class":"m","block":0,"health":"{state}","share":1.0,"born_ms":{started_at_ms},"version_no":{build}}}"#
         )
     }
 }
 
 /// One object on a discovery watch.
 #[must_use]
-pub fn listing(seq: u64, whole: bool, pods: &[Listed]) -> String {
-    let pods: Vec<String> = pods.iter().map(Listed::json).collect();
+pub fn endpoint_listing_json(seq: u64, whole: bool, pods: &[ListedPod]) -> String {
+    let pods: Vec<String> = pods.iter().map(ListedPod::json).collect();
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
         pods.join(",")
     )
 }
 
-/// The state of the newest build, as rollouts report it.
+/// The state of the newest build, as the rollout service reports it.
 #[must_use]
-pub fn state(build: u16, stage: u8, name: &str, cap: f64) -> String {
+pub fn rollout_state_json(build: u16, stage: u8, name: &str, cap: f64) -> String {
     format!(r#"{{"Revision":{build},"Wave":{stage},"State":"{name}","MaxShare":{cap},"AgeMs":5}}"#)
 }
 
 /// A sidecar's configuration. Of its request classes, `look` is idempotent, `order` has an idempotency key, and `pay` must not run twice.
-pub struct Config {
+pub struct SidecarConfigFile {
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The address of rollouts, if there are any.
+    /// The address of the rollout service, if there is one.
     pub rollouts: Option<SocketAddr>,
     /// The endpoint list that the sidecar starts with.
-    pub known: Vec<Listed>,
+    pub cached_endpoints: Vec<ListedPod>,
     /// The number of file descriptors that it may use.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// The client timeout of all request classes, in seconds.
-    pub patience: f64,
+    pub client_timeout_s: f64,
     /// Whether requests are hedged.
     pub second_copies: bool,
     /// The connect timeout for pods, in seconds.
-    pub connect: f64,
+    pub connect_timeout_s: f64,
     /// Whether an attempt that was sent may be cancelled.
-    pub cancel: bool,
+    pub may_cancel: bool,
     /// The address at which it listens.
     pub listen: SocketAddr,
     /// The number of sidecars, and the index of this one.
-    pub sidecars: (u32, u32),
+    pub count_and_index: (u32, u32),
 }
 
-impl Config {
-    /// A configuration without discovery and rollouts.
+impl SidecarConfigFile {
+    /// A configuration without discovery and the rollout service.
     #[must_use]
-    pub fn new(known: Vec<Listed>) -> Self {
+    pub fn new(cached_endpoints: Vec<ListedPod>) -> Self {
         Self {
             // Nothing listens on this port.
             discovery: SocketAddr::from(([127, 0, 0, 1], 1)),
             rollouts: None,
-            known,
-            descriptors: 256,
-            patience: 5.0,
+            cached_endpoints,
+            max_descriptors: 256,
+            client_timeout_s: 5.0,
             second_copies: false,
-            connect: 1.0,
-            cancel: true,
+            connect_timeout_s: 1.0,
+            may_cancel: true,
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            sidecars: (1, 0),
+            count_and_index: (1, 0),
         }
     }
 
@@ -183,26 +183,26 @@
     pub fn json(&self) -> String {
         let Self {
             discovery,
-            descriptors,
-            patience,
+            max_descriptors,
+            client_timeout_s,
             second_copies,
-            connect,
-            cancel,
+            connect_timeout_s,
+            may_cancel,
             listen,
-            sidecars,
+            count_and_index,
             ..
         } = self;
-        let (sidecars, own) = sidecars;
-        let known = listing(7, true, &self.known);
+        let (sidecar_count, own_index) = count_and_index;
+        let cached_endpoints = endpoint_listing_json(7, true, &self.cached_endpoints);
         let rollouts = self.rollouts.map_or(String::new(), |at| {
             format!(
                 r#""rollouts":{{"address":"{at}","news":{}}},"#,
-                state(1, 0, "Healthy", 1.0)
+                rollout_state_json(1, 0, "Healthy", 1.0)
             )
         });
         let class = |name: &str, repeat: &str| {
             format!(
-                r#"{{"name":"{name}","repeat":"{repeat}","group":"all","window_s":3,"target_s":{patience},"deadline_s":{patience},"worth":1}}"#
+                r#"{{"name":"{name}","repeat":"{repeat}","group":"all","window_s":3,"target_s":{client_timeout_s},"deadline_s":{client_timeout_s},"worth":1}}"#
             )
         };
         let classes = [
@@ -212,13 +212,13 @@
         ]
         .join(",");
         format!(
-            r#"{{"name":"n{own}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-            "limits":{{"cores":1.0,"memory_mb":64,"sockets":{descriptors}}},{rollouts}"known":{known},
-            "settings":{{"balancers":{sidecars},"me":{own},"zone":0,"azs":["a"],"shapes":["m"],"layers":["pods"],"membership_mode":"subscribe",
+            r#"{{"name":"n{own_index}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+            "limits":{{"cores":1.0,"memory_mb":64,"sockets":{max_descriptors}}},{rollouts}"known":{cached_endpoints},
+            "settings":{{"balancers":{sidecar_count},"me":{own_index},"zone":0,"azs":["a"],"shapes":["m"],"layers":["pods"],"membership_mode":"subscribe",
               "profiles":[{classes}],"realms":[{{"name":"acme"}}],
               "rules":{{"cold_from":0.5,"cold_s":1,"fall_multiple":2,"fall_s":1,"stop_sending_within_s":0.5}},
-              "limits":{{"cancel":{cancel},"max_attempts":4,"max_retry_after_s":0.5,"retry_after":true,"second_copies":{second_copies},
-                "connect_timeout_s":{connect},"idle_close_s":15}},
+              "limits":{{"cancel":{may_cancel},"max_attempts":4,"max_retry_after_s":0.5,"retry_after":true,"second_copies":{second_copies},
+                "connect_timeout_s":{connect_timeout_s},"idle_close_s":15}},
               "domain":{{"api_timeout_s":1,"counted_by":"all","gate_mode":"timer","most_shares":[0.5],"span_s":2,"stage_share":[0.5],
                 "uncounted":1,"vote_ttl_s":4,"votes_to_revert":1}}}}}}"#
         )
--- a/crates/emulators/src/platform/pod.rs
+++ b/crates/emulators/src/platform/pod.rs
@@ -8,54 +8,54 @@
 
 /// How a pod handles a statement.
 #[derive(Clone, Debug)]
-pub enum Does {
+pub enum PodBehavior {
     /// Answers with this value.
-    Serves(&'static str),
+    Answer(&'static str),
     /// Answers, and sends the same answer again right after.
-    ServesTwice(&'static str),
+    AnswerTwice(&'static str),
     /// Answers; if the connection has served a statement before, that answer is repeated first.
-    CopiesFirst(&'static str),
+    DuplicateThenAnswer(&'static str),
     /// Answers, but sends ReadyForQuery only after a signal from the test.
-    ServesSlowly(&'static str),
+    DelayReadyForQuery(&'static str),
     /// Answers after a signal from the test.
-    ServesLater(&'static str),
+    AnswerAfterSignal(&'static str),
     /// Sends half of the answer, and the rest after a signal from the test.
-    Halves(&'static str),
+    SplitAnswer(&'static str),
     /// Answers with an error with this SQLSTATE.
-    Errs(&'static str),
+    Error(&'static str),
     /// Sends these bytes and keeps the connection open.
-    Says(Vec<u8>),
+    SendBytes(Vec<u8>),
     /// Sends these bytes and closes the connection.
-    SaysAndCloses(Vec<u8>),
+    SendBytesAndClose(Vec<u8>),
     /// Closes the connection.
-    Closes,
+    Close,
     /// Sends nothing until the sidecar closes the connection.
-    Waits,
+    NoAnswer,
     /// Closes the connection as soon as the first bytes arrive.
-    ClosesEarly,
+    CloseOnFirstBytes,
     /// Sends nothing from the first bytes on.
-    WaitsEarly,
+    IgnoreFirstBytes,
     /// Reports `came` once a connection's startup message has arrived, and starts the session only after a signal from the test; then
     /// reports `welcomed`.
-    WelcomesLater,
+    StartSessionAfterSignal,
     /// Starts a session with half of another message appended in the same write, and then sends nothing.
-    WelcomesWithMore,
+    StartSessionWithExtraBytes,
     /// Reports `empty`, and answers the empty query before the statement only after a signal from the test; then answers the statement,
     /// if it arrives.
-    LivesLater(&'static str),
+    AnswerEmptyQueryAfterSignal(&'static str),
     /// Answers; after a signal from the test, sends the first bytes unsolicited and reports `said`. The rest precedes its next answer.
-    ServesThenSays(&'static str, &'static [u8], &'static [u8]),
+    AnswerThenSendBytes(&'static str, &'static [u8], &'static [u8]),
 }
 
 /// A pod on its own threads.
 #[derive(Debug)]
 pub struct Pod {
     /// The address at which it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Each statement that arrived, and `gone` when a connection ended.
-    pub seen: Receiver<String>,
+    pub events: Receiver<String>,
     /// Sends the signal from the test that some scripts wait for.
-    pub go_on: Sender<()>,
+    pub resume: Sender<()>,
     connections: Arc<AtomicUsize>,
 }
 
@@ -65,11 +65,11 @@
     /// # Panics
     /// Panics if no port is free.
     #[must_use]
-    pub fn new(script: Vec<Does>) -> Self {
+    pub fn new(script: Vec<PodBehavior>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let at = listener.local_addr().expect("the listener's address");
-        let (report, seen) = channel();
-        let (go_on, signal) = channel();
+        let address = listener.local_addr().expect("the listener's address");
+        let (report, events) = channel();
+        let (resume, signal) = channel();
         let connections = Arc::new(AtomicUsize::new(0));
         let count = connections.clone();
         let script = Arc::new(PodScript::new(script));
@@ -86,32 +86,32 @@
             }
         });
         Self {
-            at,
-            seen,
-            go_on,
+            address,
+            events,
+            resume,
             connections,
         }
     }
 
-    /// The next report of the pod.
+    /// The next event of the pod.
     ///
     /// # Panics
     /// Panics if none arrives in time.
-    pub fn hears(&self) -> String {
-        self.seen
+    pub fn next_event(&self) -> String {
+        self.events
             .recv_timeout(super::READ_TIMEOUT)
             .expect("a report from the pod in time")
     }
 
-    /// Whether there are no further reports so far.
+    /// Whether there are no further events so far.
     #[must_use]
-    pub fn heard_nothing(&self) -> bool {
-        self.seen.try_recv().is_err()
+    pub fn has_no_event(&self) -> bool {
+        self.events.try_recv().is_err()
     }
 
     /// The number of connections accepted so far.
     #[must_use]
-    pub fn links(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 }
--- a/crates/emulators/src/platform/pod_session.rs
+++ b/crates/emulators/src/platform/pod_session.rs
@@ -1,7 +1,7 @@
 //! One connection of a sidecar to a scripted pod.
 
 use super::messages::{error, write_answer, write_empty_answer};
-use super::pod::Does;
+use super::pod::PodBehavior;
 use super::Connection;
 use crate::locks::lock;
 use bytes::{BufMut, BytesMut};
@@ -19,14 +19,14 @@
 
 /// The script of a pod, shared by all its connections; the last entry is repeated.
 #[derive(Debug)]
-pub(super) struct PodScript(Mutex<Vec<Does>>);
+pub(super) struct PodScript(Mutex<Vec<PodBehavior>>);
 
 impl PodScript {
-    pub(super) fn new(script: Vec<Does>) -> Self {
+    pub(super) fn new(script: Vec<PodBehavior>) -> Self {
         Self(Mutex::new(script))
     }
 
-    fn first(&self) -> Option<Does> {
+    fn first(&self) -> Option<PodBehavior> {
         lock(&self.0).first().cloned()
     }
 
@@ -34,7 +34,7 @@
         lock(&self.0).remove(0);
     }
 
-    fn next(&self) -> Does {
+    fn next(&self) -> PodBehavior {
         let mut script = lock(&self.0);
         if script.len() > 1 {
             script.remove(0)
@@ -44,12 +44,14 @@
     }
 
     /// Takes the next entry if it concerns the empty query before a statement.
-    fn next_early(&self) -> Option<Does> {
+    fn next_early(&self) -> Option<PodBehavior> {
         let mut script = lock(&self.0);
-        let is_early = |entry: &&Does| {
+        let is_early = |entry: &&PodBehavior| {
             matches!(
                 entry,
-                Does::ClosesEarly | Does::WaitsEarly | Does::LivesLater(_)
+                PodBehavior::CloseOnFirstBytes
+                    | PodBehavior::IgnoreFirstBytes
+                    | PodBehavior::AnswerEmptyQueryAfterSignal(_)
             )
         };
         let early = script.first().filter(is_early).cloned();
@@ -90,7 +92,7 @@
     script: &'a PodScript,
     signal: &'a Mutex<Receiver<()>>,
     /// The entry that the empty query has set for the statement after it.
-    reserved_entry: Option<Does>,
+    reserved_entry: Option<PodBehavior>,
     /// Bytes to send before the next answer.
     unsent: &'static [u8],
     last_answer: BytesMut,
@@ -98,7 +100,7 @@
 
 impl PodSession<'_> {
     /// Serves until either side ends the connection; `first` is the first entry of the script when the connection was accepted.
-    fn run(&mut self, first: Option<&Does>) -> Option<()> {
+    fn run(&mut self, first: Option<&PodBehavior>) -> Option<()> {
         self.start(first)?;
         loop {
             let message = self.connection.read_message()?;
@@ -136,15 +138,15 @@
 
     /// Starts the session. The startup message has been read before, so that a test can let the session start while the sidecar is
     /// suspended.
-    fn start(&mut self, first: Option<&Does>) -> Option<()> {
+    fn start(&mut self, first: Option<&PodBehavior>) -> Option<()> {
         match first {
-            Some(Does::WelcomesWithMore) => {
+            Some(PodBehavior::StartSessionWithExtraBytes) => {
                 self.script.remove_first();
                 write_session_start(&mut self.connection, &[b'T', 0])?;
                 while self.connection.read_message().is_some() {}
                 None
             }
-            Some(Does::WelcomesLater) => {
+            Some(PodBehavior::StartSessionAfterSignal) => {
                 self.script.remove_first();
                 self.report("came");
                 self.await_signal();
@@ -159,11 +161,11 @@
     /// Handles the empty query before the statement, to which the early entries of the script apply.
     fn answer_empty(&mut self) -> Option<()> {
         match self.script.next_early() {
-            Some(Does::ClosesEarly) => return None,
-            Some(Does::LivesLater(value)) => {
+            Some(PodBehavior::CloseOnFirstBytes) => return None,
+            Some(PodBehavior::AnswerEmptyQueryAfterSignal(value)) => {
                 self.report("empty");
                 self.await_signal();
-                self.reserved_entry = Some(Does::Serves(value));
+                self.reserved_entry = Some(PodBehavior::Answer(value));
             }
             Some(_) => return Some(()),
             None => {}
@@ -174,34 +176,36 @@
     }
 
     /// Returns the answer, or the part of it that is still to be sent; `None` if the pod closes the connection.
-    fn answer(&mut self, entry: Does) -> Option<BytesMut> {
+    fn answer(&mut self, entry: PodBehavior) -> Option<BytesMut> {
         let mut out = BytesMut::new();
         match entry {
-            Does::Serves(value) | Does::LivesLater(value) => write_answer(&mut out, value),
-            Does::ServesThenSays(value, first, then) => {
+            PodBehavior::Answer(value) | PodBehavior::AnswerEmptyQueryAfterSignal(value) => {
+                write_answer(&mut out, value)
+            }
+            PodBehavior::AnswerThenSendBytes(value, first, then) => {
                 self.send_unsolicited(value, first)?;
                 self.unsent = then;
             }
-            Does::CopiesFirst(value) => {
+            PodBehavior::DuplicateThenAnswer(value) => {
                 out.extend_from_slice(&self.last_answer);
                 write_answer(&mut out, value);
             }
-            Does::ServesTwice(value) => {
+            PodBehavior::AnswerTwice(value) => {
                 write_answer(&mut out, value);
                 write_answer(&mut out, value);
             }
-            Does::ServesSlowly(value) => {
+            PodBehavior::DelayReadyForQuery(value) => {
                 write_answer(&mut out, value);
                 let ready = out.split_off(out.len() - READY_FOR_QUERY_LENGTH);
                 self.send(&out)?;
                 self.await_signal();
                 return Some(ready);
             }
-            Does::ServesLater(value) => {
+            PodBehavior::AnswerAfterSignal(value) => {
                 self.await_signal();
                 write_answer(&mut out, value);
             }
-            Does::Halves(value) => {
+            PodBehavior::SplitAnswer(value) => {
                 write_answer(&mut out, value);
                 let rest = out.split_off(out.len() / 2);
                 self.send(&out)?;
@@ -209,18 +213,18 @@
                 self.await_signal();
                 return Some(rest);
             }
-            Does::Errs(code) => out.put_slice(&error(code)),
-            Does::Says(bytes) => out.put_slice(&bytes),
-            Does::SaysAndCloses(bytes) => {
+            PodBehavior::Error(code) => out.put_slice(&error(code)),
+            PodBehavior::SendBytes(bytes) => out.put_slice(&bytes),
+            PodBehavior::SendBytesAndClose(bytes) => {
                 self.send(&bytes)?;
                 return None;
             }
-            Does::Closes => return None,
-            Does::Waits
-            | Does::ClosesEarly
-            | Does::WaitsEarly
-            | Does::WelcomesLater
-            | Does::WelcomesWithMore => {}
+            PodBehavior::Close => return None,
+            PodBehavior::NoAnswer
+            | PodBehavior::CloseOnFirstBytes
+            | PodBehavior::IgnoreFirstBytes
+            | PodBehavior::StartSessionAfterSignal
+            | PodBehavior::StartSessionWithExtraBytes => {}
         }
         Some(out)
     }
--- a/crates/emulators/src/platform/services.rs
+++ b/crates/emulators/src/platform/services.rs
@@ -1,4 +1,4 @@
-//! Discovery and rollouts over HTTP: streams of JSON objects, and votes.
+//! Discovery and the rollout service over HTTP: streams of JSON objects, and votes.
 
 use crate::locks::lock;
 use std::io::{Read, Write};
@@ -61,9 +61,9 @@
 /// Discovery: answers each watch with an object, and sends further ones on a test's request.
 pub struct Discovery {
     /// The address at which it listens.
-    pub at: SocketAddr,
-    /// The head of each call that arrived.
-    pub calls: Receiver<String>,
+    pub address: SocketAddr,
+    /// The head of each request that arrived.
+    pub requests: Receiver<String>,
     streams: Streams,
 }
 
@@ -71,7 +71,7 @@
     /// Starts discovery on any free port; each watch begins with these bytes, which need not be an object.
     #[must_use]
     pub fn new(first: String) -> Self {
-        Self::at(SocketAddr::from(([127, 0, 0, 1], 0)), first)
+        Self::bind(SocketAddr::from(([127, 0, 0, 1], 0)), first)
     }
 
     /// Starts discovery at this address, which must be free.
@@ -79,10 +79,10 @@
     /// # Panics
     /// Panics if the address is in use.
     #[must_use]
-    pub fn at(at: SocketAddr, first: String) -> Self {
-        let listener = TcpListener::bind(at).expect("a free address");
-        let at = listener.local_addr().expect("the listener's address");
-        let (call_sender, calls) = channel();
+    pub fn bind(address: SocketAddr, first: String) -> Self {
+        let listener = TcpListener::bind(address).expect("a free address");
+        let address = listener.local_addr().expect("the listener's address");
+        let (request_sender, requests) = channel();
         let streams = Streams::default();
         let opened = streams.clone();
         std::thread::spawn(move || {
@@ -90,69 +90,73 @@
                 let request = read_request(&mut stream);
                 opened.open(stream, &first);
                 // The test may have ended.
-                let _ = call_sender.send(request);
+                let _ = request_sender.send(request);
             }
         });
-        Self { at, calls, streams }
+        Self {
+            address,
+            requests,
+            streams,
+        }
     }
 
-    /// Waits for the next call, and returns its head.
+    /// Waits for the next request, and returns its head.
     ///
     /// # Panics
     /// Panics if none arrives in time.
-    pub fn is_asked(&self) -> String {
-        self.calls
+    pub fn next_request(&self) -> String {
+        self.requests
             .recv_timeout(super::READ_TIMEOUT)
             .expect("a watch in time")
     }
 
     /// Sends an object on all watches.
-    pub fn says(&self, object: &str) {
+    pub fn send_object(&self, object: &str) {
         self.streams.send(&chunk(object));
     }
 
     /// Sends these bytes on all watches, without a line end.
-    pub fn says_part(&self, bytes: &str) {
+    pub fn send_bytes(&self, bytes: &str) {
         self.streams
             .send(&format!("{:x}\r\n{bytes}\r\n", bytes.len()));
     }
 
     /// Ends all watches.
-    pub fn cuts(&self) {
+    pub fn close_watches(&self) {
         self.streams.close_all();
     }
 }
 
-/// How rollouts handle a vote.
+/// How the rollout service handles a vote.
 #[derive(Clone, Debug)]
-pub enum Vote {
+pub enum VoteReplyScript {
     /// Answers with this status and body.
-    Says(u16, String),
+    Reply(u16, String),
     /// Answers with these bytes and closes the connection.
     Raw(&'static [u8]),
     /// Never answers.
-    Waits,
+    NoReply,
 }
 
-/// Rollouts: stage updates and votes.
-pub struct Rollouts {
+/// The rollout service: stage updates and votes.
+pub struct RolloutService {
     /// The address at which it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// One message for each stream that was opened.
     opened_streams: Receiver<()>,
     votes: Receiver<String>,
     streams: Streams,
 }
 
-impl Rollouts {
-    /// Starts rollouts; each stream begins with `first`, and each vote takes the next entry of the script, of which the last is repeated.
+impl RolloutService {
+    /// Starts the service; each stream begins with `first`, and each vote takes the next entry of the script, of which the last is repeated.
     ///
     /// # Panics
     /// Panics if no port is free.
     #[must_use]
-    pub fn new(first: &str, script: Vec<Vote>) -> Self {
+    pub fn new(first: &str, script: Vec<VoteReplyScript>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let at = listener.local_addr().expect("the listener's address");
+        let address = listener.local_addr().expect("the listener's address");
         let (vote_sender, votes) = channel();
         let (stream_sender, opened_streams) = channel();
         let streams = Streams::default();
@@ -170,7 +174,7 @@
             }
         });
         Self {
-            at,
+            address,
             opened_streams,
             votes,
             streams,
@@ -181,7 +185,7 @@
     ///
     /// # Panics
     /// Panics if none is opened in time.
-    pub fn is_asked(&self) {
+    pub fn await_stream_request(&self) {
         self.opened_streams
             .recv_timeout(super::READ_TIMEOUT)
             .expect("a stream in time");
@@ -189,24 +193,24 @@
 
     /// The next vote, if one arrives within that time.
     #[must_use]
-    pub fn vote(&self, within: Duration) -> Option<String> {
+    pub fn next_vote(&self, within: Duration) -> Option<String> {
         self.votes.recv_timeout(within).ok()
     }
 
     /// Sends a line on all streams.
-    pub fn says(&self, line: &str) {
+    pub fn send_line(&self, line: &str) {
         self.streams.send(&chunk(line));
     }
 
     /// Ends all streams.
-    pub fn cuts(&self) {
+    pub fn close_streams(&self) {
         self.streams.close_all();
     }
 }
 
 struct RolloutThread {
     first: String,
-    script: Peekable<IntoIter<Vote>>,
+    script: Peekable<IntoIter<VoteReplyScript>>,
     /// The connections of votes that are never answered.
     unanswered: Vec<TcpStream>,
     streams: Streams,
@@ -228,7 +232,7 @@
         }
     }
 
-    fn next_answer(&mut self) -> Vote {
+    fn next_answer(&mut self) -> VoteReplyScript {
         let answer = if self.script.len() > 1 {
             self.script.next()
         } else {
@@ -240,15 +244,15 @@
     fn answer_vote(&mut self, mut stream: TcpStream) {
         // The sidecar may have closed the connection, so that write errors are ignored.
         match self.next_answer() {
-            Vote::Says(status, body) => {
+            VoteReplyScript::Reply(status, body) => {
                 let length = body.len();
                 let head = format!("HTTP/1.1 {status} S\r\nContent-Length: {length}\r\n\r\n");
                 let _ = stream.write_all(format!("{head}{body}").as_bytes());
             }
-            Vote::Raw(bytes) => {
+            VoteReplyScript::Raw(bytes) => {
                 let _ = stream.write_all(bytes);
             }
-            Vote::Waits => self.unanswered.push(stream),
+            VoteReplyScript::NoReply => self.unanswered.push(stream),
         }
     }
 }
--- a/crates/emulators/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -5,7 +5,10 @@
 use super::world_client::WorldClient;
 use super::world_pod::{Faults, WorldPod};
 use super::world_record::WorldRecord;
-use super::{listing, state, Discovery, Listed, Rollouts, Vote};
+use super::{
+    endpoint_listing_json, rollout_state_json, Discovery, ListedPod, RolloutService,
+    VoteReplyScript,
+};
 use crate::locks::lock;
 use limewing_rule_checker::record::{
     DeduplicationScope, Event, Idempotency, Phase, PodId, RecordLine, RequestClass, RuleLimits,
@@ -25,7 +28,7 @@
 /// The number of the endpoint list in the sidecars' configuration.
 const INITIAL_LIST_NUMBER: u64 = 7;
 
-struct ListedPod {
+struct PodListeners {
     pod: Arc<WorldPod>,
     /// Its address for each sidecar, by index.
     addresses: Vec<SocketAddr>,
@@ -34,12 +37,12 @@
 /// The environment of several sidecars.
 pub struct World {
     record: WorldRecord,
-    pods: Vec<ListedPod>,
+    pods: Vec<PodListeners>,
     executed: Arc<Mutex<BTreeSet<String>>>,
     /// The discovery service of each sidecar.
     pub discovery: Vec<Discovery>,
     /// The rollout service of each sidecar.
-    pub rollouts: Vec<Rollouts>,
+    pub rollouts: Vec<RolloutService>,
     list_number: u64,
     stage_number: u64,
     seed: u64,
@@ -55,12 +58,13 @@
             limits,
         });
         // Each watch begins with an empty update of the list that the sidecar already knows (`since`), until a test sends a new list.
-        let discovery =
-            (0..sidecars).map(|_| Discovery::new(listing(INITIAL_LIST_NUMBER, false, &[])));
-        let released = state(1, 0, "Healthy", 1.0);
+        let discovery = (0..sidecars)
+            .map(|_| Discovery::new(endpoint_listing_json(INITIAL_LIST_NUMBER, false, &[])));
+        let released = rollout_state_json(1, 0, "Healthy", 1.0);
         let first = format!(r#"{{"type":"news","object":{released}}}"#);
-        let rollouts =
-            (0..sidecars).map(|_| Rollouts::new(&first, vec![Vote::Says(200, released.clone())]));
+        let rollouts = (0..sidecars).map(|_| {
+            RolloutService::new(&first, vec![VoteReplyScript::Reply(200, released.clone())])
+        });
         Self {
             record,
             pods: Vec::new(),
@@ -111,7 +115,7 @@
     ///
     /// # Panics
     /// Panics if no port is free.
-    pub fn pod(&mut self, build: u16, warming_up: bool, faults: Faults) -> usize {
+    pub fn start_pod(&mut self, build: u16, warming_up: bool, faults: Faults) -> usize {
         let number = self.pods.len();
         let id = PodId(number as u32);
         let seed = self.seed ^ u64::from(id.0) << 32;
@@ -134,40 +138,48 @@
         let sidecars = 0..self.discovery.len() as u32;
         let addresses = sidecars.map(|sidecar| listen_for(&pod, SidecarId(sidecar)));
         let addresses = addresses.collect();
-        self.pods.push(ListedPod { pod, addresses });
+        self.pods.push(PodListeners { pod, addresses });
         number
     }
 
     /// A pod's entry in the list for one sidecar.
     #[must_use]
-    pub fn listed(&self, sidecar: usize, pod: usize, health: &'static str, born_ms: u64) -> Listed {
-        let ListedPod {
+    pub fn listed_pod(
+        &self,
+        sidecar: usize,
+        pod: usize,
+        state: &'static str,
+        started_at_ms: u64,
+    ) -> ListedPod {
+        let PodListeners {
             pod: listed,
             addresses,
         } = &self.pods[pod];
-        Listed {
+        ListedPod {
             build: listed.build,
-            health,
-            born_ms,
-            ..Listed::new(&format!("p{pod}"), addresses[sidecar])
+            state,
+            started_at_ms,
+            ..ListedPod::new(&format!("p{pod}"), addresses[sidecar])
         }
     }
 
     /// Sends the whole list on one sidecar's watch: pods with their health and start time.
-    pub fn tell_list(&mut self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
+    pub fn send_endpoint_list(&mut self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
         self.list_number += 1;
-        let rows: Vec<Listed> = pods
+        let rows: Vec<ListedPod> = pods
             .iter()
-            .map(|(pod, health, born)| self.listed(sidecar, *pod, health, *born))
+            .map(|(pod, state, started_at_ms)| {
+                self.listed_pod(sidecar, *pod, state, *started_at_ms)
+            })
             .collect();
-        self.discovery[sidecar].says(&listing(self.list_number, true, &rows));
-        self.knows(sidecar, pods);
+        self.discovery[sidecar].send_object(&endpoint_listing_json(self.list_number, true, &rows));
+        self.record_endpoint_list(sidecar, pods);
     }
 
     /// Records that a sidecar received this list, by its configuration or its watch.
-    pub fn knows(&self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
+    pub fn record_endpoint_list(&self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
         let with = |wanted: &str| {
-            let some = pods.iter().filter(|(_, health, _)| *health == wanted);
+            let some = pods.iter().filter(|(_, state, _)| *state == wanted);
             some.map(|(pod, ..)| PodId(*pod as u32)).collect()
         };
         self.record.append(Event::EndpointsNotified {
@@ -178,17 +190,17 @@
     }
 
     /// Sends the newest build's stage to all sidecars.
-    pub fn tell_news(&mut self, build: u16, stage: u8, name: &str, cap: f64) {
+    pub fn send_stage(&mut self, build: u16, stage: u8, name: &str, cap: f64) {
         self.stage_number += 1;
-        let state = state(build, stage, name, cap);
+        let state = rollout_state_json(build, stage, name, cap);
         for (sidecar, rollouts) in self.rollouts.iter().enumerate() {
-            rollouts.says(&format!(r#"{{"type":"news","object":{state}}}"#));
-            self.knows_news(sidecar, build, stage, name, cap);
+            rollouts.send_line(&format!(r#"{{"type":"news","object":{state}}}"#));
+            self.record_stage(sidecar, build, stage, name, cap);
         }
     }
 
     /// Records that a sidecar received a stage update.
-    pub fn knows_news(&self, sidecar: usize, build: u16, stage: u8, name: &str, cap: f64) {
+    pub fn record_stage(&self, sidecar: usize, build: u16, stage: u8, name: &str, cap: f64) {
         let phase = match name {
             "Progressing" => Phase::OnTrial,
             "Aborting" => Phase::RollingBack,
@@ -206,18 +218,18 @@
     }
 
     /// Appends an event to the record.
-    pub fn note(&self, event: Event) {
+    pub fn record_event(&self, event: Event) {
         self.record.append(event);
     }
 
     /// Sets the faults of a pod from now on.
-    pub fn fail(&self, pod: usize, faults: Faults) {
+    pub fn set_faults(&self, pod: usize, faults: Faults) {
         *lock(&self.pods[pod].pod.faults) = faults;
     }
 
     /// Starts a client of a sidecar on its own thread. It sends one request after the other until it is stopped, and reconnects when its
     /// connection ends. The thread returns the number of delivered requests. `name` is the upper half of its requests' numbers.
-    pub fn client(
+    pub fn start_client(
         &self,
         (sidecar, address): (usize, SocketAddr),
         name: u64,
--- a/crates/emulators/src/platform/world_client.rs
+++ b/crates/emulators/src/platform/world_client.rs
@@ -74,8 +74,12 @@
             timeout: self.timeout,
             routing_key: None,
         });
-        let written = client.asks(&self.statement(request, class));
-        let answer = if written { client.hears() } else { Answer::End };
+        let written = client.send_query(&self.statement(request, class));
+        let answer = if written {
+            client.read_answer()
+        } else {
+            Answer::ConnectionClosed
+        };
         match answer {
             Answer::Row(value) => return self.handle_row(attempt, &value),
             Answer::Error(code, _) if REJECTION_CODES.contains(&code.as_str()) => {
@@ -83,9 +87,9 @@
                 std::thread::sleep(BACKOFF);
             }
             Answer::Error(..) => self.record_answer(attempt, FinalAnswer::Failed, None),
-            Answer::Empty | Answer::Done(_) => self.record_unexpected(attempt),
-            Answer::End => {
-                self.record.append(if client.waited_out() {
+            Answer::Empty | Answer::CommandComplete(_) => self.record_unexpected(attempt),
+            Answer::ConnectionClosed => {
+                self.record.append(if client.has_timed_out() {
                     Event::ClientTimedOut { attempt }
                 } else {
                     Event::ConnectionLost { attempt, written }
--- a/crates/emulators/src/platform/world_pod.rs
+++ b/crates/emulators/src/platform/world_pod.rs
@@ -1,6 +1,6 @@
 //! A pod of a [`World`](super::World), which has a separate address for each sidecar.
 
-use super::messages::{answer, error};
+use super::messages::{encode_answer, error};
 use super::pod_session::{accept_session, read_statement};
 use super::world_record::WorldRecord;
 use super::Connection;
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The request classes of [`Config`](super::Config), in the same order.
+/// The request classes of [`SidecarConfigFile`](super::SidecarConfigFile), in the same order.
 pub(super) const CLASSES: [&str; 3] = ["look", "order", "pay"];
 /// The class whose repeated requests pods detect by their key.
 const KEYED_CLASS: &str = "order";
@@ -28,15 +28,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Answers with an error after running the statement.
-    pub errs: f64,
+    pub error_share: f64,
     /// Answers that the statement was not begun.
-    pub turns_away: f64,
+    pub rejection_share: f64,
     /// Closes the connection after running the statement.
-    pub closes: f64,
+    pub close_share: f64,
     /// Answers with bytes that are no valid message after running the statement.
-    pub spoilt: f64,
+    pub noise_share: f64,
     /// Never answers after running the statement.
-    pub silent: f64,
+    pub silence_share: f64,
 }
 
 /// The fault of a pod with one statement.
@@ -53,11 +53,11 @@
     /// Selects the fault for a number drawn uniformly from 0 to 1.
     fn pick(&self, drawn: f64) -> Option<StatementFault> {
         let shares = [
-            (self.turns_away, StatementFault::Rejects),
-            (self.closes, StatementFault::Closes),
-            (self.spoilt, StatementFault::SendsNoise),
-            (self.silent, StatementFault::StaysSilent),
-            (self.errs, StatementFault::Fails),
+            (self.rejection_share, StatementFault::Rejects),
+            (self.close_share, StatementFault::Closes),
+            (self.noise_share, StatementFault::SendsNoise),
+            (self.silence_share, StatementFault::StaysSilent),
+            (self.error_share, StatementFault::Fails),
         ];
         let mut sum = 0.0;
         for (share, fault) in shares {
@@ -127,7 +127,7 @@
             Some(StatementFault::StaysSilent) => return Some(()),
             Some(StatementFault::SendsNoise) => b"\x00\xffnoise".to_vec(),
             Some(_) => error("XX000"),
-            None => answer(&format!("{}-{}", request.id, self.build)),
+            None => encode_answer(&format!("{}-{}", request.id, self.build)),
         };
         connection.stream.write_all(&bytes).ok()
     }
--- a/crates/postgres-proxy/tests/config.rs
+++ b/crates/postgres-proxy/tests/config.rs
@@ -1,6 +1,6 @@
 //! Tests that invalid configurations are rejected.
 
-use limewing_emulators::platform::{Config, Listed};
+use limewing_emulators::platform::{ListedPod, SidecarConfigFile};
 use limewing_postgres_proxy::config;
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     #[case] to: &str,
     #[case] reason: &str,
 ) {
-    let valid = Config::new(vec![Listed::new(
+    let valid = SidecarConfigFile::new(vec![ListedPod::new(
         "p1",
         SocketAddr::from(([127, 0, 0, 1], 1)),
     )])
--- a/crates/postgres-proxy/tests/endpoint_list.rs
+++ b/crates/postgres-proxy/tests/endpoint_list.rs
@@ -2,7 +2,7 @@
 //! state.
 
 use limewing_decision::interface::{EndpointUpdate, PodState};
-use limewing_emulators::platform::{listing, Listed};
+use limewing_emulators::platform::{endpoint_listing_json, ListedPod};
 use limewing_postgres_proxy::endpoint_list::EndpointList;
 use limewing_postgres_proxy::endpoint_listing::EndpointListing;
 use rstest::rstest;
@@ -13,11 +13,11 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn parse_listing(seq: u64, is_complete: bool, pods: &[Listed]) -> EndpointListing {
-    serde_json::from_str(&listing(seq, is_complete, pods)).unwrap()
+fn parse_listing(seq: u64, is_complete: bool, pods: &[ListedPod]) -> EndpointListing {
+    serde_json::from_str(&endpoint_listing_json(seq, is_complete, pods)).unwrap()
 }
 
-fn list_with(pods: &[Listed]) -> EndpointList {
+fn list_with(pods: &[ListedPod]) -> EndpointList {
     let mut list = EndpointList::new(&["a".into()], &["m".into()]);
     list.load_cached(
         parse_listing(7, true, pods),
@@ -38,9 +38,9 @@
     rows.iter().map(|row| (row.pod.0, row.state)).collect()
 }
 
-fn draining(pod: &Listed) -> Listed {
-    Listed {
-        health: "terminating",
+fn draining(pod: &ListedPod) -> ListedPod {
+    ListedPod {
+        state: "terminating",
         ..pod.clone()
     }
 }
@@ -55,17 +55,18 @@
 ) {
     let (mut list, wall_clock) = (EndpointList::new(&[], &[]), SystemTime::now());
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let mut apply = |seq, pods: &[Listed], now_s| {
-        let update: EndpointListing = serde_json::from_str(&listing(seq, true, pods)).unwrap();
+    let mut apply = |seq, pods: &[ListedPod], now_s| {
+        let update: EndpointListing =
+            serde_json::from_str(&endpoint_listing_json(seq, true, pods)).unwrap();
         list.apply(update, Duration::from_secs(now_s), wall_clock)
             .unwrap();
         list.pod_listed_at("p1", Duration::from_secs(now_s))
     };
-    let original = apply(1, &[Listed::new("p1", address)], 1000).unwrap();
+    let original = apply(1, &[ListedPod::new("p1", address)], 1000).unwrap();
     assert_eq!(apply(2, &[], 1000), None);
-    apply(3, &[Listed::new("p2", address)], 1000 + absent_s);
+    apply(3, &[ListedPod::new("p2", address)], 1000 + absent_s);
     assert_eq!(
-        apply(4, &[Listed::new("p1", address)], 1000 + absent_s).unwrap() == original,
+        apply(4, &[ListedPod::new("p1", address)], 1000 + absent_s).unwrap() == original,
         keeps_number
     );
 }
@@ -75,13 +76,13 @@
 #[test]
 fn update_contains_only_changed_entries() {
     let (first, second, third) = (
-        Listed::new("p1", local_address(1)),
-        Listed::new("p2", local_address(2)),
-        Listed::new("p3", local_address(3)),
+        ListedPod::new("p1", local_address(1)),
+        ListedPod::new("p2", local_address(2)),
+        ListedPod::new("p3", local_address(3)),
     );
     let mut list = list_with(&[first.clone(), second.clone()]);
-    let moved = Listed {
-        dial: local_address(9),
+    let moved = ListedPod {
+        address: local_address(9),
         build: 2,
         ..second.clone()
     };
@@ -121,16 +122,16 @@
 /// An attempt sent before the pod restarted with another build was answered by the previous build.
 #[test]
 fn wrong_answer_of_an_earlier_build_is_not_attributed_to_the_current_one() {
-    let mut list = list_with(&[Listed::new("p1", local_address(1))]);
+    let mut list = list_with(&[ListedPod::new("p1", local_address(1))]);
     let (before, restart, after) = (
         Duration::from_secs(3605),
         Duration::from_secs(3610),
         Duration::from_secs(3615),
     );
     assert!(list.pod_listed_at("p1", before).is_some());
-    let restarted = Listed {
+    let restarted = ListedPod {
         build: 2,
-        ..Listed::new("p1", local_address(1))
+        ..ListedPod::new("p1", local_address(1))
     };
     list.apply(
         parse_listing(8, false, &[restarted]),
@@ -149,10 +150,10 @@
 #[test]
 fn older_listing_reverts_nothing() {
     let [first, second, third] = [("p1", 1), ("p2", 2), ("p3", 3)]
-        .map(|(host, port)| Listed::new(host, local_address(port)));
+        .map(|(host, port)| ListedPod::new(host, local_address(port)));
     let mut list = list_with(&[first.clone(), second.clone(), third.clone()]);
-    let restarted = Listed {
-        born_ms: 5000,
+    let restarted = ListedPod {
+        started_at_ms: 5000,
         build: 2,
         ..third.clone()
     };
@@ -168,8 +169,8 @@
         []
     );
     assert_eq!(list.version(), 3);
-    let restarted_later = Listed {
-        born_ms: 6000,
+    let restarted_later = ListedPod {
+        started_at_ms: 6000,
         ..first
     };
     assert_eq!(
@@ -190,8 +191,8 @@
 #[test]
 fn older_listing_still_removes_and_drains_pods() {
     let (first, second) = (
-        Listed::new("p1", local_address(1)),
-        Listed::new("p2", local_address(2)),
+        ListedPod::new("p1", local_address(1)),
+        ListedPod::new("p2", local_address(2)),
     );
     let mut list = list_with(&[first.clone(), second]);
     let updated = apply_listing(&mut list, parse_listing(3, true, &[draining(&first)]));
@@ -206,11 +207,12 @@
 #[case::negative("\"born_ms\":0", "\"born_ms\":-1")]
 fn invalid_entry_removes_only_its_own_pod(#[case] from: &str, #[case] to: &str) {
     let (first, second) = (
-        Listed::new("p1", local_address(1)),
-        Listed::new("p2", local_address(2)),
+        ListedPod::new("p1", local_address(1)),
+        ListedPod::new("p2", local_address(2)),
     );
-    let single_listing = |pod: &Listed| listing(1, false, std::slice::from_ref(pod));
-    let entry = |pod: &Listed| {
+    let single_listing =
+        |pod: &ListedPod| endpoint_listing_json(1, false, std::slice::from_ref(pod));
+    let entry = |pod: &ListedPod| {
         single_listing(pod)
             .split_once('[')
             .unwrap()
--- a/crates/postgres-proxy/tests/fleet_limits.rs
+++ b/crates/postgres-proxy/tests/fleet_limits.rs
@@ -5,7 +5,7 @@
     Action, ClassId, Endpoint, EndpointUpdate, Event, PodId, Request, RequestId,
 };
 use limewing_decision::DecisionEngine;
-use limewing_emulators::platform::{listing, Config, Listed};
+use limewing_emulators::platform::{endpoint_listing_json, ListedPod, SidecarConfigFile};
 use limewing_postgres_proxy::config::{self, ProxyConfig};
 use limewing_postgres_proxy::endpoint_list::EndpointList;
 use limewing_postgres_proxy::endpoint_listing::EndpointListing;
@@ -30,10 +30,10 @@
 }
 
 /// The pods of the fleet, each with a separate address.
-fn pods() -> Vec<Listed> {
+fn pods() -> Vec<ListedPod> {
     let address = |n: usize| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 5432));
     (0..PODS)
-        .map(|n| Listed::new(&pod_name(n), address(n)))
+        .map(|n| ListedPod::new(&pod_name(n), address(n)))
         .collect()
 }
 
@@ -53,9 +53,9 @@
 #[test]
 fn each_pod_may_have_a_distinct_machine_type() {
     let machine_types: Vec<String> = (0..PODS).map(|n| format!("m{n}")).collect();
-    let entry = |(n, pod): (usize, Listed)| {
-        let text =
-            listing(7, true, &[pod]).replace(r#""class":"m""#, &format!(r#""class":"m{n}""#));
+    let entry = |(n, pod): (usize, ListedPod)| {
+        let text = endpoint_listing_json(7, true, &[pod])
+            .replace(r#""class":"m""#, &format!(r#""class":"m{n}""#));
         text.split_once('[')
             .unwrap()
             .1
@@ -104,9 +104,9 @@
 
 /// Configuration of one of 350 sidecars, with the cached list of all pods.
 fn config_for(sidecar_index: u32) -> ProxyConfig {
-    let config = Config {
-        sidecars: (SIDECARS, sidecar_index),
-        ..Config::new(pods())
+    let config = SidecarConfigFile {
+        count_and_index: (SIDECARS, sidecar_index),
+        ..SidecarConfigFile::new(pods())
     };
     config::parse(config.json().as_bytes()).unwrap()
 }
@@ -144,7 +144,7 @@
 #[case::small_reads(1460, 7)]
 #[case::byte_by_byte(1, 1)]
 fn complete_listing_is_read_in_any_pieces(#[case] chunk: usize, #[case] read_size: usize) {
-    let object = listing(8, true, &pods());
+    let object = endpoint_listing_json(8, true, &pods());
     let chunks = object
         .as_bytes()
         .chunks(chunk)
@@ -204,11 +204,11 @@
 
     /// Applies a complete listing; returns the number of rows passed to the engine, and the number
     /// of actions it returns.
-    fn apply_listing(&mut self, seq: u64, pods: &[Listed], now: Duration) -> (usize, usize) {
+    fn apply_listing(&mut self, seq: u64, pods: &[ListedPod], now: Duration) -> (usize, usize) {
         let change = self
             .list
             .apply(
-                parse_listing(&listing(seq, true, pods)),
+                parse_listing(&endpoint_listing_json(seq, true, pods)),
                 now,
                 SystemTime::now(),
             )
@@ -267,22 +267,22 @@
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// The listing after the same change to all pods.
-fn changed_pods(change: &str) -> Vec<Listed> {
-    let apply = |pod: Listed| match change {
-        "drains" => Listed {
-            health: "terminating",
+fn changed_pods(change: &str) -> Vec<ListedPod> {
+    let apply = |pod: ListedPod| match change {
+        "drains" => ListedPod {
+            state: "terminating",
             ..pod
         },
-        "starts anew" => Listed {
+        "starts anew" => ListedPod {
             build: 2,
-            born_ms: 1_000,
+            started_at_ms: 1_000,
             ..pod
         },
-        "moves" => Listed {
-            dial: SocketAddr::new(pod.dial.ip(), 6432),
+        "moves" => ListedPod {
+            address: SocketAddr::new(pod.address.ip(), 6432),
             ..pod
         },
-        "is replaced" => Listed {
+        "is replaced" => ListedPod {
             host: format!("new-{}", pod.host),
             ..pod
         },
--- a/crates/postgres-proxy/tests/golden.rs
+++ b/crates/postgres-proxy/tests/golden.rs
@@ -8,7 +8,10 @@
 use limewing_decision::interface::{
     BuildId, Control, Endpoint, EndpointUpdate, Phase, PodState, StageIndex, StageUpdate, Verdict,
 };
-use limewing_emulators::platform::{listing, state, Config, Discovery, Listed, Rollouts, Vote};
+use limewing_emulators::platform::{
+    endpoint_listing_json, rollout_state_json, Discovery, ListedPod, RolloutService,
+    SidecarConfigFile, VoteReplyScript,
+};
 use limewing_postgres_proxy::config;
 use limewing_postgres_proxy::endpoint_list::EndpointList;
 use limewing_postgres_proxy::endpoint_listing::EndpointListing;
@@ -134,7 +137,7 @@
 /// The emulated rollout service writes the format that is decoded above.
 #[test]
 fn emulated_rollout_state_has_the_golden_format() {
-    let written = state(2, 0, "Progressing", 0.25);
+    let written = rollout_state_json(2, 0, "Progressing", 0.25);
     let line = format!(r#"{{"type":"news","object":{written}}}"#);
     assert!(read_golden("events.jsonl")
         .lines()
@@ -236,13 +239,17 @@
 #[test]
 fn emulated_listing_has_the_golden_format() {
     let pod_address = SocketAddr::from(([10, 0, 0, 1], 5432));
-    let draining = Listed {
-        health: "terminating",
-        born_ms: 1_700_000_000_250,
+    let draining = ListedPod {
+        state: "terminating",
+        started_at_ms: 1_700_000_000_250,
         build: 12,
-        ..Listed::new("pod-0002", pod_address)
+        ..ListedPod::new("pod-0002", pod_address)
     };
-    let mut written = listing(8, true, &[Listed::new("pod-0001", pod_address), draining]);
+    let mut written = endpoint_listing_json(
+        8,
+        true,
+        &[ListedPod::new("pod-0001", pod_address), draining],
+    );
     written.push('\n');
     assert_golden("targets_written.jsonl", &written);
     assert!(serde_json::from_str::<EndpointListing>(&written).is_ok());
@@ -298,7 +305,7 @@
 /// The configuration written by tests and by the emulated platform.
 #[test]
 fn written_configuration_has_the_golden_format() {
-    let mut config = Config::new(vec![Listed::new("p1", address(5432))]);
+    let mut config = SidecarConfigFile::new(vec![ListedPod::new("p1", address(5432))]);
     config.rollouts = Some(address(8600));
     let mut written = config.json();
     written.push('\n');
@@ -317,7 +324,7 @@
 /// Maximum duration of any read from a socket.
 const IO_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn start(config: &Config) -> SocketAddr {
+fn start(config: &SidecarConfigFile) -> SocketAddr {
     let parsed = config::parse(config.json().as_bytes()).unwrap();
     let service = Service::start_with_config(PathBuf::from("none"), parsed).unwrap();
     let address = service.address();
@@ -384,8 +391,8 @@
 #[test]
 fn sessions_have_the_golden_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let pod = Listed::new("p1", listener.local_addr().unwrap());
-    let sidecar = start(&Config::new(vec![pod]));
+    let pod = ListedPod::new("p1", listener.local_addr().unwrap());
+    let sidecar = start(&SidecarConfigFile::new(vec![pod]));
     let pod = std::thread::spawn(move || serve_once(&listener));
     let mut client = TcpStream::connect(sidecar).unwrap();
     client.set_read_timeout(Some(IO_TIMEOUT)).unwrap();
@@ -423,7 +430,7 @@
 /// The error that a client receives if no pod can serve it.
 #[test]
 fn errors_have_the_golden_bytes() {
-    let sidecar = start(&Config::new(Vec::new()));
+    let sidecar = start(&SidecarConfigFile::new(Vec::new()));
     let mut client = TcpStream::connect(sidecar).unwrap();
     client.set_read_timeout(Some(IO_TIMEOUT)).unwrap();
     client.write_all(STARTUP).unwrap();
@@ -442,23 +449,27 @@
 fn http_requests_have_the_golden_bytes() {
     let message = format!(
         r#"{{"type":"news","object":{}}}"#,
-        state(2, 0, "Progressing", 0.5)
+        rollout_state_json(2, 0, "Progressing", 0.5)
     );
-    let counted = Vote::Says(200, state(2, 0, "Progressing", 0.5));
-    let rollouts = Rollouts::new(&message, vec![counted]);
-    let discovery = Discovery::new(listing(8, false, &[]));
+    let counted = VoteReplyScript::Reply(200, rollout_state_json(2, 0, "Progressing", 0.5));
+    let rollouts = RolloutService::new(&message, vec![counted]);
+    let discovery = Discovery::new(endpoint_listing_json(8, false, &[]));
     let events_listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut config = Config::new(vec![Listed::new("p1", address(1))]);
-    config.discovery = discovery.at;
-    config.rollouts = Some(rollouts.at);
+    let mut config = SidecarConfigFile::new(vec![ListedPod::new("p1", address(1))]);
+    config.discovery = discovery.address;
+    config.rollouts = Some(rollouts.address);
     start(&config);
     let mut written = String::new();
     let mut line = |name: &str, text: &str, address: SocketAddr| {
         let text = text.replace(&address.to_string(), "ADDRESS");
         writeln!(written, "{name}: {}", escaped(text.as_bytes())).unwrap();
     };
-    line("targets", &discovery.is_asked(), discovery.at);
-    line("vote", &rollouts.vote(IO_TIMEOUT).unwrap(), rollouts.at);
+    line("targets", &discovery.next_request(), discovery.address);
+    line(
+        "vote",
+        &rollouts.next_vote(IO_TIMEOUT).unwrap(),
+        rollouts.address,
+    );
     // The emulated rollout service does not report the head of a request for the stream.
     config.rollouts = Some(events_listener.local_addr().unwrap());
     start(&config);
--- a/crates/postgres-proxy/tests/rollout_messages.rs
+++ b/crates/postgres-proxy/tests/rollout_messages.rs
@@ -1,7 +1,7 @@
 //! Tests the messages on the stream of the rollout service, and its replies to votes.
 
 use limewing_decision::interface::VoteAnswer;
-use limewing_emulators::platform::state;
+use limewing_emulators::platform::rollout_state_json;
 use limewing_postgres_proxy::line_codec::LineReader;
 use limewing_postgres_proxy::rollout_messages::{parse_message, parse_vote_reply, RolloutMessage};
 use proptest::prelude::{any, prop};
@@ -9,7 +9,7 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::counted(200, state(2, 1, "Progressing", 0.3), VoteAnswer::Counted)]
+#[case::counted(200, rollout_state_json(2, 1, "Progressing", 0.3), VoteAnswer::Counted)]
 #[case::incomplete(200, "{\"Revision\":2,".into(), VoteAnswer::Unanswered)]
 #[case::full(429, String::new(), VoteAnswer::Full)]
 #[case::moot(409, String::new(), VoteAnswer::Moot)]
--- a/crates/postgres-proxy/tests/sockets/clients.rs
+++ b/crates/postgres-proxy/tests/sockets/clients.rs
@@ -4,7 +4,7 @@
     start_sidecar, start_sidecar_with_pod, statement_of_class, statement_with_comment,
 };
 use bytes::{BufMut, BytesMut};
-use limewing_emulators::platform::{Answer, Client, Config, Does};
+use limewing_emulators::platform::{Answer, Client, PodBehavior, SidecarConfigFile};
 use limewing_postgres_protocol::encode;
 use rstest::rstest;
 use std::time::{Duration, Instant};
@@ -15,13 +15,13 @@
 
 #[test]
 fn client_gets_the_value_and_pod_gets_the_remaining_timeout() {
-    let (pod, address) = start_sidecar_with_pod(vec![Does::Serves("red")]);
+    let (pod, address) = start_sidecar_with_pod(vec![PodBehavior::Answer("red")]);
     let mut client = Client::new(address);
-    client.asks(&statement_with_comment(
+    client.send_query(&statement_with_comment(
         "id=00000000000000a1,c=order,t=acme,d=2000,k=5c",
     ));
-    assert_eq!(client.hears(), Answer::Row("red".into()));
-    let query = pod.hears();
+    assert_eq!(client.read_answer(), Answer::Row("red".into()));
+    let query = pod.next_event();
     let (before, after) = query.split_once(",d=").unwrap();
     assert!(
         before.ends_with("id=00000000000000a1,c=order,t=acme") && after.ends_with(",k=5c */"),
@@ -33,35 +33,38 @@
 
 #[test]
 fn empty_queries_and_session_settings_are_answered_by_the_sidecar() {
-    let mut client = Client::new(start_sidecar(&Config::new(vec![])));
-    client.asks("");
-    assert_eq!(client.hears(), Answer::Empty);
-    client.asks("SET x = 1");
-    assert_eq!(client.hears(), Answer::Done("SET".into()));
+    let mut client = Client::new(start_sidecar(&SidecarConfigFile::new(vec![])));
+    client.send_query("");
+    assert_eq!(client.read_answer(), Answer::Empty);
+    client.send_query("SET x = 1");
+    assert_eq!(client.read_answer(), Answer::CommandComplete("SET".into()));
 }
 
 #[test]
 fn query_may_be_sent_with_the_startup_message() {
-    let (_pod, address) = start_sidecar_with_pod(vec![Does::Serves("red")]);
-    let mut client = Client::silent(address);
+    let (_pod, address) = start_sidecar_with_pod(vec![PodBehavior::Answer("red")]);
+    let mut client = Client::without_session(address);
     let mut out = BytesMut::new();
     encode::startup_message(&mut out, &[("user", "api"), ("database", "ledger")]);
     encode::query(&mut out, &statement_of_class("look", 2000));
-    client.sends(&out);
-    assert_eq!(client.hears_first(), Answer::Row("red".into()));
+    client.send_bytes(&out);
+    assert_eq!(client.read_first_answer(), Answer::Row("red".into()));
 }
 
 /// Two pipelined statements are answered in order.
 #[test]
 fn pipelined_statements_are_answered_in_order() {
-    let (_pod, address) = start_sidecar_with_pod(vec![Does::Serves("red"), Does::Serves("blue")]);
+    let (_pod, address) = start_sidecar_with_pod(vec![
+        PodBehavior::Answer("red"),
+        PodBehavior::Answer("blue"),
+    ]);
     let mut client = Client::new(address);
     let mut out = BytesMut::new();
     encode::query(&mut out, &statement_of_class("look", 2000));
     encode::query(&mut out, &statement_of_class("look", 2000));
-    client.sends(&out);
-    assert_eq!(client.hears(), Answer::Row("red".into()));
-    assert_eq!(client.hears(), Answer::Row("blue".into()));
+    client.send_bytes(&out);
+    assert_eq!(client.read_answer(), Answer::Row("red".into()));
+    assert_eq!(client.read_answer(), Answer::Row("blue".into()));
 }
 
 #[rstest]
@@ -73,23 +76,23 @@
 #[case::duplicate_field("id=00000000000000a1,c=look,c=pay,t=acme,d=500")]
 #[case::unknown_tenant("id=00000000000000a1,c=look,t=nobody,d=500")]
 fn invalid_statement_goes_to_no_pod_and_is_rejected(#[case] comment: &str) {
-    let (pod, address) = start_sidecar_with_pod(vec![Does::Serves("red")]);
+    let (pod, address) = start_sidecar_with_pod(vec![PodBehavior::Answer("red")]);
     let mut client = Client::new(address);
-    client.asks(&statement_with_comment(comment));
-    assert!(is_error(&client.hears(), "42601"));
-    assert!(pod.heard_nothing() && pod.links() == 0);
+    client.send_query(&statement_with_comment(comment));
+    assert!(is_error(&client.read_answer(), "42601"));
+    assert!(pod.has_no_event() && pod.connection_count() == 0);
 }
 
 #[test]
 fn id_of_an_open_request_is_rejected() {
-    let (pod, address) = start_sidecar_with_pod(vec![Does::Waits]);
+    let (pod, address) = start_sidecar_with_pod(vec![PodBehavior::NoAnswer]);
     let (mut first, mut second) = (Client::new(address), Client::new(address));
     let duplicate = statement_with_comment("id=00000000000000a1,c=look,t=acme,d=4000");
-    first.asks(&duplicate);
-    pod.hears();
-    second.asks(&duplicate);
-    assert!(is_error(&second.hears(), "42601"));
-    assert!(pod.heard_nothing());
+    first.send_query(&duplicate);
+    pod.next_event();
+    second.send_query(&duplicate);
+    assert!(is_error(&second.read_answer(), "42601"));
+    assert!(pod.has_no_event());
 }
 
 fn message_header(kind: u8, length: i32) -> Vec<u8> {
@@ -109,13 +112,16 @@
 #[case::incomplete_query(message_header(b'Q', 200).into_iter().chain(*b"SELECT").collect())]
 #[case::no_message(vec![])]
 fn protocol_violation_is_answered_in_time(#[case] bytes: Vec<u8>) {
-    let (pod, address) = start_sidecar_with_pod(vec![Does::Serves("red")]);
+    let (pod, address) = start_sidecar_with_pod(vec![PodBehavior::Answer("red")]);
     let mut client = Client::new(address);
     let started_at = Instant::now();
-    client.sends(&bytes);
-    assert!(matches!(client.hears(), Answer::Error(..) | Answer::End));
-    assert!(client.hears_the_end() && started_at.elapsed() < Duration::from_secs(3));
-    assert!(pod.heard_nothing());
+    client.send_bytes(&bytes);
+    assert!(matches!(
+        client.read_answer(),
+        Answer::Error(..) | Answer::ConnectionClosed
+    ));
+    assert!(client.reads_end_of_stream() && started_at.elapsed() < Duration::from_secs(3));
+    assert!(pod.has_no_event());
 }
 
 #[rstest]
@@ -124,39 +130,46 @@
 #[case::malformed_parameters(vec![0, 0, 0, 12, 0, 3, 0, 0, 1, 1, 1, 1])]
 #[case::no_packet(vec![])]
 fn session_that_does_not_start_ends_in_time(#[case] bytes: Vec<u8>) {
-    let mut client = Client::silent(start_sidecar(&Config::new(vec![])));
+    let mut client = Client::without_session(start_sidecar(&SidecarConfigFile::new(vec![])));
     let started_at = Instant::now();
-    client.sends(&bytes);
-    assert!(matches!(client.hears(), Answer::Error(..) | Answer::End));
-    assert!(client.hears_the_end() && started_at.elapsed() < Duration::from_secs(3));
+    client.send_bytes(&bytes);
+    assert!(matches!(
+        client.read_answer(),
+        Answer::Error(..) | Answer::ConnectionClosed
+    ));
+    assert!(client.reads_end_of_stream() && started_at.elapsed() < Duration::from_secs(3));
 }
 
 /// A client that waits for its responses does not send hundreds of statements at once: none of them
 /// is sent to a pod.
 #[test]
 fn flood_of_statements_is_rejected_as_a_whole() {
-    let (pod, address) = start_sidecar_with_pod(vec![Does::Serves("red")]);
+    let (pod, address) = start_sidecar_with_pod(vec![PodBehavior::Answer("red")]);
     let mut client = Client::new(address);
     let mut out = BytesMut::new();
     (0..100).for_each(|_| encode::query(&mut out, &statement_of_class("look", 2000)));
-    client.sends(&out);
-    assert!(matches!(client.hears(), Answer::Error(..) | Answer::End));
-    assert!(pod.heard_nothing());
+    client.send_bytes(&out);
+    assert!(matches!(
+        client.read_answer(),
+        Answer::Error(..) | Answer::ConnectionClosed
+    ));
+    assert!(pod.has_no_event());
 }
 
 /// Clients that send nothing do not block others for long.
 #[test]
 fn silent_clients_are_evicted_for_others() {
-    let pod = limewing_emulators::platform::Pod::new(vec![Does::Serves("red")]);
-    let mut config = Config::new(vec![limewing_emulators::platform::Listed::new(
-        "p1", pod.at,
+    let pod = limewing_emulators::platform::Pod::new(vec![PodBehavior::Answer("red")]);
+    let mut config = SidecarConfigFile::new(vec![limewing_emulators::platform::ListedPod::new(
+        "p1",
+        pod.address,
     )]);
-    config.descriptors = 60;
+    config.max_descriptors = 60;
     let address = start_sidecar(&config);
-    let silent: Vec<Client> = (0..100).map(|_| Client::silent(address)).collect();
+    let silent: Vec<Client> = (0..100).map(|_| Client::without_session(address)).collect();
     let mut client = Client::new(address);
-    client.asks(&statement_of_class("look", 3000));
-    assert_eq!(client.hears(), Answer::Row("red".into()));
+    client.send_query(&statement_of_class("look", 3000));
+    assert_eq!(client.read_answer(), Answer::Row("red".into()));
     drop(silent);
 }
 
@@ -164,14 +177,14 @@
 /// sidecar waited for the first one as long as it took.
 #[test]
 fn flood_that_arrives_in_parts_is_rejected_as_a_whole() {
-    let (pod, address) = start_sidecar_with_pod(vec![Does::Waits]);
+    let (pod, address) = start_sidecar_with_pod(vec![PodBehavior::NoAnswer]);
     let mut client = Client::new(address);
-    client.asks(&statement_of_class("look", 60_000));
-    assert!(pod.hears().starts_with("SELECT"));
+    client.send_query(&statement_of_class("look", 60_000));
+    assert!(pod.next_event().starts_with("SELECT"));
     for _ in 0..50 {
-        client.asks(&statement_of_class("look", 60_000));
+        client.send_query(&statement_of_class("look", 60_000));
     }
-    assert!(is_error(&client.hears(), "54000"));
-    assert!(client.hears_the_end());
-    assert_eq!(pod.hears(), "gone");
+    assert!(is_error(&client.read_answer(), "54000"));
+    assert!(client.reads_end_of_stream());
+    assert_eq!(pod.next_event(), "gone");
 }
--- a/crates/postgres-proxy/tests/sockets/helpers.rs
+++ b/crates/postgres-proxy/tests/sockets/helpers.rs
@@ -1,6 +1,6 @@
 //! Helpers that start a sidecar on a thread, and statements for it.
 
-use limewing_emulators::platform::{Config, Does, Listed, Pod};
+use limewing_emulators::platform::{ListedPod, Pod, PodBehavior, SidecarConfigFile};
 use limewing_postgres_proxy::config;
 use limewing_postgres_proxy::service::Service;
 use std::net::SocketAddr;
@@ -30,11 +30,11 @@
 }
 
 /// Starts a sidecar, which runs until the test process ends.
-pub(crate) fn start_sidecar(config: &Config) -> SocketAddr {
+pub(crate) fn start_sidecar(config: &SidecarConfigFile) -> SocketAddr {
     start_sidecar_with_file(PathBuf::from("none"), config)
 }
 
-pub(crate) fn start_sidecar_with_file(file: PathBuf, config: &Config) -> SocketAddr {
+pub(crate) fn start_sidecar_with_file(file: PathBuf, config: &SidecarConfigFile) -> SocketAddr {
     let parsed = config::parse(config.json().as_bytes()).unwrap();
     let service = Service::start_with_config(file, parsed).unwrap();
     let address = service.address();
@@ -43,8 +43,11 @@
 }
 
 /// Starts a pod that follows this script, and a sidecar that knows it.
-pub(crate) fn start_sidecar_with_pod(script: Vec<Does>) -> (Pod, SocketAddr) {
+pub(crate) fn start_sidecar_with_pod(script: Vec<PodBehavior>) -> (Pod, SocketAddr) {
     let pod = Pod::new(script);
-    let address = start_sidecar(&Config::new(vec![Listed::new("p1", pod.at)]));
+    let address = start_sidecar(&SidecarConfigFile::new(vec![ListedPod::new(
+        "p1",
+        pod.address,
+    )]));
     (pod, address)
 }
--- a/crates/postgres-proxy/tests/sockets/large_fleet.rs
+++ b/crates/postgres-proxy/tests/sockets/large_fleet.rs
@@ -1,7 +1,10 @@
 //! Tests the largest fleet: 350 sidecars, of which one runs, and 1,100 pods.
 
 use crate::helpers::{start_sidecar, statement_of_class};
-use limewing_emulators::platform::{listing, Answer, Client, Config, Discovery, Does, Listed, Pod};
+use limewing_emulators::platform::{
+    endpoint_listing_json, Answer, Client, Discovery, ListedPod, Pod, PodBehavior,
+    SidecarConfigFile,
+};
 use rstest::rstest;
 use std::net::SocketAddr;
 
@@ -9,16 +12,16 @@
 const PODS: usize = 1100;
 
 /// The pods of the fleet, all with the same address.
-fn pods(address: SocketAddr) -> Vec<Listed> {
+fn pods(address: SocketAddr) -> Vec<ListedPod> {
     (0..PODS)
-        .map(|n| Listed::new(&format!("pod-{n:04}"), address))
+        .map(|n| ListedPod::new(&format!("pod-{n:04}"), address))
         .collect()
 }
 
 fn request_once(address: SocketAddr) -> Answer {
     let mut client = Client::new(address);
-    client.asks(&statement_of_class("look", 10_000));
-    client.hears()
+    client.send_query(&statement_of_class("look", 10_000));
+    client.read_answer()
 }
 
 /// A complete listing, in one chunk or in thousands, lists all pods but one as draining: a request
@@ -30,32 +33,32 @@
 #[case::last_in_small_chunks(PODS - 1, 60)]
 fn listing_is_read_to_its_last_entry(#[case] ready_pod: usize, #[case] chunk_size: usize) {
     let (pod, other) = (
-        Pod::new(vec![Does::Serves("red")]),
-        Pod::new(vec![Does::Serves("drains")]),
+        Pod::new(vec![PodBehavior::Answer("red")]),
+        Pod::new(vec![PodBehavior::Answer("drains")]),
     );
-    let draining = |pod: Listed| Listed {
-        health: "terminating",
+    let draining = |pod: ListedPod| ListedPod {
+        state: "terminating",
         ..pod
     };
-    let mut listed: Vec<Listed> = pods(other.at).into_iter().map(draining).collect();
-    listed[ready_pod] = Listed::new(&listed[ready_pod].host, pod.at);
+    let mut listed: Vec<ListedPod> = pods(other.address).into_iter().map(draining).collect();
+    listed[ready_pod] = ListedPod::new(&listed[ready_pod].host, pod.address);
     let discovery = Discovery::new(String::new());
-    let config = Config {
-        discovery: discovery.at,
-        sidecars: (SIDECARS, 17),
-        ..Config::new(Vec::new())
+    let config = SidecarConfigFile {
+        discovery: discovery.address,
+        count_and_index: (SIDECARS, 17),
+        ..SidecarConfigFile::new(Vec::new())
     };
     let address = start_sidecar(&config);
-    discovery.is_asked();
+    discovery.next_request();
     // A draining pod may still receive a request during its drain period.
-    let object = listing(8, true, &listed);
+    let object = endpoint_listing_json(8, true, &listed);
     object
         .as_bytes()
         .chunks(chunk_size)
-        .for_each(|chunk| discovery.says_part(std::str::from_utf8(chunk).unwrap()));
+        .for_each(|chunk| discovery.send_bytes(std::str::from_utf8(chunk).unwrap()));
     assert!(is_answered_with(address, "red"));
     assert!(
-        discovery.calls.try_recv().is_err(),
+        discovery.requests.try_recv().is_err(),
         "the watch was reopened"
     );
 }
@@ -74,25 +77,25 @@
 #[test]
 fn all_pods_may_move_at_once() {
     let (old, new) = (
-        Pod::new(vec![Does::Serves("old")]),
-        Pod::new(vec![Does::Serves("new")]),
+        Pod::new(vec![PodBehavior::Answer("old")]),
+        Pod::new(vec![PodBehavior::Answer("new")]),
     );
-    let discovery = Discovery::new(listing(8, false, &[]));
-    let config = Config {
-        discovery: discovery.at,
-        sidecars: (SIDECARS, 349),
-        ..Config::new(pods(old.at))
+    let discovery = Discovery::new(endpoint_listing_json(8, false, &[]));
+    let config = SidecarConfigFile {
+        discovery: discovery.address,
+        count_and_index: (SIDECARS, 349),
+        ..SidecarConfigFile::new(pods(old.address))
     };
     let address = start_sidecar(&config);
-    discovery.is_asked();
+    discovery.next_request();
     assert_eq!(request_once(address), Answer::Row("old".into()));
-    discovery.says(&listing(9, true, &pods(new.at)));
+    discovery.send_object(&endpoint_listing_json(9, true, &pods(new.address)));
     assert!(is_answered_with(address, "new"));
-    let connections = old.links();
+    let connections = old.connection_count();
     assert!((0..MAX_REQUESTS).all(|_| request_once(address) == Answer::Row("new".into())));
-    assert_eq!(old.links(), connections);
+    assert_eq!(old.connection_count(), connections);
     assert!(
-        discovery.calls.try_recv().is_err(),
+        discovery.requests.try_recv().is_err(),
         "the watch was reopened"
     );
 }
@@ -110,17 +113,17 @@
 /// answered, over more connections than can be open at the same time.
 #[test]
 fn few_descriptors_serve_many_pods() {
-    let pod = Pod::new(vec![Does::Serves("red")]);
-    let address = start_sidecar(&Config {
-        sidecars: (SIDECARS, 17),
-        descriptors: FEW_DESCRIPTORS,
-        ..Config::new(pods(pod.at))
+    let pod = Pod::new(vec![PodBehavior::Answer("red")]);
+    let address = start_sidecar(&SidecarConfigFile {
+        count_and_index: (SIDECARS, 17),
+        max_descriptors: FEW_DESCRIPTORS,
+        ..SidecarConfigFile::new(pods(pod.address))
     });
     let send_requests = || {
         let mut client = Client::new(address);
         let answers = (0..REQUESTS).map(|_| {
-            client.asks(&statement_of_class("look", 10_000));
-            client.hears()
+            client.send_query(&statement_of_class("look", 10_000));
+            client.read_answer()
         });
         answers
             .filter(|answer| *answer != Answer::Row("red".into()))
@@ -134,5 +137,9 @@
             .sum()
     });
     assert_eq!(unserved, 0);
-    assert!(pod.links() > FEW_DESCRIPTORS, "{} connections", pod.links());
+    assert!(
+        pod.connection_count() > FEW_DESCRIPTORS,
+        "{} connections",
+        pod.connection_count()
+    );
 }
--- a/crates/postgres-proxy/tests/stage_updates.rs
+++ b/crates/postgres-proxy/tests/stage_updates.rs
@@ -1,12 +1,12 @@
 //! Tests which rollout states are accepted, and when one closes a build.
 
 use limewing_decision::interface::{Phase, StageIndex};
-use limewing_emulators::platform::state;
+use limewing_emulators::platform::rollout_state_json;
 use limewing_postgres_proxy::stage_updates::{LatestState, RolloutState};
 use rstest::rstest;
 
 fn rollout_state(build: u16, stage: u8, name: &str) -> RolloutState {
-    serde_json::from_str(&state(build, stage, name, 0.3)).unwrap()
+    serde_json::from_str(&rollout_state_json(build, stage, name, 0.3)).unwrap()
 }
 
 /// States arrive on several connections; outdated ones are dropped.
@@ -40,7 +40,8 @@
     #[case] cap: f64,
     #[case] closes: Option<u16>,
 ) {
-    let parse_state = |build, name, cap| serde_json::from_str(&state(build, 0, name, cap)).unwrap();
+    let parse_state =
+        |build, name, cap| serde_json::from_str(&rollout_state_json(build, 0, name, cap)).unwrap();
     let mut latest = LatestState::default();
     latest.accept(parse_state(1, "Progressing", 0.3)).unwrap();
     let accepted = latest.accept(parse_state(build, name, cap)).unwrap();
