--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -76,7 +76,7 @@
 fn play_and_record(script: &DayScript, folder: &Path) -> Result<PathBuf, CommandError> {
     let program = std::env::current_exe().map_err(CommandError::failed)?;
     let progress_line = ProgressLine::new(&script.name);
-    let record = day::play(script, &program, folder, &mut |progress| {
+    let record = day::run(script, &program, folder, &mut |progress| {
         progress_line.update(&progress);
     });
     progress_line.finish();
@@ -126,10 +126,10 @@
 
 /// Returns the outcome of a check whose results have been printed.
 fn verdict(report: &Report, maintenance_violations: usize) -> Result<(), CommandError> {
-    let broken_rules = report.broken().count();
-    if broken_rules > 0 {
+    let violated_rules = report.violated_results().count();
+    if violated_rules > 0 {
         return Err(CommandError::Failed(format!(
-            "{broken_rules} of the five rules were broken"
+            "{violated_rules} of the five rules were broken"
         )));
     }
     if maintenance_violations > 0 {
--- a/crates/cli/tests/command/copies.rs
+++ b/crates/cli/tests/command/copies.rs
@@ -8,7 +8,7 @@
 /// Violations across sidecars, as counted by `day check`.
 struct CrossSidecarCounts {
     /// Attempts sent to an older build although their routing key had met a newer one.
-    sent_back: usize,
+    returned_to_older_build: usize,
     /// Requests executed twice although they must not be.
     executed_twice: usize,
     /// Complete output of the command.
@@ -35,7 +35,7 @@
         .collect();
     assert_eq!(numbers.len(), 4, "{text}");
     CrossSidecarCounts {
-        sent_back: numbers[0],
+        returned_to_older_build: numbers[0],
         executed_twice: numbers[2],
         output: text,
     }
@@ -47,9 +47,12 @@
 fn state_of_a_killed_sidecar_is_kept_by_its_peers() {
     let _guard = lock_real_time_days();
     let replicated = run_copies_day(true, |_| ());
-    let counts = (replicated.sent_back, replicated.executed_twice);
+    let counts = (
+        replicated.returned_to_older_build,
+        replicated.executed_twice,
+    );
     assert_eq!(counts, (0, 0), "{}", replicated.output);
-    let without = run_copies_day(false, |_| ()).sent_back;
+    let without = run_copies_day(false, |_| ()).returned_to_older_build;
     assert!(without > 5, "{without} keys went back without replication");
 }
 
--- a/crates/emulators/src/fleet/trial/simulation.rs
+++ b/crates/emulators/src/fleet/trial/simulation.rs
@@ -239,7 +239,7 @@
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     self.sidecars[number].attempts.remove(&request);
-                    self.result.given_up += 1;
+                    self.result.failed += 1;
                 }
                 _ => {}
             }
@@ -268,7 +268,7 @@
             pod: id,
             outcome,
             duration,
-            request_over: !refused,
+            request_closed: !refused,
         };
         self.schedule(duration, number, TrialEvent::AttemptEnds(result));
     }
--- a/crates/emulators/src/script/validation.rs
+++ b/crates/emulators/src/script/validation.rs
@@ -1,7 +1,7 @@
 //! Checks of a day's file beyond its schema. Users see the paths and texts.
 
 use super::{BuildFault, DayFault, DayScript, MaintenanceScript, FIRST_BUILD};
-use limewing_settings::{Checked, ConfigError};
+use limewing_settings::{ConfigError, ValidateConfig};
 
 /// The rounding error allowed in the sum of shares.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
@@ -25,7 +25,7 @@
     }
 }
 
-impl Checked for DayScript {
+impl ValidateConfig for DayScript {
     fn config_errors(&self) -> Vec<ConfigError> {
         let mut errors = Errors::default();
         self.check_fleet(&mut errors);
--- a/crates/soak/src/simulation/requests.rs
+++ b/crates/soak/src/simulation/requests.rs
@@ -111,7 +111,7 @@
         open.is_over |= has_succeeded;
         events.push(Event::AttemptFinished(AttemptResult {
             outcome,
-            request_over: open.is_over,
+            request_closed: open.is_over,
             ..result
         }));
         self.remove_if_settled(request);
@@ -139,7 +139,7 @@
             pod: attempt.pod,
             outcome: AttemptOutcome::Cancelled,
             duration: self.now - attempt.started_at,
-            request_over: open.is_over,
+            request_closed: open.is_over,
         })
     }
 
