--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Pins what coordination has in common between versions: the bytes of a load report, and the keys
-//! of names.
+//! Pins what versions of coordination have to agree on: the bytes of a load report, and the keys of
+//! names.
 //!
-//! `golden/reports.hex` holds one report a line, `golden/keys.txt` one name a line with its key.
-//! `GOLDEN_WRITE=1` writes the files anew; that is for new kinds only.
+//! `golden/reports.hex` has one report per line, `golden/keys.txt` one name per line with its key.
+//! `GOLDEN_WRITE=1` rewrites the files, which is only for new kinds.
 
 use limewing_coordination::{stable_key, LoadReport, OutlierHint, Service, MAX_HINTS};
 use limewing_test_support::golden;
@@ -21,7 +21,7 @@
     }
 }
 
-/// The names are those of the lines of the file.
+/// Returns reports with the names that label the lines of the file.
 fn reports() -> Vec<(&'static str, LoadReport)> {
     let one_hint = |hint| vec![(stable_key("10.0.0.1:80"), hint)];
     let all_hints = vec![
@@ -33,8 +33,8 @@
     let max_hints: Vec<_> = (0..MAX_HINTS as u64)
         .map(|n| (stable_key(&format!("pod{n}")), OutlierHint::Ejected))
         .collect();
-    let list = Service::EndpointList.bit();
-    let installer = Service::Installer.bit();
+    let endpoint_list = Service::EndpointList.bit();
+    let rollout_service = Service::RolloutService.bit();
     let overloaded = vec![(7, OutlierHint::Overloaded)];
     vec![
         ("idle", report(0, 0, Vec::new(), 0)),
@@ -44,9 +44,12 @@
         ("open", report(4, 60, one_hint(OutlierHint::Recovered), 0)),
         ("each-hint", report(300, 255, all_hints, 0)),
         ("most-hints", report(u16::MAX, 12, max_hints, 0)),
-        ("lost-list", report(5, 6, Vec::new(), list)),
-        ("lost-installer", report(5, 6, Vec::new(), installer)),
-        ("lost-both", report(5, 6, overloaded, list | installer)),
+        ("lost-list", report(5, 6, Vec::new(), endpoint_list)),
+        ("lost-installer", report(5, 6, Vec::new(), rollout_service)),
+        (
+            "lost-both",
+            report(5, 6, overloaded, endpoint_list | rollout_service),
+        ),
     ]
 }
 
@@ -60,22 +63,22 @@
     "zone-ü",
 ];
 
-/// Reports built from code are written as in the file; those of the file are read as those values,
-/// and written again alike. So are those of an earlier version, which end before the lost services,
-/// and of a later one, which has more behind them.
+/// Reports built in code encode to the bytes in the file. The bytes in the file decode to the same
+/// reports and encode to the same bytes again. Reports of an earlier version, which end before the
+/// lost services, and of a later version, which have more bytes after them, decode as well.
 #[test]
-fn reports_are_read_and_written_as_in_the_file() {
+fn reports_match_the_golden_file() {
     let lines: Vec<String> = reports()
         .iter()
         .map(|(name, report)| format!("{name} {}\n", golden::to_hex(&report.encode())))
         .collect();
     let text = golden::read(env!("CARGO_MANIFEST_DIR"), "reports.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
-    for (line, (_, built)) in text.lines().zip(reports()) {
+    for (line, (_, expected)) in text.lines().zip(reports()) {
         let (name, hex) = line.split_once(' ').unwrap();
         let bytes = golden::from_hex(hex);
         let report = LoadReport::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error:?}"));
-        assert_eq!(report, built, "{name}");
+        assert_eq!(report, expected, "{name}");
         assert_eq!(report.encode(), bytes, "{name}");
 
         let earlier = LoadReport::decode(&bytes[..bytes.len() - 1]);
@@ -83,18 +86,18 @@
             earlier,
             Ok(LoadReport {
                 lost_services: 0,
-                ..built.clone()
+                ..expected.clone()
             }),
             "{name}"
         );
         let later = [&bytes[..], &[1, 2, 3]].concat();
-        assert_eq!(LoadReport::decode(&later), Ok(built), "{name}");
+        assert_eq!(LoadReport::decode(&later), Ok(expected), "{name}");
     }
 }
 
 /// Keys of members' names and pods' addresses are the same at every sidecar and in every version.
 #[test]
-fn names_have_the_keys_of_the_file() {
+fn keys_match_the_golden_file() {
     let lines: String = NAMES
         .iter()
         .map(|name| format!("{name} {:016x}\n", stable_key(name)))
--- a/crates/decision/src/admission/tests.rs
+++ b/crates/decision/src/admission/tests.rs
@@ -7,7 +7,8 @@
 mod first_byte;
 mod slow_start;
 
-/// Pods 0 to 2 on build 1 and pod 3 on build 2, and request 0 of a class, due at 9 s.
+/// Returns admission control with pods 0 to 2 on build 1, pod 3 on build 2, and request 0 of the
+/// given class with a deadline at 9 s.
 fn admission(class: u16, phase: Phase, cap: f64) -> AdmissionControl {
     let mut admission = AdmissionControl::default();
     admission
@@ -47,7 +48,7 @@
     }
 }
 
-/// Whether request 0 may be sent to a pod, all of whose build this sidecar uses.
+/// Checks whether request 0 may be sent to a pod, for a sidecar that uses all pods of its build.
 fn check(admission: &AdmissionControl, pod: u64, context: &Context) -> Result<(), Refusal> {
     admission.check_rules(RequestId(0), &candidate(pod, 0, 0, 0.0), context)
 }
@@ -65,7 +66,7 @@
 }
 
 #[rstest]
-#[case::past_its_deadline(9.0, false, Err(Refusal::RequestClosed))]
+#[case::past_the_deadline(9.0, false, Err(Refusal::RequestClosed))]
 #[case::closed(1.0, true, Err(Refusal::RequestClosed))]
 #[case::open(1.0, false, Ok(()))]
 fn no_attempt_starts_after_the_request_is_closed(
@@ -109,7 +110,7 @@
         0.5,
         Some(AttemptOutcome::TimedOut),
     ));
-    admission.give_up(RequestId(0), &mut context);
+    admission.reject_or_fail(RequestId(0), &mut context);
     assert_eq!(
         context.actions,
         [Action::Fail {
@@ -119,9 +120,9 @@
 }
 
 #[rstest]
-#[case::within_the_grace(1.9, Ok(()))]
-#[case::after_it(2.1, Err(Refusal::EndpointDrained))]
-fn a_draining_pod_gets_nothing_after_the_grace(
+#[case::within_the_grace_period(1.9, Ok(()))]
+#[case::after_the_grace_period(2.1, Err(Refusal::EndpointDrained))]
+fn a_draining_pod_receives_nothing_after_the_grace_period(
     #[case] now: f64,
     #[case] expected: Result<(), Refusal>,
 ) {
@@ -130,14 +131,15 @@
     assert_eq!(check(&admission, 0, &context(now)), expected);
 }
 
-/// Build 2 may have nothing: what comes of candidates of the first tier, of 1.
+/// The exposure cap of build 2 is 0. Tier 1 is proposed; `left` counts the candidates that remain
+/// after a refusal.
 #[rstest]
 #[case::cheapest(&[candidate(0, 1, 1, 2.0), candidate(1, 1, 1, 1.0), candidate(2, 1, 1, 3.0)], Some(1), 0)]
-#[case::the_lower_pod_of_two_alike(&[candidate(2, 1, 1, 1.0), candidate(1, 1, 1, 1.0)], Some(1), 0)]
+#[case::lower_pod_id_breaks_ties(&[candidate(2, 1, 1, 1.0), candidate(1, 1, 1, 1.0)], Some(1), 0)]
 #[case::next_after_a_refusal(&[candidate(3, 2, 1, 0.1), candidate(2, 1, 1, 3.0), candidate(0, 1, 1, 2.0)], Some(0), 0)]
-#[case::next_tier_waits(&[candidate(3, 2, 1, 0.1), candidate(0, 1, 2, 0.0)], None, 1)]
-#[case::a_refused_build_does_not(&[candidate(3, 2, 1, 0.1), candidate(4, 2, 2, 0.0), candidate(0, 1, 3, 0.0)], None, 1)]
-fn the_best_candidate_that_is_admitted_gets_the_request(
+#[case::next_tier_is_left(&[candidate(3, 2, 1, 0.1), candidate(0, 1, 2, 0.0)], None, 1)]
+#[case::refused_build_is_dropped_from_all_tiers(&[candidate(3, 2, 1, 0.1), candidate(4, 2, 2, 0.0), candidate(0, 1, 3, 0.0)], None, 1)]
+fn the_best_admitted_candidate_receives_the_request(
     #[case] candidates: &[Candidate],
     #[case] expected: Option<u64>,
     #[case] left: usize,
@@ -156,9 +158,9 @@
     });
     assert_eq!(started, expected);
     if started.is_none() {
-        let Some((_, Message::AttemptRefused(_, rest))) = context.mailboxes.pop() else {
+        let Some((_, Message::AttemptRefused(_, remaining))) = context.mailboxes.pop() else {
             panic!("no message to the load balancer")
         };
-        assert_eq!(rest.len(), left);
+        assert_eq!(remaining.len(), left);
     }
 }
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -1,7 +1,7 @@
-//! Load balancing: holds the open requests and picks pods for them.
+//! Load balancing: tracks open requests and selects pods for them.
 //!
-//! A request goes to the split first (the build on trial or the base), then to a tier of pods, then to the
-//! cheapest pod of that tier. Admission control has the final decision.
+//! A request is first assigned to the build on trial or to the baseline, then to a tier of pods,
+//! and then to the pod of that tier with the lowest cost. Admission control has the final decision.
 
 use crate::candidate::Candidate;
 use crate::context::Context;
@@ -23,30 +23,32 @@
 #[cfg(test)]
 mod tests;
 
-/// The probability that a request may go to an ejected pod to check its health. A sidecar with little traffic
-/// has few requests: most must not go to find that an ejected pod still fails.
+/// The probability that a request may be sent to an ejected pod as a health check. It is low
+/// because a sidecar with little traffic would otherwise spend most of its requests on pods that
+/// still fail.
 const HEALTH_CHECK_PROBABILITY: f64 = 0.15;
-/// The number of pods that an idle sidecar uses,
+/// The number of pods that an idle sidecar uses.
 const MIN_ENDPOINTS_IN_USE: usize = 5;
-/// the number of pods more for each attempt in flight,
+/// The number of additional pods used per attempt in flight.
 const ENDPOINTS_PER_ATTEMPT: usize = 3;
-/// and the least number on either side of the split.
+/// The minimum number of pods used on either side of the split between trial and baseline.
 const MIN_ENDPOINTS_PER_SIDE: usize = 2;
-/// The cost of a pod in another zone, over that of one in this sidecar's zone.
-const OTHER_ZONE_COST: f64 = 1.1;
-/// A pod's latency ratio weighs against its machine type's as if so many answers of that type had been seen.
+/// The cost multiplier for a pod in a different zone.
+const OTHER_ZONE_COST_FACTOR: f64 = 1.1;
+/// The weight of the machine type's latency ratio in that of a pod, as a number of responses.
 const MACHINE_TYPE_PRIOR: f64 = 3.0;
-/// The least latency ratio of a pod in its cost, and of a machine type in its capacity.
+/// The lower bound on the latency ratio in a pod's cost.
 const MIN_COST_LATENCY_RATIO: f64 = 0.02;
+/// The lower bound on a machine type's latency ratio in a pod's capacity.
 const MIN_MACHINE_LATENCY_RATIO: f64 = 0.01;
-/// The latency of a class that has no answers yet, in latency objectives.
+/// The assumed latency of a class without any responses, in latency objectives.
 const INITIAL_LATENCY_RATIO: f64 = 0.2;
-/// A request that no pod may take waits for this share of its latency objective,
-const PLACEMENT_WAIT: f64 = 0.7;
-/// and until so many ticks before its deadline, at most.
+/// How long a request without an admissible pod is queued, as a share of its latency objective.
+const PLACEMENT_WAIT_SHARE: f64 = 0.7;
+/// A queued request is abandoned at the latest this many ticks before its deadline.
 const TICKS_BEFORE_DEADLINE: u32 = 3;
 
-/// Picks pods for requests.
+/// Selects pods for requests.
 #[derive(Default)]
 pub(crate) struct LoadBalancer {
     pub(crate) table: EndpointTable,
@@ -57,7 +59,7 @@
     pub(crate) overload: OverloadEstimator,
     /// The mean latency of each class, in seconds.
     pub(crate) class_latency: BTreeMap<ClassId, RunningMean>,
-    /// The mean latency on each type of machine, in latency objectives.
+    /// The mean latency on each machine type, in latency objectives.
     pub(crate) machine_latency: BTreeMap<MachineTypeId, RunningMean>,
 }
 
@@ -66,9 +68,9 @@
         match message {
             Message::RequestArrived(request) => self.on_request_arrived(&request, context),
             Message::SnapshotPublished(snapshot) => self.table.put(snapshot),
-            Message::EndpointForgotten(pod) => self.table.remove(pod),
-            Message::AttemptRefused(request, rest) => {
-                self.on_attempt_refused(request, rest, context);
+            Message::EndpointRemoved(pod) => self.table.remove(pod),
+            Message::AttemptRefused(request, remaining) => {
+                self.on_attempt_refused(request, remaining, context);
             }
             Message::AttemptStarted {
                 request,
@@ -100,8 +102,8 @@
         self.requests
             .insert(request.id, OpenRequest::new(request, context.now));
         if shed_probability > 0.0 && context.random_unit() < shed_probability {
-            let given_up = Message::RequestGivenUp(request.id);
-            context.send(Component::AdmissionControl, given_up);
+            let abandoned = Message::RequestAbandoned(request.id);
+            context.send(Component::AdmissionControl, abandoned);
         } else {
             self.place(request.id, context);
         }
@@ -110,17 +112,17 @@
     fn on_attempt_refused(
         &mut self,
         request: RequestId,
-        rest: Vec<Candidate>,
+        remaining: Vec<Candidate>,
         context: &mut Context,
     ) {
-        if rest.is_empty() {
+        if remaining.is_empty() {
             self.postpone(request, context);
         } else {
-            self.propose_next_tier(request, rest, context);
+            self.propose_next_tier(request, remaining, context);
         }
     }
 
-    /// The expected latency of a class, in seconds.
+    /// Returns the expected latency of a class, in seconds.
     pub(crate) fn expected_latency(&self, class: ClassId, context: &Context) -> f64 {
         let objective = context.config.class(class).latency_objective.as_secs_f64();
         self.class_latency
@@ -128,7 +130,8 @@
             .map_or(INITIAL_LATENCY_RATIO * objective, |mean| mean.value)
     }
 
-    /// The split: the build on trial, and the share of requests that it gets by its machines, stage and cap.
+    /// Returns the build on trial, if any, and its share of requests: limited by its share of the
+    /// capacity, its stage and its cap.
     fn trial_share(&self, context: &Context) -> (Option<BuildId>, f64) {
         let Some((lowest, newest)) = self.summary.build_range else {
             return (None, 0.0);
@@ -173,7 +176,7 @@
             request: open,
             trial,
             wants_trial: !open.avoids_trial && trial_draw < trial_share,
-            checks_health: idempotency != Idempotency::NonIdempotent
+            may_check_health: idempotency != Idempotency::NonIdempotent
                 && open.tried_pods.is_empty()
                 && context.random_unit() < HEALTH_CHECK_PROBABILITY,
             in_use: self.endpoints_in_use(context),
@@ -189,8 +192,8 @@
         context.send(Component::AdmissionControl, proposed);
     }
 
-    /// All pods that the request may go to, and the lowest tier of them. The cost is computed for that tier
-    /// only: others are seldom needed.
+    /// Returns all pods that the request may be sent to, and the lowest tier among them. Costs are
+    /// computed for that tier only, because the other tiers are rarely needed.
     fn rank_candidates(
         &self,
         placement: &Placement,
@@ -221,7 +224,7 @@
         (candidates, lowest_tier)
     }
 
-    /// Proposes the candidates of the next tier, which have no cost yet.
+    /// Proposes the candidates of the next tier, whose costs have not been computed yet.
     fn propose_next_tier(
         &self,
         request: RequestId,
@@ -248,24 +251,27 @@
         context.send(Component::AdmissionControl, proposed);
     }
 
-    /// The pods that this sidecar uses of the base, and of the trial: those that rank highest in its own order,
-    /// a few more than its attempts in flight need. With little traffic it could not learn what hundreds of
-    /// pods are like, nor keep connections to them. An ejected pod makes room for the next in rank.
+    /// Returns the subsets of the baseline pods and of the trial pods that this sidecar uses: the
+    /// highest-ranked ones in its own order, slightly more than its attempts in flight need. A
+    /// sidecar with little traffic could neither measure hundreds of pods nor keep connections to
+    /// them. When a pod is ejected, the next in rank takes its place.
     fn endpoints_in_use(&self, context: &Context) -> [EndpointsInUse; 2] {
         let ranks = &self.summary.ranks;
-        let all = ranks[0].len() + ranks[1].len();
-        let own = MIN_ENDPOINTS_IN_USE + ENDPOINTS_PER_ATTEMPT * self.table.in_flight();
-        let uses = context.min_endpoints().max(own) as f64;
+        let total_size = ranks[0].len() + ranks[1].len();
+        let own_minimum = MIN_ENDPOINTS_IN_USE + ENDPOINTS_PER_ATTEMPT * self.table.in_flight();
+        let target = context.min_endpoints().max(own_minimum) as f64;
         [0, 1].map(|side| {
-            let here = ranks[side].len();
-            let uses_here = (uses * here as f64 / all.max(1) as f64).ceil() as usize;
-            let uses_here = uses_here.max(MIN_ENDPOINTS_PER_SIDE);
-            match here.checked_sub(uses_here) {
+            let side_size = ranks[side].len();
+            let side_target =
+                (target * side_size as f64 / total_size.max(1) as f64).ceil() as usize;
+            let side_target = side_target.max(MIN_ENDPOINTS_PER_SIDE);
+            match side_size.checked_sub(side_target) {
                 Some(unused @ 1..) => EndpointsInUse {
                     lowest_rank: ranks[side][unused],
-                    fraction: uses_here as f64 / here as f64,
+                    fraction: side_target as f64 / side_size as f64,
                 },
-                // Also where none is usable: an ejected cold pod may still be proposed, and has its budget.
+                // This also applies if no pod is usable: an ejected cold pod may still be proposed
+                // and then needs a slow-start budget.
                 _ => EndpointsInUse {
                     lowest_rank: (0, PodId(0)),
                     fraction: 1.0,
@@ -280,7 +286,8 @@
             .map_or(1.0, |mean| mean.value)
     }
 
-    /// What a pod can surely do by now, by its weight, its age and the usual latency of its machine type.
+    /// Returns the guaranteed capacity of a pod, based on its weight, its age and the usual latency
+    /// of its machine type.
     fn capacity(&self, snapshot: &EndpointSnapshot, context: &Context) -> f64 {
         let endpoint = &snapshot.endpoint;
         let factor = context
@@ -290,12 +297,14 @@
         endpoint.weight * factor / latency_ratio.max(MIN_MACHINE_LATENCY_RATIO)
     }
 
-    /// What one more request would bear at a pod, by its latency ratio and present capacity.
+    /// Returns the expected cost of one more request at a pod, from its latency ratio and current
+    /// capacity.
     ///
-    /// Of the load a sidecar knows its own part only, one in as many as there are sidecars; an exponential
-    /// random variable of mean 1 stands for the rest. So pods alike get requests in proportion to their
-    /// capacity, and sidecars that rank pods alike do not herd. The latency ratio of a pod with few answers
-    /// leans on that of its machine type: a new pod would be flooded while it is cold.
+    /// A sidecar sees only its own part of the load, one in as many as there are sidecars. An
+    /// exponential random variable of mean 1 represents the rest. As a result, identical pods
+    /// receive requests in proportion to their capacity, and sidecars that rank pods alike do not
+    /// cause a thundering herd. The latency ratio of a pod with few responses is shrunk towards
+    /// that of its machine type; otherwise a new pod would be flooded while it is cold.
     fn cost(&self, snapshot: &EndpointSnapshot, random_draw: f64, context: &Context) -> f64 {
         let (endpoint, config) = (&snapshot.endpoint, &context.config);
         let unseen_load = -random_draw.max(MIN_DIVISOR).ln();
@@ -307,14 +316,14 @@
         let zone_cost = if endpoint.zone == config.zone {
             1.0
         } else {
-            OTHER_ZONE_COST
+            OTHER_ZONE_COST_FACTOR
         };
         let own_part = 1.0 / config.sidecar_count;
         let load = snapshot.in_flight as f64 + own_part + (1.0 - own_part) * unseen_load;
         load * latency_ratio.max(MIN_COST_LATENCY_RATIO) * zone_cost / capacity
     }
 
-    /// No pod may have the request now: it waits while an answer could still be worth something.
+    /// Queues a request that no pod may take now, for as long as a response would still be useful.
     fn postpone(&mut self, request: RequestId, context: &mut Context) {
         let Some(open) = self.requests.get_mut(&request) else {
             return;
@@ -325,16 +334,16 @@
         open.avoids_trial = false;
         open.tried_pods.clear();
         let objective = context.config.class(open.class).latency_objective;
-        let worth_until = open.arrived_at + objective.mul_f64(PLACEMENT_WAIT);
+        let useful_until = open.arrived_at + objective.mul_f64(PLACEMENT_WAIT_SHARE);
         let before_deadline = open
             .deadline
             .saturating_sub(TICK_INTERVAL * TICKS_BEFORE_DEADLINE);
-        if context.now < worth_until.min(before_deadline) {
+        if context.now < useful_until.min(before_deadline) {
             let due = Message::PlacementDue(request);
             context.schedule(TICK_INTERVAL, Component::LoadBalancer, due);
         } else {
-            let given_up = Message::RequestGivenUp(request);
-            context.send(Component::AdmissionControl, given_up);
+            let abandoned = Message::RequestAbandoned(request);
+            context.send(Component::AdmissionControl, abandoned);
         }
     }
 }
--- a/crates/emulators/src/fleet/pages.rs
+++ b/crates/emulators/src/fleet/pages.rs
@@ -1,19 +1,20 @@
-//! Calls of a sidecar's own pages.
+//! HTTP calls to a sidecar's own pages.
 
 use serde::Deserialize;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a sidecar may take to answer.
+/// The timeout of connecting, and of each read of the answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is read of a sidecar's view of its fleet.
+/// The fields that are read of a sidecar's page on its fleet.
 #[derive(Deserialize)]
 pub(super) struct FleetPage {
-    /// Where it takes datagrams.
-    pub(super) listens: SocketAddr,
-    /// Datagrams that were refused, by the reason.
+    /// The address at which the sidecar receives datagrams.
+    #[serde(rename = "listens")]
+    pub(super) datagram_address: SocketAddr,
+    /// The number of rejected datagrams, by reason.
     pub(super) refused: Vec<(String, u64)>,
     pub(super) members: Vec<PageMember>,
 }
@@ -25,34 +26,39 @@
     pub(super) status: String,
 }
 
-/// A sidecar's view of its fleet; none if it does not answer.
+/// A sidecar's page on its fleet; `None` if it does not answer.
 pub(super) fn fleet_page(address: SocketAddr) -> Option<FleetPage> {
-    let text = ask(address).ok()?;
+    let text = fetch_fleet_page(address).ok()?;
     serde_json::from_str(&text).ok()
 }
 
-/// Where a sidecar takes datagrams.
+/// Returns the address at which a sidecar receives datagrams.
 ///
 /// # Errors
-/// The sidecar does not answer, or answers something else.
-pub fn listens(address: SocketAddr) -> io::Result<SocketAddr> {
-    let page: FleetPage = serde_json::from_str(&ask(address)?)?;
-    Ok(page.listens)
+/// Fails if the sidecar does not answer, or if the answer can't be parsed.
+pub fn fetch_datagram_address(address: SocketAddr) -> io::Result<SocketAddr> {
+    let page: FleetPage = serde_json::from_str(&fetch_fleet_page(address)?)?;
+    Ok(page.datagram_address)
 }
 
-/// The body of a sidecar's page on its fleet.
+/// Returns the body of a sidecar's page on its fleet.
 ///
 /// # Errors
-/// The sidecar does not answer, or with an error.
-pub fn ask(address: SocketAddr) -> io::Result<String> {
-    call(address, "GET", "/limewing/fleet", "")
+/// Fails if the sidecar does not answer, or answers with an error.
+pub fn fetch_fleet_page(address: SocketAddr) -> io::Result<String> {
+    call_sidecar(address, "GET", "/limewing/fleet", "")
 }
 
-/// One call of a sidecar's own pages; returns the body of its answer.
+/// Calls one of a sidecar's own pages; returns the body of the answer.
 ///
 /// # Errors
-/// The sidecar does not answer, or with another status than 200 and 202: then the error says what it answered.
-pub fn call(address: SocketAddr, method: &str, path: &str, body: &str) -> io::Result<String> {
+/// Fails if the sidecar does not answer, or answers with a status other than 200 and 202; the error then has the text of the answer.
+pub fn call_sidecar(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
     stream.set_read_timeout(Some(CALL_TIMEOUT))?;
     let length = body.len();
@@ -66,10 +72,10 @@
     if matches!(head.split(' ').nth(1), Some("200" | "202")) {
         return Ok(body.to_owned());
     }
-    let said = if body.is_empty() {
+    let message = if body.is_empty() {
         head.lines().next().unwrap_or("nothing")
     } else {
         body.trim()
     };
-    Err(io::Error::other(said.to_owned()))
+    Err(io::Error::other(message.to_owned()))
 }
--- a/crates/emulators/src/platform/mod.rs
+++ b/crates/emulators/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Emulators of the platform's parties, each on threads of its own, that do as a test scripts: pods and clients in PostgreSQL's protocol,
-//! discovery and rollouts over HTTP.
+//! Emulators of the platform's services, each on its own threads and scripted by a test: pods and clients in the PostgreSQL protocol,
+//! discovery and the rollout service over HTTP.
 
 mod client;
 mod messages;
@@ -12,9 +12,9 @@
 mod world_record;
 
 pub use client::{Answer, Client};
-pub use messages::answer;
-pub use pod::{Does, Pod};
-pub use services::{Discovery, Rollouts, Vote};
+pub use messages::encode_answer;
+pub use pod::{Pod, PodBehavior};
+pub use services::{Discovery, RolloutService, VoteReplyScript};
 pub use world::World;
 pub use world_pod::Faults;
 
@@ -24,25 +24,25 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long an emulator waits for what must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long an emulator waits for an expected message.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Longer messages are no answers of the tests.
-const MAX_MESSAGE: usize = 1 << 20;
-/// Bytes that are read at once.
-const READ_SIZE: usize = 16 * 1024;
+/// The longest message that is accepted; tests send shorter ones.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// The size of the read buffer.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A connection read message by message.
-struct Link {
+/// A connection that is read message by message.
+struct Connection {
     stream: TcpStream,
-    /// What was read and is no message yet.
+    /// Bytes that were read but do not form a whole message yet.
     input: BytesMut,
     decoder: MessageDecoder,
 }
 
-impl Link {
+impl Connection {
     fn new(stream: TcpStream) -> io::Result<Self> {
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(Self {
             stream,
@@ -51,9 +51,9 @@
         })
     }
 
-    /// Reads more; none at the end.
-    fn fill(&mut self) -> Option<()> {
-        let mut bytes = [0; READ_SIZE];
+    /// Reads more bytes; returns `None` at the end of the connection.
+    fn read_more(&mut self) -> Option<()> {
+        let mut bytes = [0; READ_BUFFER_BYTES];
         let length = self
             .stream
             .read(&mut bytes)
@@ -63,146 +63,146 @@
         Some(())
     }
 
-    /// The next message; none at the end, or where none can be read.
-    fn hear(&mut self) -> Option<Message> {
+    /// Reads the next message; returns `None` at the end of the connection or after a protocol error.
+    fn read_message(&mut self) -> Option<Message> {
         loop {
             let read: Result<_, ProtocolError> = self
                 .decoder
-                .next_message(&mut self.input, |_| Some(MAX_MESSAGE));
+                .next_message(&mut self.input, |_| Some(MAX_MESSAGE_BYTES));
             match read.ok()? {
                 Some(message) => return Some(message),
-                None => self.fill()?,
+                None => self.read_more()?,
             }
         }
     }
 }
 
-/// A pod as discovery lists it.
+/// A pod's entry in the list of discovery.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedPod {
     /// Its name.
     pub host: String,
-    /// Where it listens.
-    pub dial: SocketAddr,
+    /// The address at which it listens.
+    pub address: SocketAddr,
     /// The build that it runs.
     pub build: u16,
-    /// What discovery calls its state.
-    pub health: &'static str,
-    /// When it started, in Unix time in milliseconds; 0: long ago.
-    pub born_ms: u64,
+    /// Its health as discovery reports it.
+    pub state: &'static str,
+    /// Its start, as Unix time in milliseconds; 0 stands for long ago.
+    pub started_at_ms: u64,
 }
 
-impl Listed {
-    /// A pod in service that started long ago, on build 1.
+impl ListedPod {
+    /// A pod in service that started long ago and runs build 1.
     #[must_use]
-    pub fn new(host: &str, dial: SocketAddr) -> Self {
+    pub fn new(host: &str, address: SocketAddr) -> Self {
         Self {
             host: host.into(),
-            dial,
+            address,
             build: 1,
-            health: "in_service",
-            born_ms: 0,
+            state: "in_service",
+            started_at_ms: 0,
         }
     }
 
     fn json(&self) -> String {
         let Self {
             host,
-            dial,
+            address,
             build,
-            health,
-            born_ms,
+            state,
+            started_at_ms,
         } = self;
         format!(
-            r#"{{"host":"{host}","dial":"{dial}","site":"a","class":"m","block":0,"health":"{health}","share":1.0,"born_ms":{born_ms},"version_no":{build}}}"#
+            r#"{{"host":"{host}","dial":"{address}","site":"a","class":"m","block":0,"health":"{state}","share":1.0,"born_ms":{started_at_ms},"version_no":{build}}}"#
         )
     }
 }
 
-/// One object of a watch.
+/// One object on a discovery watch.
 #[must_use]
-pub fn listing(seq: u64, whole: bool, pods: &[Listed]) -> String {
-    let pods: Vec<String> = pods.iter().map(Listed::json).collect();
+pub fn endpoint_listing_json(seq: u64, whole: bool, pods: &[ListedPod]) -> String {
+    let pods: Vec<String> = pods.iter().map(ListedPod::json).collect();
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
         pods.join(",")
     )
 }
 
-/// How the newest build stands, as rollouts say it.
+/// The state of the newest build, as the rollout service reports it.
 #[must_use]
-pub fn state(build: u16, stage: u8, name: &str, cap: f64) -> String {
+pub fn rollout_state_json(build: u16, stage: u8, name: &str, cap: f64) -> String {
     format!(r#"{{"Revision":{build},"Wave":{stage},"State":"{name}","MaxShare":{cap},"AgeMs":5}}"#)
 }
 
-/// A sidecar's configuration. Its request classes: `look` is idempotent, `order` has an idempotency key, `pay` must not run twice.
-pub struct Config {
-    /// Where discovery listens.
+/// A sidecar's configuration. Of its request classes, `look` is idempotent, `order` has an idempotency key, and `pay` must not run twice.
+pub struct SidecarConfigFile {
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where rollouts listen, if there are any.
+    /// The address of the rollout service, if there is one.
     pub rollouts: Option<SocketAddr>,
-    /// The list that the sidecar starts with.
-    pub known: Vec<Listed>,
-    /// Descriptors that it may use.
-    pub descriptors: usize,
-    /// Client timeout of all request classes, in seconds.
-    pub patience: f64,
+    /// The endpoint list that the sidecar starts with.
+    pub cached_endpoints: Vec<ListedPod>,
+    /// The number of file descriptors that it may use.
+    pub max_descriptors: usize,
+    /// The client timeout of all request classes, in seconds.
+    pub client_timeout_s: f64,
     /// Whether requests are hedged.
     pub second_copies: bool,
-    /// How long a connection to a pod may take to come up, in seconds.
-    pub connect: f64,
-    /// Whether an attempt that has gone out may be cancelled.
-    pub cancel: bool,
-    /// Where it listens.
+    /// The connect timeout for pods, in seconds.
+    pub connect_timeout_s: f64,
+    /// Whether an attempt that was sent may be cancelled.
+    pub may_cancel: bool,
+    /// The address at which it listens.
     pub listen: SocketAddr,
-    /// How many sidecars there are, and which of them this one is.
-    pub sidecars: (u32, u32),
+    /// The number of sidecars, and the index of this one.
+    pub count_and_index: (u32, u32),
 }
 
-impl Config {
-    /// With no discovery and no rollouts.
+impl SidecarConfigFile {
+    /// A configuration without discovery and the rollout service.
     #[must_use]
-    pub fn new(known: Vec<Listed>) -> Self {
+    pub fn new(cached_endpoints: Vec<ListedPod>) -> Self {
         Self {
-            // Nobody listens at that port.
+            // Nothing listens on this port.
             discovery: SocketAddr::from(([127, 0, 0, 1], 1)),
             rollouts: None,
-            known,
-            descriptors: 256,
-            patience: 5.0,
+            cached_endpoints,
+            max_descriptors: 256,
+            client_timeout_s: 5.0,
             second_copies: false,
-            connect: 1.0,
-            cancel: true,
+            connect_timeout_s: 1.0,
+            may_cancel: true,
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            sidecars: (1, 0),
+            count_and_index: (1, 0),
         }
     }
 
-    /// The configuration as the sidecar reads it.
+    /// The configuration in the sidecar's JSON format.
     #[must_use]
     pub fn json(&self) -> String {
         let Self {
             discovery,
-            descriptors,
-            patience,
+            max_descriptors,
+            client_timeout_s,
             second_copies,
-            connect,
-            cancel,
+            connect_timeout_s,
+            may_cancel,
             listen,
-            sidecars,
+            count_and_index,
             ..
         } = self;
-        let (sidecars, own) = sidecars;
-        let known = listing(7, true, &self.known);
+        let (sidecar_count, own_index) = count_and_index;
+        let cached_endpoints = endpoint_listing_json(7, true, &self.cached_endpoints);
         let rollouts = self.rollouts.map_or(String::new(), |at| {
             format!(
                 r#""rollouts":{{"address":"{at}","news":{}}},"#,
-                state(1, 0, "Healthy", 1.0)
+                rollout_state_json(1, 0, "Healthy", 1.0)
             )
         });
         let class = |name: &str, repeat: &str| {
             format!(
-                r#"{{"name":"{name}","repeat":"{repeat}","group":"all","window_s":3,"target_s":{patience},"deadline_s":{patience},"worth":1}}"#
+                r#"{{"name":"{name}","repeat":"{repeat}","group":"all","window_s":3,"target_s":{client_timeout_s},"deadline_s":{client_timeout_s},"worth":1}}"#
             )
         };
         let classes = [
@@ -212,13 +212,13 @@
         ]
         .join(",");
         format!(
-            r#"{{"name":"n{own}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-            "limits":{{"cores":1.0,"memory_mb":64,"sockets":{descriptors}}},{rollouts}"known":{known},
-            "settings":{{"balancers":{sidecars},"me":{own},"zone":0,"azs":["a"],"shapes":["m"],"layers":["pods"],"membership_mode":"subscribe",
+            r#"{{"name":"n{own_index}","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+            "limits":{{"cores":1.0,"memory_mb":64,"sockets":{max_descriptors}}},{rollouts}"known":{cached_endpoints},
+            "settings":{{"balancers":{sidecar_count},"me":{own_index},"zone":0,"azs":["a"],"shapes":["m"],"layers":["pods"],"membership_mode":"subscribe",
               "profiles":[{classes}],"realms":[{{"name":"acme"}}],
               "rules":{{"cold_from":0.5,"cold_s":1,"fall_multiple":2,"fall_s":1,"stop_sending_within_s":0.5}},
-              "limits":{{"cancel":{cancel},"max_attempts":4,"max_retry_after_s":0.5,"retry_after":true,"second_copies":{second_copies},
-                "connect_timeout_s":{connect},"idle_close_s":15}},
+              "limits":{{"cancel":{may_cancel},"max_attempts":4,"max_retry_after_s":0.5,"retry_after":true,"second_copies":{second_copies},
+                "connect_timeout_s":{connect_timeout_s},"idle_close_s":15}},
               "domain":{{"api_timeout_s":1,"counted_by":"all","gate_mode":"timer","most_shares":[0.5],"span_s":2,"stage_share":[0.5],
                 "uncounted":1,"vote_ttl_s":4,"votes_to_revert":1}}}}}}"#
         )
--- a/crates/emulators/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -1,11 +1,14 @@
-//! Pods, discovery, rollouts and clients for several sidecars at once, with a record of all that crosses a socket, as
-//! `limewing_rule_checker` reads it. Each sidecar reaches every pod at an address of its own, so that the record says whose an attempt is.
-//! Times in it are those of the far ends.
+//! Pods, discovery, rollouts and clients for several sidecars at once, with a record of all messages in the format of
+//! `limewing_rule_checker`. Each pod has a separate address for each sidecar, so that the record identifies the sidecar of an attempt.
+//! Its times are taken at the emulators, not at the sidecars.
 
 use super::world_client::WorldClient;
 use super::world_pod::{Faults, WorldPod};
 use super::world_record::WorldRecord;
-use super::{listing, state, Discovery, Listed, Rollouts, Vote};
+use super::{
+    endpoint_listing_json, rollout_state_json, Discovery, ListedPod, RolloutService,
+    VoteReplyScript,
+};
 use crate::locks::lock;
 use limewing_rule_checker::record::{
     DeduplicationScope, Event, Idempotency, Phase, PodId, RecordLine, RequestClass, RuleLimits,
@@ -20,33 +23,33 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A pod's cores.
-const CAPACITY: f64 = 4.0;
-/// The number of the list that sidecars know from their configuration.
-const FIRST_LIST: u64 = 7;
+/// The number of a pod's cores.
+const POD_CORES: f64 = 4.0;
+/// The number of the endpoint list in the sidecars' configuration.
+const INITIAL_LIST_NUMBER: u64 = 7;
 
-struct ListedPod {
+struct PodListeners {
     pod: Arc<WorldPod>,
-    /// Its address for each sidecar.
+    /// Its address for each sidecar, by index.
     addresses: Vec<SocketAddr>,
 }
 
-/// What several sidecars run on.
+/// The environment of several sidecars.
 pub struct World {
     record: WorldRecord,
-    pods: Vec<ListedPod>,
+    pods: Vec<PodListeners>,
     executed: Arc<Mutex<BTreeSet<String>>>,
-    /// The discovery of each sidecar.
+    /// The discovery service of each sidecar.
     pub discovery: Vec<Discovery>,
-    /// The rollouts of each sidecar.
-    pub rollouts: Vec<Rollouts>,
+    /// The rollout service of each sidecar.
+    pub rollouts: Vec<RolloutService>,
     list_number: u64,
     stage_number: u64,
     seed: u64,
 }
 
 impl World {
-    /// For so many sidecars; none of them is up yet.
+    /// Creates the environment of this many sidecars, none of which runs yet.
     #[must_use]
     pub fn new(sidecars: usize, limits: RuleLimits, seed: u64) -> Self {
         let record = WorldRecord::new();
@@ -54,25 +57,27 @@
             day: "platform".into(),
             limits,
         });
-        // Discovery says nothing until a list is sent: `since` is what the sidecar knows.
-        let discovery = (0..sidecars).map(|_| Discovery::new(listing(FIRST_LIST, false, &[])));
-        let released = state(1, 0, "Healthy", 1.0);
+        // Each watch begins with an empty update of the list that the sidecar already knows (`since`), until a test sends a new list.
+        let discovery = (0..sidecars)
+            .map(|_| Discovery::new(endpoint_listing_json(INITIAL_LIST_NUMBER, false, &[])));
+        let released = rollout_state_json(1, 0, "Healthy", 1.0);
         let first = format!(r#"{{"type":"news","object":{released}}}"#);
-        let rollouts =
-            (0..sidecars).map(|_| Rollouts::new(&first, vec![Vote::Says(200, released.clone())]));
+        let rollouts = (0..sidecars).map(|_| {
+            RolloutService::new(&first, vec![VoteReplyScript::Reply(200, released.clone())])
+        });
         Self {
             record,
             pods: Vec::new(),
             executed: Arc::default(),
             discovery: discovery.collect(),
             rollouts: rollouts.collect(),
-            list_number: FIRST_LIST,
+            list_number: INITIAL_LIST_NUMBER,
             stage_number: 0,
             seed,
         }
     }
 
-    /// What the rules are held to, with these caps.
+    /// The limits of the rules, with these exposure caps.
     #[must_use]
     pub fn limits(caps: Vec<f64>) -> RuleLimits {
         let class = |idempotency| RequestClass {
@@ -106,11 +111,11 @@
         }
     }
 
-    /// Starts a pod, and returns its number; the list does not know it yet.
+    /// Starts a pod that is not listed yet, and returns its number.
     ///
     /// # Panics
-    /// No port is free.
-    pub fn pod(&mut self, build: u16, cold: bool, faults: Faults) -> usize {
+    /// Panics if no port is free.
+    pub fn start_pod(&mut self, build: u16, warming_up: bool, faults: Faults) -> usize {
         let number = self.pods.len();
         let id = PodId(number as u32);
         let seed = self.seed ^ u64::from(id.0) << 32;
@@ -127,46 +132,54 @@
             build,
             zone: 0,
             cell: 0,
-            capacity: CAPACITY,
-            warming_up: cold,
+            capacity: POD_CORES,
+            warming_up,
         });
         let sidecars = 0..self.discovery.len() as u32;
         let addresses = sidecars.map(|sidecar| listen_for(&pod, SidecarId(sidecar)));
         let addresses = addresses.collect();
-        self.pods.push(ListedPod { pod, addresses });
+        self.pods.push(PodListeners { pod, addresses });
         number
     }
 
-    /// What the list says of a pod to one sidecar.
+    /// A pod's entry in the list for one sidecar.
     #[must_use]
-    pub fn listed(&self, sidecar: usize, pod: usize, health: &'static str, born_ms: u64) -> Listed {
-        let ListedPod {
+    pub fn listed_pod(
+        &self,
+        sidecar: usize,
+        pod: usize,
+        state: &'static str,
+        started_at_ms: u64,
+    ) -> ListedPod {
+        let PodListeners {
             pod: listed,
             addresses,
         } = &self.pods[pod];
-        Listed {
+        ListedPod {
             build: listed.build,
-            health,
-            born_ms,
-            ..Listed::new(&format!("p{pod}"), addresses[sidecar])
+            state,
+            started_at_ms,
+            ..ListedPod::new(&format!("p{pod}"), addresses[sidecar])
         }
     }
 
-    /// Sends one sidecar's watch the whole list: pods with their health and start.
-    pub fn tell_list(&mut self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
+    /// Sends the whole list on one sidecar's watch: pods with their health and start time.
+    pub fn send_endpoint_list(&mut self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
         self.list_number += 1;
-        let rows: Vec<Listed> = pods
+        let rows: Vec<ListedPod> = pods
             .iter()
-            .map(|(pod, health, born)| self.listed(sidecar, *pod, health, *born))
+            .map(|(pod, state, started_at_ms)| {
+                self.listed_pod(sidecar, *pod, state, *started_at_ms)
+            })
             .collect();
-        self.discovery[sidecar].says(&listing(self.list_number, true, &rows));
-        self.knows(sidecar, pods);
+        self.discovery[sidecar].send_object(&endpoint_listing_json(self.list_number, true, &rows));
+        self.record_endpoint_list(sidecar, pods);
     }
 
-    /// Records that a sidecar was notified of this list, by its configuration or its watch.
-    pub fn knows(&self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
+    /// Records that a sidecar received this list, by its configuration or its watch.
+    pub fn record_endpoint_list(&self, sidecar: usize, pods: &[(usize, &'static str, u64)]) {
         let with = |wanted: &str| {
-            let some = pods.iter().filter(|(_, health, _)| *health == wanted);
+            let some = pods.iter().filter(|(_, state, _)| *state == wanted);
             some.map(|(pod, ..)| PodId(*pod as u32)).collect()
         };
         self.record.append(Event::EndpointsNotified {
@@ -176,18 +189,18 @@
         });
     }
 
-    /// Notifies all sidecars of the newest build's stage.
-    pub fn tell_news(&mut self, build: u16, stage: u8, name: &str, cap: f64) {
+    /// Sends the newest build's stage to all sidecars.
+    pub fn send_stage(&mut self, build: u16, stage: u8, name: &str, cap: f64) {
         self.stage_number += 1;
-        let state = state(build, stage, name, cap);
+        let state = rollout_state_json(build, stage, name, cap);
         for (sidecar, rollouts) in self.rollouts.iter().enumerate() {
-            rollouts.says(&format!(r#"{{"type":"news","object":{state}}}"#));
-            self.knows_news(sidecar, build, stage, name, cap);
+            rollouts.send_line(&format!(r#"{{"type":"news","object":{state}}}"#));
+            self.record_stage(sidecar, build, stage, name, cap);
         }
     }
 
-    /// Records that a sidecar was notified of a stage.
-    pub fn knows_news(&self, sidecar: usize, build: u16, stage: u8, name: &str, cap: f64) {
+    /// Records that a sidecar received a stage update.
+    pub fn record_stage(&self, sidecar: usize, build: u16, stage: u8, name: &str, cap: f64) {
         let phase = match name {
             "Progressing" => Phase::OnTrial,
             "Aborting" => Phase::RollingBack,
@@ -204,19 +217,19 @@
         });
     }
 
-    /// Appends to the record.
-    pub fn note(&self, event: Event) {
+    /// Appends an event to the record.
+    pub fn record_event(&self, event: Event) {
         self.record.append(event);
     }
 
-    /// Sets how a pod fails from now on.
-    pub fn fail(&self, pod: usize, faults: Faults) {
+    /// Sets the faults of a pod from now on.
+    pub fn set_faults(&self, pod: usize, faults: Faults) {
         *lock(&self.pods[pod].pod.faults) = faults;
     }
 
-    /// A client of a sidecar on a thread of its own: sends one request after the other until it is stopped, on connections that it opens
-    /// anew where one ends. Returns how many were delivered. `name` is the upper half of its requests' numbers.
-    pub fn client(
+    /// Starts a client of a sidecar on its own thread. It sends one request after the other until it is stopped, and reconnects when its
+    /// connection ends. The thread returns the number of delivered requests. `name` is the upper half of its requests' numbers.
+    pub fn start_client(
         &self,
         (sidecar, address): (usize, SocketAddr),
         name: u64,
@@ -234,7 +247,7 @@
         std::thread::spawn(move || client.run(&stop))
     }
 
-    /// The record so far, ended.
+    /// Ends the record, and returns it.
     #[must_use]
     pub fn lines(&self) -> Vec<RecordLine> {
         self.record.append(Event::End {});
--- a/crates/emulators/src/rollout.rs
+++ b/crates/emulators/src/rollout.rs
@@ -1,60 +1,60 @@
-//! The rollout controller as a model without I/O: brings a build in by stages, slot by slot, and counts votes.
+//! The model of the rollout controller, without I/O: rolls out a build by stages, slot by slot, and counts votes.
 
 use limewing_rule_checker::record::{Phase, SidecarId};
 use limewing_settings::{Control, RolloutSettings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A place for one pod in the fleet; its pods follow each other.
+/// A slot for one pod in the fleet; its pods replace each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SlotId(pub usize);
 
-/// What the controller asks for.
+/// An action that the controller requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RolloutAction {
     /// Start a pod.
     StartPod {
-        /// Where.
+        /// The slot.
         slot: SlotId,
-        /// Of which build.
+        /// The build of the pod.
         build: u16,
     },
     /// Drain all pods of other builds in a slot.
-    DrainOthers {
-        /// Where.
+    DrainOtherBuilds {
+        /// The slot.
         slot: SlotId,
         /// The build that stays.
         build: u16,
     },
     /// Notify the sidecars of the new state.
-    NotifyStage,
+    NotifySidecars,
 }
 
-/// What a sidecar votes for.
+/// The verdict of a sidecar's vote.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Nothing, but it takes part.
+    /// No verdict, but the sidecar takes part.
     Abstain,
-    /// The next stage.
+    /// Move on to the next stage.
     Promote,
-    /// The stage goes on.
+    /// Stay at the current stage.
     Hold,
-    /// The build before it.
+    /// Return to the previous build.
     RollBack,
 }
 
-/// Where the rollout of the newest build stands.
+/// The state of the rollout of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutState {
-    /// Grows with each change: of two updates, the higher is the later.
+    /// The number of the update, which grows with each change: of two updates, the higher number is newer.
     pub number: u64,
     /// The newest build.
     pub build: u16,
-    /// Its stage.
+    /// The stage of its rollout.
     pub stage: u8,
-    /// What becomes of it.
+    /// The phase of its rollout.
     pub phase: Phase,
-    /// The share of requests that it may get.
+    /// The largest share of requests that it may receive.
     pub cap: f64,
 }
 
@@ -66,12 +66,12 @@
 }
 
 struct Slot {
-    /// The build that runs or starts.
+    /// The build that runs or is starting.
     build: u16,
     starting: bool,
 }
 
-/// Rolls builds out as the settings of a release say.
+/// Rolls out builds according to the settings.
 pub struct RolloutController {
     config: RolloutSettings,
     state: RolloutState,
@@ -79,14 +79,14 @@
     previous_build: u16,
     slots: Vec<Slot>,
     votes: BTreeMap<SidecarId, Vote>,
-    /// How long the stage has run with all its pods.
-    stage_ran_for: Duration,
+    /// How long the stage has run with all its pods started.
+    stage_run_time: Duration,
     last_tick: Duration,
     next_build: Option<u16>,
 }
 
 impl RolloutController {
-    /// A fleet of so many slots that all run a build, which is released.
+    /// Creates a controller of this many slots, which all run a released build.
     #[must_use]
     pub fn new(config: RolloutSettings, slots: usize, build: u16) -> Self {
         let running = |_| Slot {
@@ -105,19 +105,19 @@
             previous_build: build,
             slots: (0..slots).map(running).collect(),
             votes: BTreeMap::new(),
-            stage_ran_for: Duration::ZERO,
+            stage_run_time: Duration::ZERO,
             last_tick: Duration::ZERO,
             next_build: None,
         }
     }
 
-    /// Where the rollout stands.
+    /// The current state of the rollout.
     #[must_use]
     pub fn state(&self) -> RolloutState {
         self.state
     }
 
-    /// The build that a slot is to run.
+    /// The build that a slot runs or is starting.
     #[must_use]
     pub fn build_at(&self, slot: SlotId) -> u16 {
         self.slots
@@ -125,16 +125,16 @@
             .map_or(self.previous_build, |slot| slot.build)
     }
 
-    /// Rolls out another build; a canary is rolled back first.
+    /// Schedules the rollout of another build; a build on trial is rolled back first.
     pub fn offer(&mut self, build: u16, now: Duration) {
         self.next_build = Some(build);
         if self.state.phase == Phase::OnTrial {
-            self.enter(Phase::RollingBack, self.state.stage, now);
+            self.enter_phase(Phase::RollingBack, self.state.stage, now);
         }
     }
 
-    fn enter(&mut self, phase: Phase, stage: u8, now: Duration) {
-        self.stage_ran_for = Duration::ZERO;
+    fn enter_phase(&mut self, phase: Phase, stage: u8, now: Duration) {
+        self.stage_run_time = Duration::ZERO;
         self.last_tick = now;
         self.state.number += 1;
         self.state.phase = phase;
@@ -146,7 +146,7 @@
         };
     }
 
-    /// Takes a vote; returns whether it counts.
+    /// Receives a vote; returns whether it counts.
     pub fn vote(
         &mut self,
         sidecar: SidecarId,
@@ -189,7 +189,7 @@
         self.votes.values().filter(counts).count()
     }
 
-    /// Moves the rollout on; called often, in even intervals. `is_running` tells whether a slot's pod of a build has started.
+    /// Advances the rollout; called at short, regular intervals. `is_running` tells whether a slot's pod of a build has started.
     pub fn tick(
         &mut self,
         now: Duration,
@@ -199,9 +199,9 @@
         let interval = now.saturating_sub(self.last_tick);
         self.last_tick = now;
         self.finish_starts(is_running, &mut actions);
-        if self.is_voted_down(now) {
-            self.enter(Phase::RollingBack, self.state.stage, now);
-            actions.push(RolloutAction::NotifyStage);
+        if self.has_rollback_quorum(now) {
+            self.enter_phase(Phase::RollingBack, self.state.stage, now);
+            actions.push(RolloutAction::NotifySidecars);
             return actions;
         }
         match self.state.phase {
@@ -222,18 +222,18 @@
             let build = slot.build;
             if slot.starting && is_running(id, build) {
                 slot.starting = false;
-                actions.push(RolloutAction::DrainOthers { slot: id, build });
+                actions.push(RolloutAction::DrainOtherBuilds { slot: id, build });
             }
         }
     }
 
-    fn is_voted_down(&self, now: Duration) -> bool {
+    fn has_rollback_quorum(&self, now: Duration) -> bool {
         matches!(self.state.phase, Phase::OnTrial | Phase::Released)
             && self.state.build != self.previous_build
             && self.count_votes(Verdict::RollBack, now) >= self.config.rollback_quorum as usize
     }
 
-    fn none_starts(&self) -> bool {
+    fn no_slot_starting(&self) -> bool {
         self.slots.iter().all(|slot| !slot.starting)
     }
 
@@ -245,17 +245,17 @@
             self.previous_build = self.state.build;
         }
         self.state.build = next;
-        self.enter(Phase::OnTrial, 0, now);
-        actions.push(RolloutAction::NotifyStage);
+        self.enter_phase(Phase::OnTrial, 0, now);
+        actions.push(RolloutAction::NotifySidecars);
     }
 
     fn roll_back(&mut self, now: Duration, actions: &mut Vec<RolloutAction>) {
-        let settled = self.none_starts();
+        let settled = self.no_slot_starting();
         let previous = self.previous_build;
-        self.replace(previous, 1.0, actions);
+        self.start_build(previous, 1.0, actions);
         if settled && self.slots.iter().all(|slot| slot.build == previous) {
-            self.enter(Phase::RolledBack, self.state.stage, now);
-            actions.push(RolloutAction::NotifyStage);
+            self.enter_phase(Phase::RolledBack, self.state.stage, now);
+            actions.push(RolloutAction::NotifySidecars);
         }
     }
 
@@ -265,31 +265,31 @@
         interval: Duration,
         actions: &mut Vec<RolloutAction>,
     ) {
-        let settled = self.none_starts();
+        let settled = self.no_slot_starting();
         let stage = self.state.stage;
         let share = self.config.stages[usize::from(stage)].share;
-        self.replace(self.state.build, share, actions);
+        self.start_build(self.state.build, share, actions);
         let held = self.count_votes(Verdict::Hold, now) > 0;
         if settled && actions.is_empty() && !held {
-            self.stage_ran_for += interval;
+            self.stage_run_time += interval;
         }
         let promoted = match self.config.control {
             Control::Clock => true,
             Control::Votes => self.count_votes(Verdict::Promote, now) > 0,
         };
-        if !promoted || self.stage_ran_for < self.config.stage_duration.into() {
+        if !promoted || self.stage_run_time < self.config.stage_duration.into() {
             return;
         }
         if usize::from(stage) + 1 >= self.config.stages.len() {
-            self.enter(Phase::Released, stage, now);
+            self.enter_phase(Phase::Released, stage, now);
         } else {
-            self.enter(Phase::OnTrial, stage + 1, now);
+            self.enter_phase(Phase::OnTrial, stage + 1, now);
         }
-        actions.push(RolloutAction::NotifyStage);
+        actions.push(RolloutAction::NotifySidecars);
     }
 
-    /// Starts a build in the first slots, up to a share of all.
-    fn replace(&mut self, build: u16, share: f64, actions: &mut Vec<RolloutAction>) {
+    /// Starts a build in the first slots, up to a share of all slots.
+    fn start_build(&mut self, build: u16, share: f64, actions: &mut Vec<RolloutAction>) {
         let count = (share * self.slots.len() as f64).ceil() as usize;
         for (index, slot) in self.slots.iter_mut().enumerate().take(count) {
             if slot.build != build && !slot.starting {
--- a/crates/fault-injection/src/script.rs
+++ b/crates/fault-injection/src/script.rs
@@ -1,94 +1,95 @@
-//! The script of faults. Times are in seconds from the start; members are selected by their part of the fleet, so that one
-//! script fits any number of them.
+//! The script of faults. Times are in seconds from the start. Members are selected as a part of the fleet, so that one script
+//! works with any number of members.
 //!
-//! Names in files differ from the names here, and descriptions in the schema from the comments here: both are formats.
+//! Names in script files may differ from the names here, and empty schema descriptions replace some of the comments here: both
+//! are part of the file format.
 
 use crate::selector::Selector;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What happens to the links and members of a fleet.
+/// A script of faults of the links and members of a fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// The script's name.
+    /// Name of the script.
     #[schemars(description = "")]
     pub name: String,
     /// Seed of the random number generator.
     #[schemars(description = "")]
     pub seed: u64,
-    /// How long the script takes.
+    /// Duration of the script in seconds.
     #[schemars(description = "")]
     pub seconds: f64,
-    /// Every link, unless a step says otherwise.
+    /// Conditions of every link, unless a step changes them.
     #[serde(default, rename = "line")]
     pub conditions: LinkConditions,
     /// The faults, in any order.
     #[serde(default)]
     #[schemars(description = "")]
     pub steps: Vec<ScriptStep>,
-    /// Members whose clocks tell another time of day.
+    /// Members whose clocks are wrong, with their offsets.
     #[serde(default, rename = "clocks", skip_serializing_if = "Vec::is_empty")]
     pub clock_offsets: Vec<ClockOffset>,
 }
 
-/// A wrong clock.
+/// Offset of the clocks of some members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Ahead", description = "")]
 pub struct ClockOffset {
-    /// The members that have it.
+    /// The members with this offset.
     #[serde(rename = "who")]
     #[schemars(description = "")]
     pub members: Selector,
-    /// Below 0: behind.
+    /// Offset in seconds; negative if the clock is behind.
     pub seconds: f64,
 }
 
-/// How one direction between two members treats datagrams; parts are from 0 to 1.
+/// Conditions of one direction between two members; fractions are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Line")]
 pub struct LinkConditions {
-    /// The part of datagrams that is lost.
+    /// Fraction of the datagrams that is lost.
     #[schemars(description = "")]
     pub loss: f64,
     /// Delay of every datagram, in milliseconds.
     #[schemars(description = "")]
     pub delay_ms: f64,
-    /// Further delay, drawn evenly up to this: what is later may come first.
+    /// Upper bound of an additional random delay, in milliseconds; it is uniformly distributed and may reorder datagrams.
     pub jitter_ms: f64,
-    /// The part of datagrams that arrives twice.
+    /// Fraction of the datagrams that arrives twice.
     #[schemars(description = "")]
     pub duplicate: f64,
-    /// One bit is turned.
+    /// Fraction of the datagrams in which one bit is flipped.
     pub corrupt: f64,
-    /// What is over this is lost; 0: no limit.
+    /// Byte rate above which datagrams are lost; 0 means no limit.
     #[serde(rename = "bytes_per_s")]
     pub bytes_per_second: f64,
 }
 
-/// A fault and its time.
+/// A fault with its time.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Step", description = "")]
 pub struct ScriptStep {
-    /// When it happens, in seconds.
+    /// Time of the fault, in seconds from the start of the script.
     #[schemars(description = "")]
     pub at: f64,
-    /// What happens.
+    /// The fault.
     #[serde(rename = "does")]
     #[schemars(description = "")]
     pub fault: Fault,
 }
 
-/// What happens to links or members.
+/// A fault of links or members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 #[schemars(description = "")]
 pub enum Fault {
-    /// Nothing passes from some to others; back neither, unless one way only.
+    /// No datagram passes from some members to others, nor back unless `one_way` is set.
     #[serde(rename = "cut")]
     Partition {
         /// The senders.
@@ -97,15 +98,15 @@
         /// The receivers.
         #[schemars(description = "")]
         to: Selector,
-        /// Whether the other direction stays as it is.
+        /// Whether only this direction is cut.
         #[serde(default)]
         #[schemars(description = "")]
         one_way: bool,
     },
-    /// All cuts are mended.
+    /// All partitions are healed.
     #[serde(rename = "mend")]
     HealPartitions,
-    /// The links from some to others are of this kind from now on.
+    /// The links from some members to others have these conditions from now on.
     #[serde(rename = "change")]
     ChangeLinks {
         /// The senders.
@@ -114,32 +115,32 @@
         /// The receivers.
         #[schemars(description = "")]
         to: Selector,
-        /// The links' new conditions.
+        /// New conditions of the links.
         #[serde(rename = "line")]
         #[schemars(description = "")]
         conditions: LinkConditions,
     },
-    /// Ended outright.
+    /// The members are killed without notice.
     Kill(Selector),
-    /// Told to leave.
+    /// The members leave the fleet, and stop.
     Leave(Selector),
-    /// Stands still, and goes on as if nothing had been.
+    /// The members are suspended, and keep their state until they resume.
     #[serde(rename = "stop")]
     Suspend(Selector),
-    /// Ends a suspension.
+    /// The members resume after a suspension.
     #[serde(rename = "go_on")]
     #[schemars(description = "")]
     Resume(Selector),
-    /// Started, anew if it had run.
+    /// The members are started, or restarted if they run.
     Start(Selector),
-    /// What they keep on disk is gone; of those that do not run then.
+    /// The data on disk of those members that do not run is deleted.
     LoseDisk(Selector),
-    /// Their disks take nothing more; of those that run.
+    /// Disk writes of those members that run fail from now on.
     FillDisk(Selector),
-    /// Their disks take writes again.
+    /// Their disk writes succeed again.
     #[schemars(description = "")]
     FreeDisk(Selector),
-    /// Their key file has these keys from now on, the first one seals; they are told to read it.
+    /// The members' key files get these keys, the first of which seals datagrams; the members reload them.
     #[serde(rename = "keys")]
     ReplaceKeys {
         /// The members that get the keys.
@@ -150,25 +151,25 @@
         #[schemars(description = "")]
         ids: Vec<u8>,
     },
-    /// Each of them is sent so many datagrams of noise, and as many that it has had before.
+    /// Each member receives this many datagrams of noise, and as many replays of datagrams that it received before.
     #[serde(rename = "noise")]
     SendNoise {
         /// The members that get the datagrams.
         #[schemars(description = "")]
         to: Selector,
-        /// How many of each kind.
+        /// Number of datagrams of each kind.
         #[schemars(description = "")]
         datagrams: u32,
     },
 }
 
 impl Script {
-    /// How long the script takes.
+    /// Returns the duration of the script.
     pub fn duration(&self) -> Duration {
         Duration::from_secs_f64(self.seconds)
     }
 
-    /// By how many seconds a member's clock is ahead, in a fleet of `member_count`.
+    /// Returns by how many seconds a member's clock is ahead, in a fleet of `member_count`; negative if it is behind.
     pub fn clock_offset(&self, member: usize, member_count: usize) -> f64 {
         self.clock_offsets
             .iter()
--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -1,26 +1,28 @@
-//! Updates that are still gossiped (SWIM, section 4.1: infection-style dissemination): each is sent a limited number of times,
-//! the least sent first and of these the newest, so that a fresh suspicion does not wait behind all that a fleet spreads
-//! at its start. memberlist calls it the transmit-limited queue.
+//! Queue of updates to gossip (infection-style dissemination, SWIM section 4.1).
+//!
+//! Each update is sent a limited number of times. The least often sent updates go first, and the
+//! newest among them, so that a new suspicion does not wait behind the many updates of a starting
+//! fleet. memberlist calls this the transmit-limited queue.
 
 use crate::packet::Broadcast;
 use crate::status::MemberName;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Updates that are queued; beyond, the one that was sent most often is dropped.
+/// Maximum number of queued updates; beyond it the update that was sent most often is dropped.
 const MAX_QUEUED: usize = 1024;
 
-struct Queued<T> {
+struct QueuedUpdate<T> {
     transmits: u32,
     sequence: u64,
     payload: T,
 }
 
-/// At most one update of each member.
+/// Holds at most one update for each member.
 pub(crate) struct BroadcastQueue<T> {
-    /// By number of transmits, then by age.
+    /// Sorted by number of transmits, then newest first.
     order: BTreeSet<(u32, Reverse<u64>, MemberName)>,
-    queued: BTreeMap<MemberName, Queued<T>>,
+    queued: BTreeMap<MemberName, QueuedUpdate<T>>,
     last_sequence: u64,
 }
 
@@ -35,7 +37,7 @@
 }
 
 impl<T: Broadcast> BroadcastQueue<T> {
-    /// Queues an update; it replaces an older one of the same member.
+    /// Queues an update, replacing an older update of the same member.
     pub(crate) fn enqueue(&mut self, payload: T) {
         let name = payload.name().clone();
         self.remove(&name);
@@ -45,7 +47,7 @@
         self.last_sequence += 1;
         self.insert(
             name,
-            Queued {
+            QueuedUpdate {
                 transmits: 0,
                 sequence: self.last_sequence,
                 payload,
@@ -53,22 +55,23 @@
         );
     }
 
-    /// Updates that fit into `room` bytes. `first` goes before all others, if it has an update. One that has now been sent
-    /// `max_transmits` times leaves the queue.
+    /// Takes updates that fit into `room` bytes. The update of `prioritized`, if one is queued,
+    /// precedes all others. An update that has now been sent `max_transmits` times leaves the
+    /// queue.
     pub(crate) fn take_batch(
         &mut self,
         mut room: usize,
         max_transmits: u32,
-        first: Option<&MemberName>,
+        prioritized: Option<&MemberName>,
     ) -> Vec<T> {
-        let first = first.filter(|name| self.queued.contains_key(*name));
+        let prioritized = prioritized.filter(|name| self.queued.contains_key(*name));
         let others = self
             .order
             .iter()
             .map(|(_, _, name)| name)
-            .filter(|name| Some(*name) != first);
+            .filter(|name| Some(*name) != prioritized);
         let mut chosen: Vec<MemberName> = Vec::new();
-        for name in first.into_iter().chain(others) {
+        for name in prioritized.into_iter().chain(others) {
             let size = self.queued[name].payload.max_encoded_bytes();
             if size > room {
                 break;
@@ -87,22 +90,22 @@
     }
 
     fn transmit(&mut self, name: MemberName, max_transmits: u32) -> Option<T> {
-        let mut sent = self.remove(&name)?;
-        let payload = sent.payload.clone();
-        sent.transmits += 1;
-        if sent.transmits < max_transmits {
-            self.insert(name, sent);
+        let mut entry = self.remove(&name)?;
+        let payload = entry.payload.clone();
+        entry.transmits += 1;
+        if entry.transmits < max_transmits {
+            self.insert(name, entry);
         }
         Some(payload)
     }
 
-    fn insert(&mut self, name: MemberName, queued: Queued<T>) {
+    fn insert(&mut self, name: MemberName, queued: QueuedUpdate<T>) {
         self.order
             .insert((queued.transmits, Reverse(queued.sequence), name.clone()));
         self.queued.insert(name, queued);
     }
 
-    fn remove(&mut self, name: &MemberName) -> Option<Queued<T>> {
+    fn remove(&mut self, name: &MemberName) -> Option<QueuedUpdate<T>> {
         let removed = self.queued.remove(name)?;
         let position = (removed.transmits, Reverse(removed.sequence), name.clone());
         self.order.remove(&position);
--- a/crates/mutants/src/mutated_decisions.rs
+++ b/crates/mutants/src/mutated_decisions.rs
@@ -1,4 +1,4 @@
-//! The real decisions, with a rule broken in the actions that they put out.
+//! The decision engine with actions changed to violate a rule.
 
 use crate::mutation::Mutation;
 use limewing_decision::interface::{
@@ -11,35 +11,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One in so many attempts is dropped by [`Mutation::DropsRequests`].
+/// [`Mutation::DropsRequests`] drops one in this many attempts.
 const DROP_INTERVAL: u64 = 40;
-/// One in so many attempts is rejected by [`Mutation::RejectsInFlight`].
+/// [`Mutation::RejectsInFlight`] rejects one in this many attempts.
 const REJECT_INTERVAL: u64 = 5;
-/// One in so many attempts goes to the build on trial by [`Mutation::ExceedsCap`].
+/// [`Mutation::ExceedsCap`] sends one in this many attempts to the build on trial.
 const TRIAL_INTERVAL: u64 = 3;
-/// How long after the grace a drained pod is used by [`Mutation::UsesDrainedPods`]: longer than the checker tolerates.
-const PAST_GRACE: Duration = Duration::from_millis(300);
+/// The time after the grace period from which [`Mutation::UsesDrainedPods`] uses a draining pod. It exceeds the
+/// tolerance of the rule checker.
+const GRACE_MARGIN: Duration = Duration::from_millis(300);
 /// A pod younger than this counts as cold for [`Mutation::FloodsColdPods`].
-const COLD_FOR: Duration = Duration::from_secs(2);
+const COLD_DURATION: Duration = Duration::from_secs(2);
 
-/// The decisions of a sidecar that breaks a rule.
+/// The decisions of a sidecar that violates a rule.
 pub(crate) struct MutatedDecisions {
     engine: DecisionEngine,
     mutation: Mutation,
     drain_grace: Duration,
-    /// For each class of requests.
+    /// Whether requests are non-idempotent, by request class.
     is_non_idempotent: Vec<bool>,
     classes: BTreeMap<RequestId, ClassId>,
     endpoints: BTreeMap<PodId, Endpoint>,
-    /// Since when a pod is known to drain.
+    /// When the sidecar was notified that a pod is draining.
     draining_since: BTreeMap<PodId, Duration>,
     stage: Option<StageUpdate>,
-    /// Requests of which an attempt was started.
+    /// Requests with at least one attempt.
     attempted: BTreeSet<RequestId>,
     attempt_count: u64,
 }
 
-/// An attempt that the decisions want to start.
+/// An attempt that the engine decided to start.
 #[derive(Clone, Copy)]
 struct Attempt {
     request: RequestId,
@@ -48,11 +49,11 @@
 }
 
 impl Attempt {
-    fn at(self, pod: PodId) -> Self {
+    fn with_pod(self, pod: PodId) -> Self {
         Self { pod, ..self }
     }
 
-    fn start(self) -> Action {
+    fn into_action(self) -> Action {
         Action::StartAttempt {
             request: self.request,
             pod: self.pod,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Remembers what the mutations need to know.
+    /// Stores the parts of the events that the mutations depend on.
     fn observe(&mut self, now: Duration, events: &[Event]) {
         for event in events {
             match event {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Breaks the rule in what the real decisions put out.
+    /// Changes the actions of the engine to violate the rule.
     fn mutate(&mut self, now: Duration, actions: Vec<Action>) -> Vec<Action> {
         let mut mutated = Vec::new();
         for action in actions {
@@ -137,21 +138,21 @@
 
     fn mutate_attempt(&mut self, now: Duration, attempt: Attempt) -> Vec<Action> {
         self.attempt_count += 1;
-        if self.mutation == Mutation::DropsRequests && self.is_one_in(DROP_INTERVAL) {
+        if self.mutation == Mutation::DropsRequests && self.is_nth_attempt(DROP_INTERVAL) {
             return Vec::new();
         }
         let request = attempt.request;
         let pod = self.replacement_pod(now, request).unwrap_or(attempt.pod);
-        let attempt = attempt.at(pod);
+        let attempt = attempt.with_pod(pod);
         let is_first = self.attempted.insert(request);
-        let mut actions = vec![attempt.start()];
+        let mut actions = vec![attempt.into_action()];
         match self.mutation {
             Mutation::RepeatsNonIdempotent if is_first && self.is_non_idempotent(request) => {
                 let other = self.ready_endpoints().find(|other| other.pod != pod);
-                actions.extend(other.map(|other| attempt.at(other.pod).start()));
+                actions.extend(other.map(|other| attempt.with_pod(other.pod).into_action()));
             }
             Mutation::RejectsInFlight
-                if self.is_non_idempotent(request) && self.is_one_in(REJECT_INTERVAL) =>
+                if self.is_non_idempotent(request) && self.is_nth_attempt(REJECT_INTERVAL) =>
             {
                 actions.push(Action::Reject {
                     request,
@@ -163,11 +164,11 @@
         actions
     }
 
-    /// The pod that an attempt is sent to instead of the chosen one.
+    /// Returns the pod that replaces the one chosen by the engine, if any.
     fn replacement_pod(&self, now: Duration, request: RequestId) -> Option<PodId> {
         match self.mutation {
             Mutation::ExceedsCap
-                if !self.is_non_idempotent(request) && self.is_one_in(TRIAL_INTERVAL) =>
+                if !self.is_non_idempotent(request) && self.is_nth_attempt(TRIAL_INTERVAL) =>
             {
                 self.pod_on_trial()
             }
@@ -193,7 +194,7 @@
     fn drained_pod(&self, now: Duration) -> Option<PodId> {
         self.draining_since
             .iter()
-            .find(|(_, since)| now > **since + self.drain_grace + PAST_GRACE)
+            .find(|(_, since)| now > **since + self.drain_grace + GRACE_MARGIN)
             .map(|(pod, _)| *pod)
     }
 
@@ -202,7 +203,7 @@
             .find(|endpoint| {
                 endpoint
                     .started_at
-                    .is_some_and(|started_at| now < started_at + COLD_FOR)
+                    .is_some_and(|started_at| now < started_at + COLD_DURATION)
             })
             .map(|endpoint| endpoint.pod)
     }
@@ -219,14 +220,19 @@
             .is_some_and(|class| self.is_non_idempotent[usize::from(class.0)])
     }
 
-    fn is_one_in(&self, interval: u64) -> bool {
+    fn is_nth_attempt(&self, interval: u64) -> bool {
         self.attempt_count.is_multiple_of(interval)
     }
 }
 
 impl SendAuthority for MutatedDecisions {
-    fn may_begin(&self, now: Duration, request: RequestId, attempt: AttemptIndex) -> bool {
-        self.mutation.changes_attempts() || self.engine.may_begin(now, request, attempt)
+    fn may_send_first_byte(
+        &self,
+        now: Duration,
+        request: RequestId,
+        attempt: AttemptIndex,
+    ) -> bool {
+        self.mutation.changes_attempts() || self.engine.may_send_first_byte(now, request, attempt)
     }
 }
 
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Pins the bytes of replication messages and of the records in them.
 //!
-//! `golden/packets.hex` holds one packet of each kind a line, `golden/records.hex` one record of
-//! each kind with its kind number: what it shows, its bytes. `GOLDEN_WRITE=1` writes the files
-//! anew; that is for new kinds only.
+//! `golden/packets.hex` has one packet of each kind per line: the case that it covers, and its
+//! bytes. `golden/records.hex` has one record of each kind per line, with the number of its kind in
+//! between. `GOLDEN_WRITE=1` rewrites the files, which is only for new kinds.
 
 use limewing_replication::{
     Entry, ExecutionMark, LogPosition, Message, Origin, Packet, Phase, Record, SequenceRange, Stage,
@@ -83,7 +83,7 @@
         .zip(records())
         .map(|(sequence, (_, record))| entry(sequence * 100, 600_000, &record))
         .collect();
-    // Of a kind that this version does not know: passed on as it came.
+    // A kind that this version does not know is relayed unchanged.
     let unknown = Entry {
         sequence: 2,
         time_to_live_ms: 1,
@@ -127,7 +127,7 @@
         through: None,
         positions: positions.clone(),
     };
-    let digest_of_a_range = Message::Digest {
+    let partial_digest = Message::Digest {
         request: 70_000,
         after: Some(first),
         through: Some(last.clone()),
@@ -140,7 +140,7 @@
         ahead: Vec::new(),
         caught_up: false,
     };
-    let reply_of_a_range = Message::DigestReply {
+    let partial_reply = Message::DigestReply {
         request: u32::MAX,
         through: Some(last),
         behind: Vec::new(),
@@ -149,9 +149,9 @@
     };
     [
         ("digest", digest),
-        ("digest-of-a-range", digest_of_a_range),
+        ("digest-of-a-range", partial_digest),
         ("digest-reply", reply),
-        ("digest-reply-of-a-range", reply_of_a_range),
+        ("digest-reply-of-a-range", partial_reply),
     ]
 }
 
@@ -163,17 +163,17 @@
         .collect()
 }
 
-/// The file's text, which must have one line for each of `today`.
-fn read_golden(file: &str, today: &str) -> String {
-    let text = golden::read(env!("CARGO_MANIFEST_DIR"), file, today);
-    assert_eq!(text.lines().count(), today.lines().count());
+/// Returns the file's text, which must have one line for each line of `generated`.
+fn read_golden(file: &str, generated: &str) -> String {
+    let text = golden::read(env!("CARGO_MANIFEST_DIR"), file, generated);
+    assert_eq!(text.lines().count(), generated.lines().count());
     text
 }
 
-/// Packets built from code are written as in the file; those of the file are read as those values,
-/// and written again alike.
+/// Packets built in code encode to the bytes in the file. The bytes in the file decode to the same
+/// packets and encode to the same bytes again.
 #[test]
-fn packets_are_read_and_written_as_in_the_file() {
+fn packets_match_the_golden_file() {
     let lines: Vec<String> = packets()
         .iter()
         .map(|(name, packet)| format!("{name} {}\n", golden::to_hex(&packet.encode())))
@@ -181,7 +181,9 @@
     let text = read_golden("packets.hex", &lines.concat());
     assert_eq!(lines.concat(), text);
     for (line, (_, built)) in text.lines().zip(packets()) {
-        let (name, hex) = line.split_once(' ').expect("a golden file");
+        let (name, hex) = line
+            .split_once(' ')
+            .expect("a valid line of the golden file");
         let bytes = golden::from_hex(hex);
         let packet = Packet::decode(&bytes).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(packet, built, "{name}");
@@ -191,7 +193,7 @@
 
 /// The same for records, each with the number of its kind.
 #[test]
-fn records_are_read_and_written_as_in_the_file() {
+fn records_match_the_golden_file() {
     let lines: Vec<String> = records()
         .iter()
         .map(|(name, record)| {
@@ -209,8 +211,15 @@
             panic!("{line}")
         };
         let bytes = golden::from_hex(hex);
-        let record = Record::decode(kind.parse().expect("a golden file"), &bytes);
+        let record = Record::decode(
+            kind.parse().expect("a valid line of the golden file"),
+            &bytes,
+        );
         assert_eq!(record, Some(built), "{name}");
-        assert_eq!(record.expect("a golden file").encode(), bytes, "{name}");
+        assert_eq!(
+            record.expect("a valid line of the golden file").encode(),
+            bytes,
+            "{name}"
+        );
     }
 }
--- a/crates/rule-checker/src/service.rs
+++ b/crates/rule-checker/src/service.rs
@@ -1,17 +1,17 @@
-//! How the day went for the clients.
+//! Quality of service as seen by the clients.
 
 use crate::record::{Event, FinalAnswer, RecordLine, RequestId, RuleLimits};
 use crate::report::ServiceFigures;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The first attempt of a request.
+/// First attempt of a request.
 struct FirstAttempt {
     at: Duration,
     class: usize,
 }
 
-/// The answer that counts for a request: the first delivered one, or else the last.
+/// Answer that counts for a request: the first one delivered by a pod, otherwise the last one.
 struct LastAnswer {
     at: Duration,
     answer: FinalAnswer,
@@ -49,29 +49,29 @@
         delivered: count(FinalAnswer::Delivered),
         rejected: count(FinalAnswer::Rejected),
         failed: count(FinalAnswer::Failed),
-        weighted_part_in_time: weighted_part_in_time(&first, &last, limits),
+        weighted_on_time_fraction: weighted_on_time_fraction(&first, &last, limits),
     }
 }
 
-fn weighted_part_in_time(
+fn weighted_on_time_fraction(
     first: &BTreeMap<RequestId, FirstAttempt>,
     last: &BTreeMap<RequestId, LastAnswer>,
     limits: &RuleLimits,
 ) -> f64 {
-    let mut asked = 0.0;
-    let mut earned = 0.0;
+    let mut total_weight = 0.0;
+    let mut on_time_weight = 0.0;
     for (id, first) in first {
         let class = &limits.classes[first.class];
-        asked += class.priority_weight;
-        let in_time = last.get(id).is_some_and(|last| {
+        total_weight += class.priority_weight;
+        let on_time = last.get(id).is_some_and(|last| {
             last.answer == FinalAnswer::Delivered && last.at <= first.at + class.latency_objective
         });
-        if in_time {
-            earned += class.priority_weight;
+        if on_time {
+            on_time_weight += class.priority_weight;
         }
     }
-    if asked > 0.0 {
-        earned / asked
+    if total_weight > 0.0 {
+        on_time_weight / total_weight
     } else {
         0.0
     }
