--- a/tools/mixed_versions.py
+++ b/tools/mixed_versions.py
@@ -197,8 +197,14 @@
         with open(log, "ab") as log_file:
             self.process = subprocess.Popen([build / "limewing", "sidecar", settings], stdout=subprocess.PIPE,
                                             stderr=log_file, text=True)
+        # A process that neither listens nor ends is killed, so that the read below returns.
+        deadline = threading.Timer(WAIT_S, self.process.kill)
+        deadline.start()
         line = self.process.stdout.readline().strip()
-        expect(line.startswith("listening "), f"{settings} does not start with {build.name}: see its log")
+        deadline.cancel()
+        if not line.startswith("listening "):
+            self.kill()
+            raise Failure(f"{settings} does not start with {build.name}: see its log")
         self.address = line.removeprefix("listening ")
 
     def kill(self):
@@ -323,8 +329,9 @@
     stand_ins = StandIns()
     file = settings_for("sidecar-0", 0, folder, stand_ins, [], ["sidecar-0"], False)
     voter_folder = folder / "sidecar-0.work"
-    running = [Sidecar(first, file, folder / "log")]
+    running = []
     try:
+        running.append(Sidecar(first, file, folder / "log"))
         address = running[0].address
         number = ask_list(address)
         wait_for("a machine is out", lambda: phase_of(address, number, "node-0")["step"] == "out")
@@ -374,8 +381,12 @@
         self.names = [f"sidecar-{number}" for number in range(len(builds))]
         self.stand_ins = StandIns()
         self.sidecars = {}
-        for name, build in zip(self.names, builds):
-            self.start(name, build)
+        try:
+            for name, build in zip(self.names, builds):
+                self.start(name, build)
+        except BaseException:
+            self.stop()
+            raise
 
     def start(self, name, build):
         join = [page(other.address, "fleet")["listens"] for other in self.sidecars.values()]
