--- a/crates/http-proxy/src/service/control/endpoint_watch.rs
+++ b/crates/http-proxy/src/service/control/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list by blocking queries.
+//! Watches the endpoint list with blocking queries.
 
 use crate::endpoint_list::parse_endpoint_list;
 use crate::endpoint_list_file;
@@ -15,16 +15,16 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Bound of a response's body, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_LIST_BYTES: usize = 16 * 1024 * 1024;
-/// Queries are no closer together than this, however soon the service responds.
+/// Minimum interval between queries, however quickly the service responds.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The service adds up to this part of a blocking query's wait, so that not all responses come at once.
+/// The service extends the wait of a blocking query by up to `wait / WAIT_JITTER_DIVISOR`, to spread its responses.
 const WAIT_JITTER_DIVISOR: u32 = 16;
-/// How long a response may take beyond the wait of its blocking query.
+/// Time allowed for a response beyond the wait of its blocking query.
 const RESPONSE_ALLOWANCE: Duration = Duration::from_secs(2);
 
-/// A connection to the service that serves the list.
+/// A connection to the endpoint list service.
 pub(in crate::service) struct EndpointListConnection {
     reader: ResponseReader,
     timer: TimerKey,
@@ -33,16 +33,16 @@
 /// The state of the watch.
 #[derive(Default)]
 pub(in crate::service) struct EndpointWatch {
-    /// The service's index of the list; 0 asks for the list at once.
+    /// The service's index of the list. With index 0 the service responds at once.
     index: u64,
     connection: Option<SocketId>,
     queried_at: Duration,
 }
 
-/// Why a query has failed.
+/// Why a query failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(in crate::service) enum EndpointPollError {
-    /// The system refuses a connection.
+    /// The operating system could not open a connection.
     #[error("cannot open a connection")]
     Connect,
     /// The connection was lost.
@@ -51,30 +51,30 @@
     /// The response did not arrive in time.
     #[error("no response in time")]
     Timeout,
-    /// The response is incomplete, or is not HTTP.
+    /// The response is incomplete or not valid HTTP.
     #[error("the response is incomplete, or is not HTTP/1.1")]
     Unreadable,
-    /// The response has no list.
+    /// The response has another status than 200, or no index.
     #[error("expected status 200 and a number in X-Consul-Index")]
     NoList,
-    /// The response's body is no list.
+    /// The response body is not a valid endpoint list.
     #[error("the response has no endpoint list that can be used")]
     MalformedList,
 }
 
 impl EndpointWatch {
-    /// The service's index of the list.
+    /// Returns the service's index of the list.
     pub(in crate::service) fn index(&self) -> u64 {
         self.index
     }
 
-    /// Whether a query is under way.
+    /// Whether a connection for queries exists.
     pub(in crate::service) fn is_connected(&self) -> bool {
         self.connection.is_some()
     }
 
-    /// Takes up a response's index and returns whether the list may have changed. An index that goes back means that the
-    /// service was started anew: the next query asks for the list at once.
+    /// Stores the index of a response. Returns whether the list may have changed. An index that decreases means that
+    /// the service restarted: the next query asks for the list at once.
     fn take_index(&mut self, index: u64) -> bool {
         let changed = index != self.index;
         self.index = if index < self.index { 0 } else { index };
@@ -83,7 +83,7 @@
 }
 
 impl Service {
-    /// Tells the decisions of the list in the state file, or that there is none.
+    /// Passes the endpoint list in the state file to the decision engine, or an empty list if there is none.
     pub(in crate::service) fn announce_cached_list(&mut self, state_file: Option<&Path>) {
         let loaded = match state_file {
             Some(path) => endpoint_list_file::load(path),
@@ -98,7 +98,7 @@
         self.events.push(Event::Endpoints(update));
     }
 
-    /// Opens a connection for a query, unless there is one or it is other sidecars' turn to find the service back.
+    /// Opens a connection for a query, unless one exists or only other sidecars may probe the failed service now.
     pub(in crate::service) fn poll_endpoint_list(&mut self) {
         if self.endpoint_watch.connection.is_some() || self.shutdown.has_begun() {
             return;
@@ -124,7 +124,7 @@
         self.endpoint_watch.connection = Some(socket);
     }
 
-    /// Sends a blocking query on a connection that is up.
+    /// Sends a blocking query on an established connection.
     pub(in crate::service) fn send_endpoint_list_query(&mut self, socket: SocketId) {
         let service = &self.settings.endpoint_list;
         let wait = Duration::from(service.wait);
@@ -147,7 +147,7 @@
         self.sockets.send(socket, &request);
     }
 
-    /// Reads a response, and queries again.
+    /// Reads a response and schedules the next query.
     pub(in crate::service) fn read_endpoint_list(&mut self, socket: SocketId) {
         let ended = self.sockets.has_ended(socket);
         let Some(ConnectionRole::EndpointList(connection)) = self.connections.get_mut(&socket)
@@ -187,7 +187,7 @@
         }
         let list = parse_endpoint_list(body).map_err(|error| {
             tracing::warn!(%error, "endpoint list cannot be used");
-            // Asked for at once again: the next response may have the same list, and well.
+            // Query again without waiting for a change: the next response may carry the same list in valid form.
             self.endpoint_watch.index = 0;
             EndpointPollError::MalformedList
         })?;
@@ -214,14 +214,14 @@
             .schedule(earliest.max(self.now), TimerEvent::PollEndpointList);
     }
 
-    /// The query's timer has fired; it may be of a connection that is gone.
+    /// Handles a query timeout. The timer may belong to a connection that was closed since.
     pub(in crate::service) fn endpoint_poll_timed_out(&mut self, socket: SocketId) {
         if self.endpoint_watch.connection == Some(socket) {
             self.endpoint_poll_failed(EndpointPollError::Timeout);
         }
     }
 
-    /// Tells the decisions that the watch is lost; they say when to query again.
+    /// Reports the loss of the watch to the decision engine, which decides when to query again.
     pub(in crate::service) fn endpoint_poll_failed(&mut self, error: EndpointPollError) {
         tracing::warn!(%error, "endpoint watch lost, keeping the known list");
         self.peers
--- a/crates/http-proxy/src/service/control/known_endpoints.rs
+++ b/crates/http-proxy/src/service/control/known_endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this sidecar knows, as the service lists them and as the decisions know them.
+//! The known endpoints, as listed by the service and as announced to the decision engine.
 
 use crate::endpoint_directory::EndpointDirectory;
 use crate::endpoint_list::EndpointRecord;
@@ -8,21 +8,22 @@
 use limewing_proxy_core::clock::wall_clock_now;
 use std::time::Duration;
 
-/// The endpoints that this sidecar knows.
+/// The known endpoints of one sidecar.
 pub(in crate::service) struct KnownEndpoints {
-    /// The numbers by which the decisions know them.
+    /// Maps endpoints to the pod IDs of the decision engine.
     pub(in crate::service) directory: EndpointDirectory,
-    /// The list as the service has it.
+    /// The list as the service sent it.
     pub(in crate::service) listed: Vec<EndpointRecord>,
-    /// The list as the decisions know it: endpoints on machines that are closed for maintenance drain.
+    /// The list as announced to the decision engine: endpoints on machines that are closed for maintenance are
+    /// draining.
     announced: Vec<EndpointRecord>,
-    /// Whether a list was received since the start.
+    /// Whether a list was received since startup.
     received: bool,
     state_store: Option<StateStore<Vec<EndpointRecord>>>,
 }
 
 impl KnownEndpoints {
-    /// No endpoint yet; received lists are saved by `state_store`.
+    /// Starts without endpoints. Received lists are saved through `state_store`.
     pub(in crate::service) fn new(
         zones: &[String],
         state_store: Option<StateStore<Vec<EndpointRecord>>>,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// How many endpoints the decisions know.
+    /// Number of endpoints announced to the decision engine.
     pub(in crate::service) fn endpoint_count(&self) -> usize {
         self.announced.len()
     }
 
-    /// Waits until the newest list is saved, for `timeout` at most; returns whether it is.
+    /// Waits up to `timeout` until the newest list is saved. Returns whether it is.
     pub(in crate::service) fn flush_state_file(&self, timeout: Duration) -> bool {
         match &self.state_store {
             Some(store) => store.flush(timeout),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Marks the endpoints on closed machines anew, and returns what changed.
+    /// Updates which endpoints are draining because their machine is closed. Returns the changed endpoints.
     pub(in crate::service) fn remark_closed_machines(
         &mut self,
         peers: &Peers,
@@ -69,7 +70,7 @@
         announced
     }
 
-    /// Takes up a list that was saved by an earlier process.
+    /// Applies a list that an earlier process saved.
     pub(super) fn take_cached(
         &mut self,
         list: Vec<EndpointRecord>,
@@ -84,8 +85,8 @@
         EndpointUpdate::Cached(endpoints)
     }
 
-    /// Takes up a received list; `index` is the service's. The first one is a snapshot, as it tells what of the cached list
-    /// is gone; later ones are deltas.
+    /// Applies a received list with the service's index. The first list becomes a snapshot, because it shows which
+    /// cached endpoints are gone; later ones become deltas.
     pub(super) fn take_received(
         &mut self,
         list: Vec<EndpointRecord>,
--- a/crates/http-proxy/src/service/control/mod.rs
+++ b/crates/http-proxy/src/service/control/mod.rs
@@ -1,6 +1,6 @@
-//! The control services: the endpoint list, and the rollout service's stages and votes.
+//! Clients of the control services: the endpoint list, and the stages and votes of the rollout service.
 //!
-//! Either may be lost for long: the sidecar goes on with what it knows and tries again.
+//! Either service may be unavailable for a long time: the sidecar keeps its last known state and retries.
 
 pub(super) mod endpoint_watch;
 pub(super) mod known_endpoints;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 impl Service {
-    /// The head of a request to a control service.
+    /// Builds the head of a request to a control service.
     fn control_request(
         &self,
         method: &str,
--- a/crates/http-proxy/src/service/control/stage_watch.rs
+++ b/crates/http-proxy/src/service/control/stage_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the rollout's stages by a stream of server-sent events.
+//! Watches rollout stages through a stream of server-sent events.
 
 use crate::http_status;
 use crate::service::{ConnectionRole, Service, TimerEvent};
@@ -12,19 +12,19 @@
 use limewing_proxy_core::backoff::Backoff;
 use std::time::Duration;
 
-/// Where the rollout service serves the stream.
+/// Path of the stream on the rollout service.
 const STAGES_PATH: &str = "/v1/stages";
 
-/// A connection that carries the stream.
+/// The connection of the stage stream.
 pub(in crate::service) struct StageStreamConnection {
-    /// Reads the response's body, once its head was read.
+    /// Reads the response body, once the head was read.
     body: Option<BodyReader>,
     events: StageEventReader,
-    /// Fires if the stream is silent for too long.
+    /// Expires if the stream is silent for too long.
     timer: TimerKey,
 }
 
-/// The state of the watch that outlives a connection.
+/// The state of the watch that is kept across connections.
 pub(in crate::service) struct StageWatch {
     filter: StageUpdateFilter,
     backoff: Backoff,
@@ -33,13 +33,13 @@
 /// Why the stream was lost.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(in crate::service) enum StageStreamLoss {
-    /// The system refuses a connection.
+    /// The operating system could not open a connection.
     #[error("cannot open a connection")]
     Connect,
     /// The connection was lost.
     #[error("connection lost")]
     ConnectionLost,
-    /// The response is not a stream of events.
+    /// The response is not an event stream.
     #[error("expected status 200 and a stream of events")]
     NoStream,
     /// The stream was silent for too long.
@@ -48,16 +48,16 @@
     /// The service ended the stream.
     #[error("the service ended the stream")]
     Ended,
-    /// The response's body is not HTTP.
+    /// The response body is not valid HTTP.
     #[error("{0}")]
     Body(HttpError),
-    /// An event can't be read.
+    /// An event is malformed.
     #[error("{0}")]
     Event(#[from] StageStreamError),
 }
 
 impl StageWatch {
-    /// A watch whose backoff's jitter is drawn from `seed`.
+    /// Creates a watch. `seed` seeds the jitter of the reconnection backoff.
     pub(in crate::service) fn new(seed: u64) -> Self {
         Self {
             filter: StageUpdateFilter::default(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The update of a message; `None` if the message is older than one before.
+    /// Converts a message to a stage update. Returns `None` for a message older than one that was accepted before.
     pub(in crate::service) fn accept(&mut self, message: StageMessage) -> Option<StageUpdate> {
         let update = self.filter.accept(message);
         if update.is_none() {
@@ -76,7 +76,7 @@
 }
 
 impl Service {
-    /// Opens the stream, unless it is other sidecars' turn to find the service back.
+    /// Opens the stream, unless only other sidecars may probe the failed service now.
     pub(in crate::service) fn open_stage_stream(&mut self) {
         if self.shutdown.has_begun() {
             return;
@@ -108,7 +108,7 @@
             .insert(socket, ConnectionRole::StageStream(Box::new(connection)));
     }
 
-    /// Asks for the stream on a connection that is up.
+    /// Requests the stream on an established connection.
     pub(in crate::service) fn stage_stream_connected(&mut self, socket: SocketId) {
         let Some(service) = &self.settings.rollout_service else {
             return;
@@ -117,7 +117,7 @@
         self.sockets.send(socket, &request);
     }
 
-    /// Reads what has arrived of the stream.
+    /// Reads the received part of the stream.
     pub(in crate::service) fn read_stage_stream(&mut self, socket: SocketId) {
         let ended = self.sockets.has_ended(socket);
         if !self.restart_silence_timer(socket) {
@@ -158,7 +158,7 @@
         true
     }
 
-    /// Whether the response's head was read, now or before.
+    /// Reads the response head if it was not read before. Returns whether it was read.
     fn read_stage_stream_head(
         &mut self,
         socket: SocketId,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The messages in the next piece of the stream; `None` if no piece has arrived.
+    /// Reads the messages in the next part of the stream. Returns `None` if there is no further input.
     fn read_stage_messages(
         &mut self,
         socket: SocketId,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Closes a stream that was lost, and opens it again after a backoff.
+    /// Closes a lost stream and schedules a reconnection after a backoff.
     pub(in crate::service) fn stage_stream_lost(
         &mut self,
         socket: SocketId,
--- a/crates/http-proxy/src/service/control/votes.rs
+++ b/crates/http-proxy/src/service/control/votes.rs
@@ -1,4 +1,4 @@
-//! Votes on the build on trial, each by a call to the rollout service.
+//! Votes on the build on trial, sent as requests to the rollout service.
 
 use crate::service::{ConnectionRole, Service, TimerEvent};
 use crate::stage_updates::StageMessage;
@@ -8,11 +8,11 @@
 use limewing_net::sockets::SocketId;
 use limewing_proxy_core::vote_call::{VoteCall, VoteReply};
 
-/// Where the rollout service takes votes.
+/// Path for votes on the rollout service.
 const VOTES_PATH: &str = "/v1/votes";
 
 impl Service {
-    /// Sends a vote.
+    /// Opens a connection to send a vote.
     pub(in crate::service) fn send_vote(
         &mut self,
         verdict: Verdict,
@@ -47,14 +47,14 @@
         });
     }
 
-    /// Sends the request on a connection that is up.
+    /// Sends the vote on an established connection.
     pub(in crate::service) fn vote_connected(&mut self, socket: SocketId) {
         if let Some(ConnectionRole::Vote(call)) = self.connections.get_mut(&socket) {
             call.send(socket, &mut self.sockets);
         }
     }
 
-    /// Reads the reply.
+    /// Reads the reply to a vote.
     pub(in crate::service) fn read_vote(&mut self, socket: SocketId) {
         let Some(ConnectionRole::Vote(call)) = self.connections.get_mut(&socket) else {
             return;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Tells the decisions what became of a vote, with the state of the rollout if the reply has it.
+    /// Reports the outcome of a vote to the decision engine, with the rollout state if the reply contains it.
     pub(in crate::service) fn vote_completed(
         &mut self,
         socket: SocketId,
--- a/crates/http-proxy/src/service/decisions.rs
+++ b/crates/http-proxy/src/service/decisions.rs
@@ -1,16 +1,16 @@
-//! What decides on requests: the decision engine, or in tests a stand-in.
+//! Interface to the decision engine, which tests replace with other implementations.
 
 use limewing_decision::interface::{Action, Event};
 use limewing_decision::DecisionEngine;
 use limewing_proxy_core::send_permit::SendAuthority;
 use std::time::Duration;
 
-/// Decides on the requests of one sidecar.
+/// Decides how the requests of one sidecar are handled.
 pub trait Decisions: SendAuthority {
-    /// Applies endpoint and stage updates before anything else of the same turn is handled; nothing falls due by it.
+    /// Applies endpoint and stage updates before other events of the same turn. This does not run timers.
     fn apply_events(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action>;
 
-    /// Handles the events of a turn, and what has fallen due at `now`.
+    /// Handles the events of a turn, and timers that are due at `now`.
     fn handle(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action>;
 }
 
--- a/crates/http-proxy/src/service/direct_message/tests.rs
+++ b/crates/http-proxy/src/service/direct_message/tests.rs
@@ -1,6 +1,6 @@
 use super::{DirectMessage, CONSENSUS, MAINTENANCE, REPLICATION};
 
-/// Sidecars of other versions read these bytes.
+/// Sidecars of other versions depend on these bytes.
 #[test]
 fn the_protocol_is_the_first_byte() {
     let first_byte = |protocol| DirectMessage::new("s1".into(), protocol, &[7, 8]).bytes;
--- a/crates/http-proxy/src/service/event_loop.rs
+++ b/crates/http-proxy/src/service/event_loop.rs
@@ -1,7 +1,8 @@
-//! The event loop: waits for sockets and timers, and dispatches what happens.
+//! The event loop: waits for sockets and timers, and dispatches events.
 //!
-//! Events of one turn reach the decisions in the order in which the system reported them. Timers come after what was
-//! read in the same turn, so that a response that arrived while the process stood still beats its timeout.
+//! The decision engine receives the events of one turn in the order in which the operating system reported them. Timers
+//! run after the sockets of the same turn, so that a response that arrived while the process was suspended is handled
+//! before its timeout.
 
 use super::control::endpoint_watch::EndpointPollError;
 use super::control::stage_watch::StageStreamLoss;
@@ -17,7 +18,7 @@
 use std::time::Duration;
 
 impl Service {
-    /// One turn of the loop.
+    /// Runs one turn of the loop.
     pub(super) fn turn(&mut self) -> io::Result<()> {
         let timeout = poll_timeout(&self.clock, self.next_deadline(), !self.events.is_empty());
         let socket_events = self.sockets.wait(Some(timeout))?;
@@ -33,7 +34,7 @@
         self.peers.flush_datagrams(self.now, &mut self.sockets);
         let read_at = self.clock.now();
         let decided_at = self.decide().unwrap_or(read_at);
-        // What was just sent may be all that is left of this process: the others learn of it in the same turn.
+        // The process may exit at any time: other sidecars must learn in this turn which attempts were just sent.
         self.run_replication();
         self.peers.flush_datagrams(self.now, &mut self.sockets);
         self.warn_if_slow(read_at, decided_at);
@@ -47,14 +48,14 @@
         earliest_deadline(self.wake_at, deadlines.into_iter().chain(peers))
     }
 
-    /// Has the decisions handle what has come and what is due, and carries out their actions. Returns when they had
-    /// decided, if there was anything.
+    /// Passes pending events to the decision engine and carries out its actions. Returns when the engine finished, or
+    /// `None` if nothing was pending or due.
     fn decide(&mut self) -> Option<Duration> {
         if self.events.is_empty() && self.now < self.wake_at {
             return None;
         }
         let events = std::mem::take(&mut self.events);
-        // Maintenance, replication and timers bring endpoint and stage updates, too.
+        // Maintenance, replication and timers also produce endpoint and stage updates.
         let has_control_events = events
             .iter()
             .any(|event| matches!(event, Event::Endpoints(_) | Event::Stage { .. }));
@@ -82,8 +83,8 @@
         );
     }
 
-    /// Control events come before anything is written to a pod: after a standstill, a connection that was established
-    /// meanwhile would carry an attempt to a pod that has been draining for long.
+    /// Handles control events before anything is written to a pod. Otherwise, after the process was suspended, a
+    /// connection established in the meantime could carry an attempt to a pod that has been draining for long.
     fn handle_socket_events(&mut self, socket_events: Vec<SocketEvent>) {
         let (control, other): (Vec<_>, Vec<_>) = socket_events
             .into_iter()
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Whether it may bring endpoint or stage updates: it is of a connection to a control service, or of another sidecar.
+    /// Whether an event may contain endpoint or stage updates: it belongs to a control connection or another sidecar.
     fn is_control(&self, event: &SocketEvent) -> bool {
         let id = match event {
             SocketEvent::Datagram { .. } => return true,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Carries out actions of the decisions, in their order.
+    /// Carries out actions of the decision engine in order.
     pub(super) fn carry_out_all(&mut self, actions: Vec<Action>) {
         for action in actions {
             self.carry_out(action);
--- a/crates/http-proxy/src/service/mod.rs
+++ b/crates/http-proxy/src/service/mod.rs
@@ -1,12 +1,12 @@
-//! One HTTP sidecar: the state that its event loop owns, and its parts.
+//! One HTTP sidecar: the state that its event loop owns, and its components.
 //!
 //! - `startup` builds a sidecar from its settings
-//! - `event_loop` waits for sockets and timers, and dispatches to the other parts
+//! - `event_loop` waits for sockets and timers, and dispatches events to the other modules
 //! - `clients` reads requests and writes responses
 //! - `upstream` sends attempts to pods and reads their responses
-//! - `control` polls the endpoint list, watches stages and votes
-//! - `peers` connects the loop with what the sidecars of a fleet share
-//! - `shutdown` settles what is in flight before the process exits
+//! - `control` watches the endpoint list and the rollout stages, and sends votes
+//! - `peers` connects the event loop to membership, replicated state and maintenance
+//! - `shutdown` completes requests in flight before the process exits
 
 mod attempt_token;
 mod clients;
@@ -51,44 +51,44 @@
 use std::time::Duration;
 use upstream::{Upstream, UpstreamConnection};
 
-/// How long the exit waits for the state file.
+/// Maximum time to wait at exit for the state file to be written.
 const STATE_FILE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a connection is for, with its state.
+/// The role of a connection, with its state.
 enum ConnectionRole {
-    /// A client's.
+    /// A client connection.
     Client(Box<Client>),
-    /// To a pod.
+    /// A connection to a pod.
     Upstream(Box<UpstreamConnection>),
     /// A query of the endpoint list.
     EndpointList(Box<EndpointListConnection>),
-    /// The stream of stage updates.
+    /// The stage stream of the rollout service.
     StageStream(Box<StageStreamConnection>),
-    /// A vote.
+    /// A vote to the rollout service.
     Vote(Box<VoteCall>),
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 enum TimerEvent {
-    /// The attempt has no response.
+    /// An attempt has not received its response in time.
     AttemptTimeout(AttemptId),
-    /// The connection to a pod is not established.
+    /// A connection to a pod was not established in time.
     ConnectTimeout(SocketId),
-    /// The connection to a pod was idle for long.
+    /// A connection to a pod reached its idle timeout.
     IdleTimeout(SocketId),
-    /// The client's request has not arrived.
+    /// A client's request was not received in time.
     RequestTimeout(SocketId),
-    /// The client does not read its response.
+    /// A client has not read its response in time.
     ClientStalled(SocketId),
-    /// The endpoint list is to be queried.
+    /// The next query of the endpoint list is due.
     PollEndpointList,
-    /// The query of the endpoint list has no response.
+    /// A query of the endpoint list timed out.
     EndpointListTimeout(SocketId),
-    /// The stream of stage updates is to be opened.
+    /// The next attempt to open the stage stream is due.
     OpenStageStream,
-    /// The stream of stage updates is silent.
+    /// The stage stream was silent for too long.
     StageStreamTimeout(SocketId),
-    /// The vote has no reply.
+    /// A vote has not received its reply in time.
     VoteTimeout(SocketId),
 }
 
@@ -96,14 +96,14 @@
 pub struct Service {
     sockets: Sockets,
     clock: Clock,
-    /// The time of this turn of the event loop.
+    /// The time of the current turn of the event loop.
     now: Duration,
     timers: TimerWheel<TimerEvent>,
     connections: FxHashMap<SocketId, ConnectionRole>,
     decisions: Box<dyn Decisions + Send>,
-    /// When the decisions have something due.
+    /// When the decision engine's next timer is due.
     wake_at: Duration,
-    /// What the decisions are to be told next.
+    /// Events for the next call of the decision engine.
     events: Vec<Event>,
     settings: ServiceSettings,
     classifier: RequestClassifier,
@@ -118,16 +118,16 @@
 }
 
 impl Service {
-    /// Where clients are served.
+    /// The address that clients connect to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.clients.listener.address()
     }
 
-    /// Serves until it has been told to shut down and has settled what was in flight.
+    /// Runs the event loop until shutdown was requested and requests in flight are complete.
     ///
     /// # Errors
-    /// The system refuses to wait for sockets.
+    /// Waiting for socket events failed.
     pub fn run(mut self) -> io::Result<()> {
         while !self.shutdown.is_done() {
             self.turn()?;
@@ -135,7 +135,7 @@
         self.peers.leave_at_exit(self.now, &mut self.sockets);
         if !self.endpoints.flush_state_file(STATE_FILE_TIMEOUT) {
             tracing::warn!(
-                "state file not written before the exit, the next start begins with an older list"
+                "state file not written before exit; the next start begins with an older endpoint list"
             );
         }
         Ok(())
--- a/crates/http-proxy/src/service/settings.rs
+++ b/crates/http-proxy/src/service/settings.rs
@@ -1,43 +1,43 @@
-//! The settings as the event loop uses them.
+//! The settings of the event loop.
 
 use limewing_decision::interface::ClassId;
 use limewing_settings::{EndpointListService, RolloutService, SidecarSettings};
 use std::time::Duration;
 
-/// The settings as the event loop uses them.
+/// The settings of the event loop, derived from [`SidecarSettings`].
 pub(super) struct ServiceSettings {
     /// The sidecar's name.
     pub(super) name: String,
-    /// What `Via` says of this sidecar.
+    /// Value of the `Via` field that this sidecar adds.
     pub(super) via: String,
     /// The service that serves the endpoint list.
     pub(super) endpoint_list: EndpointListService,
-    /// The rollout service.
+    /// The rollout service, if configured.
     pub(super) rollout_service: Option<RolloutService>,
-    /// How long a connection may take to be established.
+    /// Maximum time to establish a connection.
     pub(super) connect_timeout: Duration,
-    /// How long a connection to a pod may be idle.
+    /// Maximum idle time of a connection to a pod.
     pub(super) idle_timeout: Duration,
-    /// Bound of a request's body that is buffered, in bytes; a larger one is streamed.
+    /// Maximum size of a buffered request body, in bytes. Larger bodies are streamed.
     pub(super) max_buffered_request: usize,
-    /// Bound of a response's body that is buffered, in bytes; a larger one is streamed.
+    /// Maximum size of a buffered response body, in bytes. Larger bodies are streamed.
     pub(super) max_buffered_response: usize,
-    /// How long a client may leave its response unread.
+    /// Maximum time for which a client may leave its response unread.
     pub(super) client_stall_timeout: Duration,
-    /// How long a request may take to arrive.
+    /// Maximum time to receive a request.
     pub(super) request_timeout: Duration,
-    /// Bound of connected clients.
+    /// Maximum number of connected clients.
     pub(super) max_clients: usize,
-    /// Bound of the attempts of one request.
+    /// Maximum number of attempts of one request.
     pub(super) max_attempts: usize,
-    /// How long the reply to a vote is waited for.
+    /// Maximum time to wait for the reply to a vote.
     pub(super) vote_timeout: Duration,
-    /// By class, whether responses are streamed from their first byte.
+    /// For each request class, whether responses are streamed from their first byte.
     streamed_classes: Vec<bool>,
 }
 
 impl ServiceSettings {
-    /// The event loop's part of the settings.
+    /// Extracts the settings of the event loop.
     pub(super) fn new(settings: &SidecarSettings) -> Self {
         let limits = &settings.limits;
         let classes = settings.classes.iter();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whether responses to requests of a class are streamed from their first byte.
+    /// Whether responses of a request class are streamed from their first byte.
     pub(super) fn is_streamed(&self, class: ClassId) -> bool {
         self.streamed_classes[usize::from(class.0)]
     }
--- a/crates/http-proxy/src/service/shutdown.rs
+++ b/crates/http-proxy/src/service/shutdown.rs
@@ -1,4 +1,4 @@
-//! The sidecar's graceful shutdown.
+//! Graceful shutdown of the sidecar.
 
 use super::{ConnectionRole, Service};
 use limewing_decision::interface::Event;
@@ -6,11 +6,11 @@
 use limewing_proxy_core::shutdown::{GracefulShutdown, PendingWork, Shutdown, ShutdownTimeouts};
 use std::time::Duration;
 
-/// How long a response may take to reach its client after the last deadline.
+/// Time allowed for a response to reach its client after the last deadline.
 const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// The times of a shutdown: the longest client timeout is waited out, then the way of its responses. No connection is
-/// accepted from the beginning on.
+/// Computes the shutdown timeouts: the longest client timeout, plus the time to deliver responses. New connections are
+/// refused from the beginning.
 pub(super) fn shutdown_timeouts(max_client_timeout: Duration) -> ShutdownTimeouts {
     ShutdownTimeouts {
         stop_accepting: Duration::ZERO,
@@ -20,7 +20,7 @@
 }
 
 impl Service {
-    /// Accepts no more connections, settles what is in flight and exits in bounded time.
+    /// Stops accepting connections, completes requests in flight and exits within a bounded time.
     pub(super) fn begin_shutdown(&mut self, signal: i32) {
         if !self.shutdown.begin(self.now) {
             return;
@@ -56,7 +56,7 @@
             backlog: self.clients.listener.has_backlog(),
             requests: self.requests.has_pending(),
             clients: self.clients.connected > 0,
-            // Attempts of completed requests are waited for, too: their outcomes are to be known.
+            // Attempts of completed requests also have to end, so that their outcomes are known.
             unsent: !self.requests.is_empty()
                 || self.sockets.total_unsent_bytes() > 0
                 || self.sockets.has_lingering(),
@@ -67,11 +67,11 @@
         self.clients.listener.accept_backlog(&mut self.sockets);
     }
 
-    /// Connections that wait are accepted and answered; those that carry nothing are closed.
+    /// Accepts and answers connections in the backlog, and closes idle ones.
     fn stop_accepting(&mut self) {
         self.clients.listener.close(&mut self.sockets);
         let mut idle = self.idle_clients();
-        // A request that the system holds, or that has begun to arrive, is answered first.
+        // A connection with unread or partial input is kept until its request is answered.
         idle.retain(|id| self.sockets.is_silent(*id));
         for id in idle {
             self.close_client(id);
@@ -89,7 +89,7 @@
             };
             let is_streamed = request.protocol_state.streamed_attempt.is_some();
             match request.client {
-                // The client sees by the connection's end that its response is not complete.
+                // Closing the connection shows the client that its response is incomplete.
                 Some(client) if is_streamed => self.client_disconnected(client),
                 _ => {
                     self.events.push(Event::ClientDisconnected(id));
--- a/crates/http-proxy/src/service/start_error.rs
+++ b/crates/http-proxy/src/service/start_error.rs
@@ -1,42 +1,42 @@
-//! Why a sidecar can't start.
+//! Startup errors.
 
 use limewing_settings::{ConfigError, ConfigFileError};
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a sidecar can't start.
+/// Why a sidecar failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The address for clients can't be used.
+    /// The listen address for clients cannot be used.
     #[error("can't listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// The listen address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The system refuses what the event loop, or a thread beside it, needs.
-    #[error("the system gives no poll or signals: {0}")]
+    /// The operating system denied a resource of the event loop or of a background thread.
+    #[error("cannot acquire system resources: {0}")]
     System(#[from] io::Error),
-    /// A setting can't be used.
+    /// A setting is invalid.
     #[error("at {}: {}", .0.path, .0.expected)]
     Settings(ConfigError),
-    /// The address for datagrams of other sidecars can't be used.
-    #[error("can't take datagrams at {address}: {error}")]
+    /// The listen address for datagrams of other sidecars cannot be used.
+    #[error("can't receive datagrams on {address}: {error}")]
     Datagrams {
-        /// The address.
+        /// The listen address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The fleet's keys can't be used.
+    /// The file with the fleet's keys cannot be used.
     #[error("at /peers/key_file: {0}")]
     Keys(ConfigFileError),
-    /// The folder of the vote log can't be used.
+    /// The directory of the vote log cannot be used.
     #[error("at /work/folder: {0}")]
     Work(io::Error),
-    /// The membership can't be started with these settings.
+    /// Membership rejected its configuration.
     #[error("at /peers: {0}")]
     Membership(limewing_membership::ConfigError),
 }
--- a/crates/http-proxy/src/service/startup.rs
+++ b/crates/http-proxy/src/service/startup.rs
@@ -28,24 +28,25 @@
 use std::io;
 use std::time::Duration;
 
-/// Address space that the system's allocator reserves for each thread that allocates, in bytes.
+/// Address space that the system allocator reserves for each thread that allocates, in bytes.
 const ALLOCATOR_RESERVE: usize = 64 << 20;
 
 impl Service {
-    /// Listens, takes up the endpoint list that was saved last, and begins to query the present one.
+    /// Binds the listen address, loads the saved endpoint list and begins to query the current one.
     ///
     /// # Errors
-    /// The address is taken, the settings can't be used, or the system refuses.
+    /// The settings are invalid, an address cannot be bound, or the operating system denies a resource.
     pub fn start(settings: &SidecarSettings) -> Result<Self, StartError> {
         Self::start_with(settings, |now, config| {
             Box::new(DecisionEngine::new(now, config))
         })
     }
 
-    /// As [`Service::start`], with decisions that the caller makes from the time and the configuration.
+    /// Starts a sidecar like [`Service::start`], with decisions created by the caller from the time and the
+    /// configuration.
     ///
     /// # Errors
-    /// As [`Service::start`].
+    /// Fails for the same reasons as [`Service::start`].
     pub fn start_with(
         settings: &SidecarSettings,
         decisions: impl FnOnce(Duration, SidecarConfig) -> Box<dyn Decisions + Send>,
@@ -96,7 +97,7 @@
     let client_memory =
         limits.max_buffered_request + limits.max_buffered_response + MAX_INPUT + MAX_UNSENT_BYTES;
     let (descriptors, memory) = resource_limits();
-    // Each thread beside the loop has an allocator's reserve of its own, which counts as address space.
+    // The allocator reserves address space for each background thread as well, which counts towards the limit.
     let threads = 1
         + usize::from(settings.state_file.is_some())
         + usize::from(settings.maintenance.is_some());
