--- a/crates/emulators/src/day/processes.rs
+++ b/crates/emulators/src/day/processes.rs
@@ -155,7 +155,7 @@
         };
         let Some(address) = process.read_address()? else {
             return Err(error(format!(
-                "it does not listen; see sidecar-{number}.log"
+                "it did not print its listen address; see sidecar-{number}.log"
             )));
         };
         process.address = address;
--- a/crates/emulators/src/fleet/rig.rs
+++ b/crates/emulators/src/fleet/rig.rs
@@ -240,7 +240,9 @@
             // The process may have exited by itself.
             let _ = child.kill();
             let _ = child.wait();
-            return Err(error(format!("it does not listen; see s{number}.log")));
+            return Err(error(format!(
+                "it did not print its listen address; see s{number}.log"
+            )));
         };
         self.relay
             .set_member(number, Some(datagram_address(address)?));
--- a/crates/emulators/src/platform/world.rs
+++ b/crates/emulators/src/platform/world.rs
@@ -129,7 +129,7 @@
             zone: 0,
             cell: 0,
             capacity: POD_CORES,
-            warming_up: warming_up,
+            warming_up,
         });
         let sidecars = 0..self.discovery.len() as u32;
         let addresses = sidecars.map(|sidecar| listen_for(&pod, SidecarId(sidecar)));
