--- a/crates/emulators/src/fleet/trial/config.rs
+++ b/crates/emulators/src/fleet/trial/config.rs
@@ -1,4 +1,4 @@
-//! Pods, sidecars and load of the trials.
+//! The pods, sidecars and load of the trials.
 
 use super::TrialPlan;
 use limewing_coordination::{stable_key, Pod};
@@ -8,32 +8,32 @@
 };
 use std::time::Duration;
 
-/// The span over which a warming pod's load counts.
+/// The window over which a warming pod's load is measured.
 pub(super) const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
-/// How long a pod warms up.
+/// The duration of a pod's slow start.
 pub(super) const SLOW_START_DURATION: Duration = Duration::from_secs(6);
-/// The part of its capacity that a pod starts with.
+/// The fraction of its capacity that a pod starts with.
 pub(super) const SLOW_START_FROM: f64 = 0.35;
-/// Seconds after which pods answer.
-pub(super) const ANSWER_TIME: f64 = 0.1;
-/// How long clients wait.
+/// The time that a pod takes to answer.
+pub(super) const ANSWER_TIME_SECONDS: f64 = 0.1;
+/// The client timeout.
 pub(super) const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// One in so many sidecars has `HEAVY_FACTOR` times the traffic of the others.
-const HEAVY_ONE_IN: usize = 5;
+/// One in this many sidecars has `HEAVY_FACTOR` times the traffic of the others.
+const HEAVY_SIDECAR_INTERVAL: usize = 5;
 const HEAVY_FACTOR: f64 = 5.0;
-/// Requests a second at the other sidecars.
+/// The request rate of the other sidecars.
 const REQUESTS_PER_SECOND: f64 = 4.0;
-/// Zones that pods and sidecars are dealt to in turn.
-const ZONES: u16 = 3;
-/// One in so many pods is twice as strong as the others.
-const STRONG_ONE_IN: usize = 3;
-/// Spreads the seeds of sidecars over the seeds of trials.
+/// The number of zones, to which pods and sidecars are assigned in turn.
+const ZONE_COUNT: u16 = 3;
+/// One in this many pods has twice the capacity of the others.
+const STRONG_POD_INTERVAL: usize = 3;
+/// Separates the seeds of sidecars of different trials.
 const SEED_FACTOR: u64 = 1_000_003;
-/// Keeps divisors above 0 where nothing was sent.
+/// The lower bound of divisors that are 0 where nothing was sent.
 pub(super) const MIN_DIVISOR: f64 = 1e-9;
 
 pub(super) fn capacity(pod: usize) -> f64 {
-    if pod.is_multiple_of(STRONG_ONE_IN) {
+    if pod.is_multiple_of(STRONG_POD_INTERVAL) {
         2.0
     } else {
         1.0
@@ -41,11 +41,11 @@
 }
 
 pub(super) fn zone(number: usize) -> u16 {
-    number as u16 % ZONES
+    number as u16 % ZONE_COUNT
 }
 
 pub(super) fn request_rate(sidecar: usize) -> f64 {
-    if sidecar.is_multiple_of(HEAVY_ONE_IN) {
+    if sidecar.is_multiple_of(HEAVY_SIDECAR_INTERVAL) {
         REQUESTS_PER_SECOND * HEAVY_FACTOR
     } else {
         REQUESTS_PER_SECOND
--- a/crates/emulators/src/platform/pod_session.rs
+++ b/crates/emulators/src/platform/pod_session.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{error, write_answer, write_empty_answer};
 use super::pod::Does;
-use super::Link;
+use super::Connection;
 use crate::locks::lock;
 use bytes::{BufMut, BytesMut};
 use limewing_postgres_protocol::{decode, encode};
@@ -12,12 +12,12 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// How long a pod waits for a word of the test.
-const WORD_TIMEOUT: Duration = Duration::from_secs(20);
-/// The length of ReadyForQuery, which ends an answer.
+/// How long a pod waits for a signal from the test.
+const SIGNAL_TIMEOUT: Duration = Duration::from_secs(20);
+/// The length of the ReadyForQuery message, which ends an answer.
 const READY_FOR_QUERY_LENGTH: usize = 6;
 
-/// What a pod does, over all its connections; the last entry stays.
+/// The script of a pod, shared by all its connections; the last entry is repeated.
 #[derive(Debug)]
 pub(super) struct PodScript(Mutex<Vec<Does>>);
 
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The next entry, if it concerns the empty query before a statement.
+    /// Takes the next entry if it concerns the empty query before a statement.
     fn next_early(&self) -> Option<Does> {
         let mut script = lock(&self.0);
-        let is_early = |does: &&Does| {
+        let is_early = |entry: &&Does| {
             matches!(
-                does,
+                entry,
                 Does::ClosesEarly | Does::WaitsEarly | Does::LivesLater(_)
             )
         };
@@ -63,45 +63,45 @@
 /// Serves one connection to its end.
 pub(super) fn serve(
     stream: TcpStream,
-    tell: &Sender<String>,
+    report: &Sender<String>,
     script: &PodScript,
-    word: &Mutex<Receiver<()>>,
+    signal: &Mutex<Receiver<()>>,
 ) {
     let first = script.first();
-    let Some(link) = read_startup(stream) else {
+    let Some(connection) = read_startup(stream) else {
         return;
     };
     let mut session = PodSession {
-        link,
-        tell,
+        connection,
+        report,
         script,
-        word,
-        own: None,
+        signal,
+        reserved_entry: None,
         unsent: &[],
         last_answer: BytesMut::new(),
     };
-    // None: the connection has ended.
+    // `None` means that the connection has ended.
     let _ = session.run(first.as_ref());
 }
 
 struct PodSession<'a> {
-    link: Link,
-    tell: &'a Sender<String>,
+    connection: Connection,
+    report: &'a Sender<String>,
     script: &'a PodScript,
-    word: &'a Mutex<Receiver<()>>,
-    /// What the empty query has set for the statement behind it.
-    own: Option<Does>,
-    /// Bytes that go out before the next answer.
+    signal: &'a Mutex<Receiver<()>>,
+    /// The entry that the empty query has set for the statement after it.
+    reserved_entry: Option<Does>,
+    /// Bytes to send before the next answer.
     unsent: &'static [u8],
     last_answer: BytesMut,
 }
 
 impl PodSession<'_> {
-    /// Serves until the connection ends, by either side; `first` is what the script began with when the connection came.
+    /// Serves until either side ends the connection; `first` is the first entry of the script when the connection was accepted.
     fn run(&mut self, first: Option<&Does>) -> Option<()> {
         self.start(first)?;
         loop {
-            let message = self.link.hear()?;
+            let message = self.connection.read_message()?;
             let text = decode::string(&message.body)?.to_owned();
             let unsent = std::mem::take(&mut self.unsent);
             self.send(unsent)?;
@@ -109,57 +109,61 @@
                 self.answer_empty()?;
                 continue;
             }
-            let does = self.own.take().unwrap_or_else(|| self.script.next());
-            self.tell(text);
-            let answer = self.answer(does)?;
+            let entry = self
+                .reserved_entry
+                .take()
+                .unwrap_or_else(|| self.script.next());
+            self.report(text);
+            let answer = self.answer(entry)?;
             self.send(&answer)?;
             self.last_answer = answer;
         }
     }
 
     fn send(&mut self, bytes: &[u8]) -> Option<()> {
-        self.link.stream.write_all(bytes).ok()
+        self.connection.stream.write_all(bytes).ok()
     }
 
-    fn tell(&self, what: impl Into<String>) {
-        // The test may be over.
-        let _ = self.tell.send(what.into());
+    fn report(&self, what: impl Into<String>) {
+        // The test may have ended.
+        let _ = self.report.send(what.into());
     }
 
-    fn await_word(&self) {
-        // Without one, the test says what is wrong.
-        let _ = lock(self.word).recv_timeout(WORD_TIMEOUT);
+    fn await_signal(&self) {
+        // If none arrives, the test reports the failure.
+        let _ = lock(self.signal).recv_timeout(SIGNAL_TIMEOUT);
     }
 
-    /// Only with the sidecar's first message here can its session be started while the sidecar is suspended.
+    /// Starts the session. The startup message has been read before, so that a test can let the session start while the sidecar is
+    /// suspended.
     fn start(&mut self, first: Option<&Does>) -> Option<()> {
         match first {
             Some(Does::WelcomesWithMore) => {
                 self.script.remove_first();
-                write_session_start(&mut self.link, &[b'T', 0])?;
-                while self.link.hear().is_some() {}
+                write_session_start(&mut self.connection, &[b'T', 0])?;
+                while self.connection.read_message().is_some() {}
                 None
             }
             Some(Does::WelcomesLater) => {
                 self.script.remove_first();
-                self.tell("came");
-                self.await_word();
-                write_session_start(&mut self.link, &[])?;
-                self.tell("welcomed");
+                self.report("came");
+                self.await_signal();
+                write_session_start(&mut self.connection, &[])?;
+                self.report("welcomed");
                 Some(())
             }
-            _ => write_session_start(&mut self.link, &[]),
+            _ => write_session_start(&mut self.connection, &[]),
         }
     }
 
-    /// What is done early is done to the empty query before the statement.
+    /// Handles the empty query before the statement, to which the early entries of the script apply.
     fn answer_empty(&mut self) -> Option<()> {
         match self.script.next_early() {
             Some(Does::ClosesEarly) => return None,
             Some(Does::LivesLater(value)) => {
-                self.tell("empty");
-                self.await_word();
-                self.own = Some(Does::Serves(value));
+                self.report("empty");
+                self.await_signal();
+                self.reserved_entry = Some(Does::Serves(value));
             }
             Some(_) => return Some(()),
             None => {}
@@ -169,13 +173,13 @@
         self.send(&out)
     }
 
-    /// The answer, or what is left of it to send; none if the pod closes.
-    fn answer(&mut self, does: Does) -> Option<BytesMut> {
+    /// Returns the answer, or the part of it that is still to be sent; `None` if the pod closes the connection.
+    fn answer(&mut self, entry: Does) -> Option<BytesMut> {
         let mut out = BytesMut::new();
-        match does {
+        match entry {
             Does::Serves(value) | Does::LivesLater(value) => write_answer(&mut out, value),
             Does::ServesThenSays(value, first, then) => {
-                self.serve_then_say(value, first)?;
+                self.send_unsolicited(value, first)?;
                 self.unsent = then;
             }
             Does::CopiesFirst(value) => {
@@ -190,19 +194,19 @@
                 write_answer(&mut out, value);
                 let ready = out.split_off(out.len() - READY_FOR_QUERY_LENGTH);
                 self.send(&out)?;
-                self.await_word();
+                self.await_signal();
                 return Some(ready);
             }
             Does::ServesLater(value) => {
-                self.await_word();
+                self.await_signal();
                 write_answer(&mut out, value);
             }
             Does::Halves(value) => {
                 write_answer(&mut out, value);
                 let rest = out.split_off(out.len() / 2);
                 self.send(&out)?;
-                self.tell("half");
-                self.await_word();
+                self.report("half");
+                self.await_signal();
                 return Some(rest);
             }
             Does::Errs(code) => out.put_slice(&error(code)),
@@ -221,51 +225,54 @@
         Some(out)
     }
 
-    fn serve_then_say(&mut self, value: &str, first: &[u8]) -> Option<()> {
+    fn send_unsolicited(&mut self, value: &str, first: &[u8]) -> Option<()> {
         let mut out = BytesMut::new();
         write_answer(&mut out, value);
         self.send(&out)?;
-        self.await_word();
+        self.await_signal();
         self.send(first)?;
-        self.tell("said");
+        self.report("said");
         Some(())
     }
 }
 
-/// A connection whose session has started.
-pub(super) fn accept_session(stream: TcpStream) -> Option<Link> {
-    let mut link = read_startup(stream)?;
-    write_session_start(&mut link, &[])?;
-    Some(link)
+/// Reads the startup message of a connection and starts its session.
+pub(super) fn accept_session(stream: TcpStream) -> Option<Connection> {
+    let mut connection = read_startup(stream)?;
+    write_session_start(&mut connection, &[])?;
+    Some(connection)
 }
 
-/// A connection whose startup message has come.
-fn read_startup(stream: TcpStream) -> Option<Link> {
-    let mut link = Link::new(stream).ok()?;
-    while decode::startup_packet(&mut link.input).ok()?.is_none() {
-        link.fill()?;
+/// Reads the startup message of a connection.
+fn read_startup(stream: TcpStream) -> Option<Connection> {
+    let mut connection = Connection::new(stream).ok()?;
+    while decode::startup_packet(&mut connection.input)
+        .ok()?
+        .is_none()
+    {
+        connection.read_more()?;
     }
-    Some(link)
+    Some(connection)
 }
 
-/// Starts the session of a connection, with these bytes right behind.
-fn write_session_start(link: &mut Link, more: &[u8]) -> Option<()> {
+/// Starts the session of a connection, with these bytes appended in the same write.
+fn write_session_start(connection: &mut Connection, extra: &[u8]) -> Option<()> {
     let mut out = BytesMut::new();
     encode::session_start(&mut out, &[("server_version", "16.0")]);
-    out.extend_from_slice(more);
-    link.stream.write_all(&out).ok()
+    out.extend_from_slice(extra);
+    connection.stream.write_all(&out).ok()
 }
 
-/// The next statement; empty queries before it are answered.
-pub(super) fn read_statement(link: &mut Link) -> Option<String> {
+/// Reads the next statement; answers empty queries before it.
+pub(super) fn read_statement(connection: &mut Connection) -> Option<String> {
     loop {
-        let message = link.hear()?;
+        let message = connection.read_message()?;
         let text = decode::string(&message.body)?;
         if !text.is_empty() {
             return Some(text.to_owned());
         }
         let mut out = BytesMut::new();
         write_empty_answer(&mut out);
-        link.stream.write_all(&out).ok()?;
+        connection.stream.write_all(&out).ok()?;
     }
 }
